--- a/src/bookkeeping/budget.rs
+++ b/src/bookkeeping/budget.rs
@@ -47,7 +47,7 @@
 
 /// Who uses a part of a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum BudgetRole {
     Leader,
     /// Users' requests at one of so many controllers.
     Users(usize),
@@ -56,10 +56,10 @@
 /// The rate of one part under a limit that all share: what the other parts do
 /// not use, and never less than its least. `others`: what each uses a second,
 /// or None for a controller that wasn't heard lately.
-pub fn share(limit: f64, part: Part, others: &[Option<f64>]) -> f64 {
+pub fn share(limit: f64, part: BudgetRole, others: &[Option<f64>]) -> f64 {
     let least = match part {
-        Part::Leader => LEADERS,
-        Part::Users(n) => USERS / n.max(1) as f64,
+        BudgetRole::Leader => LEADERS,
+        BudgetRole::Users(n) => USERS / n.max(1) as f64,
     };
     let silent = limit * USERS / (others.len() + 1) as f64;
     let used: f64 = others.iter().map(|o| o.map_or(silent, |u| u.max(0.01 * limit))).sum();
--- a/src/bookkeeping/mirror.rs
+++ b/src/bookkeeping/job_cache.rs
@@ -1,4 +1,4 @@
-//! The mirror of all jobs' records, kept by `/changes`.
+//! The job cache of all jobs' records, kept by `/changes`.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -81,7 +81,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Mirror {
+pub struct JobCache {
     jobs: Vec<JobEntry>,
     index: HashMap<Rc<str>, JobIx>,
     epoch: u64,
@@ -92,7 +92,7 @@
     awaited: HashMap<Rc<str>, Vec<JobIx>>,
 }
 
-impl Mirror {
+impl JobCache {
     pub fn loaded(&self) -> bool {
         self.loaded
     }
@@ -424,5 +424,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/mirror.rs"]
+#[path = "tests/job_cache.rs"]
 mod tests;
--- a/src/bookkeeping/mod.rs
+++ b/src/bookkeeping/mod.rs
@@ -1,8 +1,8 @@
-//! What outlives a process: records in the state service, the mirror of them,
+//! What outlives a process: records in the state service, the job cache of them,
 //! the read barrier, and the budgets that outside services are asked within.
 
 pub mod barrier;
 pub mod budget;
-pub mod mirror;
+pub mod job_cache;
 pub mod records;
 pub mod versions;
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -16,7 +16,7 @@
 pub const TASKS: &str = "t/";
 
 /// The key under which a controller says that it may keep leases.
-pub fn keeper_key(label: &str) -> String {
+pub fn renewal_key(label: &str) -> String {
     format!("{LEADER}/{label}")
 }
 
@@ -67,7 +67,7 @@
 
 /// Where one task may be.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlaceRecord(
+pub struct AssignmentRecord(
     /// Task number.
     pub u32,
     /// Machine.
@@ -86,7 +86,7 @@
     #[serde(rename = "d")]
     pub done: String,
     #[serde(rename = "p")]
-    pub places: Vec<PlaceRecord>,
+    pub assignments: Vec<AssignmentRecord>,
     /// Who wrote it, to tell one's own late write.
     #[serde(rename = "w")]
     pub tag: u64,
@@ -97,9 +97,9 @@
 pub fn chunk_size(value_kb: f64, zone_len: usize) -> u32 {
     // A place in JSON form: five fields, of up to 6, 14, 7 and 20 bytes and the
     // zone's name, in brackets, with quotes, commas and perhaps spaces; and a bit.
-    let place = 63.0 + zone_len as f64;
+    let assignment = 63.0 + zone_len as f64;
     const REST: f64 = 64.0;
-    (((value_kb * 1024.0 - REST) / place).max(0.0) as u32).clamp(4, 128) / 4 * 4
+    (((value_kb * 1024.0 - REST) / assignment).max(0.0) as u32).clamp(4, 128) / 4 * 4
 }
 
 pub fn pack_done(done: impl Iterator<Item = bool>) -> String {
--- a/src/bookkeeping/tests/barrier.rs
+++ b/src/bookkeeping/tests/barrier.rs
@@ -19,6 +19,6 @@
     b.ended();
     b.join(2_010, "c");
     assert!(!b.due(2_010), "gap kept");
-    b.hurry(2_010);
+    b.expedite(2_010);
     assert!(b.due(2_010), "gap given up");
 }
--- a/src/bookkeeping/tests/budget.rs
+++ b/src/bookkeeping/tests/budget.rs
@@ -30,15 +30,15 @@
 #[test]
 fn shares_follow_need() {
     let (idle, silent) = (Some(0.0), None);
-    let (leader, users) = (Part::Leader, Part::Users(5));
+    let (leader, users) = (BudgetRole::Leader, BudgetRole::Users(5));
     // (part, others, at least, at most), of a limit of 100
-    let cases: [(Part, &[Option<f64>], f64, f64); 6] = [
+    let cases: [(BudgetRole, &[Option<f64>], f64, f64); 6] = [
         (leader, &[idle; 4], 90.0, 95.0),
         (leader, &[silent; 4], 70.0, 72.0),
         (leader, &[Some(30.0); 4], 50.0, 50.0),
         (users, &[Some(60.0), idle, idle, idle], 30.0, 35.0),
         (users, &[Some(95.0), idle, idle, idle], 6.0, 6.0),
-        (Part::Users(1), &[], 90.0, 95.0),
+        (BudgetRole::Users(1), &[], 90.0, 95.0),
     ];
     for (part, others, least, most) in cases {
         let got = share(100.0, part, others);
--- a/src/bookkeeping/tests/mirror.rs
+++ b/src/bookkeeping/tests/job_cache.rs
@@ -23,7 +23,7 @@
         &[(Pending, 3, Pending), (Pending, 3, Pending)],
     ];
     for (n, case) in cases.iter().enumerate() {
-        let mut m = Mirror::default();
+        let mut m = JobCache::default();
         let mut t = Tables::default();
         let mut top = 0;
         for (status, stamp, want) in *case {
@@ -50,16 +50,16 @@
         (None, 7, Some((Cancelled, 7)), Some(Cancelled)),
         (None, 7, None, None),
     ];
-    for (n, (before, told, after, want)) in cases.into_iter().enumerate() {
-        let (mut m, mut t) = (Mirror::default(), Tables::default());
-        let read = |m: &mut Mirror, t: &mut Tables, r: Option<(Status, u64)>| {
+    for (n, (before, user_responses, after, want)) in cases.into_iter().enumerate() {
+        let (mut m, mut t) = (JobCache::default(), Tables::default());
+        let read = |m: &mut JobCache, t: &mut Tables, r: Option<(Status, u64)>| {
             if let Some((status, stamp)) = r {
                 m.apply(&change(status, stamp), t);
             }
         };
         read(&mut m, &mut t, before);
         m.take_changed();
-        m.cancelled_elsewhere("j-000412", told, &mut t);
+        m.cancelled_elsewhere("j-000412", user_responses, &mut t);
         let first = matches!(before, Some((Pending, _)));
         assert_eq!(m.take_changed().len(), usize::from(first), "case {n}: the leader is told once");
         read(&mut m, &mut t, after);
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_record_that_cannot_be_read_is_left_out() {
-    let mut m = Mirror::default();
+    let mut m = JobCache::default();
     assert_eq!(m.put("j/j-1", &Value::Text("?".into()), 3, &mut Tables::default()), None);
     assert!(m.is_empty());
 }
--- a/src/bookkeeping/tests/records.rs
+++ b/src/bookkeeping/tests/records.rs
@@ -37,8 +37,8 @@
         let size = chunk_size(kb, "some-zone-1".len());
         let rec = ChunkRecord {
             done: pack_done((0..size).map(|_| true)),
-            places: (0..size)
-                .map(|i| PlaceRecord(99_000 + i, "i-0000000231".into(), 1 << 20, u64::MAX, "some-zone-1".into()))
+            assignments: (0..size)
+                .map(|i| AssignmentRecord(99_000 + i, "i-0000000231".into(), 1 << 20, u64::MAX, "some-zone-1".into()))
                 .collect(),
             tag: u64::MAX,
         };
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -15,7 +15,7 @@
 const PATIENCE_MS: u64 = 700;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// POST /grants
     Grant,
     /// POST /grants/{}/renew
@@ -128,7 +128,7 @@
         }
     }
 
-    pub fn tick(&mut self, now: u64) -> Option<Act> {
+    pub fn tick(&mut self, now: u64) -> Option<Action> {
         if self.flight != Flight::None {
             return None;
         }
@@ -138,7 +138,7 @@
                 if now >= self.last_renewal + self.ttl_ms / 4 && now >= self.retry_at {
                     self.last_renewal = now;
                     self.flight = Flight::Renew { sent: now };
-                    return Some(Act::Renew(p));
+                    return Some(Action::Renew(p));
                 }
             }
             return None;
@@ -156,12 +156,12 @@
         match self.permit {
             Some(p) if now + self.ttl_ms / 2 < self.valid_until => {
                 self.flight = Flight::Claim;
-                Some(Act::Claim { permit: p, expect })
+                Some(Action::Claim { permit: p, expect })
             }
             _ => {
                 self.permit = None;
                 self.flight = Flight::Grant { sent: now };
-                Some(Act::Grant)
+                Some(Action::Grant)
             }
         }
     }
@@ -237,12 +237,12 @@
     }
 
     /// Gives way: no worker reaches this controller, others they do.
-    pub fn resign(&mut self, now: u64) -> Option<Act> {
+    pub fn resign(&mut self, now: u64) -> Option<Action> {
         self.aside_until = now + STEP_ASIDE_MS;
         self.valid_until = 0;
         self.key = self.key.take().map(|(_, stamp)| (None, stamp));
         self.flight = Flight::None;
-        self.permit.take().map(Act::Resign)
+        self.permit.take().map(Action::Resign)
     }
 }
 
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -5,10 +5,10 @@
 use super::{
     leader::{Effect, Leader},
     model::*,
-    trial::{Ask, Verdict},
+    trial::{TrialRequest, Verdict},
 };
 use crate::{
-    bookkeeping::{mirror::JobIx, records::Status},
+    bookkeeping::{job_cache::JobIx, records::Status},
     protocol::{
         cloud::{HostList, HostState, RentRequest},
         jobs::Kind,
@@ -132,11 +132,11 @@
 
     fn hand_back(&mut self, now: Ms) {
         // Taken over with tasks on it, and not heard since this leader began.
-        let inherited = |m: &Machine| m.life == Life::Booting && !m.places.is_empty();
+        let inherited = |m: &Machine| m.life == MachineLifecycle::Booting && !m.assignments.is_empty();
         let silent = |m: &Machine| {
             let since = m.heard.unwrap_or(self.started + self.cfg.report_ms);
             let overdue = now > since + self.cfg.silent_ms || m.probe_fails >= 2;
-            overdue && m.life != Life::Gone && (m.life != Life::Booting || inherited(m))
+            overdue && m.life != MachineLifecycle::Gone && (m.life != MachineLifecycle::Booting || inherited(m))
         };
         // Guard: a cut silences the machines behind it, which may well be
         // running. A machine is believed dead only if others of its zone were
@@ -147,7 +147,7 @@
         // When each zone's machines were last heard, the latest last.
         let mut heard_in: HashMap<Option<ZoneIx>, Vec<Ms>> = HashMap::new();
         if self.machines.iter().any(silent) {
-            for m in self.machines.iter().filter(|m| m.life == Life::Up || inherited(m)) {
+            for m in self.machines.iter().filter(|m| m.life == MachineLifecycle::Up || inherited(m)) {
                 for z in [None, Some(m.zone)] {
                     heard_in.entry(z).or_default().push(m.heard.unwrap_or(0));
                 }
@@ -177,16 +177,16 @@
                 continue;
             }
             let why = match m.life {
-                Life::Gone => continue,
-                Life::Returning => "asked before",
-                Life::Booting if inherited(m) => {
+                MachineLifecycle::Gone => continue,
+                MachineLifecycle::Returning => "asked before",
+                MachineLifecycle::Booting if inherited(m) => {
                     if silent(m) && cloud_there && alone(m) {
                         "silent"
                     } else {
                         continue;
                     }
                 }
-                Life::Booting => {
+                MachineLifecycle::Booting => {
                     let boot = self.type_of(m).map_or(60.0, |t| t.boot_s);
                     let most = (boot * 3.0 + 15.0) * 1000.0;
                     let after = m.rented.max(self.started);
@@ -196,11 +196,11 @@
                         continue;
                     }
                 }
-                Life::Up if silent(m) && cloud_there && alone(m) => "silent",
-                Life::Up if m.is_deaf() && cloud_there && self.others_heed(now, m) => "hears nothing",
-                Life::Up if m.places.is_empty() && m.retire => "retired",
-                Life::Up if m.places.is_empty() && self.idle_long(now, m) => "idle",
-                Life::Up => continue,
+                MachineLifecycle::Up if silent(m) && cloud_there && alone(m) => "silent",
+                MachineLifecycle::Up if m.is_deaf() && cloud_there && self.others_heed(now, m) => "hears nothing",
+                MachineLifecycle::Up if m.assignments.is_empty() && m.retire => "retired",
+                MachineLifecycle::Up if m.assignments.is_empty() && self.idle_long(now, m) => "idle",
+                MachineLifecycle::Up => continue,
             };
             ids.push((MachineIx(n as u32), why));
         }
@@ -209,10 +209,10 @@
         }
         for &(ix, why) in &ids {
             let m = &mut self.machines[ix.at()];
-            if m.life != Life::Returning {
-                tracing::info!(machine = &*m.id, why, tasks = m.places.len(), "handing back");
+            if m.life != MachineLifecycle::Returning {
+                tracing::info!(machine = &*m.id, why, tasks = m.assignments.len(), "handing back");
             }
-            m.life = Life::Returning;
+            m.life = MachineLifecycle::Returning;
             m.return_after = now + 2_500;
             self.refresh(now, ix);
         }
@@ -226,7 +226,7 @@
     pub fn note_zones(&mut self, now: Ms) {
         let mut zones: HashMap<ZoneIx, (u32, u32)> = HashMap::new();
         for m in &self.machines {
-            if m.life == Life::Up || (m.life == Life::Booting && !m.places.is_empty()) {
+            if m.life == MachineLifecycle::Up || (m.life == MachineLifecycle::Booting && !m.assignments.is_empty()) {
                 let z = zones.entry(m.zone).or_default();
                 z.0 += u32::from(m.heard.is_some_and(|h| now < h + 2 * self.cfg.report_ms));
                 z.1 += 1;
@@ -251,7 +251,9 @@
     /// who don't get through.
     fn others_heed(&self, now: Ms, deaf: &Machine) -> bool {
         let lately = |m: &&Machine| {
-            m.life == Life::Up && m.id != deaf.id && m.heard.is_some_and(|h| now < h + 2 * self.cfg.report_ms)
+            m.life == MachineLifecycle::Up
+                && m.id != deaf.id
+                && m.heard.is_some_and(|h| now < h + 2 * self.cfg.report_ms)
         };
         let (mut heed, mut all) = (0, 0);
         for m in self.machines.iter().filter(lately) {
@@ -298,17 +300,17 @@
         if now < self.fleet.crowded + QUIET_MS || now < self.started + 4 * QUIET_MS {
             return;
         }
-        if self.machines.iter().any(|m| m.retire && !m.places.is_empty()) {
+        if self.machines.iter().any(|m| m.retire && !m.assignments.is_empty()) {
             return;
         }
         let mut candidates: Vec<(f64, MachineIx)> = Vec::new();
         for (n, m) in self.machines.iter().enumerate() {
             let settled = m.up_at.is_some_and(|u| now > u + self.cfg.idle_keep_ms);
-            if m.life != Life::Up || m.retire || m.places.is_empty() || !settled || !m.fenced() {
+            if m.life != MachineLifecycle::Up || m.retire || m.assignments.is_empty() || !settled || !m.fenced() {
                 continue;
             }
-            let movable = m.places.iter().all(|&p| {
-                self.place(p).is_some_and(|p| {
+            let movable = m.assignments.iter().all(|&p| {
+                self.assignment(p).is_some_and(|p| {
                     let service = self.job(p.job).is_some_and(|j| {
                         j.spec.kind == Kind::Service && j.status == Status::Pending && j.spec.gpus <= 0.0
                     });
@@ -318,45 +320,46 @@
             });
             let price = self.type_of(m).map_or(0.0, |t| t.price_of(m.spot));
             // Worth the moment without them only where much is paid for little.
-            let fair: f64 = m.places.iter().filter_map(|&p| self.place(p)).map(|p| self.fair_price(p.job)).sum();
+            let fair: f64 =
+                m.assignments.iter().filter_map(|&p| self.assignment(p)).map(|p| self.fair_price(p.job)).sum();
             if movable && price > DEAR * fair {
                 candidates.push((price, MachineIx(n as u32)));
             }
         }
         candidates.sort_by(|a, b| b.0.total_cmp(&a.0));
         self.keep_all_headroom(now);
-        let kept = self.picture.reservations();
+        let kept = self.snapshot.reservations();
         for (price, ix) in candidates.into_iter().take(4) {
             // Not to empty machines, nor to any that hold the machine's like.
-            let all = self.machine(ix).places.clone().iter().all(|&p| self.has_another_place(ix, p));
-            self.picture.release(kept);
+            let all = self.machine(ix).assignments.clone().iter().all(|&p| self.has_another_assignment(ix, p));
+            self.snapshot.release(kept);
             if !all {
                 continue;
             }
             let m = &mut self.machines[ix.at()];
-            tracing::info!(machine = &*m.id, price, replicas = m.places.len(), "its replicas move, it goes back");
+            tracing::info!(machine = &*m.id, price, replicas = m.assignments.len(), "its replicas move, it goes back");
             m.retire = true;
-            for p in m.places.clone() {
+            for p in m.assignments.clone() {
                 self.halt(now, p, 0.0);
             }
             self.refresh(now, ix);
-            self.dirty = true;
+            self.pass_needed = true;
             break;
         }
-        self.picture.release(0);
+        self.snapshot.release(0);
     }
 
     /// Room elsewhere for a replica on `from`, where its image is; kept for it.
-    fn has_another_place(&mut self, from: MachineIx, p: PlaceIx) -> bool {
-        let Some(place) = self.place(p) else { return false };
-        let Some(job) = self.job(place.job) else { return false };
-        let (spec, task) = (job.spec.clone(), place.task);
+    fn has_another_assignment(&mut self, from: MachineIx, p: AssignmentIx) -> bool {
+        let Some(assignment) = self.assignment(p) else { return false };
+        let Some(job) = self.job(assignment.job) else { return false };
+        let (spec, task) = (job.spec.clone(), assignment.task);
         // Its other replicas keep their zones.
         let mut zone_used = job.zone_used.clone();
-        if let Some(n) = zone_used.get_mut(place.zone.at()) {
+        if let Some(n) = zone_used.get_mut(assignment.zone.at()) {
             *n -= 1;
         }
-        let ask = Ask {
+        let ask = TrialRequest {
             spec: &spec,
             tasks: &[task],
             min: 1,
@@ -365,11 +368,11 @@
             later: false,
             busy_only: true,
         };
-        let out = self.picture.trial(&ask);
+        let out = self.snapshot.trial(&ask);
         for p in &out.picks {
-            self.picture.reserve(p.host, Res::of(&spec), Res::default());
+            self.snapshot.reserve(p.host, Res::of(&spec), Res::default());
         }
-        out.verdict == Verdict::Success && out.picks.iter().all(|p| self.picture.hosts[p.host].has_image(spec.image))
+        out.verdict == Verdict::Success && out.picks.iter().all(|p| self.snapshot.hosts[p.host].has_image(spec.image))
     }
 
     /// What a task of this job costs an hour on the machine type that suits it best.
@@ -391,14 +394,14 @@
             if ok {
                 self.free_machine(ix, None);
                 let m = &mut self.machines[ix.at()];
-                m.life = Life::Gone;
+                m.life = MachineLifecycle::Gone;
                 m.call = None;
                 self.refresh(now, ix);
             } else {
                 self.machines[ix.at()].return_after = now + 1_000;
             }
         }
-        self.dirty = true;
+        self.pass_needed = true;
     }
 
     // ---- the list ------------------------------------------------------
@@ -414,7 +417,7 @@
             let ix = self.machine_named(now, &h.id, zone);
             let age = (h.age_s.clamp(0.0, 1e9) * 1000.0) as Ms;
             let m = &mut self.machines[ix.at()];
-            if m.life == Life::Gone {
+            if m.life == MachineLifecycle::Gone {
                 continue; // lists lag
             }
             m.zone = zone;
@@ -428,9 +431,9 @@
                 m.rented = now.saturating_sub(age);
                 tracing::info!(machine = &*m.id, state = ?h.state, "adopted from the list");
             }
-            if h.state == HostState::Failed && m.life != Life::Returning {
+            if h.state == HostState::Failed && m.life != MachineLifecycle::Returning {
                 tracing::info!(machine = &*m.id, "failed");
-                m.life = Life::Returning;
+                m.life = MachineLifecycle::Returning;
                 m.return_after = now;
             }
         }
--- a/src/coordination/leader/commands.rs
+++ b/src/coordination/leader/commands.rs
@@ -10,10 +10,10 @@
 /// Halts for what runs of jobs that are known as cancelled. Guard: every 200 to
 /// a report renews a lease, so each carries them, whoever answers, and whether
 /// the report is new or the records are read yet.
-pub fn halts_of_cancelled(r: &Report, mirror: &Mirror) -> Vec<Order> {
+pub fn halts_of_cancelled(r: &Report, job_cache: &JobCache) -> Vec<Order> {
     let cancelled = |t: &&TaskReport| {
-        let job = split_task(&t.task).and_then(|(id, _)| mirror.find(id));
-        t.state != TaskState::Exited && job.is_some_and(|ix| mirror.get(ix).status == Status::Cancelled)
+        let job = split_task(&t.task).and_then(|(id, _)| job_cache.find(id));
+        t.state != TaskState::Exited && job.is_some_and(|ix| job_cache.get(ix).status == Status::Cancelled)
     };
     let halt = |t: &TaskReport| Order::Halt { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 };
     r.tasks.iter().filter(cancelled).map(halt).take(ORDERS).collect()
@@ -26,23 +26,23 @@
         let listed = r.tasks.iter().any(|t| t.state != TaskState::Exited);
         let Some(&ix) = self.machine_ix.get(&r.machine) else { return listed || !self.loaded };
         let m = self.machine(ix);
-        listed || !self.loaded || !m.places.is_empty() || m.call.is_some() || m.answer_open || !m.fenced()
+        listed || !self.loaded || !m.assignments.is_empty() || m.call.is_some() || m.answer_open || !m.fenced()
     }
 
     /// What the worker should be told. `all`: everything that isn't in effect
     /// yet (in the answer to a report); otherwise only what was not sent lately.
     pub fn orders(&mut self, now: Ms, ix: MachineIx, all: bool) -> Vec<Order> {
         let mut out = Vec::new();
-        let mut stamps: Vec<(PlaceIx, bool)> = Vec::new();
+        let mut stamps: Vec<(AssignmentIx, bool)> = Vec::new();
         let m = &self.machines[ix.at()];
         let fresh = |sent: Option<Ms>| sent.is_none_or(|s| now >= s + AGAIN_MS);
         if m.fenced() && (all || m.call.is_none()) {
-            for t in m.tombs.iter().take(ORDERS / 4) {
+            for t in m.unreaped_exits.iter().take(ORDERS / 4) {
                 if t.ver == u64::MAX {
                     // Halt and reap together: whichever applies takes effect.
                     out.push(Order::Halt { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 });
                     out.push(Order::Reap { task: t.task.clone(), attempt: t.attempt });
-                } else if all && self.tomb_written(t) {
+                } else if all && self.is_exit_recorded(t) {
                     out.push(Order::Reap { task: t.task.clone(), attempt: t.attempt });
                 }
             }
@@ -50,34 +50,37 @@
         if !all && out.iter().all(|o| matches!(o, Order::Halt { .. } | Order::Reap { .. })) {
             out.clear(); // strays wait for the report's answer
         }
-        for &p in &m.places {
-            let Some(place) = self.place(p) else { continue };
-            let Some(job) = self.job(place.job) else { continue };
-            if place.session != m.session || matches!(place.state, PlaceState::Ended(_)) {
+        for &p in &m.assignments {
+            let Some(assignment) = self.assignment(p) else { continue };
+            let Some(job) = self.job(assignment.job) else { continue };
+            if assignment.session != m.session || matches!(assignment.state, AssignmentState::Ended(_)) {
                 continue;
             }
             if out.len() >= ORDERS {
                 break; // the rest comes with the next answer
             }
-            let task = || format!("{}/{}", job.id, place.task);
-            if let Some(h) = place.halt {
+            let task = || format!("{}/{}", job.id, assignment.task);
+            if let Some(h) = assignment.halt {
                 if all || fresh(h.sent) {
-                    out.push(Order::Halt { task: task(), attempt: place.attempt, grace_s: h.grace_s });
+                    out.push(Order::Halt { task: task(), attempt: assignment.attempt, grace_s: h.grace_s });
                     stamps.push((p, true));
                 }
-            } else if place.state == PlaceState::Wanted && (all || fresh(place.sent)) && self.may_launch(place) {
-                out.push(Order::Launch { task: task(), attempt: place.attempt });
+            } else if assignment.state == AssignmentState::Wanted
+                && (all || fresh(assignment.sent))
+                && self.may_launch(assignment)
+            {
+                out.push(Order::Launch { task: task(), attempt: assignment.attempt });
                 stamps.push((p, false));
             }
         }
         for (p, halt) in stamps {
-            if let Some(place) = self.places[p.at()].as_mut() {
+            if let Some(assignment) = self.assignments[p.at()].as_mut() {
                 if halt {
-                    if let Some(h) = &mut place.halt {
+                    if let Some(h) = &mut assignment.halt {
                         h.sent = Some(now);
                     }
                 } else {
-                    place.sent = Some(now);
+                    assignment.sent = Some(now);
                 }
             }
         }
@@ -90,7 +93,7 @@
             self.wake.remove(&(at, ix));
             let n = ix.at();
             let m = &self.machines[n];
-            if m.places.is_empty() || m.call.is_some() || m.life != Life::Up {
+            if m.assignments.is_empty() || m.call.is_some() || m.life != MachineLifecycle::Up {
                 continue;
             }
             if now < m.call_after {
@@ -113,31 +116,31 @@
                     Order::Launch { task, attempt } => {
                         let (_, n) = split_task(task)?;
                         let p = self.machines[ix.at()]
-                            .places
+                            .assignments
                             .iter()
-                            .find(|&&p| self.place(p).is_some_and(|p| p.task == n && p.attempt == *attempt))?;
-                        self.place(*p).map(|p| (p.job, n, *attempt))
+                            .find(|&&p| self.assignment(p).is_some_and(|p| p.task == n && p.attempt == *attempt))?;
+                        self.assignment(*p).map(|p| (p.job, n, *attempt))
                     }
                     _ => None,
                 })
                 .collect();
             let call = self.call_id();
             let m = &mut self.machines[n];
-            m.call = Some(DoCall { id: call, sent: now, launches });
-            let req = DoRequest { token: m.token, session: m.session, orders };
+            m.call = Some(DirectCall { id: call, sent: now, launches });
+            let req = DirectCommandRequest { token: m.token, session: m.session, orders };
             self.effects.push(Effect::Do { machine: ix, call, addr, req });
             self.wake.insert((now + AGAIN_MS + 100, ix));
         }
     }
 
     /// False: a worker showed a higher token than ours; another one leads.
-    pub fn do_result(
+    pub fn direct_call_result(
         &mut self,
         now: Ms,
         ix: MachineIx,
         call: u64,
-        outcome: DoOutcome,
-        mirror: &Mirror,
+        outcome: DirectCallOutcome,
+        job_cache: &JobCache,
         tables: &mut Tables,
     ) -> bool {
         let m = &mut self.machines[ix.at()];
@@ -147,29 +150,29 @@
         let Some(done) = m.call.take() else { return true };
         self.wake.insert((now, ix));
         let m = &mut self.machines[ix.at()];
-        let refused = matches!(outcome, DoOutcome::Refused(_));
+        let refused = matches!(outcome, DirectCallOutcome::Refused(_));
         match outcome {
-            DoOutcome::Executed(r) | DoOutcome::Refused(r) => {
+            DirectCallOutcome::Executed(r) | DirectCallOutcome::Refused(r) => {
                 if r.token > m.token {
                     return false;
                 }
-                if r.session > m.dead_session && m.life != Life::Gone {
-                    self.take_report(now, ix, &r, mirror, tables);
+                if r.session > m.dead_session && m.life != MachineLifecycle::Gone {
+                    self.take_report(now, ix, &r, job_cache, tables);
                 }
                 if refused {
                     // Not executed: what it launched may be sent again at once.
                     for (job, task, attempt) in done.launches {
                         let slot = self.job(job).and_then(|j| j.slots.get(task as usize).copied());
                         if let Some(Slot::At(p)) = slot {
-                            if let Some(p) = self.places[p.at()].as_mut().filter(|p| p.attempt == attempt) {
+                            if let Some(p) = self.assignments[p.at()].as_mut().filter(|p| p.attempt == attempt) {
                                 p.sent = None;
                             }
                         }
                     }
                 }
             }
-            DoOutcome::NotSent => m.call_after = now + 700,
-            DoOutcome::Unknown => {
+            DirectCallOutcome::NotSent => m.call_after = now + 700,
+            DirectCallOutcome::Unknown => {
                 m.call_after = now + 1_000;
                 if !done.launches.is_empty() {
                     // Guard: those launches may arrive at any later time. The
@@ -191,7 +194,7 @@
         let overdue = self.cfg.report_ms * 5 / 4 + 400;
         let m = &mut self.machines[ix.at()];
         let late = m.heard.is_some_and(|h| now > h + overdue);
-        if m.life == Life::Up && late && !m.probing && !m.places.is_empty() && m.probe_fails < 3 {
+        if m.life == MachineLifecycle::Up && late && !m.probing && !m.assignments.is_empty() && m.probe_fails < 3 {
             if let Some(addr) = m.addr {
                 m.probing = true;
                 self.effects.push(Effect::Probe { machine: ix, addr });
@@ -199,12 +202,19 @@
         }
     }
 
-    pub fn probed(&mut self, now: Ms, ix: MachineIx, report: Option<&Report>, mirror: &Mirror, tables: &mut Tables) {
+    pub fn probed(
+        &mut self,
+        now: Ms,
+        ix: MachineIx,
+        report: Option<&Report>,
+        job_cache: &JobCache,
+        tables: &mut Tables,
+    ) {
         let m = &mut self.machines[ix.at()];
         m.probing = false;
         match report {
-            Some(r) if r.session > m.dead_session && m.life == Life::Up => {
-                self.take_report(now, ix, r, mirror, tables);
+            Some(r) if r.session > m.dead_session && m.life == MachineLifecycle::Up => {
+                self.take_report(now, ix, r, job_cache, tables);
             }
             Some(_) => {}
             None => m.probe_fails += 1,
--- a/src/coordination/leader/commits.rs
+++ b/src/coordination/leader/commits.rs
@@ -1,6 +1,6 @@
 //! The wanted state, written: one transaction at a time.
 
-use super::{chunks::RECHUNK_GAP_MS, *};
+use super::{resharding::RESHARD_GAP_MS, *};
 
 /// Ends wait this long for others to be written with them; less when there is
 /// budget to spare.
@@ -17,13 +17,13 @@
     /// The record of so many tasks from one on.
     pub(super) fn part_value(&self, job: &Job, from: usize, size: usize, tag: u64, tables: &Tables) -> Value {
         let to = (from + size).min(job.slots.len());
-        let places = (from..to)
+        let assignments = (from..to)
             .filter_map(|n| match job.slots[n] {
-                Slot::At(p) => self.place(p),
+                Slot::At(p) => self.assignment(p),
                 _ => None,
             })
             .map(|p| {
-                PlaceRecord(
+                AssignmentRecord(
                     p.task,
                     self.machine(p.machine).id.clone(),
                     p.session,
@@ -33,23 +33,23 @@
             })
             .collect();
         let done = records::pack_done(job.slots[from..to].iter().map(|s| *s == Slot::Done));
-        records::to_value(&ChunkRecord { done, places, tag })
+        records::to_value(&ChunkRecord { done, assignments, tag })
     }
 
     pub fn commit_busy(&self) -> bool {
-        self.flying.as_ref().is_some_and(|f| f.sent)
+        self.in_flight_txn.as_ref().is_some_and(|f| f.sent)
     }
 
     /// A key to read before the next transaction.
     pub fn resync_key(&self) -> Option<&str> {
-        self.flying.as_ref().filter(|f| !f.sent).and_then(|f| f.resync.last()).map(String::as_str)
+        self.in_flight_txn.as_ref().filter(|f| !f.sent).and_then(|f| f.resync.last()).map(String::as_str)
     }
 
     /// How urgently a job's records are to be written, if at all; less is
     /// sooner. Ends wait for one another: nothing but the reaping of what has
     /// ended depends on them, and a later leader learns them from the workers.
     fn write_class(job: &Job, now: Ms, spare: bool) -> Option<u8> {
-        if job.stale || job.rechunking {
+        if job.stale || job.resharding {
             return None;
         }
         if job.status != Status::Pending {
@@ -74,18 +74,18 @@
     pub fn has_writes(&mut self, now: Ms, spare: bool) -> bool {
         for &ix in &self.active {
             if let Some(j) = self.jobs.get_mut(ix.at()).and_then(Option::as_mut) {
-                if j.unwritten_since.is_none() && j.is_dirty() {
+                if j.unwritten_since.is_none() && j.has_unwritten_changes() {
                     j.unwritten_since = Some(now);
                 }
             }
         }
-        let rechunk = self.to_rechunk(now, spare).is_some();
-        if !rechunk && now >= self.rechunk_after {
+        let reshard = self.reshard_candidate(now, spare).is_some();
+        if !reshard && now >= self.reshard_after {
             // Looked for now and then only.
-            self.rechunk_after = now + RECHUNK_GAP_MS;
+            self.reshard_after = now + RESHARD_GAP_MS;
         }
-        rechunk
-            || self.flying.is_some()
+        reshard
+            || self.in_flight_txn.is_some()
             || (spare && !self.drops.is_empty())
             || self.active.iter().any(|&j| self.job(j).is_some_and(|j| Leader::write_class(j, now, spare).is_some()))
     }
@@ -95,7 +95,7 @@
     /// that doesn't fit waits for the next one. An unanswered transaction is
     /// sent again as it was.
     pub fn commit(&mut self, now: Ms, max_ops: usize, spare: bool, tables: &Tables) -> Option<Txn> {
-        if let Some(f) = &mut self.flying {
+        if let Some(f) = &mut self.in_flight_txn {
             if f.sent || !f.resync.is_empty() {
                 return None;
             }
@@ -103,7 +103,7 @@
             return Some(f.txn.clone());
         }
         let max_ops = max_ops.min(self.cfg.txn_ops).min(self.ops_cap);
-        if let Some(txn) = self.rechunk(now, max_ops, spare, tables) {
+        if let Some(txn) = self.reshard(now, max_ops, spare, tables) {
             return Some(txn);
         }
         let mut oversize: Vec<(JobIx, usize)> = Vec::new();
@@ -138,12 +138,12 @@
             } else {
                 let due =
                     |c: &Chunk| now >= c.held_until && (c.urgent > c.committed || (class == 5 && c.ver != c.committed));
-                let dirty: Vec<usize> = (0..job.chunks.len()).filter(|&c| due(&job.chunks[c])).collect();
+                let pass_needed: Vec<usize> = (0..job.chunks.len()).filter(|&c| due(&job.chunks[c])).collect();
                 // Split between trees, unless one alone is more than a transaction takes.
-                if dirty.len() > left && left < max_ops {
+                if pass_needed.len() > left && left < max_ops {
                     continue;
                 }
-                for c in dirty.into_iter().take(left) {
+                for c in pass_needed.into_iter().take(left) {
                     if size > MAX_BYTES {
                         break;
                     }
@@ -185,13 +185,14 @@
         // Guard: whoever leads by then, only this leadership's writes count.
         txn.conditions.push(Condition { key: records::LEADER.to_owned(), stamp: self.stamp });
         let out = txn.clone();
-        self.flying = Some(Flying { txn, chunks, dones, drops, rechunk: None, tag, sent: true, resync: Vec::new() });
+        self.in_flight_txn =
+            Some(InFlightTxn { txn, chunks, dones, drops, reshard: None, tag, sent: true, resync: Vec::new() });
         Some(out)
     }
 
     /// How the transaction under way ended. False: the leadership is lost.
     pub fn committed(&mut self, now: Ms, outcome: CommitOutcome) -> bool {
-        let Some(mut f) = self.flying.take() else { return true };
+        let Some(mut f) = self.in_flight_txn.take() else { return true };
         match outcome {
             CommitOutcome::Done(epoch) => {
                 self.applied(now, f, epoch);
@@ -202,7 +203,7 @@
                 // earlier copy went unanswered, this one must be settled first.
                 if f.tag & UNSURE != 0 {
                     f.sent = false;
-                    self.flying = Some(f);
+                    self.in_flight_txn = Some(f);
                 } else {
                     self.give_back(f);
                 }
@@ -214,7 +215,7 @@
                 self.commit_after = now + 100;
                 f.sent = false;
                 f.tag |= UNSURE;
-                self.flying = Some(f);
+                self.in_flight_txn = Some(f);
             }
             CommitOutcome::Conflict(failed) => {
                 if failed.iter().any(|k| k == records::LEADER) {
@@ -230,7 +231,7 @@
                             .collect();
                         let sent = f.txn.conditions.iter().find(|c| c.key == *key).map_or(0, |c| c.stamp);
                         for ix in stale {
-                            // Unless the mirror has shown the change already.
+                            // Unless the job cache has shown the change already.
                             if let Some(j) = self.job_mut(ix).filter(|j| j.stamp == sent) {
                                 j.stale = true;
                             }
@@ -247,19 +248,19 @@
                 } else {
                     f.sent = false;
                     f.resync = resync;
-                    self.flying = Some(f);
+                    self.in_flight_txn = Some(f);
                 }
             }
         }
         true
     }
 
-    pub(super) fn give_back(&mut self, f: Flying) {
-        if let Some(r) = &f.rechunk {
+    pub(super) fn give_back(&mut self, f: InFlightTxn) {
+        if let Some(r) = &f.reshard {
             if let Some(job) = self.job_mut(r.job) {
-                job.rechunking = false;
+                job.resharding = false;
             }
-            self.follow_division(r.job);
+            self.adopt_recorded_sharding(r.job);
             self.retire_over(r.job);
         }
         for key in f.drops {
@@ -273,20 +274,20 @@
         for ix in jobs {
             self.retire_over(ix);
         }
-        self.dirty = true;
+        self.pass_needed = true;
     }
 
-    fn applied(&mut self, now: Ms, f: Flying, epoch: u64) {
-        let mut told: Vec<MachineIx> = Vec::new();
+    fn applied(&mut self, now: Ms, f: InFlightTxn, epoch: u64) {
+        let mut user_responses: Vec<MachineIx> = Vec::new();
         self.written_since.txns += 1;
         self.written_since.dones += f.dones.len() as u32;
         self.written_since.drops += f.drops.len() as u32;
         for &(ix, c, ver) in &f.chunks {
             match self.job_mut(ix) {
                 Some(job) => {
-                    let (placed, since) = (job.chunks[c].urgent > job.chunks[c].committed, job.last_placed);
+                    let (placed, since) = (job.chunks[c].urgent > job.chunks[c].committed, job.last_assigned);
                     let w = &mut self.written_since;
-                    *(if placed { &mut w.places } else { &mut w.ends }) += 1;
+                    *(if placed { &mut w.assignments } else { &mut w.ends }) += 1;
                     w.waited_ms += if placed { now.saturating_sub(since) } else { 0 };
                     let Some(job) = self.job_mut(ix) else { continue };
                     job.chunks[c].committed = job.chunks[c].committed.max(ver);
@@ -298,21 +299,22 @@
                     let part = c * size..((c + 1) * size).min(job.slots.len());
                     let slots = if gang { &job.slots[..] } else { &job.slots[part] };
                     let at = slots.iter().filter_map(|s| if let Slot::At(p) = s { Some(*p) } else { None });
-                    let at: Vec<PlaceIx> = at.collect();
-                    let wanted = |p: &&Place| p.state == PlaceState::Wanted;
-                    told.extend(at.into_iter().filter_map(|p| self.place(p)).filter(wanted).map(|p| p.machine));
+                    let at: Vec<AssignmentIx> = at.collect();
+                    let wanted = |p: &&Assignment| p.state == AssignmentState::Wanted;
+                    user_responses
+                        .extend(at.into_iter().filter_map(|p| self.assignment(p)).filter(wanted).map(|p| p.machine));
                 }
                 None => tracing::debug!("records of a job that is over were written"),
             }
         }
-        self.wake.extend(told.into_iter().map(|m| (now, m)));
-        if let Some(r) = &f.rechunk {
-            self.divided(now, r, epoch);
+        self.wake.extend(user_responses.into_iter().map(|m| (now, m)));
+        if let Some(r) = &f.reshard {
+            self.resharded(now, r, epoch);
         }
         for &ix in &f.dones {
             if let Some(job) = self.job_mut(ix) {
                 job.stamp = epoch;
-                let last_s = (job.last_placed as i64 - job.since) as f64 / 1000.0;
+                let last_s = (job.last_assigned as i64 - job.since) as f64 / 1000.0;
                 let (est, tasks) = (job.spec.estimate_s, job.spec.tasks);
                 tracing::info!(job = &*job.id, age_s = job.age_s(now), last_s, tasks, est, rank = ?job.spec.priority, stops = job.stops, losses = job.losses, "done");
             }
@@ -323,7 +325,7 @@
 
     /// A key asked for by `resync_key` was read: who wrote it, and when.
     pub fn resynced(&mut self, now: Ms, key: &str, found: Option<(Value, u64)>) {
-        let Some(mut f) = self.flying.take() else { return };
+        let Some(mut f) = self.in_flight_txn.take() else { return };
         let mut stamp = 0;
         if let Some((v, at)) = found {
             stamp = at;
@@ -349,7 +351,7 @@
             self.commit_after = now;
             self.give_back(f);
         } else {
-            self.flying = Some(f);
+            self.in_flight_txn = Some(f);
         }
     }
 }
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -12,12 +12,12 @@
         key: &str,
         v: &Value,
         stamp: u64,
-        mirror: &Mirror,
+        job_cache: &JobCache,
         tables: &mut Tables,
     ) {
         let Some((id, chunk)) = records::split_chunk_key(key) else { return };
-        let Some(ix) = mirror.find(id) else { return };
-        let e = mirror.get(ix);
+        let Some(ix) = job_cache.find(id) else { return };
+        let e = job_cache.get(ix);
         if self.jobs.len() <= ix.at() {
             self.jobs.resize_with(ix.at() + 1, || None);
         }
@@ -28,11 +28,11 @@
         if self.jobs[ix.at()].is_none() {
             // Guard: nothing of a job that still waits can have been placed. Were
             // it so all the same, its places must count.
-            if mirror.waits(ix) {
+            if job_cache.waits(ix) {
                 tracing::error!(key, "a task record of a job that waits for others");
             }
-            let Some(spec) = mirror.effective_spec(ix) else { return };
-            self.add_job(now, wall_ms, ix, spec, mirror);
+            let Some(spec) = job_cache.effective_spec(ix) else { return };
+            self.add_job(now, wall_ms, ix, spec, job_cache);
         }
         let Ok(rec) = v.deserialized::<ChunkRecord>() else {
             tracing::error!(key, "a task record can't be read");
@@ -57,13 +57,13 @@
             let slots = &job.slots;
             job.pending.retain(|&t| slots[t as usize] == Slot::Pending);
         }
-        for PlaceRecord(task, machine, session, attempt, zone) in rec.places {
+        for AssignmentRecord(task, machine, session, attempt, zone) in rec.assignments {
             let zone = tables.zones.intern(&zone);
             let m = self.machine_named(now, &machine, zone);
             self.machines[m.at()].renewed = now;
-            if let Some(p) = self.add_place(now, ix, task, m, session, attempt, zone) {
+            if let Some(p) = self.add_assignment(now, ix, task, m, session, attempt, zone) {
                 // Its launch may have been sent by the leader before.
-                if let Some(p) = self.places[p.at()].as_mut() {
+                if let Some(p) = self.assignments[p.at()].as_mut() {
                     p.sent = Some(now);
                     p.inherited = true;
                 }
@@ -78,21 +78,21 @@
     }
 
     /// All records are read.
-    pub fn loaded(&mut self, now: Ms, wall_ms: u64, mirror: &Mirror) {
+    pub fn loaded(&mut self, now: Ms, wall_ms: u64, job_cache: &JobCache) {
         self.loaded = true;
         self.day_ms = wall_ms as i64 - now as i64;
-        for ix in mirror.all() {
-            if mirror.get(ix).status == Status::Pending && self.job(ix).is_none() {
-                self.job_update(now, wall_ms, ix, mirror);
+        for ix in job_cache.all() {
+            if job_cache.get(ix).status == Status::Pending && self.job(ix).is_none() {
+                self.job_update(now, wall_ms, ix, job_cache);
             }
         }
         for ix in self.active.clone() {
-            if mirror.get(ix).status == Status::Cancelled {
+            if job_cache.get(ix).status == Status::Cancelled {
                 self.stop_job(now, ix, 0.0);
             }
         }
         let placed: u32 = self.active.iter().filter_map(|&j| self.job(j)).map(|j| j.placed).sum();
         tracing::info!(jobs = self.active.len(), placed, "records read, leading");
-        self.dirty = true;
+        self.pass_needed = true;
     }
 }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -6,13 +6,13 @@
 //! something proves that the task is gone; a command that may still be under
 //! way is fenced by a raised token; reaping follows the written end.
 
-mod chunks;
+mod assignments;
 mod commands;
 mod commits;
 mod leases;
 mod loading;
-mod places;
 mod reports;
+mod resharding;
 
 pub use commands::halts_of_cancelled;
 
@@ -24,12 +24,12 @@
 
 use ciborium::Value;
 
-use self::chunks::Rechunk;
-use super::{fleet::Fleet, model::*, picture::Picture};
+use self::resharding::Reshard;
+use super::{fleet::Fleet, model::*, snapshot::ClusterSnapshot};
 use crate::{
     bookkeeping::{
-        mirror::{JobIx, Mirror},
-        records::{self, ChunkRecord, JobRecord, PlaceRecord, Status},
+        job_cache::{JobCache, JobIx},
+        records::{self, AssignmentRecord, ChunkRecord, JobRecord, Status},
     },
     protocol::{
         cloud::RentRequest,
@@ -37,7 +37,7 @@
         names::{ClassIx, Tables, ZoneIx},
         peers::Count,
         store::{Condition, Op, Txn},
-        workers::{split_task, DoRequest, Order, Report, ReportAnswer, TaskReport, TaskState, Why},
+        workers::{split_task, DirectCommandRequest, ExitReason, Order, Report, ReportAnswer, TaskReport, TaskState},
     },
 };
 
@@ -55,7 +55,7 @@
     pub list_lag_ms: Ms,
     pub teams: Vec<TeamLimits>,
     /// What users want of a class: starts or ends within some seconds.
-    pub aims: Vec<Aim>,
+    pub aims: Vec<ServiceObjective>,
     pub idle_keep_ms: Ms,
     pub silent_ms: Ms,
     pub max_machines: usize,
@@ -63,7 +63,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Aim {
+pub struct ServiceObjective {
     pub class: ClassIx,
     /// The first tasks run; otherwise: all are done.
     pub start: bool,
@@ -76,7 +76,7 @@
         machine: MachineIx,
         call: u64,
         addr: SocketAddr,
-        req: DoRequest,
+        req: DirectCommandRequest,
     },
     Rent {
         call: u64,
@@ -107,7 +107,7 @@
 }
 
 #[derive(Debug)]
-pub enum DoOutcome {
+pub enum DirectCallOutcome {
     Executed(Report),
     Refused(Report),
     NotSent,
@@ -128,13 +128,13 @@
 
 /// A transaction under way, and what of the wanted state it carries.
 #[derive(Debug)]
-struct Flying {
+struct InFlightTxn {
     txn: Txn,
     chunks: Vec<(JobIx, usize, u64)>,
     dones: Vec<JobIx>,
     drops: Vec<String>,
     /// A job whose tasks it divides anew.
-    rechunk: Option<Rechunk>,
+    reshard: Option<Reshard>,
     tag: u64,
     sent: bool,
     /// Keys to read before anything else, to learn whether it was applied.
@@ -146,7 +146,7 @@
 #[derive(Debug, Default)]
 struct Written {
     txns: u32,
-    places: u32,
+    assignments: u32,
     ends: u32,
     dones: u32,
     drops: u32,
@@ -163,8 +163,8 @@
     pub value_limit: usize,
     ops_cap: usize,
     /// All controllers follow a job whose tasks are divided anew.
-    pub may_rechunk: bool,
-    rechunk_after: Ms,
+    pub may_reshard: bool,
+    reshard_after: Ms,
     /// The time of day is so far ahead of the steady clock.
     day_ms: i64,
     pub started: Ms,
@@ -173,15 +173,15 @@
     pub active: Vec<JobIx>,
     pub machines: Vec<Machine>,
     pub machine_ix: HashMap<String, MachineIx>,
-    pub places: Vec<Option<Place>>,
-    free_places: Vec<u32>,
+    pub assignments: Vec<Option<Assignment>>,
+    release_assignments: Vec<u32>,
     pub types: Vec<TypeInfo>,
-    pub dirty: bool,
+    pub pass_needed: bool,
     pub last_pass: Ms,
     attempt: u64,
     next_call: u64,
     tag: u64,
-    flying: Option<Flying>,
+    in_flight_txn: Option<InFlightTxn>,
     drops: VecDeque<(String, u64)>,
     drop_after: Ms,
     pub commit_after: Ms,
@@ -190,7 +190,7 @@
     counts: HashSet<JobIx>,
     pub heard_any: Ms,
     /// Shapes of GPU work seen lately, when, and when such a job last came.
-    pub picture: Picture,
+    pub snapshot: ClusterSnapshot,
     /// In use by team, places that may still be taken included.
     pub team_used: Vec<Res>,
     /// Where the next sample of machines begins.
@@ -199,7 +199,7 @@
     wake: BTreeSet<(Ms, MachineIx)>,
     next_sweep: Ms,
     /// From when to when no other controller kept any lease.
-    pub quiet: (i64, i64),
+    pub no_peer_renewals: (i64, i64),
     next_summary: Ms,
     written_since: Written,
     pub gpu_shapes: Vec<(Rc<JobSpec>, Ms, i64)>,
@@ -217,20 +217,20 @@
     pub fn new(cfg: Config, stamp: u64, nonce: u64, now: Ms, types: Vec<TypeInfo>) -> Leader {
         Leader {
             fleet: Fleet::new(nonce, now),
-            picture: Picture::default(),
+            snapshot: ClusterSnapshot::default(),
             team_used: vec![Res::default(); cfg.teams.len()],
             cursor: 0,
             wake: BTreeSet::new(),
             next_sweep: now,
-            quiet: (i64::MIN / 2, i64::MAX / 2),
+            no_peer_renewals: (i64::MIN / 2, i64::MAX / 2),
             next_summary: now + 10_000,
             written_since: Written::default(),
             stamp,
             clock: now,
             value_limit: cfg.value_max,
             ops_cap: usize::MAX,
-            may_rechunk: false,
-            rechunk_after: 0,
+            may_reshard: false,
+            reshard_after: 0,
             day_ms: 0,
             started: now,
             loaded: false,
@@ -239,15 +239,15 @@
             active: Vec::new(),
             machines: Vec::new(),
             machine_ix: HashMap::new(),
-            places: Vec::new(),
-            free_places: Vec::new(),
+            assignments: Vec::new(),
+            release_assignments: Vec::new(),
             types,
-            dirty: true,
+            pass_needed: true,
             last_pass: 0,
             attempt: stamp << 20,
             next_call: 1,
             tag: stamp << 20,
-            flying: None,
+            in_flight_txn: None,
             drops: VecDeque::new(),
             drop_after: 0,
             commit_after: 0,
@@ -267,8 +267,8 @@
         self.jobs.get_mut(ix.at()).and_then(Option::as_mut)
     }
 
-    pub fn place(&self, ix: PlaceIx) -> Option<&Place> {
-        self.places.get(ix.at()).and_then(Option::as_ref)
+    pub fn assignment(&self, ix: AssignmentIx) -> Option<&Assignment> {
+        self.assignments.get(ix.at()).and_then(Option::as_ref)
     }
 
     pub fn machine(&self, ix: MachineIx) -> &Machine {
@@ -296,9 +296,9 @@
 
     // ---- jobs ----------------------------------------------------------
 
-    /// The mirror shows a job's record, new or changed.
-    pub fn job_update(&mut self, now: Ms, wall_ms: u64, ix: JobIx, mirror: &Mirror) {
-        let e = mirror.get(ix);
+    /// The job cache shows a job's record, new or changed.
+    pub fn job_update(&mut self, now: Ms, wall_ms: u64, ix: JobIx, job_cache: &JobCache) {
+        let e = job_cache.get(ix);
         self.day_ms = wall_ms as i64 - now as i64;
         if self.jobs.len() <= ix.at() {
             self.jobs.resize_with(ix.at() + 1, || None);
@@ -306,17 +306,17 @@
         match (&mut self.jobs[ix.at()], e.status) {
             // Guard: until the ends of all that it needs are written, a job is
             // in no trial, and holds no part of any limit or guarantee.
-            (None, Status::Pending) if mirror.waits(ix) => return,
+            (None, Status::Pending) if job_cache.waits(ix) => return,
             (None, Status::Pending) => {
-                let Some(spec) = mirror.effective_spec(ix) else { return };
-                self.add_job(now, wall_ms, ix, spec, mirror);
+                let Some(spec) = job_cache.effective_spec(ix) else { return };
+                self.add_job(now, wall_ms, ix, spec, job_cache);
             }
             (Some(job), Status::Pending) => {
                 job.stamp = e.stamp;
                 job.stale = false;
                 job.recorded_chunk = e.chunk;
-                self.follow_division(ix);
-                if let Some(spec) = mirror.effective_spec(ix) {
+                self.adopt_recorded_sharding(ix);
+                if let Some(spec) = job_cache.effective_spec(ix) {
                     self.change_spec(ix, spec);
                 }
             }
@@ -333,7 +333,7 @@
             (Some(_), Status::Done) => self.finish(ix),
             (None, _) => {}
         }
-        self.dirty = true;
+        self.pass_needed = true;
     }
 
     /// What others ask of a job changed its priority or its deadline.
@@ -344,23 +344,23 @@
         }
         let old = std::mem::replace(&mut job.spec, spec.clone());
         let slots = job.slots.iter();
-        let at: Vec<PlaceIx> = slots.filter_map(|s| if let Slot::At(p) = s { Some(*p) } else { None }).collect();
+        let at: Vec<AssignmentIx> = slots.filter_map(|s| if let Slot::At(p) = s { Some(*p) } else { None }).collect();
         for p in at {
-            let Some(p) = self.places.get(p.at()).and_then(Option::as_ref) else { continue };
-            // The picture counts by priority what may be stopped.
-            self.picture.give(p.machine.at(), &old, p.halt.is_some());
-            self.picture.take(p.machine.at(), &spec);
+            let Some(p) = self.assignments.get(p.at()).and_then(Option::as_ref) else { continue };
+            // The snapshot counts by priority what may be stopped.
+            self.snapshot.give(p.machine.at(), &old, p.halt.is_some());
+            self.snapshot.take(p.machine.at(), &spec);
             if p.halt.is_some() {
-                self.picture.stop(p.machine.at(), &spec);
+                self.snapshot.stop(p.machine.at(), &spec);
             }
         }
     }
 
-    pub(super) fn add_job(&mut self, now: Ms, wall_ms: u64, ix: JobIx, spec: Rc<JobSpec>, mirror: &Mirror) {
-        let e = mirror.get(ix);
+    pub(super) fn add_job(&mut self, now: Ms, wall_ms: u64, ix: JobIx, spec: Rc<JobSpec>, job_cache: &JobCache) {
+        let e = job_cache.get(ix);
         let n = spec.tasks;
         let is_outsized = e.chunk > self.cfg.chunk_fit && n > self.cfg.chunk_fit;
-        let age = wall_ms.saturating_sub(mirror.ready_ms(ix)).min(1 << 40) as i64;
+        let age = wall_ms.saturating_sub(job_cache.ready_ms(ix)).min(1 << 40) as i64;
         self.jobs[ix.at()] = Some(Job {
             ix,
             id: e.id.clone(),
@@ -377,8 +377,8 @@
             running: 0,
             not_before: 0,
             stale: false,
-            outsized: e.record.clone().filter(|_| is_outsized),
-            rechunking: false,
+            oversized_record: e.record.clone().filter(|_| is_outsized),
+            resharding: false,
             recorded_chunk: e.chunk,
             unwritten_since: None,
             started: false,
@@ -391,7 +391,7 @@
             within: false,
             stops: 0,
             losses: 0,
-            last_placed: now,
+            last_assigned: now,
             waiting_since: now,
         });
         self.active.push(ix);
@@ -400,7 +400,7 @@
     /// Stops all of a job's tasks; what was only planned is simply dropped.
     pub fn stop_job(&mut self, now: Ms, ix: JobIx, grace_s: f64) {
         let Some(job) = self.job(ix) else { return };
-        let places: Vec<PlaceIx> = job
+        let assignments: Vec<AssignmentIx> = job
             .slots
             .iter()
             .filter_map(|s| match s {
@@ -408,18 +408,18 @@
                 _ => None,
             })
             .collect();
-        for p in places {
+        for p in assignments {
             self.halt(now, p, grace_s);
         }
         self.retire_over(ix);
     }
 
     /// Wants a task stopped. A place whose launch was never sent is given up at once.
-    pub fn halt(&mut self, now: Ms, ix: PlaceIx, grace_s: f64) {
-        let Some(p) = self.places[ix.at()].as_mut() else { return };
-        let never_sent = p.state == PlaceState::Wanted && p.sent.is_none() && !p.inherited;
+    pub fn halt(&mut self, now: Ms, ix: AssignmentIx, grace_s: f64) {
+        let Some(p) = self.assignments[ix.at()].as_mut() else { return };
+        let never_sent = p.state == AssignmentState::Wanted && p.sent.is_none() && !p.inherited;
         if never_sent {
-            self.free_place(ix, false);
+            self.release_assignment(ix, false);
             return;
         }
         let (job, machine) = (p.job, p.machine);
@@ -432,17 +432,17 @@
             None => {
                 p.halt = Some(Halt { grace_s, since: now, sent: None });
                 if let Some(job) = self.jobs.get(job.at()).and_then(Option::as_ref) {
-                    self.picture.stop(machine.at(), &job.spec);
+                    self.snapshot.stop(machine.at(), &job.spec);
                 }
             }
         }
         self.wake.insert((now, machine));
     }
 
-    /// A job that is over and has no places leaves the picture; its records go.
+    /// A job that is over and has no places leaves the snapshot; its records go.
     pub(super) fn retire_over(&mut self, ix: JobIx) {
         let Some(job) = self.job(ix) else { return };
-        if job.status != Status::Pending && job.placed == 0 && !job.is_flying_in(&self.flying) {
+        if job.status != Status::Pending && job.placed == 0 && !job.is_in_txn(&self.in_flight_txn) {
             self.forget(ix);
         }
     }
@@ -464,8 +464,8 @@
         }
     }
 
-    /// The job is over as far as records go: its tombs may be reaped.
-    pub(super) fn tomb_written(&self, t: &Tomb) -> bool {
+    /// The job is over as far as records go: its unreaped exits may be reaped.
+    pub(super) fn is_exit_recorded(&self, t: &UnreapedExit) -> bool {
         match self.job(t.job) {
             None => true,
             Some(job) => job.chunks.get(t.chunk).is_none_or(|c| c.committed >= t.ver),
@@ -495,13 +495,13 @@
 const DROPS: usize = 4;
 const DROP_GAP_MS: Ms = 800;
 
-/// Marks, in a flying transaction's tag, that one copy went unanswered.
+/// Marks, in a in_flight_txn transaction's tag, that one copy went unanswered.
 const UNSURE: u64 = 1 << 63;
 
 impl Job {
-    fn is_flying_in(&self, f: &Option<Flying>) -> bool {
+    fn is_in_txn(&self, f: &Option<InFlightTxn>) -> bool {
         f.as_ref().is_some_and(|f| {
-            f.chunks.iter().any(|c| c.0 == self.ix) || f.rechunk.as_ref().is_some_and(|r| r.job == self.ix)
+            f.chunks.iter().any(|c| c.0 == self.ix) || f.reshard.as_ref().is_some_and(|r| r.job == self.ix)
         })
     }
 }
--- a/src/coordination/leader/reports.rs
+++ b/src/coordination/leader/reports.rs
@@ -1,4 +1,4 @@
-//! What workers report, taken into the picture.
+//! What workers report, taken into the snapshot.
 
 use super::*;
 
@@ -13,7 +13,7 @@
         ix
     }
 
-    pub fn report(&mut self, now: Ms, r: &Report, mirror: &Mirror, tables: &mut Tables) -> Answer {
+    pub fn report(&mut self, now: Ms, r: &Report, job_cache: &JobCache, tables: &mut Tables) -> Answer {
         let zone = tables.zones.intern(&r.zone);
         let ix = self.machine_named(now, &r.machine, zone);
         let m = &mut self.machines[ix.at()];
@@ -22,7 +22,7 @@
         }
         // Guard: a report held up on its way, from a session whose end was
         // counted out already, or from a machine that was handed back.
-        if m.life == Life::Gone || r.session <= m.dead_session {
+        if m.life == MachineLifecycle::Gone || r.session <= m.dead_session {
             return Answer::Stale;
         }
         (self.heard_any, self.clock) = (now, now);
@@ -30,13 +30,13 @@
             // Answering keeps the worker's lease; what it says is taken up
             // from the next report, when the records are known.
             m.renewed = now;
-            return Answer::Ok(ReportAnswer { token: m.token, orders: halts_of_cancelled(r, mirror) });
+            return Answer::Ok(ReportAnswer { token: m.token, orders: halts_of_cancelled(r, job_cache) });
         }
         let newer = (r.session, r.seq) > (m.session, m.seq);
         self.machines[ix.at()].renewed = now;
         if !newer {
             let token = self.machines[ix.at()].token;
-            return Answer::Ok(ReportAnswer { token, orders: halts_of_cancelled(r, mirror) });
+            return Answer::Ok(ReportAnswer { token, orders: halts_of_cancelled(r, job_cache) });
         }
         let m = &mut self.machines[ix.at()];
         m.reported = Some(now);
@@ -52,12 +52,12 @@
             m.unheeded_at = now;
         }
         m.answered = true;
-        self.take_report(now, ix, r, mirror, tables);
-        let mut orders = halts_of_cancelled(r, mirror);
-        let told = orders.len();
+        self.take_report(now, ix, r, job_cache, tables);
+        let mut orders = halts_of_cancelled(r, job_cache);
+        let user_responses = orders.len();
         for o in self.orders(now, ix, true) {
             let again = |h: &Order| h.same_halt(&o);
-            if !orders[..told].iter().any(again) {
+            if !orders[..user_responses].iter().any(again) {
                 orders.push(o);
             }
         }
@@ -81,7 +81,14 @@
     }
 
     /// A newer report, from a worker itself or as the answer to a command.
-    pub(super) fn take_report(&mut self, now: Ms, ix: MachineIx, r: &Report, mirror: &Mirror, tables: &mut Tables) {
+    pub(super) fn take_report(
+        &mut self,
+        now: Ms,
+        ix: MachineIx,
+        r: &Report,
+        job_cache: &JobCache,
+        tables: &mut Tables,
+    ) {
         let ty = tables.types.intern(&r.machine_type);
         let m = &mut self.machines[ix.at()];
         if (r.session, r.seq) <= (m.session, m.seq) {
@@ -94,10 +101,10 @@
         m.heard = Some(now);
         m.probe_fails = 0;
         m.seen_token = m.seen_token.max(r.token);
-        if m.life == Life::Booting {
-            m.life = Life::Up;
+        if m.life == MachineLifecycle::Booting {
+            m.life = MachineLifecycle::Up;
             m.up_at = Some(now);
-            self.dirty = true;
+            self.pass_needed = true;
             let boot_s = (now - m.rented) / 1000;
             tracing::info!(machine = &*m.id, machine_type = &*r.machine_type, spot = r.spot, boot_s, "up");
         }
@@ -105,7 +112,7 @@
             Some(s) if m.notice_until.is_none() => {
                 tracing::info!(machine = &*m.id, notice_s = s, "spot notice");
                 m.notice_until = Some(now + (s.clamp(0.0, 3600.0) * 1000.0) as Ms);
-                self.dirty = true;
+                self.pass_needed = true;
             }
             _ => {}
         }
@@ -120,16 +127,16 @@
                 tracing::info!(machine = &*m.id, session = r.session, "new session");
             }
             self.free_machine(ix, Some(r.session));
-            self.dirty = true;
+            self.pass_needed = true;
         }
-        let mut listed: Vec<PlaceIx> = Vec::with_capacity(r.tasks.len());
-        // Ends that the worker lists: their tombs stay.
-        let mut tombs_listed: HashSet<(String, u64)> = HashSet::new();
+        let mut listed: Vec<AssignmentIx> = Vec::with_capacity(r.tasks.len());
+        // Ends that the worker lists: their unreaped exits stay.
+        let mut listed_exits: HashSet<(String, u64)> = HashSet::new();
         for t in &r.tasks {
-            self.take_task(now, ix, t, mirror, &mut listed, &mut tombs_listed);
+            self.take_task(now, ix, t, job_cache, &mut listed, &mut listed_exits);
         }
         let m = &mut self.machines[ix.at()];
-        m.tombs.retain(|t| tombs_listed.contains(&(t.task.clone(), t.attempt)));
+        m.unreaped_exits.retain(|t| listed_exits.contains(&(t.task.clone(), t.attempt)));
         self.take_absences(ix, &listed);
         if self.machines[ix.at()].notice_until.is_some() {
             self.drain(now, ix);
@@ -138,7 +145,7 @@
     }
 
     /// Tasks that have a place here but aren't listed.
-    fn take_absences(&mut self, ix: MachineIx, listed: &[PlaceIx]) {
+    fn take_absences(&mut self, ix: MachineIx, listed: &[AssignmentIx]) {
         let m = &self.machines[ix.at()];
         // Guard: absence proves nothing while an earlier command may still
         // arrive; only a raised token that came back rules that out.
@@ -147,23 +154,23 @@
         if !m.fenced() || m.call.is_some() || m.answer_open {
             return;
         }
-        let gone: Vec<PlaceIx> = m
-            .places
+        let gone: Vec<AssignmentIx> = m
+            .assignments
             .iter()
             .copied()
             .filter(|p| !listed.contains(p))
-            .filter(|&p| self.place(p).is_some_and(|p| p.session == m.session && p.halt.is_some()))
+            .filter(|&p| self.assignment(p).is_some_and(|p| p.session == m.session && p.halt.is_some()))
             .collect();
         for p in gone {
-            self.free_place(p, false);
+            self.release_assignment(p, false);
         }
         // Those still wanted are launched again under the same attempt.
-        let again: Vec<PlaceIx> =
-            self.machines[ix.at()].places.iter().copied().filter(|p| !listed.contains(p)).collect();
+        let again: Vec<AssignmentIx> =
+            self.machines[ix.at()].assignments.iter().copied().filter(|p| !listed.contains(p)).collect();
         for p in again {
-            if let Some(p) = self.places[p.at()].as_mut() {
-                if matches!(p.state, PlaceState::Seen(_)) {
-                    p.state = PlaceState::Wanted;
+            if let Some(p) = self.assignments[p.at()].as_mut() {
+                if matches!(p.state, AssignmentState::Seen(_)) {
+                    p.state = AssignmentState::Wanted;
                 }
             }
         }
@@ -174,16 +181,16 @@
         now: Ms,
         ix: MachineIx,
         t: &TaskReport,
-        mirror: &Mirror,
-        listed: &mut Vec<PlaceIx>,
-        tombs_listed: &mut HashSet<(String, u64)>,
+        job_cache: &JobCache,
+        listed: &mut Vec<AssignmentIx>,
+        listed_exits: &mut HashSet<(String, u64)>,
     ) {
         let Some((id, task)) = split_task(&t.task) else { return };
-        let Some(job_ix) = mirror.find(id) else { return };
+        let Some(job_ix) = job_cache.find(id) else { return };
         let slot = self.job(job_ix).and_then(|j| j.slots.get(task as usize).copied());
         let mine = match slot {
             Some(Slot::At(p)) => self
-                .place(p)
+                .assignment(p)
                 .filter(|pl| pl.machine == ix && pl.attempt == t.attempt && pl.session == self.machine(ix).session)
                 .map(|_| p),
             _ => None,
@@ -191,24 +198,24 @@
         if let Some(p) = mine {
             listed.push(p);
             self.take_state(now, p, t);
-            if self.place(p).is_some_and(|pl| pl.job == job_ix && pl.attempt == t.attempt) {
+            if self.assignment(p).is_some_and(|pl| pl.job == job_ix && pl.attempt == t.attempt) {
                 return;
             }
-            // Settled just now: it has a tomb.
-            tombs_listed.insert((t.task.clone(), t.attempt));
+            // Settled just now: it has a unreaped exit.
+            listed_exits.insert((t.task.clone(), t.attempt));
             return;
         }
         if t.state == TaskState::Exited {
             let m = self.machine(ix);
-            tombs_listed.insert((t.task.clone(), t.attempt));
-            if m.tombs.iter().any(|x| x.task == t.task && x.attempt == t.attempt) {
+            listed_exits.insert((t.task.clone(), t.attempt));
+            if m.unreaped_exits.iter().any(|x| x.task == t.task && x.attempt == t.attempt) {
                 return;
             }
             // An end that no place waits for. Completed is completed, though.
             let settled = m.fenced() && m.call.is_none() && !m.answer_open;
             let mut ver = 0;
             let mut chunk = 0;
-            if slot == Some(Slot::Pending) && t.why == Some(Why::Done) {
+            if slot == Some(Slot::Pending) && t.why == Some(ExitReason::Done) {
                 if let Some(job) = self.job_mut(job_ix) {
                     job.slots[task as usize] = Slot::Done;
                     job.pending.retain(|&x| x != task);
@@ -217,11 +224,11 @@
                     ver = job.touch(task);
                 }
                 self.counts.insert(job_ix);
-                self.dirty = true;
+                self.pass_needed = true;
             }
             if settled {
-                let tomb = Tomb { task: t.task.clone(), attempt: t.attempt, job: job_ix, chunk, ver };
-                self.machines[ix.at()].tombs.push(tomb);
+                let unreaped_exit = UnreapedExit { task: t.task.clone(), attempt: t.attempt, job: job_ix, chunk, ver };
+                self.machines[ix.at()].unreaped_exits.push(unreaped_exit);
             }
             return;
         }
@@ -229,7 +236,7 @@
         // otherwise it has to go. Either way it is counted meanwhile.
         if slot == Some(Slot::Pending) && self.job(job_ix).is_some_and(|j| j.status == Status::Pending) {
             let (session, zone) = (self.machine(ix).session, self.machine(ix).zone);
-            if let Some(p) = self.add_place(now, job_ix, task, ix, session, t.attempt, zone) {
+            if let Some(p) = self.add_assignment(now, job_ix, task, ix, session, t.attempt, zone) {
                 tracing::warn!(task = &*t.task, machine = &*self.machine(ix).id, "adopted");
                 listed.push(p);
                 self.take_state(now, p, t);
@@ -243,28 +250,34 @@
             "stray task, stopping it"
         );
         let m = &mut self.machines[ix.at()];
-        // A tomb for a live task: halted until it ends, then reaped.
-        if !m.tombs.iter().any(|x| x.task == t.task && x.attempt == t.attempt) {
-            m.tombs.push(Tomb { task: t.task.clone(), attempt: t.attempt, job: job_ix, chunk: 0, ver: u64::MAX });
-        }
-        tombs_listed.insert((t.task.clone(), t.attempt));
+        // A unreaped exit for a live task: halted until it ends, then reaped.
+        if !m.unreaped_exits.iter().any(|x| x.task == t.task && x.attempt == t.attempt) {
+            m.unreaped_exits.push(UnreapedExit {
+                task: t.task.clone(),
+                attempt: t.attempt,
+                job: job_ix,
+                chunk: 0,
+                ver: u64::MAX,
+            });
+        }
+        listed_exits.insert((t.task.clone(), t.attempt));
     }
 
-    pub(super) fn take_state(&mut self, now: Ms, ix: PlaceIx, t: &TaskReport) {
-        let Some(p) = self.places[ix.at()].as_mut() else { return };
+    pub(super) fn take_state(&mut self, now: Ms, ix: AssignmentIx, t: &TaskReport) {
+        let Some(p) = self.assignments[ix.at()].as_mut() else { return };
         let (job_ix, machine) = (p.job, p.machine);
         if t.state == TaskState::Exited {
-            if matches!(p.state, PlaceState::Seen(TaskState::Running)) {
+            if matches!(p.state, AssignmentState::Seen(TaskState::Running)) {
                 if let Some(job) = self.jobs[job_ix.at()].as_mut() {
                     job.running = job.running.saturating_sub(1);
                 }
             }
-            p.state = PlaceState::Ended(t.why.unwrap_or(Why::Other));
+            p.state = AssignmentState::Ended(t.why.unwrap_or(ExitReason::Other));
             self.settle(now, ix, t);
             return;
         }
         let was = p.state;
-        p.state = PlaceState::Seen(t.state);
+        p.state = AssignmentState::Seen(t.state);
         let (now_running, made, inherited) = (t.state == TaskState::Running, p.made, p.inherited);
         if was == p.state {
             return;
@@ -272,7 +285,7 @@
         if now_running && p.running_since.is_none() {
             p.running_since = Some(now);
         }
-        let was_running = was == PlaceState::Seen(TaskState::Running);
+        let was_running = was == AssignmentState::Seen(TaskState::Running);
         if let Some(job) = self.jobs[job_ix.at()].as_mut() {
             match (was_running, now_running) {
                 (false, true) => {
@@ -288,8 +301,8 @@
             }
             let (image, gb) = (job.spec.image, job.spec.image_gb);
             self.counts.insert(job_ix);
-            if let Some(host) = self.picture.hosts.get_mut(machine.at()) {
-                let cache_gb = host.pool.map_or(0.0, |p| self.picture.pools[p].cache_gb);
+            if let Some(host) = self.snapshot.hosts.get_mut(machine.at()) {
+                let cache_gb = host.pool.map_or(0.0, |p| self.snapshot.pools[p].cache_gb);
                 host.note_image(image, gb, cache_gb);
             }
         }
@@ -297,24 +310,24 @@
 
     /// A task has ended. Its place is given up unless a command sent earlier
     /// could still start it again.
-    fn settle(&mut self, now: Ms, ix: PlaceIx, t: &TaskReport) {
-        let Some(p) = self.place(ix) else { return };
+    fn settle(&mut self, now: Ms, ix: AssignmentIx, t: &TaskReport) {
+        let Some(p) = self.assignment(ix) else { return };
         let m = self.machine(p.machine);
         // Guard: a launch still under way could arrive after the reap.
         if !m.fenced() || self.in_flight_launch(p) || m.answer_open {
             return;
         }
-        let why = t.why.unwrap_or(Why::Other);
+        let why = t.why.unwrap_or(ExitReason::Other);
         let (machine, job_ix, task) = (p.machine, p.job, p.task);
         let ran_s = p.running_since.map(|s| (now - s) as f64 / 1000.0);
-        let done = why == Why::Done;
+        let done = why == ExitReason::Done;
         let name = m.id.clone();
-        let Some(place) = self.free_place(ix, done) else { return };
+        let Some(assignment) = self.release_assignment(ix, done) else { return };
         let (chunk, ver) = match self.job(job_ix) {
             Some(j) => (j.chunk_of(task), j.chunks[j.chunk_of(task)].ver),
             None => (0, 0),
         };
-        self.machines[machine.at()].tombs.push(Tomb {
+        self.machines[machine.at()].unreaped_exits.push(UnreapedExit {
             task: t.task.clone(),
             attempt: t.attempt,
             job: job_ix,
@@ -325,23 +338,23 @@
             tracing::debug!(task = &*t.task, machine = &*name, ?why, saved = ?t.saved, "ended");
         }
         match why {
-            Why::Done => self.learn(machine, job_ix, &place, ran_s),
-            Why::NoRoom | Why::Busy => {
+            ExitReason::Done => self.learn(machine, job_ix, &assignment, ran_s),
+            ExitReason::NoRoom | ExitReason::Busy => {
                 tracing::info!(task = &*t.task, machine = &*name, ?why, "start refused");
                 self.machines[machine.at()].avoid_until = now + 3_000;
                 self.refresh(now, machine);
             }
-            Why::Unknown => {
+            ExitReason::Unknown => {
                 if let Some(j) = self.job_mut(job_ix) {
                     j.not_before = now + 3_000;
                 }
             }
-            Why::Stopped => {
+            ExitReason::Stopped => {
                 if let Some(j) = self.job_mut(job_ix) {
                     j.stops += 1;
                 }
             }
-            Why::Error => self.failed(now, machine, job_ix, &t.task),
+            ExitReason::Error => self.failed(now, machine, job_ix, &t.task),
             _ => {}
         }
     }
@@ -371,10 +384,10 @@
     }
 
     /// Run times tell about machines and about owners' estimates.
-    fn learn(&mut self, machine: MachineIx, job_ix: JobIx, place: &Place, ran_s: Option<f64>) {
+    fn learn(&mut self, machine: MachineIx, job_ix: JobIx, assignment: &Assignment, ran_s: Option<f64>) {
         let (Some(ran_s), Some(job)) = (ran_s, self.job(job_ix)) else { return };
         let est = job.spec.estimate_s;
-        if est <= 0.0 || place.halt.is_some() {
+        if est <= 0.0 || assignment.halt.is_some() {
             return;
         }
         let class = job.spec.class;
@@ -389,15 +402,15 @@
     fn drain(&mut self, now: Ms, ix: MachineIx) {
         let Some(until) = self.machine(ix).notice_until else { return };
         let left = until.saturating_sub(now) as f64 / 1000.0;
-        for p in self.machine(ix).places.clone() {
-            let Some(place) = self.place(p) else { continue };
-            let Some(job) = self.job(place.job) else { continue };
+        for p in self.machine(ix).assignments.clone() {
+            let Some(assignment) = self.assignment(p) else { continue };
+            let Some(job) = self.job(assignment.job) else { continue };
             let save = job.spec.save_s;
-            if job.spec.checkpoint_s <= 0.0 || place.halt.is_some() {
+            if job.spec.checkpoint_s <= 0.0 || assignment.halt.is_some() {
                 continue;
             }
             // Notices come at half their nominal time too: save while it lasts.
-            let (gang, job_ix) = (job.spec.kind == Kind::Gang, place.job);
+            let (gang, job_ix) = (job.spec.kind == Kind::Gang, assignment.job);
             if left > save * 0.8 {
                 if gang {
                     self.stop_job(now, job_ix, save + 2.0);
--- a/src/coordination/leader/chunks.rs
+++ b/src/coordination/leader/resharding.rs
@@ -4,13 +4,13 @@
 use super::{commits::MAX_BYTES, *};
 
 /// Between two jobs whose tasks are divided anew.
-pub(super) const RECHUNK_GAP_MS: Ms = 200;
+pub(super) const RESHARD_GAP_MS: Ms = 200;
 /// How long what is too large to be written is set aside.
 const HELD_MS: Ms = 2_000;
 
 /// A new division under way, and the job as it was when that was built.
 #[derive(Debug)]
-pub(super) struct Rechunk {
+pub(super) struct Reshard {
     pub job: JobIx,
     slots: Vec<Slot>,
     vers: Vec<u64>,
@@ -29,19 +29,20 @@
         let committed = job.chunks[c].committed;
         let part = from..(from + size).min(job.slots.len());
         let at = job.slots[part].iter().filter_map(|s| if let Slot::At(p) = s { Some(*p) } else { None });
-        let at: Vec<PlaceIx> = at.collect();
+        let at: Vec<AssignmentIx> = at.collect();
         for p in at {
-            let is_unwritten =
-                |p: &Place| p.ver > committed && p.state == PlaceState::Wanted && p.sent.is_none() && !p.inherited;
-            if self.place(p).is_some_and(is_unwritten) {
-                self.free_place(p, false);
+            let is_unwritten = |p: &Assignment| {
+                p.ver > committed && p.state == AssignmentState::Wanted && p.sent.is_none() && !p.inherited
+            };
+            if self.assignment(p).is_some_and(is_unwritten) {
+                self.release_assignment(p, false);
             }
         }
     }
 
     /// The first 400 shows that the lower limits hold; what fits them and is
     /// refused all the same is cut smaller, and in the end set aside.
-    pub(super) fn too_large(&mut self, now: Ms, mut f: Flying) {
+    pub(super) fn too_large(&mut self, now: Ms, mut f: InFlightTxn) {
         if self.value_limit > self.cfg.value_fit {
             tracing::warn!(bytes = self.cfg.value_fit, "values are kept smaller from now on");
             self.value_limit = self.cfg.value_fit;
@@ -56,8 +57,8 @@
                 for &ix in &f.dones {
                     tracing::error!(job = ix.0, "the end of a job can't be written");
                 }
-                if let Some(job) = f.rechunk.as_ref().and_then(|r| self.job_mut(r.job)) {
-                    job.outsized = None;
+                if let Some(job) = f.reshard.as_ref().and_then(|r| self.job_mut(r.job)) {
+                    job.oversized_record = None;
                 }
             }
         }
@@ -70,7 +71,7 @@
             f.resync = f.txn.writes.iter().filter_map(is_tasks).collect();
             if !f.resync.is_empty() {
                 f.sent = false;
-                self.flying = Some(f);
+                self.in_flight_txn = Some(f);
                 return;
             }
         }
@@ -81,19 +82,19 @@
 
     /// An unfinished job whose tasks were divided under a larger limit, and
     /// whose division can be changed in one transaction.
-    pub(super) fn to_rechunk(&self, now: Ms, spare: bool) -> Option<&Job> {
+    pub(super) fn reshard_candidate(&self, now: Ms, spare: bool) -> Option<&Job> {
         // Guard: a controller of the version before would go on with the old division.
-        if !self.may_rechunk {
+        if !self.may_reshard {
             return None;
         }
         // Until it must be, it takes nothing from what somebody waits for.
         let must = self.value_limit <= self.cfg.value_fit;
-        if !(must || spare) || now < self.rechunk_after {
+        if !(must || spare) || now < self.reshard_after {
             return None;
         }
         let most = self.cfg.txn_ops.min(self.ops_cap).min(MAX_BYTES / self.cfg.value_fit.max(1)).max(1);
         let is_ready = |j: &&Job| {
-            j.outsized.is_some()
+            j.oversized_record.is_some()
                 && j.status == Status::Pending
                 && !j.stale
                 && !j.all_done()
@@ -116,10 +117,10 @@
         job.slots.chunks(size).enumerate().map(of).collect()
     }
 
-    pub(super) fn rechunk(&mut self, now: Ms, max_ops: usize, spare: bool, tables: &Tables) -> Option<Txn> {
-        let job = self.to_rechunk(now, spare)?;
+    pub(super) fn reshard(&mut self, now: Ms, max_ops: usize, spare: bool, tables: &Tables) -> Option<Txn> {
+        let job = self.reshard_candidate(now, spare)?;
         let (ix, size) = (job.ix, self.cfg.chunk_fit);
-        let record = JobRecord { chunk: size, ..(**job.outsized.as_ref()?).clone() };
+        let record = JobRecord { chunk: size, ..(**job.oversized_record.as_ref()?).clone() };
         let tag = self.tag + 1;
         let key = records::job_key(&job.id);
         let mut txn = Txn::default();
@@ -146,47 +147,48 @@
         // Guard: as for every transaction of a leader.
         txn.conditions.push(Condition { key: records::LEADER.to_owned(), stamp: self.stamp });
         let vers = job.chunks.iter().map(|c| c.ver).collect();
-        let rechunk = Some(Rechunk { job: ix, slots: job.slots.clone(), vers, written });
+        let reshard = Some(Reshard { job: ix, slots: job.slots.clone(), vers, written });
         self.tag = tag;
-        self.rechunk_after = now + RECHUNK_GAP_MS;
+        self.reshard_after = now + RESHARD_GAP_MS;
         if let Some(job) = self.job_mut(ix) {
-            job.rechunking = true;
+            job.resharding = true;
         }
         let (chunks, dones, drops) = (Vec::new(), Vec::new(), Vec::new());
         let out = txn.clone();
-        self.flying = Some(Flying { txn, chunks, dones, drops, rechunk, tag, sent: true, resync: Vec::new() });
+        self.in_flight_txn =
+            Some(InFlightTxn { txn, chunks, dones, drops, reshard, tag, sent: true, resync: Vec::new() });
         Some(out)
     }
 
     /// The new division is written.
-    pub(super) fn divided(&mut self, now: Ms, r: &Rechunk, epoch: u64) {
+    pub(super) fn resharded(&mut self, now: Ms, r: &Reshard, epoch: u64) {
         let size = self.cfg.chunk_fit;
         let Some(job) = self.job_mut(r.job) else { return };
         job.stamp = job.stamp.max(epoch);
         job.recorded_chunk = size;
         job.unwritten_since = None;
-        self.divide(r.job, size, Some((r, epoch)));
+        self.apply_sharding(r.job, size, Some((r, epoch)));
         let Some(job) = self.job(r.job) else { return };
-        let at = job.slots.iter().filter_map(|s| if let Slot::At(p) = s { self.place(*p) } else { None });
-        let told: Vec<MachineIx> = at.map(|p| p.machine).collect();
-        self.wake.extend(told.into_iter().map(|m| (now, m)));
+        let at = job.slots.iter().filter_map(|s| if let Slot::At(p) = s { self.assignment(*p) } else { None });
+        let user_responses: Vec<MachineIx> = at.map(|p| p.machine).collect();
+        self.wake.extend(user_responses.into_iter().map(|m| (now, m)));
         self.retire_over(r.job);
     }
 
     /// Its record says another division than ours: a write of ours that nobody
     /// answered. Everything is written once more under that.
-    pub(super) fn follow_division(&mut self, ix: JobIx) {
+    pub(super) fn adopt_recorded_sharding(&mut self, ix: JobIx) {
         let Some(job) = self.job(ix) else { return };
-        if job.recorded_chunk != job.chunk_size && !job.rechunking {
-            self.divide(ix, job.recorded_chunk, None);
+        if job.recorded_chunk != job.chunk_size && !job.resharding {
+            self.apply_sharding(ix, job.recorded_chunk, None);
         }
     }
 
     /// `written`: what was written under the new division, and when; otherwise
     /// all of it counts as unwritten.
-    fn divide(&mut self, ix: JobIx, size: u32, written: Option<(&Rechunk, u64)>) {
+    fn apply_sharding(&mut self, ix: JobIx, size: u32, written: Option<(&Reshard, u64)>) {
         let Some(job) = self.jobs.get_mut(ix.at()).and_then(Option::as_mut) else { return };
-        (job.outsized, job.rechunking) = (None, false);
+        (job.oversized_record, job.resharding) = (None, false);
         job.chunk_size = size.max(1);
         let n = job.spec.tasks.div_ceil(job.chunk_size) as usize;
         let committed = u64::from(written.is_some());
@@ -208,14 +210,14 @@
                 job.touch(task);
             }
             if let Slot::At(p) = slot {
-                if let Some(p) = self.places.get_mut(p.at()).and_then(Option::as_mut) {
+                if let Some(p) = self.assignments.get_mut(p.at()).and_then(Option::as_mut) {
                     p.ver = 1;
                 }
             }
         }
         // Guard: nor is an end reaped before it is.
         for m in &mut self.machines {
-            for t in m.tombs.iter_mut().filter(|t| t.job == ix && t.ver != u64::MAX) {
+            for t in m.unreaped_exits.iter_mut().filter(|t| t.job == ix && t.ver != u64::MAX) {
                 let Some((_, task)) = split_task(&t.task) else { continue };
                 let is_written = written.is_some_and(|(r, _)| r.vers.get(t.chunk).is_some_and(|v| t.ver <= *v));
                 t.chunk = (task / job.chunk_size) as usize;
--- a/src/coordination/keeping.rs
+++ b/src/coordination/lease_renewal.rs
@@ -12,8 +12,8 @@
 //!   Cancelled later than that read, a task is gone `renewal_ms` and a lease after
 //!   it at the latest.
 //! - A leader that counts a lease out must know of every such answer.
-//!   [`Keeper`] keeps only while its key stands in the state service, under a
-//!   grant; [`Witness`] believes that a controller kept nothing only for the
+//!   [`RenewalRight`] keeps only while its key stands in the state service, under a
+//!   grant; [`PeerInactivity`] believes that a controller kept nothing only for the
 //!   time that the controller itself spoke for, or its key was away.
 
 use super::model::Ms;
@@ -48,7 +48,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// POST /grants
     Grant,
     /// POST /grants/{}/renew
@@ -67,7 +67,7 @@
 
 /// This controller's own right to keep leases.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct RenewalRight {
     renewal_ms: Ms,
     most_ms: Ms,
     permit: Option<u64>,
@@ -84,10 +84,10 @@
     pub last: Ms,
 }
 
-impl Keeper {
+impl RenewalRight {
     /// `renewal_ms`: for any answer, the leader's too; `most_ms`: while not leading.
-    pub fn new(renewal_ms: Ms, most_ms: Ms) -> Keeper {
-        Keeper {
+    pub fn new(renewal_ms: Ms, most_ms: Ms) -> RenewalRight {
+        RenewalRight {
             renewal_ms,
             most_ms,
             permit: None,
@@ -118,7 +118,7 @@
         self.most_ms + 6_000
     }
 
-    pub fn tick(&mut self, now: Ms) -> Option<Act> {
+    pub fn tick(&mut self, now: Ms) -> Option<Action> {
         if self.most_ms == 0 || self.flight != Flight::None || now < self.retry_at {
             return None;
         }
@@ -127,17 +127,17 @@
             Some(p) if self.registered && now >= self.last_renewal + 3_000 => {
                 self.last_renewal = now;
                 self.flight = Flight::Renew { sent: now };
-                Act::Renew(p)
+                Action::Renew(p)
             }
             Some(_) if self.registered => return None,
             Some(p) if now + self.ttl_ms() / 2 < self.valid_until => {
                 self.flight = Flight::Register;
-                Act::Register { permit: p, expect: stamp }
+                Action::Register { permit: p, expect: stamp }
             }
             _ => {
                 self.permit = None;
                 self.flight = Flight::Grant { sent: now };
-                Act::Grant
+                Action::Grant
             }
         };
         Some(act)
@@ -210,7 +210,7 @@
     }
 
     /// Only out of contact, only for a time, and only while the key stands.
-    pub fn may_keep(&self, now: Ms) -> bool {
+    pub fn may_renew_without_leader(&self, now: Ms) -> bool {
         let contact = self.synced.is_some_and(|s| now >= s + QUIET_MS && now < s + self.most_ms);
         contact && self.may_renew(now) && self.registered && now < self.valid_until
     }
@@ -219,18 +219,18 @@
 /// For how long each other controller is known to have kept no lease: from and
 /// to, on this controller's clock.
 #[derive(Debug)]
-pub struct Witness {
+pub struct PeerInactivity {
     spans: Vec<Option<(i64, i64)>>,
 }
 
-impl Witness {
-    pub fn new(peers: usize) -> Witness {
-        Witness { spans: vec![None; peers] }
+impl PeerInactivity {
+    pub fn new(peers: usize) -> PeerInactivity {
+        PeerInactivity { spans: vec![None; peers] }
     }
 
     /// Between these moments `peer` kept nothing. What lies before is believed
     /// only as far as it is joined on.
-    pub fn quiet(&mut self, peer: usize, from: i64, to: i64) {
+    pub fn record_inactive(&mut self, peer: usize, from: i64, to: i64) {
         if to < from {
             return;
         }
@@ -265,15 +265,15 @@
 /// that would find the leader elsewhere. It keeps leases only when whoever it
 /// hears is out of contact too; or when it hears nobody, has no other in its
 /// zone, and no worker of another zone (`stranger`) since its last contact.
-pub fn shares_the_cut(now: Ms, contact: Ms, others: &[Other], stranger: Option<Ms>) -> bool {
+pub fn shares_the_cut(now: Ms, contact: Ms, others: &[Other], foreign_zone_report: Option<Ms>) -> bool {
     let heard = |o: &&Other| o.heard.is_some_and(|h| now < h + HEARD_MS);
     let mut heard = others.iter().filter(heard).peekable();
     if heard.peek().is_some() {
         return heard.all(|o| o.state_age >= QUIET_MS);
     }
-    !others.iter().any(|o| o.near) && stranger.is_none_or(|s| s < contact + 1_000)
+    !others.iter().any(|o| o.near) && foreign_zone_report.is_none_or(|s| s < contact + 1_000)
 }
 
 #[cfg(test)]
-#[path = "tests/keeping.rs"]
+#[path = "tests/lease_renewal.rs"]
 mod tests;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -2,11 +2,11 @@
 
 pub mod election;
 pub mod fleet;
-pub mod keeping;
 pub mod leader;
+pub mod lease_renewal;
 pub mod model;
 pub mod pass;
-pub mod picture;
 pub mod preemption;
 pub mod rent;
+pub mod snapshot;
 pub mod trial;
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -1,16 +1,16 @@
-//! The leader's picture: jobs, machines, and the places where tasks may be.
+//! The leader's snapshot: jobs, machines, and the places where tasks may be.
 
 use std::{net::SocketAddr, ops, rc::Rc};
 
 use crate::{
     bookkeeping::{
-        mirror::JobIx,
+        job_cache::JobIx,
         records::{JobRecord, Status},
     },
     protocol::{
         jobs::JobSpec,
         names::{TypeIx, ZoneIx},
-        workers::{TaskState, Why},
+        workers::{ExitReason, TaskState},
     },
 };
 
@@ -32,7 +32,7 @@
     };
 }
 
-index!(PlaceIx);
+index!(AssignmentIx);
 index!(MachineIx);
 
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -120,7 +120,7 @@
 pub enum Slot {
     Pending,
     Done,
-    At(PlaceIx),
+    At(AssignmentIx),
 }
 
 /// One `t/` record: the wanted state has version `ver`, the written one `committed`.
@@ -154,12 +154,12 @@
     pub running: u32,
     /// Not to be tried before.
     pub not_before: Ms,
-    /// A transaction found the record changed; wait until the mirror shows it.
+    /// A transaction found the record changed; wait until the job cache shows it.
     pub stale: bool,
     /// Its record, while that divides its tasks into larger chunks than fit.
-    pub outsized: Option<Rc<JobRecord>>,
+    pub oversized_record: Option<Rc<JobRecord>>,
     /// Its tasks are being divided anew: nothing more of it may be placed.
-    pub rechunking: bool,
+    pub resharding: bool,
     /// The size of its chunks as its record says.
     pub recorded_chunk: u32,
     /// Since when ends wait to be written.
@@ -180,7 +180,7 @@
     /// and when a task was last given a place.
     pub stops: u32,
     pub losses: u32,
-    pub last_placed: Ms,
+    pub last_assigned: Ms,
     /// First seen waiting without room, for the logs and the fleet.
     pub waiting_since: Ms,
 }
@@ -200,7 +200,7 @@
         self.chunks[c].ver
     }
 
-    pub fn is_dirty(&self) -> bool {
+    pub fn has_unwritten_changes(&self) -> bool {
         self.chunks.iter().any(|c| c.ver != c.committed)
     }
 
@@ -215,12 +215,12 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum PlaceState {
+pub enum AssignmentState {
     /// In the wanted state; launched once its record is written.
     Wanted,
     Seen(TaskState),
     /// Has ended, but that isn't settled while an old command may still be under way.
-    Ended(Why),
+    Ended(ExitReason),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -232,7 +232,7 @@
 }
 
 #[derive(Debug)]
-pub struct Place {
+pub struct Assignment {
     pub job: JobIx,
     pub task: u32,
     pub machine: MachineIx,
@@ -241,7 +241,7 @@
     pub attempt: u64,
     /// Version of its chunk that first held it.
     pub ver: u64,
-    pub state: PlaceState,
+    pub state: AssignmentState,
     /// When its launch was last sent.
     pub sent: Option<Ms>,
     pub running_since: Option<Ms>,
@@ -253,7 +253,7 @@
 
 /// An ended task that the worker still lists: reaped once its end is written.
 #[derive(Debug, Clone)]
-pub struct Tomb {
+pub struct UnreapedExit {
     pub task: String,
     pub attempt: u64,
     pub job: JobIx,
@@ -262,7 +262,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct DoCall {
+pub struct DirectCall {
     pub id: u64,
     pub sent: Ms,
     /// Places whose launch it carries.
@@ -270,7 +270,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum MachineLifecycle {
     /// Rented or listed; its worker has not reported yet.
     Booting,
     Up,
@@ -290,7 +290,7 @@
     pub ty: Option<TypeIx>,
     pub zone: ZoneIx,
     pub spot: bool,
-    pub life: Life,
+    pub life: MachineLifecycle,
     pub session: u64,
     pub seq: u64,
     /// Reports of sessions up to this one are too old to mean anything.
@@ -315,11 +315,11 @@
     pub probing: bool,
     pub probe_fails: u32,
     pub notice_until: Option<Ms>,
-    pub places: Vec<PlaceIx>,
+    pub assignments: Vec<AssignmentIx>,
     /// Of those, places of GPU work.
-    pub gpu_places: u32,
-    pub tombs: Vec<Tomb>,
-    pub call: Option<DoCall>,
+    pub gpu_assignments: u32,
+    pub unreaped_exits: Vec<UnreapedExit>,
+    pub call: Option<DirectCall>,
     pub call_after: Ms,
     /// The answer to its last report carried launches, and no report came since.
     pub answer_open: bool,
@@ -345,7 +345,7 @@
             ty: None,
             zone,
             spot: false,
-            life: Life::Booting,
+            life: MachineLifecycle::Booting,
             session: 0,
             seq: 0,
             dead_session: 0,
@@ -361,9 +361,9 @@
             probing: false,
             probe_fails: 0,
             notice_until: None,
-            places: Vec::new(),
-            gpu_places: 0,
-            tombs: Vec::new(),
+            assignments: Vec::new(),
+            gpu_assignments: 0,
+            unreaped_exits: Vec::new(),
             call: None,
             call_after: 0,
             answer_open: false,
--- a/src/coordination/pass.rs
+++ b/src/coordination/pass.rs
@@ -1,4 +1,4 @@
-//! A pass: every waiting job's tree is tried on the picture, in order of
+//! A pass: every waiting job's tree is tried on the snapshot, in order of
 //! priority; what succeeds becomes part of the wanted state.
 
 use std::{collections::HashMap, rc::Rc};
@@ -6,10 +6,10 @@
 use super::{
     leader::Leader,
     model::*,
-    trial::{Ask, Verdict},
+    trial::{TrialRequest, Verdict},
 };
 use crate::{
-    bookkeeping::{mirror::JobIx, records::Status},
+    bookkeeping::{job_cache::JobIx, records::Status},
     protocol::{
         jobs::{JobSpec, Kind, Priority},
         names::{ClassIx, TeamIx},
@@ -63,7 +63,7 @@
 
     /// What GPU work lately asked for, of each pool's machines.
     fn note_guards(&mut self) {
-        for p in &mut self.picture.pools {
+        for p in &mut self.snapshot.pools {
             p.guard = None;
             for (s, _, _) in self.gpu_shapes.iter().filter(|_| p.cap.gpus > 0.0) {
                 if s.allows_type(p.ty) && (s.spot || !p.spot) && Res::of(s).fits_in(&p.cap) {
@@ -117,7 +117,7 @@
             .iter()
             .filter_map(|&ix| self.job(ix))
             .filter(|j| {
-                j.status == Status::Pending && !j.pending.is_empty() && now >= j.not_before && !j.stale && !j.rechunking
+                j.status == Status::Pending && !j.pending.is_empty() && now >= j.not_before && !j.stale && !j.resharding
             })
             // A gang starts anew only once all of its old attempt is gone.
             .filter(|j| j.spec.kind != Kind::Gang || j.placed == 0)
@@ -169,7 +169,7 @@
     }
 
     pub fn pass(&mut self, now: Ms) {
-        self.dirty = false;
+        self.pass_needed = false;
         self.last_pass = now;
         self.note_guarantees();
         let order = self.pass_order(now);
@@ -186,7 +186,7 @@
         let mut failed = Failed::default();
         // One gang in each zone at a time collects its machines.
         let mut gathering = 0;
-        let zones = self.picture.zone_count();
+        let zones = self.snapshot.zone_count();
         for ix in order {
             let Some(job) = self.job(ix) else { continue };
             let spec = job.spec.clone();
@@ -230,7 +230,7 @@
             let zone_used = job.zone_used.clone();
             let fresh = zone_used.iter().all(|&n| n == 0);
             let avoid = self.avoided(job);
-            let ask = Ask {
+            let ask = TrialRequest {
                 spec: &spec,
                 tasks: &tasks,
                 min,
@@ -241,14 +241,14 @@
             };
             let hopeless = failed.now.iter().any(|f| at_least_as_hard(&spec, f));
             let out =
-                if hopeless { None } else { Some(self.picture.trial(&ask)).filter(|o| o.verdict == Verdict::Success) };
+                if hopeless { None } else { Some(self.snapshot.trial(&ask)).filter(|o| o.verdict == Verdict::Success) };
             let placed = out.as_ref().map_or(0, |o| o.picks.len());
             if let Some(out) = out {
                 let attempt = self.next_attempt();
                 for pick in &out.picks {
                     let m = MachineIx(pick.host as u32);
                     let (session, zone) = (self.machine(m).session, self.machine(m).zone);
-                    self.add_place(now, ix, pick.task, m, session, attempt, zone);
+                    self.add_assignment(now, ix, pick.task, m, session, attempt, zone);
                 }
                 tracing::debug!(job = ix.0, placed, of = n, "placed");
             } else if !hopeless && avoid.is_empty() && fresh {
@@ -256,16 +256,16 @@
             }
             if placed < n {
                 unmet.push((ix, (n - placed) as u32));
-                let kept = self.picture.reservations();
+                let kept = self.snapshot.reservations();
                 self.make_room(now, ix, &tasks[placed..], &mut failed);
-                if gang && due && gathering < zones && self.picture.reservations() == kept {
+                if gang && due && gathering < zones && self.snapshot.reservations() == kept {
                     gathering += usize::from(self.gather(&spec, &tasks, &zone_used));
                 }
             } else if let Some(j) = self.job_mut(ix) {
                 j.waiting_since = now;
             }
         }
-        self.picture.release(0);
+        self.snapshot.release(0);
         self.fleet.unmet = unmet;
     }
 
@@ -292,10 +292,10 @@
     /// collect. What there is of room for one that is due is kept from all
     /// after it, pass by pass, until there is enough. True if something was kept.
     fn gather(&mut self, spec: &JobSpec, tasks: &[u32], zone_used: &[u32]) -> bool {
-        let ask = Ask { spec, tasks, min: 1, zone_used, avoid: &[], later: true, busy_only: false };
-        let out = self.picture.trial(&ask);
+        let ask = TrialRequest { spec, tasks, min: 1, zone_used, avoid: &[], later: true, busy_only: false };
+        let out = self.snapshot.trial(&ask);
         for p in &out.picks {
-            self.picture.reserve(p.host, Res::of(spec), Res::default());
+            self.snapshot.reserve(p.host, Res::of(spec), Res::default());
         }
         !out.picks.is_empty()
     }
@@ -322,14 +322,15 @@
 
     fn keep_headroom(&mut self, spec: &JobSpec, n: usize) {
         let tasks: Vec<u32> = (0..n as u32).collect();
-        let ask = Ask { spec, tasks: &tasks, min: 1, zone_used: &[], avoid: &[], later: true, busy_only: false };
-        let out = self.picture.trial(&ask);
+        let ask =
+            TrialRequest { spec, tasks: &tasks, min: 1, zone_used: &[], avoid: &[], later: true, busy_only: false };
+        let out = self.snapshot.trial(&ask);
         for p in &out.picks {
-            self.picture.reserve(p.host, Res::of(spec), Res::default());
+            self.snapshot.reserve(p.host, Res::of(spec), Res::default());
         }
     }
 
-    /// Takes the room kept for the next replicas off the picture, until it is released.
+    /// Takes the room kept for the next replicas off the snapshot, until it is released.
     pub fn keep_all_headroom(&mut self, now: Ms) {
         for (spec, n) in self.headroom(now) {
             self.keep_headroom(&spec, n);
@@ -337,7 +338,7 @@
     }
 
     fn avoided(&self, job: &Job) -> Vec<MachineIx> {
-        let up = self.machines.iter().filter(|m| m.life == Life::Up).count();
+        let up = self.machines.iter().filter(|m| m.life == MachineLifecycle::Up).count();
         // Once it failed nearly everywhere, the machines aren't the reason.
         if job.error_on.len() >= 4 || job.error_on.len() * 2 >= up {
             return Vec::new();
@@ -364,11 +365,19 @@
         let zone_used = job.zone_used.clone();
         let fresh = zone_used.iter().all(|&n| n == 0);
         let mut need = tasks;
-        if self.picture.anything_stops() && !failed.later.iter().any(|f| at_least_as_hard(&spec, f)) {
-            let ask = Ask { spec: &spec, tasks, min, zone_used: &zone_used, avoid: &[], later: true, busy_only: false };
-            let out = self.picture.trial(&ask);
+        if self.snapshot.anything_stops() && !failed.later.iter().any(|f| at_least_as_hard(&spec, f)) {
+            let ask = TrialRequest {
+                spec: &spec,
+                tasks,
+                min,
+                zone_used: &zone_used,
+                avoid: &[],
+                later: true,
+                busy_only: false,
+            };
+            let out = self.snapshot.trial(&ask);
             for p in &out.picks {
-                self.picture.reserve(p.host, Res::of(&spec), Res::default());
+                self.snapshot.reserve(p.host, Res::of(&spec), Res::default());
             }
             need = &tasks[out.picks.len()..];
             if out.verdict != Verdict::Success && fresh {
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -3,7 +3,7 @@
 
 use super::{leader::Leader, model::*, pass::is_overdue};
 use crate::{
-    bookkeeping::{mirror::JobIx, records::Status},
+    bookkeeping::{job_cache::JobIx, records::Status},
     protocol::{
         jobs::{Kind, Priority},
         names::ZoneIx,
@@ -23,24 +23,24 @@
 struct Plan {
     cost: f64,
     picks: Vec<usize>,
-    halts: Vec<PlaceIx>,
+    halts: Vec<AssignmentIx>,
 }
 
 struct Victim {
-    place: PlaceIx,
+    assignment: AssignmentIx,
     need: Res,
     cost: f64,
 }
 
 impl Leader {
     /// What stopping a place costs, or None when the preemptor may not stop it.
-    fn victim(&self, now: Ms, p: PlaceIx, by: &Job) -> Option<Victim> {
-        let place = self.place(p)?;
-        if place.halt.is_some() || matches!(place.state, PlaceState::Ended(_)) {
+    fn victim(&self, now: Ms, p: AssignmentIx, by: &Job) -> Option<Victim> {
+        let assignment = self.assignment(p)?;
+        if assignment.halt.is_some() || matches!(assignment.state, AssignmentState::Ended(_)) {
             return None;
         }
-        let job = self.job(place.job)?;
-        if job.status != Status::Pending || place.job == by.ix {
+        let job = self.job(assignment.job)?;
+        if job.status != Status::Pending || assignment.job == by.ix {
             return None;
         }
         let lower = job.spec.priority < by.spec.priority;
@@ -56,7 +56,7 @@
         if !lower && !borrowed {
             return None;
         }
-        let ran = place.running_since.map_or(0.0, |s| (now - s) as f64 / 1000.0);
+        let ran = assignment.running_since.map_or(0.0, |s| (now - s) as f64 / 1000.0);
         let lost =
             if job.spec.checkpoint_s > 0.0 { ran.min(job.spec.checkpoint_s).min(job.spec.save_s + 2.0) } else { ran };
         // Guard: what was let begin at last is not stopped before it has.
@@ -73,7 +73,7 @@
         let fresh = if ran * 1000.0 < START_COUNTS_MS as f64 && job.spec.priority > Priority::Low { 60.0 } else { 0.0 };
         // A gang is stopped whole.
         let many = if job.spec.kind == Kind::Gang { f64::from(job.placed) } else { 1.0 };
-        Some(Victim { place: p, need: Res::of(&job.spec), cost: (5.0 + rank + lost + fresh) * many })
+        Some(Victim { assignment: p, need: Res::of(&job.spec), cost: (5.0 + rank + lost + fresh) * many })
     }
 
     /// What is stopped, and where, so that `tasks` get room; in `zone` only, if
@@ -84,17 +84,17 @@
         let gang = spec.kind == Kind::Gang;
         let mut in_zone = self.job(ix)?.zone_used.clone();
         let mut plan = Plan::default();
-        let kept = self.picture.reservations();
-        let sample = self.picture.sample(&spec, zone, self.cursor, SAMPLE);
+        let kept = self.snapshot.reservations();
+        let sample = self.snapshot.sample(&spec, zone, self.cursor, SAMPLE);
         let mut looked = 0;
         for _ in tasks {
             let job = self.job(ix)?;
-            let mut best: Option<(f64, usize, Vec<PlaceIx>, Res)> = None;
+            let mut best: Option<(f64, usize, Vec<AssignmentIx>, Res)> = None;
             let mut seen = 0;
             for &n in &sample {
                 looked += 1;
-                let h = &self.picture.hosts[n];
-                let Some(pool) = h.pool.map(|p| &self.picture.pools[p]) else { continue };
+                let h = &self.snapshot.hosts[n];
+                let Some(pool) = h.pool.map(|p| &self.snapshot.pools[p]) else { continue };
                 let here = in_zone.get(pool.zone.at()).copied().unwrap_or(0);
                 let elsewhere: u32 = in_zone.iter().sum::<u32>() - here;
                 if (spec.one_zone && elsewhere > 0) || (spec.spread && here >= spec.zone_cap()) {
@@ -109,7 +109,7 @@
                 seen += 1;
                 let mut victims: Vec<Victim> = self
                     .machine(MachineIx(n as u32))
-                    .places
+                    .assignments
                     .iter()
                     .filter(|p| !plan.halts.contains(p))
                     .filter_map(|&p| self.victim(now, p, job))
@@ -130,7 +130,7 @@
                     have += v.need;
                     freed += v.need;
                     cost += v.cost;
-                    list.push(v.place);
+                    list.push(v.assignment);
                 }
                 if !need.fits_in(&have) {
                     continue;
@@ -147,8 +147,8 @@
             }
             let Some((cost, n, list, freed)) = best else {
                 if gang {
-                    self.picture.looked += looked;
-                    self.picture.release(kept);
+                    self.snapshot.looked += looked;
+                    self.snapshot.release(kept);
                     return None;
                 }
                 break;
@@ -158,14 +158,14 @@
                 in_zone.resize(zone.at() + 1, 0);
             }
             in_zone[zone.at()] += 1;
-            self.picture.reserve(n, need, freed);
+            self.snapshot.reserve(n, need, freed);
             plan.cost += cost;
             plan.halts.extend(list);
             plan.picks.push(n);
         }
-        self.picture.looked += looked;
+        self.snapshot.looked += looked;
         // What is stopped counts as such by itself; the room is kept again after.
-        self.picture.release(kept);
+        self.snapshot.release(kept);
         (!plan.picks.is_empty()).then_some(plan)
     }
 
@@ -182,7 +182,7 @@
         let tasks = if spec.kind == Kind::Array { &tasks[..tasks.len().min(ARRAY_TASKS)] } else { tasks };
         self.cursor = self.cursor.wrapping_mul(5).wrapping_add(101) % (self.machines.len().max(1) as u32);
         let zones: Vec<Option<ZoneIx>> = if spec.one_zone && !held && tasks.len() > 1 {
-            let mut zones: Vec<ZoneIx> = self.picture.pools.iter().map(|p| p.zone).collect();
+            let mut zones: Vec<ZoneIx> = self.snapshot.pools.iter().map(|p| p.zone).collect();
             zones.sort_unstable();
             zones.dedup();
             zones.into_iter().map(Some).collect()
@@ -195,9 +195,9 @@
         let urgent = spec.priority == Priority::Production;
         let mut stopped = 0;
         for p in halts {
-            let Some(place) = self.place(p) else { continue };
-            let (vjob, gang) = match self.job(place.job) {
-                Some(j) => (place.job, j.spec.kind == Kind::Gang),
+            let Some(assignment) = self.assignment(p) else { continue };
+            let (vjob, gang) = match self.job(assignment.job) {
+                Some(j) => (assignment.job, j.spec.kind == Kind::Gang),
                 None => continue,
             };
             let save =
@@ -211,7 +211,7 @@
             }
         }
         for &n in &picks {
-            self.picture.reserve(n, need, Res::default());
+            self.snapshot.reserve(n, need, Res::default());
         }
         if stopped > 0 {
             tracing::info!(job = ix.0, stopped, tasks = picks.len(), "made room");
--- a/src/coordination/rent.rs
+++ b/src/coordination/rent.rs
@@ -102,7 +102,11 @@
             return;
         }
         let mut coming = self.coming(now);
-        let mut total = self.machines.iter().filter(|m| !matches!(m.life, Life::Gone | Life::Returning)).count()
+        let mut total = self
+            .machines
+            .iter()
+            .filter(|m| !matches!(m.life, MachineLifecycle::Gone | MachineLifecycle::Returning))
+            .count()
             + self.pending_rents();
         let mut wanted: Vec<(Offer, u32)> = Vec::new();
         // A large machine is cheap for many small jobs together, though not
@@ -182,7 +186,7 @@
         let room = |z: ZoneIx, most: u32| {
             let mut have = 0;
             if gang {
-                self.picture.candidates(spec, Some(z), true, |_, h, _| {
+                self.snapshot.candidates(spec, Some(z), true, |_, h, _| {
                     have = (have + need.times_in(&(h.free + h.soon))).min(most);
                 });
             }
@@ -240,7 +244,7 @@
     fn coming(&self, now: Ms) -> Arrivals {
         let mut out = Arrivals::default();
         for m in &self.machines {
-            if m.life != Life::Booting || !m.places.is_empty() {
+            if m.life != MachineLifecycle::Booting || !m.assignments.is_empty() {
                 continue;
             }
             let Some(t) = self.type_of(m) else { continue };
@@ -337,7 +341,7 @@
                     m.ty = m.ty.or(Some(offer.0));
                     m.spot = offer.2;
                     m.zone = offer.1;
-                    if m.life == Life::Booting {
+                    if m.life == MachineLifecycle::Booting {
                         m.rented = now;
                     }
                 }
--- a/src/coordination/picture.rs
+++ b/src/coordination/snapshot.rs
@@ -1,4 +1,4 @@
-//! The picture of the machines that trials are made on. It is kept up to date
+//! The snapshot of the machines that trials are made on. It is kept up to date
 //! as places come and go, and indexed by type, zone and room, so that a search
 //! looks at a few machines and not at all of them.
 
@@ -22,7 +22,7 @@
     pub open: bool,
     /// Takes GPU work only: it is to run empty.
     pub gpu_only: bool,
-    pub places: u32,
+    pub assignments: u32,
     pub free: Res,
     /// What tasks that are being stopped will leave.
     pub soon: Res,
@@ -112,7 +112,7 @@
     spec.priority == Priority::Production || spec.checkpoint_s <= 0.0
 }
 
-/// What a task takes of its machine, as far as the picture goes.
+/// What a task takes of its machine, as far as the snapshot goes.
 fn bear(h: &mut Host, spec: &JobSpec, sign: f64) {
     let need = Res::of(spec) * sign;
     h.free -= need;
@@ -133,7 +133,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Picture {
+pub struct ClusterSnapshot {
     pub hosts: Vec<Host>,
     pub pools: Vec<Pool>,
     /// Machines on which something is being stopped.
@@ -143,7 +143,7 @@
     pub looked: u64,
 }
 
-impl Picture {
+impl ClusterSnapshot {
     pub fn find_pool(&self, ty: TypeIx, zone: ZoneIx, spot: bool) -> Option<usize> {
         self.pools.iter().position(|p| p.ty == ty && p.zone == zone && p.spot == spot)
     }
@@ -272,7 +272,7 @@
     /// A place was made there.
     pub fn take(&mut self, n: usize, spec: &JobSpec) {
         self.change(n, |h| {
-            h.places += 1;
+            h.assignments += 1;
             bear(h, spec, 1.0);
             h.low[spec.priority as usize] += Res::of(spec);
         });
@@ -281,7 +281,7 @@
     /// A place there was given up; `halted`: it was being stopped.
     pub fn give(&mut self, n: usize, spec: &JobSpec, halted: bool) {
         self.change(n, |h| {
-            h.places -= 1;
+            h.assignments -= 1;
             bear(h, spec, -1.0);
             if halted {
                 h.soon -= Res::of(spec);
@@ -403,5 +403,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/picture.rs"]
+#[path = "tests/snapshot.rs"]
 mod tests;
--- a/src/coordination/tests/election.rs
+++ b/src/coordination/tests/election.rs
@@ -8,9 +8,9 @@
 
 fn lead(e: &mut Election) {
     e.saw_key(0, None, 1);
-    assert_eq!(e.tick(0), Some(Act::Grant));
+    assert_eq!(e.tick(0), Some(Action::Grant));
     e.granted(10, Some(7));
-    assert_eq!(e.tick(10), Some(Act::Claim { permit: 7, expect: 0 }));
+    assert_eq!(e.tick(10), Some(Action::Claim { permit: 7, expect: 0 }));
     e.claimed(20, Some(5));
 }
 
@@ -21,19 +21,19 @@
     assert_eq!(e.leading(20), Some(5));
     // Guard: counted from the grant's sending (0), less drift and margin.
     assert_eq!(e.leading(TTL - 40), None);
-    assert_eq!(e.tick(1_000), Some(Act::Renew(7)));
+    assert_eq!(e.tick(1_000), Some(Action::Renew(7)));
     e.renewed(3_900, Some(true));
     assert_eq!(e.leading(4_500), Some(5));
     assert_eq!(e.leading(5_000), None, "sent at 1000, not answered at 3900");
     // An outage: the key is still ours, we just may not act.
     assert_eq!(e.holds_key(), Some(5));
-    assert_eq!(e.tick(5_000), Some(Act::Renew(7)));
+    assert_eq!(e.tick(5_000), Some(Action::Renew(7)));
     e.renewed(5_010, None);
     assert_eq!(e.tick(5_100), None);
-    assert_eq!(e.tick(5_260), Some(Act::Renew(7)));
+    assert_eq!(e.tick(5_260), Some(Action::Renew(7)));
     e.renewed(5_270, Some(true));
     assert_eq!(e.leading(5_270), Some(5));
-    assert_eq!(e.tick(6_260), Some(Act::Renew(7)));
+    assert_eq!(e.tick(6_260), Some(Action::Renew(7)));
     e.renewed(6_270, Some(false));
     assert_eq!((e.leading(6_270), e.holds_key()), (None, None));
 }
@@ -44,16 +44,16 @@
 fn a_claim_carried_out_under_an_earlier_grant() {
     let mut e = Election::new("a", 1, TTL);
     e.saw_key(0, None, 1);
-    assert_eq!(e.tick(0), Some(Act::Grant));
+    assert_eq!(e.tick(0), Some(Action::Grant));
     e.granted(10, Some(7));
-    assert_eq!(e.tick(10), Some(Act::Claim { permit: 7, expect: 0 }));
+    assert_eq!(e.tick(10), Some(Action::Claim { permit: 7, expect: 0 }));
     let early = e.record(7);
     e.claimed(2_500, None);
-    assert_eq!(e.tick(2_900), Some(Act::Grant), "the first grant has too little left");
+    assert_eq!(e.tick(2_900), Some(Action::Grant), "the first grant has too little left");
     e.granted(2_910, Some(8));
     e.saw_key(2_920, Some(early), 5);
     assert_eq!((e.leading(2_920), e.holds_key()), (None, None));
-    assert_eq!(e.tick(2_930), Some(Act::Claim { permit: 8, expect: 5 }), "written anew, under the grant it holds");
+    assert_eq!(e.tick(2_930), Some(Action::Claim { permit: 8, expect: 5 }), "written anew, under the grant it holds");
     e.claimed(2_940, Some(6));
     assert_eq!(e.leading(2_940), Some(6));
 }
@@ -76,7 +76,7 @@
                     e.renewed(now, (took <= patience).then_some(true));
                 }
             } else if let Some(act) = e.tick(now) {
-                assert_eq!(act, Act::Renew(7));
+                assert_eq!(act, Action::Renew(7));
                 flight = Some(now);
             }
             // While it finds out how slow it is, it may stand still once.
@@ -101,14 +101,14 @@
         if let Some((r, s)) = key.clone() {
             e.saw_key(0, r, s);
         }
-        assert_eq!(e.tick(0), stands.then_some(Act::Grant), "{key:?}");
+        assert_eq!(e.tick(0), stands.then_some(Action::Grant), "{key:?}");
     }
     // One's own dead start is replaced conditionally on its stamp.
     let mut e = Election::new("a", 1, TTL);
     e.saw_key(0, Some(dead), 3);
     e.tick(0);
     e.granted(1, Some(8));
-    assert_eq!(e.tick(1), Some(Act::Claim { permit: 8, expect: 3 }));
+    assert_eq!(e.tick(1), Some(Action::Claim { permit: 8, expect: 3 }));
     // A claim with no answer that was applied late still counts, by the watch.
     e.claimed(5, None);
     assert_eq!(e.leading(6), None);
@@ -117,7 +117,7 @@
     // An older sight of the key changes nothing.
     e.saw_key(60, Some(other(1)), 4);
     assert_eq!(e.leading(61), Some(9));
-    assert_eq!(e.resign(70), Some(Act::Resign(8)));
+    assert_eq!(e.resign(70), Some(Action::Resign(8)));
     e.saw_key(80, None, 12);
     assert_eq!((e.leading(80), e.tick(80)), (None, None), "stands aside for a while");
 }
--- a/src/coordination/tests/keeping.rs
+++ b/src/coordination/tests/lease_renewal.rs
@@ -22,12 +22,12 @@
     }
 }
 
-fn ready(most: Ms) -> Keeper {
-    let mut k = Keeper::new(most, most);
+fn ready(most: Ms) -> RenewalRight {
+    let mut k = RenewalRight::new(most, most);
     k.saw_key(0, 5, false);
-    assert_eq!(k.tick(0), Some(Act::Grant));
+    assert_eq!(k.tick(0), Some(Action::Grant));
     k.granted(20, Some(7));
-    assert_eq!(k.tick(20), Some(Act::Register { permit: 7, expect: 0 }));
+    assert_eq!(k.tick(20), Some(Action::Register { permit: 7, expect: 0 }));
     k.registered(40, Some(9));
     k.synced(1_000);
     k
@@ -45,25 +45,25 @@
     let k = ready(18_000);
     // (now, may keep): in contact, out of contact, too long.
     for (now, may) in [(1_100, false), (3_400, false), (3_600, true), (18_900, true), (19_000, false)] {
-        assert_eq!(k.may_keep(now), may, "at {now}");
+        assert_eq!(k.may_renew_without_leader(now), may, "at {now}");
     }
     let mut k = ready(18_000);
     k.saw_key(0, 12, false);
-    assert!(!k.may_keep(5_000), "the key is gone: a leader no longer counts on us");
-    assert_eq!(k.tick(5_000), Some(Act::Register { permit: 7, expect: 0 }));
+    assert!(!k.may_renew_without_leader(5_000), "the key is gone: a leader no longer counts on us");
+    assert_eq!(k.tick(5_000), Some(Action::Register { permit: 7, expect: 0 }));
     k.registered(5_010, None);
     k.saw_key(13, 13, true);
-    assert!(k.may_keep(5_100), "the watch shows that it was written");
+    assert!(k.may_renew_without_leader(5_100), "the watch shows that it was written");
     k.saw_key(8, 8, false);
-    assert!(k.may_keep(5_100), "an older sight changes nothing");
-    assert_eq!(k.tick(6_100), Some(Act::Renew(7)));
+    assert!(k.may_renew_without_leader(5_100), "an older sight changes nothing");
+    assert_eq!(k.tick(6_100), Some(Action::Renew(7)));
     k.renewed(6_110, Some(false));
-    assert!(!k.may_keep(6_200));
+    assert!(!k.may_renew_without_leader(6_200));
     // The grant's end is counted from when its renewal was sent.
     let mut k = ready(18_000);
     k.synced(30_000);
-    assert!(!k.may_keep(33_000), "never renewed");
-    assert!(Keeper::new(0, 0).tick(0).is_none());
+    assert!(!k.may_renew_without_leader(33_000), "never renewed");
+    assert!(RenewalRight::new(0, 0).tick(0).is_none());
 }
 
 /// Guard: the leader's answers are bound as well. An open watch, an answer
@@ -75,7 +75,7 @@
     // cancelled right after the read has to be gone.
     for (cancel, lease) in [(50.0, 30.0), (66.0, 36.0), (35.0, 30.0), (10.0, 4.0), (30.0, 30.0)] {
         let most = renewal_ms(cancel, lease);
-        let mut k = Keeper::new(most, 0);
+        let mut k = RenewalRight::new(most, 0);
         assert!(!k.may_renew(0) && !k.may_renew(20), "a restart knows nothing");
         k.synced(10_000);
         let last = (10_000..100_000).take_while(|&t| k.may_renew(t)).last();
@@ -95,20 +95,20 @@
 /// controller has spoken for.
 #[test]
 fn who_spoke_for_which_time() {
-    let mut w = Witness::new(2);
+    let mut w = PeerInactivity::new(2);
     let none = w.span();
     assert!(none.0 > none.1);
-    w.quiet(0, -500, 1_000);
-    w.quiet(1, 200, 900);
+    w.record_inactive(0, -500, 1_000);
+    w.record_inactive(1, 200, 900);
     assert_eq!(w.span(), (200, 900));
-    w.quiet(1, 850, 1_500);
+    w.record_inactive(1, 850, 1_500);
     assert_eq!(w.span(), (200, 1_000), "joined on");
     // It ended, and came back after a gap: what was before counts no more.
-    w.quiet(0, 1_700, 1_600);
+    w.record_inactive(0, 1_700, 1_600);
     assert_eq!(w.span(), (200, 1_000), "an old word says nothing");
-    w.quiet(0, 1_400, 2_000);
+    w.record_inactive(0, 1_400, 2_000);
     assert_eq!(w.span(), (1_400, 1_500));
-    w.quiet(0, 100, 300);
+    w.record_inactive(0, 100, 300);
     assert_eq!(w.span(), (1_400, 1_500), "a late word about long ago");
-    assert_eq!(Witness::new(0).span().1, i64::MAX / 2);
+    assert_eq!(PeerInactivity::new(0).span().1, i64::MAX / 2);
 }
--- a/src/coordination/tests/trial.rs
+++ b/src/coordination/tests/trial.rs
@@ -7,8 +7,8 @@
 /// A machine of a case: zone, CPUs, GPUs, spot, what GPU work needs there.
 type Machine = (u32, f64, f64, bool, Option<Res>);
 
-fn picture(machines: &[Machine]) -> Picture {
-    let mut p = Picture::default();
+fn snapshot(machines: &[Machine]) -> ClusterSnapshot {
+    let mut p = ClusterSnapshot::default();
     for (n, &(zone, cpus, gpus, spot, guard)) in machines.iter().enumerate() {
         let t = TypeInfo {
             // One type for each size; those of a case without GPUs are type 0.
@@ -223,11 +223,11 @@
     for c in cases {
         let mut s = spec(c.kind, Priority::Normal, c.tasks, 2.0);
         (c.change)(&mut s);
-        let mut p = picture(&c.hosts);
-        let room = |p: &Picture| p.hosts.iter().map(|h| (h.free, h.soon)).collect::<Vec<_>>();
+        let mut p = snapshot(&c.hosts);
+        let room = |p: &ClusterSnapshot| p.hosts.iter().map(|h| (h.free, h.soon)).collect::<Vec<_>>();
         let before = room(&p);
         let tasks: Vec<u32> = (0..c.tasks).collect();
-        let mut ask = Ask {
+        let mut ask = TrialRequest {
             spec: &s,
             tasks: &tasks,
             min: c.min,
--- a/src/coordination/trial.rs
+++ b/src/coordination/trial.rs
@@ -1,4 +1,4 @@
-//! Trial placement of one job's tree on a picture of the machines.
+//! Trial placement of one job's tree on a snapshot of the machines.
 //!
 //! Children are walked greedily in a fixed order, without backtracking; after
 //! each child the node is judged by the four counts (PAPER, "GangScheduling
@@ -7,7 +7,7 @@
 
 use super::{
     model::{MachineIx, Res},
-    picture::{Host, Picture, Pool},
+    snapshot::{ClusterSnapshot, Host, Pool},
 };
 use crate::protocol::{
     jobs::{JobSpec, Kind},
@@ -45,7 +45,7 @@
 
 /// What a job asks of a trial.
 #[derive(Debug, Clone)]
-pub struct Ask<'a> {
+pub struct TrialRequest<'a> {
     pub spec: &'a JobSpec,
     /// Tasks to place, in order.
     pub tasks: &'a [u32],
@@ -88,12 +88,12 @@
     s
 }
 
-impl Picture {
-    fn best(&mut self, ask: &Ask<'_>, zone: Option<ZoneIx>) -> Option<usize> {
+impl ClusterSnapshot {
+    fn best(&mut self, ask: &TrialRequest<'_>, zone: Option<ZoneIx>) -> Option<usize> {
         let need = Res::of(ask.spec);
         let mut best: Option<(f64, usize)> = None;
         let looked = self.candidates(ask.spec, zone, ask.later, |n, h, p| {
-            if ask.avoid.contains(&MachineIx(n as u32)) || (ask.busy_only && (h.places == 0 || h.gpu_only)) {
+            if ask.avoid.contains(&MachineIx(n as u32)) || (ask.busy_only && (h.assignments == 0 || h.gpu_only)) {
                 return;
             }
             let s = score(p, h, ask.spec, &need);
@@ -106,7 +106,7 @@
     }
 
     /// One more task of the same job on the machine that its last one took?
-    fn again(&self, ask: &Ask<'_>, host: usize) -> bool {
+    fn again(&self, ask: &TrialRequest<'_>, host: usize) -> bool {
         let h = &self.hosts[host];
         let room = if ask.later { h.free + h.soon } else { h.free };
         ask.spec.kind != Kind::Service
@@ -123,7 +123,7 @@
     /// A leaf: its children are tasks, alike, so that the first that finds no
     /// room speaks for the rest, and a machine that was best for one takes as
     /// many as fit. UU is 0 at a leaf. On success the picks stay assumed.
-    fn leaf(&mut self, ask: &Ask<'_>, tasks: &[u32], min: usize, zone: Option<ZoneIx>) -> Outcome {
+    fn leaf(&mut self, ask: &TrialRequest<'_>, tasks: &[u32], min: usize, zone: Option<ZoneIx>) -> Outcome {
         let mut picks: Vec<Pick> = Vec::new();
         let mut u = 0;
         for (n, &task) in tasks.iter().enumerate() {
@@ -148,7 +148,7 @@
     }
 
     /// Zones with machines that the job may use, the roomiest first.
-    fn zones(&self, ask: &Ask<'_>) -> Vec<ZoneIx> {
+    fn zones(&self, ask: &TrialRequest<'_>) -> Vec<ZoneIx> {
         let need = Res::of(ask.spec);
         let mut out: Vec<(ZoneIx, u32)> = Vec::new();
         for p in self.pools.iter().filter(|p| !p.members.is_empty() && p.allows(ask.spec)) {
@@ -162,9 +162,9 @@
         out.into_iter().map(|(z, _)| z).collect()
     }
 
-    /// Tries the whole tree, and leaves the picture as it was: whoever wants
+    /// Tries the whole tree, and leaves the snapshot as it was: whoever wants
     /// what was found makes places of it, or reserves them.
-    pub fn trial(&mut self, ask: &Ask<'_>) -> Outcome {
+    pub fn trial(&mut self, ask: &TrialRequest<'_>) -> Outcome {
         let out = if ask.spec.one_zone {
             self.trial_one_zone(ask)
         } else if ask.spec.spread {
@@ -178,7 +178,7 @@
 
     /// One composite child per candidate zone; the feasible one with the
     /// highest score wins. Score: tasks placed, then quick starts and the room left.
-    fn trial_one_zone(&mut self, ask: &Ask<'_>) -> Outcome {
+    fn trial_one_zone(&mut self, ask: &TrialRequest<'_>) -> Outcome {
         let held = ask.zone_used.iter().position(|&n| n > 0).map(|z| ZoneIx(z as u32));
         let candidates = match held {
             Some(z) => vec![z],
@@ -219,7 +219,7 @@
 
     /// One child per zone, the roomiest first; each takes at most its part of
     /// the cap that `scatter` sets for a zone.
-    fn trial_spread(&mut self, ask: &Ask<'_>) -> Outcome {
+    fn trial_spread(&mut self, ask: &TrialRequest<'_>) -> Outcome {
         let cap = ask.spec.zone_cap();
         let zones = self.zones(ask);
         let left: Vec<usize> = zones
--- a/src/node/duties.rs
+++ b/src/node/background.rs
@@ -1,4 +1,4 @@
-//! What a controller does by itself: keeps its mirror, stands for leader, and,
+//! What a controller does by itself: keeps its job cache, stands for leader, and,
 //! while it leads, carries out what the leader's mind wants.
 
 use super::{
@@ -27,14 +27,14 @@
 /// Between two reads for the barrier, for each controller that does the same.
 const BARRIER_GAP_MS: Ms = 40;
 /// How often the logs say how users fared.
-const TOLD_MS: Ms = 5_000;
+const USER_SUMMARY_MS: Ms = 5_000;
 /// How long users wait for the barrier at most.
 pub(super) const BARRIER_MS: Ms = 1_600;
 
 impl Node {
     pub fn wait_ms(&self, _now: Ms) -> u64 {
         match &self.leader {
-            Some(l) if l.dirty => 10,
+            Some(l) if l.pass_needed => 10,
             Some(_) => 25,
             None => 50,
         }
@@ -42,14 +42,14 @@
 
     pub fn tick(&mut self, net: &mut Net) {
         let now = net.now();
-        self.keep_mirror(net, now);
+        self.refresh_job_cache(net, now);
         self.keep_types(net, now);
         self.keep_versions(net, now);
         if let Some(act) = self.election.tick(now) {
             self.act(net, act);
         }
-        if let Some(act) = self.keeper.tick(now) {
-            self.keep_act(net, act);
+        if let Some(act) = self.renewal_right.tick(now) {
+            self.perform_renewal_action(net, act);
         }
         self.lead(net);
         self.flush_barrier(net);
@@ -57,15 +57,15 @@
             self.next_gossip = now + GOSSIP_MS;
             self.gossip(net, now);
         }
-        if now >= self.next_told {
-            self.next_told = now + TOLD_MS;
-            self.tell_users_lot();
+        if now >= self.next_user_summary {
+            self.next_user_summary = now + USER_SUMMARY_MS;
+            self.log_user_responses();
         }
     }
 
-    // ---- mirror, leader's key, types -------------------------------------
+    // ---- job cache, leader's key, types -------------------------------------
 
-    pub(super) fn keep_mirror(&mut self, net: &mut Net, now: Ms) {
+    pub(super) fn refresh_job_cache(&mut self, net: &mut Net, now: Ms) {
         if !self.leader_known {
             if self.leader_key.due(now) && self.reads.take(now, 1.0, Urgency::Commit).is_ok() {
                 self.leader_key.in_flight = true;
@@ -77,7 +77,7 @@
             let path = format!("/changes?under={}&from={}&waitMs={KEY_WATCH_MS}", records::LEADER, self.leader_epoch);
             self.ask_state(net, Pending::LeaderWatch { sent: now }, "GET", path, Vec::new(), KEY_WATCH_MS + 2_000);
         }
-        if !self.mirror.loaded() {
+        if !self.job_cache.loaded() {
             if self.jobs_page.due(now) && self.reads.take(now, 1.0, Urgency::Commit).is_ok() {
                 self.jobs_page.in_flight = true;
                 let from = self.jobs_from.as_ref().map_or(String::new(), |f| format!("&from={f}"));
@@ -87,8 +87,8 @@
             }
         } else if self.jobs_watch.due(now) && self.reads.take(now, 1.0, Urgency::Commit).is_ok() {
             self.jobs_watch.in_flight = true;
-            let wait = (self.keeper.renewal_ms() / 4).clamp(250, WATCH_MS);
-            let path = format!("/changes?under={}&from={}&waitMs={wait}", records::JOBS, self.mirror.epoch());
+            let wait = (self.renewal_right.renewal_ms() / 4).clamp(250, WATCH_MS);
+            let path = format!("/changes?under={}&from={}&waitMs={wait}", records::JOBS, self.job_cache.epoch());
             self.ask_state(net, Pending::JobsWatch { sent: now }, "GET", path, Vec::new(), wait + 2_000);
         }
     }
@@ -108,7 +108,7 @@
                 let waiters = self.barrier.ended();
                 return self.refuse_all(net, waiters);
             }
-            let path = format!("/changes?under={}&from={}&waitMs=0", records::JOBS, self.mirror.epoch());
+            let path = format!("/changes?under={}&from={}&waitMs=0", records::JOBS, self.job_cache.epoch());
             self.ask_state(net, Pending::Barrier { sent: now }, "GET", path, Vec::new(), 1_500);
         }
         if !self.barrier.is_empty() {
@@ -120,18 +120,18 @@
     pub(super) fn apply_changes(&mut self, sent: Ms, result: &Result<Reply, CallError>) -> bool {
         // Guard: while all records are read anew, changes since the first page
         // don't show what later pages hold.
-        if !self.mirror.loaded() {
+        if !self.job_cache.loaded() {
             return false;
         }
         match body::<Changes>(result) {
             Some(c) => {
-                self.mirror.apply(&c, &mut self.tables);
-                self.keeper.synced(sent);
+                self.job_cache.apply(&c, &mut self.tables);
+                self.renewal_right.synced(sent);
                 true
             }
             None => {
                 if status(result) == 410 {
-                    self.mirror.reload();
+                    self.job_cache.reload();
                     self.jobs_from = None;
                 }
                 false
@@ -149,12 +149,12 @@
                 let seen = rec.and_then(|p| p.v.deserialized::<LeaderRecord>().ok());
                 let stamp = rec.map_or(page.epoch, |p| p.stamp);
                 self.election.saw_key(now, seen, stamp);
-                let own = records::keeper_key(&self.settings.label);
+                let own = records::renewal_key(&self.settings.label);
                 let found = page.pairs.iter().find(|p| p.key == own);
                 let mine = found.is_some_and(|p| self.is_mine(&p.v));
-                self.keeper.saw_key(found.map_or(0, |p| p.stamp), page.epoch, mine);
+                self.renewal_right.saw_key(found.map_or(0, |p| p.stamp), page.epoch, mine);
                 for p in &mut self.peers {
-                    let key = records::keeper_key(&p.label);
+                    let key = records::renewal_key(&p.label);
                     p.keyless = (!page.pairs.iter().any(|r| r.key == key)).then_some(now);
                 }
             }
@@ -173,13 +173,13 @@
                     } else if e.drop.as_deref() == Some(records::LEADER) {
                         self.election.saw_key(now, None, e.stamp);
                     } else {
-                        self.keeper_change(now, e);
+                        self.renewal_key_changed(now, e);
                     }
                 }
                 // Who had no key when the watch was sent, nor since: it kept nothing.
                 for (n, p) in self.peers.iter().enumerate() {
                     if let Some(since) = p.keyless {
-                        self.witness.quiet(n, since as i64, sent as i64);
+                        self.peer_inactivity.record_inactive(n, since as i64, sent as i64);
                     }
                 }
                 self.leader_epoch = self.leader_epoch.max(c.epoch);
@@ -220,7 +220,7 @@
         }
         if let Some(l) = &mut self.leader {
             l.types.clone_from(&types);
-            l.picture.types_changed(&types);
+            l.snapshot.types_changed(&types);
         }
         self.types = types;
     }
--- a/src/node/gossip.rs
+++ b/src/node/gossip.rs
@@ -35,26 +35,26 @@
             return;
         }
         for c in &n.cancelled {
-            self.mirror.cancelled_elsewhere(&c.job, c.stamp, &mut self.tables);
+            self.job_cache.cancelled_elsewhere(&c.job, c.stamp, &mut self.tables);
         }
     }
 
     pub(super) fn gossip(&mut self, net: &mut Net, now: Ms) {
-        self.knocks.retain(|&t| now < t + 4_000);
+        self.rejected_reports.retain(|&t| now < t + 4_000);
         let leading = self.election.leading(now).is_some();
         let counts = match &mut self.leader {
             Some(l) if leading => l.take_counts(500),
             _ => Vec::new(),
         };
         for c in &counts {
-            self.mirror.show(&c.job, c.done, c.running);
+            self.job_cache.show(&c.job, c.done, c.running);
         }
         let g = Gossip {
             from: self.settings.label.clone(),
             nonce: self.nonce,
             count: self.gossips,
             state_age_ms: now.saturating_sub(self.state_ok),
-            knocks: self.knocks.len() as u32,
+            rejected_reports: self.rejected_reports.len() as u32,
             leading,
             reads_used: self.reads.used(now),
             writes_used: self.writes.used(now),
@@ -69,7 +69,7 @@
                 })
                 .chain([Gossip::reads_mark()])
                 .collect(),
-            quiet_ms: now.saturating_sub(self.keeper.last),
+            no_renewal_ms: now.saturating_sub(self.renewal_right.last),
             counts,
         };
         self.gossips += 1;
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -8,12 +8,12 @@
 };
 use crate::{
     bookkeeping::{
-        budget::{share, Part, Urgency},
+        budget::{share, BudgetRole, Urgency},
         records,
     },
     coordination::{
         fleet::RentOutcome,
-        leader::{CommitOutcome, DoOutcome, Effect, Leader},
+        leader::{CommitOutcome, DirectCallOutcome, Effect, Leader},
         model::Ms,
     },
     protocol::{
@@ -45,13 +45,14 @@
         let used = |of: fn(&Peer) -> f64| -> Vec<Option<f64>> {
             self.peers.iter().map(|p| p.heard.filter(|h| now < h + PEER_SILENT_MS).map(|_| of(p))).collect()
         };
-        let reads = share(rps, if leading { Part::Leader } else { Part::Users(all) }, &used(|p| p.reads_used));
+        let reads =
+            share(rps, if leading { BudgetRole::Leader } else { BudgetRole::Users(all) }, &used(|p| p.reads_used));
         let mut others = used(|p| p.writes_used + p.commits_used);
         others.push(Some(self.commits.used(now)));
-        let writes = share(write_rps, Part::Users(all), &others);
+        let writes = share(write_rps, BudgetRole::Users(all), &others);
         let mut others = used(|p| p.writes_used);
         others.push(Some(self.writes.used(now)));
-        let commits = share(write_rps, Part::Leader, &others);
+        let commits = share(write_rps, BudgetRole::Leader, &others);
         self.reads.set(reads, rps * if leading { 0.5 } else { 0.2 });
         self.writes.set(writes, (write_rps * 0.2).max(4.0));
         self.commits.set(commits, (write_rps * 0.5).max(4.0));
@@ -68,7 +69,7 @@
             }
         }
         let Some(stamp) = leading else { return };
-        if self.types.is_empty() || !self.mirror.loaded() {
+        if self.types.is_empty() || !self.job_cache.loaded() {
             return;
         }
         if self.leader.is_none() {
@@ -88,16 +89,16 @@
             return self.load_tasks(net, now, stamp);
         }
         // What this controller kept itself, while it did not lead, counts too.
-        let (from, to) = self.witness.span();
-        l.may_rechunk = self.versions.is_complete();
-        l.quiet = (from.max(self.keeper.last as i64), to);
+        let (from, to) = self.peer_inactivity.span();
+        l.may_reshard = self.versions.is_complete();
+        l.no_peer_renewals = (from.max(self.renewal_right.last as i64), to);
         l.sweep(now);
         l.fleet_step(now, &self.tables);
         let gap = now.saturating_sub(l.last_pass);
         // While the budget for writes is low, a pass places more at a time, so
         // that one write carries more.
         let low = self.commits.available(now, Urgency::Commit) < LOW * self.commits.burst();
-        if (l.dirty && gap >= if low { SLOW_PASS_GAP_MS } else { PASS_GAP_MS }) || gap >= 1_000 {
+        if (l.pass_needed && gap >= if low { SLOW_PASS_GAP_MS } else { PASS_GAP_MS }) || gap >= 1_000 {
             l.pass(now);
         }
         self.commit(net, stamp);
@@ -110,17 +111,17 @@
 
     /// Hands changed records on to the leader's mind.
     pub(super) fn feed_leader(&mut self, now: Ms) {
-        let changed = self.mirror.take_changed();
+        let changed = self.job_cache.take_changed();
         let Some(l) = &mut self.leader else { return };
         let mut seen = HashSet::new();
         for ix in changed {
             if seen.insert(ix) {
-                l.job_update(now, wall_ms(), ix, &self.mirror);
+                l.job_update(now, wall_ms(), ix, &self.job_cache);
             }
         }
     }
 
-    /// First what the mirror may have missed, then the task records: all of
+    /// First what the job cache may have missed, then the task records: all of
     /// it read after the leader's key was written, so no earlier leader's
     /// transaction can be applied any more.
     pub(super) fn load_tasks(&mut self, net: &mut Net, now: Ms, stamp: u64) {
@@ -129,7 +130,7 @@
         }
         self.tasks.in_flight = true;
         if !self.tasks_synced {
-            let path = format!("/changes?under={}&from={}&waitMs=0", records::JOBS, self.mirror.epoch());
+            let path = format!("/changes?under={}&from={}&waitMs=0", records::JOBS, self.job_cache.epoch());
             return self.ask_state(net, Pending::TasksSync { stamp, sent: now }, "GET", path, Vec::new(), 1_500);
         }
         let from = self.tasks_from.as_ref().map_or(String::new(), |f| format!("&from={f}"));
@@ -149,11 +150,11 @@
         let wall = wall_ms();
         let Some(l) = &mut self.leader else { return };
         for p in &page.pairs {
-            l.load(now, wall, &p.key, &p.v, p.stamp, &self.mirror, &mut self.tables);
+            l.load(now, wall, &p.key, &p.v, p.stamp, &self.job_cache, &mut self.tables);
         }
         match page.pairs.last() {
             Some(last) if page.truncated => self.tasks_from = Some(last.key.clone()),
-            _ => l.loaded(now, wall, &self.mirror),
+            _ => l.loaded(now, wall, &self.job_cache),
         }
     }
 
@@ -202,7 +203,14 @@
                 Effect::Do { machine, call, addr, req } => {
                     if !entitled {
                         if let Some(l) = &mut self.leader {
-                            l.do_result(now, machine, call, DoOutcome::NotSent, &self.mirror, &mut self.tables);
+                            l.direct_call_result(
+                                now,
+                                machine,
+                                call,
+                                DirectCallOutcome::NotSent,
+                                &self.job_cache,
+                                &mut self.tables,
+                            );
                         }
                         continue;
                     }
@@ -255,8 +263,9 @@
             return;
         }
         let quiet = now > l.heard_any + GIVE_WAY_MS && now > l.started + GIVE_WAY_MS;
-        let knocks = self.peers.iter().any(|p| p.heard.is_some_and(|h| now < h + 2_000) && p.knocks >= 2);
-        if quiet && knocks {
+        let rejected_reports =
+            self.peers.iter().any(|p| p.heard.is_some_and(|h| now < h + 2_000) && p.rejected_reports >= 2);
+        if quiet && rejected_reports {
             tracing::warn!("no worker reaches this controller, others they do: giving way");
             if let Some(act) = self.election.resign(now) {
                 self.act(net, act);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,6 +1,6 @@
 //! One controller: the layers wired together around the event loop.
 
-mod duties;
+mod background;
 mod gossip;
 mod leading;
 mod replies;
--- a/src/node/replies.rs
+++ b/src/node/replies.rs
@@ -1,11 +1,11 @@
 //! Answers from outside, and whom each is for.
 
 use super::{
-    duties::BARRIER_MS,
+    background::BARRIER_MS,
     wiring::{Node, Pending},
 };
 use crate::{
-    coordination::{fleet::RentOutcome, leader::DoOutcome},
+    coordination::{fleet::RentOutcome, leader::DirectCallOutcome},
     protocol::{
         cbor,
         cloud::{HostList, HostNames},
@@ -63,20 +63,20 @@
                 self.election.claimed(now, body::<Epoch>(&result).map(|e| e.epoch));
             }
             Pending::Resign => {}
-            Pending::KeeperGrant => self.keeper.granted(now, body::<Permit>(&result).map(|p| p.permit)),
-            Pending::KeeperRenew => {
+            Pending::RenewalRightGrant => self.renewal_right.granted(now, body::<Permit>(&result).map(|p| p.permit)),
+            Pending::RenewalRightRenew => {
                 let ok = match status(&result) {
                     200 => Some(true),
                     404 => Some(false),
                     _ => None,
                 };
-                self.keeper.renewed(now, ok);
+                self.renewal_right.renewed(now, ok);
             }
-            Pending::KeeperRegister => {
+            Pending::RenewalRightRegister => {
                 if status(&result) == 400 {
-                    self.keeper.lost();
+                    self.renewal_right.lost();
                 }
-                self.keeper.registered(now, body::<Epoch>(&result).map(|e| e.epoch));
+                self.renewal_right.registered(now, body::<Epoch>(&result).map(|e| e.epoch));
             }
             Pending::VersionWrite => self.version_wrote(now, &result),
             Pending::VersionRead => self.version_page(now, &result),
@@ -86,7 +86,7 @@
                 self.jobs_page.in_flight = false;
                 match body::<Page>(&result) {
                     Some(page) => {
-                        self.mirror.page(&page, first, &mut self.tables);
+                        self.job_cache.page(&page, first, &mut self.tables);
                         self.jobs_from = page.pairs.last().map(|p| p.key.clone()).filter(|_| page.truncated);
                     }
                     None => self.jobs_page.after = now + 250,
@@ -137,15 +137,15 @@
             Pending::Do { stamp, machine, call } => {
                 let outcome = match &result {
                     Ok(r) if r.status == 200 || r.status == 409 => match cbor::decode::<Report>(&r.body) {
-                        Ok(rep) if r.status == 200 => DoOutcome::Executed(rep),
-                        Ok(rep) => DoOutcome::Refused(rep),
-                        Err(_) => DoOutcome::Unknown,
+                        Ok(rep) if r.status == 200 => DirectCallOutcome::Executed(rep),
+                        Ok(rep) => DirectCallOutcome::Refused(rep),
+                        Err(_) => DirectCallOutcome::Unknown,
                     },
-                    Ok(_) | Err(CallError::Unknown) => DoOutcome::Unknown,
-                    Err(CallError::NotSent) => DoOutcome::NotSent,
+                    Ok(_) | Err(CallError::Unknown) => DirectCallOutcome::Unknown,
+                    Err(CallError::NotSent) => DirectCallOutcome::NotSent,
                 };
                 if let Some(l) = self.leader.as_mut().filter(|l| l.stamp == stamp) {
-                    if !l.do_result(now, machine, call, outcome, &self.mirror, &mut self.tables) {
+                    if !l.direct_call_result(now, machine, call, outcome, &self.job_cache, &mut self.tables) {
                         tracing::warn!("a worker has seen a higher token than this leader's");
                     }
                 }
@@ -180,7 +180,7 @@
             Pending::Probe { stamp, machine } => {
                 let report = body::<Report>(&result);
                 if let Some(l) = self.leader.as_mut().filter(|l| l.stamp == stamp) {
-                    l.probed(now, machine, report.as_ref(), &self.mirror, &mut self.tables);
+                    l.probed(now, machine, report.as_ref(), &self.job_cache, &mut self.tables);
                 }
             }
             Pending::Flavors => self.took_flavors(now, &result),
--- a/src/node/tests/wiring.rs
+++ b/src/node/tests/wiring.rs
@@ -60,7 +60,7 @@
         n.peers[0].leading = leads;
         n.state_ok = NOW - answered;
         n.state_bad_since = failing.then_some(NOW - 200);
-        assert_eq!(n.boss(NOW), want, "case {i}");
+        assert_eq!(n.leader_hint(NOW), want, "case {i}");
     }
 }
 
@@ -85,15 +85,15 @@
         let mut fresh = Node::new(n.settings.clone(), Operator::default(), &mut net);
         std::mem::swap(&mut n, &mut fresh);
         match before {
-            "one page" => n.mirror.page(&page(true), true, &mut n.tables),
-            "all" => n.mirror.page(&page(false), true, &mut n.tables),
+            "one page" => n.job_cache.page(&page(true), true, &mut n.tables),
+            "all" => n.job_cache.page(&page(false), true, &mut n.tables),
             _ => {}
         }
         assert_eq!(n.apply_changes(NOW, &changes(status)), counts, "case {i}");
-        assert_eq!(n.keeper.may_renew(NOW + 10), counts, "case {i}");
+        assert_eq!(n.renewal_right.may_renew(NOW + 10), counts, "case {i}");
     }
     // Too old a place to read on from: all is read anew, and until then nothing counts.
-    n.mirror.page(&page(false), true, &mut n.tables);
-    assert!(!n.apply_changes(NOW, &changes(410)) && !n.mirror.loaded());
-    assert!(!n.apply_changes(NOW, &changes(200)) && !n.keeper.may_renew(NOW + 10));
+    n.job_cache.page(&page(false), true, &mut n.tables);
+    assert!(!n.apply_changes(NOW, &changes(410)) && !n.job_cache.loaded());
+    assert!(!n.apply_changes(NOW, &changes(200)) && !n.renewal_right.may_renew(NOW + 10));
 }
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -8,7 +8,7 @@
 use crate::{
     bookkeeping::{
         budget::Urgency,
-        mirror::{JobEntry, JobIx},
+        job_cache::{JobEntry, JobIx},
         records::{self, JobRecord, Status},
     },
     coordination::model::fits_some_type,
@@ -22,7 +22,7 @@
 
 /// For the logs: users told to come back, since the last time it was said.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Told {
+pub struct UserResponseCounts {
     pub unavailable: u32,
     pub over_budget: u32,
     pub accepted: u32,
@@ -30,8 +30,8 @@
 
 impl Node {
     /// Says how users fared, where some were told to come back.
-    pub fn tell_users_lot(&mut self) {
-        let t = std::mem::take(&mut self.told);
+    pub fn log_user_responses(&mut self) {
+        let t = std::mem::take(&mut self.user_responses);
         if t.unavailable + t.over_budget > 0 {
             tracing::info!(
                 accepted = t.accepted,
@@ -68,12 +68,12 @@
 
 impl Node {
     pub fn unavailable(&mut self, net: &mut Net, conn: ConnId) {
-        self.told.unavailable += 1;
+        self.user_responses.unavailable += 1;
         net.respond(conn, 503, Some(TRY_AGAIN_S), b"");
     }
 
     fn over_budget(&mut self, net: &mut Net, conn: ConnId, wait_ms: u64) {
-        self.told.over_budget += 1;
+        self.user_responses.over_budget += 1;
         let s = wait_ms.div_ceil(1_000).clamp(1, 30) as u32;
         net.respond(conn, 429, Some(s), b"");
     }
@@ -83,13 +83,13 @@
     }
 
     fn poll_answer(&self, net: &mut Net, conn: ConnId, ix: JobIx) {
-        let e = self.mirror.get(ix);
+        let e = self.job_cache.get(ix);
         let a = PollAnswer { name_id: &e.id, status: status_word(e), done: e.done, running: e.running };
         net.respond(conn, 200, None, &cbor::encode(&a));
     }
 
     fn is_final(&self, ix: JobIx) -> bool {
-        self.mirror.get(ix).status != Status::Pending
+        self.job_cache.get(ix).status != Status::Pending
     }
 
     /// One conditional write of a job's record, if the budget allows it now.
@@ -126,14 +126,14 @@
             Ok(r) if r.status == 200 => {
                 if let Ok(e) = cbor::decode::<Epoch>(&r.body) {
                     let v = records::to_value(record);
-                    self.mirror.put(&records::job_key(id), &v, e.epoch, &mut self.tables);
+                    self.job_cache.put(&records::job_key(id), &v, e.epoch, &mut self.tables);
                 }
                 Some(true)
             }
             Ok(r) if r.status == 409 => Some(false),
             Ok(r) if r.status == 429 => {
                 self.writes.refused(net.now());
-                self.told.over_budget += 1;
+                self.user_responses.over_budget += 1;
                 net.respond(conn, 429, Some(TRY_AGAIN_S), b"");
                 None
             }
@@ -150,7 +150,7 @@
         let Ok(mut sub) = cbor::decode::<Submission>(body) else {
             return net.respond(conn, 400, None, b"");
         };
-        if !self.mirror.loaded() || self.types.is_empty() {
+        if !self.job_cache.loaded() || self.types.is_empty() {
             // Form is judged without knowing the types, but for a job's
             // types themselves; so only what is surely malformed is told.
             return match sub.check(&mut self.tables, false) {
@@ -169,9 +169,9 @@
             (_, None) => return net.respond(conn, 400, None, b""),
         };
         let now = net.now();
-        if let Some(ix) = self.mirror.find(&id) {
+        if let Some(ix) = self.job_cache.find(&id) {
             if self.is_final(ix) {
-                let word = status_word(self.mirror.get(ix));
+                let word = status_word(self.job_cache.get(ix));
                 return self.job_answer(net, conn, 200, &id, word);
             }
             return self.barrier.join(now, Waiter::Known { conn, id });
@@ -218,7 +218,7 @@
             Prereqs::Stand(c) => conditions.extend(c),
             Prereqs::Unknown | Prereqs::Service => {
                 // A pipeline's jobs come one after another, to any controller.
-                self.barrier.hurry(net.now());
+                self.barrier.expedite(net.now());
                 return self.barrier.join(net.now(), Waiter::Dependent { conn, id, record, tries });
             }
         }
@@ -235,11 +235,11 @@
         let mut conditions = Vec::new();
         let mut has_service = false;
         for p in record.submission.prereqs() {
-            let Some(ix) = self.mirror.find(p) else { return Prereqs::Unknown };
-            has_service |= self.mirror.is_service(ix);
+            let Some(ix) = self.job_cache.find(p) else { return Prereqs::Unknown };
+            has_service |= self.job_cache.is_service(ix);
             // What is over stays as it is.
             if !self.is_final(ix) && conditions.len() < most {
-                conditions.push(Condition { key: records::job_key(p), stamp: self.mirror.get(ix).stamp });
+                conditions.push(Condition { key: records::job_key(p), stamp: self.job_cache.get(ix).stamp });
             }
         }
         if has_service {
@@ -259,9 +259,9 @@
     ) {
         match self.wrote(net, conn, &id, &record, &result) {
             Some(true) => {
-                self.told.accepted += 1;
+                self.user_responses.accepted += 1;
                 // It may need a cancelled one.
-                let word = self.mirror.find(&id).map_or("pending", |ix| status_word(self.mirror.get(ix)));
+                let word = self.job_cache.find(&id).map_or("pending", |ix| status_word(self.job_cache.get(ix)));
                 self.job_answer(net, conn, 201, &id, word);
             }
             Some(false) if record.submission.prereqs().is_empty() => {
@@ -282,9 +282,9 @@
         if !valid_id(id) {
             return net.respond(conn, 404, None, b"");
         }
-        match self.mirror.find(id) {
+        match self.job_cache.find(id) {
             Some(ix) if self.is_final(ix) => self.poll_answer(net, conn, ix),
-            _ if !self.mirror.loaded() => self.unavailable(net, conn),
+            _ if !self.job_cache.loaded() => self.unavailable(net, conn),
             _ => self.barrier.join(net.now(), Waiter::Poll { conn, id: id.to_owned() }),
         }
     }
@@ -296,13 +296,13 @@
             return net.respond(conn, 404, None, b"");
         }
         let now = net.now();
-        match self.mirror.find(&id) {
+        match self.job_cache.find(&id) {
             Some(ix) if self.is_final(ix) => {
-                let word = status_word(self.mirror.get(ix));
+                let word = status_word(self.job_cache.get(ix));
                 self.job_answer(net, conn, 200, &id, word);
             }
             Some(ix) => {
-                let e = self.mirror.get(ix);
+                let e = self.job_cache.get(ix);
                 let (Some(record), stamp) = (e.record.clone(), e.stamp) else {
                     return self.unavailable(net, conn);
                 };
@@ -312,7 +312,7 @@
                 let conditions = vec![Condition { key: key.clone(), stamp }];
                 self.write_record(net, conn, Urgency::Cancel, conditions, key, v, what);
             }
-            None if !self.mirror.loaded() => self.unavailable(net, conn),
+            None if !self.job_cache.loaded() => self.unavailable(net, conn),
             None => self.barrier.join(now, Waiter::Abort { conn, id, tries }),
         }
     }
@@ -328,7 +328,7 @@
     ) {
         match self.wrote(net, conn, &id, record, &result) {
             Some(true) => {
-                if let Some(stamp) = self.mirror.find(&id).map(|ix| self.mirror.get(ix).stamp) {
+                if let Some(stamp) = self.job_cache.find(&id).map(|ix| self.job_cache.get(ix).stamp) {
                     self.tell_cancelled(net, net.now(), &id, stamp);
                 }
                 self.job_answer(net, conn, 200, &id, "cancelled");
@@ -348,20 +348,20 @@
     pub fn serve(&mut self, net: &mut Net, waiters: Vec<Waiter>) {
         for w in waiters {
             match w {
-                Waiter::Poll { conn, id } => match self.mirror.find(&id) {
+                Waiter::Poll { conn, id } => match self.job_cache.find(&id) {
                     Some(ix) => self.poll_answer(net, conn, ix),
                     None => net.respond(conn, 404, None, b""),
                 },
-                Waiter::Known { conn, id } => match self.mirror.find(&id) {
+                Waiter::Known { conn, id } => match self.job_cache.find(&id) {
                     Some(ix) => {
-                        let word = status_word(self.mirror.get(ix));
+                        let word = status_word(self.job_cache.get(ix));
                         self.job_answer(net, conn, 200, &id, word);
                     }
                     None => self.unavailable(net, conn),
                 },
-                Waiter::Refuse { conn, id, status, why } => match self.mirror.find(&id) {
+                Waiter::Refuse { conn, id, status, why } => match self.job_cache.find(&id) {
                     Some(ix) => {
-                        let word = status_word(self.mirror.get(ix));
+                        let word = status_word(self.job_cache.get(ix));
                         self.job_answer(net, conn, 200, &id, word);
                     }
                     None => {
@@ -369,9 +369,9 @@
                         net.respond(conn, status, None, b"");
                     }
                 },
-                Waiter::Dependent { conn, id, record, tries } => match self.mirror.find(&id) {
+                Waiter::Dependent { conn, id, record, tries } => match self.job_cache.find(&id) {
                     Some(ix) => {
-                        let word = status_word(self.mirror.get(ix));
+                        let word = status_word(self.job_cache.get(ix));
                         self.job_answer(net, conn, 200, &id, word);
                     }
                     // Guard: read after it was asked, so what is unknown now was
@@ -384,7 +384,7 @@
                         }
                     },
                 },
-                Waiter::Abort { conn, id, tries } => match self.mirror.find(&id) {
+                Waiter::Abort { conn, id, tries } => match self.job_cache.find(&id) {
                     Some(_) => self.abort(net, conn, id, tries),
                     None => net.respond(conn, 404, None, b""),
                 },
--- a/src/node/wiring.rs
+++ b/src/node/wiring.rs
@@ -10,19 +10,19 @@
 
 use calloop::EventLoop;
 
-use super::users::Told;
+use super::users::UserResponseCounts;
 use crate::{
     bookkeeping::{
         barrier::Barrier,
         budget::{Budget, Urgency},
-        mirror::Mirror,
+        job_cache::JobCache,
         records::{self, JobRecord, LeaderRecord},
         versions::Evidence,
     },
     coordination::{
-        election::{Act, Election},
-        keeping::{self, Keeper, Witness},
-        leader::{Aim, Config, Leader},
+        election::{Action, Election},
+        leader::{Config, Leader, ServiceObjective},
+        lease_renewal::{self, PeerInactivity, RenewalRight},
         model::{MachineIx, Ms, TeamLimits, TypeInfo},
     },
     protocol::{cbor, names::Tables, operator::Operator, peers, settings::Settings},
@@ -32,7 +32,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
     #[error("event loop: {0}")]
-    Loop(String),
+    PollLoop(String),
     #[error("listening on {addr}: {source}")]
     Listen { addr: SocketAddr, source: io::Error },
 }
@@ -94,9 +94,9 @@
     JobsPage { first: bool },
     JobsWatch { sent: Ms },
     Barrier { sent: Ms },
-    KeeperGrant,
-    KeeperRenew,
-    KeeperRegister,
+    RenewalRightGrant,
+    RenewalRightRenew,
+    RenewalRightRegister,
     VersionWrite,
     VersionRead,
     Submit { conn: ConnId, id: String, record: Rc<JobRecord>, tries: u32 },
@@ -120,7 +120,7 @@
     pub order: peers::Order,
     pub heard: Option<Ms>,
     pub state_age: Ms,
-    pub knocks: u32,
+    pub rejected_reports: u32,
     pub leading: bool,
     pub reads_used: f64,
     pub writes_used: f64,
@@ -135,12 +135,12 @@
 
 /// A read or watch that is kept going: at most one at a time, again after a pause.
 #[derive(Debug, Default)]
-pub struct Loop {
+pub struct PollLoop {
     pub in_flight: bool,
     pub after: Ms,
 }
 
-impl Loop {
+impl PollLoop {
     pub fn due(&self, now: Ms) -> bool {
         !self.in_flight && now >= self.after
     }
@@ -151,21 +151,21 @@
 const STOOD_STILL_MS: Ms = 5_000;
 
 /// How long a peer's word, and the state service's, that somebody leads is believed.
-const BOSS_MS: Ms = 1_500;
-const BOSS_STATE_MS: Ms = 4_500;
+const LEADER_HINT_MS: Ms = 1_500;
+const LEADER_HINT_STATE_MS: Ms = 4_500;
 
 pub struct Node {
     pub settings: Settings,
     pub operator: Operator,
     pub tables: Tables,
-    pub mirror: Mirror,
+    pub job_cache: JobCache,
     pub barrier: Barrier<Waiter>,
     pub election: Election,
     pub leader: Option<Leader>,
-    pub keeper: Keeper,
-    pub witness: Witness,
+    pub renewal_right: RenewalRight,
+    pub peer_inactivity: PeerInactivity,
     /// When a worker of another zone last reported here.
-    pub stranger: Option<Ms>,
+    pub foreign_zone_report: Option<Ms>,
     pub reads: Budget,
     /// For users' requests.
     pub writes: Budget,
@@ -179,24 +179,24 @@
     /// When the state service last answered with anything but 503.
     pub state_ok: Ms,
     pub state_bad_since: Option<Ms>,
-    pub leader_key: Loop,
+    pub leader_key: PollLoop,
     pub leader_known: bool,
     pub leader_epoch: u64,
-    pub jobs_page: Loop,
+    pub jobs_page: PollLoop,
     pub jobs_from: Option<String>,
-    pub jobs_watch: Loop,
-    pub tasks: Loop,
+    pub jobs_watch: PollLoop,
+    pub tasks: PollLoop,
     pub tasks_from: Option<String>,
     pub tasks_synced: bool,
-    pub flavors: Loop,
-    pub resync: Loop,
-    pub knocks: Vec<Ms>,
+    pub flavors: PollLoop,
+    pub resync: PollLoop,
+    pub rejected_reports: Vec<Ms>,
     pub next_gossip: Ms,
     pub gossips: u64,
     pub nonce: u64,
     pub budget_leading: Option<bool>,
-    pub told: Told,
-    pub next_told: Ms,
+    pub user_responses: UserResponseCounts,
+    pub next_user_summary: Ms,
     /// Cancellations confirmed here lately, to be told to peers.
     pub notices: VecDeque<(Ms, peers::Cancelled)>,
     /// Who is known to run this version, and the key that says that this one does.
@@ -204,8 +204,8 @@
     pub version_written: bool,
     /// The state service has shown that `state.next` holds.
     pub limits_lowered: bool,
-    pub version_write: Loop,
-    pub version_read: Loop,
+    pub version_write: PollLoop,
+    pub version_read: PollLoop,
 }
 
 /// The day's time, in ms.
@@ -232,7 +232,7 @@
                 order: peers::Order::default(),
                 heard: None,
                 state_age: Ms::MAX,
-                knocks: 0,
+                rejected_reports: 0,
                 leading: false,
                 reads_used: 0.0,
                 writes_used: 0.0,
@@ -245,9 +245,9 @@
         let election = Election::new(&settings.label, nonce, operator.leader_ttl_ms);
         let w = &settings.cluster.workers;
         let alone = settings.seeds.is_empty();
-        let most_ms = if alone { 0 } else { keeping::most_ms(w.cancel_s, w.lease_s) };
-        let keeper = Keeper::new(keeping::renewal_ms(w.cancel_s, w.lease_s), most_ms);
-        let witness = Witness::new(settings.seeds.len());
+        let most_ms = if alone { 0 } else { lease_renewal::most_ms(w.cancel_s, w.lease_s) };
+        let renewal_right = RenewalRight::new(lease_renewal::renewal_ms(w.cancel_s, w.lease_s), most_ms);
+        let peer_inactivity = PeerInactivity::new(settings.seeds.len());
         let (st, cl) = (&settings.cluster.state, &settings.cluster.cloud);
         Node {
             reads: Budget::new(st.rps * 0.25, st.rps * 0.3),
@@ -255,43 +255,43 @@
             commits: Budget::new(st.write_rps * 0.5, st.write_rps * 0.5),
             cloud: Budget::new(cl.rps * 0.9, cl.rps * 1.5),
             tables,
-            mirror: Mirror::default(),
+            job_cache: JobCache::default(),
             barrier: Barrier::default(),
             election,
             leader: None,
-            keeper,
-            witness,
-            stranger: None,
+            renewal_right,
+            peer_inactivity,
+            foreign_zone_report: None,
             types: Vec::new(),
             peers,
             pending: HashMap::new(),
             next_tag: 1,
             state_ok: 0,
             state_bad_since: None,
-            leader_key: Loop::default(),
+            leader_key: PollLoop::default(),
             leader_known: false,
             leader_epoch: 0,
-            jobs_page: Loop::default(),
+            jobs_page: PollLoop::default(),
             jobs_from: None,
-            jobs_watch: Loop::default(),
-            tasks: Loop::default(),
+            jobs_watch: PollLoop::default(),
+            tasks: PollLoop::default(),
             tasks_from: None,
             tasks_synced: false,
-            flavors: Loop::default(),
-            resync: Loop::default(),
-            knocks: Vec::new(),
+            flavors: PollLoop::default(),
+            resync: PollLoop::default(),
+            rejected_reports: Vec::new(),
             next_gossip: 0,
             gossips: 0,
             nonce,
             budget_leading: None,
-            told: Told::default(),
-            next_told: 0,
+            user_responses: UserResponseCounts::default(),
+            next_user_summary: 0,
             notices: VecDeque::new(),
             versions: Evidence::new(settings.seeds.iter().map(|s| &*s.label).chain(std::iter::once(&*settings.label))),
             version_written: false,
             limits_lowered: false,
-            version_write: Loop::default(),
-            version_read: Loop::default(),
+            version_write: PollLoop::default(),
+            version_read: PollLoop::default(),
             settings,
             operator,
         }
@@ -319,7 +319,7 @@
         let c = &self.settings.cluster;
         let set = |x: f64| (x > 0.0).then_some(x);
         let report_ms = (c.workers.report_s * 1000.0) as Ms;
-        let mut aims: Vec<Aim> = c
+        let mut aims: Vec<ServiceObjective> = c
             .objectives
             .iter()
             .filter_map(|o| {
@@ -329,7 +329,7 @@
                     _ => return None,
                 };
                 let class = self.tables.classes.intern(o.class.as_deref()?);
-                Some(Aim { class, start, within_s: o.within_s? })
+                Some(ServiceObjective { class, start, within_s: o.within_s? })
             })
             .collect();
         aims.sort_by(|a, b| a.within_s.total_cmp(&b.within_s));
@@ -397,19 +397,19 @@
         self.send(net, dest, what, method, path, body, 4_000);
     }
 
-    pub fn act(&mut self, net: &mut Net, act: Act) {
+    pub fn act(&mut self, net: &mut Net, act: Action) {
         let now = net.now();
         let _ = self.reads.take(now, 1.0, Urgency::Lease);
         match act {
-            Act::Grant => {
+            Action::Grant => {
                 let body = cbor::encode(&crate::protocol::store::GrantRequest { ttl_ms: self.election.ttl_ms() });
                 self.ask_state(net, Pending::Grant, "POST", "/grants".into(), body, 1_500);
             }
-            Act::Renew(p) => {
+            Action::Renew(p) => {
                 let patience = self.election.patience_ms();
                 self.ask_state(net, Pending::Renew, "POST", format!("/grants/{p}/renew"), Vec::new(), patience);
             }
-            Act::Claim { permit, expect } => {
+            Action::Claim { permit, expect } => {
                 use crate::protocol::store::{Condition, Op, Txn};
                 let rec = self.election.record(permit);
                 let txn = Txn {
@@ -423,34 +423,41 @@
                 let _ = self.commits.take(now, 1.0, Urgency::Lease);
                 self.ask_state(net, Pending::Claim, "POST", "/multi".into(), cbor::encode(&txn), 1_500);
             }
-            Act::Resign(p) => {
+            Action::Resign(p) => {
                 self.ask_state(net, Pending::Resign, "DELETE", format!("/grants/{p}"), Vec::new(), 1_500);
             }
         }
     }
 
-    pub fn keep_act(&mut self, net: &mut Net, act: keeping::Act) {
+    pub fn perform_renewal_action(&mut self, net: &mut Net, act: lease_renewal::Action) {
         use crate::protocol::store::{Condition, GrantRequest, Op, Txn};
         let now = net.now();
         let _ = self.reads.take(now, 1.0, Urgency::Lease);
         match act {
-            keeping::Act::Grant => {
-                let body = cbor::encode(&GrantRequest { ttl_ms: self.keeper.ttl_ms() });
-                self.ask_state(net, Pending::KeeperGrant, "POST", "/grants".into(), body, 1_500);
+            lease_renewal::Action::Grant => {
+                let body = cbor::encode(&GrantRequest { ttl_ms: self.renewal_right.ttl_ms() });
+                self.ask_state(net, Pending::RenewalRightGrant, "POST", "/grants".into(), body, 1_500);
             }
-            keeping::Act::Renew(p) => {
-                self.ask_state(net, Pending::KeeperRenew, "POST", format!("/grants/{p}/renew"), Vec::new(), 1_500);
+            lease_renewal::Action::Renew(p) => {
+                self.ask_state(
+                    net,
+                    Pending::RenewalRightRenew,
+                    "POST",
+                    format!("/grants/{p}/renew"),
+                    Vec::new(),
+                    1_500,
+                );
             }
-            keeping::Act::Register { permit, expect } => {
-                let nonce = self.keeper.mark(self.nonce).unwrap_or(self.nonce);
+            lease_renewal::Action::Register { permit, expect } => {
+                let nonce = self.renewal_right.mark(self.nonce).unwrap_or(self.nonce);
                 let rec = LeaderRecord { label: self.settings.label.clone(), nonce };
-                let key = records::keeper_key(&self.settings.label);
+                let key = records::renewal_key(&self.settings.label);
                 let txn = Txn {
                     conditions: vec![Condition { key: key.clone(), stamp: expect }],
                     writes: vec![Op::Put { key, v: records::to_value(&rec), permit: Some(permit) }],
                 };
                 let _ = self.commits.take(now, 1.0, Urgency::Lease);
-                self.ask_state(net, Pending::KeeperRegister, "POST", "/multi".into(), cbor::encode(&txn), 1_500);
+                self.ask_state(net, Pending::RenewalRightRegister, "POST", "/multi".into(), cbor::encode(&txn), 1_500);
             }
         }
     }
@@ -552,26 +559,26 @@
         // that reading, however long its frame was on the way.
         let own = |e: &&peers::Echo| e.of == self.settings.label && e.nonce == self.nonce;
         if let Some(e) = g.echoes.iter().find(own) {
-            let quiet = (g.quiet_ms.min(1 << 40) as f64 * 0.999) as i64;
-            self.witness.quiet(n, now as i64 - quiet, e.clock_ms.min(now) as i64);
+            let quiet = (g.no_renewal_ms.min(1 << 40) as f64 * 0.999) as i64;
+            self.peer_inactivity.record_inactive(n, now as i64 - quiet, e.clock_ms.min(now) as i64);
         }
         p.state_age = g.state_age_ms;
-        p.knocks = g.knocks;
+        p.rejected_reports = g.rejected_reports;
         p.leading = g.leading;
         (p.reads_used, p.writes_used, p.commits_used) = (g.reads_used, g.writes_used, g.commits_used);
         for c in g.counts {
-            self.mirror.show(&c.job, c.done, c.running);
+            self.job_cache.show(&c.job, c.done, c.running);
         }
     }
 
     /// Whom to send workers to. Guard: never oneself, and nobody whose
     /// leadership is only remembered: a peer must have said so a moment ago, or
     /// the state service have answered, while its watch shows the key.
-    pub fn boss(&self, now: Ms) -> Option<&str> {
+    pub fn leader_hint(&self, now: Ms) -> Option<&str> {
         let label = self.election.leader().filter(|l| *l != self.settings.label)?;
         let peer = self.peers.iter().find(|p| p.label == label)?;
-        let says = peer.leading && peer.heard.is_some_and(|h| now < h + BOSS_MS);
-        let seen = self.state_bad_since.is_none() && now < self.state_ok + BOSS_STATE_MS;
+        let says = peer.leading && peer.heard.is_some_and(|h| now < h + LEADER_HINT_MS);
+        let seen = self.state_bad_since.is_none() && now < self.state_ok + LEADER_HINT_STATE_MS;
         (says || seen).then_some(label)
     }
 
@@ -579,7 +586,7 @@
     /// all, controllers stay ready, so that no connection is lost; one that is
     /// alone in being refused, or sees nobody at all, is not.
     pub fn is_ready(&self, now: Ms) -> bool {
-        if !self.mirror.loaded() || self.types.is_empty() {
+        if !self.job_cache.loaded() || self.types.is_empty() {
             return false;
         }
         let Some(since) = self.state_bad_since else { return true };
@@ -598,7 +605,8 @@
 
 /// Runs one controller until the process ends.
 pub fn run(settings: Settings, operator: Operator) -> Result<(), NodeError> {
-    let mut event_loop: EventLoop<'static, Net> = EventLoop::try_new().map_err(|e| NodeError::Loop(e.to_string()))?;
+    let mut event_loop: EventLoop<'static, Net> =
+        EventLoop::try_new().map_err(|e| NodeError::PollLoop(e.to_string()))?;
     let stale_ms = ((settings.cluster.workers.report_s * 3_000.0) as u64).clamp(10_000, 60_000);
     let limits = Limits { sockets: settings.cluster.limits.sockets, idle_ms: 75_000, head_ms: 5_000, stale_ms };
     let mut net = Net::new(&event_loop, limits);
@@ -611,7 +619,7 @@
     loop {
         node.tick(&mut net);
         let wait = node.wait_ms(net.now());
-        net.turn(&mut event_loop, Duration::from_millis(wait)).map_err(|e| NodeError::Loop(e.to_string()))?;
+        net.turn(&mut event_loop, Duration::from_millis(wait)).map_err(|e| NodeError::PollLoop(e.to_string()))?;
         // Guard: after standing still, the time is noted before anything that
         // was waiting is acted on.
         let now = net.now();
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -6,8 +6,8 @@
 use crate::{
     bookkeeping::records::{self, LeaderRecord},
     coordination::{
-        keeping::{shares_the_cut, Other},
         leader::{halts_of_cancelled, Answer},
+        lease_renewal::{shares_the_cut, Other},
         model::Ms,
     },
     protocol::{
@@ -29,13 +29,13 @@
         };
         let now = net.now();
         if report.zone != self.settings.domain {
-            self.stranger = Some(now);
+            self.foreign_zone_report = Some(now);
         }
-        // Guard: what the mirror shows as cancelled is not launched in the answer.
+        // Guard: what the job cache shows as cancelled is not launched in the answer.
         self.feed_leader(now);
         let stamp = self.election.leading(now);
         let answer = match &mut self.leader {
-            Some(l) if stamp == Some(l.stamp) => Some(l.report(now, &report, &self.mirror, &mut self.tables)),
+            Some(l) if stamp == Some(l.stamp) => Some(l.report(now, &report, &self.job_cache, &mut self.tables)),
             _ => None,
         };
         match answer {
@@ -45,7 +45,7 @@
                 // Guard: nor may it let a task outlive a cancellation that this
                 // controller doesn't know of; where nothing runs, none can.
                 let now = net.now();
-                let fresh = self.keeper.may_renew(now);
+                let fresh = self.renewal_right.may_renew(now);
                 let entitled = self.election.leading(now).is_some();
                 match &mut self.leader {
                     Some(l) if entitled && (fresh || !l.may_hold_tasks(&report)) => {
@@ -64,12 +64,12 @@
                 tracing::warn!(machine = &*report.machine, token = report.token, "a worker has seen a higher token");
                 self.turn_away(net, conn, now);
             }
-            None if self.keeps(now, &report) => {
+            None if self.may_renew_without_leader(now, &report) => {
                 // Guard: noted before it is sent, so that no leader counts it out.
-                self.keeper.last = now;
+                self.renewal_right.last = now;
                 // What is known as cancelled ends with it: a halt may come from
                 // anybody, and the rest of the machine goes on.
-                let orders = halts_of_cancelled(&report, &self.mirror);
+                let orders = halts_of_cancelled(&report, &self.job_cache);
                 let bytes = cbor::encode(&ReportAnswer { token: report.token, orders });
                 net.respond_report(conn, 200, &bytes);
             }
@@ -78,8 +78,8 @@
     }
 
     /// With no leader to be found, a worker's lease is kept; see `coordination::keeping`.
-    pub(super) fn keeps(&self, now: Ms, r: &Report) -> bool {
-        if r.token == 0 || !self.keeper.may_keep(now) || self.boss(now).is_some() {
+    pub(super) fn may_renew_without_leader(&self, now: Ms, r: &Report) -> bool {
+        if r.token == 0 || !self.renewal_right.may_renew_without_leader(now) || self.leader_hint(now).is_some() {
             return false;
         }
         let others: Vec<Other> = self
@@ -89,31 +89,32 @@
             .zip(&self.peers)
             .map(|(s, p)| Other { near: s.domain == self.settings.domain, heard: p.heard, state_age: p.state_age })
             .collect();
-        shares_the_cut(now, self.keeper.contact(), &others, self.stranger)
+        shares_the_cut(now, self.renewal_right.contact(), &others, self.foreign_zone_report)
     }
 
     pub(super) fn turn_away(&mut self, net: &mut Net, conn: ConnId, now: Ms) {
-        self.knocks.push(now);
-        if self.knocks.len() > 10_000 {
-            self.knocks.clear();
+        self.rejected_reports.push(now);
+        if self.rejected_reports.len() > 10_000 {
+            self.rejected_reports.clear();
         }
-        net.respond(conn, 421, None, &cbor::encode(&Redirect { report_to: self.boss(now) }));
+        net.respond(conn, 421, None, &cbor::encode(&Redirect { report_to: self.leader_hint(now) }));
     }
 
     /// Whether the value of this controller's own key is of the grant it holds.
     pub(super) fn is_mine(&self, v: &Value) -> bool {
-        let ours = |r: LeaderRecord| r.label == self.settings.label && Some(r.nonce) == self.keeper.mark(self.nonce);
+        let ours =
+            |r: LeaderRecord| r.label == self.settings.label && Some(r.nonce) == self.renewal_right.mark(self.nonce);
         v.deserialized::<LeaderRecord>().is_ok_and(ours)
     }
 
     /// A key under which a controller may keep leases came or went.
-    pub(super) fn keeper_change(&mut self, now: Ms, c: &Change) {
+    pub(super) fn renewal_key_changed(&mut self, now: Ms, c: &Change) {
         let Some(key) = c.write.as_ref().or(c.drop.as_ref()) else { return };
         let there = c.write.is_some();
-        if *key == records::keeper_key(&self.settings.label) {
+        if *key == records::renewal_key(&self.settings.label) {
             let mine = c.v.as_ref().is_some_and(|v| self.is_mine(v));
-            self.keeper.saw_key(if there { c.stamp } else { 0 }, c.stamp, mine);
-        } else if let Some(p) = self.peers.iter_mut().find(|p| *key == records::keeper_key(&p.label)) {
+            self.renewal_right.saw_key(if there { c.stamp } else { 0 }, c.stamp, mine);
+        } else if let Some(p) = self.peers.iter_mut().find(|p| *key == records::renewal_key(&p.label)) {
             p.keyless = (!there).then_some(now);
         }
     }
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,5 +1,5 @@
 //! What controllers tell one another, in `bitcode`. Every frame repeats the
-//! whole picture it speaks of, so a lost one costs nothing but time.
+//! whole snapshot it speaks of, so a lost one costs nothing but time.
 //!
 //! Gossip is the form that every version reads. A newer form is a frame of its
 //! own, beside gossip, and goes only to a peer whose gossip has shown (`reads`)
@@ -18,7 +18,7 @@
     /// Milliseconds since the state service last answered the sender.
     pub state_age_ms: u64,
     /// Workers' reports this controller turned away in the last seconds.
-    pub knocks: u32,
+    pub rejected_reports: u32,
     pub leading: bool,
     /// What the sender uses a second of the state service's limits.
     pub reads_used: f64,
@@ -29,7 +29,7 @@
     pub clock_ms: u64,
     pub echoes: Vec<Echo>,
     /// For how long it has kept no worker's lease.
-    pub quiet_ms: u64,
+    pub no_renewal_ms: u64,
     /// From the leader: counts of jobs that changed lately, for display.
     pub counts: Vec<Count>,
 }
--- a/src/protocol/tests/peers.rs
+++ b/src/protocol/tests/peers.rs
@@ -6,14 +6,14 @@
         nonce,
         count,
         state_age_ms: 3,
-        knocks: 1,
+        rejected_reports: 1,
         leading: true,
         reads_used: 7.5,
         writes_used: 0.5,
         commits_used: 1.0,
         clock_ms: 40,
         echoes: vec![Echo { of: "b".into(), nonce: 9, clock_ms: 17 }],
-        quiet_ms: 12,
+        no_renewal_ms: 12,
         counts: vec![Count { job: "j-1".into(), done: 2, running: 3 }],
     }
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -37,7 +37,7 @@
     #[serde(rename = "status")]
     pub state: TaskState,
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
@@ -60,7 +60,7 @@
 }
 
 #[derive(Debug, Clone, Copy, Deserialize, Serialize, PartialEq, Eq)]
-pub enum Why {
+pub enum ExitReason {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "halted")]
@@ -127,7 +127,7 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct DoRequest {
+pub struct DirectCommandRequest {
     #[serde(rename = "baton")]
     pub token: u64,
     #[serde(rename = "shift")]
