--- a/tests/meetings.rs
+++ b/tests/combined_failures.rs
@@ -1,34 +1,34 @@
 //! Meetings: two or three troubles at once. One table of cases; the judge of
-//! `world` watches every start, and once a case's troubles are over nothing
+//! `simulation` watches every start, and once a case's troubles are over nothing
 //! that was accepted may be left waiting.
 
-mod world;
+mod simulation;
 
 use shedhook::{
     bookkeeping::records::Status,
-    coordination::keeping,
-    protocol::workers::{Report, TaskState, Why},
+    coordination::lease_renewal,
+    protocol::workers::{ExitReason, Report, TaskState},
 };
-use world::{sub, Case, Held, Weather, World, CANCEL, LEASE};
+use simulation::{sub, Case, FaultRates, Held, Simulation, CANCEL, LEASE};
 
-fn all_there(w: &World, id: &str, tasks: u32) -> bool {
+fn all_there(w: &Simulation, id: &str, tasks: u32) -> bool {
     (0..tasks).all(|n| w.where_is(&format!("{id}/{n}")).is_some())
 }
 
-fn places(w: &World, id: &str, tasks: u32) -> Vec<Option<usize>> {
+fn assignments(w: &Simulation, id: &str, tasks: u32) -> Vec<Option<usize>> {
     (0..tasks).map(|n| w.where_is(&format!("{id}/{n}"))).collect()
 }
 
-fn none_there(w: &World, id: &str, tasks: u32) -> bool {
-    places(w, id, tasks).iter().all(Option::is_none)
+fn none_there(w: &Simulation, id: &str, tasks: u32) -> bool {
+    assignments(w, id, tasks).iter().all(Option::is_none)
 }
 
 /// What every worker last could have reported.
-fn copies(w: &mut World) -> Vec<Report> {
+fn copies(w: &mut Simulation) -> Vec<Report> {
     (0..w.workers.len()).map(|n| w.report_of(n)).collect()
 }
 
-fn arrive(w: &mut World, copies: &[Report], after: u64) {
+fn arrive(w: &mut Simulation, copies: &[Report], after: u64) {
     let at = w.now + after;
     w.held.extend(copies.iter().map(|r| (at, Held::Report(r.clone()))));
 }
@@ -48,7 +48,7 @@
 /// Guard: to a new leader, a place it read from the records is taken for a
 /// whole lease from its own start, heard or not. One machine can't be reached,
 /// one hears no answer; there is room elsewhere.
-fn the_leader_ends_while_machines_are_unreachable(w: &mut World) {
+fn the_leader_ends_while_machines_are_unreachable(w: &mut Simulation) {
     w.run(LEASE * 2);
     w.submit(sub("j-1", "batch", 6), 90_000);
     w.submit(sub("j-2", "service", 4), 0);
@@ -58,7 +58,7 @@
     w.elect();
     w.run(LEASE - 6_000);
     assert_eq!(w.starts, 10, "nothing starts anew within the lease");
-    let names = |w: &World| w.workers[0].tasks.iter().map(|t| t.name.clone()).collect::<Vec<_>>();
+    let names = |w: &Simulation| w.workers[0].tasks.iter().map(|t| t.name.clone()).collect::<Vec<_>>();
     let before = names(w);
     w.workers[0].cut = false;
     w.run(4_000);
@@ -71,7 +71,7 @@
 /// is over frees nothing and brings nothing back. Copies from before the
 /// launch, from an earlier attempt and from an earlier session come in the
 /// wrong order, to the leader that knows better and to one that doesn't.
-fn old_reports_after_newer_ones(w: &mut World) {
+fn old_reports_after_newer_ones(w: &mut Simulation) {
     w.run(4_000);
     let mut old = copies(w);
     let mut s = low("j-1", "service", 4);
@@ -87,7 +87,7 @@
     arrive(w, &old, 0);
     for _ in 0..10 {
         w.run(100);
-        let ix = w.mirror.find("j-1").unwrap();
+        let ix = w.job_cache.find("j-1").unwrap();
         assert_eq!(w.leader.as_ref().unwrap().job(ix).unwrap().placed, 0, "an older report was believed");
     }
     w.until("the urgent one is done", 30_000, |w| w.status("j-2") == Status::Done);
@@ -98,28 +98,28 @@
     w.workers[2].restart(now);
     w.until("runs again", 30_000, |w| all_there(w, "j-1", 4));
     w.run(4_000);
-    let (there, starts) = (places(w, "j-1", 4), w.starts);
+    let (there, starts) = (assignments(w, "j-1", 4), w.starts);
     old.reverse();
     arrive(w, &old, 0);
     w.run(LEASE);
-    assert_eq!((places(w, "j-1", 4), w.starts), (there.clone(), starts), "the same leader believed them");
+    assert_eq!((assignments(w, "j-1", 4), w.starts), (there.clone(), starts), "the same leader believed them");
     w.elect();
     arrive(w, &old, 100);
     w.run(10_000);
     arrive(w, &old, 100);
     w.run(LEASE * 2);
-    assert_eq!((places(w, "j-1", 4), w.starts), (there, starts), "the next leader believed them");
+    assert_eq!((assignments(w, "j-1", 4), w.starts), (there, starts), "the next leader believed them");
 }
 
 /// Guard: leases are kept by a controller that can't read the records only for
 /// `cancel_s - lease_s` less a margin after its last read was sent. Here the
 /// leader alone is refused, a cancellation is confirmed by another controller
 /// at that moment, and a second later the state service is away for everybody.
-fn cancelled_as_the_leader_alone_is_refused(w: &mut World) {
+fn cancelled_as_the_leader_alone_is_refused(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 4), 500_000);
     w.submit(sub("j-2", "service", 4), 0);
     w.until("all run", 20_000, |w| w.starts == 8);
-    let most = keeping::most_ms(CANCEL as f64 / 1000.0, LEASE as f64 / 1000.0);
+    let most = lease_renewal::most_ms(CANCEL as f64 / 1000.0, LEASE as f64 / 1000.0);
     w.refuse_leader = true;
     let read = w.now;
     w.run(100);
@@ -140,7 +140,7 @@
 /// is taken until the worker has shown that token. The machine hangs with the
 /// command queued, the task is stopped meanwhile, and the machine goes on
 /// within its lease, and once more past it.
-fn a_command_is_held_up_and_the_machine_goes_on(w: &mut World) {
+fn a_command_is_held_up_and_the_machine_goes_on(w: &mut Simulation) {
     w.fetch = 0;
     w.workers.iter_mut().skip(2).for_each(|x| x.dead = true);
     for (n, (at, hang)) in [(0, 16_000), (1, 16_000), (0, LEASE + 4_000), (1, 20_000)].into_iter().enumerate() {
@@ -179,9 +179,15 @@
 /// of a later leader are higher than all before. Ten leaders in
 /// two minutes, with transactions and commands of the earlier ones under way;
 /// three of them can't write at all.
-fn ten_leaders_in_two_minutes(w: &mut World) {
-    w.weather =
-        Weather { late_txn: 40, late_do: 30, lost_answer: 20, old_report: 15, slow_answer: 20, ..Weather::default() };
+fn ten_leaders_in_two_minutes(w: &mut Simulation) {
+    w.faults = FaultRates {
+        late_txn: 40,
+        late_do: 30,
+        lost_answer: 20,
+        old_report: 15,
+        slow_answer: 20,
+        ..FaultRates::default()
+    };
     w.submit(sub("j-1", "service", 5), 0);
     for n in 0..10u32 {
         w.elect();
@@ -203,7 +209,7 @@
 /// Guard: a worker that reaches no controller is asked, and what it answers
 /// counts as heard, so that direct commands go on reaching it: a cancellation
 /// doesn't wait for the end of its lease.
-fn workers_reach_nobody_but_commands_reach_them(w: &mut World) {
+fn workers_reach_nobody_but_commands_reach_them(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 6), 500_000);
     w.submit(sub("j-2", "service", 6), 0);
     w.until("all run", 20_000, |w| w.starts == 12);
@@ -220,11 +226,11 @@
 /// Guard: a place that the leader before wrote counts as launched, whether it
 /// was or not; only an end, a session or the lease frees it. The second leader
 /// ends within a fraction of a second, all are away, and one returns.
-fn handed_over_and_back_and_all_end(w: &mut World) {
+fn handed_over_and_back_and_all_end(w: &mut Simulation) {
     w.fetch = 0;
     w.workers.iter_mut().skip(2).for_each(|x| x.dead = true);
     w.run(LEASE + 5_000);
-    w.weather = Weather { late_do: 100, ..Weather::default() };
+    w.faults = FaultRates { late_do: 100, ..FaultRates::default() };
     let mut s = sub("j-1", "ensemble", 2);
     s.cpus = Some(8.0);
     w.submit(s, 0);
@@ -234,7 +240,7 @@
     for (at, h) in &mut w.held {
         *at = now + if matches!(h, Held::Do { worker: 0, .. }) { 14_000 } else { 100 };
     }
-    w.weather = Weather::default();
+    w.faults = FaultRates::default();
     w.workers[0].mute = true;
     w.elect();
     w.run(400);
@@ -258,7 +264,7 @@
 /// Guard: nothing is launched before its record is written, however long that
 /// takes. The service is slow, then refuses the leader, then everybody, for longer
 /// than a cancelled task may run on; users cancel all the while.
-fn a_slow_service_that_refuses_one_and_then_all(w: &mut World) {
+fn a_slow_service_that_refuses_one_and_then_all(w: &mut Simulation) {
     (w.txn_ms, w.changes_ms) = (1_900, 1_900);
     for n in 0..8 {
         w.submit(sub(&format!("j-{n}"), "batch", 2), 3_000 + 6_000 * n);
@@ -284,7 +290,7 @@
 /// Guard: a session whose lease was counted out is never listened to again. A
 /// report is held back until the new leader has counted out its sender and
 /// started its tasks elsewhere; it brings none of them back.
-fn a_report_is_held_back_until_a_new_leader_has_acted(w: &mut World) {
+fn a_report_is_held_back_until_a_new_leader_has_acted(w: &mut Simulation) {
     w.workers.iter_mut().skip(2).for_each(|x| x.dead = true);
     w.submit(sub("j-1", "service", 3), 0);
     w.until("runs", 10_000, |w| all_there(w, "j-1", 3));
@@ -296,29 +302,29 @@
     // Nobody is free: what the copies list waits, and must not be believed there.
     arrive(w, &late, 0);
     w.run(300);
-    let ix = w.mirror.find("j-1").unwrap();
+    let ix = w.job_cache.find("j-1").unwrap();
     assert_eq!(w.leader.as_ref().unwrap().job(ix).unwrap().placed, 0, "a dead session was believed");
     w.add_worker("a");
     w.until("runs elsewhere", 8_000, |w| all_there(w, "j-1", 3));
     arrive(w, &late, 0);
     w.workers.iter_mut().for_each(|x| x.cut = false);
-    let there = places(w, "j-1", 3);
+    let there = assignments(w, "j-1", 3);
     w.run(LEASE * 2);
-    assert_eq!(places(w, "j-1", 3), there);
+    assert_eq!(assignments(w, "j-1", 3), there);
     assert!(w.now > now);
 }
 
 /// Guard: "done" is written only on the job's own stamp, so that it never
 /// replaces a cancellation; and a job that is done can't be cancelled. The
 /// cancellation falls into each of the moments around the end of the last task.
-fn cancelled_at_the_very_end(w: &mut World) {
+fn cancelled_at_the_very_end(w: &mut Simulation) {
     w.run(4_000);
     (w.txn_ms, w.changes_ms) = (400, 600);
     let (mut done, mut cancelled) = (0, 0);
     for n in 0..30u64 {
         let id = format!("j-{n}");
         w.submit(sub(&id, "batch", 2), 1_500);
-        let both = |w: &World| (0..2).all(|t| w.completed.contains(&format!("{id}/{t}")));
+        let both = |w: &Simulation| (0..2).all(|t| w.completed.contains(&format!("{id}/{t}")));
         w.until("both end", 60_000, both);
         w.run(n % 15 * 100);
         let was = w.status(&id);
@@ -343,7 +349,7 @@
 
 /// Guard: what is bound to a zone is started in that zone only, also when all that zone's machines are lost at once and
 /// others have room.
-fn zone_bound_jobs_lose_their_machines(w: &mut World) {
+fn zone_bound_jobs_lose_their_machines(w: &mut Simulation) {
     w.add_worker("a");
     w.add_worker("b");
     w.run(4_000);
@@ -380,8 +386,8 @@
 
 /// Guard: every transaction is conditional on the stamps of the records it
 /// replaces, so that one carried out late can't turn newer ones back.
-fn transactions_carried_out_late(w: &mut World) {
-    w.weather = Weather { late_txn: 50, slow_do: 20, ..Weather::default() };
+fn transactions_carried_out_late(w: &mut Simulation) {
+    w.faults = FaultRates { late_txn: 50, slow_do: 20, ..FaultRates::default() };
     for n in 0..6u32 {
         w.submit(sub(&format!("j-{n}"), ["batch", "service"][n as usize % 2], 3), if n % 2 == 0 { 2_500 } else { 0 });
         w.run(4_000);
@@ -403,14 +409,14 @@
 /// what it may keep ends in time for what is cancelled through the new one.
 /// The old controller is cut from the state service and the other controllers,
 /// but half of the workers still reach it, and commands reach them.
-fn a_cut_leader_whom_workers_still_reach(w: &mut World) {
+fn a_cut_leader_whom_workers_still_reach(w: &mut Simulation) {
     for zone in ["a", "b", "a", "b"] {
         w.add_worker(zone);
     }
     w.submit(sub("j-1", "batch", 8), 400_000);
     w.submit(sub("j-2", "service", 6), 0);
     w.until("all run", 20_000, |w| w.starts == 14);
-    let most = keeping::most_ms(CANCEL as f64 / 1000.0, LEASE as f64 / 1000.0);
+    let most = lease_renewal::most_ms(CANCEL as f64 / 1000.0, LEASE as f64 / 1000.0);
     w.workers.iter_mut().step_by(2).for_each(|x| (x.mute, x.kept) = (true, true));
     w.unspoken = Some(w.now);
     let cut = w.now;
@@ -421,9 +427,9 @@
     w.submit(sub("j-3", "service", 8), 0);
     w.run(cut + most - w.now);
     w.workers.iter_mut().for_each(|x| x.kept = false);
-    let there = places(w, "j-2", 6);
+    let there = assignments(w, "j-2", 6);
     w.run(LEASE - 3_000);
-    assert_eq!(places(w, "j-2", 6), there, "none is counted out before the last lease kept");
+    assert_eq!(assignments(w, "j-2", 6), there, "none is counted out before the last lease kept");
     w.run(CANCEL.saturating_sub(w.now - cut));
     assert!(none_there(w, "j-1", 8));
     w.workers.iter_mut().for_each(|x| x.mute = false);
@@ -436,7 +442,7 @@
 /// inside has spoken for. The zone is cut for longer than a lease, its
 /// controller keeps some of that; a gang bound to it and a spread service run
 /// there, and both lose nothing to the other zone while they may still run.
-fn a_zone_with_its_controller_is_cut_off(w: &mut World) {
+fn a_zone_with_its_controller_is_cut_off(w: &mut Simulation) {
     for zone in ["a", "b", "a", "b"] {
         w.add_worker(zone);
     }
@@ -448,7 +454,7 @@
     w.submit(s, 0);
     w.until("all run", 20_000, |w| w.starts == 9);
     let zone = w.workers[w.where_is("j-1/0").unwrap()].zone.clone();
-    let cut = |w: &mut World, cut: bool, kept: bool| {
+    let cut = |w: &mut Simulation, cut: bool, kept: bool| {
         w.workers.iter_mut().filter(|x| x.zone == zone).for_each(|x| (x.cut, x.kept) = (cut, kept));
     };
     cut(w, true, true);
@@ -470,7 +476,7 @@
 /// Guard: a new session ends all places of the one before, also those that
 /// only the records tell of. All controllers are away for longer than a lease;
 /// one machine hangs over it all, one restarts meanwhile.
-fn all_controllers_are_away_for_longer_than_a_lease(w: &mut World) {
+fn all_controllers_are_away_for_longer_than_a_lease(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 5), 20_000);
     w.submit(sub("j-2", "service", 4), 0);
     let mut s = sub("j-3", "ensemble", 2);
@@ -495,18 +501,18 @@
 /// Guard: an end is reaped only once it is written, so that the next leader
 /// finds it in the records or on the machine. Tasks of small jobs end far
 /// apart, and the leader changes just after each end.
-fn tasks_end_far_apart_across_leaders(w: &mut World) {
+fn tasks_end_far_apart_across_leaders(w: &mut Simulation) {
     w.run(4_000);
     w.vary = 9_000;
     w.submit(sub("j-1", "batch", 3), 4_000);
     w.submit(sub("j-2", "batch", 2), 7_000);
     for n in 0..5usize {
         w.until("the next one ends", 60_000, |w| w.completed.len() > n);
-        w.weather = Weather { lost_txn: 30, ..Weather::default() };
+        w.faults = FaultRates { lost_txn: 30, ..FaultRates::default() };
         // Reported, answered, perhaps written; then that leader is no more.
         w.run([100, 700, 1_200, 4_000, 8_500][n]);
         w.elect();
-        w.weather = Weather::default();
+        w.faults = FaultRates::default();
     }
     w.settles("all ends are known", 40_000);
     assert_eq!((w.starts, w.done_again), (5, 0), "what had ended was started again");
@@ -515,8 +521,8 @@
 /// Guard: urgent work goes first and the rest is not starved, when commands,
 /// their answers and the state service take seconds: half of each class begins
 /// within four minutes, the largest too.
-fn more_work_than_room_over_slow_links(w: &mut World) {
-    w.weather = Weather { slow_do: 60, slow_answer: 60, repeat_do: 20, ..Weather::default() };
+fn more_work_than_room_over_slow_links(w: &mut Simulation) {
+    w.faults = FaultRates { slow_do: 60, slow_answer: 60, repeat_do: 20, ..FaultRates::default() };
     (w.txn_ms, w.changes_ms) = (600, 800);
     let of = |mut s: shedhook::protocol::jobs::Submission, class: &str| {
         (s.cpus, s.class) = (Some(s.cpus.unwrap().max(4.0)), Some(class.into()));
@@ -533,7 +539,7 @@
         let kind = ["batch", "ensemble"][n % 2];
         w.submit(of(low(&format!("j-{}", 100 + n), kind, 3), "rest"), 5_000);
     }
-    let begun = |w: &World, ids: std::ops::Range<usize>| {
+    let begun = |w: &Simulation, ids: std::ops::Range<usize>| {
         ids.filter(|n| w.completed.contains(&format!("j-{n}/0")) || w.where_is(&format!("j-{n}/0")).is_some()).count()
     };
     // More urgent work than there is room for, all the while.
@@ -554,7 +560,7 @@
 /// because its job is cancelled; it counts for its team until its end is
 /// proven. The team is at its limit, its machines can't be asked, the leader
 /// changes, and a cancellation falls into that spell.
-fn a_team_at_its_limit_when_the_leader_changes(w: &mut World) {
+fn a_team_at_its_limit_when_the_leader_changes(w: &mut Simulation) {
     w.team_gpus_max = 6.0;
     w.elect();
     w.run(4_000);
@@ -566,7 +572,7 @@
     w.submit(gpus("j-1", 2), 0);
     w.submit(gpus("j-2", 1), 0);
     w.until("at the limit", 10_000, |w| w.starts == 3);
-    let held: Vec<usize> = places(w, "j-1", 2).into_iter().flatten().collect();
+    let held: Vec<usize> = assignments(w, "j-1", 2).into_iter().flatten().collect();
     held.iter().for_each(|&n| w.workers[n].cut = true);
     w.elect();
     w.submit(gpus("j-3", 2), 0);
@@ -585,7 +591,7 @@
 /// Guard: a leader that learns of a cancellation late stops what it launched
 /// meanwhile; what it hears after it starts nothing. Reads of the changes take
 /// seconds, machines hang with commands queued, and all of it is cancelled.
-fn cancelled_unseen_with_commands_queued(w: &mut World) {
+fn cancelled_unseen_with_commands_queued(w: &mut Simulation) {
     w.run(4_000);
     w.changes_ms = 4_000;
     w.submit(sub("j-1", "batch", 12), 300_000);
@@ -606,7 +612,7 @@
 /// Guard: what a copy says is an end of its own attempt, and a new leader
 /// settles nothing by a report that doesn't show its token. Old copies list a stopped attempt as ended while a new one of the same task
 /// runs on the same machine.
-fn an_end_of_an_earlier_attempt(w: &mut World) {
+fn an_end_of_an_earlier_attempt(w: &mut Simulation) {
     w.workers.iter_mut().skip(1).for_each(|x| x.dead = true);
     w.run(4_000);
     w.submit(low("j-1", "service", 2), 0);
@@ -615,7 +621,7 @@
     w.submit(high("j-2", "batch", 1, 8.0), 2_000);
     w.until("stopped", 10_000, |w| none_there(w, "j-1", 2));
     for t in &mut old[0].tasks {
-        (t.state, t.why) = (TaskState::Exited, Some(Why::Stopped));
+        (t.state, t.why) = (TaskState::Exited, Some(ExitReason::Stopped));
     }
     w.until("runs again", 20_000, |w| all_there(w, "j-1", 2));
     let starts = w.starts;
@@ -659,7 +665,7 @@
     for (n, (name, case)) in cases.iter().enumerate() {
         for seed in 0..4 {
             let played = std::panic::catch_unwind(|| {
-                let mut w = World::new(100 * seed + n as u64, 4);
+                let mut w = Simulation::new(100 * seed + n as u64, 4);
                 w.gangs = seed % 2 == 1;
                 w.elect();
                 case(&mut w);
@@ -689,7 +695,7 @@
 }
 
 fn random_day(seed: u64) {
-    let mut w = World::new(seed, 6);
+    let mut w = Simulation::new(seed, 6);
     w.team_gpus_max = 8.0;
     w.capacity = 8;
     w.fetch = [200, 1_000, 3_000][w.any(3)];
@@ -698,10 +704,10 @@
         w.silent_ms = 8_500;
     }
     w.elect();
-    let most = keeping::most_ms(CANCEL as f64 / 1000.0, LEASE as f64 / 1000.0);
+    let most = lease_renewal::most_ms(CANCEL as f64 / 1000.0, LEASE as f64 / 1000.0);
     for n in 0..14u32 {
         let mut of = |most: usize| w.any(most) as u32;
-        w.weather = Weather {
+        w.faults = FaultRates {
             late_do: of(15),
             lost_do: of(8),
             repeat_do: of(25),
--- a/tests/forms.rs
+++ b/tests/compatibility.rs
@@ -6,8 +6,8 @@
 use ciborium::Value;
 use shedhook::{
     bookkeeping::{
-        mirror::Mirror,
-        records::{to_value, ChunkRecord, JobRecord, LeaderRecord, PlaceRecord, Status},
+        job_cache::JobCache,
+        records::{to_value, AssignmentRecord, ChunkRecord, JobRecord, LeaderRecord, Status},
         versions::VERSIONS,
     },
     protocol::{
@@ -70,7 +70,7 @@
     let rec: JobRecord = record(&lines["job/pending"]);
     assert_eq!(rec.submission, Submission { prereqs: None, ..sub });
     let chunk: ChunkRecord = record(&lines["chunk/000000"]);
-    assert_eq!((chunk.done.as_str(), chunk.places.len()), ("9429", 2));
+    assert_eq!((chunk.done.as_str(), chunk.assignments.len()), ("9429", 2));
     let Ok(Frame::Gossip(frame)) = peers::decode(&lines["frame/full"]) else { panic!("no gossip") };
     assert!(!frame.reads_notices(), "production's gossip shows no newer form");
     assert_eq!((&*frame.from, frame.count, frame.echoes.len(), frame.counts.len()), ("n-2", 41, 2, 1));
@@ -78,7 +78,7 @@
     for (name, want) in
         [("job/pending", Status::Pending), ("job/cancelled", Status::Cancelled), ("job/done", Status::Done)]
     {
-        let mut m = Mirror::default();
+        let mut m = JobCache::default();
         let v: Value = cbor::decode(&lines[name]).unwrap();
         let ix = m.put("j/j-000412", &v, 7, &mut Tables::default()).unwrap();
         assert_eq!((m.get(ix).status, m.get(ix).tasks, m.get(ix).chunk, m.waits(ix)), (want, 16, 128, false), "{name}");
@@ -97,7 +97,7 @@
     let waiting = Submission { prereqs: Some(vec!["j-000398".into(), "j-000405".into()]), ..submission() };
     let chunk = ChunkRecord {
         done: "6".into(),
-        places: vec![PlaceRecord(27, "i-000231".into(), 3, 434_896_896_001, "b".into())],
+        assignments: vec![AssignmentRecord(27, "i-000231".into(), 3, 434_896_896_001, "b".into())],
         tag: 434_896_896_077,
     };
     let frame = Gossip {
@@ -105,14 +105,14 @@
         nonce: u64::MAX >> 1,
         count: 7,
         state_age_ms: 3,
-        knocks: 0,
+        rejected_reports: 0,
         leading: false,
         reads_used: 0.5,
         writes_used: 0.25,
         commits_used: 0.0,
         clock_ms: 55_000,
         echoes: vec![Echo { of: "n-1".into(), nonce: 5, clock_ms: 6 }],
-        quiet_ms: 1 << 41,
+        no_renewal_ms: 1 << 41,
         counts: vec![Count { job: "j-000001".into(), done: 1, running: 0 }],
     };
     let mut marked = frame.clone();
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -21,7 +21,7 @@
     protocol::{
         cbor as body,
         store::{Change, Changes, Condition, Op, Pair, Txn},
-        workers::{DoRequest, Order, Report, ReportAnswer, TaskReport, TaskState, Why},
+        workers::{DirectCommandRequest, ExitReason, Order, Report, ReportAnswer, TaskReport, TaskState},
     },
     transport::http::{parse_reply, parse_request, write_reply, write_request, Parsed},
 };
@@ -150,19 +150,19 @@
 
 /// One door to the store, for one controller.
 #[derive(Default)]
-struct Door {
+struct AccessGate {
     /// Whoever uses it is refused.
     shut: AtomicBool,
     /// Reads of changed jobs get no answer; all else is served.
     blind: AtomicBool,
 }
 
-fn state_service(store: Arc<Mutex<Store>>, door: Arc<Door>) -> SocketAddr {
+fn state_service(store: Arc<Mutex<Store>>, gate: Arc<AccessGate>) -> SocketAddr {
     serve(move |method, path, bytes| {
-        if door.shut.load(Ordering::Relaxed) {
+        if gate.shut.load(Ordering::Relaxed) {
             return (503, Vec::new());
         }
-        while path.starts_with("/changes?under=j/") && door.blind.load(Ordering::Relaxed) {
+        while path.starts_with("/changes?under=j/") && gate.blind.load(Ordering::Relaxed) {
             thread::sleep(Duration::from_millis(20));
         }
         let mut s = store.lock().unwrap();
@@ -212,8 +212,8 @@
                 let touches = |c: &&Change| c.write.as_ref().or(c.drop.as_ref()).is_some_and(|k| k.starts_with(prefix));
                 let events: Vec<Change> = s.log.iter().filter(|c| c.stamp > from).filter(touches).cloned().collect();
                 // In an outage open watches stay open.
-                let blind = prefix == "j/" && door.blind.load(Ordering::Relaxed);
-                let held = blind || door.shut.load(Ordering::Relaxed);
+                let blind = prefix == "j/" && gate.blind.load(Ordering::Relaxed);
+                let held = blind || gate.shut.load(Ordering::Relaxed);
                 if !held && (!events.is_empty() || Instant::now() >= until) {
                     return (200, body::encode(&Changes { epoch: s.epoch, events }));
                 }
@@ -262,7 +262,7 @@
             // j-000001: its tasks take a moment. Everything else runs on.
             if t.state == TaskState::Running && t.task.starts_with("j-00000") && since.elapsed().as_millis() > 300 {
                 t.state = TaskState::Exited;
-                t.why = Some(Why::Done);
+                t.why = Some(ExitReason::Done);
             }
         }
         Report {
@@ -300,7 +300,7 @@
                     for (t, _) in &mut self.tasks {
                         if same(t, task, *attempt) && t.state == TaskState::Running {
                             t.state = TaskState::Exited;
-                            t.why = Some(Why::Stopped);
+                            t.why = Some(ExitReason::Stopped);
                         }
                     }
                 }
@@ -322,7 +322,7 @@
     let addr = serve(move |_, path, bytes| {
         let mut w = shared.lock().unwrap();
         if path == "/do" {
-            let req: DoRequest = body::decode(bytes).unwrap();
+            let req: DirectCommandRequest = body::decode(bytes).unwrap();
             if req.token < w.token || req.session != 1 {
                 return (409, body::encode(&w.report()));
             }
@@ -451,7 +451,7 @@
 }
 
 /// Three controllers with their settings, not started yet.
-fn controllers(dir: &Path, doors: &[SocketAddr], cloud: SocketAddr, lease_s: u32, cancel_s: u32) -> Vec<Node> {
+fn controllers(dir: &Path, gates: &[SocketAddr], cloud: SocketAddr, lease_s: u32, cancel_s: u32) -> Vec<Node> {
     fs::create_dir_all(dir).unwrap();
     let ports: Vec<(SocketAddr, SocketAddr)> = (0..3).map(|_| (free_port(), free_port())).collect();
     (0..3)
@@ -463,7 +463,7 @@
             for m in (0..3).filter(|m| *m != n) {
                 text += &format!("[[seeds]]\nlabel = \"n-{m}\"\ndomain = \"a\"\nendpoint = \"{}\"\n", ports[m].1);
             }
-            text += &format!("[outside]\ncloud = \"{cloud}\"\nstate = \"{}\"\n", doors[n]);
+            text += &format!("[outside]\ncloud = \"{cloud}\"\nstate = \"{}\"\n", gates[n]);
             text += &format!(
                 "[cluster]\nzones = [\"a\"]\n[[cluster.teams]]\nname = \"red\"\n\
                 [cluster.workers]\nreport_s = 0.3\nlease_s = {lease_s}\ngang_wait_s = 40\ngang_peer_s = 8\n\
@@ -480,7 +480,7 @@
 /// Three controllers, a worker, and all that they need.
 struct Cluster {
     store: Arc<Mutex<Store>>,
-    doors: Vec<Arc<Door>>,
+    gates: Vec<Arc<AccessGate>>,
     worker: Arc<Mutex<Worker>>,
     nodes: Vec<Node>,
     stop: Arc<AtomicBool>,
@@ -490,8 +490,8 @@
 impl Cluster {
     fn start(name: &str, lease_s: u32, cancel_s: u32) -> Cluster {
         let store = Arc::new(Mutex::new(Store::default()));
-        let doors: Vec<Arc<Door>> = (0..3).map(|_| Arc::default()).collect();
-        let at: Vec<SocketAddr> = doors.iter().map(|d| state_service(store.clone(), d.clone())).collect();
+        let gates: Vec<Arc<AccessGate>> = (0..3).map(|_| Arc::default()).collect();
+        let at: Vec<SocketAddr> = gates.iter().map(|d| state_service(store.clone(), d.clone())).collect();
         let addrs = Arc::new(Mutex::new(Vec::new()));
         let stop = Arc::new(AtomicBool::new(false));
         let (worker_addr, worker) = worker(addrs.clone(), stop.clone());
@@ -505,7 +505,7 @@
         for n in &nodes {
             wait_for("ready", || (call(n.client, "GET", "/ready", &[])?.0 == 200).then_some(()));
         }
-        Cluster { store, doors, worker, nodes, stop, dir }
+        Cluster { store, gates, worker, nodes, stop, dir }
     }
 
     /// Whoever answers the worker's reports.
@@ -549,30 +549,30 @@
     // Refused alone, it is told by the controller that confirmed.
     let leader = c.leader();
     let other = c.nodes[(leader + 1) % 3].client;
-    c.doors[leader].shut.store(true, Ordering::Relaxed);
+    c.gates[leader].shut.store(true, Ordering::Relaxed);
     for n in c.nodes.iter() {
         status(n.client, "j-100002"); // a question makes a controller read
     }
     assert_eq!(call(other, "POST", "/api/jobs/j-100001/abort", &[]).map(|a| a.0), Some(200));
-    let told = Instant::now();
-    c.doors.iter().for_each(|d| d.shut.store(true, Ordering::Relaxed));
+    let user_responses = Instant::now();
+    c.gates.iter().for_each(|d| d.shut.store(true, Ordering::Relaxed));
     wait_for("what a peer told of is gone", || (c.runs("j-100001") == 0).then_some(()));
-    assert!(told.elapsed() < Duration::from_secs(3), "gone after {:?}", told.elapsed());
+    assert!(user_responses.elapsed() < Duration::from_secs(3), "gone after {:?}", user_responses.elapsed());
     // In the outage the rest goes on, answered by whoever may, for a time.
-    thread::sleep(Duration::from_millis(4_500).saturating_sub(told.elapsed()));
+    thread::sleep(Duration::from_millis(4_500).saturating_sub(user_responses.elapsed()));
     assert_eq!((c.runs("j-100002"), c.runs("j-100003")), (2, 2));
     let renewed = || c.worker.lock().unwrap().renewed.unwrap();
     assert!(renewed().elapsed() < Duration::from_secs(2), "leases are kept for a while");
-    thread::sleep(Duration::from_secs(u64::from(CANCEL_S - LEASE_S)).saturating_sub(told.elapsed()));
+    thread::sleep(Duration::from_secs(u64::from(CANCEL_S - LEASE_S)).saturating_sub(user_responses.elapsed()));
     let last = renewed();
     thread::sleep(Duration::from_secs(1));
     assert_eq!(renewed(), last, "nobody renews beyond the bound");
-    c.doors.iter().for_each(|d| d.shut.store(false, Ordering::Relaxed));
+    c.gates.iter().for_each(|d| d.shut.store(false, Ordering::Relaxed));
     wait_for("answered again", || (renewed() > last).then_some(()));
 
     // Its reads hang while its lease goes on; nobody can tell it.
     let leader = c.leader();
-    c.doors[leader].blind.store(true, Ordering::Relaxed);
+    c.gates[leader].blind.store(true, Ordering::Relaxed);
     let key = "j/j-100002";
     let confirmed = {
         let mut s = c.store.lock().unwrap();
@@ -608,7 +608,7 @@
     thread::sleep(Duration::from_secs(2));
     assert_eq!(renewed(), last, "renewed {:?} after the confirmation", renewed() - confirmed);
     assert!(last < confirmed + bound, "renewed {:?} after the confirmation", last - confirmed);
-    c.doors[leader].blind.store(false, Ordering::Relaxed);
+    c.gates[leader].blind.store(false, Ordering::Relaxed);
     wait_for("what it reads of is gone", || (c.runs("j-100002") == 0).then_some(()));
     assert_eq!((c.runs("j-100003"), c.runs("j-100004")), (2, 2), "nothing else is");
 
@@ -621,20 +621,26 @@
     }
     c.nodes[leader].kill();
     assert_eq!(call(other, "POST", "/api/jobs/j-100003/abort", &[]).map(|a| a.0), Some(200));
-    c.doors.iter().for_each(|d| d.shut.store(true, Ordering::Relaxed));
-    let told = Instant::now();
+    c.gates.iter().for_each(|d| d.shut.store(true, Ordering::Relaxed));
+    let user_responses = Instant::now();
     wait_for("halted by who keeps the lease", || (c.runs("j-100003") == 0).then_some(()));
-    assert!(told.elapsed() < Duration::from_secs(u64::from(CANCEL_S - LEASE_S)), "gone after {:?}", told.elapsed());
+    assert!(
+        user_responses.elapsed() < Duration::from_secs(u64::from(CANCEL_S - LEASE_S)),
+        "gone after {:?}",
+        user_responses.elapsed()
+    );
     assert_eq!(c.runs("j-100004"), 2, "the rest goes on");
-    c.doors.iter().for_each(|d| d.shut.store(false, Ordering::Relaxed));
-    wait_for("a leader again", || (c.worker.lock().unwrap().renewed? > told + Duration::from_secs(6)).then_some(()));
+    c.gates.iter().for_each(|d| d.shut.store(false, Ordering::Relaxed));
+    wait_for("a leader again", || {
+        (c.worker.lock().unwrap().renewed? > user_responses + Duration::from_secs(6)).then_some(())
+    });
     assert_eq!((c.runs("j-100003"), c.runs("j-100004")), (0, 2));
 }
 
 #[test]
 fn three_controllers_serve_fail_and_return() {
     let mut c = Cluster::start("loopback", 30, 50);
-    let (worker_state, shut) = (c.worker.clone(), c.doors.clone());
+    let (worker_state, shut) = (c.worker.clone(), c.gates.clone());
     let nodes = &mut c.nodes;
     let first = nodes[0].client;
 
@@ -721,8 +727,8 @@
     assert!(since.elapsed() < Duration::from_secs(5), "led on for {:?}", since.elapsed());
     wait_for("not ready", || (call(alone, "GET", "/ready", &[])?.0 == 503).then_some(()));
     let (code, bytes) = call(alone, "POST", "/checkin", &report(&worker_state)).unwrap();
-    let boss: Value = body::decode(&bytes).unwrap_or(Value::Null);
-    assert_eq!((code, boss.as_map().map_or(0, Vec::len)), (421, 0), "names somebody: {boss:?}");
+    let leader_hint: Value = body::decode(&bytes).unwrap_or(Value::Null);
+    assert_eq!((code, leader_hint.as_map().map_or(0, Vec::len)), (421, 0), "names somebody: {leader_hint:?}");
     let unknown = [("GET", "/api/jobs/j-000777", 503), ("GET", "/api/jobs/j-000001", 200)];
     for (method, path, want) in unknown {
         let asked = Instant::now();
@@ -750,13 +756,13 @@
 #[test]
 fn pipelines_over_the_wire() {
     let store = Arc::new(Mutex::new(Store::default()));
-    let doors: Vec<SocketAddr> = (0..3).map(|_| state_service(store.clone(), Arc::default())).collect();
+    let gates: Vec<SocketAddr> = (0..3).map(|_| state_service(store.clone(), Arc::default())).collect();
     let addrs = Arc::new(Mutex::new(Vec::new()));
     let stop = Arc::new(AtomicBool::new(false));
     let (worker_addr, _) = worker(addrs.clone(), stop.clone());
     let cloud = cloud(worker_addr);
     let dir = std::env::temp_dir().join(format!("shedhook-pipelines-{}", std::process::id()));
-    let mut nodes = controllers(&dir, &doors, cloud, 30, 50);
+    let mut nodes = controllers(&dir, &gates, cloud, 30, 50);
     let before = std::env::var_os("SHEDHOOK_BEFORE").map(PathBuf::from);
     eprintln!("the third controller is {}", before.as_ref().map_or("down", |_| "of the version before"));
     // All old first, then replaced one by one, the leader among them.
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -1,14 +1,14 @@
 //! Pipelines of dependent jobs: when they start, how they are cancelled, what
 //! they inherit, and what it costs to keep them.
 
-mod world;
+mod simulation;
 
 use std::time::{Duration, Instant};
 
 use ciborium::Value;
 use shedhook::{
     bookkeeping::{
-        mirror::Mirror,
+        job_cache::JobCache,
         records::{self, job_key, to_value, JobRecord, Status},
     },
     protocol::{
@@ -17,32 +17,32 @@
         store::{Change, Changes},
     },
 };
-use world::{run_table, sub, Weather, World};
+use simulation::{run_table, sub, FaultRates, Simulation};
 
 fn after(id: &str, kind: &str, tasks: u32, prereqs: &[&str]) -> Submission {
     let prereqs = Some(prereqs.iter().map(|p| (*p).to_owned()).collect());
     Submission { prereqs, ..sub(id, kind, tasks) }
 }
 
-fn is_done(id: &'static str) -> impl Fn(&World) -> bool {
+fn is_done(id: &'static str) -> impl Fn(&Simulation) -> bool {
     move |w| w.status(id) == Status::Done
 }
 
-fn has_begun(w: &World, id: &str) -> bool {
+fn has_begun(w: &Simulation, id: &str) -> bool {
     let of = |t: &str| t.split('/').next() == Some(id);
     w.completed.iter().any(|t| of(t)) || w.workers.iter().any(|x| x.tasks.iter().any(|t| of(&t.name)))
 }
 
 // ---- starts ------------------------------------------------------------
 
-fn chain(w: &mut World) {
+fn chain(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 6), 3_000);
     w.submit(after("j-2", "ensemble", 2, &["j-1"]), 3_000);
     w.submit(after("j-3", "batch", 3, &["j-2"]), 3_000);
     w.until("done", 90_000, is_done("j-3"));
 }
 
-fn diamond(w: &mut World) {
+fn diamond(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 2), 3_000);
     w.submit(after("j-2", "batch", 1, &["j-1"]), 2_000);
     w.submit(after("j-3", "batch", 1, &["j-1"]), 12_000);
@@ -53,7 +53,7 @@
     w.until("done", 60_000, is_done("j-4"));
 }
 
-fn fan(w: &mut World) {
+fn fan(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 2), 3_000);
     let names: Vec<String> = (10..30).map(|n| format!("j-{n}")).collect();
     for n in &names {
@@ -65,7 +65,7 @@
 }
 
 /// Ids come in no order: the leader reads dependents before what they need.
-fn read_in_the_order_of_ids(w: &mut World) {
+fn read_in_the_order_of_ids(w: &mut Simulation) {
     w.leader = None;
     w.submit(sub("j-9", "batch", 1), 2_000);
     w.submit(after("j-5", "batch", 1, &["j-9"]), 2_000);
@@ -75,7 +75,7 @@
 }
 
 /// Guard: all tasks have ended, but that isn't written: nothing after it starts.
-fn the_end_cannot_be_written(w: &mut World) {
+fn the_end_cannot_be_written(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 2), 3_000);
     w.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
     w.until("runs", 10_000, |w| w.where_is("j-1/1").is_some());
@@ -88,7 +88,7 @@
 
 /// The leader dies between the end and its record, or between the record and
 /// the start of what waited for it.
-fn the_leader_dies_before_the_end_is_written(w: &mut World) {
+fn the_leader_dies_before_the_end_is_written(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 1), 3_000);
     w.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
     w.until("ended", 20_000, |w| !w.completed.is_empty());
@@ -98,7 +98,7 @@
     w.until("done", 60_000, is_done("j-2"));
 }
 
-fn the_leader_dies_after_the_end_is_written(w: &mut World) {
+fn the_leader_dies_after_the_end_is_written(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 1), 3_000);
     w.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
     w.until("ended", 20_000, |w| !w.completed.is_empty());
@@ -111,20 +111,20 @@
 }
 
 /// Guard: the answer to the end's write is lost, and it is applied late.
-fn the_end_is_written_late(w: &mut World) {
+fn the_end_is_written_late(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 1), 3_000);
     w.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
     w.until("ended", 20_000, |w| !w.completed.is_empty());
-    w.weather = Weather { lost_txn: 100, ..Weather::default() };
+    w.faults = FaultRates { lost_txn: 100, ..FaultRates::default() };
     w.run(1_000);
-    w.weather = Weather::default();
+    w.faults = FaultRates::default();
     w.elect();
     w.until("done", 60_000, is_done("j-2"));
     w.run(45_000);
 }
 
 /// A job that is submitted when what it needs is over starts at once.
-fn named_when_it_is_over(w: &mut World) {
+fn named_when_it_is_over(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 1), 1_000);
     w.until("done", 30_000, is_done("j-1"));
     w.submit(after("j-2", "batch", 1, &["j-1"]), 1_000);
@@ -132,7 +132,7 @@
 }
 
 /// A waiting job takes no part of its team's limit.
-fn a_waiting_job_holds_no_limit(w: &mut World) {
+fn a_waiting_job_holds_no_limit(w: &mut Simulation) {
     w.team_gpus_max = 4.0;
     w.elect();
     w.submit(sub("j-1", "batch", 1), 60_000);
@@ -171,7 +171,7 @@
         for at in [0, 1_000, 4_000, 9_000, 14_000, 25_000] {
             for change in [false, true] {
                 let what = format!("step {step} cancelled after {at} ms, change of leader: {change}");
-                let mut w = World::new(step as u64, 4);
+                let mut w = Simulation::new(step as u64, 4);
                 w.elect();
                 w.submit(sub("j-9", "batch", 1), 2_000);
                 w.submit(sub("j-1", "batch", 3), 2_000);
@@ -190,7 +190,7 @@
                 w.run(100_000);
                 for (n, name) in names.iter().enumerate() {
                     let want = if won && n >= step { Status::Cancelled } else { Status::Done };
-                    assert_eq!(w.told(name), Some(want), "{what}: {name}");
+                    assert_eq!(w.user_responses(name), Some(want), "{what}: {name}");
                     assert!(n <= step || !won || !has_begun(&w, name), "{what}: {name} began");
                 }
                 w.check(&what);
@@ -200,7 +200,7 @@
 }
 
 /// Guard: a cancellation that meets the end has one winner, whoever knows of it.
-fn cancelled_while_the_end_is_written(w: &mut World) {
+fn cancelled_while_the_end_is_written(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 1), 3_000);
     w.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
     w.until("runs", 10_000, |w| w.where_is("j-1/0").is_some());
@@ -211,23 +211,23 @@
     assert!(w.status("j-1") == Status::Cancelled && !has_begun(w, "j-2"));
     w.blind = false;
     w.run(30_000);
-    assert_eq!(w.told("j-2"), Some(Status::Cancelled));
+    assert_eq!(w.user_responses("j-2"), Some(Status::Cancelled));
 }
 
 /// Guard: the write of the end is under way when the job is cancelled.
-fn a_late_end_of_a_cancelled_job(w: &mut World) {
+fn a_late_end_of_a_cancelled_job(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 1), 3_000);
     w.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
     w.until("ended", 20_000, |w| !w.completed.is_empty());
-    w.weather = Weather { lost_txn: 100, ..Weather::default() };
+    w.faults = FaultRates { lost_txn: 100, ..FaultRates::default() };
     w.run(1_000);
-    w.weather = Weather::default();
+    w.faults = FaultRates::default();
     let won = w.cancel("j-1");
     w.run(60_000);
-    assert_eq!(w.told("j-2"), Some(if won { Status::Cancelled } else { Status::Done }));
+    assert_eq!(w.user_responses("j-2"), Some(if won { Status::Cancelled } else { Status::Done }));
 }
 
-fn cancelled_while_the_state_service_is_away(w: &mut World) {
+fn cancelled_while_the_state_service_is_away(w: &mut Simulation) {
     w.submit(sub("j-1", "service", 2), 0);
     w.submit(sub("j-2", "batch", 2), 30_000);
     w.submit(after("j-3", "batch", 1, &["j-2"]), 1_000);
@@ -238,11 +238,11 @@
     w.run(20_000);
     w.txns_left = None;
     w.run(60_000);
-    assert_eq!(w.told("j-4"), Some(Status::Cancelled));
+    assert_eq!(w.user_responses("j-4"), Some(Status::Cancelled));
 }
 
 /// It is accepted all the same, and never starts.
-fn names_a_cancelled_one(w: &mut World) {
+fn names_a_cancelled_one(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 1), 60_000);
     w.submit(sub("j-5", "batch", 1), 1_000);
     w.submit(after("j-2", "batch", 1, &["j-1"]), 1_000);
@@ -252,7 +252,7 @@
     w.submit(after("j-4", "batch", 1, &["j-5", "j-2"]), 1_000);
     w.run(30_000);
     for id in ["j-2", "j-3", "j-4"] {
-        assert!(w.told(id) == Some(Status::Cancelled) && !has_begun(w, id), "{id}");
+        assert!(w.user_responses(id) == Some(Status::Cancelled) && !has_begun(w, id), "{id}");
         assert_eq!(w.status(id), Status::Pending, "{id}: the first one's record is the fact");
     }
 }
@@ -267,13 +267,13 @@
     ]);
 }
 
-/// By chance with fixed seeds: pipelines in all weathers, cancelled now and
+/// By chance with fixed seeds: pipelines in all faults, cancelled now and
 /// then, under leaders that change.
 #[test]
 fn pipelines_in_bad_weather() {
     for seed in 0..24 {
-        let mut w = World::new(seed, 6);
-        w.weather = Weather {
+        let mut w = Simulation::new(seed, 6);
+        w.faults = FaultRates {
             late_do: 10,
             lost_do: 5,
             repeat_do: 20,
@@ -281,7 +281,7 @@
             lost_txn: 15,
             lost_answer: 10,
             late_report: 10,
-            ..Weather::default()
+            ..FaultRates::default()
         };
         w.elect();
         let mut names: Vec<String> = Vec::new();
@@ -318,10 +318,10 @@
                 w.elect();
             }
         }
-        w.weather = Weather::default();
+        w.faults = FaultRates::default();
         (w.die_after_txn, w.die_before_txn) = (false, false);
         w.elect();
-        let over = |w: &World| names.iter().all(|n| w.told(n).is_some_and(|s| s != Status::Pending));
+        let over = |w: &Simulation| names.iter().all(|n| w.user_responses(n).is_some_and(|s| s != Status::Pending));
         w.until(&format!("all over, seed {seed}"), 600_000, over);
         w.run(60_000);
         w.check(&format!("seed {seed}"));
@@ -329,17 +329,17 @@
 }
 
 /// Five controllers of both versions take turns at leading and are replaced one
-/// by one, in bad weather; jobs with prerequisites come only when all are new,
+/// by one, in bad faults; jobs with prerequisites come only when all are new,
 /// and name jobs that were recorded, or ended, by either. The old ones are played
 /// by this version's mind with the old form of records: what an old process does
 /// besides, this can't show.
 #[test]
 fn replaced_one_by_one() {
     for seed in 0..8 {
-        let mut w = World::new(seed, 6);
+        let mut w = Simulation::new(seed, 6);
         (w.slots, w.chunk, w.chunk_fit) = (20, 64, 12);
         (w.value_now, w.value_max, w.value_fit) = (16 << 10, 16 << 10, 1 << 10);
-        w.weather = Weather { late_do: 5, slow_do: 20, lost_txn: 15, lost_answer: 10, ..Weather::default() };
+        w.faults = FaultRates { late_do: 5, slow_do: 20, lost_txn: 15, lost_answer: 10, ..FaultRates::default() };
         let mut is_new = [false; 5];
         let mut names: Vec<String> = Vec::new();
         for round in 0..40 {
@@ -352,7 +352,7 @@
             let all_new = is_new.iter().all(|n| *n);
             if w.leader.is_none() || w.any(3) == 0 {
                 w.writes_old_form = !is_new[w.any(5)];
-                w.may_rechunk = all_new;
+                w.may_reshard = all_new;
                 w.elect();
             }
             let id = format!("j-{}", (round * 27 + 5) % 40);
@@ -386,17 +386,17 @@
             }
         }
         assert!(is_new.iter().all(|n| *n), "seed {seed}");
-        w.weather = Weather::default();
-        (w.die_after_txn, w.die_before_txn, w.writes_old_form, w.may_rechunk) = (false, false, false, true);
+        w.faults = FaultRates::default();
+        (w.die_after_txn, w.die_before_txn, w.writes_old_form, w.may_reshard) = (false, false, false, true);
         w.elect();
-        let over = |w: &World| names.iter().all(|n| w.told(n).is_some_and(|s| s != Status::Pending));
+        let over = |w: &Simulation| names.iter().all(|n| w.user_responses(n).is_some_and(|s| s != Status::Pending));
         w.until(&format!("all over, seed {seed}"), 600_000, over);
         w.run(60_000);
         w.check(&format!("seed {seed}"));
     }
 }
 
-// ---- the mirror alone --------------------------------------------------
+// ---- the job cache alone --------------------------------------------------
 
 fn record(s: &Submission, status: Status, at_ms: u64) -> Value {
     to_value(&JobRecord { submission: s.clone(), status, at_ms, chunk: 4 })
@@ -427,7 +427,7 @@
     all.extend(rest.iter().enumerate().map(|(n, r)| change(r, Pending, 100, 3 + n as u64)));
     let mut state = 7u64;
     for round in 0..500 {
-        let mut m = Mirror::default();
+        let mut m = JobCache::default();
         for c in &all {
             m.apply(&Changes { epoch: c.stamp, events: vec![c.clone()] }, &mut Tables::default());
         }
@@ -446,7 +446,7 @@
 #[test]
 fn a_derived_cancellation_stays() {
     let (one, two) = (after("j-1", "batch", 1, &[]), after("j-2", "batch", 1, &["j-1"]));
-    let mut m = Mirror::default();
+    let mut m = JobCache::default();
     let mut t = Tables::default();
     let steps = [
         (change(&one, Status::Pending, 1, 1), Status::Pending),
@@ -479,7 +479,7 @@
     ];
     let mut t = Tables::default();
     for order in [[0, 1, 2, 3], [3, 2, 1, 0], [1, 3, 0, 2]] {
-        let mut m = Mirror::default();
+        let mut m = JobCache::default();
         for n in order {
             let c = change(&jobs[n], Status::Pending, 1_000, n as u64 + 1);
             m.apply(&Changes { epoch: c.stamp, events: vec![c] }, &mut t);
@@ -510,7 +510,7 @@
 /// A leader raises what already runs when a job that needs it comes.
 #[test]
 fn a_running_job_is_raised() {
-    let mut w = World::new(1, 4);
+    let mut w = Simulation::new(1, 4);
     w.elect();
     w.submit(Submission { priority: Some("low".into()), ..sub("j-1", "batch", 4) }, 20_000);
     w.until("runs", 10_000, |w| w.where_is("j-1/3").is_some());
@@ -522,7 +522,7 @@
     w.until("done", 90_000, is_done("j-2"));
     // What was counted under one priority was taken back under the same.
     let l = w.leader.as_ref().unwrap();
-    for h in &l.picture.hosts {
+    for h in &l.snapshot.hosts {
         assert!(h.low.iter().all(|r| !r.any()) && !h.soon.any(), "left over on a machine");
     }
     w.check("raised");
@@ -560,7 +560,7 @@
                 if backwards {
                     events.reverse();
                 }
-                let (mut m, mut t) = (Mirror::default(), Tables::default());
+                let (mut m, mut t) = (JobCache::default(), Tables::default());
                 let began = Instant::now();
                 m.apply(&Changes { epoch: 10_000, events }, &mut t);
                 let loaded = began.elapsed();
@@ -590,7 +590,7 @@
 /// from there.
 #[test]
 fn waiting_counts_from_the_last_end() {
-    let mut w = World::new(5, 4);
+    let mut w = Simulation::new(5, 4);
     w.elect();
     w.submit(sub("j-1", "batch", 1), 40_000);
     w.submit(after("j-2", "service", 1, &["j-1"]), 0);
--- a/tests/rules.rs
+++ b/tests/safety_rules.rs
@@ -1,16 +1,16 @@
 //! The rules at the end of PROTOCOL, one table of cases: each holds, loses or
-//! kills something, and the judge of `world` watches every start.
+//! kills something, and the judge of `simulation` watches every start.
 
-mod world;
+mod simulation;
 
 use shedhook::{
     bookkeeping::records::Status,
-    coordination::{keeping, picture::LOOK},
+    coordination::{lease_renewal, snapshot::LOOK},
     protocol::workers::{TaskReport, TaskState},
 };
-use world::{run_table, sub, Case, Held, Weather, World, CANCEL, LEASE};
+use simulation::{run_table, sub, Case, FaultRates, Held, Simulation, CANCEL, LEASE};
 
-fn crash_before_the_write(w: &mut World) {
+fn crash_before_the_write(w: &mut Simulation) {
     w.die_before_txn = true;
     w.submit(sub("j-1", "batch", 6), 5_000);
     w.run(3_000);
@@ -19,7 +19,7 @@
     w.until("done", 60_000, |w| w.status("j-1") == Status::Done);
 }
 
-fn crash_after_the_write(w: &mut World) {
+fn crash_after_the_write(w: &mut Simulation) {
     w.die_after_txn = true;
     w.submit(sub("j-1", "batch", 6), 5_000);
     w.run(3_000);
@@ -28,18 +28,18 @@
     w.until("done", 60_000, |w| w.status("j-1") == Status::Done);
 }
 
-fn a_late_command_to_a_worker_that_moved_on(w: &mut World) {
-    w.weather = Weather { late_do: 100, ..Weather::default() };
+fn a_late_command_to_a_worker_that_moved_on(w: &mut Simulation) {
+    w.faults = FaultRates { late_do: 100, ..FaultRates::default() };
     w.submit(sub("j-1", "service", 3), 0);
     w.run(400);
     w.elect();
-    w.weather = Weather::default();
+    w.faults = FaultRates::default();
     w.run(200_000);
 }
 
 /// Guard: the new leader counts a place as taken until the worker's lease is
 /// over, though the worker never said that it has the task.
-fn a_late_command_to_a_hung_worker(w: &mut World) {
+fn a_late_command_to_a_hung_worker(w: &mut Simulation) {
     w.submit(sub("j-1", "service", 1), 0);
     w.until("launched", 8_000, |w| w.workers.iter().any(|x| !x.tasks.is_empty()));
     let n = (0..w.workers.len()).find(|&n| w.workers[n].tasks.iter().any(|t| t.state != TaskState::Exited));
@@ -55,10 +55,10 @@
 
 /// Guard: a launch that went unanswered may arrive until the worker has shown
 /// the raised token; that it lists no such task until then proves nothing.
-fn a_gang_is_lost_with_a_launch_in_flight(w: &mut World) {
+fn a_gang_is_lost_with_a_launch_in_flight(w: &mut Simulation) {
     w.workers.iter_mut().skip(2).for_each(|x| x.dead = true);
     w.run(5_000);
-    w.weather = Weather { late_do: 100, ..Weather::default() };
+    w.faults = FaultRates { late_do: 100, ..FaultRates::default() };
     let mut s = sub("j-1", "ensemble", 2);
     s.cpus = Some(8.0);
     w.submit(s, 0);
@@ -68,7 +68,7 @@
     for (at, h) in &mut w.held {
         *at = now + if matches!(h, Held::Do { worker: 0, .. }) { 15_000 } else { 100 };
     }
-    w.weather = Weather::default();
+    w.faults = FaultRates::default();
     w.workers[0].deaf = true;
     w.run(2_000);
     // The other one is lost: the gang stops, and starts anew when all of it is gone.
@@ -82,7 +82,7 @@
 
 /// Guard: nothing is launched before its record is written, neither by a
 /// command nor in the answer to a report; a gang only after all of its records.
-fn nothing_starts_while_records_cannot_be_written(w: &mut World) {
+fn nothing_starts_while_records_cannot_be_written(w: &mut Simulation) {
     w.run(5_000);
     w.txns_left = Some(1);
     let mut s = sub("j-1", "ensemble", 40);
@@ -99,9 +99,9 @@
 
 /// Guard: a repeat of a command that was carried out comes after its task was
 /// stopped and reaped, and runs elsewhere.
-fn a_repeated_command_after_the_reap(w: &mut World) {
+fn a_repeated_command_after_the_reap(w: &mut Simulation) {
     w.run(5_000);
-    w.weather = Weather { repeat_do: 100, ..Weather::default() };
+    w.faults = FaultRates { repeat_do: 100, ..FaultRates::default() };
     let mut s = sub("j-1", "service", 1);
     s.priority = Some("low".into());
     w.submit(s, 0);
@@ -109,7 +109,7 @@
     assert!(!w.held.is_empty(), "launched by a command, of which a copy is under way");
     let at = w.now + 30_000;
     w.held.iter_mut().for_each(|h| h.0 = at);
-    w.weather = Weather::default();
+    w.faults = FaultRates::default();
     let n = w.where_is("j-1/0").unwrap();
     let mut s = sub("j-2", "ensemble", 4);
     (s.priority, s.cpus) = (Some("high".into()), Some(7.0));
@@ -124,7 +124,7 @@
 
 /// Guard: a session learned from a probe or a command's answer has a lease of
 /// its own, counted from when it was seen, though no report of it came.
-fn a_new_session_seen_by_a_probe(w: &mut World) {
+fn a_new_session_seen_by_a_probe(w: &mut Simulation) {
     w.submit(sub("j-1", "service", 9), 0);
     w.until("runs", 10_000, |w| w.where_is("j-1/8").is_some());
     w.workers.iter_mut().skip(1).for_each(|x| x.mute = true);
@@ -133,7 +133,7 @@
     w.until("runs", 40_000, |w| w.where_is("j-1/8").is_some());
 }
 
-fn a_worker_that_is_cut_off_goes_on(w: &mut World) {
+fn a_worker_that_is_cut_off_goes_on(w: &mut Simulation) {
     w.submit(sub("j-1", "service", 2), 0);
     w.until("runs", 10_000, |w| w.where_is("j-1/0").is_some());
     let n = w.where_is("j-1/0").unwrap();
@@ -148,7 +148,7 @@
 
 /// Guard: a report from before the launch, delivered to the next leader, does
 /// not list the task; that must not free its place.
-fn a_late_report_from_before_the_launch(w: &mut World) {
+fn a_late_report_from_before_the_launch(w: &mut Simulation) {
     w.run(4_000);
     let early: Vec<_> = (0..w.workers.len()).map(|n| w.report_of(n)).collect();
     w.submit(sub("j-1", "service", 3), 0);
@@ -170,11 +170,11 @@
     w.run(60_000);
 }
 
-fn a_late_transaction_of_the_leader_before(w: &mut World) {
-    w.weather = Weather { lost_txn: 100, ..Weather::default() };
+fn a_late_transaction_of_the_leader_before(w: &mut Simulation) {
+    w.faults = FaultRates { lost_txn: 100, ..FaultRates::default() };
     w.submit(sub("j-1", "batch", 8), 4_000);
     w.run(500);
-    w.weather = Weather::default();
+    w.faults = FaultRates::default();
     w.elect();
     w.until("done", 90_000, |w| w.status("j-1") == Status::Done);
     w.run(45_000);
@@ -182,15 +182,15 @@
 
 /// Guard: a copy of a transaction that is applied late must not turn the
 /// records back to where tasks were before.
-fn a_late_copy_of_our_own_transaction(w: &mut World) {
+fn a_late_copy_of_our_own_transaction(w: &mut Simulation) {
     w.workers.iter_mut().skip(1).for_each(|x| x.dead = true);
     w.run(5_000);
     let mut s = sub("j-1", "service", 1);
     s.priority = Some("low".into());
     w.submit(s, 0);
-    w.weather = Weather { lost_txn: 100, ..Weather::default() };
+    w.faults = FaultRates { lost_txn: 100, ..FaultRates::default() };
     w.until("a copy is held", 60_000, |w| !w.held.is_empty());
-    w.weather = Weather::default();
+    w.faults = FaultRates::default();
     let at = w.now + 30_000;
     w.held.iter_mut().for_each(|h| h.0 = at);
     w.until("runs", 20_000, |w| w.where_is("j-1/0").is_some());
@@ -205,26 +205,26 @@
     w.run(10_000);
 }
 
-fn a_lost_answer_to_every_second_transaction(w: &mut World) {
-    w.weather = Weather { lost_txn: 50, ..Weather::default() };
+fn a_lost_answer_to_every_second_transaction(w: &mut Simulation) {
+    w.faults = FaultRates { lost_txn: 50, ..FaultRates::default() };
     w.submit(sub("j-1", "batch", 12), 2_000);
     w.submit(sub("j-2", "service", 2), 0);
     w.until("done", 300_000, |w| w.status("j-1") == Status::Done);
 }
 
 /// Guard: a launch under way when its job is cancelled is found and stopped.
-fn cancelled_with_the_launch_in_flight(w: &mut World) {
-    w.weather = Weather { late_do: 100, ..Weather::default() };
+fn cancelled_with_the_launch_in_flight(w: &mut Simulation) {
+    w.faults = FaultRates { late_do: 100, ..FaultRates::default() };
     w.submit(sub("j-1", "batch", 4), 500_000);
     w.run(300);
     assert!(w.cancel("j-1"));
-    w.weather = Weather::default();
+    w.faults = FaultRates::default();
     w.submit(sub("j-2", "batch", 1), 1_000);
     w.run(150_000);
     assert_eq!(w.status("j-1"), Status::Cancelled);
 }
 
-fn cancelled_while_the_leader_is_away(w: &mut World) {
+fn cancelled_while_the_leader_is_away(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 4), 500_000);
     w.until("runs", 10_000, |w| w.where_is("j-1/0").is_some());
     w.leader = None;
@@ -236,7 +236,7 @@
 }
 
 /// Guard: the limit counts places whose tasks may still be there.
-fn quota_while_a_machine_is_silent(w: &mut World) {
+fn quota_while_a_machine_is_silent(w: &mut Simulation) {
     w.team_gpus_max = 4.0;
     w.elect();
     let mut s = sub("j-1", "service", 2);
@@ -257,7 +257,7 @@
 }
 
 /// Guard: an attempt that may still run binds its job to its zone.
-fn same_place_with_an_old_attempt_unheard(w: &mut World) {
+fn same_place_with_an_old_attempt_unheard(w: &mut Simulation) {
     let mut s = sub("j-1", "ensemble", 2);
     s.one_zone = Some(true);
     w.submit(s, 0);
@@ -272,7 +272,7 @@
     assert_ne!(w.workers[n].zone, zone);
 }
 
-fn scatter_keeps_its_half(w: &mut World) {
+fn scatter_keeps_its_half(w: &mut Simulation) {
     let mut s = sub("j-1", "service", 5);
     s.spread = Some(true);
     w.submit(s, 0);
@@ -286,7 +286,7 @@
 }
 
 /// Guard: all tasks of a gang are told to stop at one moment, with the time to save.
-fn a_gang_stops_in_order(w: &mut World) {
+fn a_gang_stops_in_order(w: &mut Simulation) {
     let mut s = sub("j-1", "ensemble", 4);
     s.priority = Some("low".into());
     (s.cpus, s.checkpoint_s, s.save_s) = (Some(8.0), Some(20.0), Some(4.0));
@@ -304,16 +304,16 @@
 
 /// Guard: a rental that went unanswered is asked for again by the same name,
 /// and no later leader uses a name of an earlier one.
-fn rentals_are_never_doubled(w: &mut World) {
+fn rentals_are_never_doubled(w: &mut Simulation) {
     w.capacity = 6;
-    w.weather = Weather { lost_rent: 100, ..Weather::default() };
+    w.faults = FaultRates { lost_rent: 100, ..FaultRates::default() };
     w.elect();
     w.submit(sub("j-1", "batch", 24), 8_000);
     w.run(8_000);
     let machines = w.workers.len();
     w.elect();
     w.run(4_000);
-    w.weather = Weather::default();
+    w.faults = FaultRates::default();
     w.until("done", 200_000, |w| w.status("j-1") == Status::Done);
     assert!(machines > 4, "what was rented unheard is used");
     for (stamp, name) in &w.asked_in {
@@ -324,7 +324,7 @@
 
 /// One silent machine among others that speak is handed back, and its tasks
 /// start elsewhere long before its lease is over.
-fn a_dead_machine_goes_back(w: &mut World) {
+fn a_dead_machine_goes_back(w: &mut Simulation) {
     (w.capacity, w.silent_ms) = (1, 8_500);
     for zone in ["a", "b", "a", "b"] {
         w.add_worker(zone);
@@ -340,7 +340,7 @@
 
 /// Guard: machines behind a cut are not taken for dead, neither while it
 /// lasts, nor when it ends under a new leader and they come back one by one.
-fn machines_behind_a_cut_are_kept(w: &mut World) {
+fn machines_behind_a_cut_are_kept(w: &mut Simulation) {
     (w.capacity, w.silent_ms) = (1, 8_500);
     for zone in ["a", "b", "a", "b", "a", "b"] {
         w.add_worker(zone);
@@ -349,7 +349,7 @@
     w.run(20_000);
     w.submit(sub("j-1", "service", 16), 0);
     w.run(5_000);
-    let zone_b = |w: &mut World, cut: bool| {
+    let zone_b = |w: &mut Simulation, cut: bool| {
         w.workers.iter_mut().filter(|x| x.zone == "b").for_each(|x| x.cut = cut);
     };
     zone_b(w, true);
@@ -362,7 +362,7 @@
 }
 
 /// A job of 100,000 tasks goes through in parts, and nothing waits behind it.
-fn a_large_job_stalls_nobody(w: &mut World) {
+fn a_large_job_stalls_nobody(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 100_000), 2_000);
     w.run(10_000);
     assert!(w.where_is("j-1/0").is_some() || w.completed.contains("j-1/0"));
@@ -381,21 +381,21 @@
 
 /// Guard: reports are ordered by session and number; what is older than what
 /// is known, or of a session that was counted out, changes nothing.
-fn old_reports_change_nothing(w: &mut World) {
+fn old_reports_change_nothing(w: &mut Simulation) {
     w.submit(sub("j-0", "batch", 1), 1_000);
     let mut s = sub("j-1", "batch", 1);
     s.zone = Some("nowhere".into());
     w.submit(s, 1_000);
     w.run(10_000);
-    let ghost = |w: &mut World, seq: u64| {
+    let ghost = |w: &mut Simulation, seq: u64| {
         let mut r = w.report_of(0);
         r.seq = seq;
         r.tasks =
             vec![TaskReport { task: "j-1/0".into(), attempt: 1, state: TaskState::Running, why: None, saved: None }];
         Held::Report(r)
     };
-    let placed = |w: &World| {
-        let ix = w.mirror.find("j-1").unwrap();
+    let placed = |w: &Simulation| {
+        let ix = w.job_cache.find("j-1").unwrap();
         w.leader.as_ref().unwrap().job(ix).unwrap().placed
     };
     let early = ghost(w, 1);
@@ -414,7 +414,7 @@
     assert_eq!(placed(w), 0, "a report of a dead session was believed");
 }
 
-fn strays_are_adopted(w: &mut World) {
+fn strays_are_adopted(w: &mut Simulation) {
     w.workers.iter_mut().skip(1).for_each(|x| x.dead = true);
     w.submit(sub("j-1", "service", 2), 0);
     w.until("runs", 10_000, |w| w.where_is("j-1/1").is_some());
@@ -429,7 +429,7 @@
 
 /// Guard: a copy of a report of a machine that was handed back comes to a
 /// leader that never heard of it: nothing is given to the ghost.
-fn a_copy_from_a_machine_that_went_back(w: &mut World) {
+fn a_copy_from_a_machine_that_went_back(w: &mut Simulation) {
     w.submit(sub("j-1", "batch", 2), 500_000);
     w.until("runs", 10_000, |w| w.where_is("j-1/1").is_some());
     let copies: Vec<_> = (0..2).map(|n| w.report_of(n)).collect();
@@ -450,7 +450,7 @@
 
 /// Guard: to a new leader, an old copy is the newest report it has of a
 /// machine; it neither frees what came later nor brings back what is over.
-fn an_old_copy_is_the_first_that_a_leader_hears(w: &mut World) {
+fn an_old_copy_is_the_first_that_a_leader_hears(w: &mut Simulation) {
     w.run(4_000);
     w.submit(sub("j-1", "service", 3), 0);
     let mut s = sub("j-2", "service", 3);
@@ -483,7 +483,7 @@
 
 /// Guard: a machine whose reports come, but that hears nothing, is noticed: it
 /// gets no new work and goes back, whether it was deaf before or fell deaf.
-fn a_machine_that_hears_nothing(w: &mut World) {
+fn a_machine_that_hears_nothing(w: &mut Simulation) {
     (w.capacity, w.silent_ms) = (1, 8_500);
     for zone in ["a", "b", "a", "b"] {
         w.add_worker(zone);
@@ -505,7 +505,7 @@
 
 /// Guard: machines that reach no controller, but answer its calls, took new
 /// work in every new session and lost it with the next lease.
-fn machines_that_reach_nobody_take_nothing_new(w: &mut World) {
+fn machines_that_reach_nobody_take_nothing_new(w: &mut Simulation) {
     for zone in ["a", "b", "a", "b"] {
         w.add_worker(zone);
     }
@@ -521,7 +521,7 @@
     w.submit(sub("j-2", "service", 16), 0);
     w.run(20_000);
     let is_there =
-        |w: &World| w.workers.iter().filter(|x| x.mute).flat_map(|x| &x.tasks).any(|t| t.name.starts_with("j-2/"));
+        |w: &Simulation| w.workers.iter().filter(|x| x.mute).flat_map(|x| &x.tasks).any(|t| t.name.starts_with("j-2/"));
     for _ in 0..LEASE * 2 / 1_000 {
         assert!(!is_there(w), "new work on a machine that reaches nobody");
         w.run(1_000);
@@ -531,7 +531,7 @@
 }
 
 /// A worker comes back with a new session before anybody missed it.
-fn a_worker_that_is_back_at_once(w: &mut World) {
+fn a_worker_that_is_back_at_once(w: &mut Simulation) {
     w.submit(sub("j-1", "service", 4), 0);
     let mut s = sub("j-2", "ensemble", 3);
     s.one_zone = Some(true);
@@ -553,22 +553,22 @@
 
 /// A controller comes back within a fraction of a second, again and again, as
 /// the next leader each time: each finds what those before have begun.
-fn leaders_that_follow_one_another_quickly(w: &mut World) {
-    w.weather = Weather { late_do: 30, lost_txn: 30, lost_answer: 20, late_report: 20, ..Weather::default() };
+fn leaders_that_follow_one_another_quickly(w: &mut Simulation) {
+    w.faults = FaultRates { late_do: 30, lost_txn: 30, lost_answer: 20, late_report: 20, ..FaultRates::default() };
     w.submit(sub("j-1", "service", 6), 0);
     w.submit(sub("j-2", "batch", 10), 3_000);
     for _ in 0..12 {
         w.elect();
         w.run(300);
     }
-    w.weather = Weather::default();
+    w.faults = FaultRates::default();
     w.until("done", 120_000, |w| w.status("j-2") == Status::Done);
     w.until("runs", 90_000, |w| (0..6).all(|n| w.where_is(&format!("j-1/{n}")).is_some()));
 }
 
 /// Guard: small work takes every machine that is free, so that a large gang
 /// never found all of its own at once; nor did low priority get any.
-fn the_largest_begin_in_time(w: &mut World) {
+fn the_largest_begin_in_time(w: &mut Simulation) {
     let mut gang = sub("j-1", "ensemble", 4);
     (gang.cpus, gang.one_zone) = (Some(4.0), Some(true));
     w.submit(gang, 100_000);
@@ -592,14 +592,14 @@
     w.until("the gang begins", 240_000 - (w.now - 1_000), |w| {
         (0..4).all(|n| w.where_is(&format!("j-1/{n}")).is_some())
     });
-    let began = |w: &World| w.completed.iter().any(|t| t.starts_with("j-2/"));
+    let began = |w: &Simulation| w.completed.iter().any(|t| t.starts_with("j-2/"));
     w.until("low priority begins", 245_000 - (w.now - 1_000), began);
 }
 
 /// Guard: when more is due than there is room for, gangs of one machine took
 /// every one that a larger gang could begin to collect, and it came last; one
 /// gang in each zone collects its machines at a time.
-fn the_largest_begin_in_time_in_a_backlog(w: &mut World) {
+fn the_largest_begin_in_time_in_a_backlog(w: &mut Simulation) {
     for n in 0..4 {
         w.add_worker(["a", "b"][n % 2]);
     }
@@ -616,7 +616,7 @@
     for n in 0..4 {
         w.submit(gang(&format!("j-{n}"), 4), 7_000);
     }
-    let begun = |w: &World| (0..4).all(|j| w.completed.contains(&format!("j-{j}/0")));
+    let begun = |w: &Simulation| (0..4).all(|j| w.completed.contains(&format!("j-{j}/0")));
     w.until("all large ones have begun", from + 240_000 - w.now, begun);
     assert!(w.completed.len() > 100, "small ones run meanwhile");
     w.until("the small ones are done", 400_000, |w| {
@@ -626,7 +626,7 @@
 
 /// Guard: machines were rented without end in one zone for a gang that must be
 /// over two; and half in each for one that must be in one.
-fn machines_come_in_the_zones_that_need_them(w: &mut World) {
+fn machines_come_in_the_zones_that_need_them(w: &mut Simulation) {
     w.capacity = 20;
     for x in w.workers.iter_mut().filter(|x| x.zone == "b") {
         x.dead = true;
@@ -649,23 +649,23 @@
 /// while. A leader outside, new since, counts none of them out on its own clock,
 /// nor once the cut is over before the last lease kept has ended; and what is
 /// cancelled meanwhile is gone in time.
-fn leases_kept_behind_a_cut(w: &mut World) {
+fn leases_kept_behind_a_cut(w: &mut Simulation) {
     for zone in ["b", "b", "a", "a", "a"] {
         w.add_worker(zone);
     }
     w.submit(sub("j-1", "service", 20), 0);
     w.submit(sub("j-2", "service", 4), 0);
     w.until("all run", 20_000, |w| w.starts == 24);
-    let in_b = |w: &World| -> Vec<String> {
+    let in_b = |w: &Simulation| -> Vec<String> {
         let b = w.workers.iter().filter(|x| x.zone == "b");
         b.flat_map(|x| x.tasks.iter().map(|t| t.name.clone())).filter(|t| t.starts_with("j-1/")).collect()
     };
     let there = in_b(w);
     assert!(there.len() > 4);
-    let zone_b = |w: &mut World, cut: bool, kept: bool| {
+    let zone_b = |w: &mut Simulation, cut: bool, kept: bool| {
         w.workers.iter_mut().filter(|x| x.zone == "b").for_each(|x| (x.cut, x.kept) = (cut, kept));
     };
-    let most = keeping::most_ms(CANCEL as f64 / 1000.0, LEASE as f64 / 1000.0);
+    let most = lease_renewal::most_ms(CANCEL as f64 / 1000.0, LEASE as f64 / 1000.0);
     zone_b(w, true, true);
     w.unspoken = Some(w.now);
     // The leader was inside; another one is elected, and a user cancels.
@@ -690,7 +690,7 @@
 /// Guard: a sixth of all machines hang for longer than their leases. They go
 /// back as soon as they are missed, since others of their zone speak; nothing
 /// runs twice when they go on, and no more machines come than went.
-fn many_machines_hang(w: &mut World) {
+fn many_machines_hang(w: &mut Simulation) {
     (w.capacity, w.silent_ms) = (40, 8_500);
     for n in 0..20 {
         w.add_worker(["a", "b"][n % 2]);
@@ -704,7 +704,8 @@
     w.until("all run", 20_000, |w| (0..40).all(|n| w.where_is(&format!("j-1/{n}")).is_some()));
     let hung: Vec<usize> = (0..24).filter(|&n| !w.workers[n].tasks.is_empty()).take(4).collect();
     hung.iter().for_each(|&n| w.workers[n].hung = true);
-    let elsewhere = |w: &World| (0..40).all(|t| w.where_is(&format!("j-1/{t}")).is_some_and(|n| !w.workers[n].hung));
+    let elsewhere =
+        |w: &Simulation| (0..40).all(|t| w.where_is(&format!("j-1/{t}")).is_some_and(|n| !w.workers[n].hung));
     w.until("replaced before their leases are over", LEASE - 5_000, elsewhere);
     w.run(LEASE);
     hung.iter().for_each(|&n| w.workers[n].hung = false);
@@ -714,7 +715,7 @@
 
 /// Guard: a gang that must be in one zone went to that of its first task's
 /// cheapest machine, and waited for ever when that zone had too few.
-fn room_for_a_gang_in_the_zone_that_has_enough(w: &mut World) {
+fn room_for_a_gang_in_the_zone_that_has_enough(w: &mut Simulation) {
     for _ in 0..2 {
         w.add_worker("b");
     }
@@ -730,7 +731,7 @@
 }
 
 /// Guard: orders for one worker may be more than an answer takes.
-fn answers_stay_under_their_limit(w: &mut World) {
+fn answers_stay_under_their_limit(w: &mut Simulation) {
     use shedhook::protocol::{
         cbor,
         workers::{Order, ReportAnswer},
@@ -797,18 +798,18 @@
 }
 
 /// Everything at once, by chance with fixed seeds: nothing breaks a rule, and
-/// once the weather clears all arrays are done.
+/// once the faults clears all arrays are done.
 #[test]
 fn bad_weather() {
     for seed in 0..32 {
-        let mut w = World::new(seed, 6);
+        let mut w = Simulation::new(seed, 6);
         w.team_gpus_max = 8.0;
         w.capacity = 12;
         w.fetch = [200, 1_000][w.any(2)];
         if seed % 2 == 0 {
             w.silent_ms = 8_500; // silent and deaf machines go back
         }
-        w.weather = Weather {
+        w.faults = FaultRates {
             late_do: 10,
             lost_do: 5,
             repeat_do: 20,
@@ -817,7 +818,7 @@
             lost_answer: 10,
             late_report: 10,
             lost_rent: 30,
-            ..Weather::default()
+            ..FaultRates::default()
         };
         w.elect();
         for n in 0..12u32 {
@@ -856,7 +857,7 @@
             }
         }
         w.check(&format!("seed {seed}"));
-        w.weather = Weather::default();
+        w.faults = FaultRates::default();
         w.capacity = 12;
         w.workers.iter_mut().for_each(|x| (x.cut, x.hung, x.stone) = (false, false, false));
         w.elect();
@@ -866,7 +867,7 @@
                 w.cancel(&id);
             }
         }
-        let over = |w: &World| (0..12).all(|n| w.status(&format!("j-{n}")) != Status::Pending);
+        let over = |w: &Simulation| (0..12).all(|n| w.status(&format!("j-{n}")) != Status::Pending);
         w.until(&format!("seed {seed}: all over"), 900_000, over);
         w.check(&format!("seed {seed}, afterwards"));
     }
@@ -884,13 +885,13 @@
 /// them unused while submissions were refused.
 #[test]
 fn thousands_of_machines_and_five_controllers() {
-    let mut w = World::new(3, MACHINES);
+    let mut w = Simulation::new(3, MACHINES);
     w.limit_writes(35.0, 5);
     (w.chunk, w.vary) = (64, 700);
     w.elect();
     w.run(8_000);
-    let looked = |w: &World| w.leader.as_ref().unwrap().picture.looked;
-    let written = |w: &World| w.writes.as_ref().unwrap().written;
+    let looked = |w: &Simulation| w.leader.as_ref().unwrap().snapshot.looked;
+    let written = |w: &Simulation| w.writes.as_ref().unwrap().written;
     assert_eq!((looked(&w), written(&w)), (0, 0), "nobody asked for anything");
 
     // Two jobs a second, ten in a row at one controller.
@@ -908,8 +909,9 @@
         }
         w.run(if n % 10 == 9 { 4_000 } else { 100 });
     }
-    let over =
-        |w: &World| (0..SERVICES + ARRAYS).filter(|n| n % 8 >= 3).all(|n| w.status(&format!("j-{n}")) == Status::Done);
+    let over = |w: &Simulation| {
+        (0..SERVICES + ARRAYS).filter(|n| n % 8 >= 3).all(|n| w.status(&format!("j-{n}")) == Status::Done)
+    };
     w.until("all arrays are done", 60_000, over);
     assert!(refused <= 3, "{refused} submissions refused at a fifteenth of the limit");
     assert!(w.writes.as_ref().unwrap().refused == 0, "the service itself refused");
--- a/tests/world/mod.rs
+++ b/tests/simulation/mod.rs
@@ -10,13 +10,13 @@
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use shedhook::{
     bookkeeping::{
-        budget::{share, Budget, Part, Urgency},
-        mirror::Mirror,
+        budget::{share, Budget, BudgetRole, Urgency},
+        job_cache::JobCache,
         records::{self, ChunkRecord, JobRecord, Status},
     },
     coordination::{
         fleet::RentOutcome,
-        leader::{Answer, CommitOutcome, Config, DoOutcome, Effect, Leader},
+        leader::{Answer, CommitOutcome, Config, DirectCallOutcome, Effect, Leader},
         model::{MachineIx, Ms, Res, TeamLimits, TypeInfo},
     },
     protocol::{
@@ -24,7 +24,7 @@
         jobs::Submission,
         names::Tables,
         store::{Change, Changes, Op, Page, Pair, Txn},
-        workers::{split_task, DoRequest, Order, Report, TaskReport, TaskState, Why},
+        workers::{split_task, DirectCommandRequest, ExitReason, Order, Report, TaskReport, TaskState},
     },
 };
 
@@ -101,7 +101,7 @@
     pub name: String,
     pub attempt: u64,
     pub state: TaskState,
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
     since: Ms,
 }
 
@@ -175,7 +175,7 @@
                     attempt: t.attempt,
                     state: t.state,
                     why: t.why,
-                    saved: (t.why == Some(Why::Stopped)).then_some(true),
+                    saved: (t.why == Some(ExitReason::Stopped)).then_some(true),
                 })
                 .collect(),
         }
@@ -192,11 +192,11 @@
 pub enum Held {
     Do {
         worker: usize,
-        req: DoRequest,
+        req: DirectCommandRequest,
     },
     SlowDo {
         worker: usize,
-        req: DoRequest,
+        req: DirectCommandRequest,
         machine: MachineIx,
         call: u64,
         stamp: u64,
@@ -214,7 +214,7 @@
     },
     /// The command was carried out; this is what the leader hears of it.
     DoAnswer {
-        out: DoOutcome,
+        out: DirectCallOutcome,
         machine: MachineIx,
         call: u64,
         stamp: u64,
@@ -223,7 +223,7 @@
 
 /// What happens to messages, decided anew for each.
 #[derive(Clone, Copy, Default)]
-pub struct Weather {
+pub struct FaultRates {
     /// In a hundred: the answer to a command is lost; the command is executed later.
     pub late_do: u32,
     /// A command never arrives.
@@ -266,17 +266,17 @@
     pub refused: usize,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Ms,
     pub rng: SmallRng,
     pub store: Store,
     pub workers: Vec<Worker>,
     pub jobs: HashMap<String, JobFacts>,
     pub leader: Option<Leader>,
-    pub mirror: Mirror,
+    pub job_cache: JobCache,
     pub tables: Tables,
     pub held: Vec<(Ms, Held)>,
-    pub weather: Weather,
+    pub faults: FaultRates,
     /// Tasks that completed; started again, they end at once.
     pub completed: std::collections::HashSet<String>,
     pub asks: HashMap<String, Vec<String>>,
@@ -326,7 +326,7 @@
     /// Most writes of a transaction that it takes.
     pub ops_now: usize,
     pub too_large: usize,
-    pub may_rechunk: bool,
+    pub may_reshard: bool,
     /// Where writes are counted; elsewhere they are free.
     pub writes: Option<Writes>,
     /// The state service refuses the leader: its reads and transactions get
@@ -349,13 +349,13 @@
     waits: HashMap<String, Ms>,
 }
 
-pub type Case = (&'static str, fn(&mut World));
+pub type Case = (&'static str, fn(&mut Simulation));
 
-/// Plays each case in a world of its own.
+/// Plays each case in a simulation of its own.
 pub fn run_table(cases: &[Case]) {
     for (n, (name, case)) in cases.iter().enumerate() {
         eprintln!("case: {name}");
-        let mut w = World::new(n as u64, 4);
+        let mut w = Simulation::new(n as u64, 4);
         w.elect();
         case(&mut w);
         w.check(name);
@@ -385,19 +385,19 @@
     }
 }
 
-impl World {
-    pub fn new(seed: u64, workers: usize) -> World {
-        let mut w = World {
+impl Simulation {
+    pub fn new(seed: u64, workers: usize) -> Simulation {
+        let mut w = Simulation {
             now: 1_000,
             rng: SmallRng::seed_from_u64(seed),
             store: Store::default(),
             workers: Vec::new(),
             jobs: HashMap::new(),
             leader: None,
-            mirror: Mirror::default(),
+            job_cache: JobCache::default(),
             tables: Tables::default(),
             held: Vec::new(),
-            weather: Weather::default(),
+            faults: FaultRates::default(),
             completed: Default::default(),
             asks: HashMap::new(),
             asked_in: Vec::new(),
@@ -428,7 +428,7 @@
             chunk_fit: u32::MAX,
             ops_now: usize::MAX,
             too_large: 0,
-            may_rechunk: false,
+            may_reshard: false,
             writes: None,
             refuse_leader: false,
             changes_ms: 0,
@@ -516,13 +516,13 @@
         };
         let nonce = self.rng.random();
         let mut leader = Leader::new(cfg, stamp, nonce, self.now, self.types());
-        self.mirror = Mirror::default();
-        self.mirror.page(&self.store.page(records::JOBS), true, &mut self.tables);
-        self.mirror.take_changed();
+        self.job_cache = JobCache::default();
+        self.job_cache.page(&self.store.page(records::JOBS), true, &mut self.tables);
+        self.job_cache.take_changed();
         for p in self.store.page(records::TASKS).pairs {
-            leader.load(self.now, self.now, &p.key, &p.v, p.stamp, &self.mirror, &mut self.tables);
+            leader.load(self.now, self.now, &p.key, &p.v, p.stamp, &self.job_cache, &mut self.tables);
         }
-        leader.loaded(self.now, self.now, &self.mirror);
+        leader.loaded(self.now, self.now, &self.job_cache);
         self.leader = Some(leader);
     }
 
@@ -547,10 +547,10 @@
             };
             let mut all = others(|u| u.0 + u.1);
             all.push(Some(used[i].1));
-            c.users.set(share(w.limit, Part::Users(n), &all), w.limit * 0.2);
+            c.users.set(share(w.limit, BudgetRole::Users(n), &all), w.limit * 0.2);
             let mut users = others(|u| u.0);
             users.push(Some(used[i].0));
-            c.commits.set(share(w.limit, Part::Leader, &users), w.limit * 0.5);
+            c.commits.set(share(w.limit, BudgetRole::Leader, &users), w.limit * 0.5);
         }
     }
 
@@ -617,7 +617,7 @@
     }
 
     /// Runs until `f`, or fails the case.
-    pub fn until(&mut self, what: &str, max: Ms, f: impl Fn(&World) -> bool) {
+    pub fn until(&mut self, what: &str, max: Ms, f: impl Fn(&Simulation) -> bool) {
         let end = self.now + max;
         while !f(self) {
             assert!(self.now < end, "never came: {what}");
@@ -658,13 +658,13 @@
                 Held::SlowDo { worker, req, machine, call, stamp } => {
                     let out = self.execute_do(worker, &req);
                     if let Some(l) = self.leader.as_mut().filter(|l| l.stamp == stamp) {
-                        l.do_result(now, machine, call, out, &self.mirror, &mut self.tables);
+                        l.direct_call_result(now, machine, call, out, &self.job_cache, &mut self.tables);
                     }
                 }
                 Held::Report(r) => {
                     if let Some(l) = &mut self.leader {
                         // Whatever is answered, nobody listens any more.
-                        l.report(now, &r, &self.mirror, &mut self.tables);
+                        l.report(now, &r, &self.job_cache, &mut self.tables);
                     }
                 }
                 Held::Txn(txn) => {
@@ -685,7 +685,7 @@
                 }
                 Held::DoAnswer { out, machine, call, stamp } => {
                     if let Some(l) = self.leader.as_mut().filter(|l| l.stamp == stamp) {
-                        l.do_result(now, machine, call, out, &self.mirror, &mut self.tables);
+                        l.direct_call_result(now, machine, call, out, &self.job_cache, &mut self.tables);
                     }
                 }
             }
@@ -716,18 +716,18 @@
             let (state, why) = match task.state {
                 TaskState::Fetching if now >= task.since + self.fetch && !waits => {
                     if self.completed.contains(&task.name) {
-                        (TaskState::Exited, Some(Why::Done))
+                        (TaskState::Exited, Some(ExitReason::Done))
                     } else {
                         (TaskState::Running, None)
                     }
                 }
                 TaskState::Fetching if now >= task.since + self.fetch && waits => (TaskState::Waiting, None),
                 TaskState::Waiting if self.is_complete(&task) => (TaskState::Running, None),
-                TaskState::Waiting if now >= task.since + GANG_WAIT => (TaskState::Exited, Some(Why::Alone)),
-                TaskState::Running if waits && self.misses_one(&task) => (TaskState::Exited, Some(Why::Peers)),
+                TaskState::Waiting if now >= task.since + GANG_WAIT => (TaskState::Exited, Some(ExitReason::Alone)),
+                TaskState::Running if waits && self.misses_one(&task) => (TaskState::Exited, Some(ExitReason::Peers)),
                 TaskState::Running if run > 0 && now >= task.since + run + longer => {
                     self.completed.insert(task.name.clone());
-                    (TaskState::Exited, Some(Why::Done))
+                    (TaskState::Exited, Some(ExitReason::Done))
                 }
                 _ => continue,
             };
@@ -784,24 +784,24 @@
         if self.workers[n].cut || self.workers[n].mute {
             return;
         }
-        if self.chance(self.weather.late_report) {
+        if self.chance(self.faults.late_report) {
             let at = sent + self.rng.random_range(1_000..120_000);
             self.held.push((at, Held::Report(r.clone())));
         }
-        if self.chance(self.weather.old_report) {
+        if self.chance(self.faults.old_report) {
             let at = sent + self.rng.random_range(LEASE / 2..4 * LEASE);
             self.held.push((at, Held::Report(r.clone())));
         }
-        if self.chance(self.weather.held_report) {
+        if self.chance(self.faults.held_report) {
             let at = sent + self.rng.random_range(500..LEASE / 2);
             self.held.push((at, Held::Report(r)));
             return;
         }
         let Some(l) = &mut self.leader else { return };
-        let Answer::Ok(a) = l.report(sent, &r, &self.mirror, &mut self.tables) else { return };
+        let Answer::Ok(a) = l.report(sent, &r, &self.job_cache, &mut self.tables) else { return };
         let id = self.workers[n].id.clone();
         self.judge_orders(&id, &a.orders);
-        if self.workers[n].deaf || self.workers[n].stone || self.chance(self.weather.lost_answer) {
+        if self.workers[n].deaf || self.workers[n].stone || self.chance(self.faults.lost_answer) {
             return;
         }
         let w = &mut self.workers[n];
@@ -816,14 +816,14 @@
         self.obey(n, &a.orders);
     }
 
-    fn execute_do(&mut self, n: usize, req: &DoRequest) -> DoOutcome {
+    fn execute_do(&mut self, n: usize, req: &DirectCommandRequest) -> DirectCallOutcome {
         let w = &mut self.workers[n];
         if req.token < w.token || req.session != w.session {
-            return DoOutcome::Refused(w.report());
+            return DirectCallOutcome::Refused(w.report());
         }
         w.token = req.token;
         self.obey(n, &req.orders);
-        DoOutcome::Executed(self.workers[n].report())
+        DirectCallOutcome::Executed(self.workers[n].report())
     }
 
     fn obey(&mut self, n: usize, orders: &[Order]) {
@@ -838,8 +838,8 @@
                     let busy = w.tasks.iter().filter(live).any(|t| t.name == *task);
                     let full = w.tasks.iter().filter(live).count() >= self.slots;
                     let (state, why) = match (busy, full) {
-                        (true, _) => (TaskState::Exited, Some(Why::Busy)),
-                        (_, true) => (TaskState::Exited, Some(Why::NoRoom)),
+                        (true, _) => (TaskState::Exited, Some(ExitReason::Busy)),
+                        (_, true) => (TaskState::Exited, Some(ExitReason::NoRoom)),
                         _ => (TaskState::Fetching, None),
                     };
                     self.done_again += usize::from(self.completed.contains(task));
@@ -853,7 +853,7 @@
                         .find(|t| t.name == *task && t.attempt == *attempt && t.state != TaskState::Exited);
                     if let Some(t) = hit {
                         t.state = TaskState::Exited;
-                        t.why = Some(Why::Stopped);
+                        t.why = Some(ExitReason::Stopped);
                         w.changed = true;
                         self.halts_seen.push((self.now, task.clone(), *grace_s));
                     }
@@ -883,7 +883,7 @@
         let size = rec.map_or(self.chunk, |r| r.chunk);
         let rec = self.store.keys.get(&records::chunk_key(job, n / size));
         let rec = rec.and_then(|(v, _)| v.deserialized::<ChunkRecord>().ok());
-        rec.is_some_and(|r| r.places.iter().any(|p| p.0 == n && p.1 == worker && p.3 == attempt))
+        rec.is_some_and(|r| r.assignments.iter().any(|p| p.0 == n && p.1 == worker && p.3 == attempt))
     }
 
     /// A later leader would know that the task is done, or doesn't care.
@@ -908,7 +908,7 @@
                     let same = |t: &&WorkerTask| t.name == *task && t.attempt == *attempt;
                     w.tasks.iter().find(same)
                 });
-                let is_done = listed.is_none_or(|t| t.why == Some(Why::Done)) && self.completed.contains(task);
+                let is_done = listed.is_none_or(|t| t.why == Some(ExitReason::Done)) && self.completed.contains(task);
                 if is_done && !self.records_lost && !self.is_end_written(task) {
                     self.broken.push(format!("reaped: {task} on {worker} before its end is written at {}", self.now));
                 }
@@ -928,7 +928,7 @@
         self.starts += 1;
         let Some((job, _)) = split_task(task) else { return };
         for (m, w) in self.workers.iter().enumerate() {
-            if m != n && World::holds(w, task) {
+            if m != n && Simulation::holds(w, task) {
                 self.broken.push(format!("ran_twice: {task} on {} and {} at {}", w.id, self.workers[n].id, self.now));
             }
         }
@@ -1014,15 +1014,15 @@
                     above.extend(self.jobs[p].sub.prereqs());
                 }
             }
-            if is_doomed && self.told(id) != Some(Status::Cancelled) {
-                self.broken.push(format!("orphaned: {id} is {:?} at {}", self.told(id), self.now));
+            if is_doomed && self.user_responses(id) != Some(Status::Cancelled) {
+                self.broken.push(format!("orphaned: {id} is {:?} at {}", self.user_responses(id), self.now));
             }
         }
     }
 
     /// What the controller tells users of a job.
-    pub fn told(&self, id: &str) -> Option<Status> {
-        self.mirror.find(id).map(|ix| self.mirror.get(ix).status)
+    pub fn user_responses(&self, id: &str) -> Option<Status> {
+        self.job_cache.find(id).map(|ix| self.job_cache.get(ix).status)
     }
 
     pub fn check(&self, name: &str) {
@@ -1038,17 +1038,17 @@
         }
         let now = self.now;
         self.read_changes();
-        let changed = self.mirror.take_changed();
+        let changed = self.job_cache.take_changed();
         let Some(l) = &mut self.leader else { return };
         for ix in changed {
-            l.job_update(now, now, ix, &self.mirror);
+            l.job_update(now, now, ix, &self.job_cache);
         }
         // Once heard again, those behind the cut say when they last kept a lease.
-        l.quiet = (self.last_kept as i64, self.unspoken.unwrap_or(now) as i64);
+        l.no_peer_renewals = (self.last_kept as i64, self.unspoken.unwrap_or(now) as i64);
         if let Some(since) = self.unspoken {
-            l.quiet.0 = l.quiet.0.min(since as i64);
+            l.no_peer_renewals.0 = l.no_peer_renewals.0.min(since as i64);
         }
-        l.may_rechunk = self.may_rechunk;
+        l.may_reshard = self.may_reshard;
         l.sweep(now);
         self.cloud |= self.capacity > 0;
         if self.cloud {
@@ -1070,17 +1070,17 @@
         }
         if self.changes_ms == 0 {
             self.reading = None;
-            let changes = self.store.changes(records::JOBS, self.mirror.epoch());
-            self.mirror.apply(&changes, &mut self.tables);
+            let changes = self.store.changes(records::JOBS, self.job_cache.epoch());
+            self.job_cache.apply(&changes, &mut self.tables);
             self.judge_orphans();
             return;
         }
         if let Some((_, _, changes)) = self.reading.take_if(|r| r.1 == stamp && r.0 <= now) {
-            self.mirror.apply(&changes, &mut self.tables);
+            self.job_cache.apply(&changes, &mut self.tables);
         }
         if self.reading.as_ref().is_none_or(|r| r.1 != stamp) {
             let at = now + self.rng.random_range(0..self.changes_ms);
-            self.reading = Some((at, stamp, self.store.changes(records::JOBS, self.mirror.epoch())));
+            self.reading = Some((at, stamp, self.store.changes(records::JOBS, self.job_cache.epoch())));
         }
     }
 
@@ -1147,7 +1147,7 @@
             }
             return;
         }
-        if self.chance(self.weather.lost_txn) {
+        if self.chance(self.faults.lost_txn) {
             if self.rng.random_range(0..2) == 0 {
                 let _ = self.store.apply(&txn);
             } else {
@@ -1159,7 +1159,7 @@
             }
             return;
         }
-        if self.chance(self.weather.late_txn) {
+        if self.chance(self.faults.late_txn) {
             let at = now + self.rng.random_range(2_000..12_000);
             self.held.push((at, Held::Txn(txn)));
             if let Some(l) = &mut self.leader {
@@ -1193,7 +1193,7 @@
                 let Some(n) = self.workers.iter().position(|w| w.id == id) else { return };
                 self.judge_orders(&id, &req.orders);
                 let reached = self.workers[n].is_reached();
-                if reached && self.chance(self.weather.slow_do) {
+                if reached && self.chance(self.faults.slow_do) {
                     let stamp = self.leader.as_ref().map_or(0, |l| l.stamp);
                     let at = now + self.rng.random_range(300..1_900);
                     self.held.push((at, Held::SlowDo { worker: n, req, machine, call, stamp }));
@@ -1203,20 +1203,20 @@
                     if self.workers[n].hung {
                         self.held.push((now + 1_000, Held::Do { worker: n, req }));
                     }
-                    DoOutcome::Unknown
-                } else if self.chance(self.weather.late_do) {
+                    DirectCallOutcome::Unknown
+                } else if self.chance(self.faults.late_do) {
                     let at = now + self.rng.random_range(200..90_000);
                     self.held.push((at, Held::Do { worker: n, req }));
-                    DoOutcome::Unknown
-                } else if self.chance(self.weather.lost_do) {
-                    DoOutcome::Unknown
+                    DirectCallOutcome::Unknown
+                } else if self.chance(self.faults.lost_do) {
+                    DirectCallOutcome::Unknown
                 } else {
-                    if self.chance(self.weather.repeat_do) {
+                    if self.chance(self.faults.repeat_do) {
                         let at = now + self.rng.random_range(200..40_000);
                         self.held.push((at, Held::Do { worker: n, req: req.clone() }));
                     }
                     let out = self.execute_do(n, &req);
-                    if self.chance(self.weather.slow_answer) {
+                    if self.chance(self.faults.slow_answer) {
                         let stamp = self.leader.as_ref().map_or(0, |l| l.stamp);
                         let at = now + self.rng.random_range(300..1_900);
                         self.held.push((at, Held::DoAnswer { out, machine, call, stamp }));
@@ -1225,12 +1225,12 @@
                     out
                 };
                 if let Some(l) = &mut self.leader {
-                    l.do_result(now, machine, call, out, &self.mirror, &mut self.tables);
+                    l.direct_call_result(now, machine, call, out, &self.job_cache, &mut self.tables);
                 }
             }
             Effect::Rent { call, req } => {
                 let names = self.rent(&req);
-                let lost = self.chance(self.weather.lost_rent);
+                let lost = self.chance(self.faults.lost_rent);
                 if let Some(l) = &mut self.leader {
                     let out = match names {
                         _ if lost => RentOutcome::Again,
@@ -1256,7 +1256,7 @@
                 let w = self.workers.iter_mut().find(|w| w.id == id && w.is_reached());
                 let report = w.map(Worker::report);
                 if let Some(l) = &mut self.leader {
-                    l.probed(now, machine, report.as_ref(), &self.mirror, &mut self.tables);
+                    l.probed(now, machine, report.as_ref(), &self.job_cache, &mut self.tables);
                 }
             }
             Effect::List { call, .. } => {
@@ -1311,7 +1311,7 @@
 
     /// All troubles are over. Whatever is still on its way arrives all the same.
     pub fn clear_up(&mut self) {
-        self.weather = Weather::default();
+        self.faults = FaultRates::default();
         (self.refuse_leader, self.changes_ms, self.txn_ms, self.unspoken) = (false, 0, 0, None);
         for x in &mut self.workers {
             (x.cut, x.hung, x.stone, x.deaf, x.mute, x.kept) = (false, false, false, false, false, false);
@@ -1413,7 +1413,7 @@
 
     /// Where a task is, by worker number.
     pub fn where_is(&self, task: &str) -> Option<usize> {
-        self.workers.iter().position(|w| World::holds(w, task))
+        self.workers.iter().position(|w| Simulation::holds(w, task))
     }
 
     pub fn any(&mut self, n: usize) -> usize {
