--- a/src/protocol/tests/jobs.rs
+++ b/src/protocol/tests/jobs.rs
@@ -60,7 +60,9 @@
         ("prereqs", Some(Value::Array(vec![])), Want::Fine),
         ("prereqs", Some(ids(&["j-000398", "j-000405"])), Want::Fine),
         ("prereqs", Some(ids(&["j-000398", "j-000398"])), Want::Fine),
-        ("prereqs", Some(ids(&["j-000398", "j-000412"])), Want::Bad),
+        // A job that is being submitted isn't accepted: 422 as for any such job.
+        ("prereqs", Some(ids(&["j-000398", "j-000412"])), Want::Never),
+        ("prereqs", Some(ids(&["j-000412", "job 1"])), Want::Bad),
         ("prereqs", Some(ids(&["j-000398", "job 1"])), Want::Bad),
         ("prereqs", Some(ids(&[""])), Want::Bad),
         ("prereqs", Some(Value::Text("j-000398".into())), Want::Bad),
