--- /dev/null
+++ b/src/bookkeeping/job_cache/dependencies.rs
@@ -0,0 +1,233 @@
+//! Dependencies between unfinished jobs: who waits for whom, cancellations
+//! that follow from others, and the urgency that prerequisites inherit.
+//!
+//! The work that one record causes is bounded: an end concerns the direct
+//! dependents alone; priority and deadlines are propagated only while they rise.
+
+use std::{collections::VecDeque, rc::Rc};
+
+use super::{JobCache, JobIx};
+use crate::{
+    bookkeeping::records::Status,
+    protocol::jobs::{JobSpec, Priority},
+};
+
+/// What ties an unfinished job to others; most jobs have none.
+#[derive(Debug, Clone)]
+pub(super) struct Dependencies {
+    /// Prerequisites that are known and were unfinished when they were linked.
+    prereqs: Vec<JobIx>,
+    dependents: Vec<JobIx>,
+    /// Prerequisites without a `done` record, unseen ones included.
+    unfinished: u32,
+    /// Time of day at which the last of them ended, as far as is known.
+    ready_ms: u64,
+    urgency: Urgency,
+    /// Waits in the queue of `propagate_urgency`.
+    is_queued: bool,
+}
+
+/// What a job and all that need it ask of the scheduler. Times are times of
+/// day, infinite if there is no deadline.
+#[derive(Debug, Clone, Copy, PartialEq)]
+struct Urgency {
+    priority: Priority,
+    due_ms: f64,
+    overdue_ms: f64,
+}
+
+impl Urgency {
+    fn of(accepted_ms: u64, spec: Option<&JobSpec>) -> Urgency {
+        let time_of_day = |after_s: Option<f64>| after_s.map_or(f64::INFINITY, |s| accepted_ms as f64 + s * 1000.0);
+        Urgency {
+            priority: spec.map_or(Priority::Low, |s| s.priority),
+            due_ms: time_of_day(spec.and_then(|s| s.deadline_s)),
+            overdue_ms: time_of_day(spec.and_then(|s| s.overdue_s)),
+        }
+    }
+
+    /// The urgency of a prerequisite of a job that runs for this long.
+    fn before(self, run_ms: f64) -> Urgency {
+        Urgency { due_ms: (self.due_ms - run_ms).max(0.0), overdue_ms: (self.overdue_ms - run_ms).max(0.0), ..self }
+    }
+
+    /// Raises to at least `other`; false if it was as urgent already.
+    fn raise(&mut self, other: Urgency) -> bool {
+        let before = *self;
+        self.priority = self.priority.max(other.priority);
+        self.due_ms = self.due_ms.min(other.due_ms);
+        self.overdue_ms = self.overdue_ms.min(other.overdue_ms);
+        *self != before
+    }
+}
+
+impl Dependencies {
+    fn new(accepted_ms: u64, spec: Option<&JobSpec>) -> Dependencies {
+        Dependencies {
+            prereqs: Vec::new(),
+            dependents: Vec::new(),
+            unfinished: 0,
+            ready_ms: accepted_ms,
+            urgency: Urgency::of(accepted_ms, spec),
+            is_queued: false,
+        }
+    }
+}
+
+impl JobCache {
+    /// Guard: true until the ends of all its prerequisites are recorded.
+    pub fn waits(&self, ix: JobIx) -> bool {
+        let entry = self.get(ix);
+        entry.status == Status::Pending && entry.dependencies.as_ref().is_some_and(|d| d.unfinished > 0)
+    }
+
+    /// Time of day from which its waiting counts: its acceptance, or the end
+    /// of its last prerequisite.
+    pub fn ready_ms(&self, ix: JobIx) -> u64 {
+        let entry = self.get(ix);
+        entry.dependencies.as_ref().map_or(entry.at_ms, |d| d.ready_ms)
+    }
+
+    /// The job with the urgency inherited from its dependents: their priority,
+    /// and their deadline less their run times. Deadlines count from `ready_ms`.
+    pub fn effective_spec(&self, ix: JobIx) -> Option<Rc<JobSpec>> {
+        let entry = self.get(ix);
+        let spec = entry.spec.as_ref()?;
+        let Some(dependencies) = &entry.dependencies else { return Some(spec.clone()) };
+        let ready_ms = dependencies.ready_ms as f64;
+        let left_s = |time_of_day: f64| time_of_day.is_finite().then(|| (time_of_day - ready_ms) / 1000.0);
+        let urgency = dependencies.urgency;
+        Some(Rc::new(JobSpec {
+            priority: urgency.priority,
+            deadline_s: left_s(urgency.due_ms),
+            overdue_s: left_s(urgency.overdue_ms),
+            ..(**spec).clone()
+        }))
+    }
+
+    fn dependencies_mut(&mut self, ix: JobIx) -> &mut Dependencies {
+        let entry = &mut self.jobs[ix.at()];
+        entry.dependencies.get_or_insert_with(|| Box::new(Dependencies::new(entry.at_ms, entry.spec.as_deref())))
+    }
+
+    /// Links a job seen for the first time to its prerequisites, and to the
+    /// jobs that named it before it was seen.
+    pub(super) fn link(&mut self, ix: JobIx, prereqs: Vec<String>) {
+        let needs_cancelled = self.is_pending(ix) && self.link_prereqs(ix, prereqs);
+        self.link_waiting_dependents(ix);
+        if needs_cancelled {
+            let entry = &mut self.jobs[ix.at()];
+            entry.status = Status::Cancelled;
+            entry.record = None;
+        } else if self.get(ix).dependencies.is_some() && self.is_pending(ix) {
+            self.propagate_urgency(ix);
+        }
+    }
+
+    /// Returns true if one of the prerequisites is cancelled.
+    fn link_prereqs(&mut self, ix: JobIx, mut prereqs: Vec<String>) -> bool {
+        prereqs.sort_unstable();
+        prereqs.dedup();
+        let mut needs_cancelled = false;
+        for id in prereqs {
+            let Some(prereq) = self.find(&id) else {
+                self.dependencies_mut(ix).unfinished += 1;
+                self.unseen_prereqs.entry(Rc::from(id)).or_default().push(ix);
+                continue;
+            };
+            match self.get(prereq).status {
+                Status::Done => {
+                    let end_ms = self.get(prereq).at_ms;
+                    let dependencies = self.dependencies_mut(ix);
+                    dependencies.ready_ms = dependencies.ready_ms.max(end_ms);
+                }
+                Status::Cancelled => needs_cancelled = true,
+                Status::Pending if prereq == ix => {}
+                Status::Pending => {
+                    let dependencies = self.dependencies_mut(ix);
+                    dependencies.unfinished += 1;
+                    dependencies.prereqs.push(prereq);
+                    self.dependencies_mut(prereq).dependents.push(ix);
+                }
+            }
+        }
+        needs_cancelled
+    }
+
+    fn link_waiting_dependents(&mut self, ix: JobIx) {
+        let id = self.get(ix).id.clone();
+        for dependent in self.unseen_prereqs.remove(&id).unwrap_or_default() {
+            if !self.is_pending(dependent) || dependent == ix {
+                continue;
+            }
+            self.dependencies_mut(ix).dependents.push(dependent);
+            self.dependencies_mut(dependent).prereqs.push(ix);
+            if self.is_pending(ix) {
+                self.propagate_urgency(dependent);
+            }
+        }
+    }
+
+    /// Raises the urgency of a job's prerequisites to its own, less its run
+    /// time, and so on up; a job is visited again only when it was raised.
+    fn propagate_urgency(&mut self, from: JobIx) {
+        let mut queue = VecDeque::from([from]);
+        while let Some(ix) = queue.pop_front() {
+            let run_ms = self.get(ix).spec.as_ref().map_or(0.0, |s| s.estimate_s * 1000.0);
+            let dependencies = self.dependencies_mut(ix);
+            dependencies.is_queued = false;
+            let asked = dependencies.urgency.before(run_ms);
+            let mut prereqs = std::mem::take(&mut dependencies.prereqs);
+            prereqs.retain(|&prereq| self.is_pending(prereq));
+            for &prereq in &prereqs {
+                let above = self.dependencies_mut(prereq);
+                if !above.urgency.raise(asked) {
+                    continue;
+                }
+                if !std::mem::replace(&mut above.is_queued, true) {
+                    queue.push_back(prereq);
+                }
+                self.note_changed(prereq);
+            }
+            self.dependencies_mut(ix).prereqs = prereqs;
+        }
+    }
+
+    /// A job's end is recorded: dependents that waited for it alone may start.
+    pub(super) fn release_dependents(&mut self, ix: JobIx) {
+        let end_ms = self.get(ix).at_ms;
+        let Some(ended) = self.jobs[ix.at()].dependencies.take() else { return };
+        for dependent in ended.dependents {
+            if !self.is_pending(dependent) {
+                continue;
+            }
+            let dependencies = self.dependencies_mut(dependent);
+            dependencies.unfinished = dependencies.unfinished.saturating_sub(1);
+            dependencies.ready_ms = dependencies.ready_ms.max(end_ms);
+            if dependencies.unfinished == 0 {
+                self.note_changed(dependent);
+            }
+        }
+    }
+
+    /// Guard: the record of the job that its user cancelled is the only one
+    /// written; that all its dependents are cancelled is derived here, whatever
+    /// their own records say.
+    pub(super) fn cancel_dependents(&mut self, ix: JobIx) {
+        let mut stack = vec![ix];
+        while let Some(cancelled) = stack.pop() {
+            let Some(dependencies) = self.jobs[cancelled.at()].dependencies.take() else { continue };
+            for dependent in dependencies.dependents {
+                let entry = &mut self.jobs[dependent.at()];
+                if entry.status != Status::Pending {
+                    continue;
+                }
+                entry.status = Status::Cancelled;
+                entry.record = None;
+                entry.running = 0;
+                self.note_changed(dependent);
+                stack.push(dependent);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/bookkeeping/job_cache/mod.rs
@@ -0,0 +1,281 @@
+//! Each controller's copy of all jobs' records, kept current by `/changes`.
+//!
+//! Two rules hold whatever the order in which records arrive: a job that was
+//! seen as done or cancelled keeps that status, and a job that needs a cancelled
+//! one is cancelled. `dependencies` derives the latter.
+
+mod dependencies;
+
+use std::{collections::HashMap, rc::Rc};
+
+use ciborium::Value;
+
+use self::dependencies::Dependencies;
+use super::records::{job_key, to_value, JobRecord, Status, JOBS};
+use crate::protocol::{
+    jobs::{JobSpec, Kind},
+    names::Tables,
+    store::{Changes, Page},
+};
+
+/// Dense index of a job in this process.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct JobIx(pub u32);
+
+impl JobIx {
+    /// The index as a position in a list.
+    pub fn at(self) -> usize {
+        self.0 as usize
+    }
+}
+
+/// What is known of one job.
+#[derive(Debug, Clone)]
+pub struct JobEntry {
+    /// The id that its user chose.
+    pub id: Rc<str>,
+    /// Status, derived cancellations included.
+    pub status: Status,
+    /// Revision of its record.
+    pub stamp: u64,
+    /// Time of day at acceptance; once it is done, at its end, if that is known.
+    pub at_ms: u64,
+    /// Tasks per chunk record.
+    pub chunk: u32,
+    /// Number of tasks.
+    pub tasks: u32,
+    /// The validated job; dropped once it is done.
+    pub spec: Option<Rc<JobSpec>>,
+    /// The record; dropped once the job is over.
+    pub record: Option<Rc<JobRecord>>,
+    /// Tasks that are done, as the leader last said; for display.
+    pub done: u32,
+    /// Tasks that run, as the leader last said; for display.
+    pub running: u32,
+    dependencies: Option<Box<Dependencies>>,
+    is_listed_as_changed: bool,
+}
+
+impl JobEntry {
+    /// A job of which only the record's constants are known.
+    fn new(id: Rc<str>, record: &JobRecord) -> JobEntry {
+        JobEntry {
+            id,
+            status: Status::Pending,
+            stamp: 0,
+            at_ms: record.at_ms,
+            chunk: record.chunk.max(1),
+            tasks: record.submission.tasks.unwrap_or(1.0) as u32,
+            spec: None,
+            record: None,
+            done: 0,
+            running: 0,
+            dependencies: None,
+            is_listed_as_changed: false,
+        }
+    }
+}
+
+/// All jobs, by id and by dense index.
+#[derive(Debug, Default)]
+pub struct JobCache {
+    jobs: Vec<JobEntry>,
+    index: HashMap<Rc<str>, JobIx>,
+    epoch: u64,
+    loaded: bool,
+    /// Jobs whose record changed since they were last taken.
+    changed: Vec<JobIx>,
+    /// Prerequisites whose record was not seen yet, and the jobs that name them.
+    unseen_prereqs: HashMap<Rc<str>, Vec<JobIx>>,
+}
+
+impl JobCache {
+    /// Whether all records were read, so that an unknown id means something.
+    pub fn loaded(&self) -> bool {
+        self.loaded
+    }
+
+    /// The revision from which changes have to be read.
+    pub fn epoch(&self) -> u64 {
+        self.epoch
+    }
+
+    /// Looks a job up by its id.
+    pub fn find(&self, id: &str) -> Option<JobIx> {
+        self.index.get(id).copied()
+    }
+
+    /// The entry of a known job.
+    pub fn get(&self, ix: JobIx) -> &JobEntry {
+        &self.jobs[ix.at()]
+    }
+
+    /// Number of known jobs.
+    pub fn len(&self) -> usize {
+        self.jobs.len()
+    }
+
+    /// Whether no job is known.
+    pub fn is_empty(&self) -> bool {
+        self.jobs.is_empty()
+    }
+
+    /// All known jobs.
+    pub fn all(&self) -> impl Iterator<Item = JobIx> {
+        (0..self.jobs.len() as u32).map(JobIx)
+    }
+
+    /// Jobs that changed since the last call, each once.
+    pub fn take_changed(&mut self) -> Vec<JobIx> {
+        let changed = std::mem::take(&mut self.changed);
+        for ix in &changed {
+            self.jobs[ix.at()].is_listed_as_changed = false;
+        }
+        changed
+    }
+
+    /// Whether the job is a service, as far as its specification is known.
+    pub fn is_service(&self, ix: JobIx) -> bool {
+        self.get(ix).spec.as_ref().is_some_and(|s| s.kind == Kind::Service)
+    }
+
+    fn is_pending(&self, ix: JobIx) -> bool {
+        self.get(ix).status == Status::Pending
+    }
+
+    fn note_changed(&mut self, ix: JobIx) {
+        let entry = &mut self.jobs[ix.at()];
+        if !std::mem::replace(&mut entry.is_listed_as_changed, true) {
+            self.changed.push(ix);
+        }
+    }
+
+    /// Takes the leader's task counts, for display.
+    pub fn show(&mut self, id: &str, done: u32, running: u32) {
+        if let Some(ix) = self.find(id) {
+            let entry = &mut self.jobs[ix.at()];
+            entry.done = done.min(entry.tasks);
+            entry.running = running.min(entry.tasks);
+        }
+    }
+
+    /// Takes one page of the first read. Changes are watched from the first
+    /// page's revision on: what later pages show besides is applied twice,
+    /// which does no harm.
+    pub fn page(&mut self, page: &Page, first: bool, tables: &mut Tables) {
+        if first {
+            self.epoch = page.epoch;
+        }
+        for pair in &page.pairs {
+            self.put(&pair.key, &pair.v, pair.stamp, tables);
+        }
+        if !page.truncated {
+            self.loaded = true;
+        }
+    }
+
+    /// Takes the answer to a read of changes.
+    pub fn apply(&mut self, changes: &Changes, tables: &mut Tables) {
+        for change in &changes.events {
+            if let (Some(key), Some(v)) = (&change.write, &change.v) {
+                self.put(key, v, change.stamp, tables);
+            }
+        }
+        // Two reads may be in flight; the older answer must not lower the revision.
+        self.epoch = self.epoch.max(changes.epoch);
+    }
+
+    /// Another controller told a user that a job is cancelled: its record has
+    /// this revision, whether it was read here yet or not.
+    pub fn cancelled_elsewhere(&mut self, id: &str, stamp: u64, tables: &mut Tables) {
+        let Some(entry) = self.find(id).map(|ix| &self.jobs[ix.at()]) else { return };
+        let Some(record) = entry.record.clone().filter(|_| entry.status == Status::Pending) else { return };
+        let record = JobRecord { status: Status::Cancelled, ..(*record).clone() };
+        self.put(&job_key(id), &to_value(&record), stamp, tables);
+    }
+
+    /// The changes asked for are no longer kept: everything must be read again.
+    pub fn reload(&mut self) {
+        self.loaded = false;
+    }
+
+    /// Takes one record; keys that are no job's and older revisions are ignored.
+    pub fn put(&mut self, key: &str, v: &Value, stamp: u64, tables: &mut Tables) -> Option<JobIx> {
+        let id = key.strip_prefix(JOBS)?;
+        let known = self.find(id);
+        if known.is_some_and(|ix| self.get(ix).stamp >= stamp) {
+            return known;
+        }
+        let record: JobRecord = match v.deserialized() {
+            Ok(record) => record,
+            Err(e) => {
+                tracing::error!(job = id, error = %e, "a job's record can't be read");
+                return None;
+            }
+        };
+        let ix = known.unwrap_or_else(|| self.insert(id, &record));
+        let was_pending = self.is_pending(ix);
+        let prereqs = if known.is_none() { record.submission.prereqs().to_vec() } else { Vec::new() };
+        self.update(ix, record, stamp, tables);
+        self.note_changed(ix);
+        if known.is_none() {
+            self.link(ix, prereqs);
+        }
+        if was_pending {
+            match self.get(ix).status {
+                Status::Pending => {}
+                Status::Cancelled => self.cancel_dependents(ix),
+                Status::Done => self.release_dependents(ix),
+            }
+        }
+        Some(ix)
+    }
+
+    fn insert(&mut self, id: &str, record: &JobRecord) -> JobIx {
+        let ix = JobIx(self.jobs.len() as u32);
+        let id: Rc<str> = Rc::from(id);
+        self.index.insert(id.clone(), ix);
+        self.jobs.push(JobEntry::new(id, record));
+        ix
+    }
+
+    fn update(&mut self, ix: JobIx, record: JobRecord, stamp: u64, tables: &mut Tables) {
+        let entry = &mut self.jobs[ix.at()];
+        // Guard: done and cancelled are final, so no later record turns them
+        // back; nor does a pending record of a job that needs a cancelled one.
+        if entry.status == Status::Pending {
+            entry.status = record.status;
+        }
+        entry.stamp = stamp;
+        // A leader may have resharded its tasks.
+        entry.chunk = record.chunk.max(1);
+        if entry.status != Status::Done && entry.spec.is_none() {
+            match record.submission.check(tables, true) {
+                Ok(spec) => entry.spec = Some(Rc::new(spec)),
+                Err(why) if entry.status == Status::Pending => {
+                    tracing::error!(job = &*entry.id, %why, "an accepted job's record is not valid");
+                }
+                Err(_) => {}
+            }
+        }
+        match entry.status {
+            Status::Pending => entry.record = Some(Rc::new(record)),
+            // The leader needs the specification while tasks are being stopped.
+            Status::Cancelled => {
+                entry.record = None;
+                entry.running = 0;
+            }
+            Status::Done => {
+                entry.spec = None;
+                entry.record = None;
+                entry.done = entry.tasks;
+                entry.running = 0;
+                entry.at_ms = record.at_ms;
+            }
+        }
+    }
+}
+
+#[cfg(test)]
+#[path = "../tests/job_cache.rs"]
+mod tests;
--- a/src/bookkeeping/tests/job_cache.rs
+++ b/src/bookkeeping/tests/job_cache.rs
@@ -50,7 +50,7 @@
         (None, 7, Some((Cancelled, 7)), Some(Cancelled)),
         (None, 7, None, None),
     ];
-    for (n, (before, user_responses, after, want)) in cases.into_iter().enumerate() {
+    for (n, (before, told_stamp, after, want)) in cases.into_iter().enumerate() {
         let (mut m, mut t) = (JobCache::default(), Tables::default());
         let read = |m: &mut JobCache, t: &mut Tables, r: Option<(Status, u64)>| {
             if let Some((status, stamp)) = r {
@@ -59,7 +59,7 @@
         };
         read(&mut m, &mut t, before);
         m.take_changed();
-        m.cancelled_elsewhere("j-000412", user_responses, &mut t);
+        m.cancelled_elsewhere("j-000412", told_stamp, &mut t);
         let first = matches!(before, Some((Pending, _)));
         assert_eq!(m.take_changed().len(), usize::from(first), "case {n}: the leader is told once");
         read(&mut m, &mut t, after);
