--- /dev/null
+++ b/src/node/tests/cancel.rs
@@ -0,0 +1,41 @@
+use calloop::EventLoop;
+
+use super::*;
+use crate::{
+    protocol::{
+        cbor,
+        operator::Operator,
+        settings::{tests::SAMPLE, Settings},
+    },
+    transport::Limits,
+};
+
+/// Guard: the cancellation of a job that was recorded under a larger limit
+/// would be refused for ever if its record were written as large again.
+#[test]
+fn a_cancellation_fits_the_lowered_limit() {
+    const LOWERED: &str = "[cluster.state.next]\nvalue_kb = 2.0\n[cluster.cloud]";
+    let event_loop = EventLoop::try_new().unwrap();
+    let mut net = Net::new(&event_loop, Limits { sockets: 100, idle_ms: 1_000, head_ms: 1_000, stale_ms: 1_000 });
+    let settings = Settings::parse(&SAMPLE.replacen("[cluster.cloud]", LOWERED, 1), "x.toml").unwrap();
+    let node = Node::new(settings, Operator::default(), &mut net);
+    let small: Submission = cbor::decode(&cbor::encode(&crate::protocol::jobs::tests::sample())).unwrap();
+    let names = |count: usize, bytes: usize| Some(vec!["t".repeat(bytes); count]);
+    // (machine types, prerequisites, whether both are kept)
+    let cases = [
+        (names(1, 8), None, true),
+        (names(20, 60), names(10, 8), true),
+        (names(60, 200), None, false),
+        (names(1, 8), names(300, 12), false),
+    ];
+    for (types, prereqs, kept) in cases {
+        let submission = Submission { types, prereqs, ..small.clone() };
+        let pending = JobRecord { submission, status: Status::Pending, at_ms: 5, chunk: 64 };
+        let cancelled = node.cancelled(&pending);
+        assert!(node.fits_a_value(&cancelled), "{pending:?}");
+        assert_eq!((cancelled.status, cancelled.at_ms, cancelled.chunk), (Status::Cancelled, 5, 64));
+        assert_eq!(cancelled.submission == pending.submission, kept, "{pending:?}");
+        // What the tasks that are being stopped occupy stays known.
+        assert_eq!((cancelled.submission.tasks, cancelled.submission.cpus), (small.tasks, small.cpus));
+    }
+}
--- /dev/null
+++ b/src/node/users/mod.rs
@@ -0,0 +1,212 @@
+//! Users' requests. Every controller serves them by itself, through the state
+//! service: conditional writes before anything is confirmed, and a read barrier
+//! before anything is said of a job that isn't over.
+
+mod cancel;
+mod submit;
+
+use super::wiring::{Node, Pending, Waiter};
+use crate::{
+    bookkeeping::{
+        budget::Urgency,
+        job_cache::{JobEntry, JobIx},
+        records::{self, JobRecord, Status},
+    },
+    protocol::{
+        cbor,
+        jobs::{valid_id, JobAnswer, PollAnswer},
+        store::{Condition, Epoch, Op, Txn},
+    },
+    transport::{CallError, ConnId, Net, Reply},
+};
+
+/// `Retry-After` of an answer that says the service is unavailable, in seconds.
+const RETRY_AFTER_S: u32 = 1;
+/// Longest `Retry-After` that is told to a user over budget, in seconds.
+const MAX_RETRY_AFTER_S: u64 = 30;
+/// Timeout of a user's write at the state service; users wait 5 s.
+const WRITE_TIMEOUT_MS: u64 = 2_500;
+
+/// How users' requests were answered since this was last logged.
+#[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
+pub struct UserResponseCounts {
+    /// Answered with 503.
+    pub unavailable: u32,
+    /// Answered with 429.
+    pub over_budget: u32,
+    /// Submissions answered with 201.
+    pub accepted: u32,
+}
+
+/// One conditional write of a job's record on behalf of a user.
+struct RecordWrite {
+    conn: ConnId,
+    urgency: Urgency,
+    conditions: Vec<Condition>,
+    id: String,
+    record: JobRecord,
+}
+
+/// How a write of a job's record ended.
+enum WriteOutcome {
+    Applied,
+    /// The record, or one that the write depended on, had changed.
+    Conflict,
+    /// It could not be carried out, and the user was told to retry.
+    Answered,
+}
+
+fn status_word(entry: &JobEntry) -> &'static str {
+    match entry.status {
+        Status::Done => "done",
+        Status::Cancelled => "cancelled",
+        Status::Pending if entry.running > 0 => "running",
+        Status::Pending => "pending",
+    }
+}
+
+impl Node {
+    /// Logs how users were answered, if some of them have to retry.
+    pub fn log_user_responses(&mut self) {
+        let counts = std::mem::take(&mut self.user_responses);
+        if counts.unavailable + counts.over_budget > 0 {
+            tracing::info!(
+                accepted = counts.accepted,
+                over_budget = counts.over_budget,
+                unavailable = counts.unavailable,
+                "users told to come back"
+            );
+        }
+    }
+
+    /// Answers 503, so that the user retries.
+    pub fn unavailable(&mut self, net: &mut Net, conn: ConnId) {
+        self.user_responses.unavailable += 1;
+        net.respond(conn, 503, Some(RETRY_AFTER_S), b"");
+    }
+
+    fn over_budget(&mut self, net: &mut Net, conn: ConnId, wait_ms: u64) {
+        self.user_responses.over_budget += 1;
+        let wait_s = wait_ms.div_ceil(1_000).clamp(1, MAX_RETRY_AFTER_S) as u32;
+        net.respond(conn, 429, Some(wait_s), b"");
+    }
+
+    fn job_answer(&self, net: &mut Net, conn: ConnId, code: u16, id: &str, status: &str) {
+        net.respond(conn, code, None, &cbor::encode(&JobAnswer { name_id: id, status }));
+    }
+
+    /// Answers 200 with the state of a known job.
+    fn known_job_answer(&self, net: &mut Net, conn: ConnId, ix: JobIx) {
+        let entry = self.job_cache.get(ix);
+        self.job_answer(net, conn, 200, &entry.id, status_word(entry));
+    }
+
+    fn poll_answer(&self, net: &mut Net, conn: ConnId, ix: JobIx) {
+        let entry = self.job_cache.get(ix);
+        let answer =
+            PollAnswer { name_id: &entry.id, status: status_word(entry), done: entry.done, running: entry.running };
+        net.respond(conn, 200, None, &cbor::encode(&answer));
+    }
+
+    fn is_over(&self, ix: JobIx) -> bool {
+        self.job_cache.get(ix).status != Status::Pending
+    }
+
+    /// Sends a record's write if the budgets allow it now, and otherwise tells
+    /// the user at once when to retry.
+    fn write_record(&mut self, net: &mut Net, write: RecordWrite, what: Pending) {
+        let now = net.now();
+        let taken = self.reads.take(now, 1.0, write.urgency).and_then(|()| self.writes.take(now, 1.0, write.urgency));
+        if let Err(wait_ms) = taken {
+            return self.over_budget(net, write.conn, wait_ms);
+        }
+        let put = Op::Put { key: records::job_key(&write.id), v: records::to_value(&write.record), permit: None };
+        let txn = Txn { conditions: write.conditions, writes: vec![put] };
+        self.ask_state(net, what, "POST", "/multi".into(), cbor::encode(&txn), WRITE_TIMEOUT_MS);
+    }
+
+    fn record_written(
+        &mut self,
+        net: &mut Net,
+        conn: ConnId,
+        id: &str,
+        record: &JobRecord,
+        result: &Result<Reply, CallError>,
+    ) -> WriteOutcome {
+        match result {
+            Ok(reply) if reply.status == 200 => {
+                if let Ok(revision) = cbor::decode::<Epoch>(&reply.body) {
+                    let value = records::to_value(record);
+                    self.job_cache.put(&records::job_key(id), &value, revision.epoch, &mut self.tables);
+                }
+                WriteOutcome::Applied
+            }
+            Ok(reply) if reply.status == 409 => WriteOutcome::Conflict,
+            Ok(reply) if reply.status == 429 => {
+                self.writes.refused(net.now());
+                self.user_responses.over_budget += 1;
+                net.respond(conn, 429, Some(RETRY_AFTER_S), b"");
+                WriteOutcome::Answered
+            }
+            _ => {
+                self.unavailable(net, conn);
+                WriteOutcome::Answered
+            }
+        }
+    }
+
+    /// `GET /api/jobs/{id}`
+    pub fn poll(&mut self, net: &mut Net, conn: ConnId, id: &str) {
+        if !valid_id(id) {
+            return net.respond(conn, 404, None, b"");
+        }
+        match self.job_cache.find(id) {
+            Some(ix) if self.is_over(ix) => self.poll_answer(net, conn, ix),
+            _ if !self.job_cache.loaded() => self.unavailable(net, conn),
+            _ => self.barrier.join(net.now(), Waiter::Poll { conn, id: id.to_owned() }),
+        }
+    }
+
+    /// Answers the requests that waited for a read of changes, which has been
+    /// applied.
+    pub fn serve(&mut self, net: &mut Net, waiters: Vec<Waiter>) {
+        for waiter in waiters {
+            self.serve_one(net, waiter);
+        }
+    }
+
+    fn serve_one(&mut self, net: &mut Net, waiter: Waiter) {
+        match waiter {
+            Waiter::Poll { conn, id } => match self.job_cache.find(&id) {
+                Some(ix) => self.poll_answer(net, conn, ix),
+                None => net.respond(conn, 404, None, b""),
+            },
+            Waiter::Known { conn, id } => match self.job_cache.find(&id) {
+                Some(ix) => self.known_job_answer(net, conn, ix),
+                None => self.unavailable(net, conn),
+            },
+            Waiter::Refuse { conn, id, status, why } => match self.job_cache.find(&id) {
+                Some(ix) => self.known_job_answer(net, conn, ix),
+                None => {
+                    tracing::info!(job = &*id, why, "can never run");
+                    net.respond(conn, status, None, b"");
+                }
+            },
+            Waiter::Dependent { conn, id, record, tries } => match self.job_cache.find(&id) {
+                Some(ix) => self.known_job_answer(net, conn, ix),
+                None => self.create_or_refuse(net, conn, id, record, tries),
+            },
+            Waiter::Abort { conn, id, tries } => match self.job_cache.find(&id) {
+                Some(_) => self.abort(net, conn, id, tries),
+                None => net.respond(conn, 404, None, b""),
+            },
+        }
+    }
+
+    /// The read failed: without it, the requests that waited get no answer but 503.
+    pub fn refuse_all(&mut self, net: &mut Net, waiters: Vec<Waiter>) {
+        for waiter in waiters {
+            self.unavailable(net, waiter.conn());
+        }
+    }
+}
