--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -1,19 +1,28 @@
 //! Leadership: one key under a grant of the state service.
 //!
 //! This controller leads while the key names it (label, this start's nonce *and*
-//! the grant it holds) and that grant is provably alive. The grant's end is counted on the
-//! steady clock from when the renewal was *sent*, less drift: the service
-//! counts from a later moment, so it can't have given the grant up before.
+//! the grant it holds) and that grant is provably alive. The grant's end is
+//! counted on the steady clock from when the renewal was *sent*, less drift: the
+//! service counts from a later moment, so it can't have given the grant up before.
 
 use crate::bookkeeping::records::LeaderRecord;
 
 /// Two steady clocks may part by twice this share; the lease is cut by more.
 const DRIFT: f64 = 0.002;
+/// Taken off a grant's time besides the drift, for rounding and scheduling.
 const MARGIN_MS: u64 = 40;
+/// How long a controller that resigned doesn't stand again.
 const STEP_ASIDE_MS: u64 = 20_000;
 /// How long a renewal's answer is waited for, where answers come quickly.
-const PATIENCE_MS: u64 = 700;
+const RENEWAL_TIMEOUT_MS: u64 = 700;
+/// A grant is renewed after this part of its time: three tries before it ends.
+const RENEWALS_PER_TTL: u64 = 4;
+/// Pause after a renewal that failed or went unanswered.
+const RENEWAL_RETRY_MS: u64 = 250;
+/// Pause after a grant or a claim that failed or went unanswered.
+const CLAIM_RETRY_MS: u64 = 300;
 
+/// A call to the state service that is to be made.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// POST /grants
@@ -26,32 +35,46 @@
     Resign(u64),
 }
 
+/// The call that is unanswered, if any.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Flight {
+enum PendingCall {
     None,
     Grant { sent: u64 },
     Renew { sent: u64 },
     Claim,
 }
 
+/// The leader's key as last seen.
+#[derive(Debug)]
+struct SeenKey {
+    /// `None`: the key isn't there.
+    record: Option<LeaderRecord>,
+    /// Stamp of the record, or of its removal.
+    stamp: u64,
+}
+
+/// This controller's part in the election of a leader.
 #[derive(Debug)]
 pub struct Election {
     label: String,
+    /// A random number of this start of the process.
     nonce: u64,
     ttl_ms: u64,
-    /// The key as last seen: who and its stamp. None: not read yet.
-    key: Option<(Option<LeaderRecord>, u64)>,
+    /// `None`: not read yet.
+    key: Option<SeenKey>,
     permit: Option<u64>,
     /// The grant is alive at least until then.
     valid_until: u64,
     last_renewal: u64,
-    flight: Flight,
+    pending: PendingCall,
     retry_at: u64,
+    /// It doesn't stand for election before.
     aside_until: u64,
-    patience_ms: u64,
+    renewal_timeout_ms: u64,
 }
 
 impl Election {
+    /// A controller that has not read the key yet.
     pub fn new(label: &str, nonce: u64, ttl_ms: u64) -> Election {
         Election {
             label: label.to_owned(),
@@ -61,10 +84,10 @@
             permit: None,
             valid_until: 0,
             last_renewal: 0,
-            flight: Flight::None,
+            pending: PendingCall::None,
             retry_at: 0,
             aside_until: 0,
-            patience_ms: PATIENCE_MS,
+            renewal_timeout_ms: RENEWAL_TIMEOUT_MS,
         }
     }
 
@@ -72,7 +95,7 @@
     /// better than none, where the service is slow; where it isn't, one that
     /// was lost is asked for again in time.
     pub fn patience_ms(&self) -> u64 {
-        self.patience_ms
+        self.renewal_timeout_ms
     }
 
     /// What the key says when it was written under this grant. Guard: a claim
@@ -83,22 +106,22 @@
         LeaderRecord { label: self.label.clone(), nonce: self.nonce.wrapping_add(permit) }
     }
 
+    /// How long a grant lasts.
     pub fn ttl_ms(&self) -> u64 {
         self.ttl_ms
     }
 
-    fn mine(&self) -> Option<u64> {
-        let permit = self.permit?;
-        match &self.key {
-            Some((Some(r), stamp)) if *r == self.record(permit) => Some(*stamp),
-            _ => None,
-        }
+    /// The key's stamp, if the key names this start and this grant.
+    fn own_key_stamp(&self) -> Option<u64> {
+        let own = self.record(self.permit?);
+        let key = self.key.as_ref()?;
+        (key.record.as_ref() == Some(&own)).then_some(key.stamp)
     }
 
     /// Stamp of this controller's leadership, if it may act at this moment.
     pub fn leading(&self, now: u64) -> Option<u64> {
-        if now < self.valid_until && self.permit.is_some() {
-            self.mine()
+        if now < self.valid_until {
+            self.own_key_stamp()
         } else {
             None
         }
@@ -106,127 +129,134 @@
 
     /// Stamp of this controller's leadership, even if it may not act just now.
     pub fn holds_key(&self) -> Option<u64> {
-        self.mine()
+        self.own_key_stamp()
     }
 
+    /// The label of the controller that the key names.
     pub fn leader(&self) -> Option<&str> {
-        match &self.key {
-            Some((Some(r), _)) => Some(&r.label),
-            _ => None,
-        }
+        let record = self.key.as_ref()?.record.as_ref()?;
+        Some(&record.label)
     }
 
     /// The key was seen at `stamp` (of its record, or of its removal).
     pub fn saw_key(&mut self, now: u64, record: Option<LeaderRecord>, stamp: u64) {
-        if self.key.as_ref().is_some_and(|(_, old)| *old > stamp) {
+        if self.key.as_ref().is_some_and(|seen| seen.stamp > stamp) {
             return;
         }
-        let gone = record.is_none();
-        self.key = Some((record, stamp));
-        if gone {
+        if record.is_none() {
             self.retry_at = self.retry_at.min(now);
         }
+        self.key = Some(SeenKey { record, stamp });
     }
 
+    /// The next call to make, if one is due.
     pub fn tick(&mut self, now: u64) -> Option<Action> {
-        if self.flight != Flight::None {
+        if self.pending != PendingCall::None {
             return None;
         }
-        if self.mine().is_some() {
-            if let Some(p) = self.permit {
-                // A quarter of the time: three tries before it runs out.
-                if now >= self.last_renewal + self.ttl_ms / 4 && now >= self.retry_at {
-                    self.last_renewal = now;
-                    self.flight = Flight::Renew { sent: now };
-                    return Some(Action::Renew(p));
-                }
-            }
-            return None;
+        if self.own_key_stamp().is_some() {
+            return self.renew_if_due(now);
         }
         if now < self.retry_at || now < self.aside_until {
             return None;
         }
-        let expect = match &self.key {
-            None => return None,
-            Some((None, _)) => 0,
-            // One's own dead start may be replaced at once.
-            Some((Some(r), stamp)) if r.label == self.label => *stamp,
-            Some(_) => return None,
-        };
+        let expect = self.claimable_stamp()?;
         match self.permit {
-            Some(p) if now + self.ttl_ms / 2 < self.valid_until => {
-                self.flight = Flight::Claim;
-                Some(Action::Claim { permit: p, expect })
+            Some(permit) if now + self.ttl_ms / 2 < self.valid_until => {
+                self.pending = PendingCall::Claim;
+                Some(Action::Claim { permit, expect })
             }
             _ => {
                 self.permit = None;
-                self.flight = Flight::Grant { sent: now };
+                self.pending = PendingCall::Grant { sent: now };
                 Some(Action::Grant)
             }
         }
     }
 
+    fn renew_if_due(&mut self, now: u64) -> Option<Action> {
+        let permit = self.permit?;
+        if now < self.last_renewal + self.ttl_ms / RENEWALS_PER_TTL || now < self.retry_at {
+            return None;
+        }
+        self.last_renewal = now;
+        self.pending = PendingCall::Renew { sent: now };
+        Some(Action::Renew(permit))
+    }
+
+    /// The stamp that the key has if it may be claimed (0: it isn't there).
+    fn claimable_stamp(&self) -> Option<u64> {
+        let key = self.key.as_ref()?;
+        match &key.record {
+            None => Some(0),
+            // The key of an earlier start of this controller may be replaced at once.
+            Some(record) if record.label == self.label => Some(key.stamp),
+            Some(_) => None,
+        }
+    }
+
+    /// Until when a grant that was asked for or renewed at `sent` lasts at least.
     fn alive_until(&self, sent: u64) -> u64 {
-        let ms = self.ttl_ms as f64 * (1.0 - DRIFT);
-        (sent + ms as u64).saturating_sub(MARGIN_MS)
+        let shortest_ms = self.ttl_ms as f64 * (1.0 - DRIFT);
+        (sent + shortest_ms as u64).saturating_sub(MARGIN_MS)
     }
 
+    /// How the request for a grant ended. `None`: it failed.
     pub fn granted(&mut self, now: u64, permit: Option<u64>) {
-        if let Flight::Grant { sent } = self.flight {
-            self.flight = Flight::None;
-            match permit {
-                Some(p) => {
-                    self.permit = Some(p);
-                    self.valid_until = self.alive_until(sent);
-                    self.last_renewal = sent;
-                }
-                None => self.retry_at = now + 300,
+        let PendingCall::Grant { sent } = self.pending else { return };
+        self.pending = PendingCall::None;
+        match permit {
+            Some(permit) => {
+                self.permit = Some(permit);
+                self.valid_until = self.alive_until(sent);
+                self.last_renewal = sent;
             }
+            None => self.retry_at = now + CLAIM_RETRY_MS,
         }
     }
 
-    /// `Some(true)`: renewed; `Some(false)`: the grant has ended; None: unknown.
+    /// `Some(true)`: renewed; `Some(false)`: the grant has ended; `None`: unknown.
     pub fn renewed(&mut self, now: u64, result: Option<bool>) {
-        let Flight::Renew { sent } = self.flight else { return };
-        self.flight = Flight::None;
+        let PendingCall::Renew { sent } = self.pending else { return };
+        self.pending = PendingCall::None;
         match result {
             Some(true) => {
                 self.valid_until = self.valid_until.max(self.alive_until(sent));
-                self.patience_ms = (2 * now.saturating_sub(sent)).clamp(PATIENCE_MS, self.most_patience());
+                let answer_ms = now.saturating_sub(sent);
+                self.renewal_timeout_ms = (2 * answer_ms).clamp(RENEWAL_TIMEOUT_MS, self.renewal_timeout_max_ms());
             }
             Some(false) => {
-                self.permit = None;
-                self.valid_until = 0;
+                self.permit_lost();
                 // The key goes with the grant; the watch will tell.
-                self.key = self.key.take().map(|(_, stamp)| (None, stamp));
+                self.forget_record();
             }
             None => {
-                if now >= sent + self.patience_ms {
-                    self.patience_ms = (2 * self.patience_ms).min(self.most_patience());
+                if now >= sent + self.renewal_timeout_ms {
+                    self.renewal_timeout_ms = (2 * self.renewal_timeout_ms).min(self.renewal_timeout_max_ms());
                 }
                 self.last_renewal = 0;
-                self.retry_at = now + 250;
+                self.retry_at = now + RENEWAL_RETRY_MS;
             }
         }
     }
 
-    fn most_patience(&self) -> u64 {
-        (self.ttl_ms * 4 / 5).max(PATIENCE_MS)
+    fn renewal_timeout_max_ms(&self) -> u64 {
+        (self.ttl_ms * 4 / 5).max(RENEWAL_TIMEOUT_MS)
     }
 
-    /// `Some(stamp)`: the key is ours at that stamp. None: lost or unknown;
+    /// `Some(stamp)`: the key is ours at that stamp. `None`: lost or unknown;
     /// the watch tells which.
     pub fn claimed(&mut self, now: u64, stamp: Option<u64>) {
-        if self.flight != Flight::Claim {
+        if self.pending != PendingCall::Claim {
             return;
         }
-        self.flight = Flight::None;
+        self.pending = PendingCall::None;
         match stamp {
-            Some(s) => {
-                let r = self.permit.map(|p| self.record(p));
-                self.saw_key(now, r, s);
+            Some(stamp) => {
+                let record = self.permit.map(|permit| self.record(permit));
+                self.saw_key(now, record, stamp);
             }
-            None => self.retry_at = now + 300,
+            None => self.retry_at = now + CLAIM_RETRY_MS,
         }
     }
 
@@ -236,12 +266,19 @@
         self.valid_until = 0;
     }
 
-    /// Gives way: no worker reaches this controller, others they do.
+    fn forget_record(&mut self) {
+        if let Some(key) = &mut self.key {
+            key.record = None;
+        }
+    }
+
+    /// Gives up leadership, and doesn't stand again for a while: workers reach
+    /// other controllers, but not this one.
     pub fn resign(&mut self, now: u64) -> Option<Action> {
         self.aside_until = now + STEP_ASIDE_MS;
         self.valid_until = 0;
-        self.key = self.key.take().map(|(_, stamp)| (None, stamp));
-        self.flight = Flight::None;
+        self.forget_record();
+        self.pending = PendingCall::None;
         self.permit.take().map(Action::Resign)
     }
 }
--- /dev/null
+++ b/src/coordination/fleet/consolidation.rs
@@ -0,0 +1,175 @@
+//! Expensive machines with little on them are vacated and handed back.
+
+use super::UNCROWDED_MS;
+use crate::{
+    bookkeeping::{job_cache::JobIx, records::Status},
+    coordination::{
+        leader::Leader,
+        model::{AssignmentIx, Machine, MachineIx, MachineLifecycle, Ms, Res, TypeInfo},
+        trial::{TrialRequest, Verdict},
+    },
+    protocol::jobs::Kind,
+};
+
+/// A machine is vacated only if it costs more than this many times what its
+/// replicas would cost on fitting ones: a move interrupts each of them.
+const PRICE_FACTOR: f64 = 3.0;
+/// A machine with GPUs is expensive per CPU beyond this many times the cheapest.
+const GPU_PRICE_FACTOR: f64 = 2.0;
+/// A new leader vacates nothing for this many times [`UNCROWDED_MS`].
+const START_DELAY_FACTOR: Ms = 4;
+/// Machines tried in one step, the dearest first.
+const CANDIDATES_PER_STEP: usize = 4;
+
+/// A machine that may be vacated.
+struct Candidate {
+    price: f64,
+    machine: MachineIx,
+}
+
+impl Leader {
+    /// An expensive machine whose GPUs have no use takes no other work once
+    /// nothing waits: it becomes empty and is handed back.
+    pub fn reserved_for_gpu_work(&self, now: Ms, machine: &Machine, machine_type: &TypeInfo) -> bool {
+        let is_crowded = now < self.fleet.crowded + UNCROWDED_MS;
+        if machine_type.cap.gpus <= 0.0 || machine_type.cap.cpus <= 0.0 || is_crowded {
+            return false;
+        }
+        let price_per_cpu = |t: &TypeInfo| t.price_of(machine.spot) / t.cap.cpus;
+        let cheapest = self.types.iter().filter(|t| t.cap.cpus > 0.0).map(price_per_cpu).fold(f64::INFINITY, f64::min);
+        machine.gpu_idle_since.is_some_and(|since| now > since + UNCROWDED_MS)
+            && price_per_cpu(machine_type) > GPU_PRICE_FACTOR * cheapest
+    }
+
+    /// When nothing waits, replicas on the dearest machine that holds nothing
+    /// else move to where there is room among others, and it goes back. A move
+    /// costs a replica the moment between its stop and its start.
+    pub(super) fn consolidate(&mut self, now: Ms) {
+        let is_crowded = now < self.fleet.crowded + UNCROWDED_MS;
+        if is_crowded || now < self.started + START_DELAY_FACTOR * UNCROWDED_MS {
+            return;
+        }
+        if self.machines.iter().any(|machine| machine.retiring && !machine.assignments.is_empty()) {
+            return;
+        }
+        let candidates = self.consolidation_candidates(now);
+        self.reserve_all_headroom(now);
+        let kept = self.snapshot.reservations();
+        for candidate in candidates.into_iter().take(CANDIDATES_PER_STEP) {
+            let is_movable = self.find_room_for_all(candidate.machine);
+            self.snapshot.release(kept);
+            if is_movable {
+                self.vacate(now, &candidate);
+                break;
+            }
+        }
+        self.snapshot.release(0);
+    }
+
+    /// Machines that may be vacated, the dearest first.
+    fn consolidation_candidates(&self, now: Ms) -> Vec<Candidate> {
+        let mut candidates: Vec<Candidate> = Vec::new();
+        for (n, machine) in self.machines.iter().enumerate() {
+            if machine.lifecycle != MachineLifecycle::Up
+                || machine.retiring
+                || machine.assignments.is_empty()
+                || !machine.fenced()
+                || !self.is_settled(now, machine.up_at)
+            {
+                continue;
+            }
+            let all_movable = machine.assignments.iter().all(|&ix| self.is_movable_replica(now, ix));
+            let price = self.type_of(machine).map_or(0.0, |machine_type| machine_type.price_of(machine.spot));
+            let fair_price: f64 = machine
+                .assignments
+                .iter()
+                .filter_map(|&ix| self.assignment(ix))
+                .map(|assignment| self.fair_price(assignment.job))
+                .sum();
+            if all_movable && price > PRICE_FACTOR * fair_price {
+                candidates.push(Candidate { price, machine: MachineIx(n as u32) });
+            }
+        }
+        candidates.sort_by(|a, b| b.price.total_cmp(&a.price));
+        candidates
+    }
+
+    /// Whether something has lasted long enough to be left alone no longer.
+    fn is_settled(&self, now: Ms, since: Option<Ms>) -> bool {
+        since.is_some_and(|since| now > since + self.cfg.idle_keep_ms)
+    }
+
+    /// A service replica without GPUs that has been running for a while.
+    fn is_movable_replica(&self, now: Ms, ix: AssignmentIx) -> bool {
+        let Some(assignment) = self.assignment(ix) else { return false };
+        let is_replica = self
+            .job(assignment.job)
+            .is_some_and(|job| job.spec.kind == Kind::Service && job.status == Status::Pending && job.spec.gpus <= 0.0);
+        is_replica && self.is_settled(now, assignment.running_since) && assignment.halt.is_none()
+    }
+
+    /// Whether everything on a machine finds room on machines that hold
+    /// something; what is found stays reserved.
+    fn find_room_for_all(&mut self, machine: MachineIx) -> bool {
+        let assignments = self.machine(machine).assignments.clone();
+        assignments.into_iter().all(|assignment| self.find_room_elsewhere(machine, assignment))
+    }
+
+    fn vacate(&mut self, now: Ms, candidate: &Candidate) {
+        let machine = &mut self.machines[candidate.machine.at()];
+        tracing::info!(
+            machine = &*machine.id,
+            price = candidate.price,
+            replicas = machine.assignments.len(),
+            "its replicas move, it goes back"
+        );
+        machine.retiring = true;
+        for assignment in machine.assignments.clone() {
+            self.halt(now, assignment, 0.0);
+        }
+        self.refresh(now, candidate.machine);
+        self.pass_needed = true;
+    }
+
+    /// Reserves room elsewhere for a replica on `from`, on a machine that has
+    /// its image.
+    fn find_room_elsewhere(&mut self, from: MachineIx, ix: AssignmentIx) -> bool {
+        let Some(assignment) = self.assignment(ix) else { return false };
+        let Some(job) = self.job(assignment.job) else { return false };
+        let spec = job.spec.clone();
+        let task = assignment.task;
+        // Its other replicas keep their zones.
+        let mut zone_used = job.zone_used.clone();
+        if let Some(used) = zone_used.get_mut(assignment.zone.at()) {
+            *used -= 1;
+        }
+        let outcome = self.snapshot.trial(&TrialRequest {
+            spec: &spec,
+            tasks: &[task],
+            min: 1,
+            zone_used: &zone_used,
+            avoid: &[from],
+            later: false,
+            busy_only: true,
+        });
+        for pick in &outcome.picks {
+            self.snapshot.reserve(pick.host, Res::of(&spec), Res::default());
+        }
+        outcome.verdict == Verdict::Success
+            && outcome.picks.iter().all(|pick| self.snapshot.hosts[pick.host].has_image(spec.image))
+    }
+
+    /// What a task of this job costs an hour on the machine type that suits it best.
+    fn fair_price(&self, job: JobIx) -> f64 {
+        let Some(job) = self.job(job) else { return 0.0 };
+        let need = Res::of(&job.spec);
+        let price_per_task = |machine_type: &TypeInfo| {
+            machine_type.price_of(job.spec.spot) / f64::from(need.times_in(&machine_type.cap).max(1))
+        };
+        self.types
+            .iter()
+            .filter(|machine_type| need.fits_in(&machine_type.cap) && job.spec.allows_type(machine_type.ix))
+            .map(price_per_task)
+            .fold(f64::INFINITY, f64::min)
+    }
+}
--- /dev/null
+++ b/src/coordination/fleet/listing.rs
@@ -0,0 +1,67 @@
+//! Machines become known by the cloud's list.
+
+use super::Call;
+use crate::{
+    coordination::{
+        leader::{Effect, Leader},
+        model::{MachineLifecycle, Ms},
+    },
+    protocol::{
+        cloud::{HostList, HostState, ListedHost},
+        names::Tables,
+    },
+};
+
+/// Greatest age of a machine that is believed, in seconds.
+const AGE_MAX_S: f64 = 1e9;
+
+impl Leader {
+    pub(super) fn list_machines(&mut self, from: Option<String>) {
+        let call = self.call_id();
+        self.fleet.calls.insert(call, Call::List);
+        self.push_effect(Effect::List { call, from });
+    }
+
+    /// How a listing ended. `None`: it failed.
+    pub fn listed(&mut self, now: Ms, call: u64, list: Option<&HostList>, tables: &mut Tables) {
+        self.fleet.calls.remove(&call);
+        let Some(list) = list else { return };
+        self.fleet.listed_once = true;
+        self.fleet.cloud_ok = now;
+        for host in &list.hosts {
+            self.take_listed_host(now, host, tables);
+        }
+        if list.truncated {
+            if let Some(last) = list.hosts.last() {
+                self.list_machines(Some(last.id.clone()));
+            }
+        }
+    }
+
+    fn take_listed_host(&mut self, now: Ms, host: &ListedHost, tables: &mut Tables) {
+        let zone = tables.zones.intern(&host.zone);
+        let is_known = self.machine_ix.contains_key(&host.id);
+        let ix = self.machine_named(now, &host.id, zone);
+        let machine = &mut self.machines[ix.at()];
+        if machine.lifecycle == MachineLifecycle::Gone {
+            return; // lists lag
+        }
+        machine.zone = zone;
+        let listed_type = tables.types.intern(&host.machine_type);
+        machine.machine_type = machine.machine_type.or(Some(listed_type));
+        machine.spot = host.spot;
+        if let Some(addr) = &host.addr {
+            machine.addr = machine.addr.or(addr.parse().ok());
+        }
+        if !is_known {
+            let age_ms = (host.age_s.clamp(0.0, AGE_MAX_S) * 1000.0) as Ms;
+            machine.rented_at = now.saturating_sub(age_ms);
+            tracing::info!(machine = &*machine.id, state = ?host.state, "adopted from the list");
+        }
+        if host.state == HostState::Failed && machine.lifecycle != MachineLifecycle::Returning {
+            tracing::info!(machine = &*machine.id, "failed");
+            machine.lifecycle = MachineLifecycle::Returning;
+            machine.return_after = now;
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/fleet/mod.rs
@@ -0,0 +1,158 @@
+//! The fleet: what is rented for work that waits, and what is handed back.
+
+mod arrivals;
+mod consolidation;
+mod listing;
+mod offers;
+mod renting;
+mod returns;
+mod zone_demand;
+
+use std::collections::HashMap;
+
+use self::offers::Offer;
+use super::{
+    leader::Leader,
+    model::{MachineIx, Ms},
+};
+use crate::{
+    bookkeeping::job_cache::JobIx,
+    protocol::{
+        cloud::RentRequest,
+        names::{Tables, ZoneIx},
+    },
+};
+
+/// Interval of decisions on rentals.
+const RENT_INTERVAL_MS: Ms = 250;
+/// Interval of listings of all machines at the cloud.
+const LIST_INTERVAL_MS: Ms = 2_500;
+/// Interval of decisions on returns.
+const RETURN_INTERVAL_MS: Ms = 400;
+/// Interval of decisions on consolidation.
+const CONSOLIDATION_INTERVAL_MS: Ms = 2_000;
+/// Machines are only vacated once no work has waited for room for this long.
+const UNCROWDED_MS: Ms = 12_000;
+
+/// A call to the cloud that is not answered yet.
+#[derive(Debug)]
+enum Call {
+    Rent { offer: Offer, req: RentRequest },
+    Return(Vec<MachineIx>),
+    List,
+}
+
+/// A rental request to be sent again.
+#[derive(Debug)]
+struct RentRetry {
+    offer: Offer,
+    req: RentRequest,
+    at: Ms,
+}
+
+/// An offer that the cloud had no capacity for.
+#[derive(Debug, Clone, Copy)]
+struct Backoff {
+    until: Ms,
+    /// How long the last wait was.
+    wait_ms: Ms,
+}
+
+/// Tasks of a job that found no room in the last pass.
+#[derive(Debug, Clone, Copy)]
+pub struct UnmetDemand {
+    pub job: JobIx,
+    pub tasks: u32,
+}
+
+/// What the leader keeps about renting and returning machines.
+#[derive(Debug)]
+pub struct Fleet {
+    nonce: u64,
+    request_count: u64,
+    calls: HashMap<u64, Call>,
+    /// Rental requests that went unanswered: sent again until it is known what
+    /// became of them.
+    retries: Vec<RentRetry>,
+    backoffs: HashMap<Offer, Backoff>,
+    /// What found no room in the last pass, in the order of the pass.
+    pub unmet: Vec<UnmetDemand>,
+    next_list: Ms,
+    next_rent: Ms,
+    next_return: Ms,
+    next_consolidation: Ms,
+    /// All machines were listed at least once.
+    pub listed_once: bool,
+    /// Since when most machines of a zone have been heard from.
+    zone_heard_since: HashMap<ZoneIx, Ms>,
+    /// When the cloud last answered.
+    pub cloud_ok: Ms,
+    /// When work last waited for room.
+    pub crowded: Ms,
+}
+
+/// How a rental request ended.
+#[derive(Debug)]
+pub enum RentOutcome {
+    Rented(Vec<String>),
+    NoCapacity,
+    /// Not executed, or not known: the same request again.
+    Again,
+    Malformed,
+}
+
+impl Fleet {
+    /// The fleet of a leadership that has listed no machines yet.
+    pub fn new(nonce: u64, now: Ms) -> Fleet {
+        Fleet {
+            nonce,
+            request_count: 0,
+            calls: HashMap::new(),
+            retries: Vec::new(),
+            backoffs: HashMap::new(),
+            unmet: Vec::new(),
+            next_list: now,
+            next_rent: now,
+            next_return: now,
+            next_consolidation: now,
+            listed_once: false,
+            zone_heard_since: HashMap::new(),
+            cloud_ok: now,
+            crowded: now,
+        }
+    }
+
+    /// A name for a rental request. Names carry this leadership's random number:
+    /// no controller ever uses one twice.
+    fn next_request_name(&mut self) -> String {
+        self.request_count += 1;
+        format!("r-{:016x}-{}", self.nonce, self.request_count)
+    }
+}
+
+impl Leader {
+    /// Lists, returns, consolidates and rents machines, each at its interval.
+    pub fn fleet_step(&mut self, now: Ms, tables: &Tables) {
+        let is_listing = self.fleet.calls.values().any(|call| matches!(call, Call::List));
+        if now >= self.fleet.next_list && !is_listing {
+            self.fleet.next_list = now + LIST_INTERVAL_MS;
+            self.list_machines(None);
+        }
+        if now >= self.fleet.next_return {
+            self.fleet.next_return = now + RETURN_INTERVAL_MS;
+            self.note_zones(now);
+            self.return_machines(now);
+        }
+        if !self.fleet.unmet.is_empty() {
+            self.fleet.crowded = now;
+        }
+        if now >= self.fleet.next_consolidation {
+            self.fleet.next_consolidation = now + CONSOLIDATION_INTERVAL_MS;
+            self.consolidate(now);
+        }
+        if now >= self.fleet.next_rent {
+            self.fleet.next_rent = now + RENT_INTERVAL_MS;
+            self.rent(now, tables);
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/fleet/returns.rs
@@ -0,0 +1,311 @@
+//! Machines are handed back: those that are idle, and those that are dead.
+
+use std::{collections::HashMap, fmt};
+
+use super::Call;
+use crate::{
+    coordination::{
+        leader::{Effect, Leader},
+        model::{Machine, MachineIx, MachineLifecycle, Ms, Res},
+        trial::SLOWEST_FETCH_GB_PER_S,
+    },
+    protocol::names::ZoneIx,
+};
+
+/// Machines handed back in one call.
+const RETURNS_PER_CALL: usize = 50;
+/// Probes in a row after which a machine that doesn't answer counts as silent.
+const SILENT_PROBES: u32 = 2;
+/// Silent machines are handed back only if the cloud answered within this time:
+/// otherwise it may be this controller that is cut off.
+const CLOUD_ANSWER_MS: Ms = 5_000;
+/// Pause before a return that was requested is requested again.
+const RETURN_RETRY_MS: Ms = 2_500;
+/// Pause before a return that failed is requested again.
+const RETURN_FAILED_PAUSE_MS: Ms = 1_000;
+/// Slack, besides a quarter of the interval, after which a report was due.
+const REPORT_DUE_SLACK_MS: Ms = 100;
+/// Boot time assumed of a machine whose type is unknown.
+const UNKNOWN_BOOT_S: f64 = 60.0;
+/// A machine that isn't up after this many times its boot time, and...
+const BOOT_LIMIT_FACTOR: f64 = 3.0;
+/// ...this many seconds never comes up.
+const BOOT_LIMIT_SLACK_S: f64 = 15.0;
+/// Idle machines are kept for this many times what getting them again takes.
+const KEEP_FACTOR: f64 = 1.4;
+/// GPU work that last came this long ago is not expected any more.
+const GPU_WORK_EXPECTED_MS: i64 = 90_000;
+
+/// Why a machine is handed back.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum ReturnReason {
+    AskedBefore,
+    Silent,
+    NeverCameUp,
+    MissesAnswers,
+    Retired,
+    Idle,
+}
+
+impl ReturnReason {
+    /// The reason's name in the logs.
+    fn as_str(self) -> &'static str {
+        match self {
+            ReturnReason::AskedBefore => "asked before",
+            ReturnReason::Silent => "silent",
+            ReturnReason::NeverCameUp => "never came up",
+            ReturnReason::MissesAnswers => "hears nothing",
+            ReturnReason::Retired => "retired",
+            ReturnReason::Idle => "idle",
+        }
+    }
+}
+
+impl fmt::Display for ReturnReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.as_str())
+    }
+}
+
+/// A machine to be handed back.
+struct MachineReturn {
+    machine: MachineIx,
+    reason: ReturnReason,
+}
+
+/// When the machines of one zone, or of all, were last heard, in order of time.
+#[derive(Default)]
+struct HeardTimes(Vec<Ms>);
+
+impl HeardTimes {
+    fn heard_after(&self, moment: Ms) -> usize {
+        self.0.len() - self.0.partition_point(|&heard| heard <= moment)
+    }
+
+    /// All of them but the one in question.
+    fn others(&self) -> usize {
+        self.0.len().saturating_sub(1)
+    }
+}
+
+/// When machines were last heard, by zone; `None`: those of all zones.
+#[derive(Default)]
+struct HeardByZone(HashMap<Option<ZoneIx>, HeardTimes>);
+
+/// How many machines of a zone were heard lately.
+#[derive(Default)]
+struct ZoneHealth {
+    heard: u32,
+    all: u32,
+}
+
+impl Leader {
+    pub(super) fn return_machines(&mut self, now: Ms) {
+        let returns = self.machines_to_return(now);
+        if returns.is_empty() {
+            return;
+        }
+        for MachineReturn { machine: ix, reason } in &returns {
+            let machine = &mut self.machines[ix.at()];
+            if machine.lifecycle != MachineLifecycle::Returning {
+                tracing::info!(
+                    machine = &*machine.id,
+                    why = reason.as_str(),
+                    tasks = machine.assignments.len(),
+                    "handing back"
+                );
+            }
+            machine.lifecycle = MachineLifecycle::Returning;
+            machine.return_after = now + RETURN_RETRY_MS;
+            self.refresh(now, *ix);
+        }
+        let call = self.call_id();
+        let machines: Vec<MachineIx> = returns.into_iter().map(|returned| returned.machine).collect();
+        let ids = machines.iter().map(|ix| self.machine(*ix).id.clone()).collect();
+        self.fleet.calls.insert(call, Call::Return(machines));
+        self.push_effect(Effect::Return { call, ids });
+    }
+
+    fn machines_to_return(&self, now: Ms) -> Vec<MachineReturn> {
+        let heard_by_zone = self.heard_by_zone(now);
+        let mut returns = Vec::new();
+        for (n, machine) in self.machines.iter().enumerate() {
+            if returns.len() >= RETURNS_PER_CALL {
+                break;
+            }
+            if now < machine.return_after {
+                continue;
+            }
+            if let Some(reason) = self.return_reason(now, machine, &heard_by_zone) {
+                returns.push(MachineReturn { machine: MachineIx(n as u32), reason });
+            }
+        }
+        returns
+    }
+
+    fn return_reason(&self, now: Ms, machine: &Machine, heard_by_zone: &HeardByZone) -> Option<ReturnReason> {
+        let cloud_answers = self.fleet.cloud_ok + CLOUD_ANSWER_MS > now;
+        let is_dead = || self.is_silent(now, machine) && cloud_answers && self.is_dead(now, machine, heard_by_zone);
+        match machine.lifecycle {
+            MachineLifecycle::Gone => None,
+            MachineLifecycle::Returning => Some(ReturnReason::AskedBefore),
+            MachineLifecycle::Booting if machine.is_inherited_unheard() => is_dead().then_some(ReturnReason::Silent),
+            MachineLifecycle::Booting => self.is_past_boot_limit(now, machine).then_some(ReturnReason::NeverCameUp),
+            MachineLifecycle::Up if is_dead() => Some(ReturnReason::Silent),
+            MachineLifecycle::Up
+                if machine.misses_answers() && cloud_answers && self.others_take_answers(now, machine) =>
+            {
+                Some(ReturnReason::MissesAnswers)
+            }
+            MachineLifecycle::Up if !machine.assignments.is_empty() => None,
+            MachineLifecycle::Up if machine.retiring => Some(ReturnReason::Retired),
+            MachineLifecycle::Up => self.is_idle_long(now, machine).then_some(ReturnReason::Idle),
+        }
+    }
+
+    /// Whether a machine's report is so late that it may be dead.
+    fn is_silent(&self, now: Ms, machine: &Machine) -> bool {
+        let is_overdue =
+            now > self.heard_or_start(machine) + self.cfg.silent_ms || machine.failed_probes >= SILENT_PROBES;
+        let expects_reports = match machine.lifecycle {
+            MachineLifecycle::Gone => false,
+            MachineLifecycle::Booting => machine.is_inherited_unheard(),
+            MachineLifecycle::Up | MachineLifecycle::Returning => true,
+        };
+        is_overdue && expects_reports
+    }
+
+    /// When a machine was last heard; one that this leader never heard could
+    /// have reported within an interval of its beginning.
+    fn heard_or_start(&self, machine: &Machine) -> Ms {
+        machine.last_heard.unwrap_or(self.started + self.cfg.report_ms)
+    }
+
+    /// When machines were last heard; empty if none is silent.
+    fn heard_by_zone(&self, now: Ms) -> HeardByZone {
+        let mut heard_by_zone = HeardByZone::default();
+        if !self.machines.iter().any(|machine| self.is_silent(now, machine)) {
+            return heard_by_zone;
+        }
+        for machine in self.machines.iter().filter(|machine| expected_to_report(machine)) {
+            for zone in [None, Some(machine.zone)] {
+                heard_by_zone.0.entry(zone).or_default().0.push(machine.last_heard.unwrap_or(0));
+            }
+        }
+        for times in heard_by_zone.0.values_mut() {
+            times.0.sort_unstable();
+        }
+        heard_by_zone
+    }
+
+    /// Guard: a network partition silences the machines behind it, which may
+    /// well be running. A machine is believed dead only if others of its zone
+    /// were heard after the moment at which it should have been: a partition
+    /// would have stopped those too. Where it has no others, those of all zones
+    /// speak for it, after twice the time.
+    fn is_dead(&self, now: Ms, suspect: &Machine, heard_by_zone: &HeardByZone) -> bool {
+        let since = self.heard_or_start(suspect);
+        let due = since + self.cfg.report_ms * 5 / 4 + REPORT_DUE_SLACK_MS;
+        let none = HeardTimes::default();
+        let times_in = |zone: Option<ZoneIx>| heard_by_zone.0.get(&zone).unwrap_or(&none);
+        let in_zone = times_in(Some(suspect.zone));
+        if in_zone.others() == 0 {
+            let everywhere = times_in(None);
+            return everywhere.heard_after(due) * 3 > everywhere.others() && now > since + 2 * self.cfg.silent_ms;
+        }
+        in_zone.heard_after(due) * 3 >= in_zone.others() && self.is_zone_sound(now, suspect.zone)
+    }
+
+    /// Notes since when most machines of each zone have been heard from.
+    pub fn note_zones(&mut self, now: Ms) {
+        let mut zones: HashMap<ZoneIx, ZoneHealth> = HashMap::new();
+        for machine in self.machines.iter().filter(|machine| expected_to_report(machine)) {
+            let health = zones.entry(machine.zone).or_default();
+            health.heard += u32::from(self.heard_lately(now, machine));
+            health.all += 1;
+        }
+        for (zone, health) in zones {
+            if health.heard * 2 >= health.all {
+                self.fleet.zone_heard_since.entry(zone).or_insert(now);
+            } else {
+                self.fleet.zone_heard_since.remove(&zone);
+            }
+        }
+    }
+
+    fn heard_lately(&self, now: Ms, machine: &Machine) -> bool {
+        machine.last_heard.is_some_and(|heard| now < heard + 2 * self.cfg.report_ms)
+    }
+
+    /// Guard: when a partition ends, or a leader is new, machines come back one
+    /// by one; the last of them are not dead.
+    fn is_zone_sound(&self, now: Ms, zone: ZoneIx) -> bool {
+        self.fleet.zone_heard_since.get(&zone).is_some_and(|since| now > since + self.cfg.silent_ms)
+    }
+
+    /// Whether most machines that report take what they are told; otherwise it
+    /// is this controller whose answers are lost.
+    fn others_take_answers(&self, now: Ms, suspect: &Machine) -> bool {
+        let (mut taking, mut all) = (0, 0);
+        for machine in &self.machines {
+            let is_other = machine.lifecycle == MachineLifecycle::Up && machine.id != suspect.id;
+            if is_other && self.heard_lately(now, machine) {
+                all += 1;
+                taking += usize::from(machine.unacknowledged_reports == 0);
+            }
+        }
+        taking * 2 > all
+    }
+
+    fn is_past_boot_limit(&self, now: Ms, machine: &Machine) -> bool {
+        let boot_s = self.type_of(machine).map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s);
+        let limit_ms = (boot_s * BOOT_LIMIT_FACTOR + BOOT_LIMIT_SLACK_S) * 1000.0;
+        let since = machine.rented_at.max(self.started);
+        (now - since) as f64 > limit_ms
+    }
+
+    fn is_idle_long(&self, now: Ms, machine: &Machine) -> bool {
+        machine.idle_since.is_some_and(|since| now > since + self.keep_ms(now, machine))
+    }
+
+    /// How long an idle machine is kept: longer if it takes long to get again.
+    fn keep_ms(&self, now: Ms, machine: &Machine) -> Ms {
+        let ready_s = self.type_of(machine).map_or(0.0, |machine_type| {
+            if machine_type.cap.gpus <= 0.0 {
+                return machine_type.boot_s;
+            }
+            // With GPUs, the image counts too; but only while such work comes.
+            let expected = self.gpu_demand.shapes().iter().filter(|shape| {
+                shape.spec.allows_type(machine_type.ix)
+                    && Res::of(&shape.spec).fits_in(&machine_type.cap)
+                    && now as i64 - shape.latest_arrival < GPU_WORK_EXPECTED_MS
+            });
+            let fetch_rate = machine_type.fetch_gb_per_s.max(SLOWEST_FETCH_GB_PER_S);
+            expected.map(|shape| machine_type.boot_s + shape.spec.image_gb / fetch_rate).fold(0.0, f64::max)
+        });
+        self.cfg.idle_keep_ms.max((ready_s * KEEP_FACTOR * 1000.0) as Ms)
+    }
+
+    /// How a return ended. After a 200, the machines and everything on them are gone.
+    pub fn returned(&mut self, now: Ms, call: u64, ok: bool) {
+        let Some(Call::Return(machines)) = self.fleet.calls.remove(&call) else { return };
+        for ix in machines {
+            if ok {
+                self.free_machine(ix, None);
+                let machine = &mut self.machines[ix.at()];
+                machine.lifecycle = MachineLifecycle::Gone;
+                machine.direct_call = None;
+                self.refresh(now, ix);
+            } else {
+                self.machines[ix.at()].return_after = now + RETURN_FAILED_PAUSE_MS;
+            }
+        }
+        self.pass_needed = true;
+    }
+}
+
+/// Whether a machine's worker ought to report: it did, or it holds tasks that
+/// an earlier leader assigned.
+fn expected_to_report(machine: &Machine) -> bool {
+    machine.lifecycle == MachineLifecycle::Up || machine.is_inherited_unheard()
+}
--- a/src/coordination/leader/assignments.rs
+++ b/src/coordination/leader/assignments.rs
@@ -1,167 +1,186 @@
-//! Where tasks may be: places are made, and given up on proof.
+//! Assignments are made, and released on proof that the task is gone.
 
-use super::*;
+use super::Leader;
+use crate::{
+    bookkeeping::{job_cache::JobIx, records::Status},
+    coordination::model::{Assignment, AssignmentIx, AssignmentState, Job, MachineIx, Ms, Res, Slot, START_COUNTS_MS},
+    protocol::{jobs::Kind, names::ZoneIx, workers::TaskState},
+};
+
+/// An assignment to be made.
+#[derive(Debug, Clone, Copy)]
+pub struct NewAssignment {
+    pub job: JobIx,
+    pub task: u32,
+    pub machine: MachineIx,
+    pub session: u64,
+    pub attempt: u64,
+    pub zone: ZoneIx,
+}
 
 impl Leader {
-    #[allow(clippy::too_many_arguments)]
-    pub fn add_assignment(
-        &mut self,
-        now: Ms,
-        job_ix: JobIx,
-        task: u32,
-        machine: MachineIx,
-        session: u64,
-        attempt: u64,
-        zone: ZoneIx,
-    ) -> Option<AssignmentIx> {
-        let job = self.jobs.get_mut(job_ix.at()).and_then(Option::as_mut)?;
-        // Guard: its records are being divided anew, on the footing that nothing is placed.
+    /// Assigns a pending task to a machine. `None`: the task is not pending, or
+    /// its job is being resharded.
+    pub fn add_assignment(&mut self, now: Ms, new: NewAssignment) -> Option<AssignmentIx> {
+        let job = self.jobs.get_mut(new.job.at()).and_then(Option::as_mut)?;
+        // Guard: its chunks are being resharded on the assumption that no task
+        // is assigned meanwhile.
         if job.resharding {
             return None;
         }
-        if job.slots.get(task as usize) != Some(&Slot::Pending) {
+        if job.slots.get(new.task as usize) != Some(&Slot::Pending) {
             return None;
         }
-        let ver = job.touch(task);
-        let chunk = job.chunk_of(task);
-        job.chunks[chunk].urgent = ver;
+        let chunk_version = job.touch(new.task);
+        let chunk = job.chunk_of(new.task);
+        job.chunks[chunk].placement_version = chunk_version;
         job.placed += 1;
-        job.started = true;
-        if job.spec.one_zone || job.spec.spread {
-            if job.zone_used.len() <= zone.at() {
-                job.zone_used.resize(zone.at() + 1, 0);
-            }
-            job.zone_used[zone.at()] += 1;
-        }
-        if let Some(u) = self.team_used.get_mut(job.spec.team.at()) {
-            *u += Res::of(&job.spec);
+        job.ever_assigned = true;
+        count_in_zone(job, new.zone);
+        if let Some(used) = self.team_used.get_mut(job.spec.team.at()) {
+            *used += Res::of(&job.spec);
         }
-        self.snapshot.take(machine.at(), &job.spec);
+        self.snapshot.take(new.machine.at(), &job.spec);
         job.last_assigned = now;
-        if job.pending.last() == Some(&task) {
+        if job.pending.last() == Some(&new.task) {
             job.pending.pop();
         } else {
-            job.pending.retain(|&t| t != task);
+            job.pending.retain(|&task| task != new.task);
         }
-        let assignment = Assignment {
-            job: job_ix,
-            task,
-            machine,
-            zone,
-            session,
-            attempt,
-            ver,
+        let ix = self.assignments.insert(Assignment {
+            job: new.job,
+            task: new.task,
+            machine: new.machine,
+            zone: new.zone,
+            session: new.session,
+            attempt: new.attempt,
+            chunk_version,
             state: AssignmentState::Wanted,
             sent: None,
             running_since: None,
             halt: None,
             made: now,
             inherited: false,
-        };
-        let ix = match self.release_assignments.pop() {
-            Some(n) => {
-                self.assignments[n as usize] = Some(assignment);
-                AssignmentIx(n)
-            }
-            None => {
-                self.assignments.push(Some(assignment));
-                AssignmentIx(self.assignments.len() as u32 - 1)
-            }
-        };
-        job.slots[task as usize] = Slot::At(ix);
-        let gpus = job.spec.gpus > 0.0;
-        let m = &mut self.machines[machine.at()];
-        m.assignments.push(ix);
-        m.idle_since = None;
-        if gpus {
-            m.gpu_assignments += 1;
-            m.gpu_idle_since = None;
+        });
+        job.slots[new.task as usize] = Slot::At(ix);
+        let uses_gpus = job.spec.gpus > 0.0;
+        let machine = &mut self.machines[new.machine.at()];
+        machine.assignments.push(ix);
+        machine.idle_since = None;
+        if uses_gpus {
+            machine.gpu_assignments += 1;
+            machine.gpu_idle_since = None;
         }
         Some(ix)
     }
 
-    /// The task is provably not there (any more). `done`: it completed.
+    /// The task is provably not on its machine (any more). `done`: it completed.
     pub fn release_assignment(&mut self, ix: AssignmentIx, done: bool) -> Option<Assignment> {
-        let assignment = self.assignments.get_mut(ix.at())?.take()?;
-        self.release_assignments.push(ix.0);
-        self.machines[assignment.machine.at()].assignments.retain(|&p| p != ix);
+        let assignment = self.assignments.remove(ix)?;
+        self.machines[assignment.machine.at()].assignments.retain(|&other| other != ix);
         self.pass_needed = true;
-        if let Some(job) = self.jobs.get_mut(assignment.job.at()).and_then(Option::as_mut) {
-            job.touch(assignment.task);
-            job.placed -= 1;
-            job.begun |= done || assignment.running_since.is_some_and(|s| self.clock >= s + START_COUNTS_MS);
-            if let Some(n) = job.zone_used.get_mut(assignment.zone.at()) {
-                *n -= 1;
-            }
-            if let Some(u) = self.team_used.get_mut(job.spec.team.at()) {
-                *u -= Res::of(&job.spec);
-            }
-            self.snapshot.give(assignment.machine.at(), &job.spec, assignment.halt.is_some());
-            if job.spec.gpus > 0.0 {
-                self.machines[assignment.machine.at()].gpu_assignments -= 1;
+        if self.job(assignment.job).is_some() {
+            self.release_from_job(&assignment, done);
+            self.changed_progress.insert(assignment.job);
+            if !done {
+                self.stop_rest_of_gang(&assignment);
             }
-            if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
-                job.running = job.running.saturating_sub(1);
-            }
-            if done {
-                job.slots[assignment.task as usize] = Slot::Done;
-                job.done += 1;
-            } else {
-                job.slots[assignment.task as usize] = Slot::Pending;
-                // Keep the lowest number next, so that replacements come first.
-                let at = job.pending.partition_point(|&t| t > assignment.task);
-                job.pending.insert(at, assignment.task);
-            }
-            self.counts.insert(assignment.job);
-            let gang = job.spec.kind == Kind::Gang;
-            if gang && !done && job.placed > 0 && job.status == Status::Pending {
-                // A gang without one of its tasks can't go on: its rest is
-                // stopped, and it starts anew once all of it is gone.
-                let rest: Vec<AssignmentIx> =
-                    job.slots.iter().filter_map(|s| if let Slot::At(p) = s { Some(*p) } else { None }).collect();
-                for p in rest {
-                    self.halt(assignment.made, p, 0.0);
-                }
-            }
-            self.retire_over(assignment.job);
+            self.retire_if_over(assignment.job);
         }
         Some(assignment)
     }
 
-    /// Everything on a machine is provably gone.
+    fn release_from_job(&mut self, assignment: &Assignment, done: bool) {
+        let Some(job) = self.jobs.get_mut(assignment.job.at()).and_then(Option::as_mut) else { return };
+        let task = assignment.task;
+        let machine = assignment.machine.at();
+        job.touch(task);
+        job.placed -= 1;
+        let ran_long_enough = assignment.running_since.is_some_and(|since| self.clock >= since + START_COUNTS_MS);
+        job.has_counted_start |= done || ran_long_enough;
+        if let Some(used) = job.zone_used.get_mut(assignment.zone.at()) {
+            *used -= 1;
+        }
+        if let Some(used) = self.team_used.get_mut(job.spec.team.at()) {
+            *used -= Res::of(&job.spec);
+        }
+        self.snapshot.give(machine, &job.spec, assignment.halt.is_some());
+        if job.spec.gpus > 0.0 {
+            self.machines[machine].gpu_assignments -= 1;
+        }
+        if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
+            job.running = job.running.saturating_sub(1);
+        }
+        if done {
+            job.slots[task as usize] = Slot::Done;
+            job.done += 1;
+        } else {
+            job.slots[task as usize] = Slot::Pending;
+            // Keep the lowest number next, so that replacements come first.
+            let position = job.pending.partition_point(|&pending| pending > task);
+            job.pending.insert(position, task);
+        }
+    }
+
+    /// A gang without one of its tasks can't go on: the others are stopped, and
+    /// it starts again once all of them are gone.
+    fn stop_rest_of_gang(&mut self, released: &Assignment) {
+        let Some(job) = self.job(released.job) else { return };
+        if job.spec.kind != Kind::Gang || job.placed == 0 || job.status != Status::Pending {
+            return;
+        }
+        for assignment_ix in job.assignments() {
+            self.halt(released.made, assignment_ix, 0.0);
+        }
+    }
+
+    /// Everything on a machine is provably gone; with `below_session`, only
+    /// what was assigned in an earlier session.
     pub fn free_machine(&mut self, ix: MachineIx, below_session: Option<u64>) {
-        let all: Vec<AssignmentIx> = self.machines[ix.at()].assignments.clone();
-        for p in all {
-            let old = self.assignment(p).is_some_and(|p| below_session.is_none_or(|s| p.session < s));
-            if old {
-                if let Some(j) = self.assignment(p).map(|p| p.job).and_then(|j| self.job_mut(j)) {
-                    j.losses += 1;
-                }
-                self.release_assignment(p, false);
+        for assignment_ix in self.machines[ix.at()].assignments.clone() {
+            let Some(assignment) = self.assignments.get(assignment_ix) else { continue };
+            if below_session.is_some_and(|session| assignment.session >= session) {
+                continue;
             }
+            let job_ix = assignment.job;
+            if let Some(job) = self.job_mut(job_ix) {
+                job.lost_count += 1;
+            }
+            self.release_assignment(assignment_ix, false);
         }
         self.machines[ix.at()].unreaped_exits.clear();
     }
 
-    pub fn in_flight_launch(&self, p: &Assignment) -> bool {
-        self.machines[p.machine.at()].call.as_ref().is_some_and(|c| c.launches.contains(&(p.job, p.task, p.attempt)))
+    /// Whether a command with the assignment's launch is unanswered.
+    pub fn in_flight_launch(&self, assignment: &Assignment) -> bool {
+        let call = &self.machines[assignment.machine.at()].direct_call;
+        call.as_ref().is_some_and(|call| call.launches.contains(&assignment.launch_id()))
     }
 
-    /// The record of this place is written.
-    pub fn written(&self, p: &Assignment) -> bool {
-        self.job(p.job).is_some_and(|j| j.chunks[j.chunk_of(p.task)].committed >= p.ver)
+    /// Whether the assignment's record is written.
+    pub fn written(&self, assignment: &Assignment) -> bool {
+        self.job(assignment.job)
+            .is_some_and(|job| job.chunks[job.chunk_of(assignment.task)].committed_version >= assignment.chunk_version)
     }
 
-    /// Guard: a launch is sent only after its record is written, a gang's
-    /// only after the records of all its tasks are.
-    pub(super) fn may_launch(&self, p: &Assignment) -> bool {
-        let Some(job) = self.job(p.job) else { return false };
-        if p.halt.is_some() || job.status != Status::Pending || !self.written(p) {
-            return false;
-        }
-        if job.spec.kind == Kind::Gang && job.is_urgent() {
+    /// Guard: a launch is sent only after its record is written, a gang's only
+    /// after the records of all its tasks are. A leader that takes over must
+    /// find every task that may run.
+    pub(super) fn may_launch(&self, assignment: &Assignment) -> bool {
+        let Some(job) = self.job(assignment.job) else { return false };
+        if assignment.halt.is_some() || job.status != Status::Pending || !self.written(assignment) {
             return false;
         }
-        true
+        !(job.spec.kind == Kind::Gang && job.has_unwritten_placement())
+    }
+}
+
+fn count_in_zone(job: &mut Job, zone: ZoneIx) {
+    if !(job.spec.one_zone || job.spec.spread) {
+        return;
+    }
+    if job.zone_used.len() <= zone.at() {
+        job.zone_used.resize(zone.at() + 1, 0);
     }
+    job.zone_used[zone.at()] += 1;
 }
--- a/src/coordination/leader/commands.rs
+++ b/src/coordination/leader/commands.rs
@@ -1,229 +1,132 @@
-//! What workers are told, in answers to reports or straight.
+//! What workers are told to launch, halt and reap.
 
-use super::*;
+use super::Leader;
+use crate::{
+    bookkeeping::{job_cache::JobCache, records::Status},
+    coordination::model::{Assignment, AssignmentIx, AssignmentState, ExitRecord, Job, Machine, MachineIx, Ms},
+    protocol::workers::{split_task, Order, Report, TaskReport, TaskState},
+};
 
 /// Orders in one message: it must stay well below the 64 KiB that workers take.
-const ORDERS: usize = 400;
-/// What was sent is sent again after this long without effect.
-const AGAIN_MS: Ms = 2_500;
+const ORDERS_PER_MESSAGE: usize = 400;
+/// Unreaped exits handled in one message, so that launches and halts fit too.
+const EXITS_PER_MESSAGE: usize = ORDERS_PER_MESSAGE / 4;
+/// An order is sent again after this long without effect.
+pub(super) const RESEND_MS: Ms = 2_500;
 
-/// Halts for what runs of jobs that are known as cancelled. Guard: every 200 to
-/// a report renews a lease, so each carries them, whoever answers, and whether
-/// the report is new or the records are read yet.
-pub fn halts_of_cancelled(r: &Report, job_cache: &JobCache) -> Vec<Order> {
-    let cancelled = |t: &&TaskReport| {
-        let job = split_task(&t.task).and_then(|(id, _)| job_cache.find(id));
-        t.state != TaskState::Exited && job.is_some_and(|ix| job_cache.get(ix).status == Status::Cancelled)
+/// Which orders a message carries.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum OrderScope {
+    /// Everything that isn't in effect yet: in the answer to a report.
+    All,
+    /// Only what was not sent lately: in a direct call.
+    Unsent,
+}
+
+/// What an assignment's worker has to be told.
+enum AssignmentOrder {
+    Launch,
+    Halt { grace_s: f64 },
+}
+
+/// Halts for tasks that run though their jobs are known as cancelled.
+///
+/// Guard: every 200 to a report renews a lease, so each carries these halts,
+/// whoever answers, and whether the report is new or the records are read yet.
+/// Otherwise a cancelled task could run on under a renewed lease.
+pub fn halts_of_cancelled(report: &Report, job_cache: &JobCache) -> Vec<Order> {
+    let is_cancelled = |task: &&TaskReport| {
+        let job = split_task(&task.task).and_then(|(id, _)| job_cache.find(id));
+        task.state != TaskState::Exited && job.is_some_and(|ix| job_cache.get(ix).status == Status::Cancelled)
     };
-    let halt = |t: &TaskReport| Order::Halt { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 };
-    r.tasks.iter().filter(cancelled).map(halt).take(ORDERS).collect()
+    let halt = |task: &TaskReport| Order::Halt { task: task.task.clone(), attempt: task.attempt, grace_s: 0.0 };
+    report.tasks.iter().filter(is_cancelled).map(halt).take(ORDERS_PER_MESSAGE).collect()
 }
 
 impl Leader {
     /// Whether a task may be on the machine, or on its way there: listed by its
-    /// report, placed by a record, or launched by a command that is under way.
-    pub fn may_hold_tasks(&self, r: &Report) -> bool {
-        let listed = r.tasks.iter().any(|t| t.state != TaskState::Exited);
-        let Some(&ix) = self.machine_ix.get(&r.machine) else { return listed || !self.loaded };
-        let m = self.machine(ix);
-        listed || !self.loaded || !m.assignments.is_empty() || m.call.is_some() || m.answer_open || !m.fenced()
+    /// report, assigned by a record, or launched by a command that is under way.
+    pub fn may_hold_tasks(&self, report: &Report) -> bool {
+        let is_listed = report.tasks.iter().any(|task| task.state != TaskState::Exited);
+        if is_listed || !self.loaded {
+            return true;
+        }
+        let Some(&ix) = self.machine_ix.get(&report.machine) else { return false };
+        let machine = self.machine(ix);
+        !machine.assignments.is_empty() || !machine.has_no_command_in_flight()
     }
 
-    /// What the worker should be told. `all`: everything that isn't in effect
-    /// yet (in the answer to a report); otherwise only what was not sent lately.
-    pub fn orders(&mut self, now: Ms, ix: MachineIx, all: bool) -> Vec<Order> {
-        let mut out = Vec::new();
-        let mut stamps: Vec<(AssignmentIx, bool)> = Vec::new();
-        let m = &self.machines[ix.at()];
-        let fresh = |sent: Option<Ms>| sent.is_none_or(|s| now >= s + AGAIN_MS);
-        if m.fenced() && (all || m.call.is_none()) {
-            for t in m.unreaped_exits.iter().take(ORDERS / 4) {
-                if t.ver == u64::MAX {
-                    // Halt and reap together: whichever applies takes effect.
-                    out.push(Order::Halt { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 });
-                    out.push(Order::Reap { task: t.task.clone(), attempt: t.attempt });
-                } else if all && self.is_exit_recorded(t) {
-                    out.push(Order::Reap { task: t.task.clone(), attempt: t.attempt });
-                }
-            }
-        }
-        if !all && out.iter().all(|o| matches!(o, Order::Halt { .. } | Order::Reap { .. })) {
-            out.clear(); // strays wait for the report's answer
-        }
-        for &p in &m.assignments {
-            let Some(assignment) = self.assignment(p) else { continue };
+    /// What the worker should be told; what is returned counts as sent.
+    pub(super) fn orders(&mut self, now: Ms, ix: MachineIx, scope: OrderScope) -> Vec<Order> {
+        let machine = &self.machines[ix.at()];
+        let mut orders = match scope {
+            OrderScope::All => self.exit_orders(machine),
+            // Strays and exits wait for the report's answer.
+            OrderScope::Unsent => Vec::new(),
+        };
+        let mut sent: Vec<AssignmentIx> = Vec::new();
+        for &assignment_ix in &machine.assignments {
+            let Some(assignment) = self.assignment(assignment_ix) else { continue };
             let Some(job) = self.job(assignment.job) else { continue };
-            if assignment.session != m.session || matches!(assignment.state, AssignmentState::Ended(_)) {
+            if assignment.session != machine.session || matches!(assignment.state, AssignmentState::Ended(_)) {
                 continue;
             }
-            if out.len() >= ORDERS {
+            if orders.len() >= ORDERS_PER_MESSAGE {
                 break; // the rest comes with the next answer
             }
-            let task = || format!("{}/{}", job.id, assignment.task);
-            if let Some(h) = assignment.halt {
-                if all || fresh(h.sent) {
-                    out.push(Order::Halt { task: task(), attempt: assignment.attempt, grace_s: h.grace_s });
-                    stamps.push((p, true));
-                }
-            } else if assignment.state == AssignmentState::Wanted
-                && (all || fresh(assignment.sent))
-                && self.may_launch(assignment)
-            {
-                out.push(Order::Launch { task: task(), attempt: assignment.attempt });
-                stamps.push((p, false));
-            }
-        }
-        for (p, halt) in stamps {
-            if let Some(assignment) = self.assignments[p.at()].as_mut() {
-                if halt {
-                    if let Some(h) = &mut assignment.halt {
-                        h.sent = Some(now);
-                    }
-                } else {
-                    assignment.sent = Some(now);
-                }
+            if let Some(order) = self.assignment_order(now, assignment, scope) {
+                orders.push(order_for(job, assignment, &order));
+                sent.push(assignment_ix);
             }
         }
-        out
-    }
-
-    /// Sends what is new straight to the workers that may have to hear something.
-    pub fn push_orders(&mut self, now: Ms) {
-        while let Some(&(at, ix)) = self.wake.first().filter(|(at, _)| *at <= now) {
-            self.wake.remove(&(at, ix));
-            let n = ix.at();
-            let m = &self.machines[n];
-            if m.assignments.is_empty() || m.call.is_some() || m.life != MachineLifecycle::Up {
-                continue;
-            }
-            if now < m.call_after {
-                self.wake.insert((m.call_after, ix));
-                continue;
-            }
-            // A token that the worker has not shown yet is told by the answer
-            // to its report first; a silent worker is not bothered.
-            let Some(addr) = m.addr else { continue };
-            if !m.fenced() || m.heard.is_none_or(|h| now > h + 3 * self.cfg.report_ms) {
-                continue;
-            }
-            let orders = self.orders(now, ix, false);
-            if orders.is_empty() {
-                continue;
-            }
-            let launches = orders
-                .iter()
-                .filter_map(|o| match o {
-                    Order::Launch { task, attempt } => {
-                        let (_, n) = split_task(task)?;
-                        let p = self.machines[ix.at()]
-                            .assignments
-                            .iter()
-                            .find(|&&p| self.assignment(p).is_some_and(|p| p.task == n && p.attempt == *attempt))?;
-                        self.assignment(*p).map(|p| (p.job, n, *attempt))
-                    }
-                    _ => None,
-                })
-                .collect();
-            let call = self.call_id();
-            let m = &mut self.machines[n];
-            m.call = Some(DirectCall { id: call, sent: now, launches });
-            let req = DirectCommandRequest { token: m.token, session: m.session, orders };
-            self.effects.push(Effect::Do { machine: ix, call, addr, req });
-            self.wake.insert((now + AGAIN_MS + 100, ix));
+        for assignment_ix in sent {
+            self.note_sent(now, assignment_ix);
         }
+        orders
     }
 
-    /// False: a worker showed a higher token than ours; another one leads.
-    pub fn direct_call_result(
-        &mut self,
-        now: Ms,
-        ix: MachineIx,
-        call: u64,
-        outcome: DirectCallOutcome,
-        job_cache: &JobCache,
-        tables: &mut Tables,
-    ) -> bool {
-        let m = &mut self.machines[ix.at()];
-        if m.call.as_ref().is_none_or(|c| c.id != call) {
-            return true;
+    /// Orders for tasks that the worker lists without an assignment.
+    fn exit_orders(&self, machine: &Machine) -> Vec<Order> {
+        let mut orders = Vec::new();
+        if !machine.fenced() {
+            return orders;
         }
-        let Some(done) = m.call.take() else { return true };
-        self.wake.insert((now, ix));
-        let m = &mut self.machines[ix.at()];
-        let refused = matches!(outcome, DirectCallOutcome::Refused(_));
-        match outcome {
-            DirectCallOutcome::Executed(r) | DirectCallOutcome::Refused(r) => {
-                if r.token > m.token {
-                    return false;
-                }
-                if r.session > m.dead_session && m.life != MachineLifecycle::Gone {
-                    self.take_report(now, ix, &r, job_cache, tables);
-                }
-                if refused {
-                    // Not executed: what it launched may be sent again at once.
-                    for (job, task, attempt) in done.launches {
-                        let slot = self.job(job).and_then(|j| j.slots.get(task as usize).copied());
-                        if let Some(Slot::At(p)) = slot {
-                            if let Some(p) = self.assignments[p.at()].as_mut().filter(|p| p.attempt == attempt) {
-                                p.sent = None;
-                            }
-                        }
-                    }
-                }
-            }
-            DirectCallOutcome::NotSent => m.call_after = now + 700,
-            DirectCallOutcome::Unknown => {
-                m.call_after = now + 1_000;
-                if !done.launches.is_empty() {
-                    // Guard: those launches may arrive at any later time. The
-                    // raised token fences them, once the worker has shown it.
-                    m.token += 1;
-                    m.fence = m.token;
-                    m.answered = false;
-                    tracing::debug!(machine = &*m.id, token = m.token, "command unanswered, token raised");
-                    self.refresh(now, ix);
-                }
+        for exit in machine.unreaped_exits.iter().take(EXITS_PER_MESSAGE) {
+            let (task, attempt) = (&exit.task, exit.attempt);
+            if exit.record == ExitRecord::Stray {
+                // Halt and reap together: whichever applies takes effect.
+                orders.push(Order::Halt { task: task.clone(), attempt, grace_s: 0.0 });
+                orders.push(Order::Reap { task: task.clone(), attempt });
+            } else if self.is_exit_recorded(exit) {
+                orders.push(Order::Reap { task: task.clone(), attempt });
             }
         }
-        true
+        orders
     }
 
-    /// Asks a worker whose report is overdue. That it doesn't answer proves
-    /// nothing, but lets its machine be handed back sooner, which does.
-    pub(super) fn probe(&mut self, now: Ms, ix: MachineIx) {
-        let overdue = self.cfg.report_ms * 5 / 4 + 400;
-        let m = &mut self.machines[ix.at()];
-        let late = m.heard.is_some_and(|h| now > h + overdue);
-        if m.life == MachineLifecycle::Up && late && !m.probing && !m.assignments.is_empty() && m.probe_fails < 3 {
-            if let Some(addr) = m.addr {
-                m.probing = true;
-                self.effects.push(Effect::Probe { machine: ix, addr });
-            }
+    fn assignment_order(&self, now: Ms, assignment: &Assignment, scope: OrderScope) -> Option<AssignmentOrder> {
+        let is_due = |sent: Option<Ms>| scope == OrderScope::All || sent.is_none_or(|sent| now >= sent + RESEND_MS);
+        if let Some(halt) = assignment.halt {
+            return is_due(halt.sent).then_some(AssignmentOrder::Halt { grace_s: halt.grace_s });
         }
+        let is_launch_due = assignment.state == AssignmentState::Wanted && is_due(assignment.sent);
+        (is_launch_due && self.may_launch(assignment)).then_some(AssignmentOrder::Launch)
     }
 
-    pub fn probed(
-        &mut self,
-        now: Ms,
-        ix: MachineIx,
-        report: Option<&Report>,
-        job_cache: &JobCache,
-        tables: &mut Tables,
-    ) {
-        let m = &mut self.machines[ix.at()];
-        m.probing = false;
-        match report {
-            Some(r) if r.session > m.dead_session && m.life == MachineLifecycle::Up => {
-                self.take_report(now, ix, r, job_cache, tables);
-            }
-            Some(_) => {}
-            None => m.probe_fails += 1,
+    fn note_sent(&mut self, now: Ms, ix: AssignmentIx) {
+        let Some(assignment) = self.assignments.get_mut(ix) else { return };
+        match &mut assignment.halt {
+            Some(halt) => halt.sent = Some(now),
+            None => assignment.sent = Some(now),
         }
     }
+}
 
-    /// The count inside some worker's token is nearly used up: the next
-    /// leadership begins a new one.
-    pub fn tokens_spent(&self) -> bool {
-        self.machines.iter().any(|m| m.token - base_token(self.stamp) > 60_000)
+fn order_for(job: &Job, assignment: &Assignment, order: &AssignmentOrder) -> Order {
+    let task = format!("{}/{}", job.id, assignment.task);
+    let attempt = assignment.attempt;
+    match order {
+        AssignmentOrder::Launch => Order::Launch { task, attempt },
+        AssignmentOrder::Halt { grace_s } => Order::Halt { task, attempt, grace_s: *grace_s },
     }
 }
--- /dev/null
+++ b/src/coordination/leader/commit_outcomes.rs
@@ -0,0 +1,273 @@
+//! Takes in how a transaction ended.
+
+use ciborium::Value;
+
+use super::{
+    effects::REFUSED_PAUSE_MS,
+    pipeline::{InFlightTxn, ObsoleteRecord, TxnState, WrittenChunk},
+    CommitOutcome, Leader,
+};
+use crate::{
+    bookkeeping::{
+        job_cache::JobIx,
+        records::{self, ChunkRecord},
+    },
+    coordination::model::{AssignmentState, MachineIx, Ms},
+    protocol::{jobs::Kind, store::Op},
+};
+
+/// Pause before an unanswered transaction is sent again.
+const UNANSWERED_PAUSE_MS: Ms = 100;
+/// Pause after a transaction within the lower limits was refused as too large.
+const TOO_LARGE_PAUSE_MS: Ms = 1_000;
+
+impl Leader {
+    /// How the transaction under way ended. False: the leadership is lost.
+    pub fn committed(&mut self, now: Ms, outcome: CommitOutcome) -> bool {
+        let Some(mut in_flight) = self.transactions.in_flight.take() else { return true };
+        match outcome {
+            CommitOutcome::Done(stamp) => self.applied(now, in_flight, stamp),
+            CommitOutcome::Refused => {
+                self.commit_after = now + REFUSED_PAUSE_MS;
+                // Rebuilt from the wanted state as it is by then. But if an
+                // earlier copy went unanswered, that one must be settled first.
+                if in_flight.has_unanswered_copy {
+                    in_flight.mark_returned();
+                    self.transactions.in_flight = Some(in_flight);
+                } else {
+                    self.give_back(in_flight);
+                }
+            }
+            CommitOutcome::TooLarge => self.too_large(now, in_flight),
+            CommitOutcome::Unknown => {
+                // Guard: it may yet be applied. The same transaction again, on
+                // the same conditions, can be applied only once in all.
+                self.commit_after = now + UNANSWERED_PAUSE_MS;
+                in_flight.mark_returned();
+                in_flight.has_unanswered_copy = true;
+                self.transactions.in_flight = Some(in_flight);
+            }
+            CommitOutcome::Conflict(failed_keys) => return self.conflicted(in_flight, failed_keys),
+        }
+        true
+    }
+
+    /// The transaction's conditions failed at these keys. False: another leader
+    /// has written.
+    fn conflicted(&mut self, mut in_flight: InFlightTxn, failed_keys: Vec<String>) -> bool {
+        if failed_keys.iter().any(|key| key == records::LEADER) {
+            return false;
+        }
+        for key in &failed_keys {
+            if let Some(id) = key.strip_prefix(records::JOBS) {
+                self.mark_stale(id, stamp_of(&in_flight, key));
+            }
+        }
+        let contents = &mut in_flight.contents;
+        // Keys to be dropped that changed or are gone need no second look: the
+        // next leader drops what is left of a job that is over.
+        let (lost, resync): (Vec<String>, Vec<String>) = failed_keys
+            .into_iter()
+            .filter(|key| key.starts_with(records::TASKS))
+            .partition(|key| contents.dropped_keys.contains(key));
+        contents.dropped_keys.retain(|key| !lost.contains(key));
+        if resync.is_empty() {
+            self.give_back(in_flight);
+        } else {
+            in_flight.state = TxnState::Resync(resync);
+            self.transactions.in_flight = Some(in_flight);
+        }
+        true
+    }
+
+    /// A job's record changed under a transaction that expected `sent_stamp`.
+    fn mark_stale(&mut self, id: &str, sent_stamp: u64) {
+        for ix in self.active_with_id(id) {
+            // Unless the job cache has shown the change already.
+            if let Some(job) = self.job_mut(ix).filter(|job| job.stamp == sent_stamp) {
+                job.stale = true;
+            }
+        }
+    }
+
+    fn active_with_id(&self, id: &str) -> Vec<JobIx> {
+        self.active_jobs().filter(|job| &*job.id == id).map(|job| job.ix).collect()
+    }
+
+    /// The first 400 shows that the lower limits hold; what fits them and is
+    /// refused all the same is cut smaller, and in the end set aside.
+    fn too_large(&mut self, now: Ms, mut in_flight: InFlightTxn) {
+        if self.value_limit > self.cfg.value_fit {
+            tracing::warn!(bytes = self.cfg.value_fit, "values are kept smaller from now on");
+            self.value_limit = self.cfg.value_fit;
+            self.commit_after = now + REFUSED_PAUSE_MS;
+        } else {
+            self.commit_after = now + TOO_LARGE_PAUSE_MS;
+            self.transactions.ops_cap = (in_flight.txn.writes.len() / 2).max(1);
+            if in_flight.txn.writes.len() == 1 {
+                self.set_aside(now, &in_flight);
+            }
+        }
+        // Guard: an earlier copy went unanswered and may have been applied; who
+        // wrote last is read first.
+        if in_flight.has_unanswered_copy {
+            let chunk_key = |op: &Op| match op {
+                Op::Put { key, .. } if key.starts_with(records::TASKS) => Some(key.clone()),
+                _ => None,
+            };
+            let keys: Vec<String> = in_flight.txn.writes.iter().filter_map(chunk_key).collect();
+            if !keys.is_empty() {
+                in_flight.state = TxnState::Resync(keys);
+                self.transactions.in_flight = Some(in_flight);
+                return;
+            }
+        }
+        self.give_back(in_flight);
+    }
+
+    /// Sets aside what is refused as too large even as the only write.
+    fn set_aside(&mut self, now: Ms, in_flight: &InFlightTxn) {
+        for written in &in_flight.contents.chunks {
+            self.shrink_chunk(now, written.job, written.chunk);
+        }
+        for job in &in_flight.contents.finished_jobs {
+            tracing::error!(job = job.0, "the end of a job can't be written");
+        }
+        if let Some(job) = in_flight.contents.reshard.as_ref().and_then(|plan| self.job_mut(plan.job)) {
+            job.oversized_record = None;
+        }
+    }
+
+    /// A transaction was certainly not applied: what it carried is written
+    /// later, as it is by then.
+    fn give_back(&mut self, in_flight: InFlightTxn) {
+        if let Some(plan) = &in_flight.contents.reshard {
+            if let Some(job) = self.job_mut(plan.job) {
+                job.resharding = false;
+            }
+            self.adopt_recorded_sharding(plan.job);
+            self.retire_if_over(plan.job);
+        }
+        for key in &in_flight.contents.dropped_keys {
+            let stamp = stamp_of(&in_flight, key);
+            self.transactions.drop_later(ObsoleteRecord { key: key.clone(), stamp });
+        }
+        self.after_settled(&in_flight.contents.chunks);
+    }
+
+    /// A transaction is settled: jobs that were kept for it may be forgotten.
+    fn after_settled(&mut self, chunks: &[WrittenChunk]) {
+        for written in chunks {
+            self.retire_if_over(written.job);
+        }
+        self.pass_needed = true;
+    }
+
+    fn applied(&mut self, now: Ms, in_flight: InFlightTxn, stamp: u64) {
+        let contents = &in_flight.contents;
+        let statistics = &mut self.transactions.statistics;
+        statistics.txns += 1;
+        statistics.finished_jobs += contents.finished_jobs.len() as u32;
+        statistics.drops += contents.dropped_keys.len() as u32;
+        for written in &contents.chunks {
+            self.chunk_applied(now, written, stamp);
+        }
+        if let Some(plan) = &contents.reshard {
+            self.resharded(now, plan, stamp);
+        }
+        for &ix in &contents.finished_jobs {
+            self.end_applied(now, ix, stamp);
+        }
+        self.after_settled(&contents.chunks);
+    }
+
+    fn chunk_applied(&mut self, now: Ms, written: &WrittenChunk, stamp: u64) {
+        let Some(job) = self.jobs.get_mut(written.job.at()).and_then(Option::as_mut) else {
+            tracing::debug!("records of a job that is over were written");
+            return;
+        };
+        let chunk = &mut job.chunks[written.chunk];
+        let statistics = &mut self.transactions.statistics;
+        if chunk.has_unwritten_placement() {
+            statistics.placements += 1;
+            statistics.waited_ms += now.saturating_sub(job.last_assigned);
+        } else {
+            statistics.ends += 1;
+        }
+        chunk.committed_version = chunk.committed_version.max(written.version);
+        chunk.stamp = stamp;
+        job.unwritten_since = None;
+        // A gang's launches wait for the last of its records.
+        let launchable =
+            if job.spec.kind == Kind::Gang { job.assignments() } else { job.assignments_of_chunk(written.chunk) };
+        let machines: Vec<MachineIx> = launchable
+            .into_iter()
+            .filter_map(|ix| self.assignment(ix))
+            .filter(|assignment| assignment.state == AssignmentState::Wanted)
+            .map(|assignment| assignment.machine)
+            .collect();
+        for machine in machines {
+            self.wake.schedule(now, machine);
+        }
+    }
+
+    fn end_applied(&mut self, now: Ms, ix: JobIx, stamp: u64) {
+        if let Some(job) = self.job_mut(ix) {
+            job.stamp = stamp;
+            let last_s = (job.last_assigned as i64 - job.since) as f64 / 1000.0;
+            tracing::info!(
+                job = &*job.id,
+                age_s = job.age_s(now),
+                last_s,
+                tasks = job.spec.tasks,
+                est = job.spec.estimate_s,
+                rank = ?job.spec.priority,
+                stops = job.stop_count,
+                losses = job.lost_count,
+                "done"
+            );
+        }
+        self.finish(ix);
+    }
+
+    /// A key asked for by `resync_key` was read: its value and its stamp.
+    pub fn resynced(&mut self, now: Ms, key: &str, found: Option<(Value, u64)>) {
+        let Some(mut in_flight) = self.transactions.in_flight.take() else { return };
+        let mut current_stamp = 0;
+        if let Some((value, stamp)) = found {
+            current_stamp = stamp;
+            let record = value.deserialized::<ChunkRecord>().unwrap_or_default();
+            if record.tag == in_flight.tag {
+                // It was applied after all: everything in it has this one stamp.
+                self.applied(now, in_flight, stamp);
+                return;
+            }
+        }
+        self.set_chunk_stamp(key, current_stamp);
+        if let TxnState::Resync(keys) = &mut in_flight.state {
+            keys.retain(|other| other != key);
+            if !keys.is_empty() {
+                self.transactions.in_flight = Some(in_flight);
+                return;
+            }
+        }
+        self.commit_after = now;
+        self.give_back(in_flight);
+    }
+
+    fn set_chunk_stamp(&mut self, key: &str, stamp: u64) {
+        let Some((id, chunk_number)) = records::split_chunk_key(key) else { return };
+        for ix in self.active_with_id(id) {
+            let chunk = self.job_mut(ix).and_then(|job| job.chunks.get_mut(chunk_number as usize));
+            if let Some(chunk) = chunk {
+                chunk.stamp = stamp;
+            }
+        }
+    }
+}
+
+/// The stamp that a transaction expects of a key.
+fn stamp_of(in_flight: &InFlightTxn, key: &str) -> u64 {
+    let conditions = &in_flight.txn.conditions;
+    conditions.iter().find(|condition| condition.key == key).map_or(0, |condition| condition.stamp)
+}
--- /dev/null
+++ b/src/coordination/leader/config.rs
@@ -0,0 +1,44 @@
+//! Settings of a leadership.
+
+use crate::{
+    coordination::model::{Ms, TeamLimits},
+    protocol::names::ClassIx,
+};
+
+/// What a leader is told of its cluster when it begins.
+#[derive(Debug, Clone)]
+pub struct Config {
+    /// How long a worker's lease lasts.
+    pub lease_ms: Ms,
+    /// The interval of workers' reports.
+    pub report_ms: Ms,
+    /// How long a gang's task waits for the others.
+    pub gang_peer_s: f64,
+    /// Most writes of a transaction.
+    pub txn_ops: usize,
+    /// Largest value, in bytes, under the state service's present limit.
+    pub value_max: usize,
+    /// Largest value, in bytes, that fits under its lower limit as well.
+    pub value_fit: usize,
+    /// Tasks per chunk whose record fits under the lower limit.
+    pub chunk_fit: u32,
+    pub list_lag_ms: Ms,
+    /// By index of the team.
+    pub teams: Vec<TeamLimits>,
+    pub aims: Vec<ServiceObjective>,
+    /// How long an idle machine is kept at least.
+    pub idle_keep_ms: Ms,
+    /// How long past its due report a machine counts as silent.
+    pub silent_ms: Ms,
+    pub max_machines: usize,
+    pub use_spot: bool,
+}
+
+/// What users expect of a class: that its jobs start or end within some seconds.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct ServiceObjective {
+    pub class: ClassIx,
+    /// True: the first tasks run by then; false: all are done.
+    pub start: bool,
+    pub within_s: f64,
+}
--- /dev/null
+++ b/src/coordination/leader/effects.rs
@@ -0,0 +1,64 @@
+//! What the leader asks of the outside, and what it hears of the outcome.
+
+use std::net::SocketAddr;
+
+use crate::{
+    coordination::model::{MachineIx, Ms},
+    protocol::{
+        cloud::RentRequest,
+        workers::{DirectCommandRequest, Report, ReportAnswer},
+    },
+};
+
+/// A call to be made.
+#[derive(Debug, Clone)]
+pub enum Effect {
+    /// POST /do: a command sent straight to a worker.
+    Do { machine: MachineIx, call: u64, addr: SocketAddr, req: DirectCommandRequest },
+    /// POST /hosts
+    Rent { call: u64, req: RentRequest },
+    /// POST /hosts/return
+    Return { call: u64, ids: Vec<String> },
+    /// GET /hosts, from one machine's name on.
+    List { call: u64, from: Option<String> },
+    /// GET /status, of a worker whose report is overdue.
+    Probe { machine: MachineIx, addr: SocketAddr },
+}
+
+/// How a worker's report is answered.
+#[derive(Debug)]
+pub enum Answer {
+    Ok(ReportAnswer),
+    /// Too old to mean anything, or from a machine that is gone.
+    Stale,
+    /// The worker has seen a higher token than any of ours.
+    Superseded,
+}
+
+/// How a command sent straight to a worker ended.
+#[derive(Debug)]
+pub enum DirectCallOutcome {
+    Executed(Report),
+    Refused(Report),
+    NotSent,
+    /// Unanswered: it may have been executed, or may yet be.
+    Unknown,
+}
+
+/// How a transaction ended.
+#[derive(Debug, Clone, PartialEq)]
+pub enum CommitOutcome {
+    /// Applied; the stamp that all of its records have now.
+    Done(u64),
+    /// Not applied, because these keys had other stamps than expected.
+    Conflict(Vec<String>),
+    /// Certainly not executed.
+    Refused,
+    /// Not executed, and as it is it never will be.
+    TooLarge,
+    /// May have been executed, or may yet be.
+    Unknown,
+}
+
+/// Pause after a refusal, so that a busy service is not asked at once again.
+pub(super) const REFUSED_PAUSE_MS: Ms = 150;
--- /dev/null
+++ b/src/coordination/leader/exits.rs
@@ -0,0 +1,144 @@
+//! Ends of tasks: settled once no earlier command can start the task again.
+
+use super::Leader;
+use crate::{
+    bookkeeping::job_cache::JobIx,
+    coordination::model::{Assignment, AssignmentIx, ExitRecord, MachineIx, Ms, TaskFailure, UnreapedExit},
+    protocol::workers::{ExitReason, TaskReport},
+};
+
+/// How long a machine that refused a start gets no new tasks, and a job whose
+/// task its worker did not know.
+const REFUSED_START_PAUSE_MS: Ms = 3_000;
+/// How long a machine on which a task failed gets no new tasks.
+const FAILURE_PAUSE_MS: Ms = 5_000;
+/// How long a failure is remembered at its machine.
+const FAILURE_MEMORY_MS: Ms = 120_000;
+/// Jobs that failed on one machine lately after which it counts as faulty.
+const FAULTY_MACHINE_JOBS: usize = 2;
+/// Machines on which a job failed after which the fault is taken for its own.
+const FAULTY_JOB_MACHINES: u32 = 3;
+/// Pause of a job after a failure that is taken for its machine's.
+const RETRY_PAUSE_MS: Ms = 300;
+/// First pause of a job that is at fault itself; doubled with each failure...
+const BACKOFF_MS: Ms = 2_000;
+/// ...up to this many times.
+const BACKOFF_DOUBLINGS: u32 = 5;
+/// Failures beyond which a job's pause grows no more.
+const BACKOFF_FAILURES_MAX: u32 = 9;
+
+impl Leader {
+    /// A task has ended. Its assignment is released unless a command sent
+    /// earlier could still start it again.
+    pub(super) fn settle_exit(&mut self, now: Ms, ix: AssignmentIx, report: &TaskReport) {
+        let Some(assignment) = self.assignment(ix) else { return };
+        let machine = self.machine(assignment.machine);
+        // Guard: a launch still under way could arrive after the reap and start
+        // the task a second time.
+        if !machine.fenced() || self.in_flight_launch(assignment) || machine.launch_in_answer {
+            return;
+        }
+        let reason = report.why.unwrap_or(ExitReason::Other);
+        let is_done = reason == ExitReason::Done;
+        let Some(assignment) = self.release_assignment(ix, is_done) else { return };
+        let record = self.record_of_exit(&assignment);
+        let machine = &mut self.machines[assignment.machine.at()];
+        machine.unreaped_exits.push(UnreapedExit {
+            task: report.task.clone(),
+            attempt: report.attempt,
+            job: assignment.job,
+            record,
+        });
+        if is_done {
+            self.observe_run_time(now, &assignment);
+        } else {
+            tracing::debug!(
+                task = &*report.task,
+                machine = &*machine.id,
+                why = ?reason,
+                saved = ?report.saved,
+                "ended"
+            );
+            self.handle_early_end(now, &assignment, reason, &report.task);
+        }
+    }
+
+    /// The chunk version with which a released assignment's end is written.
+    fn record_of_exit(&self, assignment: &Assignment) -> ExitRecord {
+        match self.job(assignment.job) {
+            Some(job) => {
+                let chunk = job.chunk_of(assignment.task);
+                ExitRecord::WrittenWith { chunk, version: job.chunks[chunk].version }
+            }
+            None => ExitRecord::WrittenWith { chunk: 0, version: 0 },
+        }
+    }
+
+    /// A task ended before it was done.
+    fn handle_early_end(&mut self, now: Ms, assignment: &Assignment, reason: ExitReason, task: &str) {
+        let (machine_ix, job_ix) = (assignment.machine, assignment.job);
+        match reason {
+            ExitReason::NoRoom | ExitReason::Busy => {
+                let machine = &mut self.machines[machine_ix.at()];
+                tracing::info!(task, machine = &*machine.id, why = ?reason, "start refused");
+                machine.avoid_until = now + REFUSED_START_PAUSE_MS;
+                self.refresh(now, machine_ix);
+            }
+            ExitReason::Unknown => {
+                if let Some(job) = self.job_mut(job_ix) {
+                    job.not_before = now + REFUSED_START_PAUSE_MS;
+                }
+            }
+            ExitReason::Stopped => {
+                if let Some(job) = self.job_mut(job_ix) {
+                    job.stop_count += 1;
+                }
+            }
+            ExitReason::Error => self.task_failed(now, machine_ix, job_ix, task),
+            _ => {}
+        }
+    }
+
+    /// A failed task speaks against its machine first, then against its job.
+    fn task_failed(&mut self, now: Ms, machine_ix: MachineIx, job_ix: JobIx, task: &str) {
+        tracing::info!(task, machine = &*self.machine(machine_ix).id, "failed");
+        if let Some(job) = self.job_mut(job_ix) {
+            job.failure_count += 1;
+            if !job.failed_on.contains(&machine_ix) {
+                job.failed_on.push(machine_ix);
+            }
+            let pause_ms = failure_pause_ms(job.failure_count, job.failed_on.len() as u32);
+            job.not_before = now + pause_ms;
+        }
+        let machine = &mut self.machines[machine_ix.at()];
+        machine.recent_failures.retain(|failure| failure.job != job_ix && now - failure.at < FAILURE_MEMORY_MS);
+        machine.recent_failures.push(TaskFailure { job: job_ix, at: now });
+        machine.avoid_until = machine.avoid_until.max(now + FAILURE_PAUSE_MS);
+        // Several jobs failed here, and not elsewhere: the machine is faulty.
+        if machine.recent_failures.len() >= FAULTY_MACHINE_JOBS && !machine.retiring {
+            machine.retiring = true;
+            tracing::warn!(machine = &*machine.id, "several jobs failed here: retired");
+        }
+    }
+
+    /// The run time of a task that was not stopped corrects its class's estimates.
+    fn observe_run_time(&mut self, now: Ms, assignment: &Assignment) {
+        let Some(running_since) = assignment.running_since else { return };
+        if assignment.halt.is_some() {
+            return;
+        }
+        let ran_s = (now - running_since) as f64 / 1000.0;
+        if let Some(job) = self.jobs.get(assignment.job.at()).and_then(Option::as_ref) {
+            self.run_times.observe(&job.spec, ran_s);
+        }
+    }
+}
+
+/// How long a job waits after one of its tasks failed.
+fn failure_pause_ms(failures: u32, failed_machines: u32) -> Ms {
+    if failed_machines < FAULTY_JOB_MACHINES {
+        return RETRY_PAUSE_MS;
+    }
+    let doublings = (failures.min(BACKOFF_FAILURES_MAX) - FAULTY_JOB_MACHINES).min(BACKOFF_DOUBLINGS);
+    BACKOFF_MS << doublings
+}
--- /dev/null
+++ b/src/coordination/leader/jobs.rs
@@ -0,0 +1,215 @@
+//! Jobs as they come, change, end and are forgotten.
+
+use std::rc::Rc;
+
+use super::{pipeline::ObsoleteRecord, Leader};
+use crate::{
+    bookkeeping::{
+        job_cache::{JobCache, JobIx},
+        records::{self, Status},
+    },
+    coordination::model::{AssignmentIx, Chunk, ExitRecord, Halt, Job, JobProgress, Ms, Slot, UnreapedExit},
+    protocol::{jobs::JobSpec, peers::Count},
+};
+
+/// Greatest age of a job that is believed, in ms (about 35 years): a time of
+/// day that is far off must not overflow what is computed with it.
+const OLDEST_MS: u64 = 1 << 40;
+
+impl Leader {
+    /// The job cache shows a job's record, new or changed.
+    pub fn job_update(&mut self, now: Ms, wall_ms: u64, ix: JobIx, job_cache: &JobCache) {
+        let entry = job_cache.get(ix);
+        self.set_wall_clock(now, wall_ms);
+        self.reserve_job_slot(ix);
+        match (&mut self.jobs[ix.at()], entry.status) {
+            // Guard: until the ends of all that it depends on are written, a job
+            // takes part in no trial, and holds no part of any limit or guarantee.
+            (None, Status::Pending) if job_cache.waits(ix) => return,
+            (None, Status::Pending) => {
+                let Some(spec) = job_cache.effective_spec(ix) else { return };
+                self.add_job(now, wall_ms, ix, spec, job_cache);
+            }
+            (Some(job), Status::Pending) => {
+                job.stamp = entry.stamp;
+                job.stale = false;
+                job.recorded_chunk_size = entry.chunk;
+                self.adopt_recorded_sharding(ix);
+                if let Some(spec) = job_cache.effective_spec(ix) {
+                    self.change_spec(ix, spec);
+                }
+            }
+            (Some(job), Status::Cancelled) => {
+                job.stamp = entry.stamp;
+                job.stale = false;
+                if job.status != Status::Cancelled {
+                    job.status = Status::Cancelled;
+                    tracing::info!(job = &*job.id, "cancelled by its user");
+                    self.changed_progress.insert(ix);
+                    self.stop_job(now, ix, 0.0);
+                }
+            }
+            (Some(_), Status::Done) => self.finish(ix),
+            (None, _) => {}
+        }
+        self.pass_needed = true;
+    }
+
+    pub(super) fn set_wall_clock(&mut self, now: Ms, wall_ms: u64) {
+        self.wall_clock_offset_ms = wall_ms as i64 - now as i64;
+    }
+
+    pub(super) fn reserve_job_slot(&mut self, ix: JobIx) {
+        if self.jobs.len() <= ix.at() {
+            self.jobs.resize_with(ix.at() + 1, || None);
+        }
+    }
+
+    /// Jobs that depend on this one changed its priority or its deadline.
+    fn change_spec(&mut self, ix: JobIx, spec: Rc<JobSpec>) {
+        let Some(job) = self.jobs[ix.at()].as_mut() else { return };
+        if *job.spec == *spec {
+            return;
+        }
+        let previous = std::mem::replace(&mut job.spec, spec.clone());
+        for assignment_ix in job.assignments() {
+            let Some(assignment) = self.assignments.get(assignment_ix) else { continue };
+            let host = assignment.machine.at();
+            let is_stopping = assignment.halt.is_some();
+            // The snapshot counts by priority what may be stopped.
+            self.snapshot.give(host, &previous, is_stopping);
+            self.snapshot.take(host, &spec);
+            if is_stopping {
+                self.snapshot.stop(host, &spec);
+            }
+        }
+    }
+
+    pub(super) fn add_job(&mut self, now: Ms, wall_ms: u64, ix: JobIx, spec: Rc<JobSpec>, job_cache: &JobCache) {
+        let entry = job_cache.get(ix);
+        let tasks = spec.tasks;
+        let is_oversized = entry.chunk > self.cfg.chunk_fit && tasks > self.cfg.chunk_fit;
+        let age_ms = wall_ms.saturating_sub(job_cache.ready_ms(ix)).min(OLDEST_MS) as i64;
+        self.jobs[ix.at()] = Some(Job {
+            ix,
+            id: entry.id.clone(),
+            spec,
+            stamp: entry.stamp,
+            status: entry.status,
+            since: now as i64 - age_ms,
+            chunk_size: entry.chunk,
+            slots: vec![Slot::Pending; tasks as usize],
+            chunks: vec![Chunk::default(); tasks.div_ceil(entry.chunk) as usize],
+            pending: (0..tasks).rev().collect(),
+            done: 0,
+            placed: 0,
+            running: 0,
+            not_before: 0,
+            stale: false,
+            oversized_record: entry.record.clone().filter(|_| is_oversized),
+            resharding: false,
+            recorded_chunk_size: entry.chunk,
+            unwritten_since: None,
+            ever_assigned: false,
+            has_counted_start: false,
+            failure_count: 0,
+            failed_on: Vec::new(),
+            published: JobProgress::default(),
+            next_eviction: 0,
+            zone_used: Vec::new(),
+            within_guarantee: false,
+            stop_count: 0,
+            lost_count: 0,
+            last_assigned: now,
+            waiting_since: now,
+        });
+        self.active.push(ix);
+    }
+
+    /// Stops all of a job's tasks; those that were never launched are simply dropped.
+    pub fn stop_job(&mut self, now: Ms, ix: JobIx, grace_s: f64) {
+        let Some(job) = self.job(ix) else { return };
+        for assignment_ix in job.assignments() {
+            self.halt(now, assignment_ix, grace_s);
+        }
+        self.retire_if_over(ix);
+    }
+
+    /// Wants a task stopped. An assignment whose launch was never sent is
+    /// released at once.
+    pub fn halt(&mut self, now: Ms, ix: AssignmentIx, grace_s: f64) {
+        let Some(assignment) = self.assignments.get_mut(ix) else { return };
+        if assignment.never_launched() {
+            self.release_assignment(ix, false);
+            return;
+        }
+        let (job_ix, machine) = (assignment.job, assignment.machine);
+        match &mut assignment.halt {
+            Some(halt) if grace_s < halt.grace_s => {
+                halt.grace_s = grace_s;
+                halt.sent = None;
+            }
+            Some(_) => return,
+            None => {
+                assignment.halt = Some(Halt { grace_s, sent: None });
+                if let Some(job) = self.jobs.get(job_ix.at()).and_then(Option::as_ref) {
+                    self.snapshot.stop(machine.at(), &job.spec);
+                }
+            }
+        }
+        self.wake.schedule(now, machine);
+    }
+
+    /// Forgets a job that is over and has no assignments; its records are dropped.
+    pub(super) fn retire_if_over(&mut self, ix: JobIx) {
+        let Some(job) = self.job(ix) else { return };
+        if job.status != Status::Pending && job.placed == 0 && !self.transactions.is_writing(ix) {
+            self.forget(ix);
+        }
+    }
+
+    pub(super) fn finish(&mut self, ix: JobIx) {
+        if let Some(job) = self.job_mut(ix) {
+            job.status = Status::Done;
+        }
+        self.retire_if_over(ix);
+    }
+
+    fn forget(&mut self, ix: JobIx) {
+        let Some(job) = self.jobs[ix.at()].take() else { return };
+        self.active.retain(|&active| active != ix);
+        for (chunk_number, chunk) in job.chunks.iter().enumerate() {
+            if chunk.stamp != 0 {
+                let key = records::chunk_key(&job.id, chunk_number as u32);
+                self.transactions.drop_later(ObsoleteRecord { key, stamp: chunk.stamp });
+            }
+        }
+    }
+
+    /// Whether an end is written, or its job is over: then it may be reaped.
+    pub(super) fn is_exit_recorded(&self, exit: &UnreapedExit) -> bool {
+        let Some(job) = self.job(exit.job) else { return true };
+        match exit.record {
+            ExitRecord::WrittenWith { chunk, version } => {
+                job.chunks.get(chunk).is_none_or(|chunk| chunk.committed_version >= version)
+            }
+            ExitRecord::Stray => false,
+        }
+    }
+
+    /// Progress of jobs that changed since the last call, of at most `max` jobs.
+    pub fn take_counts(&mut self, max: usize) -> Vec<Count> {
+        let changed: Vec<JobIx> = self.changed_progress.iter().copied().take(max).collect();
+        let mut counts = Vec::with_capacity(changed.len());
+        for ix in changed {
+            self.changed_progress.remove(&ix);
+            let Some(job) = self.job_mut(ix) else { continue };
+            let progress = JobProgress { done: job.done, running: job.running };
+            if job.published != progress {
+                job.published = progress;
+                counts.push(Count { job: job.id.to_string(), done: job.done, running: job.running });
+            }
+        }
+        counts
+    }
+}
--- a/src/coordination/leader/resharding.rs
+++ b/src/coordination/leader/resharding.rs
@@ -1,236 +1,236 @@
 //! Records that a lowered limit of the state service makes too large: shrunk,
-//! or their job's tasks divided anew into smaller ones.
+//! or resharded into smaller chunks.
 
-use super::{commits::MAX_BYTES, *};
+use super::{commits::TXN_BYTES_LIMIT, pipeline::TxnContents, Leader};
+use crate::{
+    bookkeeping::{
+        job_cache::JobIx,
+        records::{self, JobRecord, Status},
+    },
+    coordination::model::{Chunk, ExitRecord, Job, MachineIx, Ms, Slot},
+    protocol::{
+        names::Tables,
+        store::{Condition, Op, Txn},
+        workers::split_task,
+    },
+};
 
-/// Between two jobs whose tasks are divided anew.
+/// Pause between two jobs that are resharded, and between two searches for one.
 pub(super) const RESHARD_GAP_MS: Ms = 200;
-/// How long what is too large to be written is set aside.
-const HELD_MS: Ms = 2_000;
+/// How long a chunk that is too large to be written is set aside.
+const OVERSIZED_PAUSE_MS: Ms = 2_000;
 
-/// A new division under way, and the job as it was when that was built.
+/// A resharding under way, and the job as it was when its transaction was built.
 #[derive(Debug)]
-pub(super) struct Reshard {
+pub(super) struct ReshardPlan {
     pub job: JobIx,
     slots: Vec<Slot>,
-    vers: Vec<u64>,
-    /// Of the new chunks, those that have a record.
-    written: Vec<usize>,
+    /// Versions of the old chunks.
+    versions: Vec<u64>,
+    /// Those of the new chunks that have a record.
+    written_chunks: Vec<usize>,
+}
+
+/// What is written under new chunk sizes, and the stamp that it has.
+struct AppliedPlan<'a> {
+    plan: &'a ReshardPlan,
+    stamp: u64,
+}
+
+/// What becomes of a chunk's record when its job is resharded.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum NewChunk {
+    Put,
+    Drop,
+    Nothing,
 }
 
 impl Leader {
-    /// A chunk that can't be written as it is: what was placed but not written
-    /// is taken back, the rest waits for ends.
-    pub(super) fn shrink(&mut self, now: Ms, ix: JobIx, c: usize) {
+    /// A chunk can't be written as it is: its assignments that are not written
+    /// yet are released, the rest waits for ends.
+    pub(super) fn shrink_chunk(&mut self, now: Ms, ix: JobIx, chunk: usize) {
         let Some(job) = self.job_mut(ix) else { return };
-        let (from, size) = (c * job.chunk_size as usize, job.chunk_size as usize);
-        job.chunks[c].held_until = now + HELD_MS;
-        job.not_before = job.not_before.max(now + HELD_MS);
-        let committed = job.chunks[c].committed;
-        let part = from..(from + size).min(job.slots.len());
-        let at = job.slots[part].iter().filter_map(|s| if let Slot::At(p) = s { Some(*p) } else { None });
-        let at: Vec<AssignmentIx> = at.collect();
-        for p in at {
-            let is_unwritten = |p: &Assignment| {
-                p.ver > committed && p.state == AssignmentState::Wanted && p.sent.is_none() && !p.inherited
-            };
-            if self.assignment(p).is_some_and(is_unwritten) {
-                self.release_assignment(p, false);
-            }
-        }
-    }
-
-    /// The first 400 shows that the lower limits hold; what fits them and is
-    /// refused all the same is cut smaller, and in the end set aside.
-    pub(super) fn too_large(&mut self, now: Ms, mut f: InFlightTxn) {
-        if self.value_limit > self.cfg.value_fit {
-            tracing::warn!(bytes = self.cfg.value_fit, "values are kept smaller from now on");
-            self.value_limit = self.cfg.value_fit;
-            self.commit_after = now + 150;
-        } else {
-            self.commit_after = now + 1_000;
-            self.ops_cap = (f.txn.writes.len() / 2).max(1);
-            if f.txn.writes.len() == 1 {
-                for &(ix, c, _) in &f.chunks {
-                    self.shrink(now, ix, c);
-                }
-                for &ix in &f.dones {
-                    tracing::error!(job = ix.0, "the end of a job can't be written");
-                }
-                if let Some(job) = f.reshard.as_ref().and_then(|r| self.job_mut(r.job)) {
-                    job.oversized_record = None;
-                }
-            }
-        }
-        // Guard: an earlier copy went unanswered; who wrote last is read first.
-        if f.tag & UNSURE != 0 {
-            let is_tasks = |w: &Op| match w {
-                Op::Put { key, .. } if key.starts_with(records::TASKS) => Some(key.clone()),
-                _ => None,
-            };
-            f.resync = f.txn.writes.iter().filter_map(is_tasks).collect();
-            if !f.resync.is_empty() {
-                f.sent = false;
-                self.in_flight_txn = Some(f);
-                return;
+        let retry_at = now + OVERSIZED_PAUSE_MS;
+        job.chunks[chunk].retry_at = retry_at;
+        job.not_before = job.not_before.max(retry_at);
+        let committed_version = job.chunks[chunk].committed_version;
+        for assignment_ix in job.assignments_of_chunk(chunk) {
+            let is_unwritten = self
+                .assignment(assignment_ix)
+                .is_some_and(|assignment| assignment.chunk_version > committed_version && assignment.never_launched());
+            if is_unwritten {
+                self.release_assignment(assignment_ix, false);
             }
         }
-        self.give_back(f);
     }
 
-    // ---- tasks divided anew ------------------------------------------------
-
-    /// An unfinished job whose tasks were divided under a larger limit, and
-    /// whose division can be changed in one transaction.
+    /// An unfinished job whose chunks were sized for a larger limit, and that
+    /// can be resharded in one transaction.
     pub(super) fn reshard_candidate(&self, now: Ms, spare: bool) -> Option<&Job> {
-        // Guard: a controller of the version before would go on with the old division.
+        // Guard: a controller of the version before would go on with the old
+        // chunks once it leads.
         if !self.may_reshard {
             return None;
         }
-        // Until it must be, it takes nothing from what somebody waits for.
+        // Until it must be done, it takes nothing from what somebody waits for.
         let must = self.value_limit <= self.cfg.value_fit;
-        if !(must || spare) || now < self.reshard_after {
+        if !(must || spare) || now < self.transactions.reshard_after {
             return None;
         }
-        let most = self.cfg.txn_ops.min(self.ops_cap).min(MAX_BYTES / self.cfg.value_fit.max(1)).max(1);
-        let is_ready = |j: &&Job| {
-            j.oversized_record.is_some()
-                && j.status == Status::Pending
-                && !j.stale
-                && !j.all_done()
-                && self.new_chunks(j).iter().filter(|c| **c != NewChunk::Nothing).count() < most
-        };
-        self.active.iter().filter_map(|&ix| self.job(ix)).find(is_ready)
+        let values_per_txn = TXN_BYTES_LIMIT / self.cfg.value_fit.max(1);
+        let max_writes = self.cfg.txn_ops.min(self.transactions.ops_cap).min(values_per_txn).max(1);
+        self.active_jobs().find(|job| {
+            job.oversized_record.is_some()
+                && job.status == Status::Pending
+                && !job.stale
+                && !job.all_done()
+                && self.new_chunks(job).iter().filter(|chunk| **chunk != NewChunk::Nothing).count() < max_writes
+        })
     }
 
     fn new_chunks(&self, job: &Job) -> Vec<NewChunk> {
-        let size = self.cfg.chunk_fit as usize;
-        let of = |(n, slots): (usize, &[Slot])| {
-            if slots.iter().any(|s| *s != Slot::Pending) {
+        let new_chunk = |(chunk_number, slots): (usize, &[Slot])| {
+            if slots.iter().any(|slot| *slot != Slot::Pending) {
                 NewChunk::Put
-            } else if job.chunks.get(n).is_some_and(|c| c.stamp != 0) {
+            } else if job.chunks.get(chunk_number).is_some_and(|chunk| chunk.stamp != 0) {
                 NewChunk::Drop
             } else {
                 NewChunk::Nothing
             }
         };
-        job.slots.chunks(size).enumerate().map(of).collect()
+        job.slots.chunks(self.cfg.chunk_fit as usize).enumerate().map(new_chunk).collect()
     }
 
+    /// A transaction that reshards a job, if one is to be resharded.
     pub(super) fn reshard(&mut self, now: Ms, max_ops: usize, spare: bool, tables: &Tables) -> Option<Txn> {
         let job = self.reshard_candidate(now, spare)?;
-        let (ix, size) = (job.ix, self.cfg.chunk_fit);
+        let job_ix = job.ix;
+        let tag = self.transactions.last_tag + 1;
+        let (txn, plan) = self.reshard_txn(job, tag, tables)?;
+        if txn.writes.len() > max_ops {
+            return None;
+        }
+        self.transactions.last_tag = tag;
+        self.transactions.reshard_after = now + RESHARD_GAP_MS;
+        if let Some(job) = self.job_mut(job_ix) {
+            job.resharding = true;
+        }
+        let contents = TxnContents { reshard: Some(plan), ..TxnContents::default() };
+        Some(self.transactions.send(txn, contents, tag))
+    }
+
+    fn reshard_txn(&self, job: &Job, tag: u64, tables: &Tables) -> Option<(Txn, ReshardPlan)> {
+        let size = self.cfg.chunk_fit;
         let record = JobRecord { chunk: size, ..(**job.oversized_record.as_ref()?).clone() };
-        let tag = self.tag + 1;
-        let key = records::job_key(&job.id);
+        let job_key = records::job_key(&job.id);
         let mut txn = Txn::default();
-        txn.conditions.push(Condition { key: key.clone(), stamp: job.stamp });
-        txn.writes.push(Op::Put { key, v: records::to_value(&record), permit: None });
-        let mut written = Vec::new();
-        for (n, c) in self.new_chunks(job).into_iter().enumerate() {
-            let key = records::chunk_key(&job.id, n as u32);
-            let stamp = job.chunks.get(n).map_or(0, |c| c.stamp);
-            match c {
+        txn.conditions.push(Condition { key: job_key.clone(), stamp: job.stamp });
+        txn.writes.push(Op::Put { key: job_key, v: records::to_value(&record), permit: None });
+        let mut written_chunks = Vec::new();
+        for (chunk_number, new_chunk) in self.new_chunks(job).into_iter().enumerate() {
+            let key = records::chunk_key(&job.id, chunk_number as u32);
+            match new_chunk {
                 NewChunk::Nothing => continue,
                 NewChunk::Drop => txn.writes.push(Op::Delete { key: key.clone() }),
                 NewChunk::Put => {
-                    let v = self.part_value(job, n * size as usize, size as usize, tag, tables);
-                    txn.writes.push(Op::Put { key: key.clone(), v, permit: None });
-                    written.push(n);
+                    let value = self.chunk_value_of(job, chunk_number * size as usize, size as usize, tag, tables);
+                    txn.writes.push(Op::Put { key: key.clone(), v: value, permit: None });
+                    written_chunks.push(chunk_number);
                 }
             }
+            let stamp = job.chunks.get(chunk_number).map_or(0, |chunk| chunk.stamp);
             txn.conditions.push(Condition { key, stamp });
         }
-        if txn.writes.len() > max_ops {
-            return None;
-        }
-        // Guard: as for every transaction of a leader.
+        // Guard: as for every transaction, only this leadership's writes count.
         txn.conditions.push(Condition { key: records::LEADER.to_owned(), stamp: self.stamp });
-        let vers = job.chunks.iter().map(|c| c.ver).collect();
-        let reshard = Some(Reshard { job: ix, slots: job.slots.clone(), vers, written });
-        self.tag = tag;
-        self.reshard_after = now + RESHARD_GAP_MS;
-        if let Some(job) = self.job_mut(ix) {
-            job.resharding = true;
-        }
-        let (chunks, dones, drops) = (Vec::new(), Vec::new(), Vec::new());
-        let out = txn.clone();
-        self.in_flight_txn =
-            Some(InFlightTxn { txn, chunks, dones, drops, reshard, tag, sent: true, resync: Vec::new() });
-        Some(out)
+        let versions = job.chunks.iter().map(|chunk| chunk.version).collect();
+        Some((txn, ReshardPlan { job: job.ix, slots: job.slots.clone(), versions, written_chunks }))
     }
 
-    /// The new division is written.
-    pub(super) fn resharded(&mut self, now: Ms, r: &Reshard, epoch: u64) {
+    /// The resharded records are written.
+    pub(super) fn resharded(&mut self, now: Ms, plan: &ReshardPlan, stamp: u64) {
         let size = self.cfg.chunk_fit;
-        let Some(job) = self.job_mut(r.job) else { return };
-        job.stamp = job.stamp.max(epoch);
-        job.recorded_chunk = size;
+        let Some(job) = self.job_mut(plan.job) else { return };
+        job.stamp = job.stamp.max(stamp);
+        job.recorded_chunk_size = size;
         job.unwritten_since = None;
-        self.apply_sharding(r.job, size, Some((r, epoch)));
-        let Some(job) = self.job(r.job) else { return };
-        let at = job.slots.iter().filter_map(|s| if let Slot::At(p) = s { self.assignment(*p) } else { None });
-        let user_responses: Vec<MachineIx> = at.map(|p| p.machine).collect();
-        self.wake.extend(user_responses.into_iter().map(|m| (now, m)));
-        self.retire_over(r.job);
+        self.apply_sharding(plan.job, size, Some(AppliedPlan { plan, stamp }));
+        let Some(job) = self.job(plan.job) else { return };
+        let machines: Vec<MachineIx> = job
+            .assignments()
+            .into_iter()
+            .filter_map(|ix| self.assignment(ix))
+            .map(|assignment| assignment.machine)
+            .collect();
+        for machine in machines {
+            self.wake.schedule(now, machine);
+        }
+        self.retire_if_over(plan.job);
     }
 
-    /// Its record says another division than ours: a write of ours that nobody
-    /// answered. Everything is written once more under that.
+    /// Its record says another chunk size than ours: a write of ours that was
+    /// never answered. All chunks are written once more under that size.
     pub(super) fn adopt_recorded_sharding(&mut self, ix: JobIx) {
         let Some(job) = self.job(ix) else { return };
-        if job.recorded_chunk != job.chunk_size && !job.resharding {
-            self.apply_sharding(ix, job.recorded_chunk, None);
+        if job.recorded_chunk_size != job.chunk_size && !job.resharding {
+            self.apply_sharding(ix, job.recorded_chunk_size, None);
         }
     }
 
-    /// `written`: what was written under the new division, and when; otherwise
-    /// all of it counts as unwritten.
-    fn apply_sharding(&mut self, ix: JobIx, size: u32, written: Option<(&Reshard, u64)>) {
+    /// Splits a job's tasks into chunks of `size`. `applied`: what of it is
+    /// written; otherwise all of it counts as unwritten.
+    fn apply_sharding(&mut self, ix: JobIx, size: u32, applied: Option<AppliedPlan<'_>>) {
         let Some(job) = self.jobs.get_mut(ix.at()).and_then(Option::as_mut) else { return };
-        (job.oversized_record, job.resharding) = (None, false);
+        job.oversized_record = None;
+        job.resharding = false;
         job.chunk_size = size.max(1);
-        let n = job.spec.tasks.div_ceil(job.chunk_size) as usize;
-        let committed = u64::from(written.is_some());
-        job.chunks = vec![Chunk { ver: committed, committed, ..Chunk::default() }; n];
-        if let Some((r, epoch)) = written {
-            for &c in &r.written {
-                job.chunks[c].stamp = epoch;
+        let chunk_count = job.spec.tasks.div_ceil(job.chunk_size) as usize;
+        let version = u64::from(applied.is_some());
+        job.chunks = vec![Chunk { version, committed_version: version, ..Chunk::default() }; chunk_count];
+        if let Some(AppliedPlan { plan, stamp }) = &applied {
+            for &chunk in &plan.written_chunks {
+                job.chunks[chunk].stamp = *stamp;
             }
         }
         for task in 0..job.spec.tasks {
             let slot = job.slots[task as usize];
-            let c = job.chunk_of(task);
-            if written.is_none() && slot != Slot::Pending {
-                job.chunks[c].ver = 1;
-                job.chunks[c].urgent = 1;
-            }
-            // Guard: what changed on the way isn't written yet.
-            if written.is_some_and(|(r, _)| r.slots[task as usize] != slot) {
-                job.touch(task);
-            }
-            if let Slot::At(p) = slot {
-                if let Some(p) = self.assignments.get_mut(p.at()).and_then(Option::as_mut) {
-                    p.ver = 1;
+            match &applied {
+                // Guard: what changed while the transaction was under way isn't
+                // written yet.
+                Some(applied) if applied.plan.slots[task as usize] != slot => {
+                    job.touch(task);
                 }
+                Some(_) => {}
+                None if slot != Slot::Pending => {
+                    let chunk = job.chunk_of(task);
+                    job.chunks[chunk].version = 1;
+                    job.chunks[chunk].placement_version = 1;
+                }
+                None => {}
             }
-        }
-        // Guard: nor is an end reaped before it is.
-        for m in &mut self.machines {
-            for t in m.unreaped_exits.iter_mut().filter(|t| t.job == ix && t.ver != u64::MAX) {
-                let Some((_, task)) = split_task(&t.task) else { continue };
-                let is_written = written.is_some_and(|(r, _)| r.vers.get(t.chunk).is_some_and(|v| t.ver <= *v));
-                t.chunk = (task / job.chunk_size) as usize;
-                let ver = job.chunks.get(t.chunk).map_or(0, |c| c.ver);
-                t.ver = if is_written { ver.min(1) } else { ver };
+            if let Slot::At(assignment_ix) = slot {
+                if let Some(assignment) = self.assignments.get_mut(assignment_ix) {
+                    assignment.chunk_version = 1;
+                }
             }
         }
+        self.renumber_unreaped_exits(ix, applied.as_ref());
     }
-}
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum NewChunk {
-    Put,
-    Drop,
-    Nothing,
+    /// Guard: an end is not reaped before it is written, under the new chunks
+    /// either.
+    fn renumber_unreaped_exits(&mut self, ix: JobIx, applied: Option<&AppliedPlan<'_>>) {
+        let Some(job) = self.jobs.get(ix.at()).and_then(Option::as_ref) else { return };
+        let exits = self.machines.iter_mut().flat_map(|machine| &mut machine.unreaped_exits);
+        for exit in exits.filter(|exit| exit.job == ix) {
+            let ExitRecord::WrittenWith { chunk: old_chunk, version: old_version } = exit.record else { continue };
+            let Some((_, task)) = split_task(&exit.task) else { continue };
+            let is_written =
+                applied.is_some_and(|applied| applied.plan.versions.get(old_chunk).is_some_and(|v| old_version <= *v));
+            let chunk = job.chunk_of(task);
+            let current = job.chunks.get(chunk).map_or(0, |chunk| chunk.version);
+            let version = if is_written { current.min(1) } else { current };
+            exit.record = ExitRecord::WrittenWith { chunk, version };
+        }
+    }
 }
--- /dev/null
+++ b/src/coordination/leader/run_times.rs
@@ -0,0 +1,44 @@
+//! Observed run times against owners' estimates, by class.
+
+use std::collections::HashMap;
+
+use crate::protocol::{jobs::JobSpec, names::ClassIx};
+
+/// Bounds of an observed ratio, so that one odd run doesn't spoil the mean.
+const RATIO_MIN: f64 = 0.05;
+const RATIO_MAX: f64 = 20.0;
+/// Runs after which the mean is smoothed instead of exact, so that it follows
+/// a change.
+const SMOOTHED_RUNS: f64 = 20.0;
+
+/// Mean ratio of observed to estimated run time of one class.
+#[derive(Debug, Clone, Copy)]
+struct RatioMean {
+    ratio: f64,
+    runs: f64,
+}
+
+/// Corrections of owners' run-time estimates.
+#[derive(Debug, Default)]
+pub struct RunTimeEstimates {
+    by_class: HashMap<ClassIx, RatioMean>,
+}
+
+impl RunTimeEstimates {
+    /// Expected run time of a task, corrected by what its class showed so far.
+    pub fn expected_s(&self, spec: &JobSpec) -> f64 {
+        spec.estimate_s * self.by_class.get(&spec.class).map_or(1.0, |mean| mean.ratio)
+    }
+
+    /// Takes in how long a task that ran to its end took.
+    pub fn observe(&mut self, spec: &JobSpec, ran_s: f64) {
+        if spec.estimate_s <= 0.0 {
+            return;
+        }
+        let ratio = (ran_s / spec.estimate_s).clamp(RATIO_MIN, RATIO_MAX);
+        let mean = self.by_class.entry(spec.class).or_insert(RatioMean { ratio: 1.0, runs: 0.0 });
+        let weight = 1.0 / (mean.runs + 1.0).min(SMOOTHED_RUNS);
+        mean.ratio += (ratio - mean.ratio) * weight;
+        mean.runs += 1.0;
+    }
+}
--- /dev/null
+++ b/src/coordination/leader/sweep.rs
@@ -0,0 +1,81 @@
+//! Regular checks for what only time tells, and the summary for the logs.
+
+use super::Leader;
+use crate::coordination::model::{MachineIx, MachineLifecycle, Ms, Res};
+
+/// Interval of the checks: short against leases and report intervals.
+const SWEEP_MS: Ms = 250;
+/// Interval of the summary in the logs.
+pub(super) const SUMMARY_MS: Ms = 10_000;
+
+impl Leader {
+    /// Checks every machine for what only time tells: leases that ran out,
+    /// reports that are overdue, machines that have nothing to do or may take
+    /// nothing new.
+    pub fn sweep(&mut self, now: Ms) {
+        if now < self.next_sweep {
+            return;
+        }
+        self.next_sweep = now + SWEEP_MS;
+        self.clock = now;
+        for n in 0..self.machines.len() {
+            let ix = MachineIx(n as u32);
+            if self.machines[n].lifecycle == MachineLifecycle::Gone {
+                continue;
+            }
+            self.expire_lease(now, ix);
+            self.probe_if_overdue(now, ix);
+            self.note_idle(now, ix);
+            self.refresh(now, ix);
+        }
+        if now >= self.next_summary {
+            self.next_summary = now + SUMMARY_MS;
+            self.log_summary();
+        }
+    }
+
+    /// Logs what there is, what of it is in use, what waits, and what was
+    /// written since the last summary.
+    fn log_summary(&mut self) {
+        let (mut capacity, mut free, mut closed) = (Res::default(), Res::default(), 0);
+        for pool in &self.snapshot.pools {
+            capacity += pool.cap * pool.members.len() as f64;
+            for host in pool.members.iter().filter_map(|&n| self.snapshot.hosts.get(n as usize)) {
+                free += host.free.max0();
+                closed += u32::from(!host.open);
+            }
+        }
+        let written = std::mem::take(&mut self.transactions.statistics);
+        let writing_ms = written.waited_ms / u64::from(written.placements.max(1));
+        tracing::info!(
+            up = self.snapshot.pools.iter().map(|pool| pool.members.len()).sum::<usize>(),
+            closed,
+            cpus = capacity.cpus.round(),
+            cpus_free = free.cpus.round(),
+            gpus = capacity.gpus.round(),
+            gpus_free = free.gpus.round(),
+            jobs = self.active.len(),
+            waiting = self.fleet.unmet.len(),
+            txns = written.txns,
+            placements = written.placements,
+            ends = written.ends,
+            dones = written.finished_jobs,
+            drops = written.drops,
+            writing_ms,
+            "summary"
+        );
+    }
+
+    fn note_idle(&mut self, now: Ms, ix: MachineIx) {
+        let machine = &mut self.machines[ix.at()];
+        if machine.lifecycle != MachineLifecycle::Up {
+            return;
+        }
+        if machine.gpu_assignments == 0 {
+            machine.gpu_idle_since.get_or_insert(now);
+        }
+        if machine.assignments.is_empty() {
+            machine.idle_since.get_or_insert(now);
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/leader/task_reports.rs
@@ -0,0 +1,236 @@
+//! What a report says of single tasks.
+
+use std::collections::HashSet;
+
+use super::{Leader, NewAssignment};
+use crate::{
+    bookkeeping::{
+        job_cache::{JobCache, JobIx},
+        records::Status,
+    },
+    coordination::model::{AssignmentIx, AssignmentState, ExitRecord, Job, MachineIx, Ms, Slot, UnreapedExit},
+    protocol::workers::{split_task, ExitReason, TaskReport, TaskState},
+};
+
+/// One attempt to run a task, by the name that workers know.
+#[derive(Debug, PartialEq, Eq, Hash)]
+pub(super) struct TaskAttempt {
+    pub task: String,
+    pub attempt: u64,
+}
+
+impl TaskAttempt {
+    fn of(report: &TaskReport) -> TaskAttempt {
+        TaskAttempt { task: report.task.clone(), attempt: report.attempt }
+    }
+}
+
+/// What a report listed.
+#[derive(Debug, Default)]
+pub(super) struct ListedTasks {
+    pub assignments: Vec<AssignmentIx>,
+    /// Tasks without an assignment: their unreaped exits stay.
+    pub exits: HashSet<TaskAttempt>,
+}
+
+/// A task that a report listed.
+struct ListedTask<'a> {
+    report: &'a TaskReport,
+    machine: MachineIx,
+    job: JobIx,
+    number: u32,
+    slot: Option<Slot>,
+}
+
+impl Leader {
+    /// Takes in what a machine's report says of one task.
+    pub(super) fn take_task(
+        &mut self,
+        now: Ms,
+        machine: MachineIx,
+        report: &TaskReport,
+        job_cache: &JobCache,
+        listed: &mut ListedTasks,
+    ) {
+        let Some((id, number)) = split_task(&report.task) else { return };
+        let Some(job) = job_cache.find(id) else { return };
+        let slot = self.job(job).and_then(|job| job.slots.get(number as usize).copied());
+        let task = ListedTask { report, machine, job, number, slot };
+        if let Some(assignment_ix) = self.assignment_of(&task) {
+            self.take_assigned_task(now, &task, assignment_ix, listed);
+        } else if report.state == TaskState::Exited {
+            self.take_unassigned_exit(&task, listed);
+        } else if !self.adopt(now, &task, listed) {
+            self.note_stray(&task, listed);
+        }
+    }
+
+    /// The assignment that this very attempt belongs to.
+    fn assignment_of(&self, task: &ListedTask<'_>) -> Option<AssignmentIx> {
+        let Some(Slot::At(assignment_ix)) = task.slot else { return None };
+        let assignment = self.assignment(assignment_ix)?;
+        let is_same = assignment.machine == task.machine
+            && assignment.attempt == task.report.attempt
+            && assignment.session == self.machine(task.machine).session;
+        is_same.then_some(assignment_ix)
+    }
+
+    fn take_assigned_task(
+        &mut self,
+        now: Ms,
+        task: &ListedTask<'_>,
+        assignment_ix: AssignmentIx,
+        listed: &mut ListedTasks,
+    ) {
+        listed.assignments.push(assignment_ix);
+        self.take_state(now, assignment_ix, task.report);
+        let is_still_assigned = self
+            .assignment(assignment_ix)
+            .is_some_and(|assignment| assignment.job == task.job && assignment.attempt == task.report.attempt);
+        if !is_still_assigned {
+            // Settled just now: it has an unreaped exit.
+            listed.exits.insert(TaskAttempt::of(task.report));
+        }
+    }
+
+    /// An end that no assignment waits for. A task that completed is done all
+    /// the same.
+    fn take_unassigned_exit(&mut self, task: &ListedTask<'_>, listed: &mut ListedTasks) {
+        listed.exits.insert(TaskAttempt::of(task.report));
+        if self.has_unreaped_exit(task) {
+            return;
+        }
+        let is_settled = self.machine(task.machine).has_no_command_in_flight();
+        let mut record = ExitRecord::WrittenWith { chunk: 0, version: 0 };
+        if task.slot == Some(Slot::Pending) && task.report.why == Some(ExitReason::Done) {
+            if let Some(job) = self.job_mut(task.job) {
+                record = complete_pending_task(job, task.number);
+            }
+            self.changed_progress.insert(task.job);
+            self.pass_needed = true;
+        }
+        if is_settled {
+            self.add_unreaped_exit(task, record);
+        }
+    }
+
+    /// The task runs where no record says so. If it is wanted, it is adopted;
+    /// otherwise it has to go. Either way it is accounted for meanwhile.
+    fn adopt(&mut self, now: Ms, task: &ListedTask<'_>, listed: &mut ListedTasks) -> bool {
+        let is_wanted =
+            task.slot == Some(Slot::Pending) && self.job(task.job).is_some_and(|job| job.status == Status::Pending);
+        if !is_wanted {
+            return false;
+        }
+        let machine = self.machine(task.machine);
+        let new = NewAssignment {
+            job: task.job,
+            task: task.number,
+            machine: task.machine,
+            session: machine.session,
+            attempt: task.report.attempt,
+            zone: machine.zone,
+        };
+        if let Some(assignment_ix) = self.add_assignment(now, new) {
+            tracing::warn!(task = &*task.report.task, machine = &*self.machine(task.machine).id, "adopted");
+            listed.assignments.push(assignment_ix);
+            self.take_state(now, assignment_ix, task.report);
+        }
+        true
+    }
+
+    /// A live task that is not wanted: halted until it ends, then reaped.
+    fn note_stray(&mut self, task: &ListedTask<'_>, listed: &mut ListedTasks) {
+        tracing::warn!(
+            task = &*task.report.task,
+            attempt = task.report.attempt,
+            machine = &*self.machine(task.machine).id,
+            "stray task, stopping it"
+        );
+        if !self.has_unreaped_exit(task) {
+            self.add_unreaped_exit(task, ExitRecord::Stray);
+        }
+        listed.exits.insert(TaskAttempt::of(task.report));
+    }
+
+    fn has_unreaped_exit(&self, task: &ListedTask<'_>) -> bool {
+        let exits = &self.machine(task.machine).unreaped_exits;
+        exits.iter().any(|exit| exit.task == task.report.task && exit.attempt == task.report.attempt)
+    }
+
+    fn add_unreaped_exit(&mut self, task: &ListedTask<'_>, record: ExitRecord) {
+        self.machines[task.machine.at()].unreaped_exits.push(UnreapedExit {
+            task: task.report.task.clone(),
+            attempt: task.report.attempt,
+            job: task.job,
+            record,
+        });
+    }
+
+    fn take_state(&mut self, now: Ms, ix: AssignmentIx, report: &TaskReport) {
+        if report.state == TaskState::Exited {
+            self.take_end(now, ix, report);
+            return;
+        }
+        let Some(assignment) = self.assignments.get_mut(ix) else { return };
+        let previous = std::mem::replace(&mut assignment.state, AssignmentState::Seen(report.state));
+        if previous == assignment.state {
+            return;
+        }
+        let is_running = report.state == TaskState::Running;
+        if is_running && assignment.running_since.is_none() {
+            assignment.running_since = Some(now);
+        }
+        let was_running = previous == AssignmentState::Seen(TaskState::Running);
+        let (job_ix, machine) = (assignment.job, assignment.machine);
+        let (made, inherited) = (assignment.made, assignment.inherited);
+        let Some(job) = self.jobs[job_ix.at()].as_mut() else { return };
+        match (was_running, is_running) {
+            (false, true) => {
+                job.running += 1;
+                if job.running + job.done == 1 && !inherited {
+                    log_first_start(now, job, made);
+                }
+            }
+            (true, false) => job.running = job.running.saturating_sub(1),
+            _ => {}
+        }
+        self.changed_progress.insert(job_ix);
+        if let Some(host) = self.snapshot.hosts.get_mut(machine.at()) {
+            let cache_gb = host.pool.map_or(0.0, |pool| self.snapshot.pools[pool].cache_gb);
+            host.note_image(job.spec.image, job.spec.image_gb, cache_gb);
+        }
+    }
+
+    fn take_end(&mut self, now: Ms, ix: AssignmentIx, report: &TaskReport) {
+        let Some(assignment) = self.assignments.get_mut(ix) else { return };
+        if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
+            if let Some(job) = self.jobs[assignment.job.at()].as_mut() {
+                job.running = job.running.saturating_sub(1);
+            }
+        }
+        assignment.state = AssignmentState::Ended(report.why.unwrap_or(ExitReason::Other));
+        self.settle_exit(now, ix, report);
+    }
+}
+
+/// Marks a task as done that has no assignment.
+fn complete_pending_task(job: &mut Job, task: u32) -> ExitRecord {
+    job.slots[task as usize] = Slot::Done;
+    job.pending.retain(|&pending| pending != task);
+    job.done += 1;
+    ExitRecord::WrittenWith { chunk: job.chunk_of(task), version: job.touch(task) }
+}
+
+fn log_first_start(now: Ms, job: &Job, assigned_at: Ms) {
+    tracing::info!(
+        job = &*job.id,
+        kind = ?job.spec.kind,
+        rank = ?job.spec.priority,
+        wait_s = job.age_s(now),
+        fetched_s = (now - assigned_at) as f64 / 1000.0,
+        gb = job.spec.image_gb,
+        tasks = job.spec.tasks,
+        "first task runs"
+    );
+}
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -1,52 +1,64 @@
-//! Workers' leases, kept by controllers that don't lead.
+//! Renewal of workers' leases by controllers that don't lead.
 //!
 //! A zone that is cut off, or an outage of the state service, leaves workers
 //! with no leader, and at the end of their leases they kill all they run. A
-//! controller that was in contact a moment ago may keep them meanwhile: it
-//! answers their reports with the token they hold and with no orders. Nothing
-//! new starts by that, and nothing that runs is lost. Two things must hold:
+//! controller that was in contact a moment ago may renew the leases meanwhile:
+//! it answers workers' reports with the token they hold and with no orders.
+//! Nothing new starts by that, and nothing that runs is lost. Two things must
+//! hold:
 //!
 //! - What is cancelled is gone in time. Whoever answers a worker 200, the leader
 //!   included, does so only for `renewal_ms` after it *sent* its last read of the
 //!   jobs' records, and the answer halts what that read showed as cancelled.
 //!   Cancelled later than that read, a task is gone `renewal_ms` and a lease after
 //!   it at the latest.
-//! - A leader that counts a lease out must know of every such answer.
-//!   [`RenewalRight`] keeps only while its key stands in the state service, under a
-//!   grant; [`PeerInactivity`] believes that a controller kept nothing only for the
-//!   time that the controller itself spoke for, or its key was away.
+//! - A leader that takes a lease for ended must know of every such answer.
+//!   [`RenewalRight`] renews only while its key stands in the state service, under
+//!   a grant; [`PeerInactivity`] believes that a controller renewed nothing only
+//!   for the time that the controller itself vouched for, or its key was away.
 
 use super::model::Ms;
 
 /// Two steady clocks may part by twice this share; times are cut by more.
 const DRIFT: f64 = 0.002;
+/// Taken off a grant's time besides the drift, for rounding and scheduling.
 const MARGIN_MS: Ms = 40;
-/// Out of contact for this long before any lease is kept.
-const QUIET_MS: Ms = 2_500;
+/// Out of contact for this long before any lease is renewed without a leader.
+const OUT_OF_CONTACT_MS: Ms = 2_500;
 /// A controller heard within this time is there.
 const HEARD_MS: Ms = 2_000;
 /// Besides both clocks' drift: for answers and reports on their way.
 const SLACK_MS: f64 = 2_000.0;
+/// A grant outlives the time in which leases may be renewed by this much.
+const GRANT_SLACK_MS: Ms = 6_000;
+/// Interval of the grant's renewals.
+const GRANT_RENEWAL_MS: Ms = 3_000;
+/// Pause after a call that failed or went unanswered.
+const RETRY_MS: Ms = 1_000;
+/// A report from another zone within this time after the last contact says
+/// nothing: the partition may have begun after it.
+const FOREIGN_REPORT_SLACK_MS: Ms = 1_000;
 
 /// How long after the sending of its last read of the jobs' records a controller
 /// may answer a worker 200: a lease renewed then ends before a cancellation that
 /// the read could not show has to be carried out.
 pub fn renewal_ms(cancel_s: f64, lease_s: f64) -> Ms {
-    let most = (cancel_s * (1.0 - DRIFT) - lease_s * (1.0 + DRIFT)) * 1000.0 - SLACK_MS;
-    most.max(0.0) as Ms
+    let longest = (cancel_s * (1.0 - DRIFT) - lease_s * (1.0 + DRIFT)) * 1000.0 - SLACK_MS;
+    longest.max(0.0) as Ms
 }
 
-/// How long after its last contact a controller that doesn't lead may keep
+/// How long after its last contact a controller that doesn't lead may renew
 /// leases; 0: never.
 pub fn most_ms(cancel_s: f64, lease_s: f64) -> Ms {
-    let most = renewal_ms(cancel_s, lease_s);
-    if most >= 2 * QUIET_MS {
-        most
+    let longest = renewal_ms(cancel_s, lease_s);
+    if longest >= 2 * OUT_OF_CONTACT_MS {
+        longest
     } else {
         0
     }
 }
 
+/// A call to the state service that is to be made.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// POST /grants
@@ -57,30 +69,42 @@
     Register { permit: u64, expect: u64 },
 }
 
+/// The call that is unanswered, if any.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Flight {
+enum PendingCall {
     None,
     Grant { sent: Ms },
     Renew { sent: Ms },
     Register,
 }
 
-/// This controller's own right to keep leases.
+/// This controller's key as last seen.
+#[derive(Debug, Clone, Copy)]
+struct SeenKey {
+    /// 0: the key isn't there.
+    stamp: u64,
+    /// The revision at which it was seen.
+    revision: u64,
+}
+
+/// This controller's own right to renew leases.
 #[derive(Debug)]
 pub struct RenewalRight {
     renewal_ms: Ms,
+    /// The same without leading.
     most_ms: Ms,
     permit: Option<u64>,
+    /// The grant is alive at least until then.
     valid_until: Ms,
     last_renewal: Ms,
-    flight: Flight,
+    pending: PendingCall,
     retry_at: Ms,
-    /// The key's stamp as last seen (0: it isn't there), and at which revision.
-    key: Option<(u64, u64)>,
+    key: Option<SeenKey>,
+    /// The key stands, written by this start of the process.
     registered: bool,
     /// When the last read of the jobs' records that was taken in was sent.
     synced: Option<Ms>,
-    /// When a lease was last kept.
+    /// When a lease was last renewed without leading.
     pub last: Ms,
 }
 
@@ -93,7 +117,7 @@
             permit: None,
             valid_until: 0,
             last_renewal: 0,
-            flight: Flight::None,
+            pending: PendingCall::None,
             retry_at: 0,
             key: None,
             registered: false,
@@ -106,94 +130,111 @@
     /// start of the process. Guard: as with the leader's key, one that was written
     /// late under an earlier grant ends with that grant, so it doesn't count.
     pub fn mark(&self, nonce: u64) -> Option<u64> {
-        self.permit.map(|p| nonce.wrapping_add(p))
+        self.permit.map(|permit| nonce.wrapping_add(permit))
     }
 
+    /// How long after the sending of its last read it may answer a worker 200.
     pub fn renewal_ms(&self) -> Ms {
         self.renewal_ms
     }
 
-    /// Outlives the time in which leases may be kept by one renewal and more.
+    /// How long a grant lasts: longer than leases may be renewed by one renewal
+    /// of it and more.
     pub fn ttl_ms(&self) -> Ms {
-        self.most_ms + 6_000
+        self.most_ms + GRANT_SLACK_MS
     }
 
+    /// The next call to make, if one is due.
     pub fn tick(&mut self, now: Ms) -> Option<Action> {
-        if self.most_ms == 0 || self.flight != Flight::None || now < self.retry_at {
+        if self.most_ms == 0 || self.pending != PendingCall::None || now < self.retry_at {
             return None;
         }
-        let (stamp, _) = self.key?;
-        let act = match self.permit {
-            Some(p) if self.registered && now >= self.last_renewal + 3_000 => {
+        let expect = self.key?.stamp;
+        match self.permit {
+            Some(permit) if self.registered => {
+                if now < self.last_renewal + GRANT_RENEWAL_MS {
+                    return None;
+                }
                 self.last_renewal = now;
-                self.flight = Flight::Renew { sent: now };
-                Action::Renew(p)
+                self.pending = PendingCall::Renew { sent: now };
+                Some(Action::Renew(permit))
             }
-            Some(_) if self.registered => return None,
-            Some(p) if now + self.ttl_ms() / 2 < self.valid_until => {
-                self.flight = Flight::Register;
-                Action::Register { permit: p, expect: stamp }
+            Some(permit) if now + self.ttl_ms() / 2 < self.valid_until => {
+                self.pending = PendingCall::Register;
+                Some(Action::Register { permit, expect })
             }
             _ => {
                 self.permit = None;
-                self.flight = Flight::Grant { sent: now };
-                Action::Grant
+                self.pending = PendingCall::Grant { sent: now };
+                Some(Action::Grant)
             }
-        };
-        Some(act)
+        }
     }
 
+    /// Until when a grant that was asked for or renewed at `sent` lasts at least.
     fn alive_until(&self, sent: Ms) -> Ms {
-        (sent + (self.ttl_ms() as f64 * (1.0 - DRIFT)) as Ms).saturating_sub(MARGIN_MS)
+        let shortest_ms = (self.ttl_ms() as f64 * (1.0 - DRIFT)) as Ms;
+        (sent + shortest_ms).saturating_sub(MARGIN_MS)
     }
 
+    /// How the request for a grant ended. `None`: it failed.
     pub fn granted(&mut self, now: Ms, permit: Option<u64>) {
-        let Flight::Grant { sent } = self.flight else { return };
-        self.flight = Flight::None;
+        let PendingCall::Grant { sent } = self.pending else { return };
+        self.pending = PendingCall::None;
         match permit {
-            Some(p) => (self.permit, self.valid_until, self.last_renewal) = (Some(p), self.alive_until(sent), sent),
-            None => self.retry_at = now + 1_000,
+            Some(permit) => {
+                self.permit = Some(permit);
+                self.valid_until = self.alive_until(sent);
+                self.last_renewal = sent;
+            }
+            None => self.retry_at = now + RETRY_MS,
         }
     }
 
-    /// `Some(true)`: renewed; `Some(false)`: the grant has ended; None: unknown.
+    /// `Some(true)`: renewed; `Some(false)`: the grant has ended; `None`: unknown.
     pub fn renewed(&mut self, now: Ms, result: Option<bool>) {
-        let Flight::Renew { sent } = self.flight else { return };
-        self.flight = Flight::None;
+        let PendingCall::Renew { sent } = self.pending else { return };
+        self.pending = PendingCall::None;
         match result {
             Some(true) => self.valid_until = self.valid_until.max(self.alive_until(sent)),
             Some(false) => self.lost(),
-            None => (self.last_renewal, self.retry_at) = (0, now + 1_000),
+            None => {
+                self.last_renewal = 0;
+                self.retry_at = now + RETRY_MS;
+            }
         }
     }
 
-    /// `Some(stamp)`: written. None: lost or unknown; the watch tells which.
+    /// `Some(stamp)`: written. `None`: lost or unknown; the watch tells which.
     pub fn registered(&mut self, now: Ms, stamp: Option<u64>) {
-        if self.flight != Flight::Register {
+        if self.pending != PendingCall::Register {
             return;
         }
-        self.flight = Flight::None;
+        self.pending = PendingCall::None;
         match stamp {
-            Some(s) => self.saw_key(s, s, true),
-            None => self.retry_at = now + 1_000,
+            Some(stamp) => self.saw_key(stamp, stamp, true),
+            None => self.retry_at = now + RETRY_MS,
         }
     }
 
     /// The grant is gone, and the key with it.
     pub fn lost(&mut self) {
-        (self.permit, self.valid_until, self.registered) = (None, 0, false);
+        self.permit = None;
+        self.valid_until = 0;
+        self.registered = false;
     }
 
-    /// The key was seen at revision `at`: its stamp (0: not there), and whether
+    /// The key was seen at this revision: its stamp (0: not there), and whether
     /// it is of this start of the process.
-    pub fn saw_key(&mut self, stamp: u64, at: u64, mine: bool) {
-        if self.key.is_some_and(|(_, seen)| seen > at) {
+    pub fn saw_key(&mut self, stamp: u64, revision: u64, mine: bool) {
+        if self.key.is_some_and(|seen| seen.revision > revision) {
             return;
         }
-        self.key = Some((stamp, at));
+        self.key = Some(SeenKey { stamp, revision });
         self.registered = mine && stamp != 0;
     }
 
+    /// A read of the jobs' records that was sent then has come back.
     pub fn synced(&mut self, sent: Ms) {
         self.synced = self.synced.max(Some(sent));
     }
@@ -206,48 +247,75 @@
     /// Guard: a 200 sent now can't let a task outlive a cancellation that this
     /// controller doesn't know of, whether it leads or not.
     pub fn may_renew(&self, now: Ms) -> bool {
-        self.synced.is_some_and(|s| now < s + self.renewal_ms)
+        self.synced.is_some_and(|synced| now < synced + self.renewal_ms)
     }
 
     /// Only out of contact, only for a time, and only while the key stands.
     pub fn may_renew_without_leader(&self, now: Ms) -> bool {
-        let contact = self.synced.is_some_and(|s| now >= s + QUIET_MS && now < s + self.most_ms);
-        contact && self.may_renew(now) && self.registered && now < self.valid_until
+        let is_out_of_contact =
+            self.synced.is_some_and(|synced| now >= synced + OUT_OF_CONTACT_MS && now < synced + self.most_ms);
+        is_out_of_contact && self.may_renew(now) && self.registered && now < self.valid_until
+    }
+}
+
+/// A span of time on this controller's clock; empty if it ends before it begins.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct TimeSpan {
+    pub from: i64,
+    pub to: i64,
+}
+
+impl TimeSpan {
+    /// All of time. The bounds leave room for what is added to them.
+    pub const ALWAYS: TimeSpan = TimeSpan { from: i64::MIN / 2, to: i64::MAX / 2 };
+    /// No time at all.
+    pub const NEVER: TimeSpan = TimeSpan { from: i64::MAX / 2, to: i64::MIN / 2 };
+
+    fn overlaps(&self, other: &TimeSpan) -> bool {
+        other.from <= self.to && other.to >= self.from
+    }
+
+    fn intersection(&self, other: &TimeSpan) -> TimeSpan {
+        TimeSpan { from: self.from.max(other.from), to: self.to.min(other.to) }
+    }
+
+    /// The span that covers both.
+    fn cover(&self, other: &TimeSpan) -> TimeSpan {
+        TimeSpan { from: self.from.min(other.from), to: self.to.max(other.to) }
     }
 }
 
-/// For how long each other controller is known to have kept no lease: from and
-/// to, on this controller's clock.
+/// For how long each other controller is known to have renewed no lease.
 #[derive(Debug)]
 pub struct PeerInactivity {
-    spans: Vec<Option<(i64, i64)>>,
+    spans: Vec<Option<TimeSpan>>,
 }
 
 impl PeerInactivity {
+    /// Nothing is known of so many peers.
     pub fn new(peers: usize) -> PeerInactivity {
         PeerInactivity { spans: vec![None; peers] }
     }
 
-    /// Between these moments `peer` kept nothing. What lies before is believed
-    /// only as far as it is joined on.
+    /// Between these moments `peer` renewed nothing. What lies before is believed
+    /// only as far as it adjoins.
     pub fn record_inactive(&mut self, peer: usize, from: i64, to: i64) {
         if to < from {
             return;
         }
-        let Some(span) = self.spans.get_mut(peer) else { return };
-        *span = match *span {
-            Some((a, b)) if from <= b && to >= a => Some((a.min(from), b.max(to))),
-            Some((a, b)) if to < a => Some((a, b)),
-            _ => Some((from, to)),
+        let Some(known) = self.spans.get_mut(peer) else { return };
+        let new = TimeSpan { from, to };
+        *known = match *known {
+            Some(span) if span.overlaps(&new) => Some(span.cover(&new)),
+            Some(span) if to < span.from => Some(span),
+            _ => Some(new),
         };
     }
 
-    /// The time in which nobody else kept any lease.
-    pub fn span(&self) -> (i64, i64) {
-        self.spans.iter().fold((i64::MIN / 2, i64::MAX / 2), |(from, to), s| match s {
-            Some((a, b)) => (from.max(*a), to.min(*b)),
-            None => (i64::MAX / 2, i64::MIN / 2),
-        })
+    /// The time in which no other controller renewed any lease.
+    pub fn span(&self) -> TimeSpan {
+        let known = self.spans.iter().map(|span| span.unwrap_or(TimeSpan::NEVER));
+        known.fold(TimeSpan::ALWAYS, |common, span| common.intersection(&span))
     }
 }
 
@@ -262,16 +330,18 @@
 }
 
 /// Guard: a controller that is alone in being cut off must not hold workers
-/// that would find the leader elsewhere. It keeps leases only when whoever it
-/// hears is out of contact too; or when it hears nobody, has no other in its
-/// zone, and no worker of another zone (`stranger`) since its last contact.
+/// that would find the leader elsewhere. It renews leases only when every
+/// controller that it hears is out of contact too; or when it hears none, has no
+/// other in its zone, and no worker of another zone reported since its last
+/// contact.
 pub fn shares_the_cut(now: Ms, contact: Ms, others: &[Other], foreign_zone_report: Option<Ms>) -> bool {
-    let heard = |o: &&Other| o.heard.is_some_and(|h| now < h + HEARD_MS);
-    let mut heard = others.iter().filter(heard).peekable();
+    let is_heard = |other: &&Other| other.heard.is_some_and(|heard| now < heard + HEARD_MS);
+    let mut heard = others.iter().filter(is_heard).peekable();
     if heard.peek().is_some() {
-        return heard.all(|o| o.state_age >= QUIET_MS);
+        return heard.all(|other| other.state_age >= OUT_OF_CONTACT_MS);
     }
-    !others.iter().any(|o| o.near) && foreign_zone_report.is_none_or(|s| s < contact + 1_000)
+    let is_alone_in_zone = !others.iter().any(|other| other.near);
+    is_alone_in_zone && foreign_zone_report.is_none_or(|report| report < contact + FOREIGN_REPORT_SLACK_MS)
 }
 
 #[cfg(test)]
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,4 +1,5 @@
-//! Who leads and what runs where. Pure: events and `now` in, effects out.
+//! Who leads, and what runs where. Everything here is pure: events and the
+//! present moment go in, effects come out.
 
 pub mod election;
 pub mod fleet;
@@ -7,6 +8,5 @@
 pub mod model;
 pub mod pass;
 pub mod preemption;
-pub mod rent;
 pub mod snapshot;
 pub mod trial;
--- /dev/null
+++ b/src/coordination/model/index.rs
@@ -0,0 +1,25 @@
+//! Typed indices into the leader's dense tables.
+
+macro_rules! index {
+    ($(#[$doc:meta])* $name:ident) => {
+        $(#[$doc])*
+        #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+        pub struct $name(pub u32);
+
+        impl $name {
+            /// The index as an offset into its table.
+            pub fn at(self) -> usize {
+                self.0 as usize
+            }
+        }
+    };
+}
+
+index!(
+    /// Index of an assignment in the leader's table of assignments.
+    AssignmentIx
+);
+index!(
+    /// Index of a machine in the leader's table of machines.
+    MachineIx
+);
--- /dev/null
+++ b/src/coordination/model/job.rs
@@ -0,0 +1,174 @@
+//! Unfinished jobs and the state of their tasks.
+
+use std::rc::Rc;
+
+use super::{AssignmentIx, MachineIx, Ms};
+use crate::{
+    bookkeeping::{
+        job_cache::JobIx,
+        records::{JobRecord, Status},
+    },
+    protocol::jobs::JobSpec,
+};
+
+/// Where one task of a job stands.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Slot {
+    Pending,
+    Done,
+    /// On a machine, or on its way there.
+    At(AssignmentIx),
+}
+
+/// State of one chunk record (`t/`), which holds a part of a job's tasks.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct Chunk {
+    /// Version of the wanted state.
+    pub version: u64,
+    /// The version that the written record holds.
+    pub committed_version: u64,
+    /// The version that last gained an assignment: its launch waits for the write.
+    pub placement_version: u64,
+    /// Stamp of the written record; 0: there is none.
+    pub stamp: u64,
+    /// Its value is larger than may be written; not to be tried before.
+    pub retry_at: Ms,
+}
+
+impl Chunk {
+    /// Whether the wanted state differs from the written record.
+    pub fn is_dirty(&self) -> bool {
+        self.version != self.committed_version
+    }
+
+    /// Whether an assignment waits for the record to be written.
+    pub fn has_unwritten_placement(&self) -> bool {
+        self.placement_version > self.committed_version
+    }
+}
+
+/// Task counts of a job, as users see them.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct JobProgress {
+    pub done: u32,
+    pub running: u32,
+}
+
+/// A job that is not over, or whose tasks are still somewhere.
+#[derive(Debug)]
+pub struct Job {
+    pub ix: JobIx,
+    pub id: Rc<str>,
+    pub spec: Rc<JobSpec>,
+    /// Stamp of its record.
+    pub stamp: u64,
+    pub status: Status,
+    /// Since when it may run, on the leader's steady clock; may lie before the
+    /// clock's start.
+    pub since: i64,
+    /// Tasks per chunk.
+    pub chunk_size: u32,
+    pub slots: Vec<Slot>,
+    pub chunks: Vec<Chunk>,
+    /// Pending task numbers, the next one last.
+    pub pending: Vec<u32>,
+    pub done: u32,
+    /// Tasks that have an assignment.
+    pub placed: u32,
+    pub running: u32,
+    /// None of its tasks are to be assigned before.
+    pub not_before: Ms,
+    /// A transaction found the record changed; wait until the job cache shows it.
+    pub stale: bool,
+    /// Its record, while that splits its tasks into chunks that are too large
+    /// for the state service's lower limit.
+    pub oversized_record: Option<Rc<JobRecord>>,
+    /// Its chunks are being resharded: none of its tasks may be assigned.
+    pub resharding: bool,
+    /// Tasks per chunk according to its record.
+    pub recorded_chunk_size: u32,
+    /// Since when changes wait to be written.
+    pub unwritten_since: Option<Ms>,
+    /// A task completed, or ran long enough to count as a start.
+    pub has_counted_start: bool,
+    /// At least one of its tasks was assigned before.
+    pub ever_assigned: bool,
+    pub failure_count: u32,
+    /// Machines on which its tasks failed.
+    pub failed_on: Vec<MachineIx>,
+    /// The progress last published to the other controllers.
+    pub published: JobProgress,
+    /// No tasks are stopped for it before.
+    pub next_eviction: Ms,
+    /// Its assignments by zone, if it restricts zones.
+    pub zone_used: Vec<u32>,
+    /// Within its team's guarantee, as of the last pass.
+    pub within_guarantee: bool,
+    /// Tasks stopped by command, for the logs.
+    pub stop_count: u32,
+    /// Tasks lost with their machine, for the logs.
+    pub lost_count: u32,
+    /// When one of its tasks was last assigned, for the logs.
+    pub last_assigned: Ms,
+    /// Since when it waits without room, for eviction, rentals and the logs.
+    pub waiting_since: Ms,
+}
+
+impl Job {
+    /// Whether every task completed.
+    pub fn all_done(&self) -> bool {
+        self.done as usize == self.slots.len()
+    }
+
+    /// The chunk that holds a task.
+    pub fn chunk_of(&self, task: u32) -> usize {
+        (task / self.chunk_size) as usize
+    }
+
+    /// Marks a task's chunk as changed and returns its new version.
+    pub fn touch(&mut self, task: u32) -> u64 {
+        let chunk = self.chunk_of(task);
+        self.chunks[chunk].version += 1;
+        self.chunks[chunk].version
+    }
+
+    /// Whether any chunk differs from its written record.
+    pub fn has_unwritten_changes(&self) -> bool {
+        self.chunks.iter().any(Chunk::is_dirty)
+    }
+
+    /// Whether an assignment waits to be written.
+    pub fn has_unwritten_placement(&self) -> bool {
+        self.chunks.iter().any(Chunk::has_unwritten_placement)
+    }
+
+    /// Seconds since it became ready to run.
+    pub fn age_s(&self, now: Ms) -> f64 {
+        (now as i64 - self.since) as f64 / 1000.0
+    }
+
+    /// Milliseconds since it began to wait for room; negative if that lies ahead.
+    pub fn waited_ms(&self, now: Ms) -> i64 {
+        now as i64 - self.waiting_since as i64
+    }
+
+    /// All of its assignments, in the order of its tasks.
+    pub fn assignments(&self) -> Vec<AssignmentIx> {
+        assignments_in(&self.slots)
+    }
+
+    /// The assignments of one chunk's tasks.
+    pub fn assignments_of_chunk(&self, chunk: usize) -> Vec<AssignmentIx> {
+        let size = self.chunk_size as usize;
+        let start = chunk * size;
+        assignments_in(&self.slots[start..(start + size).min(self.slots.len())])
+    }
+}
+
+fn assignments_in(slots: &[Slot]) -> Vec<AssignmentIx> {
+    let assigned = |slot: &Slot| match slot {
+        Slot::At(assignment) => Some(*assignment),
+        Slot::Pending | Slot::Done => None,
+    };
+    slots.iter().filter_map(assigned).collect()
+}
--- /dev/null
+++ b/src/coordination/model/machine_type.rs
@@ -0,0 +1,42 @@
+//! Machine types that can be rented.
+
+use super::Res;
+use crate::protocol::{
+    jobs::JobSpec,
+    names::{TypeIx, ZoneIx},
+};
+
+/// A machine type as the cloud describes it.
+#[derive(Debug, Clone)]
+pub struct TypeInfo {
+    pub ix: TypeIx,
+    /// Capacity of one machine.
+    pub cap: Res,
+    pub cache_gb: f64,
+    pub fetch_gb_per_s: f64,
+    pub price: f64,
+    /// 0: the type has no spot price of its own.
+    pub spot_price: f64,
+    pub boot_s: f64,
+    pub zones: Vec<ZoneIx>,
+}
+
+impl TypeInfo {
+    /// Price of a machine, on demand or as a spot machine.
+    pub fn price_of(&self, spot: bool) -> f64 {
+        if spot && self.spot_price > 0.0 {
+            self.spot_price
+        } else {
+            self.price
+        }
+    }
+}
+
+/// Whether one task of this job can ever run on some machine that may be rented.
+pub fn fits_some_type(spec: &JobSpec, types: &[TypeInfo]) -> bool {
+    types.iter().any(|machine_type| {
+        spec.allows_type(machine_type.ix)
+            && Res::of(spec).fits_in(&machine_type.cap)
+            && spec.zone.is_none_or(|zone| machine_type.zones.contains(&zone))
+    })
+}
--- /dev/null
+++ b/src/coordination/model/mod.rs
@@ -0,0 +1,36 @@
+//! The leader's in-memory model of the cluster: jobs, machines, and the
+//! assignments of tasks to machines.
+
+mod assignment;
+mod index;
+mod job;
+mod machine;
+mod machine_type;
+mod resources;
+mod team;
+
+pub use self::{
+    assignment::{Assignment, AssignmentState, DirectCall, ExitRecord, Halt, LaunchId, UnreapedExit},
+    index::{AssignmentIx, MachineIx},
+    job::{Chunk, Job, JobProgress, Slot},
+    machine::{Machine, MachineLifecycle, TaskFailure},
+    machine_type::{fits_some_type, TypeInfo},
+    resources::{Res, RESOURCE_TOLERANCE},
+    team::TeamLimits,
+};
+
+/// Milliseconds on this process's steady clock, or a duration in milliseconds.
+pub type Ms = u64;
+
+/// A task that ran this long counts as started for good (PROTOCOL, "How aims
+/// are counted").
+pub const START_COUNTS_MS: Ms = 30_000;
+
+/// Converts a duration in milliseconds to seconds.
+pub fn seconds(duration_ms: Ms) -> f64 {
+    duration_ms as f64 / 1000.0
+}
+
+#[cfg(test)]
+#[path = "../tests/model.rs"]
+pub mod tests;
--- /dev/null
+++ b/src/coordination/model/resources.rs
@@ -0,0 +1,108 @@
+//! Resource vectors: CPUs, GPUs and memory.
+
+use std::ops;
+
+use crate::protocol::jobs::JobSpec;
+
+/// An amount of each resource that the scheduler accounts for.
+#[derive(Debug, Clone, Copy, PartialEq, Default)]
+pub struct Res {
+    pub cpus: f64,
+    pub gpus: f64,
+    pub memory_gb: f64,
+}
+
+/// Sums of decimal amounts are compared with this much tolerance, so that
+/// rounding errors don't decide whether a task fits.
+pub const RESOURCE_TOLERANCE: f64 = 1e-6;
+
+impl Res {
+    /// What one task of the job requests.
+    pub fn of(spec: &JobSpec) -> Res {
+        Res { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
+    }
+
+    /// Whether `room` has at least this much of every resource.
+    pub fn fits_in(&self, room: &Res) -> bool {
+        self.cpus <= room.cpus + RESOURCE_TOLERANCE
+            && self.gpus <= room.gpus + RESOURCE_TOLERANCE
+            && self.memory_gb <= room.memory_gb + RESOURCE_TOLERANCE
+    }
+
+    /// How many times `self` fits into `room`.
+    pub fn times_in(&self, room: &Res) -> u32 {
+        let of_one_resource = |need: f64, have: f64| {
+            if need <= RESOURCE_TOLERANCE {
+                f64::from(u32::MAX)
+            } else {
+                ((have + RESOURCE_TOLERANCE) / need).floor().max(0.0)
+            }
+        };
+        of_one_resource(self.cpus, room.cpus)
+            .min(of_one_resource(self.gpus, room.gpus))
+            .min(of_one_resource(self.memory_gb, room.memory_gb)) as u32
+    }
+
+    /// Whether any resource differs from zero.
+    pub fn any(&self) -> bool {
+        self.cpus.abs() > RESOURCE_TOLERANCE
+            || self.gpus.abs() > RESOURCE_TOLERANCE
+            || self.memory_gb.abs() > RESOURCE_TOLERANCE
+    }
+
+    /// Negative amounts replaced by zero.
+    pub fn max0(self) -> Res {
+        Res { cpus: self.cpus.max(0.0), gpus: self.gpus.max(0.0), memory_gb: self.memory_gb.max(0.0) }
+    }
+
+    /// The larger amount of each resource.
+    pub fn max(self, other: Res) -> Res {
+        Res {
+            cpus: self.cpus.max(other.cpus),
+            gpus: self.gpus.max(other.gpus),
+            memory_gb: self.memory_gb.max(other.memory_gb),
+        }
+    }
+
+    /// The smaller amount of each resource.
+    pub fn min(self, other: Res) -> Res {
+        Res {
+            cpus: self.cpus.min(other.cpus),
+            gpus: self.gpus.min(other.gpus),
+            memory_gb: self.memory_gb.min(other.memory_gb),
+        }
+    }
+}
+
+impl ops::Add for Res {
+    type Output = Res;
+    fn add(self, other: Res) -> Res {
+        Res { cpus: self.cpus + other.cpus, gpus: self.gpus + other.gpus, memory_gb: self.memory_gb + other.memory_gb }
+    }
+}
+
+impl ops::Sub for Res {
+    type Output = Res;
+    fn sub(self, other: Res) -> Res {
+        Res { cpus: self.cpus - other.cpus, gpus: self.gpus - other.gpus, memory_gb: self.memory_gb - other.memory_gb }
+    }
+}
+
+impl ops::Mul<f64> for Res {
+    type Output = Res;
+    fn mul(self, factor: f64) -> Res {
+        Res { cpus: self.cpus * factor, gpus: self.gpus * factor, memory_gb: self.memory_gb * factor }
+    }
+}
+
+impl ops::AddAssign for Res {
+    fn add_assign(&mut self, other: Res) {
+        *self = *self + other;
+    }
+}
+
+impl ops::SubAssign for Res {
+    fn sub_assign(&mut self, other: Res) {
+        *self = *self - other;
+    }
+}
--- /dev/null
+++ b/src/coordination/model/team.rs
@@ -0,0 +1,35 @@
+//! Guarantees and limits of teams.
+
+use super::{Res, RESOURCE_TOLERANCE};
+use crate::protocol::jobs::{JobSpec, Kind};
+
+/// A team's guarantee and limit. `None`: none is set.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct TeamLimits {
+    pub cpus: Option<f64>,
+    pub gpus: Option<f64>,
+    pub cpus_max: Option<f64>,
+    pub gpus_max: Option<f64>,
+}
+
+impl TeamLimits {
+    /// How many more tasks of this kind the limit allows on top of `used`.
+    pub fn room_for(&self, spec: &JobSpec, used: &Res) -> u32 {
+        let tasks_within = |limit: Option<f64>, used: f64, need: f64| match limit {
+            Some(limit) if need > 0.0 => ((limit - used + RESOURCE_TOLERANCE) / need).floor().max(0.0) as u32,
+            _ => u32::MAX,
+        };
+        tasks_within(self.cpus_max, used.cpus, spec.cpus).min(tasks_within(self.gpus_max, used.gpus, spec.gpus))
+    }
+
+    /// Whether the limit can ever admit the job. A submission that it can't is
+    /// rejected with 422. Tasks of an array may run one after another; those of
+    /// other kinds run at the same time.
+    pub fn ever_allows(&self, spec: &JobSpec) -> bool {
+        let concurrent_tasks = match spec.kind {
+            Kind::Array => 1,
+            Kind::Gang | Kind::Service => spec.tasks,
+        };
+        self.room_for(spec, &Res::default()) >= concurrent_tasks
+    }
+}
--- /dev/null
+++ b/src/coordination/pass/headroom.rs
@@ -0,0 +1,79 @@
+//! Headroom: room reserved for the service replicas that are expected next.
+
+use std::rc::Rc;
+
+use crate::{
+    bookkeeping::records::Status,
+    coordination::{
+        leader::Leader,
+        model::{Ms, Res},
+        trial::TrialRequest,
+    },
+    protocol::jobs::{JobSpec, Kind, Priority},
+};
+
+/// Replicas are expected at the rate of this long before.
+const ARRIVAL_WINDOW_S: f64 = 120.0;
+/// Room is reserved for as many as arrive in this time: about what a machine
+/// takes to come.
+const LEAD_TIME_S: f64 = 30.0;
+/// Most replicas of one shape that room is reserved for.
+const REPLICAS_MAX: usize = 4;
+
+/// Replicas of one shape that are expected soon.
+pub(super) struct ExpectedReplicas {
+    spec: Rc<JobSpec>,
+    replicas: usize,
+}
+
+/// Replicas of one class that arrived within the window.
+struct RecentArrivals {
+    spec: Rc<JobSpec>,
+    replicas: f64,
+}
+
+impl Leader {
+    /// Shapes of the unfinished production services, and how many replicas of
+    /// each may be expected within the time a machine takes to come.
+    pub(super) fn expected_replicas(&self, now: Ms) -> Vec<ExpectedReplicas> {
+        let mut arrivals: Vec<RecentArrivals> = Vec::new();
+        for job in self.active_jobs() {
+            let spec = &job.spec;
+            let is_service = spec.kind == Kind::Service && spec.priority == Priority::Production;
+            if !is_service || job.status != Status::Pending {
+                continue;
+            }
+            let recent = if job.age_s(now) < ARRIVAL_WINDOW_S { f64::from(spec.tasks) } else { 0.0 };
+            match arrivals.iter_mut().find(|known| known.spec.class == spec.class) {
+                Some(known) => known.replicas += recent,
+                None => arrivals.push(RecentArrivals { spec: spec.clone(), replicas: recent }),
+            }
+        }
+        arrivals.into_iter().map(RecentArrivals::expected).collect()
+    }
+
+    /// Reserves room for replicas until the reservations are released.
+    pub(super) fn reserve_headroom(&mut self, expected: &ExpectedReplicas) {
+        let spec = &expected.spec;
+        let tasks: Vec<u32> = (0..expected.replicas as u32).collect();
+        let outcome = self.snapshot.trial(&TrialRequest::later(spec, &tasks, 1, &[]));
+        for pick in &outcome.picks {
+            self.snapshot.reserve(pick.host, Res::of(spec), Res::default());
+        }
+    }
+
+    /// Reserves room for all replicas that are expected next, until the
+    /// reservations are released.
+    pub fn reserve_all_headroom(&mut self, now: Ms) {
+        for expected in self.expected_replicas(now) {
+            self.reserve_headroom(&expected);
+        }
+    }
+}
+
+impl RecentArrivals {
+    fn expected(self) -> ExpectedReplicas {
+        let in_lead_time = (self.replicas / ARRIVAL_WINDOW_S * LEAD_TIME_S).ceil() as usize;
+        ExpectedReplicas { spec: self.spec, replicas: in_lead_time.clamp(1, REPLICAS_MAX) }
+    }
+}
--- /dev/null
+++ b/src/coordination/pass/mod.rs
@@ -0,0 +1,260 @@
+//! A scheduling pass: every waiting job's tree is tried on the snapshot, in
+//! order of priority; what succeeds becomes part of the wanted state.
+
+mod demand;
+mod headroom;
+mod order;
+mod room;
+
+use std::rc::Rc;
+
+pub use self::order::is_overdue;
+use self::{headroom::ExpectedReplicas, order::is_due, room::HopelessShapes};
+use super::{
+    fleet::UnmetDemand,
+    leader::{Leader, NewAssignment},
+    model::{Job, MachineIx, MachineLifecycle, Ms, Res, Slot, TeamLimits},
+    trial::{Pick, TrialRequest, Verdict},
+};
+use crate::{
+    bookkeeping::job_cache::JobIx,
+    protocol::{
+        jobs::{JobSpec, Kind},
+        names::TeamIx,
+    },
+};
+
+/// Most tasks of one job assigned in one pass, so that a large one doesn't
+/// stall the rest.
+const TASKS_PER_PASS: usize = 256;
+/// An array that is overdue begins with this part of its tasks: it is to begin,
+/// not to go before all others as a whole.
+const OVERDUE_ARRAY_DIVISOR: u32 = 16;
+/// After failures on this many machines, they aren't the reason.
+const FAILED_MACHINES_MAX: usize = 4;
+
+/// What a pass keeps from one job to the next.
+struct PassState {
+    unmet: Vec<UnmetDemand>,
+    /// Replicas that are expected next; `None` once room is reserved for them.
+    headroom: Option<Vec<ExpectedReplicas>>,
+    hopeless: HopelessShapes,
+    /// Gangs that room was reserved for so far.
+    gathering_gangs: usize,
+    /// One gang in each zone at a time collects its machines.
+    gathering_gangs_max: usize,
+}
+
+/// What is needed to place one job's tasks.
+struct Placement {
+    job: JobIx,
+    spec: Rc<JobSpec>,
+    /// The tasks to be placed, in order.
+    tasks: Vec<u32>,
+    zone_used: Vec<u32>,
+    /// Machines on which its tasks failed.
+    avoid: Vec<MachineIx>,
+}
+
+impl Placement {
+    /// How many tasks must be placed together.
+    fn min(&self) -> usize {
+        min_tasks(&self.spec, self.tasks.len())
+    }
+
+    /// Whether the search was restricted by nothing but the job's shape.
+    fn is_unrestricted(&self) -> bool {
+        self.avoid.is_empty() && uses_no_zone(&self.zone_used)
+    }
+}
+
+impl Leader {
+    /// A team's guarantee and limit.
+    pub fn team_limits(&self, team: TeamIx) -> TeamLimits {
+        self.cfg.teams.get(team.at()).copied().unwrap_or_default()
+    }
+
+    /// What a team's assignments use.
+    pub(super) fn used_by_team(&self, team: TeamIx) -> Res {
+        self.team_used.get(team.at()).copied().unwrap_or_default()
+    }
+
+    /// Tries to place every waiting job.
+    pub fn pass(&mut self, now: Ms) {
+        self.pass_needed = false;
+        self.last_pass = now;
+        self.note_guarantees();
+        let order = self.pass_order(now);
+        if order.is_empty() {
+            self.fleet.unmet = Vec::new();
+            return;
+        }
+        self.note_gpu_demand(now);
+        let mut state = PassState {
+            unmet: Vec::new(),
+            headroom: Some(self.expected_replicas(now)),
+            hopeless: HopelessShapes::default(),
+            gathering_gangs: 0,
+            gathering_gangs_max: self.snapshot.zone_count(),
+        };
+        for job in order {
+            self.pass_job(now, job, &mut state);
+        }
+        self.snapshot.release(0);
+        self.fleet.unmet = state.unmet;
+    }
+
+    fn pass_job(&mut self, now: Ms, ix: JobIx, state: &mut PassState) {
+        let Some(job) = self.job(ix) else { return };
+        if job.spec.kind != Kind::Service {
+            // Services come first in the order; what follows leaves room for
+            // the replicas that are expected next.
+            for expected in state.headroom.take().into_iter().flatten() {
+                self.reserve_headroom(&expected);
+            }
+        }
+        let Some(job) = self.job(ix) else { return };
+        let is_due = is_due(now, job);
+        let tasks = self.tasks_to_place(job, is_due);
+        if tasks.is_empty() {
+            return;
+        }
+        let placement = Placement {
+            job: ix,
+            spec: job.spec.clone(),
+            tasks,
+            zone_used: job.zone_used.clone(),
+            avoid: self.avoided_machines(job),
+        };
+        let placed = self.try_place(now, &placement, state);
+        if placed == placement.tasks.len() {
+            if let Some(job) = self.job_mut(ix) {
+                job.waiting_since = now;
+            }
+            return;
+        }
+        state.unmet.push(UnmetDemand { job: ix, tasks: (placement.tasks.len() - placed) as u32 });
+        let reservations = self.snapshot.reservations();
+        self.make_room(now, ix, &placement.tasks[placed..], &mut state.hopeless);
+        let may_gather = placement.spec.kind == Kind::Gang
+            && is_due
+            && state.gathering_gangs < state.gathering_gangs_max
+            && self.snapshot.reservations() == reservations;
+        if may_gather {
+            state.gathering_gangs += usize::from(self.gather(&placement));
+        }
+    }
+
+    /// The tasks of a job that this pass tries to place, in order.
+    fn tasks_to_place(&self, job: &Job, is_due: bool) -> Vec<u32> {
+        let spec = &job.spec;
+        let room = self.team_limits(spec.team).room_for(spec, &self.used_by_team(spec.team));
+        let is_gang = spec.kind == Kind::Gang;
+        let tasks_per_pass = if is_gang { TASKS_PER_PASS.max(job.pending.len()) } else { TASKS_PER_PASS };
+        let mut limit = job.pending.len().min(room as usize).min(tasks_per_pass);
+        if is_due && spec.kind == Kind::Array {
+            limit = limit.min((spec.tasks / OVERDUE_ARRAY_DIVISOR).max(1) as usize);
+        }
+        if limit == 0 || (is_gang && limit < job.pending.len()) {
+            tracing::debug!(job = &*job.id, room, "at its team's limit");
+            return Vec::new();
+        }
+        let next_tasks = job.pending.iter().rev().copied();
+        match self.chunk_room(job) {
+            None => next_tasks.take(limit).collect(),
+            Some(mut chunk_room) => {
+                let fits = |task: &u32| {
+                    let left = &mut chunk_room[job.chunk_of(*task)];
+                    *left = left.saturating_sub(1);
+                    *left > 0
+                };
+                next_tasks.filter(fits).take(limit).collect()
+            }
+        }
+    }
+
+    /// Guard: chunks that were sized for a larger limit take only as many
+    /// assignments at a time as can be written under the present one. By chunk:
+    /// how many more, and one. `None`: there is no such restriction.
+    fn chunk_room(&self, job: &Job) -> Option<Vec<u32>> {
+        if self.value_limit > self.cfg.value_fit || job.chunk_size <= self.cfg.chunk_fit {
+            return None;
+        }
+        if job.spec.kind == Kind::Gang {
+            return None;
+        }
+        let mut room = vec![self.cfg.chunk_fit + 1; job.chunks.len()];
+        for (task, slot) in job.slots.iter().enumerate() {
+            if matches!(slot, Slot::At(_)) {
+                let left = &mut room[job.chunk_of(task as u32)];
+                *left = left.saturating_sub(1);
+            }
+        }
+        Some(room)
+    }
+
+    /// Assigns what finds room now and returns how many tasks that are.
+    fn try_place(&mut self, now: Ms, placement: &Placement, state: &mut PassState) -> usize {
+        if state.hopeless.has_no_room_now(&placement.spec) {
+            return 0;
+        }
+        let outcome = self.snapshot.trial(&TrialRequest {
+            spec: &placement.spec,
+            tasks: &placement.tasks,
+            min: placement.min(),
+            zone_used: &placement.zone_used,
+            avoid: &placement.avoid,
+            later: false,
+            busy_only: false,
+        });
+        if outcome.verdict != Verdict::Success {
+            if placement.is_unrestricted() {
+                state.hopeless.now.push(placement.spec.clone());
+            }
+            return 0;
+        }
+        self.assign_picks(now, placement.job, &outcome.picks);
+        let placed = outcome.picks.len();
+        tracing::debug!(job = placement.job.0, placed, of = placement.tasks.len(), "placed");
+        placed
+    }
+
+    fn assign_picks(&mut self, now: Ms, job: JobIx, picks: &[Pick]) {
+        let attempt = self.next_attempt();
+        for pick in picks {
+            let machine_ix = MachineIx(pick.host as u32);
+            let machine = self.machine(machine_ix);
+            let new = NewAssignment {
+                job,
+                task: pick.task,
+                machine: machine_ix,
+                session: machine.session,
+                attempt,
+                zone: machine.zone,
+            };
+            self.add_assignment(now, new);
+        }
+    }
+
+    /// Machines on which the job's tasks failed. Once they failed nearly
+    /// everywhere, the machines aren't the reason.
+    fn avoided_machines(&self, job: &Job) -> Vec<MachineIx> {
+        let up = self.machines.iter().filter(|machine| machine.lifecycle == MachineLifecycle::Up).count();
+        if job.failed_on.len() >= FAILED_MACHINES_MAX || job.failed_on.len() * 2 >= up {
+            return Vec::new();
+        }
+        job.failed_on.clone()
+    }
+}
+
+/// How many of a job's tasks must be placed together.
+fn min_tasks(spec: &JobSpec, tasks: usize) -> usize {
+    match spec.kind {
+        Kind::Gang => tasks,
+        Kind::Array | Kind::Service => 1,
+    }
+}
+
+fn uses_no_zone(zone_used: &[u32]) -> bool {
+    zone_used.iter().all(|&tasks| tasks == 0)
+}
--- /dev/null
+++ b/src/coordination/pass/order.rs
@@ -0,0 +1,172 @@
+//! The order in which a pass tries the waiting jobs.
+
+use std::{cmp::Ordering, collections::HashMap};
+
+use crate::{
+    bookkeeping::{job_cache::JobIx, records::Status},
+    coordination::{
+        leader::Leader,
+        model::{Job, Ms},
+    },
+    protocol::{
+        jobs::{Kind, Priority},
+        names::ClassIx,
+    },
+};
+
+/// Users are promised that a job begins within four minutes: what has waited
+/// this long without a start goes before all but services.
+const OVERDUE_S: f64 = 150.0;
+/// Among overdue jobs, the largest of a class goes as if it had waited this
+/// much longer.
+const LARGEST_BONUS_S: f64 = 60.0;
+/// A job is given up for an aim only when it would miss it even if its run took
+/// just this share of the estimate: estimates are often twice too high.
+const HOPED_RUN_SHARE: f64 = 0.4;
+/// Fetch rate and longest fetch assumed before a machine is chosen.
+const ASSUMED_FETCH_GB_PER_S: f64 = 0.5;
+const ASSUMED_FETCH_MAX_S: f64 = 30.0;
+/// Most of the fetch that counts against an aim: often the image is there.
+const HOPED_FETCH_MAX_S: f64 = 5.0;
+/// A GPU counts as this many CPUs in the amount of a job's work.
+const CPUS_PER_GPU: f64 = 8.0;
+/// Least CPUs that a task counts as.
+const CPUS_MIN: f64 = 0.1;
+
+/// Jobs of an earlier tier go first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Tier {
+    Production,
+    Overdue,
+    High,
+    Normal,
+    Low,
+}
+
+/// A job's place among those of its tier: the smaller goes first.
+#[derive(Debug, Clone, Copy)]
+struct Turn {
+    /// Aims that it has missed already.
+    missed_aims: u32,
+    /// Its work, or, negated, its age.
+    cost: f64,
+}
+
+/// A job's place in the order of a pass.
+struct Rank {
+    tier: Tier,
+    beyond_guarantee: bool,
+    turn: Turn,
+    job: JobIx,
+}
+
+impl Rank {
+    fn compare(&self, other: &Rank) -> Ordering {
+        self.tier
+            .cmp(&other.tier)
+            .then(self.beyond_guarantee.cmp(&other.beyond_guarantee))
+            .then(self.turn.missed_aims.cmp(&other.turn.missed_aims))
+            .then(self.turn.cost.total_cmp(&other.turn.cost))
+            .then(self.job.cmp(&other.job))
+    }
+}
+
+/// An end or a start that a job should reach within some seconds.
+#[derive(Clone, Copy)]
+struct Aim {
+    is_start: bool,
+    within_s: f64,
+}
+
+impl Leader {
+    /// Services first; then what has waited so long without a start that its
+    /// beginning is overdue, the oldest first; then by priority, work within its
+    /// team's guarantee before other work.
+    pub(super) fn pass_order(&self, now: Ms) -> Vec<JobIx> {
+        let largest = self.largest_by_class();
+        let mut ranks: Vec<Rank> = self
+            .active_jobs()
+            .filter(|job| is_ready(now, job))
+            .map(|job| self.rank(now, job, largest.get(&job.spec.class).copied().unwrap_or(0)))
+            .collect();
+        ranks.sort_by(Rank::compare);
+        ranks.into_iter().map(|rank| rank.job).collect()
+    }
+
+    /// The task count of the largest unfinished job of each class.
+    fn largest_by_class(&self) -> HashMap<ClassIx, u32> {
+        let mut largest: HashMap<ClassIx, u32> = HashMap::new();
+        for job in self.active_jobs() {
+            let tasks = largest.entry(job.spec.class).or_default();
+            *tasks = (*tasks).max(job.spec.tasks);
+        }
+        largest
+    }
+
+    fn rank(&self, now: Ms, job: &Job, largest_of_class: u32) -> Rank {
+        let tier = match job.spec.priority {
+            Priority::Production => Tier::Production,
+            _ if is_due(now, job) => Tier::Overdue,
+            Priority::High => Tier::High,
+            Priority::Normal => Tier::Normal,
+            Priority::Low => Tier::Low,
+        };
+        if tier != Tier::Overdue {
+            return Rank { tier, beyond_guarantee: !job.within_guarantee, turn: self.turn(now, job), job: job.ix };
+        }
+        // Guard: when more is overdue than there is room for, the largest of a
+        // class, hardest to find room for, would come too late.
+        let share_of_largest = f64::from(job.spec.tasks) / f64::from(largest_of_class.max(1));
+        let cost = -job.age_s(now) - LARGEST_BONUS_S * share_of_largest;
+        Rank { tier, beyond_guarantee: false, turn: Turn { missed_aims: 0, cost }, job: job.ix }
+    }
+
+    /// Among equals, jobs whose aim can still be met come before those that have
+    /// missed it, and small ones before large ones: so most are in time when
+    /// there is too little for all. What missed every aim goes by age.
+    fn turn(&self, now: Ms, job: &Job) -> Turn {
+        let age_s = job.age_s(now);
+        let run_s = self.run_times.expected_s(&job.spec);
+        let fetch_s = (job.spec.image_gb / ASSUMED_FETCH_GB_PER_S).min(ASSUMED_FETCH_MAX_S);
+        let hoped_end_s = age_s + HOPED_RUN_SHARE * run_s + fetch_s.min(HOPED_FETCH_MAX_S);
+        for (position, aim) in self.aims_of(job).enumerate() {
+            if aim.is_start && job.ever_assigned {
+                continue;
+            }
+            let reached_s = if aim.is_start { age_s } else { hoped_end_s };
+            if reached_s <= aim.within_s {
+                let cpus = (job.spec.cpus + CPUS_PER_GPU * job.spec.gpus).max(CPUS_MIN);
+                let work = job.pending.len() as f64 * run_s * cpus;
+                return Turn { missed_aims: position as u32, cost: work };
+            }
+        }
+        Turn { missed_aims: u32::MAX, cost: -age_s }
+    }
+
+    /// The job's own deadlines, then what users expect of its class.
+    fn aims_of<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = Aim> + 'a {
+        let deadlines = [job.spec.deadline_s, job.spec.overdue_s].into_iter().flatten();
+        let own = deadlines.map(|within_s| Aim { is_start: false, within_s });
+        let objectives = self.cfg.aims.iter().filter(|objective| objective.class == job.spec.class);
+        own.chain(objectives.map(|objective| Aim { is_start: objective.start, within_s: objective.within_s }))
+    }
+}
+
+/// Whether the job has tasks that may be assigned now.
+fn is_ready(now: Ms, job: &Job) -> bool {
+    let has_work = job.status == Status::Pending && !job.pending.is_empty();
+    let is_held_back = now < job.not_before || job.stale || job.resharding;
+    // A gang starts again only once all of its old attempt is gone.
+    let is_partly_placed_gang = job.spec.kind == Kind::Gang && job.placed > 0;
+    has_work && !is_held_back && !is_partly_placed_gang
+}
+
+/// Nothing of it has started for good, and by now it should have.
+pub fn is_overdue(now: Ms, job: &Job) -> bool {
+    !job.has_counted_start && job.age_s(now) >= OVERDUE_S
+}
+
+/// It is overdue and none of its tasks is even assigned.
+pub(super) fn is_due(now: Ms, job: &Job) -> bool {
+    job.placed == 0 && is_overdue(now, job)
+}
--- /dev/null
+++ b/src/coordination/pass/room.rs
@@ -0,0 +1,123 @@
+//! What a pass does for tasks that found no room.
+
+use std::rc::Rc;
+
+use super::{min_tasks, uses_no_zone, Placement};
+use crate::{
+    bookkeeping::job_cache::JobIx,
+    coordination::{
+        leader::Leader,
+        model::{Job, Ms, Res},
+        trial::{TrialRequest, Verdict},
+    },
+    protocol::jobs::{JobSpec, Kind, Priority},
+};
+
+/// How long work of normal priority waits before others' work is stopped for it.
+const EVICTION_PATIENCE_MS: i64 = 10_000;
+/// Pause after tasks were stopped for a job before more are.
+const EVICTED_PAUSE_MS: Ms = 1_000;
+/// Pause after nothing could be stopped for a job.
+const NOTHING_EVICTED_PAUSE_MS: Ms = 2_000;
+
+/// Shapes that a pass found no room for at all: room only shrinks within a pass.
+#[derive(Default)]
+pub(super) struct HopelessShapes {
+    /// No room now.
+    pub now: Vec<Rc<JobSpec>>,
+    /// No room even once what is being stopped is gone.
+    pub later: Vec<Rc<JobSpec>>,
+}
+
+impl HopelessShapes {
+    pub fn has_no_room_now(&self, spec: &JobSpec) -> bool {
+        self.now.iter().any(|failed| at_least_as_hard(spec, failed))
+    }
+
+    fn has_no_room_later(&self, spec: &JobSpec) -> bool {
+        self.later.iter().any(|failed| at_least_as_hard(spec, failed))
+    }
+}
+
+impl Leader {
+    /// Guard: smaller work takes every machine that a large gang could begin to
+    /// collect. What there is of room for one that is overdue is reserved
+    /// against all after it, pass by pass, until there is enough. True if
+    /// something was reserved.
+    pub(super) fn gather(&mut self, placement: &Placement) -> bool {
+        let spec = &placement.spec;
+        let request = TrialRequest::later(spec, &placement.tasks, 1, &placement.zone_used);
+        let outcome = self.snapshot.trial(&request);
+        for pick in &outcome.picks {
+            self.snapshot.reserve(pick.host, Res::of(spec), Res::default());
+        }
+        !outcome.picks.is_empty()
+    }
+
+    /// Tasks found no room now: reserves what is being stopped for them, or
+    /// stops other work.
+    pub(super) fn make_room(&mut self, now: Ms, ix: JobIx, tasks: &[u32], hopeless: &mut HopelessShapes) {
+        let Some(job) = self.job(ix) else { return };
+        if !may_make_room(now, job) {
+            return;
+        }
+        let id = job.id.clone();
+        let next_eviction = job.next_eviction;
+        let reserved = self.reserve_stopping_room(ix, tasks, hopeless);
+        let still_waiting = &tasks[reserved..];
+        if still_waiting.is_empty() || now < next_eviction {
+            return;
+        }
+        let evicted = self.evict(now, ix, still_waiting);
+        tracing::debug!(job = &*id, need = still_waiting.len(), tasks = tasks.len(), made = evicted, "room asked for");
+        if let Some(job) = self.job_mut(ix) {
+            job.next_eviction = now + if evicted { EVICTED_PAUSE_MS } else { NOTHING_EVICTED_PAUSE_MS };
+        }
+    }
+
+    /// Reserves room that tasks which are being stopped will leave, and returns
+    /// for how many tasks there was some.
+    fn reserve_stopping_room(&mut self, ix: JobIx, tasks: &[u32], hopeless: &mut HopelessShapes) -> usize {
+        let Some(job) = self.job(ix) else { return 0 };
+        let spec = job.spec.clone();
+        let zone_used = job.zone_used.clone();
+        if !self.snapshot.anything_stops() || hopeless.has_no_room_later(&spec) {
+            return 0;
+        }
+        let min = min_tasks(&spec, tasks.len());
+        let outcome = self.snapshot.trial(&TrialRequest::later(&spec, tasks, min, &zone_used));
+        for pick in &outcome.picks {
+            self.snapshot.reserve(pick.host, Res::of(&spec), Res::default());
+        }
+        if outcome.verdict != Verdict::Success && uses_no_zone(&zone_used) {
+            hopeless.later.push(spec);
+        }
+        outcome.picks.len()
+    }
+}
+
+/// Whether other work may be stopped for this job by now.
+fn may_make_room(now: Ms, job: &Job) -> bool {
+    if job.within_guarantee {
+        return true;
+    }
+    match job.spec.priority {
+        Priority::Production | Priority::High => true,
+        Priority::Normal => job.waited_ms(now) >= EVICTION_PATIENCE_MS,
+        Priority::Low => false,
+    }
+}
+
+/// Whether `spec` finds no room if `failed` found none.
+fn at_least_as_hard(spec: &JobSpec, failed: &JobSpec) -> bool {
+    let needs_as_many_at_once = failed.kind != Kind::Gang || (spec.kind == Kind::Gang && spec.tasks >= failed.tasks);
+    needs_as_many_at_once
+        && spec.cpus >= failed.cpus
+        && spec.gpus >= failed.gpus
+        && spec.memory_gb >= failed.memory_gb
+        && spec.types == failed.types
+        && spec.zone == failed.zone
+        && (failed.spot || !spec.spot)
+        && spec.one_zone >= failed.one_zone
+        && spec.spread == failed.spread
+}
--- /dev/null
+++ b/src/coordination/preemption/victims.rs
@@ -0,0 +1,103 @@
+//! Which tasks may be stopped for a job, and what that costs.
+
+use crate::{
+    bookkeeping::records::Status,
+    coordination::{
+        leader::{Leader, SAVE_MARGIN_S},
+        model::{AssignmentIx, AssignmentState, Job, Ms, Res, RESOURCE_TOLERANCE, START_COUNTS_MS},
+        pass::is_overdue,
+    },
+    protocol::jobs::{Kind, Priority},
+};
+
+/// How long a job within its team's guarantee waits before borrowed room is
+/// asked back: some may come back by itself.
+const BORROW_PATIENCE_MS: i64 = 12_000;
+/// Seconds that stopping any task costs.
+const STOP_COST_S: f64 = 5.0;
+/// Seconds that stopping a task soon after its start costs in addition: such a
+/// start was none, and its users waited for nothing.
+const FRESH_START_COST_S: f64 = 60.0;
+
+/// A task that may be stopped.
+pub(super) struct Victim {
+    pub assignment: AssignmentIx,
+    /// What it would free.
+    pub need: Res,
+    pub cost: f64,
+}
+
+impl Leader {
+    /// What stopping a task costs, or `None` when the preemptor may not stop it.
+    pub(super) fn victim(&self, now: Ms, ix: AssignmentIx, preemptor: &Job) -> Option<Victim> {
+        let assignment = self.assignment(ix)?;
+        if assignment.halt.is_some() || matches!(assignment.state, AssignmentState::Ended(_)) {
+            return None;
+        }
+        let job = self.job(assignment.job)?;
+        if job.status != Status::Pending || assignment.job == preemptor.ix {
+            return None;
+        }
+        let is_lower = job.spec.priority < preemptor.spec.priority;
+        if !is_lower && !self.is_borrowed_from(now, job, preemptor) {
+            return None;
+        }
+        let ran_s = assignment.running_since.map_or(0.0, |since| (now - since) as f64 / 1000.0);
+        // Guard: an overdue job that was let start at last is not stopped before
+        // it has started for good; otherwise it might never.
+        let is_fresh = ran_s * 1000.0 < START_COUNTS_MS as f64;
+        if preemptor.spec.priority < Priority::Production && is_overdue(now, job) && is_fresh {
+            return None;
+        }
+        Some(Victim { assignment: ix, need: Res::of(&job.spec), cost: cost_of_stop(job, ran_s, is_fresh) })
+    }
+
+    /// Whether a job's team uses more than its guarantee, of what the preemptor
+    /// is guaranteed.
+    fn is_borrowed_from(&self, now: Ms, job: &Job, preemptor: &Job) -> bool {
+        let has_waited = preemptor.waited_ms(now) >= BORROW_PATIENCE_MS;
+        if !preemptor.within_guarantee || !has_waited || job.spec.team == preemptor.spec.team {
+            return false;
+        }
+        let limits = self.team_limits(job.spec.team);
+        let used = self.used_by_team(job.spec.team);
+        let exceeds = |guarantee: Option<f64>, used: f64| used > guarantee.unwrap_or(0.0) + RESOURCE_TOLERANCE;
+        let both_use_gpus = preemptor.spec.gpus > 0.0 && job.spec.gpus > 0.0;
+        (both_use_gpus && exceeds(limits.gpus, used.gpus))
+            || (preemptor.spec.cpus > 0.0 && limits.cpus.is_some() && exceeds(limits.cpus, used.cpus))
+    }
+
+    /// Victims on a machine that are not stopped yet, the cheapest first.
+    pub(super) fn victims_among(
+        &self,
+        now: Ms,
+        assignments: &[AssignmentIx],
+        already_chosen: &[AssignmentIx],
+        preemptor: &Job,
+    ) -> Vec<Victim> {
+        let mut victims: Vec<Victim> = assignments
+            .iter()
+            .filter(|ix| !already_chosen.contains(ix))
+            .filter_map(|&ix| self.victim(now, ix, preemptor))
+            .collect();
+        victims.sort_by(|a, b| a.cost.total_cmp(&b.cost));
+        victims
+    }
+}
+
+/// What stopping a task that ran for `ran_s` costs, in seconds.
+fn cost_of_stop(job: &Job, ran_s: f64, is_fresh: bool) -> f64 {
+    let spec = &job.spec;
+    let lost_s =
+        if spec.checkpoint_s > 0.0 { ran_s.min(spec.checkpoint_s).min(spec.save_s + SAVE_MARGIN_S) } else { ran_s };
+    let priority_cost_s = match spec.priority {
+        Priority::Low => 0.0,
+        Priority::Normal => 20.0,
+        Priority::High => 200.0,
+        Priority::Production => 2_000.0,
+    };
+    let fresh_cost_s = if is_fresh && spec.priority > Priority::Low { FRESH_START_COST_S } else { 0.0 };
+    // A gang is stopped as a whole.
+    let stopped_tasks = if spec.kind == Kind::Gang { f64::from(job.placed) } else { 1.0 };
+    (STOP_COST_S + priority_cost_s + lost_s + fresh_cost_s) * stopped_tasks
+}
--- /dev/null
+++ b/src/coordination/snapshot/host.rs
@@ -0,0 +1,97 @@
+//! One machine as a trial sees it.
+
+use crate::{
+    coordination::model::Res,
+    protocol::{
+        jobs::{JobSpec, Kind, Priority},
+        names::ImageIx,
+    },
+};
+
+/// An image in a machine's cache.
+#[derive(Debug, Clone, Copy)]
+pub struct CachedImage {
+    pub image: ImageIx,
+    pub gb: f64,
+}
+
+/// One machine as a trial sees it.
+#[derive(Debug, Clone, Default)]
+pub struct Host {
+    /// Index of its pool. `None`: not up, or of an unknown type.
+    pub pool: Option<usize>,
+    /// May take new tasks at all.
+    pub open: bool,
+    /// Takes GPU work only, so that it becomes empty when there is none.
+    pub gpu_only: bool,
+    /// Tasks assigned to it.
+    pub assignments: u32,
+    pub free: Res,
+    /// What tasks that are being stopped will leave.
+    pub soon: Res,
+    /// In use by tasks that are not being stopped, by priority.
+    pub low: [Res; 4],
+    /// Images it holds or fetches, most recent last.
+    pub images: Vec<CachedImage>,
+    /// Service replicas on it: a machine that dies takes them all.
+    pub services: u32,
+    /// Used by tasks that are not stopped for others.
+    pub fixed: Res,
+}
+
+/// Whether a task's load is added to a machine or removed from it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LoadChange {
+    Added,
+    Removed,
+}
+
+impl Host {
+    /// Whether the machine holds or fetches the image.
+    pub fn has_image(&self, image: ImageIx) -> bool {
+        self.images.iter().any(|cached| cached.image == image)
+    }
+
+    /// Notes that an image was fetched or used, and forgets those that the
+    /// cache evicted for it, least recently used first.
+    pub fn note_image(&mut self, image: ImageIx, gb: f64, cache_gb: f64) {
+        if self.images.last().is_some_and(|cached| cached.image == image) {
+            return;
+        }
+        self.images.retain(|cached| cached.image != image);
+        self.images.push(CachedImage { image, gb });
+        let mut sum: f64 = self.images.iter().map(|cached| cached.gb).sum();
+        while sum > cache_gb && self.images.len() > 1 {
+            sum -= self.images.remove(0).gb;
+        }
+    }
+
+    /// Accounts for one task of the job coming or going.
+    pub fn account(&mut self, spec: &JobSpec, change: LoadChange) {
+        let sign = match change {
+            LoadChange::Added => 1.0,
+            LoadChange::Removed => -1.0,
+        };
+        let need = Res::of(spec) * sign;
+        self.free -= need;
+        if spec.kind == Kind::Service {
+            self.services = match change {
+                LoadChange::Added => self.services + 1,
+                LoadChange::Removed => self.services.saturating_sub(1),
+            };
+        }
+        if is_fixed(spec) && spec.gpus <= 0.0 {
+            self.fixed += need;
+        }
+    }
+}
+
+/// Whether the job's tasks are not stopped for others, or only at the loss of
+/// all they did.
+pub fn is_fixed(spec: &JobSpec) -> bool {
+    spec.priority == Priority::Production || spec.checkpoint_s <= 0.0
+}
+
+#[cfg(test)]
+#[path = "../tests/snapshot.rs"]
+mod tests;
