--- /dev/null
+++ b/src/coordination/snapshot/mod.rs
@@ -0,0 +1,197 @@
+//! The snapshot of the machines that trials are made on.
+//!
+//! It is kept up to date as assignments come and go, and indexed by machine
+//! type, zone and free room, so that a search looks at a few machines and not
+//! at all of them.
+
+mod host;
+mod pool;
+mod reservations;
+mod search;
+
+use std::collections::BTreeSet;
+
+use self::reservations::Reservation;
+pub use self::{
+    host::{is_fixed, Host, LoadChange},
+    pool::Pool,
+    search::LOOK,
+};
+use super::model::{Res, TypeInfo};
+use crate::protocol::{
+    jobs::JobSpec,
+    names::{TypeIx, ZoneIx},
+};
+
+/// All machines as trials see them, grouped into pools of machines that are alike.
+#[derive(Debug, Default)]
+pub struct ClusterSnapshot {
+    /// One entry per machine, at the machine's index.
+    pub hosts: Vec<Host>,
+    pub pools: Vec<Pool>,
+    /// Machines on which something is being stopped.
+    stopping: BTreeSet<u32>,
+    reservations: Vec<Reservation>,
+    /// Machines looked at so far: the measure of a search's work.
+    pub looked: u64,
+}
+
+impl ClusterSnapshot {
+    /// The pool of machines of this kind, if there is one.
+    pub fn find_pool(&self, machine_type: TypeIx, zone: ZoneIx, spot: bool) -> Option<usize> {
+        self.pools.iter().position(|pool| pool.machine_type == machine_type && pool.zone == zone && pool.spot == spot)
+    }
+
+    /// The number of zones in which there are machines.
+    pub fn zone_count(&self) -> usize {
+        let mut zones: Vec<ZoneIx> =
+            self.pools.iter().filter(|pool| !pool.members.is_empty()).map(|pool| pool.zone).collect();
+        zones.sort_unstable();
+        zones.dedup();
+        zones.len()
+    }
+
+    /// The pool of machines of this kind, created if there is none.
+    pub fn pool_of(&mut self, machine_type: &TypeInfo, zone: ZoneIx, spot: bool) -> usize {
+        if let Some(pool) = self.find_pool(machine_type.ix, zone, spot) {
+            return pool;
+        }
+        self.pools.push(Pool::new(machine_type, zone, spot));
+        self.pools.len() - 1
+    }
+
+    /// Takes over changed machine types: prices change; capacities may, in principle.
+    pub fn types_changed(&mut self, types: &[TypeInfo]) {
+        for pool_index in 0..self.pools.len() {
+            let pool = &mut self.pools[pool_index];
+            let Some(machine_type) = types.iter().find(|t| t.ix == pool.machine_type) else { continue };
+            let growth = machine_type.cap - pool.cap;
+            pool.price = machine_type.price_of(pool.spot);
+            pool.fetch_gb_per_s = machine_type.fetch_gb_per_s;
+            pool.cache_gb = machine_type.cache_gb;
+            if growth != Res::default() {
+                self.grow_pool(pool_index, machine_type.cap, growth);
+            }
+        }
+    }
+
+    fn grow_pool(&mut self, pool_index: usize, capacity: Res, growth: Res) {
+        let members: Vec<u32> = self.pools[pool_index].members.iter().copied().collect();
+        for &host in &members {
+            self.unindex(host as usize);
+        }
+        self.pools[pool_index].cap = capacity;
+        for host in members {
+            self.hosts[host as usize].free += growth;
+            self.index(host as usize);
+        }
+    }
+
+    fn unindex(&mut self, host_index: usize) {
+        let host = &self.hosts[host_index];
+        let Some(pool) = host.pool else { return };
+        if host.open {
+            self.pools[pool].unindex(host_index as u32, &host.free);
+        }
+        self.stopping.remove(&(host_index as u32));
+    }
+
+    fn index(&mut self, host_index: usize) {
+        let host = &self.hosts[host_index];
+        let Some(pool) = host.pool else { return };
+        if host.open {
+            self.pools[pool].index(host_index as u32, &host.free);
+            if host.soon.any() {
+                self.stopping.insert(host_index as u32);
+            }
+        }
+    }
+
+    /// Changes a machine and keeps the indices in step.
+    pub fn change(&mut self, host_index: usize, change: impl FnOnce(&mut Host)) {
+        if self.hosts.len() <= host_index {
+            self.hosts.resize_with(host_index + 1, Host::default);
+        }
+        self.unindex(host_index);
+        change(&mut self.hosts[host_index]);
+        self.index(host_index);
+    }
+
+    /// The machine now belongs to this pool, or to none. What is assigned to it
+    /// stays assigned.
+    pub fn move_to(&mut self, host_index: usize, pool: Option<usize>) {
+        if self.hosts.get(host_index).map_or(pool.is_none(), |host| host.pool == pool) {
+            return;
+        }
+        self.change(host_index, |_| {});
+        self.unindex(host_index);
+        let previous = self.hosts[host_index].pool;
+        if let Some(previous) = previous {
+            self.pools[previous].members.remove(&(host_index as u32));
+        }
+        let growth = self.capacity_of(pool) - self.capacity_of(previous);
+        let host = &mut self.hosts[host_index];
+        host.pool = pool;
+        host.free += growth;
+        if let Some(pool) = pool {
+            self.pools[pool].members.insert(host_index as u32);
+        }
+        self.index(host_index);
+    }
+
+    fn capacity_of(&self, pool: Option<usize>) -> Res {
+        pool.map_or(Res::default(), |pool| self.pools[pool].cap)
+    }
+
+    /// Sets whether the machine takes new tasks, and whether only GPU work.
+    pub fn set_open(&mut self, host_index: usize, open: bool, gpu_only: bool) {
+        if self.hosts.get(host_index).is_none_or(|host| (host.open, host.gpu_only) != (open, gpu_only)) {
+            self.change(host_index, |host| (host.open, host.gpu_only) = (open, gpu_only));
+        }
+    }
+
+    /// A task was assigned to the machine.
+    pub fn take(&mut self, host_index: usize, spec: &JobSpec) {
+        self.change(host_index, |host| {
+            host.assignments += 1;
+            host.account(spec, LoadChange::Added);
+            host.low[spec.priority as usize] += Res::of(spec);
+        });
+    }
+
+    /// An assignment to the machine was released; `halted`: it was being stopped.
+    pub fn give(&mut self, host_index: usize, spec: &JobSpec, halted: bool) {
+        self.change(host_index, |host| {
+            host.assignments -= 1;
+            host.account(spec, LoadChange::Removed);
+            if halted {
+                host.soon -= Res::of(spec);
+            } else {
+                host.low[spec.priority as usize] -= Res::of(spec);
+            }
+        });
+    }
+
+    /// A task on the machine is being stopped.
+    pub fn stop(&mut self, host_index: usize, spec: &JobSpec) {
+        self.change(host_index, |host| {
+            host.soon += Res::of(spec);
+            host.low[spec.priority as usize] -= Res::of(spec);
+        });
+    }
+
+    /// For a trial: accounts for a task as if it were on the machine.
+    pub fn assume(&mut self, host_index: usize, spec: &JobSpec) {
+        self.change(host_index, |host| host.account(spec, LoadChange::Added));
+    }
+
+    /// Takes back what a trial assumed.
+    pub fn revert(&mut self, host_index: usize, spec: &JobSpec) {
+        self.change(host_index, |host| host.account(spec, LoadChange::Removed));
+    }
+
+    /// Whether a task is being stopped on any machine.
+    pub fn anything_stops(&self) -> bool {
+        !self.stopping.is_empty()
+    }
+}
--- /dev/null
+++ b/src/coordination/snapshot/pool.rs
@@ -0,0 +1,134 @@
+//! Pools: machines of one type, zone and billing kind.
+
+use std::collections::BTreeSet;
+
+use super::host::{is_fixed, Host};
+use crate::{
+    coordination::model::{Res, TypeInfo},
+    protocol::{
+        jobs::JobSpec,
+        names::{TypeIx, ZoneIx},
+    },
+};
+
+/// Steps into which the index divides a machine's share of free CPUs and memory.
+const ROOM_STEPS: f64 = 1e4;
+/// Steps into which the index divides one GPU.
+const GPU_STEPS: f64 = 100.0;
+/// Added before an index key is cut to a whole number, so that a rounding
+/// error doesn't lower it by a step.
+const KEY_TOLERANCE: f64 = 0.01;
+
+/// A machine in an index, ordered by its key.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct IndexEntry {
+    pub key: u32,
+    pub host: u32,
+}
+
+/// Machines of one type, zone and billing kind.
+#[derive(Debug)]
+pub struct Pool {
+    pub machine_type: TypeIx,
+    pub zone: ZoneIx,
+    pub spot: bool,
+    /// Capacity of one machine.
+    pub cap: Res,
+    pub cache_gb: f64,
+    pub fetch_gb_per_s: f64,
+    pub price: f64,
+    /// What recent GPU work that these machines could run asked for: tasks
+    /// that can't be stopped for such work must leave that much.
+    pub guard: Option<Res>,
+    pub members: BTreeSet<u32>,
+    /// Open machines with room, by the free share of the scarcer of CPUs and memory.
+    by_room: BTreeSet<IndexEntry>,
+    /// Open machines with free GPUs, by their number.
+    by_gpus: BTreeSet<IndexEntry>,
+    /// Room on all open machines together.
+    pub room: Res,
+}
+
+impl Pool {
+    pub(super) fn new(machine_type: &TypeInfo, zone: ZoneIx, spot: bool) -> Pool {
+        Pool {
+            machine_type: machine_type.ix,
+            zone,
+            spot,
+            cap: machine_type.cap,
+            cache_gb: machine_type.cache_gb,
+            fetch_gb_per_s: machine_type.fetch_gb_per_s,
+            price: machine_type.price_of(spot),
+            guard: None,
+            members: BTreeSet::new(),
+            by_room: BTreeSet::new(),
+            by_gpus: BTreeSet::new(),
+            room: Res::default(),
+        }
+    }
+
+    fn room_key(&self, free: &Res) -> u32 {
+        let share = |have: f64, capacity: f64| if capacity > 0.0 { (have / capacity).clamp(0.0, 1.0) } else { 1.0 };
+        let scarcer = share(free.cpus, self.cap.cpus).min(share(free.memory_gb, self.cap.memory_gb));
+        (scarcer * ROOM_STEPS + KEY_TOLERANCE) as u32
+    }
+
+    fn gpu_key(free: &Res) -> u32 {
+        (free.gpus.max(0.0) * GPU_STEPS + KEY_TOLERANCE) as u32
+    }
+
+    pub(super) fn index(&mut self, host: u32, free: &Res) {
+        let room_key = self.room_key(free);
+        let gpu_key = Pool::gpu_key(free);
+        if room_key > 0 {
+            self.by_room.insert(IndexEntry { key: room_key, host });
+        }
+        if gpu_key > 0 {
+            self.by_gpus.insert(IndexEntry { key: gpu_key, host });
+        }
+        self.room += free.max0();
+    }
+
+    pub(super) fn unindex(&mut self, host: u32, free: &Res) {
+        let room_key = self.room_key(free);
+        self.by_room.remove(&IndexEntry { key: room_key, host });
+        self.by_gpus.remove(&IndexEntry { key: Pool::gpu_key(free), host });
+        self.room -= free.max0();
+    }
+
+    /// Open machines that may have room for `need`, those with the least first.
+    pub(super) fn hosts_with_room(&self, need: &Res, needs_gpus: bool) -> impl Iterator<Item = usize> + '_ {
+        let (index, least_key) = if needs_gpus {
+            (&self.by_gpus, Pool::gpu_key(need).saturating_sub(1))
+        } else {
+            // Whatever fits has at least the smaller of the two shares free.
+            let share = |need: f64, capacity: f64| if capacity > 0.0 { need / capacity } else { 1.0 };
+            let smaller = share(need.cpus, self.cap.cpus).min(share(need.memory_gb, self.cap.memory_gb));
+            (&self.by_room, (smaller * ROOM_STEPS) as u32)
+        };
+        index.range(IndexEntry { key: least_key, host: 0 }..).map(|entry| entry.host as usize)
+    }
+
+    /// Whether tasks of this job may run on machines of this pool at all.
+    pub fn allows(&self, spec: &JobSpec) -> bool {
+        spec.allows_type(self.machine_type)
+            && spec.zone.is_none_or(|zone| zone == self.zone)
+            && (spec.spot || !self.spot)
+            && Res::of(spec).fits_in(&self.cap)
+    }
+
+    /// Guard: a replica that stays for hours on a few CPUs of a machine with
+    /// GPUs would keep all GPU work off it, and tasks that can't save would be
+    /// stopped for that work at the loss of all they did.
+    fn takes_guarded_room(&self, host: &Host, spec: &JobSpec) -> bool {
+        let need = Res::of(spec);
+        need.gpus <= 0.0
+            && is_fixed(spec)
+            && self.guard.is_some_and(|guard| !(guard + need + host.fixed).fits_in(&self.cap))
+    }
+
+    /// Whether this machine takes new tasks of this job, room aside.
+    pub fn host_allows(&self, host: &Host, spec: &JobSpec) -> bool {
+        host.open && !(host.gpu_only && spec.gpus <= 0.0) && !self.takes_guarded_room(host, spec)
+    }
+}
--- /dev/null
+++ b/src/coordination/snapshot/reservations.rs
@@ -0,0 +1,45 @@
+//! Room that is reserved until the end of a pass.
+
+use super::ClusterSnapshot;
+use crate::coordination::model::Res;
+
+/// Room reserved on one machine, taken off what is free and off what will be.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Reservation {
+    host: usize,
+    free: Res,
+    soon: Res,
+}
+
+impl ClusterSnapshot {
+    /// Reserves room until it is released: first what is about to be free, then
+    /// what is free now, so that no later job takes it. `also_freed`: what else
+    /// is about to be free there.
+    pub fn reserve(&mut self, host_index: usize, need: Res, also_freed: Res) {
+        let mut reservation = Reservation { host: host_index, free: Res::default(), soon: Res::default() };
+        self.change(host_index, |host| {
+            let from_soon = need.min((host.soon + also_freed).max0());
+            reservation.soon = from_soon - also_freed;
+            reservation.free = need - from_soon;
+            host.soon -= reservation.soon;
+            host.free -= reservation.free;
+        });
+        self.reservations.push(reservation);
+    }
+
+    /// Releases all reservations after the first `keep`.
+    pub fn release(&mut self, keep: usize) {
+        while self.reservations.len() > keep {
+            let Some(reservation) = self.reservations.pop() else { return };
+            self.change(reservation.host, |host| {
+                host.soon += reservation.soon;
+                host.free += reservation.free;
+            });
+        }
+    }
+
+    /// The number of reservations.
+    pub fn reservations(&self) -> usize {
+        self.reservations.len()
+    }
+}
--- /dev/null
+++ b/src/coordination/snapshot/search.rs
@@ -0,0 +1,84 @@
+//! Searches for machines on the snapshot.
+
+use super::{ClusterSnapshot, Host, Pool};
+use crate::{
+    coordination::model::{Res, RESOURCE_TOLERANCE},
+    protocol::{jobs::JobSpec, names::ZoneIx},
+};
+
+/// Machines of one pool looked at for one task, at most.
+pub const LOOK: usize = 192;
+/// Machines on which something is being stopped looked at for one task, at most.
+const LOOK_STOPPING: usize = 2 * LOOK;
+
+impl ClusterSnapshot {
+    /// Shows machines that a task may fit on, those with the least room first,
+    /// at most [`LOOK`] of each pool, and returns how many were looked at.
+    /// `later`: what is being stopped counts as gone.
+    pub fn candidates(
+        &self,
+        spec: &JobSpec,
+        zone: Option<ZoneIx>,
+        later: bool,
+        mut visit: impl FnMut(usize, &Host, &Pool),
+    ) -> u64 {
+        let need = Res::of(spec);
+        let needs_gpus = need.gpus > RESOURCE_TOLERANCE;
+        let mut looked = 0;
+        for pool in &self.pools {
+            if zone.is_some_and(|zone| zone != pool.zone) || !pool.allows(spec) {
+                continue;
+            }
+            for host_index in pool.hosts_with_room(&need, needs_gpus).take(LOOK) {
+                looked += 1;
+                let host = &self.hosts[host_index];
+                if pool.host_allows(host, spec) && need.fits_in(&host.free) {
+                    visit(host_index, host, pool);
+                }
+            }
+        }
+        if later {
+            looked += self.candidates_with_stopping(spec, zone, visit);
+        }
+        looked
+    }
+
+    /// Shows machines with room for a task once what is being stopped is gone.
+    fn candidates_with_stopping(
+        &self,
+        spec: &JobSpec,
+        zone: Option<ZoneIx>,
+        mut visit: impl FnMut(usize, &Host, &Pool),
+    ) -> u64 {
+        let need = Res::of(spec);
+        let mut looked = 0;
+        for &host_index in self.stopping.iter().take(LOOK_STOPPING) {
+            looked += 1;
+            let host = &self.hosts[host_index as usize];
+            let Some(pool) = host.pool.map(|pool| &self.pools[pool]) else { continue };
+            if zone.is_none_or(|zone| zone == pool.zone)
+                && pool.allows(spec)
+                && pool.host_allows(host, spec)
+                && need.fits_in(&(host.free + host.soon))
+            {
+                visit(host_index as usize, host, pool);
+            }
+        }
+        looked
+    }
+
+    /// A sample of the machines this job may use, whatever is on them: at most
+    /// `limit` of each pool, beginning at machine `first` and wrapping around.
+    pub fn sample(&self, spec: &JobSpec, zone: Option<ZoneIx>, first: u32, limit: usize) -> Vec<usize> {
+        let mut sample = Vec::new();
+        for pool in &self.pools {
+            if zone.is_some_and(|zone| zone != pool.zone) || !pool.allows(spec) {
+                continue;
+            }
+            let members = pool.members.range(first..).chain(pool.members.range(..first));
+            let allowed = |host_index: &usize| pool.host_allows(&self.hosts[*host_index], spec);
+            sample.extend(members.take(limit).map(|&host| host as usize).filter(allowed));
+        }
+        sample
+    }
+}
--- a/src/coordination/tests/lease_renewal.rs
+++ b/src/coordination/tests/lease_renewal.rs
@@ -97,18 +97,18 @@
 fn who_spoke_for_which_time() {
     let mut w = PeerInactivity::new(2);
     let none = w.span();
-    assert!(none.0 > none.1);
+    assert!(none.from > none.to);
     w.record_inactive(0, -500, 1_000);
     w.record_inactive(1, 200, 900);
-    assert_eq!(w.span(), (200, 900));
+    assert_eq!(w.span(), TimeSpan { from: 200, to: 900 });
     w.record_inactive(1, 850, 1_500);
-    assert_eq!(w.span(), (200, 1_000), "joined on");
+    assert_eq!(w.span(), TimeSpan { from: 200, to: 1_000 }, "joined on");
     // It ended, and came back after a gap: what was before counts no more.
     w.record_inactive(0, 1_700, 1_600);
-    assert_eq!(w.span(), (200, 1_000), "an old word says nothing");
+    assert_eq!(w.span(), TimeSpan { from: 200, to: 1_000 }, "an old word says nothing");
     w.record_inactive(0, 1_400, 2_000);
-    assert_eq!(w.span(), (1_400, 1_500));
+    assert_eq!(w.span(), TimeSpan { from: 1_400, to: 1_500 });
     w.record_inactive(0, 100, 300);
-    assert_eq!(w.span(), (1_400, 1_500), "a late word about long ago");
-    assert_eq!(PeerInactivity::new(0).span().1, i64::MAX / 2);
+    assert_eq!(w.span(), TimeSpan { from: 1_400, to: 1_500 }, "a late word about long ago");
+    assert_eq!(PeerInactivity::new(0).span().to, i64::MAX / 2);
 }
--- a/src/coordination/tests/model.rs
+++ b/src/coordination/tests/model.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::protocol::{
-    jobs::{Kind, Priority},
+    jobs::{JobSpec, Kind, Priority},
     names::{ClassIx, ImageIx, TeamIx},
 };
 
--- a/src/coordination/trial.rs
+++ b/src/coordination/trial.rs
@@ -5,6 +5,8 @@
 //! Plugin Changes" and "Recursive Scheduling Cycle Execution"). What a failed
 //! subtree assumed is taken back in reverse order.
 
+use std::cmp::Reverse;
+
 use super::{
     model::{MachineIx, Res},
     snapshot::{ClusterSnapshot, Host, Pool},
@@ -14,29 +16,53 @@
     names::ZoneIx,
 };
 
+/// Longest image fetch, in seconds, that counts against a machine: beyond it,
+/// how long the fetch takes makes no difference.
+const LONGEST_FETCH_S: f64 = 60.0;
+/// Slowest fetch rate assumed, so that a type without one divides by no zero.
+pub(super) const SLOWEST_FETCH_GB_PER_S: f64 = 0.01;
+/// Seconds that a machine whose image is there gains beyond the fetch it saves.
+const IMAGE_BONUS_S: f64 = 1.0;
+/// Seconds held against CPU work on a machine with GPUs: they would stand idle.
+pub(super) const IDLE_GPU_PENALTY_S: f64 = 90.0;
+/// Seconds that an exact fit gains over an empty machine.
+const BEST_FIT_BONUS_S: f64 = 3.0;
+/// Seconds held against a replica per replica that is on the machine already.
+const SHARED_MACHINE_PENALTY_S: f64 = 2.0;
+/// Seconds held against a task that can't save on a spot machine.
+const SPOT_LOSS_PENALTY_S: f64 = 2.0;
+/// Weight of one more task placed against all that [`score`] counts.
+const TASK_WEIGHT: f64 = 1e6;
+/// Tasks of one shape that a pool's room is counted up to.
+const ROOM_COUNT_LIMIT: u32 = 1_000_000;
+
+/// Result of a node of the tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     Success,
+    /// Children that were not tried yet may still make it succeed.
     Wait,
+    /// It would succeed if tasks were evicted.
     Unschedulable,
+    /// It can't succeed even then.
     Unresolvable,
 }
 
-/// The four results, from the counts of a node's children.
-/// `m` needed, `s` placed, `r` untried, `u` freeable by eviction; those that
-/// can't fit at all (UU) are in none of them.
-pub fn judge(m: usize, s: usize, r: usize, u: usize) -> Verdict {
-    if s >= m {
+/// The four results, from the counts of a node's children. Those that can't
+/// fit at all are in none of the counts.
+pub fn judge(needed: usize, placed: usize, untried: usize, freeable: usize) -> Verdict {
+    if placed >= needed {
         Verdict::Success
-    } else if s + r >= m {
+    } else if placed + untried >= needed {
         Verdict::Wait
-    } else if s + r + u >= m {
+    } else if placed + untried + freeable >= needed {
         Verdict::Unschedulable
     } else {
         Verdict::Unresolvable
     }
 }
 
+/// A machine found for a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pick {
     pub task: u32,
@@ -61,198 +87,232 @@
     pub busy_only: bool,
 }
 
+impl<'a> TrialRequest<'a> {
+    /// Room for as many tasks as possible once what is being stopped is gone.
+    pub fn later(spec: &'a JobSpec, tasks: &'a [u32], min: usize, zone_used: &'a [u32]) -> TrialRequest<'a> {
+        TrialRequest { spec, tasks, min, zone_used, avoid: &[], later: true, busy_only: false }
+    }
+}
+
+/// What a trial found.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
     pub verdict: Verdict,
     pub picks: Vec<Pick>,
 }
 
-/// Seconds that a start here is worth against a start elsewhere.
+/// Score of a machine for one task: the seconds that a start there is worth
+/// against a start elsewhere.
 pub fn score(pool: &Pool, host: &Host, spec: &JobSpec, need: &Res) -> f64 {
-    let mut s = 0.0;
-    let fetch_s = (spec.image_gb / pool.fetch_gb_per_s.max(0.01)).min(60.0);
-    s += if host.has_image(spec.image) { fetch_s + 1.0 } else { -fetch_s };
+    let mut score = 0.0;
+    let fetch_s = (spec.image_gb / pool.fetch_gb_per_s.max(SLOWEST_FETCH_GB_PER_S)).min(LONGEST_FETCH_S);
+    score += if host.has_image(spec.image) { fetch_s + IMAGE_BONUS_S } else { -fetch_s };
     if need.gpus <= 0.0 && pool.cap.gpus > 0.0 {
-        s -= 90.0;
+        score -= IDLE_GPU_PENALTY_S;
     }
     // Best fit: leave whole machines whole.
     if pool.cap.cpus > 0.0 {
-        s += 3.0 * (1.0 - (host.free.cpus - need.cpus).max(0.0) / pool.cap.cpus);
+        score += BEST_FIT_BONUS_S * (1.0 - (host.free.cpus - need.cpus).max(0.0) / pool.cap.cpus);
     }
     if spec.kind == Kind::Service {
-        s -= 2.0 * f64::from(host.services);
+        score -= SHARED_MACHINE_PENALTY_S * f64::from(host.services);
     }
     if pool.spot && spec.checkpoint_s <= 0.0 {
-        s -= 2.0;
+        score -= SPOT_LOSS_PENALTY_S;
     }
-    s
+    score
+}
+
+/// The best machine found so far.
+#[derive(Clone, Copy)]
+struct ScoredHost {
+    score: f64,
+    host: usize,
+}
+
+/// The best zone found so far.
+struct ScoredOutcome {
+    score: f64,
+    outcome: Outcome,
+}
+
+/// A zone and how many tasks of one shape it has room for.
+struct ZoneRoom {
+    zone: ZoneIx,
+    tasks: u32,
 }
 
 impl ClusterSnapshot {
-    fn best(&mut self, ask: &TrialRequest<'_>, zone: Option<ZoneIx>) -> Option<usize> {
-        let need = Res::of(ask.spec);
-        let mut best: Option<(f64, usize)> = None;
-        let looked = self.candidates(ask.spec, zone, ask.later, |n, h, p| {
-            if ask.avoid.contains(&MachineIx(n as u32)) || (ask.busy_only && (h.assignments == 0 || h.gpu_only)) {
+    fn best_host(&mut self, request: &TrialRequest<'_>, zone: Option<ZoneIx>) -> Option<usize> {
+        let need = Res::of(request.spec);
+        let mut best: Option<ScoredHost> = None;
+        let looked = self.candidates(request.spec, zone, request.later, |host_index, host, pool| {
+            let is_avoided = request.avoid.contains(&MachineIx(host_index as u32));
+            let is_empty = host.assignments == 0 || host.gpu_only;
+            if is_avoided || (request.busy_only && is_empty) {
                 return;
             }
-            let s = score(p, h, ask.spec, &need);
-            if best.is_none_or(|(b, _)| s > b) {
-                best = Some((s, n));
+            let score = score(pool, host, request.spec, &need);
+            if best.is_none_or(|best| score > best.score) {
+                best = Some(ScoredHost { score, host: host_index });
             }
         });
         self.looked += looked;
-        best.map(|(_, n)| n)
+        best.map(|best| best.host)
     }
 
-    /// One more task of the same job on the machine that its last one took?
-    fn again(&self, ask: &TrialRequest<'_>, host: usize) -> bool {
-        let h = &self.hosts[host];
-        let room = if ask.later { h.free + h.soon } else { h.free };
-        ask.spec.kind != Kind::Service
-            && Res::of(ask.spec).fits_in(&room)
-            && h.pool.is_some_and(|p| self.pools[p].host_allows(h, ask.spec))
+    /// Whether the machine that the job's last task took takes one more of them.
+    fn takes_another(&self, request: &TrialRequest<'_>, host_index: usize) -> bool {
+        let host = &self.hosts[host_index];
+        let room = if request.later { host.free + host.soon } else { host.free };
+        request.spec.kind != Kind::Service
+            && Res::of(request.spec).fits_in(&room)
+            && host.pool.is_some_and(|pool| self.pools[pool].host_allows(host, request.spec))
     }
 
     fn revert_all(&mut self, spec: &JobSpec, picks: &[Pick]) {
-        for p in picks.iter().rev() {
-            self.revert(p.host, spec);
+        for pick in picks.iter().rev() {
+            self.revert(pick.host, spec);
         }
     }
 
     /// A leaf: its children are tasks, alike, so that the first that finds no
     /// room speaks for the rest, and a machine that was best for one takes as
-    /// many as fit. UU is 0 at a leaf. On success the picks stay assumed.
-    fn leaf(&mut self, ask: &TrialRequest<'_>, tasks: &[u32], min: usize, zone: Option<ZoneIx>) -> Outcome {
+    /// many as fit. None of its children is beyond hope: evictions may make
+    /// room for each. On success the picks stay assumed.
+    fn try_leaf(&mut self, request: &TrialRequest<'_>, tasks: &[u32], min: usize, zone: Option<ZoneIx>) -> Outcome {
         let mut picks: Vec<Pick> = Vec::new();
-        let mut u = 0;
-        for (n, &task) in tasks.iter().enumerate() {
-            let same = picks.last().map(|p| p.host).filter(|&h| self.again(ask, h));
-            match same.or_else(|| self.best(ask, zone)) {
+        let mut freeable = 0;
+        for (position, &task) in tasks.iter().enumerate() {
+            let same = picks.last().map(|pick| pick.host).filter(|&host| self.takes_another(request, host));
+            match same.or_else(|| self.best_host(request, zone)) {
                 Some(host) => {
-                    self.assume(host, ask.spec);
+                    self.assume(host, request.spec);
                     picks.push(Pick { task, host });
                 }
                 None => {
-                    u = tasks.len() - n;
+                    freeable = tasks.len() - position;
                     break;
                 }
             }
         }
-        let verdict = judge(min, picks.len(), 0, u);
+        self.judge_picks(request.spec, picks, min, freeable)
+    }
+
+    /// Judges a node by what was placed; what a failed one assumed is taken back.
+    fn judge_picks(&mut self, spec: &JobSpec, mut picks: Vec<Pick>, min: usize, freeable: usize) -> Outcome {
+        let verdict = judge(min, picks.len(), 0, freeable);
         if verdict != Verdict::Success {
-            self.revert_all(ask.spec, &picks);
+            self.revert_all(spec, &picks);
             picks.clear();
         }
         Outcome { verdict, picks }
     }
 
-    /// Zones with machines that the job may use, the roomiest first.
-    fn zones(&self, ask: &TrialRequest<'_>) -> Vec<ZoneIx> {
-        let need = Res::of(ask.spec);
-        let mut out: Vec<(ZoneIx, u32)> = Vec::new();
-        for p in self.pools.iter().filter(|p| !p.members.is_empty() && p.allows(ask.spec)) {
-            let n = need.times_in(&p.room).min(1_000_000);
-            match out.iter_mut().find(|(z, _)| *z == p.zone) {
-                Some((_, sum)) => *sum += n,
-                None => out.push((p.zone, n)),
+    /// Zones with machines that the job may use, those with the most room first.
+    fn zones_by_room(&self, request: &TrialRequest<'_>) -> Vec<ZoneIx> {
+        let need = Res::of(request.spec);
+        let mut zones: Vec<ZoneRoom> = Vec::new();
+        for pool in self.pools.iter().filter(|pool| !pool.members.is_empty() && pool.allows(request.spec)) {
+            let tasks = need.times_in(&pool.room).min(ROOM_COUNT_LIMIT);
+            match zones.iter_mut().find(|known| known.zone == pool.zone) {
+                Some(known) => known.tasks += tasks,
+                None => zones.push(ZoneRoom { zone: pool.zone, tasks }),
             }
         }
-        out.sort_by_key(|&(z, n)| (std::cmp::Reverse(n), z));
-        out.into_iter().map(|(z, _)| z).collect()
+        zones.sort_by_key(|room| (Reverse(room.tasks), room.zone));
+        zones.into_iter().map(|room| room.zone).collect()
     }
 
-    /// Tries the whole tree, and leaves the snapshot as it was: whoever wants
-    /// what was found makes places of it, or reserves them.
-    pub fn trial(&mut self, ask: &TrialRequest<'_>) -> Outcome {
-        let out = if ask.spec.one_zone {
-            self.trial_one_zone(ask)
-        } else if ask.spec.spread {
-            self.trial_spread(ask)
+    /// Tries the whole tree, and leaves the snapshot as it was: the caller turns
+    /// what was found into assignments, or reserves it.
+    pub fn trial(&mut self, request: &TrialRequest<'_>) -> Outcome {
+        let outcome = if request.spec.one_zone {
+            self.try_one_zone(request)
+        } else if request.spec.spread {
+            self.try_spread(request)
         } else {
-            self.leaf(ask, ask.tasks, ask.min, None)
+            self.try_leaf(request, request.tasks, request.min, None)
         };
-        self.revert_all(ask.spec, &out.picks);
-        out
+        self.revert_all(request.spec, &outcome.picks);
+        outcome
     }
 
     /// One composite child per candidate zone; the feasible one with the
     /// highest score wins. Score: tasks placed, then quick starts and the room left.
-    fn trial_one_zone(&mut self, ask: &TrialRequest<'_>) -> Outcome {
-        let held = ask.zone_used.iter().position(|&n| n > 0).map(|z| ZoneIx(z as u32));
-        let candidates = match held {
-            Some(z) => vec![z],
-            None => self.zones(ask),
+    fn try_one_zone(&mut self, request: &TrialRequest<'_>) -> Outcome {
+        let used_zone = request.zone_used.iter().position(|&tasks| tasks > 0).map(|zone| ZoneIx(zone as u32));
+        let candidates = match used_zone {
+            Some(zone) => vec![zone],
+            None => self.zones_by_room(request),
         };
-        let mut best: Option<(f64, Outcome)> = None;
+        let used = used_zone.map_or(0, |zone| request.zone_used[zone.at()] as usize);
+        let limit = (request.spec.zone_cap() as usize).saturating_sub(used);
+        let tasks = &request.tasks[..request.tasks.len().min(limit)];
+        let mut best: Option<ScoredOutcome> = None;
         let mut verdict = Verdict::Unschedulable;
-        let cap = (ask.spec.zone_cap() as usize).saturating_sub(held.map_or(0, |z| ask.zone_used[z.at()] as usize));
-        let tasks = &ask.tasks[..ask.tasks.len().min(cap)];
-        for z in candidates {
-            let out = self.leaf(ask, tasks, ask.min, Some(z));
-            if out.verdict != Verdict::Success {
-                verdict = out.verdict;
+        for zone in candidates {
+            let outcome = self.try_leaf(request, tasks, request.min, Some(zone));
+            if outcome.verdict != Verdict::Success {
+                verdict = outcome.verdict;
                 continue;
             }
-            let need = Res::of(ask.spec);
-            let quick = |p: &Pick| {
-                let h = &self.hosts[p.host];
-                h.pool.map_or(0.0, |n| score(&self.pools[n], h, ask.spec, &need))
-            };
-            let quick: f64 = out.picks.iter().map(quick).sum();
-            let s = out.picks.len() as f64 * 1e6 + quick / out.picks.len().max(1) as f64;
-            self.revert_all(ask.spec, &out.picks);
-            if best.as_ref().is_none_or(|(b, _)| s > *b) {
-                best = Some((s, out));
+            let score = self.score_of_zone(request.spec, &outcome.picks);
+            self.revert_all(request.spec, &outcome.picks);
+            if best.as_ref().is_none_or(|best| score > best.score) {
+                best = Some(ScoredOutcome { score, outcome });
             }
         }
-        match best {
-            Some((_, out)) => {
-                for p in &out.picks {
-                    self.assume(p.host, ask.spec);
-                }
-                out
-            }
-            None => Outcome { verdict, picks: Vec::new() },
+        let Some(ScoredOutcome { outcome, .. }) = best else {
+            return Outcome { verdict, picks: Vec::new() };
+        };
+        for pick in &outcome.picks {
+            self.assume(pick.host, request.spec);
         }
+        outcome
     }
 
-    /// One child per zone, the roomiest first; each takes at most its part of
-    /// the cap that `scatter` sets for a zone.
-    fn trial_spread(&mut self, ask: &TrialRequest<'_>) -> Outcome {
-        let cap = ask.spec.zone_cap();
-        let zones = self.zones(ask);
-        let left: Vec<usize> = zones
+    fn score_of_zone(&self, spec: &JobSpec, picks: &[Pick]) -> f64 {
+        let need = Res::of(spec);
+        let score_of_pick = |pick: &Pick| {
+            let host = &self.hosts[pick.host];
+            host.pool.map_or(0.0, |pool| score(&self.pools[pool], host, spec, &need))
+        };
+        let sum: f64 = picks.iter().map(score_of_pick).sum();
+        picks.len() as f64 * TASK_WEIGHT + sum / picks.len().max(1) as f64
+    }
+
+    /// One child per zone, the one with the most room first; each takes at most
+    /// what the spread rule allows in a zone.
+    fn try_spread(&mut self, request: &TrialRequest<'_>) -> Outcome {
+        let zone_cap = request.spec.zone_cap();
+        let zones = self.zones_by_room(request);
+        let limits: Vec<usize> = zones
             .iter()
-            .map(|z| cap.saturating_sub(ask.zone_used.get(z.at()).copied().unwrap_or(0)) as usize)
+            .map(|zone| zone_cap.saturating_sub(request.zone_used.get(zone.at()).copied().unwrap_or(0)) as usize)
             .collect();
+        let all_or_nothing = request.min == request.tasks.len();
         let mut picks: Vec<Pick> = Vec::new();
-        let mut rest = ask.tasks;
-        let mut u = 0;
-        for (i, z) in zones.iter().enumerate() {
-            let part = &rest[..rest.len().min(left[i])];
+        let mut rest = request.tasks;
+        let mut freeable = 0;
+        for (position, zone) in zones.iter().enumerate() {
+            let part = &rest[..rest.len().min(limits[position])];
             if part.is_empty() {
                 continue;
             }
             // What later zones can't take must be placed here.
-            let later: usize = left[i + 1..].iter().sum();
-            let must = if ask.min == ask.tasks.len() { rest.len().saturating_sub(later).min(part.len()) } else { 1 };
-            let out = self.leaf(ask, part, must, Some(*z));
-            if out.verdict != Verdict::Success {
-                u += part.len();
+            let later: usize = limits[position + 1..].iter().sum();
+            let min = if all_or_nothing { rest.len().saturating_sub(later).min(part.len()) } else { 1 };
+            let outcome = self.try_leaf(request, part, min, Some(*zone));
+            if outcome.verdict != Verdict::Success {
+                freeable += part.len();
                 continue;
             }
             // What found no room here moves on to the next zone.
-            let took = out.picks.len();
-            picks.extend(out.picks);
-            rest = &rest[took..];
+            rest = &rest[outcome.picks.len()..];
+            picks.extend(outcome.picks);
         }
-        let verdict = judge(ask.min, picks.len(), 0, u.max(rest.len()));
-        if verdict != Verdict::Success {
-            self.revert_all(ask.spec, &picks);
-            picks.clear();
-        }
-        Outcome { verdict, picks }
+        self.judge_picks(request.spec, picks, request.min, freeable.max(rest.len()))
     }
 }
 
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -89,9 +89,10 @@
             return self.load_tasks(net, now, stamp);
         }
         // What this controller kept itself, while it did not lead, counts too.
-        let (from, to) = self.peer_inactivity.span();
+        let mut no_peer_renewals = self.peer_inactivity.span();
+        no_peer_renewals.from = no_peer_renewals.from.max(self.renewal_right.last as i64);
         l.may_reshard = self.versions.is_complete();
-        l.no_peer_renewals = (from.max(self.renewal_right.last as i64), to);
+        l.no_peer_renewals = no_peer_renewals;
         l.sweep(now);
         l.fleet_step(now, &self.tables);
         let gap = now.saturating_sub(l.last_pass);
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -17,6 +17,7 @@
     coordination::{
         fleet::RentOutcome,
         leader::{Answer, CommitOutcome, Config, DirectCallOutcome, Effect, Leader},
+        lease_renewal::TimeSpan,
         model::{MachineIx, Ms, Res, TeamLimits, TypeInfo},
     },
     protocol::{
@@ -1044,9 +1045,9 @@
             l.job_update(now, now, ix, &self.job_cache);
         }
         // Once heard again, those behind the cut say when they last kept a lease.
-        l.no_peer_renewals = (self.last_kept as i64, self.unspoken.unwrap_or(now) as i64);
+        l.no_peer_renewals = TimeSpan { from: self.last_kept as i64, to: self.unspoken.unwrap_or(now) as i64 };
         if let Some(since) = self.unspoken {
-            l.no_peer_renewals.0 = l.no_peer_renewals.0.min(since as i64);
+            l.no_peer_renewals.from = l.no_peer_renewals.from.min(since as i64);
         }
         l.may_reshard = self.may_reshard;
         l.sweep(now);
