--- /dev/null
+++ b/tests/loopback_cluster/cluster.rs
@@ -0,0 +1,111 @@
+//! Three controllers, a worker, and all that they need.
+
+use std::{
+    fs,
+    net::SocketAddr,
+    path::{Path, PathBuf},
+    sync::{
+        atomic::{AtomicBool, Ordering},
+        Arc, Mutex,
+    },
+};
+
+use shedhook::protocol::cbor as body;
+
+use super::{
+    cloud::cloud,
+    controllers::{controllers, this_version, Node, Shared},
+    http::call,
+    state_service::{state_service, AccessGate, Store},
+    users::is_ready,
+    wait_for,
+    worker::{worker, Worker},
+};
+
+const CONTROLLERS: usize = 3;
+
+pub struct Cluster {
+    pub store: Arc<Mutex<Store>>,
+    /// Of each controller.
+    pub gates: Vec<Arc<AccessGate>>,
+    pub worker: Arc<Mutex<Worker>>,
+    pub nodes: Vec<Node>,
+    /// Where the worker reports to.
+    reports_to: Arc<Mutex<Vec<SocketAddr>>>,
+    /// Of the state service, for each controller.
+    state_addresses: Vec<SocketAddr>,
+    cloud: SocketAddr,
+    stop: Arc<AtomicBool>,
+    dir: PathBuf,
+}
+
+impl Cluster {
+    /// With controllers of this version, ready.
+    pub fn start(name: &str, shared: &Shared) -> Cluster {
+        Cluster::start_as(name, shared, this_version())
+    }
+
+    /// With controllers that run a program, ready.
+    pub fn start_as(name: &str, shared: &Shared, program: &Path) -> Cluster {
+        let mut c = Cluster::prepare(name, shared);
+        for n in &mut c.nodes {
+            n.start_as(program);
+        }
+        c.receive_reports();
+        c.wait_until_ready();
+        c
+    }
+
+    /// With controllers that aren't started, and a worker that reports to none.
+    pub fn prepare(name: &str, shared: &Shared) -> Cluster {
+        let store = Arc::new(Mutex::new(Store::default()));
+        let gates: Vec<Arc<AccessGate>> = (0..CONTROLLERS).map(|_| Arc::default()).collect();
+        let state_addresses: Vec<SocketAddr> =
+            gates.iter().map(|gate| state_service(store.clone(), gate.clone())).collect();
+        let reports_to = Arc::new(Mutex::new(Vec::new()));
+        let stop = Arc::new(AtomicBool::new(false));
+        let (worker_addr, worker) = worker(reports_to.clone(), stop.clone());
+        let cloud = cloud(worker_addr);
+        let dir = std::env::temp_dir().join(format!("shedhook-{name}-{}", std::process::id()));
+        let nodes = controllers(&dir, &state_addresses, cloud, shared);
+        Cluster { store, gates, worker, nodes, reports_to, state_addresses, cloud, stop, dir }
+    }
+
+    /// The worker reports to the controllers from now on.
+    pub fn receive_reports(&self) {
+        *self.reports_to.lock().unwrap() = self.nodes.iter().map(|n| n.client).collect();
+    }
+
+    pub fn wait_until_ready(&self) {
+        for n in &self.nodes {
+            wait_for("ready", || is_ready(n.client).then_some(()));
+        }
+    }
+
+    /// Kills all controllers, and gives them other settings and other ports.
+    pub fn change_settings(&mut self, shared: &Shared) {
+        self.nodes.clear();
+        self.nodes = controllers(&self.dir, &self.state_addresses, self.cloud, shared);
+        self.receive_reports();
+    }
+
+    /// Whoever answers the worker's reports.
+    pub fn leader(&self) -> usize {
+        wait_for("a leader", || {
+            let report = body::encode(&self.worker.lock().unwrap().report());
+            self.nodes.iter().position(|n| call(n.client, "POST", "/checkin", &report).is_some_and(|a| a.0 == 200))
+        })
+    }
+
+    /// Tasks of a job that run now.
+    pub fn runs(&self, job: &str) -> usize {
+        self.worker.lock().unwrap().running(job)
+    }
+}
+
+impl Drop for Cluster {
+    fn drop(&mut self) {
+        self.stop.store(true, Ordering::Relaxed);
+        let _ = fs::remove_dir_all(&self.dir);
+    }
+}
--- /dev/null
+++ b/tests/loopback_cluster/controllers.rs
@@ -0,0 +1,120 @@
+//! The controllers' processes and their settings.
+
+use std::{
+    fs,
+    net::{SocketAddr, TcpListener},
+    path::{Path, PathBuf},
+    process::{Child, Command, Stdio},
+    sync::atomic::{AtomicU32, Ordering},
+};
+
+use super::state_service::{Limits, LIMITS};
+
+/// A port below those that the system gives to outgoing connections: one of
+/// theirs could be taken again before the controller listens on it.
+fn free_port() -> SocketAddr {
+    static NEXT: AtomicU32 = AtomicU32::new(0);
+    loop {
+        let n = (std::process::id() * 64 + NEXT.fetch_add(1, Ordering::Relaxed)) % 12_000;
+        let addr = SocketAddr::from(([127, 0, 0, 1], 20_000 + n as u16));
+        if TcpListener::bind(addr).is_ok() {
+            return addr;
+        }
+    }
+}
+
+/// The program of this version.
+pub fn this_version() -> &'static Path {
+    Path::new(env!("CARGO_BIN_EXE_shedhook"))
+}
+
+/// One controller, which may be down; killed when dropped.
+pub struct Node {
+    pub client: SocketAddr,
+    pub file: PathBuf,
+    pub child: Option<Child>,
+}
+
+impl Node {
+    pub fn start(&mut self) {
+        self.start_as(this_version());
+    }
+
+    pub fn start_as(&mut self, program: &Path) {
+        let child = Command::new(program)
+            .arg("--config")
+            .arg(&self.file)
+            .env("LOG_LEVEL", "error")
+            .stderr(Stdio::inherit())
+            .spawn()
+            .unwrap();
+        self.child = Some(child);
+    }
+
+    pub fn kill(&mut self) {
+        if let Some(mut c) = self.child.take() {
+            let _ = c.kill();
+            let _ = c.wait();
+        }
+    }
+}
+
+impl Drop for Node {
+    fn drop(&mut self) {
+        self.kill();
+    }
+}
+
+/// What the settings of a cluster's controllers share.
+#[derive(Debug, Clone, Copy)]
+pub struct Shared {
+    pub lease_s: u32,
+    pub cancel_s: u32,
+    /// Limits that the settings announce for later (`state.next`).
+    pub next: Option<Limits>,
+}
+
+/// Where one controller is served from.
+struct Addresses {
+    client: SocketAddr,
+    cluster: SocketAddr,
+    state: SocketAddr,
+}
+
+fn settings(n: usize, all: &[Addresses], cloud: SocketAddr, shared: &Shared) -> String {
+    let own = &all[n];
+    let mut text = format!(
+        "label = \"n-{n}\"\ndomain = \"a\"\nclient_listen = \"{}\"\ncluster_listen = \"{}\"\n",
+        own.client, own.cluster
+    );
+    for m in (0..all.len()).filter(|m| *m != n) {
+        text += &format!("[[seeds]]\nlabel = \"n-{m}\"\ndomain = \"a\"\nendpoint = \"{}\"\n", all[m].cluster);
+    }
+    text += &format!("[outside]\ncloud = \"{cloud}\"\nstate = \"{}\"\n", own.state);
+    let Shared { lease_s, cancel_s, next } = shared;
+    let Limits { value_kb, txn_ops } = LIMITS;
+    text += &format!(
+        "[cluster]\nzones = [\"a\"]\n[[cluster.teams]]\nname = \"red\"\n\
+        [cluster.workers]\nreport_s = 0.3\nlease_s = {lease_s}\ngang_wait_s = 40\ngang_peer_s = 8\n\
+        cancel_s = {cancel_s}\n[cluster.state]\nrps = 1000\nwrite_rps = 500\nvalue_kb = {value_kb}\n\
+        txn_ops = {txn_ops}\n[cluster.cloud]\nrps = 50\nlist_lag_s = 1\n[cluster.limits]\nsockets = 500\n"
+    );
+    if let Some(Limits { value_kb, txn_ops }) = next {
+        text += &format!("[cluster.state.next]\nvalue_kb = {value_kb}\ntxn_ops = {txn_ops}\n");
+    }
+    text
+}
+
+/// Controllers with their settings, one for each address of the state service,
+/// not started yet.
+pub fn controllers(dir: &Path, gates: &[SocketAddr], cloud: SocketAddr, shared: &Shared) -> Vec<Node> {
+    fs::create_dir_all(dir).unwrap();
+    let addresses = |state: &SocketAddr| Addresses { client: free_port(), cluster: free_port(), state: *state };
+    let all: Vec<Addresses> = gates.iter().map(addresses).collect();
+    let node = |n: usize| {
+        let file = dir.join(format!("n-{n}.toml"));
+        fs::write(&file, settings(n, &all, cloud, shared)).unwrap();
+        Node { client: all[n].client, file, child: None }
+    };
+    (0..all.len()).map(node).collect()
+}
--- /dev/null
+++ b/tests/loopback_cluster/versions.rs
@@ -0,0 +1,32 @@
+//! Programs of earlier versions, built from the repository's history.
+
+use std::{
+    path::{Path, PathBuf},
+    process::{Command, Stdio},
+    sync::OnceLock,
+};
+
+/// The program of the version in production, which `deploy/service.toml` names.
+pub fn production() -> &'static Path {
+    static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
+    PROGRAM.get_or_init(|| build("production"))
+}
+
+/// The program of the last version that knew no prerequisites.
+pub fn without_pipelines() -> &'static Path {
+    static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
+    PROGRAM.get_or_init(|| build("without-pipelines"))
+}
+
+/// Builds a version, unless that was done before. A failure fails the test: there
+/// is no upgrade to check without the version before it.
+fn build(version: &str) -> PathBuf {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let script = root.join(".ci/build-version");
+    let out = Command::new(&script).arg(version).current_dir(root).stderr(Stdio::inherit()).output();
+    let out = out.unwrap_or_else(|e| panic!("{} can't be run: {e}", script.display()));
+    assert!(out.status.success(), "version {version} can't be built from the git history, see above");
+    let program = PathBuf::from(String::from_utf8(out.stdout).unwrap().trim_end());
+    assert!(program.is_file(), "no program of version {version} at {}", program.display());
+    program
+}
--- /dev/null
+++ b/tests/upgrade.rs
@@ -0,0 +1,687 @@
+//! Real processes of the version in production and of this one, side by side:
+//! answers, leadership, replacement one by one, and limits that are lowered
+//! meanwhile. What ran when is taken from the worker and from the store's log.
+
+mod loopback_cluster;
+
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    net::SocketAddr,
+    sync::{
+        atomic::{AtomicBool, Ordering},
+        Arc, Mutex,
+    },
+    thread::{self, JoinHandle},
+    time::{Duration, Instant},
+};
+
+use ciborium::Value;
+use loopback_cluster::{
+    cluster::Cluster,
+    controllers::{this_version, Shared},
+    http::{call, Answer},
+    state_service::Limits,
+    users::{abort, ids, is_ready, job, job_after, poll, status, status_word, submit, with},
+    versions::{production, without_pipelines},
+    wait_for, wait_up_to,
+    worker::{TaskChange, TaskEvent},
+};
+use shedhook::protocol::{cbor as body, workers::ExitReason};
+
+const SHARED: Shared = Shared { lease_s: 30, cancel_s: 50, next: None };
+/// The limits announced and then put in force in the last test.
+const LOWERED: Limits = Limits { value_kb: 1, txn_ops: 6 };
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Version {
+    Production,
+    This,
+}
+
+/// A job to be submitted.
+#[derive(Debug, Clone, Copy)]
+struct Job<'a> {
+    id: &'a str,
+    kind: &'a str,
+    tasks: u32,
+    prereqs: &'a [&'a str],
+}
+
+fn batch<'a>(id: &'a str, tasks: u32, prereqs: &'a [&'a str]) -> Job<'a> {
+    Job { id, kind: "batch", tasks, prereqs }
+}
+
+/// Tasks small enough that a hundred of them fit the worker.
+fn small_tasks(bytes: &[u8]) -> Vec<u8> {
+    with(&with(bytes, "cpus", Value::Float(0.05)), "memoryGb", Value::Float(0.1))
+}
+
+/// What the test knows of an accepted job.
+#[derive(Debug, Default)]
+struct Accepted {
+    tasks: u32,
+    prereqs: Vec<String>,
+    /// When its user had been told that it, or one that it needs, is cancelled.
+    cancelled: Option<Instant>,
+}
+
+// ---- answers that must stay ---------------------------------------------------
+
+/// Statuses that were told and may not change any more, and what broke that.
+#[derive(Debug, Default)]
+struct Told {
+    jobs: BTreeSet<String>,
+    last: BTreeMap<String, String>,
+    broken: Vec<String>,
+    /// Answers that were compared.
+    answers: usize,
+}
+
+impl Told {
+    /// `before`: what was final when the question was asked.
+    fn hear(&mut self, id: &str, before: Option<&str>, code: u16, bytes: &[u8]) {
+        if code == 404 {
+            self.broken.push(format!("{id} is forgotten"));
+        }
+        if code != 200 {
+            return;
+        }
+        self.answers += 1;
+        let word = status_word(bytes).unwrap_or_default();
+        if before.is_some_and(|b| b != word) {
+            self.broken.push(format!("{id} was {before:?}, then {word}"));
+        }
+        if word == "done" || word == "cancelled" {
+            self.last.insert(id.to_owned(), word);
+        }
+    }
+}
+
+/// Polls every accepted job at every controller all the time.
+struct AnswerWatch {
+    told: Arc<Mutex<Told>>,
+    stop: Arc<AtomicBool>,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl AnswerWatch {
+    fn start(controllers: Vec<SocketAddr>) -> AnswerWatch {
+        let (told, stop) = (Arc::<Mutex<Told>>::default(), Arc::<AtomicBool>::default());
+        let (shared, stopped) = (told.clone(), stop.clone());
+        let thread = thread::spawn(move || {
+            while !stopped.load(Ordering::Relaxed) {
+                let jobs = shared.lock().unwrap().jobs.clone();
+                for id in &jobs {
+                    controllers.iter().for_each(|at| ask(&shared, *at, id));
+                }
+                thread::sleep(Duration::from_millis(100));
+            }
+        });
+        AnswerWatch { told, stop, thread: Some(thread) }
+    }
+
+    fn accepted(&self, id: &str) {
+        self.told.lock().unwrap().jobs.insert(id.to_owned());
+    }
+
+    /// Ends the polls, and fails the test if an answer was taken back.
+    fn end(&mut self) {
+        self.stop.store(true, Ordering::Relaxed);
+        let ended = self.thread.take().is_none_or(|t| t.join().is_ok());
+        let told = self.told.lock().unwrap();
+        assert!(ended && told.broken.is_empty(), "{:?}", told.broken);
+        assert!(told.answers > told.jobs.len(), "hardly anything was answered: {}", told.answers);
+    }
+}
+
+fn ask(told: &Mutex<Told>, at: SocketAddr, id: &str) {
+    let before = told.lock().unwrap().last.get(id).cloned();
+    if let Some((code, bytes)) = poll(at, id) {
+        told.lock().unwrap().hear(id, before.as_deref(), code, &bytes);
+    }
+}
+
+impl Drop for AnswerWatch {
+    fn drop(&mut self) {
+        self.stop.store(true, Ordering::Relaxed);
+    }
+}
+
+// ---- an upgrade under way -------------------------------------------------------
+
+/// A cluster whose controllers have versions, and the jobs accepted by it.
+struct Upgrade {
+    cluster: Cluster,
+    versions: [Version; 3],
+    accepted: BTreeMap<String, Accepted>,
+    watch: AnswerWatch,
+}
+
+impl Upgrade {
+    /// All controllers run the production version.
+    fn start(name: &str) -> Upgrade {
+        let cluster = Cluster::start_as(name, &SHARED, production());
+        let watch = AnswerWatch::start(cluster.nodes.iter().map(|n| n.client).collect());
+        Upgrade { cluster, versions: [Version::Production; 3], accepted: BTreeMap::new(), watch }
+    }
+
+    fn client(&self, n: usize) -> SocketAddr {
+        self.cluster.nodes[n].client
+    }
+
+    fn clients(&self) -> [SocketAddr; 3] {
+        [self.client(0), self.client(1), self.client(2)]
+    }
+
+    /// Starts a controller, which is down, with the version that it has.
+    fn start_again(&mut self, n: usize) {
+        let program = match self.versions[n] {
+            Version::Production => production(),
+            Version::This => this_version(),
+        };
+        self.cluster.nodes[n].start_as(program);
+        let at = self.client(n);
+        wait_for("ready", || is_ready(at).then_some(()));
+    }
+
+    /// Kills a controller, which comes back with this version.
+    fn replace(&mut self, n: usize) {
+        self.cluster.nodes[n].kill();
+        self.versions[n] = Version::This;
+        self.start_again(n);
+    }
+
+    /// Kills a controller, which comes back with the version that it had.
+    fn restart(&mut self, n: usize) {
+        self.cluster.nodes[n].kill();
+        self.start_again(n);
+    }
+
+    /// Whose label the leader's key holds.
+    fn leader(&self) -> Option<usize> {
+        let store = self.cluster.store.lock().unwrap();
+        let label = text_field(&store.keys.get("leader")?.0, "l")?.to_owned();
+        label.strip_prefix("n-")?.parse().ok()
+    }
+
+    /// Waits until a controller of a version, which is up, leads.
+    fn wait_for_leader(&self, version: Version) -> usize {
+        wait_for(&format!("a leader of {version:?}"), || {
+            let is_up = |n: &usize| self.cluster.nodes[*n].child.is_some();
+            self.leader().filter(is_up).filter(|n| self.versions[*n] == version)
+        })
+    }
+
+    fn submit(&mut self, n: usize, job: Job) {
+        self.submit_body(n, job, |bytes| bytes);
+    }
+
+    fn submit_small(&mut self, n: usize, job: Job) {
+        self.submit_body(n, job, |bytes| small_tasks(&bytes));
+    }
+
+    fn submit_body(&mut self, n: usize, j: Job, change: impl Fn(Vec<u8>) -> Vec<u8>) {
+        let bytes = change(with(&job(j.id, j.kind, j.tasks), "prereqs", ids(j.prereqs)));
+        let at = self.client(n);
+        wait_for(j.id, || submit(at, &bytes).filter(|a| a.0 < 300));
+        self.note_accepted(j.id, j.tasks, j.prereqs);
+    }
+
+    fn note_accepted(&mut self, id: &str, tasks: u32, prereqs: &[&str]) {
+        let prereqs: Vec<String> = prereqs.iter().map(|p| (*p).to_owned()).collect();
+        let cancelled = prereqs.iter().any(|p| self.accepted[p].cancelled.is_some()).then(Instant::now);
+        self.accepted.insert(id.to_owned(), Accepted { tasks, prereqs, cancelled });
+        self.watch.accepted(id);
+    }
+
+    /// Cancels a job; all that need it are cancelled with it, for everybody.
+    fn cancel(&mut self, n: usize, id: &str) {
+        let at = self.client(n);
+        let answer = wait_for("cancelled", || abort(at, id).filter(|a| a.0 == 200));
+        assert_eq!(answer_of(Some(answer)), (200, Some("cancelled".to_owned())), "{id}");
+        self.note_cancelled(id, Instant::now());
+        self.check_cancelled();
+    }
+
+    fn note_cancelled(&mut self, id: &str, at: Instant) {
+        self.accepted.get_mut(id).unwrap().cancelled = Some(at);
+        let needs = |a: &Accepted| a.cancelled.is_none() && a.prereqs.iter().any(|p| p == id);
+        let after: Vec<String> = self.accepted.iter().filter(|(_, a)| needs(a)).map(|(id, _)| id.clone()).collect();
+        after.iter().for_each(|id| self.note_cancelled(id, at));
+    }
+
+    /// Every controller that is up says so of all that is cancelled.
+    fn check_cancelled(&self) {
+        for id in self.accepted.iter().filter(|(_, a)| a.cancelled.is_some()).map(|(id, _)| id) {
+            for (n, node) in self.cluster.nodes.iter().enumerate().filter(|(_, node)| node.child.is_some()) {
+                let word = status(node.client, id);
+                assert_eq!(word.as_deref(), Some("cancelled"), "{id} at {n}, {:?}", self.versions[n]);
+            }
+        }
+    }
+
+    fn finish(&self, id: &str) {
+        self.cluster.worker.lock().unwrap().finish(id);
+    }
+
+    /// Waits until a job is done, for every controller.
+    fn wait_until_done(&self, id: &str) {
+        for at in self.clients() {
+            wait_up_to(Duration::from_secs(90), &format!("{id} is done"), || (status(at, id)? == "done").then_some(()));
+        }
+    }
+
+    /// Ends the test: answers stayed, and tasks ran in order and once.
+    fn check_history(&mut self) {
+        self.watch.end();
+        let done_records = self.done_records();
+        let events = self.cluster.worker.lock().unwrap().events.clone();
+        for (id, job) in &self.accepted {
+            let starts: Vec<&TaskEvent> =
+                events.iter().filter(|e| e.job() == id && e.change == TaskChange::Started).collect();
+            check_started_once(id, job, &starts, done_records.contains_key(id));
+            for start in starts {
+                self.check_prerequisites(job, start, &done_records, &events);
+            }
+        }
+    }
+
+    /// Every job that was recorded as done, and when.
+    fn done_records(&self) -> BTreeMap<String, Instant> {
+        let store = self.cluster.store.lock().unwrap();
+        let mut out = BTreeMap::new();
+        for entry in &store.log {
+            let (Some(key), Some(v)) = (&entry.change.write, &entry.change.v) else { continue };
+            let Some(id) = key.strip_prefix("j/") else { continue };
+            if text_field(v, "st") == Some("d") {
+                out.entry(id.to_owned()).or_insert(entry.at);
+            }
+        }
+        out
+    }
+
+    /// Before a task starts, all that its job needs has ended on the worker, and
+    /// is recorded as done.
+    fn check_prerequisites(
+        &self,
+        job: &Accepted,
+        start: &TaskEvent,
+        done: &BTreeMap<String, Instant>,
+        events: &[TaskEvent],
+    ) {
+        for p in &job.prereqs {
+            assert!(done.get(p).is_some_and(|at| *at <= start.at), "{} started before {p} was done", start.task);
+            let is_end = |e: &&TaskEvent| e.job() == p && e.change == TaskChange::Ended(ExitReason::Done);
+            let ended = events.iter().filter(is_end).filter(|e| e.at <= start.at).count();
+            assert_eq!(ended, self.accepted[p].tasks as usize, "{} started before {p} had ended", start.task);
+        }
+    }
+}
+
+/// No task starts twice, or after its user was told that it is cancelled; where
+/// the job is done each has started.
+fn check_started_once(id: &str, job: &Accepted, starts: &[&TaskEvent], is_done: bool) {
+    let tasks: BTreeSet<&str> = starts.iter().map(|e| &*e.task).collect();
+    assert_eq!(tasks.len(), starts.len(), "{id}: a task ran twice: {starts:?}");
+    if is_done {
+        assert_eq!(starts.len(), job.tasks as usize, "{id} is done");
+    }
+    if let Some(at) = job.cancelled {
+        assert!(starts.iter().all(|e| e.at <= at), "{id} started though it is cancelled: {starts:?}");
+    }
+}
+
+fn text_field<'a>(v: &'a Value, name: &str) -> Option<&'a str> {
+    v.as_map()?.iter().find(|(k, _)| k.as_text() == Some(name))?.1.as_text()
+}
+
+/// Code and status of an answer.
+fn answer_of(a: Option<Answer>) -> (u16, Option<String>) {
+    let (code, bytes) = a.expect("no answer");
+    (code, status_word(&bytes))
+}
+
+/// Code, fields and texts of an answer: all but the counts, which are for display
+/// and may lag.
+fn form_of(a: Option<Answer>) -> (u16, Vec<(String, Option<String>)>) {
+    let (code, bytes) = a.expect("no answer");
+    let v: Value = body::decode(&bytes).unwrap_or(Value::Null);
+    let fields = v.as_map().map_or(&[][..], Vec::as_slice);
+    let text = |v: &Value| v.as_text().map(str::to_owned);
+    (code, fields.iter().map(|(k, x)| (text(k).unwrap_or_default(), text(x))).collect())
+}
+
+// ---- (a) both serve -----------------------------------------------------------------
+
+/// Asked the same, both versions answer the same.
+fn check_alike(u: &Upgrade, what: &str, ask: impl Fn(SocketAddr) -> Option<Answer>) -> u16 {
+    let answers = u.clients().map(|at| form_of(ask(at)));
+    assert!(answers.iter().all(|a| *a == answers[0]), "{what}: {answers:?}");
+    answers[0].0
+}
+
+#[test]
+fn both_versions_serve_alike() {
+    let mut u = Upgrade::start("alike");
+    u.replace(2);
+    const OLD: usize = 0;
+    const NEW: usize = 2;
+
+    // Of both, alone and in pipelines that cross the versions.
+    u.submit(OLD, batch("j-100001", 1, &[]));
+    u.submit(NEW, batch("j-000010", 1, &["j-100001"]));
+    u.submit(NEW, batch("j-100002", 1, &[]));
+    u.submit(OLD, batch("j-000011", 1, &["j-100002", "j-000010"]));
+    u.submit(NEW, batch("j-000012", 1, &["j-000011", "j-100001"]));
+    u.submit(OLD, batch("j-100003", 1, &[]));
+    u.submit(NEW, batch("j-100004", 1, &[]));
+    u.submit(OLD, Job { id: "j-100005", kind: "service", tasks: 1, prereqs: &[] });
+    let running = ["j-100001", "j-100002", "j-100003", "j-100004", "j-100005"];
+    for (id, at) in running.iter().flat_map(|id| u.clients().map(|at| (id, at))) {
+        wait_for("running", || (status(at, id)? == "running").then_some(()));
+    }
+
+    // What is known, waits, or can't be taken.
+    for id in running.iter().chain(&["j-000010", "j-000011", "j-000012"]) {
+        assert_eq!(check_alike(&u, id, |at| poll(at, id)), 200);
+        assert_eq!(check_alike(&u, id, |at| submit(at, &job(id, "batch", 1))), 200, "again");
+    }
+    assert_eq!(status(u.client(OLD), "j-000012").as_deref(), Some("pending"));
+    let many: Vec<String> = (0..3_000).map(|n| format!("j-{n}")).collect();
+    let many: Vec<&str> = many.iter().map(String::as_str).collect();
+    let refused = [
+        ("never accepted", ids(&["j-100001", "j-999999"]), 422),
+        ("a service", ids(&["j-100005"]), 422),
+        ("itself", ids(&["j-000020"]), 400),
+        ("no list", Value::Text("j-100001".into()), 400),
+        ("a number", Value::from(1), 400),
+        ("no ids", ids(&["j-100001", "x"]), 400),
+        ("too long for a record", ids(&many), 400),
+    ];
+    for (what, prereqs, want) in refused {
+        let bytes = job_after("j-000020", "batch", prereqs);
+        assert_eq!(check_alike(&u, what, |at| submit(at, &bytes)), want, "{what}");
+    }
+    let unknown_team = with(&job("j-000020", "batch", 1), "owner", Value::Text("nobody".into()));
+    assert_eq!(check_alike(&u, "unknown team", |at| submit(at, &unknown_team)), 422);
+    assert_eq!(check_alike(&u, "nonsense", |at| submit(at, b"nonsense")), 400);
+    assert_eq!(check_alike(&u, "too long", |at| submit(at, &vec![0; 70_000])), 413);
+    assert_eq!(check_alike(&u, "refused for good", |at| poll(at, "j-000020")), 404);
+    assert_eq!(check_alike(&u, "never accepted", |at| abort(at, "j-999999")), 404);
+    assert_eq!(check_alike(&u, "no method", |at| call(at, "PUT", "/api/jobs", &[])), 405);
+
+    // Accepted at one version, cancelled at the other.
+    u.cancel(OLD, "j-100002");
+    assert_eq!(status(u.client(NEW), "j-000010").as_deref(), Some("pending"), "it needs another");
+    u.cancel(NEW, "j-100003");
+    u.cancel(OLD, "j-100004");
+    u.cancel(NEW, "j-100005");
+    for id in ["j-100002", "j-000011", "j-000012", "j-100003", "j-100004", "j-100005"] {
+        assert_eq!(check_alike(&u, id, |at| poll(at, id)), 200);
+        assert_eq!(check_alike(&u, id, |at| abort(at, id)), 200, "again");
+        assert_eq!(check_alike(&u, id, |at| submit(at, &job(id, "batch", 1))), 200);
+    }
+    // Names a cancelled one: accepted, and cancelled.
+    for (n, id) in [(OLD, "j-000015"), (NEW, "j-000016")] {
+        let answer = submit(u.client(n), &job_after(id, "batch", ids(&["j-000012"])));
+        assert_eq!(answer_of(answer), (201, Some("cancelled".into())), "{id}");
+        u.note_accepted(id, 1, &["j-000012"]);
+    }
+    u.check_cancelled();
+    for id in ["j-100002", "j-100003", "j-100004", "j-100005"] {
+        wait_for("its tasks are gone", || (u.cluster.runs(id) == 0).then_some(()));
+    }
+
+    // Done for both; too late to be cancelled.
+    u.finish("j-100001");
+    for id in ["j-100001", "j-000010"] {
+        u.wait_until_done(id);
+        assert_eq!(check_alike(&u, id, |at| abort(at, id)), 200);
+        assert_eq!(answer_of(abort(u.client(NEW), id)).1.as_deref(), Some("done"));
+    }
+    // Names what is done, at either: runs at once.
+    u.submit(OLD, batch("j-000017", 1, &["j-000010"]));
+    u.submit(NEW, batch("j-000018", 1, &["j-000010", "j-000017"]));
+    u.wait_until_done("j-000018");
+    u.check_cancelled();
+    u.check_history();
+}
+
+// ---- (b) leadership ------------------------------------------------------------------
+
+const FIRST_STAGE: usize = 1;
+
+/// The jobs of one stage: a chain whose head runs until it is let go, and one that
+/// takes a moment.
+struct Stage {
+    head: String,
+    middle: String,
+    tail: String,
+    short: [String; 3],
+}
+
+impl Stage {
+    fn new(n: usize) -> Stage {
+        let short = |k: usize| format!("j-00000{n}{k}");
+        Stage { head: format!("j-1{n}0001"), middle: short(1), tail: short(2), short: [short(3), short(4), short(5)] }
+    }
+}
+
+/// Submits the jobs of a stage, and lets those of the one before come to their end
+/// under the leader of now.
+fn run_stage(u: &mut Upgrade, n: usize, version: Version) -> Stage {
+    let leader = u.wait_for_leader(version);
+    let stage = Stage::new(n);
+    let [first, second, third] = &stage.short;
+    u.submit(0, batch(&stage.head, 2, &[]));
+    u.submit(1, batch(&stage.middle, 2, &[&stage.head]));
+    u.submit(2, batch(&stage.tail, 1, &[&stage.middle, &stage.head]));
+    u.submit(2, batch(first, 2, &[]));
+    u.submit(0, batch(second, 1, &[first]));
+    u.submit(1, batch(third, 2, &[second, first]));
+    u.wait_until_done(third);
+    wait_for("the head runs", || (u.cluster.runs(&stage.head) == 2).then_some(()));
+    if n > FIRST_STAGE {
+        u.wait_until_done(&Stage::new(n - 1).tail);
+    }
+    assert_eq!(u.leader(), Some(leader), "one leader for the whole stage");
+    stage
+}
+
+#[test]
+fn leadership_passes_from_version_to_version() {
+    let mut u = Upgrade::start("leadership");
+    u.submit(0, batch("j-100001", 1, &[]));
+    u.submit(1, Job { id: "j-100002", kind: "service", tasks: 1, prereqs: &[] });
+    u.submit(2, batch("j-000001", 1, &["j-100001"]));
+    wait_for("both run", || (u.cluster.runs("j-100001") + u.cluster.runs("j-100002") == 2).then_some(()));
+    // The second is replaced, and an old one leads.
+    u.cluster.nodes[1].kill();
+    let old = u.wait_for_leader(Version::Production);
+    u.versions[1] = Version::This;
+    u.start_again(1);
+    let other = 2 - old;
+
+    // Heads end while there is no leader.
+    let stage = run_stage(&mut u, FIRST_STAGE, Version::Production);
+    u.finish(&stage.head);
+    u.cluster.nodes[old].kill();
+    u.cluster.nodes[other].kill();
+    assert_eq!(u.wait_for_leader(Version::This), 1);
+    u.start_again(old);
+    u.start_again(other);
+
+    let stage = run_stage(&mut u, 2, Version::This);
+    u.finish(&stage.head);
+    u.cluster.nodes[1].kill();
+    let old = u.wait_for_leader(Version::Production);
+    let other = 2 - old;
+    u.start_again(1);
+
+    let stage = run_stage(&mut u, 3, Version::Production);
+    u.replace(other);
+    u.finish(&stage.head);
+    u.cluster.nodes[old].kill();
+    u.wait_for_leader(Version::This);
+    u.start_again(old);
+
+    let stage = run_stage(&mut u, 4, Version::This);
+    u.replace(old);
+    u.finish(&stage.head);
+    u.wait_until_done(&stage.tail);
+
+    // What ran all the time has started once, which `check_history` holds too.
+    assert_eq!((u.cluster.runs("j-100001"), u.cluster.runs("j-100002")), (1, 1));
+    assert_eq!(status(u.client(0), "j-000001").as_deref(), Some("pending"));
+    u.finish("j-100001");
+    u.wait_until_done("j-000001");
+    u.cancel(0, "j-100002");
+    wait_for("the service is gone", || (u.cluster.runs("j-100002") == 0).then_some(()));
+    u.check_history();
+}
+
+// ---- (c) one by one -------------------------------------------------------------------
+
+/// A chain of three, whose first runs until it is let go, each accepted elsewhere.
+fn submit_chain(u: &mut Upgrade, chain: &[&str; 3]) {
+    let [head, middle, tail] = *chain;
+    u.submit(0, batch(head, 1, &[]));
+    u.submit(1, Job { id: middle, kind: "ensemble", tasks: 2, prereqs: &[head] });
+    u.submit(2, batch(tail, 2, &[middle]));
+}
+
+#[test]
+fn replaced_one_by_one_with_pipelines_under_way() {
+    let mut u = Upgrade::start("one-by-one");
+    let kept = ["j-100001", "j-000011", "j-000012"];
+    let cancelled_before = ["j-100002", "j-000021", "j-000022"];
+    let cancelled_at_new = ["j-100003", "j-000031", "j-000032"];
+    let cancelled_at_old = ["j-100004", "j-000041", "j-000042"];
+    for chain in [&kept, &cancelled_before, &cancelled_at_new, &cancelled_at_old] {
+        submit_chain(&mut u, chain);
+    }
+    for id in ["j-100001", "j-100002", "j-100003", "j-100004"] {
+        wait_for("the heads run", || (u.cluster.runs(id) == 1).then_some(()));
+    }
+    u.cancel(1, "j-100002");
+
+    u.replace(0);
+    u.check_cancelled();
+    // Dies before its turn, and comes back old.
+    u.restart(1);
+    assert_eq!(u.versions, [Version::This, Version::Production, Version::Production]);
+    u.check_cancelled();
+    u.cancel(0, "j-100003");
+    u.cancel(1, "j-100004");
+    // Later ones, that name what is cancelled.
+    u.submit(0, batch("j-000033", 1, &["j-000032"]));
+    u.submit(2, batch("j-000043", 1, &["j-000042", "j-000012"]));
+    u.check_cancelled();
+
+    u.replace(2);
+    u.check_cancelled();
+    assert_eq!(u.cluster.runs("j-100001"), 1, "it runs on");
+    u.finish("j-100001");
+    u.wait_until_done("j-000012");
+    u.check_cancelled();
+    u.submit(1, batch("j-000013", 1, &["j-000012"]));
+    u.wait_until_done("j-000013");
+
+    u.replace(1);
+    u.check_cancelled();
+    for n in 0..3 {
+        u.restart(n);
+        u.check_cancelled();
+        u.wait_until_done("j-000013");
+    }
+    for id in ["j-100002", "j-100003", "j-100004"] {
+        wait_for("its tasks are gone", || (u.cluster.runs(id) == 0).then_some(()));
+    }
+    u.check_history();
+}
+
+// ---- (d) limits ---------------------------------------------------------------------
+
+/// Refusals for size that a cluster may meet: a process may learn of the lower
+/// limits by one, and three are there then, two of which are replaced.
+const MOST_REFUSED: usize = 5;
+
+#[test]
+fn limits_are_lowered_amid_the_upgrade() {
+    // Recorded when nothing was announced yet: in chunks too large for later.
+    let mut u = Upgrade::start("limits");
+    u.submit_small(0, batch("j-100001", 120, &[]));
+    u.submit_small(1, Job { id: "j-100002", kind: "ensemble", tasks: 40, prereqs: &["j-100001"] });
+    u.submit_small(2, batch("j-000003", 3, &["j-100002"]));
+    u.submit_small(0, batch("j-000004", 100, &["j-100001"]));
+    u.submit_small(1, batch("j-100005", 1, &[]));
+    u.submit_small(2, batch("j-000006", 60, &["j-100005"]));
+    wait_for("the array runs", || (u.cluster.runs("j-100001") == 120).then_some(()));
+
+    // The old version, with settings that announce them.
+    u.watch.end();
+    u.cluster.change_settings(&Shared { next: Some(LOWERED), ..SHARED });
+    u.watch = AnswerWatch::start(u.clients().to_vec());
+    u.accepted.keys().for_each(|id| u.watch.accepted(id));
+    for n in 0..3 {
+        u.start_again(n);
+    }
+    u.replace(0);
+    {
+        let mut store = u.cluster.store.lock().unwrap();
+        store.limits = LOWERED;
+        store.too_large = 0;
+    }
+    u.submit_small(1, batch("j-000007", 20, &[]));
+    u.submit_small(0, Job { id: "j-000008", kind: "ensemble", tasks: 10, prereqs: &["j-000007"] });
+    u.wait_until_done("j-000008");
+    u.finish("j-100005");
+    u.wait_until_done("j-000006");
+    u.replace(1);
+    u.finish("j-100001");
+    u.wait_until_done("j-100001");
+    u.finish("j-100002");
+    u.wait_until_done("j-000003");
+    u.replace(2);
+    u.wait_until_done("j-000004");
+    let refused = u.cluster.store.lock().unwrap().too_large;
+    assert!(refused <= MOST_REFUSED, "{refused} refused");
+    u.check_history();
+}
+
+// ---- before pipelines -----------------------------------------------------------------
+
+/// A version that knows no prerequisites would drop them: while a controller of it
+/// is there, nothing is accepted that has some.
+#[test]
+fn nothing_with_prerequisites_beside_a_version_without_them() {
+    let mut c = Cluster::start_as("before-pipelines", &SHARED, without_pipelines());
+    let at = c.nodes[0].client;
+    wait_for("taken", || (submit(at, &job("j-000001", "batch", 3))?.0 == 201).then_some(()));
+    wait_for("done", || (status(at, "j-000001")? == "done").then_some(()));
+    for n in &mut c.nodes[..2] {
+        n.kill();
+        n.start();
+    }
+    let (a, b) = (c.nodes[0].client, c.nodes[1].client);
+    for at in [a, b] {
+        wait_for("ready", || is_ready(at).then_some(()));
+    }
+    let code = |a: Option<Answer>| a.map(|a| a.0);
+    assert_eq!(code(submit(a, &job("j-000001", "batch", 3))), Some(200), "known still");
+    for at in [a, b] {
+        wait_for("done", || (status(at, "j-000001")? == "done").then_some(()));
+        thread::sleep(Duration::from_secs(2));
+        assert_eq!(code(submit(at, &job_after("j-000002", "batch", ids(&["j-000001"])))), Some(503), "one is old");
+        assert_eq!(code(submit(at, &job_after("j-000002", "batch", Value::from(1)))), Some(400));
+        assert_eq!(status(at, "j-000002"), None);
+    }
+    assert_eq!(status(c.nodes[2].client, "j-000001").as_deref(), Some("done"), "the old one serves");
+    c.nodes[2].kill();
+    c.nodes[2].start();
+    for n in &c.nodes {
+        let bytes = job_after("j-000002", "batch", ids(&["j-000001", "j-000001"]));
+        wait_for("accepted", || submit(n.client, &bytes).filter(|a| a.0 < 300));
+    }
+    wait_for("done", || (status(a, "j-000002")? == "done").then_some(()));
+}
