--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -1,4 +1,5 @@
-//! The forms of the version in production: frames and records, byte for byte.
+//! The forms of the versions before: frames and records, byte for byte. First of
+//! `ac1d836`, which knew no prerequisites, then of `ddfa46b`, which does.
 //! `tests/fixtures/README.md` says how the files were made.
 
 use std::{collections::BTreeMap, fs, path::Path};
@@ -8,13 +9,14 @@
     bookkeeping::{
         job_cache::JobCache,
         records::{to_value, AssignmentRecord, ChunkRecord, JobRecord, LeaderRecord, Status},
-        versions::VERSIONS,
+        versions::{version_key, Evidence, VersionRecord, VERSION, VERSIONS},
     },
     protocol::{
         cbor,
         jobs::Submission,
         names::Tables,
-        peers::{self, Count, Echo, Frame, Gossip},
+        peers::{self, Cancelled, Count, Echo, Frame, Gossip, Notice},
+        store::{Page, Pair},
     },
 };
 
@@ -51,6 +53,7 @@
         "job" => bytes_of(&record::<JobRecord>(bytes)),
         "chunk" => bytes_of(&record::<ChunkRecord>(bytes)),
         "leader" => bytes_of(&record::<LeaderRecord>(bytes)),
+        "version" => bytes_of(&record::<VersionRecord>(bytes)),
         other => panic!("no such form: {other}"),
     }
 }
@@ -156,3 +159,103 @@
         assert!(!VERSIONS.starts_with(prefix) && !prefix.starts_with(VERSIONS));
     }
 }
+
+// ---- ddfa46b ---------------------------------------------------------------
+
+fn page_of(key: &str, bytes: &[u8]) -> Page {
+    let pair = Pair { key: key.to_owned(), v: cbor::decode(bytes).unwrap(), stamp: 7, permit: None };
+    Page { pairs: vec![pair], truncated: false, epoch: 7 }
+}
+
+#[test]
+fn what_ddfa46b_writes_is_read_and_written_alike() {
+    let mut lines = read("ddfa46b.txt");
+    let submission = lines.remove("submission").unwrap();
+    assert_eq!(lines.len(), 12);
+    for (name, bytes) in &lines {
+        assert_eq!(hex(&again(name, bytes)), hex(bytes), "{name}");
+    }
+    // The record of a submission, with its prerequisites, each named once.
+    let mut sub: Submission = cbor::decode(&submission).unwrap();
+    sub.fold_prereqs();
+    assert_eq!(sub.prereqs(), ["j-000398", "j-000405"]);
+    let waiting: JobRecord = record(&lines["job/waiting"]);
+    assert_eq!((&waiting.submission, waiting.status, waiting.chunk), (&sub, Status::Pending, 128));
+    let without: JobRecord = record(&lines["job/pending"]);
+    assert_eq!(without.submission, Submission { prereqs: None, ..sub });
+    // The time of a done record is that of the end.
+    let done: JobRecord = record(&lines["job/done"]);
+    assert_eq!((done.status, done.at_ms), (Status::Done, 1_780_000_123_456));
+    let chunk: ChunkRecord = record(&lines["chunk/000000"]);
+    let last = AssignmentRecord(5, "i-001007".into(), 12, 434_896_896_002, "brescia".into());
+    assert_eq!((chunk.done.as_str(), chunk.assignments.last()), ("93", Some(&last)));
+}
+
+#[test]
+fn ddfa46b_job_records_stand_for_the_same_jobs() {
+    let lines = read("ddfa46b.txt");
+    let forms = [
+        ("job/pending", Status::Pending, false),
+        ("job/waiting", Status::Pending, true),
+        ("job/waiting-cancelled", Status::Cancelled, false),
+        ("job/cancelled", Status::Cancelled, false),
+        ("job/done", Status::Done, false),
+    ];
+    for (name, status, waits) in forms {
+        let mut cache = JobCache::default();
+        let v: Value = cbor::decode(&lines[name]).unwrap();
+        let ix = cache.put("j/j-000731", &v, 7, &mut Tables::default()).unwrap();
+        let job = cache.get(ix);
+        assert_eq!((job.status, job.tasks, job.chunk, cache.waits(ix)), (status, 6, 128, waits), "{name}");
+    }
+}
+
+#[test]
+fn ddfa46b_frames_and_version_key_mean_the_same() {
+    let lines = read("ddfa46b.txt");
+    for (name, from, count, counts) in [("frame/first", "n-1", 0, 0), ("frame/marked", "n-2", 41, 2)] {
+        let Ok(Frame::Gossip(frame)) = peers::decode(&lines[name]) else { panic!("no gossip") };
+        assert_eq!((&*frame.from, frame.count, frame.counts.len()), (from, count, counts), "{name}");
+        assert!(frame.reads_notices(), "{name} shows that its sender reads notices");
+    }
+    let Ok(Frame::Notice(notice)) = peers::decode(&lines["frame/notice"]) else { panic!("no notice") };
+    let cancelled = |job: &str, stamp| Cancelled { job: job.into(), stamp };
+    let all = vec![cancelled("j-000398", 412), cancelled("j-000731", 1 << 32)];
+    assert_eq!(notice, Notice { from: "n-2".into(), cancelled: all });
+    // Its key is evidence that it takes prerequisites.
+    let key = version_key("n-2");
+    let mut evidence = Evidence::new(["n-2"].into_iter());
+    assert!(!evidence.is_complete());
+    evidence.saw(&page_of(&key, &lines[&key]));
+    assert!(evidence.is_complete());
+}
+
+/// Every form that this version writes where `ddfa46b` meets it.
+fn ours_beside_ddfa46b() -> Vec<(&'static str, Vec<u8>)> {
+    let waiting = Submission { prereqs: Some(vec!["j-000398".into(), "j-000405".into()]), ..submission() };
+    let cancelled = JobRecord { submission: waiting, status: Status::Cancelled, at_ms: 1_780_000_000_000, chunk: 28 };
+    let notice = Notice { from: "n-4".into(), cancelled: vec![Cancelled { job: "j-000412".into(), stamp: 431 }] };
+    let mut all = ours();
+    all.extend([
+        ("job/waiting-cancelled", bytes_of(&cancelled)),
+        ("version/n-4", bytes_of(&VersionRecord { version: VERSION, nonce: 9 })),
+        ("frame/notice", peers::encode(&Frame::Notice(notice))),
+    ]);
+    all
+}
+
+#[test]
+fn what_this_version_writes_is_rewritten_unchanged_by_ddfa46b() {
+    let ours = ours_beside_ddfa46b();
+    for (name, bytes) in &ours {
+        println!("beside {name} {}", hex(bytes)); // what stands in `this-beside-ddfa46b.txt`
+    }
+    let (written, rewritten) = (read("this-beside-ddfa46b.txt"), read("this-as-ddfa46b-rewrites.txt"));
+    for (name, bytes) in &ours {
+        assert_eq!(hex(bytes), hex(&written[*name]), "{name}: the form has changed, or the file is old");
+        assert_eq!(hex(&written[*name]), hex(&rewritten[*name]), "{name}: not kept as it was");
+    }
+    assert_eq!((written.len(), rewritten.len()), (ours.len(), ours.len()));
+    let kept: JobRecord = record(&rewritten["job/waiting"]);
+    assert_eq!(kept.submission.prereqs(), ["j-000398", "j-000405"]);
+}
