--- a/tests/loopback_cluster/cluster.rs
+++ b/tests/loopback_cluster/cluster.rs
@@ -14,7 +14,7 @@
 
 use super::{
     cloud::cloud,
-    controllers::{controllers, this_version, Node, Shared},
+    controllers::{controllers, this_version, Addresses, Node, Shared},
     http::call,
     state_service::{state_service, AccessGate, Store},
     users::is_ready,
@@ -32,8 +32,7 @@
     pub nodes: Vec<Node>,
     /// Where the worker reports to.
     reports_to: Arc<Mutex<Vec<SocketAddr>>>,
-    /// Of the state service, for each controller.
-    state_addresses: Vec<SocketAddr>,
+    addresses: Vec<Addresses>,
     cloud: SocketAddr,
     stop: Arc<AtomicBool>,
     dir: PathBuf,
@@ -60,15 +59,15 @@
     pub fn prepare(name: &str, shared: &Shared) -> Cluster {
         let store = Arc::new(Mutex::new(Store::default()));
         let gates: Vec<Arc<AccessGate>> = (0..CONTROLLERS).map(|_| Arc::default()).collect();
-        let state_addresses: Vec<SocketAddr> =
-            gates.iter().map(|gate| state_service(store.clone(), gate.clone())).collect();
+        let address = |gate: &Arc<AccessGate>| Addresses::new(state_service(store.clone(), gate.clone()));
+        let addresses: Vec<Addresses> = gates.iter().map(address).collect();
         let reports_to = Arc::new(Mutex::new(Vec::new()));
         let stop = Arc::new(AtomicBool::new(false));
         let (worker_addr, worker) = worker(reports_to.clone(), stop.clone());
         let cloud = cloud(worker_addr);
         let dir = std::env::temp_dir().join(format!("shedhook-{name}-{}", std::process::id()));
-        let nodes = controllers(&dir, &state_addresses, cloud, shared);
-        Cluster { store, gates, worker, nodes, reports_to, state_addresses, cloud, stop, dir }
+        let nodes = controllers(&dir, &addresses, cloud, shared);
+        Cluster { store, gates, worker, nodes, reports_to, addresses, cloud, stop, dir }
     }
 
     /// The worker reports to the controllers from now on.
@@ -82,11 +81,10 @@
         }
     }
 
-    /// Kills all controllers, and gives them other settings and other ports.
+    /// Kills all controllers, and gives them other settings.
     pub fn change_settings(&mut self, shared: &Shared) {
         self.nodes.clear();
-        self.nodes = controllers(&self.dir, &self.state_addresses, self.cloud, shared);
-        self.receive_reports();
+        self.nodes = controllers(&self.dir, &self.addresses, self.cloud, shared);
     }
 
     /// Whoever answers the worker's reports.
--- a/tests/loopback_cluster/controllers.rs
+++ b/tests/loopback_cluster/controllers.rs
@@ -74,13 +74,19 @@
     pub next: Option<Limits>,
 }
 
-/// Where one controller is served from.
-struct Addresses {
+/// Where a controller listens, and where it finds the state service.
+pub struct Addresses {
     client: SocketAddr,
     cluster: SocketAddr,
     state: SocketAddr,
 }
 
+impl Addresses {
+    pub fn new(state: SocketAddr) -> Addresses {
+        Addresses { client: free_port(), cluster: free_port(), state }
+    }
+}
+
 fn settings(n: usize, all: &[Addresses], cloud: SocketAddr, shared: &Shared) -> String {
     let own = &all[n];
     let mut text = format!(
@@ -105,15 +111,12 @@
     text
 }
 
-/// Controllers with their settings, one for each address of the state service,
-/// not started yet.
-pub fn controllers(dir: &Path, gates: &[SocketAddr], cloud: SocketAddr, shared: &Shared) -> Vec<Node> {
+/// Controllers with their settings, not started yet.
+pub fn controllers(dir: &Path, all: &[Addresses], cloud: SocketAddr, shared: &Shared) -> Vec<Node> {
     fs::create_dir_all(dir).unwrap();
-    let addresses = |state: &SocketAddr| Addresses { client: free_port(), cluster: free_port(), state: *state };
-    let all: Vec<Addresses> = gates.iter().map(addresses).collect();
     let node = |n: usize| {
         let file = dir.join(format!("n-{n}.toml"));
-        fs::write(&file, settings(n, &all, cloud, shared)).unwrap();
+        fs::write(&file, settings(n, all, cloud, shared)).unwrap();
         Node { client: all[n].client, file, child: None }
     };
     (0..all.len()).map(node).collect()
--- /dev/null
+++ b/tests/loopback_cluster/history.rs
@@ -0,0 +1,87 @@
+//! What ran when, taken from the worker, held against the store's log.
+
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    time::Instant,
+};
+
+use shedhook::protocol::workers::ExitReason;
+
+use super::{
+    upgrade::{text_field, Accepted, Upgrade},
+    worker::{TaskChange, TaskEvent},
+};
+
+impl Upgrade {
+    /// Ends the test: answers stayed, and tasks ran in order and once.
+    pub fn check_history(&mut self) {
+        self.watch.end();
+        let told = self.watch.last();
+        let done_records = self.done_records();
+        let events = self.cluster.worker.lock().unwrap().events.clone();
+        for (id, job) in &self.accepted {
+            let starts: Vec<&TaskEvent> =
+                events.iter().filter(|e| e.job() == id && e.change == TaskChange::Started).collect();
+            let is_recorded = done_records.contains_key(id);
+            check_told(id, job, told.get(id).map(String::as_str), is_recorded);
+            check_started_once(id, job, &starts, is_recorded);
+            for start in starts {
+                self.check_prerequisites(job, start, &done_records, &events);
+            }
+        }
+    }
+
+    /// Every job that was recorded as done, and when.
+    fn done_records(&self) -> BTreeMap<String, Instant> {
+        let store = self.cluster.store.lock().unwrap();
+        let mut out = BTreeMap::new();
+        for entry in &store.log {
+            let (Some(key), Some(v)) = (&entry.change.write, &entry.change.v) else { continue };
+            let Some(id) = key.strip_prefix("j/") else { continue };
+            if text_field(v, "st") == Some("d") {
+                out.entry(id.to_owned()).or_insert(entry.at);
+            }
+        }
+        out
+    }
+
+    /// Before a task starts, all that its job needs has ended on the worker, and
+    /// is recorded as done.
+    fn check_prerequisites(
+        &self,
+        job: &Accepted,
+        start: &TaskEvent,
+        done: &BTreeMap<String, Instant>,
+        events: &[TaskEvent],
+    ) {
+        for p in &job.prereqs {
+            assert!(done.get(p).is_some_and(|at| *at <= start.at), "{} started before {p} was done", start.task);
+            let is_end = |e: &&TaskEvent| e.job() == p && e.change == TaskChange::Ended(ExitReason::Done);
+            let ended = events.iter().filter(is_end).filter(|e| e.at <= start.at).count();
+            assert_eq!(ended, self.accepted[p].tasks as usize, "{} started before {p} had ended", start.task);
+        }
+    }
+}
+
+/// Nothing is called done that isn't recorded so, or cancelled that no user
+/// cancelled.
+fn check_told(id: &str, job: &Accepted, told: Option<&str>, is_recorded_done: bool) {
+    match told {
+        Some("done") => assert!(is_recorded_done, "{id} was called done, and isn't recorded so"),
+        Some("cancelled") => assert!(job.cancelled.is_some(), "{id} was called cancelled, and isn't"),
+        _ => {}
+    }
+}
+
+/// No task starts twice, or after its user was told that it is cancelled; where
+/// the job is done each has started.
+fn check_started_once(id: &str, job: &Accepted, starts: &[&TaskEvent], is_done: bool) {
+    let tasks: BTreeSet<&str> = starts.iter().map(|e| &*e.task).collect();
+    assert_eq!(tasks.len(), starts.len(), "{id}: a task ran twice: {starts:?}");
+    if is_done {
+        assert_eq!(starts.len(), job.tasks as usize, "{id} is done");
+    }
+    if let Some(at) = job.cancelled {
+        assert!(starts.iter().all(|e| e.at <= at), "{id} started though it is cancelled: {starts:?}");
+    }
+}
--- a/tests/loopback_cluster/mod.rs
+++ b/tests/loopback_cluster/mod.rs
@@ -9,12 +9,15 @@
     time::{Duration, Instant},
 };
 
+pub mod answer_watch;
 pub mod cloud;
 pub mod cluster;
 pub mod controllers;
+pub mod history;
 pub mod http;
 pub mod json_size;
 pub mod state_service;
+pub mod upgrade;
 pub mod users;
 pub mod versions;
 pub mod worker;
--- /dev/null
+++ b/tests/loopback_cluster/upgrade.rs
@@ -0,0 +1,199 @@
+//! A cluster amid an upgrade: controllers of two versions, and the jobs that they
+//! accepted.
+
+use std::{
+    collections::BTreeMap,
+    net::SocketAddr,
+    time::{Duration, Instant},
+};
+
+use ciborium::Value;
+
+use super::{
+    answer_watch::AnswerWatch,
+    cluster::Cluster,
+    controllers::{this_version, Shared},
+    http::Answer,
+    users::{abort, ids, is_ready, job, status, status_word, submit, with},
+    versions::production,
+    wait_for, wait_up_to,
+};
+
+/// A job may wait for many others, and for limits that were lowered.
+const DONE_PATIENCE: Duration = Duration::from_secs(90);
+
+/// Which program a controller runs.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Version {
+    Production,
+    This,
+}
+
+/// A job to be submitted.
+#[derive(Debug, Clone, Copy)]
+pub struct Job<'a> {
+    pub id: &'a str,
+    pub kind: &'a str,
+    pub tasks: u32,
+    pub prereqs: &'a [&'a str],
+}
+
+/// A job of independent tasks.
+pub fn batch<'a>(id: &'a str, tasks: u32, prereqs: &'a [&'a str]) -> Job<'a> {
+    Job { id, kind: "batch", tasks, prereqs }
+}
+
+/// Tasks small enough that a hundred of them fit the worker.
+fn small_tasks(bytes: &[u8]) -> Vec<u8> {
+    with(&with(bytes, "cpus", Value::Float(0.05)), "memoryGb", Value::Float(0.1))
+}
+
+/// What the test knows of an accepted job.
+#[derive(Debug, Default)]
+pub struct Accepted {
+    pub tasks: u32,
+    pub prereqs: Vec<String>,
+    /// When its user had been told that it, or one that it needs, is cancelled.
+    pub cancelled: Option<Instant>,
+}
+
+/// A cluster whose controllers have versions, and the jobs accepted by it.
+pub struct Upgrade {
+    pub cluster: Cluster,
+    pub versions: [Version; 3],
+    pub accepted: BTreeMap<String, Accepted>,
+    pub watch: AnswerWatch,
+}
+
+impl Upgrade {
+    /// All controllers run the production version.
+    pub fn start(name: &str, shared: &Shared) -> Upgrade {
+        let cluster = Cluster::start_as(name, shared, production());
+        let watch = AnswerWatch::start(cluster.nodes.iter().map(|n| n.client).collect());
+        Upgrade { cluster, versions: [Version::Production; 3], accepted: BTreeMap::new(), watch }
+    }
+
+    /// Where users reach a controller.
+    pub fn client(&self, n: usize) -> SocketAddr {
+        self.cluster.nodes[n].client
+    }
+
+    /// Where users reach the controllers.
+    pub fn clients(&self) -> [SocketAddr; 3] {
+        [self.client(0), self.client(1), self.client(2)]
+    }
+
+    /// Starts a controller, which is down, with the version that it has.
+    pub fn start_again(&mut self, n: usize) {
+        let program = match self.versions[n] {
+            Version::Production => production(),
+            Version::This => this_version(),
+        };
+        self.cluster.nodes[n].start_as(program);
+        let at = self.client(n);
+        wait_for("ready", || is_ready(at).then_some(()));
+    }
+
+    /// Kills a controller, which comes back with this version.
+    pub fn replace(&mut self, n: usize) {
+        self.cluster.nodes[n].kill();
+        self.versions[n] = Version::This;
+        self.start_again(n);
+    }
+
+    /// Kills a controller, which comes back with the version that it had.
+    pub fn restart(&mut self, n: usize) {
+        self.cluster.nodes[n].kill();
+        self.start_again(n);
+    }
+
+    /// Whose label the leader's key holds.
+    pub fn leader(&self) -> Option<usize> {
+        let store = self.cluster.store.lock().unwrap();
+        let label = text_field(&store.keys.get("leader")?.0, "l")?.to_owned();
+        label.strip_prefix("n-")?.parse().ok()
+    }
+
+    /// Waits until a controller of a version, which is up, leads.
+    pub fn wait_for_leader(&self, version: Version) -> usize {
+        wait_for(&format!("a leader of {version:?}"), || {
+            let is_up = |n: &usize| self.cluster.nodes[*n].child.is_some();
+            self.leader().filter(is_up).filter(|n| self.versions[*n] == version)
+        })
+    }
+
+    /// Submits a job to a controller until it is accepted.
+    pub fn submit(&mut self, n: usize, job: Job) {
+        self.submit_body(n, job, |bytes| bytes);
+    }
+
+    /// As [`Upgrade::submit`], with tasks of which a hundred fit the worker.
+    pub fn submit_small(&mut self, n: usize, job: Job) {
+        self.submit_body(n, job, |bytes| small_tasks(&bytes));
+    }
+
+    fn submit_body(&mut self, n: usize, j: Job, change: impl Fn(Vec<u8>) -> Vec<u8>) {
+        let bytes = change(with(&job(j.id, j.kind, j.tasks), "prereqs", ids(j.prereqs)));
+        let at = self.client(n);
+        wait_for(j.id, || submit(at, &bytes).filter(|a| a.0 < 300));
+        self.note_accepted(j.id, j.tasks, j.prereqs);
+    }
+
+    /// A job was accepted, whose prerequisites are known.
+    pub fn note_accepted(&mut self, id: &str, tasks: u32, prereqs: &[&str]) {
+        let prereqs: Vec<String> = prereqs.iter().map(|p| (*p).to_owned()).collect();
+        let cancelled = prereqs.iter().any(|p| self.accepted[p].cancelled.is_some()).then(Instant::now);
+        self.accepted.insert(id.to_owned(), Accepted { tasks, prereqs, cancelled });
+        self.watch.accepted(id);
+    }
+
+    /// Cancels a job; all that need it are cancelled with it, for everybody.
+    pub fn cancel(&mut self, n: usize, id: &str) {
+        let at = self.client(n);
+        let answer = wait_for("cancelled", || abort(at, id).filter(|a| a.0 == 200));
+        assert_eq!(answer_of(Some(answer)), (200, Some("cancelled".to_owned())), "{id}");
+        self.note_cancelled(id, Instant::now());
+        self.check_cancelled();
+    }
+
+    fn note_cancelled(&mut self, id: &str, at: Instant) {
+        self.accepted.get_mut(id).unwrap().cancelled = Some(at);
+        self.watch.cancelled(id);
+        let needs = |a: &Accepted| a.cancelled.is_none() && a.prereqs.iter().any(|p| p == id);
+        let after: Vec<String> = self.accepted.iter().filter(|(_, a)| needs(a)).map(|(id, _)| id.clone()).collect();
+        after.iter().for_each(|id| self.note_cancelled(id, at));
+    }
+
+    /// Every controller that is up says so of all that is cancelled.
+    pub fn check_cancelled(&self) {
+        for id in self.accepted.iter().filter(|(_, a)| a.cancelled.is_some()).map(|(id, _)| id) {
+            for (n, node) in self.cluster.nodes.iter().enumerate().filter(|(_, node)| node.child.is_some()) {
+                let word = status(node.client, id);
+                assert_eq!(word.as_deref(), Some("cancelled"), "{id} at {n}, {:?}", self.versions[n]);
+            }
+        }
+    }
+
+    /// Lets the tasks of a job end.
+    pub fn finish(&self, id: &str) {
+        self.cluster.worker.lock().unwrap().finish(id);
+    }
+
+    /// Waits until a job is done, for every controller.
+    pub fn wait_until_done(&self, id: &str) {
+        for at in self.clients() {
+            wait_up_to(DONE_PATIENCE, &format!("{id} is done"), || (status(at, id)? == "done").then_some(()));
+        }
+    }
+}
+
+/// A text in a map.
+pub fn text_field<'a>(v: &'a Value, name: &str) -> Option<&'a str> {
+    v.as_map()?.iter().find(|(k, _)| k.as_text() == Some(name))?.1.as_text()
+}
+
+/// Code and status of an answer.
+pub fn answer_of(a: Option<Answer>) -> (u16, Option<String>) {
+    let (code, bytes) = a.expect("no answer");
+    (code, status_word(&bytes))
+}
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -4,342 +4,26 @@
 
 mod loopback_cluster;
 
-use std::{
-    collections::{BTreeMap, BTreeSet},
-    net::SocketAddr,
-    sync::{
-        atomic::{AtomicBool, Ordering},
-        Arc, Mutex,
-    },
-    thread::{self, JoinHandle},
-    time::{Duration, Instant},
-};
+use std::{net::SocketAddr, thread, time::Duration};
 
 use ciborium::Value;
 use loopback_cluster::{
     cluster::Cluster,
-    controllers::{this_version, Shared},
+    controllers::Shared,
     http::{call, Answer},
     state_service::Limits,
-    users::{abort, ids, is_ready, job, job_after, poll, status, status_word, submit, with},
-    versions::{production, without_pipelines},
-    wait_for, wait_up_to,
-    worker::{TaskChange, TaskEvent},
+    upgrade::{answer_of, batch, Job, Upgrade, Version},
+    users::{abort, ids, is_ready, job, job_after, poll, status, submit, with},
+    versions::without_pipelines,
+    wait_for,
 };
-use shedhook::protocol::{cbor as body, workers::ExitReason};
+use shedhook::protocol::cbor as body;
 
 const SHARED: Shared = Shared { lease_s: 30, cancel_s: 50, next: None };
 /// The limits announced and then put in force in the last test.
 const LOWERED: Limits = Limits { value_kb: 1, txn_ops: 6 };
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Version {
-    Production,
-    This,
-}
-
-/// A job to be submitted.
-#[derive(Debug, Clone, Copy)]
-struct Job<'a> {
-    id: &'a str,
-    kind: &'a str,
-    tasks: u32,
-    prereqs: &'a [&'a str],
-}
-
-fn batch<'a>(id: &'a str, tasks: u32, prereqs: &'a [&'a str]) -> Job<'a> {
-    Job { id, kind: "batch", tasks, prereqs }
-}
-
-/// Tasks small enough that a hundred of them fit the worker.
-fn small_tasks(bytes: &[u8]) -> Vec<u8> {
-    with(&with(bytes, "cpus", Value::Float(0.05)), "memoryGb", Value::Float(0.1))
-}
-
-/// What the test knows of an accepted job.
-#[derive(Debug, Default)]
-struct Accepted {
-    tasks: u32,
-    prereqs: Vec<String>,
-    /// When its user had been told that it, or one that it needs, is cancelled.
-    cancelled: Option<Instant>,
-}
-
-// ---- answers that must stay ---------------------------------------------------
-
-/// Statuses that were told and may not change any more, and what broke that.
-#[derive(Debug, Default)]
-struct Told {
-    jobs: BTreeSet<String>,
-    last: BTreeMap<String, String>,
-    broken: Vec<String>,
-    /// Answers that were compared.
-    answers: usize,
-}
-
-impl Told {
-    /// `before`: what was final when the question was asked.
-    fn hear(&mut self, id: &str, before: Option<&str>, code: u16, bytes: &[u8]) {
-        if code == 404 {
-            self.broken.push(format!("{id} is forgotten"));
-        }
-        if code != 200 {
-            return;
-        }
-        self.answers += 1;
-        let word = status_word(bytes).unwrap_or_default();
-        if before.is_some_and(|b| b != word) {
-            self.broken.push(format!("{id} was {before:?}, then {word}"));
-        }
-        if word == "done" || word == "cancelled" {
-            self.last.insert(id.to_owned(), word);
-        }
-    }
-}
-
-/// Polls every accepted job at every controller all the time.
-struct AnswerWatch {
-    told: Arc<Mutex<Told>>,
-    stop: Arc<AtomicBool>,
-    thread: Option<JoinHandle<()>>,
-}
-
-impl AnswerWatch {
-    fn start(controllers: Vec<SocketAddr>) -> AnswerWatch {
-        let (told, stop) = (Arc::<Mutex<Told>>::default(), Arc::<AtomicBool>::default());
-        let (shared, stopped) = (told.clone(), stop.clone());
-        let thread = thread::spawn(move || {
-            while !stopped.load(Ordering::Relaxed) {
-                let jobs = shared.lock().unwrap().jobs.clone();
-                for id in &jobs {
-                    controllers.iter().for_each(|at| ask(&shared, *at, id));
-                }
-                thread::sleep(Duration::from_millis(100));
-            }
-        });
-        AnswerWatch { told, stop, thread: Some(thread) }
-    }
-
-    fn accepted(&self, id: &str) {
-        self.told.lock().unwrap().jobs.insert(id.to_owned());
-    }
-
-    /// Ends the polls, and fails the test if an answer was taken back.
-    fn end(&mut self) {
-        self.stop.store(true, Ordering::Relaxed);
-        let ended = self.thread.take().is_none_or(|t| t.join().is_ok());
-        let told = self.told.lock().unwrap();
-        assert!(ended && told.broken.is_empty(), "{:?}", told.broken);
-        assert!(told.answers > told.jobs.len(), "hardly anything was answered: {}", told.answers);
-    }
-}
-
-fn ask(told: &Mutex<Told>, at: SocketAddr, id: &str) {
-    let before = told.lock().unwrap().last.get(id).cloned();
-    if let Some((code, bytes)) = poll(at, id) {
-        told.lock().unwrap().hear(id, before.as_deref(), code, &bytes);
-    }
-}
-
-impl Drop for AnswerWatch {
-    fn drop(&mut self) {
-        self.stop.store(true, Ordering::Relaxed);
-    }
-}
-
-// ---- an upgrade under way -------------------------------------------------------
-
-/// A cluster whose controllers have versions, and the jobs accepted by it.
-struct Upgrade {
-    cluster: Cluster,
-    versions: [Version; 3],
-    accepted: BTreeMap<String, Accepted>,
-    watch: AnswerWatch,
-}
-
-impl Upgrade {
-    /// All controllers run the production version.
-    fn start(name: &str) -> Upgrade {
-        let cluster = Cluster::start_as(name, &SHARED, production());
-        let watch = AnswerWatch::start(cluster.nodes.iter().map(|n| n.client).collect());
-        Upgrade { cluster, versions: [Version::Production; 3], accepted: BTreeMap::new(), watch }
-    }
-
-    fn client(&self, n: usize) -> SocketAddr {
-        self.cluster.nodes[n].client
-    }
-
-    fn clients(&self) -> [SocketAddr; 3] {
-        [self.client(0), self.client(1), self.client(2)]
-    }
-
-    /// Starts a controller, which is down, with the version that it has.
-    fn start_again(&mut self, n: usize) {
-        let program = match self.versions[n] {
-            Version::Production => production(),
-            Version::This => this_version(),
-        };
-        self.cluster.nodes[n].start_as(program);
-        let at = self.client(n);
-        wait_for("ready", || is_ready(at).then_some(()));
-    }
-
-    /// Kills a controller, which comes back with this version.
-    fn replace(&mut self, n: usize) {
-        self.cluster.nodes[n].kill();
-        self.versions[n] = Version::This;
-        self.start_again(n);
-    }
-
-    /// Kills a controller, which comes back with the version that it had.
-    fn restart(&mut self, n: usize) {
-        self.cluster.nodes[n].kill();
-        self.start_again(n);
-    }
-
-    /// Whose label the leader's key holds.
-    fn leader(&self) -> Option<usize> {
-        let store = self.cluster.store.lock().unwrap();
-        let label = text_field(&store.keys.get("leader")?.0, "l")?.to_owned();
-        label.strip_prefix("n-")?.parse().ok()
-    }
-
-    /// Waits until a controller of a version, which is up, leads.
-    fn wait_for_leader(&self, version: Version) -> usize {
-        wait_for(&format!("a leader of {version:?}"), || {
-            let is_up = |n: &usize| self.cluster.nodes[*n].child.is_some();
-            self.leader().filter(is_up).filter(|n| self.versions[*n] == version)
-        })
-    }
-
-    fn submit(&mut self, n: usize, job: Job) {
-        self.submit_body(n, job, |bytes| bytes);
-    }
-
-    fn submit_small(&mut self, n: usize, job: Job) {
-        self.submit_body(n, job, |bytes| small_tasks(&bytes));
-    }
-
-    fn submit_body(&mut self, n: usize, j: Job, change: impl Fn(Vec<u8>) -> Vec<u8>) {
-        let bytes = change(with(&job(j.id, j.kind, j.tasks), "prereqs", ids(j.prereqs)));
-        let at = self.client(n);
-        wait_for(j.id, || submit(at, &bytes).filter(|a| a.0 < 300));
-        self.note_accepted(j.id, j.tasks, j.prereqs);
-    }
-
-    fn note_accepted(&mut self, id: &str, tasks: u32, prereqs: &[&str]) {
-        let prereqs: Vec<String> = prereqs.iter().map(|p| (*p).to_owned()).collect();
-        let cancelled = prereqs.iter().any(|p| self.accepted[p].cancelled.is_some()).then(Instant::now);
-        self.accepted.insert(id.to_owned(), Accepted { tasks, prereqs, cancelled });
-        self.watch.accepted(id);
-    }
-
-    /// Cancels a job; all that need it are cancelled with it, for everybody.
-    fn cancel(&mut self, n: usize, id: &str) {
-        let at = self.client(n);
-        let answer = wait_for("cancelled", || abort(at, id).filter(|a| a.0 == 200));
-        assert_eq!(answer_of(Some(answer)), (200, Some("cancelled".to_owned())), "{id}");
-        self.note_cancelled(id, Instant::now());
-        self.check_cancelled();
-    }
-
-    fn note_cancelled(&mut self, id: &str, at: Instant) {
-        self.accepted.get_mut(id).unwrap().cancelled = Some(at);
-        let needs = |a: &Accepted| a.cancelled.is_none() && a.prereqs.iter().any(|p| p == id);
-        let after: Vec<String> = self.accepted.iter().filter(|(_, a)| needs(a)).map(|(id, _)| id.clone()).collect();
-        after.iter().for_each(|id| self.note_cancelled(id, at));
-    }
-
-    /// Every controller that is up says so of all that is cancelled.
-    fn check_cancelled(&self) {
-        for id in self.accepted.iter().filter(|(_, a)| a.cancelled.is_some()).map(|(id, _)| id) {
-            for (n, node) in self.cluster.nodes.iter().enumerate().filter(|(_, node)| node.child.is_some()) {
-                let word = status(node.client, id);
-                assert_eq!(word.as_deref(), Some("cancelled"), "{id} at {n}, {:?}", self.versions[n]);
-            }
-        }
-    }
-
-    fn finish(&self, id: &str) {
-        self.cluster.worker.lock().unwrap().finish(id);
-    }
-
-    /// Waits until a job is done, for every controller.
-    fn wait_until_done(&self, id: &str) {
-        for at in self.clients() {
-            wait_up_to(Duration::from_secs(90), &format!("{id} is done"), || (status(at, id)? == "done").then_some(()));
-        }
-    }
-
-    /// Ends the test: answers stayed, and tasks ran in order and once.
-    fn check_history(&mut self) {
-        self.watch.end();
-        let done_records = self.done_records();
-        let events = self.cluster.worker.lock().unwrap().events.clone();
-        for (id, job) in &self.accepted {
-            let starts: Vec<&TaskEvent> =
-                events.iter().filter(|e| e.job() == id && e.change == TaskChange::Started).collect();
-            check_started_once(id, job, &starts, done_records.contains_key(id));
-            for start in starts {
-                self.check_prerequisites(job, start, &done_records, &events);
-            }
-        }
-    }
-
-    /// Every job that was recorded as done, and when.
-    fn done_records(&self) -> BTreeMap<String, Instant> {
-        let store = self.cluster.store.lock().unwrap();
-        let mut out = BTreeMap::new();
-        for entry in &store.log {
-            let (Some(key), Some(v)) = (&entry.change.write, &entry.change.v) else { continue };
-            let Some(id) = key.strip_prefix("j/") else { continue };
-            if text_field(v, "st") == Some("d") {
-                out.entry(id.to_owned()).or_insert(entry.at);
-            }
-        }
-        out
-    }
-
-    /// Before a task starts, all that its job needs has ended on the worker, and
-    /// is recorded as done.
-    fn check_prerequisites(
-        &self,
-        job: &Accepted,
-        start: &TaskEvent,
-        done: &BTreeMap<String, Instant>,
-        events: &[TaskEvent],
-    ) {
-        for p in &job.prereqs {
-            assert!(done.get(p).is_some_and(|at| *at <= start.at), "{} started before {p} was done", start.task);
-            let is_end = |e: &&TaskEvent| e.job() == p && e.change == TaskChange::Ended(ExitReason::Done);
-            let ended = events.iter().filter(is_end).filter(|e| e.at <= start.at).count();
-            assert_eq!(ended, self.accepted[p].tasks as usize, "{} started before {p} had ended", start.task);
-        }
-    }
-}
-
-/// No task starts twice, or after its user was told that it is cancelled; where
-/// the job is done each has started.
-fn check_started_once(id: &str, job: &Accepted, starts: &[&TaskEvent], is_done: bool) {
-    let tasks: BTreeSet<&str> = starts.iter().map(|e| &*e.task).collect();
-    assert_eq!(tasks.len(), starts.len(), "{id}: a task ran twice: {starts:?}");
-    if is_done {
-        assert_eq!(starts.len(), job.tasks as usize, "{id} is done");
-    }
-    if let Some(at) = job.cancelled {
-        assert!(starts.iter().all(|e| e.at <= at), "{id} started though it is cancelled: {starts:?}");
-    }
-}
-
-fn text_field<'a>(v: &'a Value, name: &str) -> Option<&'a str> {
-    v.as_map()?.iter().find(|(k, _)| k.as_text() == Some(name))?.1.as_text()
-}
-
-/// Code and status of an answer.
-fn answer_of(a: Option<Answer>) -> (u16, Option<String>) {
-    let (code, bytes) = a.expect("no answer");
-    (code, status_word(&bytes))
-}
+// ---- both serve ---------------------------------------------------------------------
 
 /// Code, fields and texts of an answer: all but the counts, which are for display
 /// and may lag.
@@ -351,8 +35,6 @@
     (code, fields.iter().map(|(k, x)| (text(k).unwrap_or_default(), text(x))).collect())
 }
 
-// ---- (a) both serve -----------------------------------------------------------------
-
 /// Asked the same, both versions answer the same.
 fn check_alike(u: &Upgrade, what: &str, ask: impl Fn(SocketAddr) -> Option<Answer>) -> u16 {
     let answers = u.clients().map(|at| form_of(ask(at)));
@@ -362,7 +44,7 @@
 
 #[test]
 fn both_versions_serve_alike() {
-    let mut u = Upgrade::start("alike");
+    let mut u = Upgrade::start("alike", &SHARED);
     u.replace(2);
     const OLD: usize = 0;
     const NEW: usize = 2;
@@ -447,7 +129,7 @@
     u.check_history();
 }
 
-// ---- (b) leadership ------------------------------------------------------------------
+// ---- leadership ------------------------------------------------------------------
 
 const FIRST_STAGE: usize = 1;
 
@@ -490,7 +172,7 @@
 
 #[test]
 fn leadership_passes_from_version_to_version() {
-    let mut u = Upgrade::start("leadership");
+    let mut u = Upgrade::start("leadership", &SHARED);
     u.submit(0, batch("j-100001", 1, &[]));
     u.submit(1, Job { id: "j-100002", kind: "service", tasks: 1, prereqs: &[] });
     u.submit(2, batch("j-000001", 1, &["j-100001"]));
@@ -540,7 +222,7 @@
     u.check_history();
 }
 
-// ---- (c) one by one -------------------------------------------------------------------
+// ---- one by one -------------------------------------------------------------------
 
 /// A chain of three, whose first runs until it is let go, each accepted elsewhere.
 fn submit_chain(u: &mut Upgrade, chain: &[&str; 3]) {
@@ -552,7 +234,7 @@
 
 #[test]
 fn replaced_one_by_one_with_pipelines_under_way() {
-    let mut u = Upgrade::start("one-by-one");
+    let mut u = Upgrade::start("one-by-one", &SHARED);
     let kept = ["j-100001", "j-000011", "j-000012"];
     let cancelled_before = ["j-100002", "j-000021", "j-000022"];
     let cancelled_at_new = ["j-100003", "j-000031", "j-000032"];
@@ -600,7 +282,7 @@
     u.check_history();
 }
 
-// ---- (d) limits ---------------------------------------------------------------------
+// ---- limits ---------------------------------------------------------------------
 
 /// Refusals for size that a cluster may meet: a process may learn of the lower
 /// limits by one, and three are there then, two of which are replaced.
@@ -609,7 +291,7 @@
 #[test]
 fn limits_are_lowered_amid_the_upgrade() {
     // Recorded when nothing was announced yet: in chunks too large for later.
-    let mut u = Upgrade::start("limits");
+    let mut u = Upgrade::start("limits", &SHARED);
     u.submit_small(0, batch("j-100001", 120, &[]));
     u.submit_small(1, Job { id: "j-100002", kind: "ensemble", tasks: 40, prereqs: &["j-100001"] });
     u.submit_small(2, batch("j-000003", 3, &["j-100002"]));
@@ -619,10 +301,7 @@
     wait_for("the array runs", || (u.cluster.runs("j-100001") == 120).then_some(()));
 
     // The old version, with settings that announce them.
-    u.watch.end();
     u.cluster.change_settings(&Shared { next: Some(LOWERED), ..SHARED });
-    u.watch = AnswerWatch::start(u.clients().to_vec());
-    u.accepted.keys().for_each(|id| u.watch.accepted(id));
     for n in 0..3 {
         u.start_again(n);
     }
