--- a/src/bookkeeping/barrier.rs
+++ b/src/bookkeeping/barrier.rs
@@ -1,12 +1,22 @@
-//! The read barrier: an answer about a job may be given only after a read of
-//! the changes that was *sent* after the question came. One read serves all
-//! who were queued_waiters when it was sent.
+//! The read barrier, which makes reads from the local cache linearizable: a
+//! request about a job is answered only after a read of the changes that was
+//! *sent* after the request arrived. One read serves all requests that were
+//! queued when it was sent.
 
+/// A request that waits for the barrier.
+#[derive(Debug)]
+struct Queued<W> {
+    since: u64,
+    waiter: W,
+}
+
+/// Requests that wait for a read. Times are in ms on the steady clock.
 #[derive(Debug)]
 pub struct Barrier<W> {
-    queued_waiters: Vec<(u64, W)>,
-    in_flight_waiters: Vec<(u64, W)>,
+    queued_waiters: Vec<Queued<W>>,
+    in_flight_waiters: Vec<Queued<W>>,
     in_flight: bool,
+    /// Earliest time of the next read, which limits their rate.
     not_before: u64,
 }
 
@@ -17,53 +27,58 @@
 }
 
 impl<W> Barrier<W> {
-    pub fn join(&mut self, now: u64, who: W) {
-        self.queued_waiters.push((now, who));
+    /// Adds a request.
+    pub fn join(&mut self, now: u64, waiter: W) {
+        self.queued_waiters.push(Queued { since: now, waiter });
     }
 
-    /// The next read need not keep the gap: somebody waits for it who is seldom.
+    /// Lets the next read be sent at once, for a rare request that needs it.
     pub fn expedite(&mut self, now: u64) {
         self.not_before = self.not_before.min(now);
     }
 
+    /// Number of requests that wait.
     pub fn len(&self) -> usize {
         self.queued_waiters.len() + self.in_flight_waiters.len()
     }
 
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// True when a read should be sent now; the caller must then say how it ended.
+    /// Whether a read should be sent now. The caller must then call
+    /// [`sent`](Self::sent), and [`ended`](Self::ended) when the read is over.
     pub fn due(&self, now: u64) -> bool {
         !self.in_flight && !self.queued_waiters.is_empty() && now >= self.not_before
     }
 
+    /// A read was sent for all queued requests; the next one keeps a gap of `gap_ms`.
     pub fn sent(&mut self, now: u64, gap_ms: u64) {
         self.in_flight = true;
         self.not_before = now + gap_ms;
         self.in_flight_waiters = std::mem::take(&mut self.queued_waiters);
     }
 
-    /// The read ended; whoever it carried may be answered (or told 503).
+    /// The read is over: returns the requests that it was sent for.
     pub fn ended(&mut self) -> Vec<W> {
         self.in_flight = false;
-        std::mem::take(&mut self.in_flight_waiters).into_iter().map(|(_, w)| w).collect()
+        std::mem::take(&mut self.in_flight_waiters).into_iter().map(|queued| queued.waiter).collect()
     }
 
-    /// Those who have waited longer than they will listen.
+    /// Removes and returns the requests that have waited longer than `max_ms`.
     pub fn overdue(&mut self, now: u64, max_ms: u64) -> Vec<W> {
-        let mut out = Vec::new();
+        let mut overdue = Vec::new();
         for list in [&mut self.queued_waiters, &mut self.in_flight_waiters] {
-            for (at, w) in std::mem::take(list) {
-                if now.saturating_sub(at) > max_ms {
-                    out.push(w);
+            for queued in std::mem::take(list) {
+                if now.saturating_sub(queued.since) > max_ms {
+                    overdue.push(queued.waiter);
                 } else {
-                    list.push((at, w));
+                    list.push(queued);
                 }
             }
         }
-        out
+        overdue
     }
 }
 
--- a/src/bookkeeping/mod.rs
+++ b/src/bookkeeping/mod.rs
@@ -1,5 +1,5 @@
-//! What outlives a process: records in the state service, the job cache of them,
-//! the read barrier, and the budgets that outside services are asked within.
+//! The records in the state service, a local cache of the jobs' records, the read
+//! barrier in front of it, and the request budgets of the outside services.
 
 pub mod barrier;
 pub mod budget;
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -1,8 +1,11 @@
 //! Keys and values in the state service.
 //!
-//! `leader`: who leads, attached to its grant; `leader/LABEL`: a controller that
-//! may keep workers' leases, attached to a grant of its own. `j/ID`: a job's record: its
-//! submission and status. `t/ID/CHUNK`: where a part of its tasks may be.
+//! | Key | Value |
+//! |---|---|
+//! | `leader` | the current leader, attached to its grant |
+//! | `leader/LABEL` | a controller that may renew workers' leases, attached to a grant of its own |
+//! | `j/ID` | a job: its submission and status |
+//! | `t/ID/CHUNK` | which of a chunk of the job's tasks are done, and where the others may run |
 
 use std::fmt::Write as _;
 
@@ -11,28 +14,35 @@
 
 use crate::protocol::jobs::Submission;
 
+/// Key of the leader, and prefix of the renewal keys.
 pub const LEADER: &str = "leader";
+/// Prefix of the jobs' keys.
 pub const JOBS: &str = "j/";
+/// Prefix of the chunks' keys.
 pub const TASKS: &str = "t/";
 
-/// The key under which a controller says that it may keep leases.
+/// The key of a controller that may renew leases without leading.
 pub fn renewal_key(label: &str) -> String {
     format!("{LEADER}/{label}")
 }
 
+/// The key of a job.
 pub fn job_key(id: &str) -> String {
     format!("{JOBS}{id}")
 }
 
+/// The key of a chunk of a job's tasks.
 pub fn chunk_key(id: &str, chunk: u32) -> String {
     format!("{TASKS}{id}/{chunk:06}")
 }
 
+/// The job and the number of a chunk's key.
 pub fn split_chunk_key(key: &str) -> Option<(&str, u32)> {
-    let (id, n) = key.strip_prefix(TASKS)?.rsplit_once('/')?;
-    Some((id, n.parse().ok()?))
+    let (id, chunk) = key.strip_prefix(TASKS)?.rsplit_once('/')?;
+    Some((id, chunk.parse().ok()?))
 }
 
+/// Status of a job. The last two are final.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Status {
     #[serde(rename = "p")]
@@ -43,6 +53,7 @@
     Done,
 }
 
+/// Record of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     #[serde(rename = "s")]
@@ -57,15 +68,17 @@
     pub chunk: u32,
 }
 
+/// Record of a controller that leads, or may renew leases.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     #[serde(rename = "l")]
     pub label: String,
+    /// Identifies the start of the process, or its grant.
     #[serde(rename = "n")]
     pub nonce: u64,
 }
 
-/// Where one task may be.
+/// Where one task may be running; encoded as an array.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AssignmentRecord(
     /// Task number.
@@ -80,67 +93,101 @@
     pub String,
 );
 
+/// Record of a chunk of a job's tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct ChunkRecord {
-    /// Done tasks, four to a hex digit, first task lowest bit of the first digit.
+    /// Done tasks as hex digits; the first task is the lowest bit of the first digit.
     #[serde(rename = "d")]
     pub done: String,
     #[serde(rename = "p")]
     pub assignments: Vec<AssignmentRecord>,
-    /// Who wrote it, to tell one's own late write.
+    /// Identifies the writer, which so recognizes its own late write.
     #[serde(rename = "w")]
     pub tag: u64,
 }
 
-/// Tasks per chunk, so that a full one stays below the limit of a value.
-/// `zone_len`: the longest name of a zone.
+/// Bytes of an [`AssignmentRecord`] in JSON form without the zone's name, at
+/// most: fields of 6, 14, 7 and 20 bytes, brackets, quotes, commas and spaces;
+/// and some in reserve.
+const ASSIGNMENT_BYTES: f64 = 63.0;
+/// Bytes of a [`ChunkRecord`] besides its assignments.
+const CHUNK_OVERHEAD_BYTES: f64 = 64.0;
+/// Tasks per hex digit of [`ChunkRecord::done`].
+const TASKS_PER_DIGIT: usize = 4;
+/// Fewest and most tasks per chunk. A larger chunk would make each write of it
+/// more expensive, and conflicts more likely.
+const MIN_CHUNK_SIZE: u32 = 4;
+const MAX_CHUNK_SIZE: u32 = 128;
+
+/// Tasks per chunk, so that the record of a full one stays below the limit of a
+/// value. `zone_len` is the length of the longest name of a zone.
 pub fn chunk_size(value_kb: f64, zone_len: usize) -> u32 {
-    // A place in JSON form: five fields, of up to 6, 14, 7 and 20 bytes and the
-    // zone's name, in brackets, with quotes, commas and perhaps spaces; and a bit.
-    let assignment = 63.0 + zone_len as f64;
-    const REST: f64 = 64.0;
-    (((value_kb * 1024.0 - REST) / assignment).max(0.0) as u32).clamp(4, 128) / 4 * 4
+    let assignment_bytes = ASSIGNMENT_BYTES + zone_len as f64;
+    let fitting = ((value_kb * 1024.0 - CHUNK_OVERHEAD_BYTES) / assignment_bytes).max(0.0) as u32;
+    let digit = TASKS_PER_DIGIT as u32;
+    fitting.clamp(MIN_CHUNK_SIZE, MAX_CHUNK_SIZE) / digit * digit
 }
 
+/// Packs which tasks are done, for [`ChunkRecord::done`].
 pub fn pack_done(done: impl Iterator<Item = bool>) -> String {
-    let mut out = String::new();
-    let mut nibble = 0u8;
-    let mut n = 0;
-    for d in done {
-        nibble |= u8::from(d) << (n % 4);
-        n += 1;
-        if n % 4 == 0 {
-            let _ = write!(out, "{nibble:x}");
-            nibble = 0;
+    let mut packed = String::new();
+    let mut digit = 0u8;
+    let mut count = 0;
+    for is_done in done {
+        digit |= u8::from(is_done) << (count % TASKS_PER_DIGIT);
+        count += 1;
+        if count % TASKS_PER_DIGIT == 0 {
+            let _ = write!(packed, "{digit:x}");
+            digit = 0;
         }
     }
-    if n % 4 != 0 {
-        let _ = write!(out, "{nibble:x}");
+    if count % TASKS_PER_DIGIT != 0 {
+        let _ = write!(packed, "{digit:x}");
     }
-    out
+    packed
 }
 
-pub fn is_done(packed: &str, n: usize) -> bool {
-    packed.as_bytes().get(n / 4).and_then(|&b| char::from(b).to_digit(16)).is_some_and(|d| d >> (n % 4) & 1 == 1)
+/// Whether a task is done, by its position in the chunk.
+pub fn is_done(packed: &str, position: usize) -> bool {
+    let byte = packed.as_bytes().get(position / TASKS_PER_DIGIT);
+    let digit = byte.and_then(|&byte| char::from(byte).to_digit(16));
+    digit.is_some_and(|digit| digit >> (position % TASKS_PER_DIGIT) & 1 == 1)
 }
 
-pub fn to_value<T: Serialize>(v: &T) -> Value {
-    Value::serialized(v).unwrap_or(Value::Null)
+/// A record as a value of the state service.
+pub fn to_value<T: Serialize>(record: &T) -> Value {
+    Value::serialized(record).unwrap_or(Value::Null)
 }
 
+// Sizes of JSON forms, in bytes, rounded up.
+const JSON_WORD_BYTES: usize = 5;
+const JSON_FLOAT_BYTES: usize = 20;
+const JSON_OTHER_BYTES: usize = 32;
+/// Bytes that escaping adds to a character: `\u0000` instead of one.
+const JSON_ESCAPE_BYTES: usize = 5;
+/// Brackets, braces or quotes around a value.
+const JSON_DELIMITER_BYTES: usize = 2;
+
 /// Size of a value as the service counts it, in JSON form, rounded up.
-pub fn json_size(v: &Value) -> usize {
-    match v {
-        Value::Null | Value::Bool(_) => 5,
-        Value::Integer(i) => {
-            let n = i128::from(*i);
-            usize::from(n < 0) + n.unsigned_abs().checked_ilog10().unwrap_or(0) as usize + 1
+pub fn json_size(value: &Value) -> usize {
+    match value {
+        Value::Null | Value::Bool(_) => JSON_WORD_BYTES,
+        Value::Integer(integer) => {
+            let integer = i128::from(*integer);
+            let further_digits = integer.unsigned_abs().checked_ilog10().unwrap_or(0) as usize;
+            usize::from(integer < 0) + further_digits + 1
+        }
+        Value::Float(_) => JSON_FLOAT_BYTES,
+        Value::Text(text) => {
+            let escaped = text.bytes().filter(|byte| *byte < b' ' || matches!(byte, b'"' | b'\\')).count();
+            text.len() + escaped * JSON_ESCAPE_BYTES + JSON_DELIMITER_BYTES
+        }
+        Value::Array(items) => JSON_DELIMITER_BYTES + items.iter().map(|item| json_size(item) + 1).sum::<usize>(),
+        Value::Map(entries) => {
+            let entry_size = |(key, value): &(Value, Value)| json_size(key) + json_size(value) + 2;
+            JSON_DELIMITER_BYTES + entries.iter().map(entry_size).sum::<usize>()
         }
-        Value::Float(_) => 20,
-        Value::Text(s) => s.len() + s.bytes().filter(|b| *b < 0x20 || matches!(b, b'"' | b'\\')).count() * 5 + 2,
-        Value::Array(l) => 2 + l.iter().map(|x| json_size(x) + 1).sum::<usize>(),
-        Value::Map(m) => 2 + m.iter().map(|(k, x)| json_size(k) + json_size(x) + 2).sum::<usize>(),
-        _ => 32,
+        _ => JSON_OTHER_BYTES,
     }
 }
 
--- a/src/bookkeeping/tests/barrier.rs
+++ b/src/bookkeeping/tests/barrier.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::Barrier;
 
 #[test]
 fn a_read_serves_only_those_who_came_before_it() {
--- a/src/bookkeeping/tests/budget.rs
+++ b/src/bookkeeping/tests/budget.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::{share, Budget, BudgetRole, Urgency};
 
 #[test]
 fn budget_table() {
--- a/src/bookkeeping/tests/records.rs
+++ b/src/bookkeeping/tests/records.rs
@@ -1,4 +1,8 @@
-use super::*;
+use ciborium::Value;
+
+use super::{
+    chunk_key, chunk_size, is_done, json_size, pack_done, split_chunk_key, to_value, AssignmentRecord, ChunkRecord,
+};
 
 #[test]
 fn done_bits_and_chunks_survive() {
--- a/src/bookkeeping/tests/versions.rs
+++ b/src/bookkeeping/tests/versions.rs
@@ -1,7 +1,11 @@
-use super::*;
-use crate::{bookkeeping::records::to_value, protocol::store::Pair};
 use ciborium::Value;
 
+use super::{Evidence, VersionRecord, VERSION};
+use crate::{
+    bookkeeping::records::to_value,
+    protocol::store::{Page, Pair},
+};
+
 #[test]
 fn evidence_table() {
     let new = || to_value(&VersionRecord { version: VERSION, nonce: 7 });
--- a/src/bookkeeping/versions.rs
+++ b/src/bookkeeping/versions.rs
@@ -1,8 +1,8 @@
-//! Which controllers run this version: what they may only do once all do.
+//! Which controllers run this version, for features that need all of them to.
 //!
-//! A controller of this version writes a key under no grant, `version/LABEL`,
-//! when it starts. Versions before it know no such key. Only an operator who
-//! goes back removes it.
+//! A controller of this version writes the key `version/LABEL`, attached to no
+//! grant, when it starts. Older versions write no such key. It is removed only by
+//! an operator who rolls a controller back.
 
 use std::collections::BTreeSet;
 
@@ -10,24 +10,28 @@
 
 use crate::protocol::store::Page;
 
+/// Prefix of the version keys.
 pub const VERSIONS: &str = "version/";
-/// The first that takes prerequisites is 2; those before it write nothing.
+/// This version. 2 is the first with prerequisites; older ones write no key.
 pub const VERSION: u64 = 2;
 
+/// The version key of a controller.
 pub fn version_key(label: &str) -> String {
     format!("{VERSIONS}{label}")
 }
 
+/// Value of a version key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
     #[serde(rename = "v")]
     pub version: u64,
+    /// Identifies the start of the process that wrote it.
     #[serde(rename = "n")]
     pub nonce: u64,
 }
 
-/// Evidence that no older version is left: a label whose key was read has had
-/// its old process replaced, and doesn't get it back while the key stands.
+/// Evidence that no controller runs an older version: one whose key was read has
+/// been upgraded, and is not rolled back while the key exists.
 #[derive(Debug, Default)]
 pub struct Evidence {
     labels: BTreeSet<String>,
@@ -35,26 +39,32 @@
 }
 
 impl Evidence {
+    /// No evidence yet about the controllers with these labels.
     pub fn new<'a>(labels: impl Iterator<Item = &'a str>) -> Evidence {
         let labels: BTreeSet<String> = labels.map(str::to_owned).collect();
         Evidence { missing: labels.clone(), labels }
     }
 
-    /// Guard: only what was read counts; nothing is concluded from silence.
+    /// Takes a complete listing of the version keys.
+    ///
+    /// Guard: a controller that can't be reached might run an older version, so
+    /// only keys that were read count as evidence.
     pub fn saw(&mut self, page: &Page) {
         self.missing = self.labels.clone();
-        for p in &page.pairs {
-            let Some(label) = p.key.strip_prefix(VERSIONS) else { continue };
-            if p.v.deserialized::<VersionRecord>().is_ok_and(|r| r.version >= VERSION) {
+        for pair in &page.pairs {
+            let Some(label) = pair.key.strip_prefix(VERSIONS) else { continue };
+            if pair.v.deserialized::<VersionRecord>().is_ok_and(|record| record.version >= VERSION) {
                 self.missing.remove(label);
             }
         }
     }
 
+    /// Whether all controllers are known to run this version.
     pub fn is_complete(&self) -> bool {
         self.missing.is_empty()
     }
 
+    /// Number of controllers not known to run this version.
     pub fn missing(&self) -> usize {
         self.missing.len()
     }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,15 +1,17 @@
-//! Cloud's interface.
+//! The interface of the cloud: machine types, and renting and returning hosts.
 
 use serde::{Deserialize, Serialize};
 
 use super::cbor::number;
 
+/// The list of machine types.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Flavors {
     #[serde(rename = "breeds")]
     pub types: Vec<Flavor>,
 }
 
+/// A machine type as the cloud describes it.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(rename_all = "camelCase")]
 pub struct Flavor {
@@ -40,8 +42,10 @@
     pub zones: Vec<String>,
 }
 
+/// Asks for hosts of one type in one zone.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct RentRequest {
+    /// Makes the request idempotent: the same name rents only once.
     #[serde(rename = "ask")]
     pub request: String,
     #[serde(rename = "breed")]
@@ -54,11 +58,13 @@
     pub count: u32,
 }
 
+/// Hosts by name: those that were rented, or are to be returned.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HostNames {
     pub hosts: Vec<String>,
 }
 
+/// A part of the list of rented hosts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HostList {
     pub hosts: Vec<ListedHost>,
@@ -66,6 +72,7 @@
     pub truncated: bool,
 }
 
+/// A rented host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedHost {
     #[serde(rename = "nameId")]
@@ -85,6 +92,7 @@
     pub age_s: f64,
 }
 
+/// The state of a rented host.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 pub enum HostState {
     #[serde(rename = "booting")]
@@ -93,6 +101,7 @@
     Running,
     #[serde(rename = "failed")]
     Failed,
+    /// A state that a later version added.
     #[serde(other, rename = "other")]
     Other,
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,6 @@
-//! What is said on each interface, as typed messages. Wire names stay here.
+//! The messages of each interface as types, their encodings, and the settings.
+//!
+//! Names used on wires appear only here, in serde attributes.
 
 pub mod cbor;
 pub mod cloud;
--- a/src/protocol/names.rs
+++ b/src/protocol/names.rs
@@ -1,34 +1,35 @@
-//! Names are mapped to dense indices at the door; inside, indices are compared.
+//! Interned names: messages carry names, the rest of the program dense indices.
 
 use std::{collections::HashMap, marker::PhantomData};
 
 /// Maps names to dense indices of one kind, and back.
 #[derive(Debug, Clone)]
 pub struct Names<K> {
-    list: Vec<String>,
-    index: HashMap<String, u32>,
+    names: Vec<String>,
+    indices: HashMap<String, u32>,
     kind: PhantomData<K>,
 }
 
 impl<K> Default for Names<K> {
     fn default() -> Self {
-        Names { list: Vec::new(), index: HashMap::new(), kind: PhantomData }
+        Names { names: Vec::new(), indices: HashMap::new(), kind: PhantomData }
     }
 }
 
-macro_rules! kind {
+macro_rules! index_type {
     ($name:ident, $doc:literal) => {
         #[doc = $doc]
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
         pub struct $name(pub u32);
 
         impl From<u32> for $name {
-            fn from(n: u32) -> Self {
-                $name(n)
+            fn from(index: u32) -> Self {
+                $name(index)
             }
         }
 
         impl $name {
+            /// The index as a position in a list.
             pub fn at(self) -> usize {
                 self.0 as usize
             }
@@ -36,41 +37,46 @@
     };
 }
 
-kind!(TeamIx, "A team.");
-kind!(ClassIx, "A class of jobs.");
-kind!(ZoneIx, "A zone.");
-kind!(TypeIx, "A machine type.");
-kind!(ImageIx, "An image.");
+index_type!(TeamIx, "Index of a team.");
+index_type!(ClassIx, "Index of a class of jobs.");
+index_type!(ZoneIx, "Index of a zone.");
+index_type!(TypeIx, "Index of a machine type.");
+index_type!(ImageIx, "Index of an image.");
 
 impl<K: From<u32>> Names<K> {
+    /// The index of a name, which is added if it is new.
     pub fn intern(&mut self, name: &str) -> K {
-        if let Some(&ix) = self.index.get(name) {
-            return K::from(ix);
+        if let Some(&index) = self.indices.get(name) {
+            return K::from(index);
         }
-        let ix = self.list.len() as u32;
-        self.list.push(name.to_owned());
-        self.index.insert(name.to_owned(), ix);
-        K::from(ix)
+        let index = self.names.len() as u32;
+        self.names.push(name.to_owned());
+        self.indices.insert(name.to_owned(), index);
+        K::from(index)
     }
 
+    /// The index of a name, if it is known.
     pub fn find(&self, name: &str) -> Option<K> {
-        self.index.get(name).copied().map(K::from)
+        self.indices.get(name).copied().map(K::from)
     }
 
-    pub fn name(&self, ix: u32) -> &str {
-        self.list.get(ix as usize).map_or("?", String::as_str)
+    /// The name of an index; `?` for one that was never given out.
+    pub fn name(&self, index: u32) -> &str {
+        self.names.get(index as usize).map_or("?", String::as_str)
     }
 
+    /// Number of names.
     pub fn len(&self) -> usize {
-        self.list.len()
+        self.names.len()
     }
 
+    /// Whether there are no names yet.
     pub fn is_empty(&self) -> bool {
-        self.list.is_empty()
+        self.names.is_empty()
     }
 }
 
-/// The tables of one process.
+/// All interned names of one process.
 #[derive(Debug, Default, Clone)]
 pub struct Tables {
     pub teams: Names<TeamIx>,
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,47 +1,55 @@
-//! What controllers tell one another, in `bitcode`. Every frame repeats the
-//! whole snapshot it speaks of, so a lost one costs nothing but time.
+//! Frames between controllers, encoded with `bitcode`.
 //!
-//! Gossip is the form that every version reads. A newer form is a frame of its
-//! own, beside gossip, and goes only to a peer whose gossip has shown (`reads`)
-//! that it takes it; what rests on it must hold without it too.
+//! Each frame repeats the sender's whole state, so a lost frame causes only
+//! delay. Every version reads gossip. A newer message is a frame type of its own
+//! and is sent only to peers whose gossip shows that they read it (see
+//! [`Gossip::reads_notices`]); correctness must never depend on it.
 
 use std::collections::VecDeque;
 
 use bitcode::{Decode, Encode};
 
+/// The periodic state of one controller.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Gossip {
+    /// Label of the sender.
     pub from: String,
-    /// Of this start of the process, and which of its frames this is.
+    /// Identifies one start of the sender's process.
     pub nonce: u64,
+    /// Number of the frame within that start.
     pub count: u64,
     /// Milliseconds since the state service last answered the sender.
     pub state_age_ms: u64,
-    /// Workers' reports this controller turned away in the last seconds.
+    /// Workers' reports that the sender rejected in the last seconds.
     pub rejected_reports: u32,
     pub leading: bool,
-    /// What the sender uses a second of the state service's limits.
+    /// Reads per second that the sender uses of the state service's limit.
     pub reads_used: f64,
-    /// For users' requests, and for its own work as the leader.
+    /// Writes per second for users' requests.
     pub writes_used: f64,
+    /// Writes per second for the sender's own work as the leader.
     pub commits_used: f64,
-    /// The sender's steady clock, and those it last heard of others.
+    /// The sender's steady clock.
     pub clock_ms: u64,
+    /// The clocks that it last received from its peers.
     pub echoes: Vec<Echo>,
-    /// For how long it has kept no worker's lease.
+    /// Milliseconds since the sender last renewed a worker's lease without leading.
     pub no_renewal_ms: u64,
-    /// From the leader: counts of jobs that changed lately, for display.
+    /// From the leader: task counts of jobs that changed lately, for display.
     pub counts: Vec<Count>,
 }
 
-/// What was last heard from a controller: which start of it, and its clock then.
+/// What the sender last received from a peer: which start of its process, and
+/// its clock.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Echo {
+    /// Label of the peer.
     pub of: String,
     pub nonce: u64,
     pub clock_ms: u64,
 }
 
+/// Task counts of one job.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Count {
     pub job: String,
@@ -49,44 +57,47 @@
     pub running: u32,
 }
 
-/// A cancellation that a user was told of: the job's record stands with this stamp.
+/// A confirmed cancellation: the job's record is stored with this stamp.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Cancelled {
     pub job: String,
     pub stamp: u64,
 }
 
-/// Cancellations that the sender confirmed lately. They are facts, so late and
-/// repeated frames do no harm.
+/// Cancellations that the sender confirmed lately. They are final, so delayed
+/// and repeated frames do no harm.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Notice {
     pub from: String,
     pub cancelled: Vec<Cancelled>,
 }
 
+/// The content of a frame.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Frame {
     Gossip(Gossip),
     Notice(Notice),
 }
 
-/// First byte of every frame: the form of what follows.
+/// First byte of a frame with [`Gossip`].
 const GOSSIP: u8 = 3;
+/// First byte of a frame with a [`Notice`].
 const NOTICE: u8 = 4;
 
 impl Gossip {
-    /// Says in gossip which forms the sender reads: an echo of nobody, which
-    /// the first version passes over.
+    /// The entry of `echoes` that announces which frame types the sender reads:
+    /// it names no peer, so the first version ignores it.
     pub fn reads_mark() -> Echo {
         Echo { of: String::new(), nonce: u64::from(NOTICE), clock_ms: 0 }
     }
 
-    /// Whether the sender reads notices.
+    /// Whether the sender reads frames with a [`Notice`].
     pub fn reads_notices(&self) -> bool {
-        self.echoes.iter().any(|e| e.of.is_empty() && e.nonce >= u64::from(NOTICE))
+        self.echoes.iter().any(|echo| echo.of.is_empty() && echo.nonce >= u64::from(NOTICE))
     }
 }
 
+/// A frame that can't be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     #[error("an empty frame")]
@@ -97,55 +108,59 @@
     Garbled,
 }
 
-pub fn encode(f: &Frame) -> Vec<u8> {
-    let (form, bytes) = match f {
-        Frame::Gossip(g) => (GOSSIP, bitcode::encode(g)),
-        Frame::Notice(n) => (NOTICE, bitcode::encode(n)),
+/// Encodes a frame.
+pub fn encode(frame: &Frame) -> Vec<u8> {
+    let (frame_type, bytes) = match frame {
+        Frame::Gossip(gossip) => (GOSSIP, bitcode::encode(gossip)),
+        Frame::Notice(notice) => (NOTICE, bitcode::encode(notice)),
     };
-    let mut out = vec![form];
+    let mut out = vec![frame_type];
     out.extend(bytes);
     out
 }
 
+/// Decodes a frame.
 pub fn decode(bytes: &[u8]) -> Result<Frame, FrameError> {
     let garbled = |_| FrameError::Garbled;
     match bytes.split_first() {
         None => Err(FrameError::Empty),
         Some((&GOSSIP, rest)) => bitcode::decode(rest).map(Frame::Gossip).map_err(garbled),
         Some((&NOTICE, rest)) => bitcode::decode(rest).map(Frame::Notice).map_err(garbled),
-        Some((&v, _)) => Err(FrameError::Version(v)),
+        Some((&frame_type, _)) => Err(FrameError::Version(frame_type)),
     }
 }
 
-/// Which frames of a peer are news: a process that ended may have left some
-/// on their way, which arrive after those of its next start.
+/// Earlier starts of a peer that are remembered, to recognize their late frames.
+const MAX_EARLIER_STARTS: usize = 16;
+
+/// The order of a peer's frames: those of a process that ended may arrive after
+/// frames of its next start.
 #[derive(Debug, Default)]
 pub struct Order {
     nonce: u64,
     count: u64,
-    over: VecDeque<u64>,
+    earlier_starts: VecDeque<u64>,
 }
 
-/// Starts of a peer remembered as over.
-const STARTS: usize = 16;
-
 impl Order {
-    pub fn is_news(&mut self, g: &Gossip) -> bool {
-        if g.nonce == self.nonce {
-            let news = g.count > self.count;
-            self.count = self.count.max(g.count);
-            return news;
+    /// Whether a frame is newer than all that were seen.
+    pub fn is_news(&mut self, gossip: &Gossip) -> bool {
+        if gossip.nonce == self.nonce {
+            let is_news = gossip.count > self.count;
+            self.count = self.count.max(gossip.count);
+            return is_news;
         }
-        if self.over.contains(&g.nonce) {
+        if self.earlier_starts.contains(&gossip.nonce) {
             return false;
         }
         if self.nonce != 0 {
-            self.over.push_back(self.nonce);
-            if self.over.len() > STARTS {
-                self.over.pop_front();
+            self.earlier_starts.push_back(self.nonce);
+            if self.earlier_starts.len() > MAX_EARLIER_STARTS {
+                self.earlier_starts.pop_front();
             }
         }
-        (self.nonce, self.count) = (g.nonce, g.count);
+        self.nonce = gossip.nonce;
+        self.count = gossip.count;
         true
     }
 }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,15 +1,18 @@
-//! State service's interface.
+//! The interface of the state service: a key-value store with transactions,
+//! watches and expiring grants.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
+/// A transaction is applied only if the key has this stamp.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Condition {
     pub key: String,
-    /// 0: the key must not exist.
+    /// Revision of the last write of the key; 0: the key must not exist.
     pub stamp: u64,
 }
 
+/// One write of a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 #[serde(untagged)]
 pub enum Op {
@@ -17,6 +20,7 @@
         #[serde(rename = "write")]
         key: String,
         v: Value,
+        /// The grant that the key is attached to: it is removed when the grant ends.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         permit: Option<u64>,
     },
@@ -26,6 +30,7 @@
     },
 }
 
+/// Writes that are applied together, if all conditions hold.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Default)]
 pub struct Txn {
     #[serde(rename = "if")]
@@ -33,19 +38,23 @@
     pub writes: Vec<Op>,
 }
 
+/// The answer to a transaction: the revision of the store after it.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Epoch {
     pub epoch: u64,
 }
 
+/// The answer to a transaction whose conditions did not hold.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Conflict {
+    /// Keys whose conditions did not hold.
     #[serde(default)]
     pub failed: Vec<String>,
     #[serde(default)]
     pub epoch: u64,
 }
 
+/// A key with its value.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Pair {
     pub key: String,
@@ -55,25 +64,30 @@
     pub permit: Option<u64>,
 }
 
+/// A part of a listing, in the order of the keys.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Page {
     pub pairs: Vec<Pair>,
+    /// More keys follow after the last one.
     #[serde(default)]
     pub truncated: bool,
     pub epoch: u64,
 }
 
+/// The answer to a request for a grant.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Permit {
     pub permit: u64,
 }
 
+/// Asks for a grant, which ends unless it is renewed within its time to live.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct GrantRequest {
     pub ttl_ms: u64,
 }
 
+/// The changes under a prefix since a revision, up to `epoch`.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Changes {
     pub epoch: u64,
@@ -81,6 +95,7 @@
     pub events: Vec<Change>,
 }
 
+/// One change of a key: either `write` or `drop` names it.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Change {
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/src/protocol/tests/peers.rs
+++ b/src/protocol/tests/peers.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::{decode, encode, Cancelled, Count, Echo, Frame, FrameError, Gossip, Notice, Order};
 
 fn gossip(nonce: u64, count: u64) -> Gossip {
     Gossip {
