--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,12 @@
-//! shedhook: a cluster scheduler as a library; `main.rs` is the thin daemon.
+//! shedhook: a cluster scheduler as a library; `main.rs` is the daemon around it.
 //!
-//! Layers, lower first: [`transport`], [`protocol`], [`coordination`] beside
-//! [`bookkeeping`]; [`node`] wires them into one controller.
+//! The layers, from the lowest:
+//!
+//! - [`transport`]: sockets, HTTP and frames of peers.
+//! - [`protocol`]: typed messages of all interfaces, and the settings.
+//! - [`bookkeeping`]: records, the cache of them, and request budgets.
+//! - [`coordination`]: all decisions, without any I/O.
+//! - [`node`]: one controller, made of the other layers.
 
 pub mod bookkeeping;
 pub mod coordination;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,11 +1,14 @@
-//! The daemon: command line, settings, logs. All else is in the library.
+//! The daemon: command line, settings and logs; the library does the rest.
 
 use std::{io, path::PathBuf, process::ExitCode};
 
 use clap::Parser;
 use shedhook::{
     node,
-    protocol::{operator::Operator, settings::Settings},
+    protocol::{
+        operator::{Operator, OperatorError},
+        settings::{Settings, SettingsError},
+    },
 };
 use tracing::level_filters::LevelFilter;
 
@@ -24,6 +27,10 @@
     check: bool,
 }
 
+/// Exit status for settings that can't be used.
+const EXIT_USAGE: u8 = 2;
+
+/// The log level that `LOG_LEVEL` names; `info` by default.
 fn log_level() -> LevelFilter {
     match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::ERROR,
@@ -34,26 +41,38 @@
     }
 }
 
-fn main() -> ExitCode {
-    let args = Args::parse();
+/// Why the settings can't be used.
+#[derive(Debug, thiserror::Error)]
+enum ConfigError {
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error(transparent)]
+    Operator(#[from] OperatorError),
+}
+
+fn load_settings(args: &Args) -> Result<(Settings, Operator), ConfigError> {
+    let settings = Settings::load(&args.config)?;
+    let operator = args.operator.as_deref().map(Operator::load).transpose()?;
+    Ok((settings, operator.unwrap_or_default()))
+}
+
+fn init_logs() {
     tracing_subscriber::fmt()
         .with_writer(io::stderr)
         .with_ansi(false)
         .with_target(false)
         .with_max_level(log_level())
         .init();
-    let settings = match Settings::load(&args.config) {
-        Ok(s) => s,
-        Err(e) => {
-            eprintln!("shedhook: {e}");
-            return ExitCode::from(2);
-        }
-    };
-    let operator = match args.operator.as_deref().map(Operator::load).transpose() {
-        Ok(o) => o.unwrap_or_default(),
-        Err(e) => {
-            eprintln!("shedhook: {e}");
-            return ExitCode::from(2);
+}
+
+fn main() -> ExitCode {
+    let args = Args::parse();
+    init_logs();
+    let (settings, operator) = match load_settings(&args) {
+        Ok(loaded) => loaded,
+        Err(error) => {
+            eprintln!("shedhook: {error}");
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     if args.check {
@@ -62,8 +81,8 @@
     }
     match node::run(settings, operator) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            tracing::error!("{e}");
+        Err(error) => {
+            tracing::error!("{error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/src/node/commits.rs
@@ -0,0 +1,100 @@
+//! The leader's transactions.
+
+use super::{
+    calls::{Pending, StateCall, STATE_TIMEOUT_MS},
+    replies::body,
+    wiring::Node,
+};
+use crate::{
+    bookkeeping::budget::Urgency,
+    coordination::{leader::CommitOutcome, model::Ms},
+    protocol::{
+        cbor,
+        store::{Conflict, Epoch},
+    },
+    transport::{
+        http::status::{BAD_REQUEST, CONFLICT, OK, SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS},
+        CallError, Net, Reply,
+    },
+};
+
+/// Writes are to spare, so that optional ones are made too, while more than this
+/// share of their burst is available.
+const SPARE_WRITES: f64 = 0.6;
+
+impl Node {
+    /// Sends the leader's next transaction, if there is one and the budget allows it.
+    pub(super) fn commit(&mut self, net: &mut Net, stamp: u64) {
+        let now = net.now();
+        let Some(leader) = &mut self.leader else { return };
+        if leader.commit_busy() || now < leader.commit_after {
+            return;
+        }
+        if let Some(key) = leader.resync_key() {
+            let key = key.to_owned();
+            return self.resync_record(net, now, stamp, key);
+        }
+        let budgets = &mut self.budgets;
+        let available = budgets.commits.available(now, Urgency::Commit);
+        let spare = available > SPARE_WRITES * budgets.commits.burst();
+        if !leader.has_writes(now, spare) {
+            return;
+        }
+        if available < 1.0 || budgets.reads.available(now, Urgency::Commit) < 1.0 {
+            return;
+        }
+        let Some(transaction) = leader.commit(now, available as usize, spare, &self.tables) else { return };
+        let _ = budgets.commits.take(now, transaction.writes.len() as f64, Urgency::Lease);
+        let _ = budgets.reads.take(now, 1.0, Urgency::Lease);
+        let call = StateCall::transaction(&transaction, STATE_TIMEOUT_MS);
+        // Guard: preparing took time, and the leadership may have ended meanwhile.
+        if self.election.leading(net.now()) == Some(stamp) {
+            self.ask_state(net, Pending::Commit { stamp }, call);
+        } else {
+            leader.committed(now, CommitOutcome::Refused);
+        }
+    }
+
+    /// The result of the leader's transaction came.
+    pub(super) fn committed(&mut self, net: &mut Net, now: Ms, stamp: u64, result: &Result<Reply, CallError>) {
+        let outcome = self.commit_outcome(now, result);
+        let is_conflict = matches!(outcome, CommitOutcome::Conflict(_));
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.stamp == stamp) else { return };
+        if !leader.committed(now, outcome) {
+            tracing::warn!(stamp, "another leader has written: leadership lost");
+            self.resign(net, now);
+        } else if is_conflict {
+            // Jobs' records changed; they are read before the next transaction.
+            self.jobs.watch_now(now);
+        }
+    }
+
+    fn commit_outcome(&mut self, now: Ms, result: &Result<Reply, CallError>) -> CommitOutcome {
+        let reply = match result {
+            Ok(reply) => reply,
+            Err(CallError::NotSent) => return CommitOutcome::Refused,
+            Err(CallError::Unknown) => return CommitOutcome::Unknown,
+        };
+        match reply.status {
+            OK => body::<Epoch>(result).map_or(CommitOutcome::Unknown, |epoch| CommitOutcome::Done(epoch.epoch)),
+            CONFLICT => match cbor::decode::<Conflict>(&reply.body) {
+                Ok(conflict) => CommitOutcome::Conflict(conflict.failed),
+                Err(_) => CommitOutcome::Unknown,
+            },
+            TOO_MANY_REQUESTS => {
+                self.budgets.commits.refused(now);
+                CommitOutcome::Refused
+            }
+            SERVICE_UNAVAILABLE => CommitOutcome::Refused,
+            BAD_REQUEST => {
+                tracing::warn!("the state service takes no transaction like this one (400)");
+                self.lower_limits();
+                CommitOutcome::TooLarge
+            }
+            status => {
+                tracing::error!(status, "the state service refuses a transaction");
+                CommitOutcome::Refused
+            }
+        }
+    }
+}
--- a/src/node/gossip.rs
+++ b/src/node/gossip.rs
@@ -1,4 +1,6 @@
-//! What controllers tell one another.
+//! Frames to the other controllers: periodic gossip, and notices of cancellations.
+
+use std::collections::VecDeque;
 
 use super::wiring::Node;
 use crate::{
@@ -7,82 +9,145 @@
     transport::Net,
 };
 
-/// A confirmed cancellation is repeated to peers for this long, and at most so many.
-const REPEAT_MS: Ms = 12_000;
-const REPEATED: usize = 256;
+/// Interval of gossip, in ms: several frames within the time after which a peer
+/// counts as silent.
+const GOSSIP_INTERVAL_MS: Ms = 400;
+/// For how long, in ms, a confirmed cancellation is repeated to peers.
+const NOTICE_REPEAT_MS: Ms = 12_000;
+/// Most cancellations that are repeated, which bounds the size of a frame.
+const MAX_REPEATED_NOTICES: usize = 256;
+/// For how long, in ms, a rejected report is counted.
+const REJECTED_REPORT_MS: Ms = 4_000;
+/// Most rejected reports that are remembered; far above what means trouble.
+const MAX_REJECTED_REPORTS: usize = 10_000;
+/// Most jobs per frame whose task counts are told, which bounds its size.
+const MAX_COUNTS: usize = 500;
+
+/// A cancellation that was confirmed here.
+#[derive(Debug)]
+struct ConfirmedCancellation {
+    confirmed_at: Ms,
+    cancelled: Cancelled,
+}
+
+/// What this controller tells its peers.
+#[derive(Debug, Default)]
+pub(super) struct GossipState {
+    next_at: Ms,
+    frames_sent: u64,
+    /// When workers' reports were rejected lately.
+    rejected_reports: Vec<Ms>,
+    /// Cancellations confirmed here lately, oldest first.
+    cancellations: VecDeque<ConfirmedCancellation>,
+}
+
+impl GossipState {
+    /// A worker's report was rejected.
+    pub fn record_rejected_report(&mut self, now: Ms) {
+        self.rejected_reports.push(now);
+        if self.rejected_reports.len() > MAX_REJECTED_REPORTS {
+            self.rejected_reports.clear();
+        }
+    }
+
+    fn record_cancellation(&mut self, now: Ms, cancelled: Cancelled) {
+        self.cancellations.push_back(ConfirmedCancellation { confirmed_at: now, cancelled });
+        if self.cancellations.len() > MAX_REPEATED_NOTICES {
+            self.cancellations.pop_front();
+        }
+    }
+
+    /// The cancellations that are still to be repeated.
+    fn repeated_cancellations(&mut self, now: Ms) -> Vec<Cancelled> {
+        self.cancellations.retain(|cancellation| now < cancellation.confirmed_at + NOTICE_REPEAT_MS);
+        self.cancellations.iter().map(|cancellation| cancellation.cancelled.clone()).collect()
+    }
+}
 
 impl Node {
-    /// Guard: what a user was told here reaches whoever hears the workers at
-    /// once. Beside the bound on answers, which holds without it.
+    /// Tells peers at once of a cancellation that was confirmed to a user.
+    ///
+    /// Guard: the controller that serves the workers may be another one, and must
+    /// not launch what a user was told is cancelled. The limit on how long answers
+    /// may rely on old reads holds without this, but acts later.
     pub(super) fn tell_cancelled(&mut self, net: &mut Net, now: Ms, job: &str, stamp: u64) {
         let cancelled = Cancelled { job: job.to_owned(), stamp };
-        self.notices.push_back((now, cancelled.clone()));
-        if self.notices.len() > REPEATED {
-            self.notices.pop_front();
-        }
+        self.gossip.record_cancellation(now, cancelled.clone());
         self.send_notice(net, vec![cancelled]);
     }
 
     fn send_notice(&self, net: &mut Net, cancelled: Vec<Cancelled>) {
-        let bytes = peers::encode(&Frame::Notice(Notice { from: self.settings.label.clone(), cancelled }));
-        for p in self.peers.iter().filter(|p| p.reads_notices) {
-            net.send_frame(p.link, &bytes);
+        let notice = Notice { from: self.settings.label.clone(), cancelled };
+        let bytes = peers::encode(&Frame::Notice(notice));
+        for peer in self.peers.list.iter().filter(|peer| peer.reads_notices) {
+            net.send_frame(peer.link, &bytes);
         }
     }
 
-    pub(super) fn take_notice(&mut self, n: &Notice) {
-        if !self.peers.iter().any(|p| p.label == n.from) {
+    /// Applies the cancellations that a peer confirmed.
+    pub(super) fn handle_notice(&mut self, notice: &Notice) {
+        if self.peers.find(&notice.from).is_none() {
             return;
         }
-        for c in &n.cancelled {
-            self.job_cache.cancelled_elsewhere(&c.job, c.stamp, &mut self.tables);
+        for cancelled in &notice.cancelled {
+            self.job_cache.cancelled_elsewhere(&cancelled.job, cancelled.stamp, &mut self.tables);
         }
     }
 
-    pub(super) fn gossip(&mut self, net: &mut Net, now: Ms) {
-        self.rejected_reports.retain(|&t| now < t + 4_000);
+    /// Sends gossip when it is due, then sets the budgets anew.
+    pub(super) fn gossip_if_due(&mut self, net: &mut Net, now: Ms) {
+        if now < self.gossip.next_at {
+            return;
+        }
+        self.gossip.next_at = now + GOSSIP_INTERVAL_MS;
         let leading = self.election.leading(now).is_some();
+        let bytes = peers::encode(&Frame::Gossip(self.current_gossip(now, leading)));
+        self.gossip.frames_sent += 1;
+        for peer in &self.peers.list {
+            net.send_frame(peer.link, &bytes);
+        }
+        let cancelled = self.gossip.repeated_cancellations(now);
+        if !cancelled.is_empty() {
+            self.send_notice(net, cancelled);
+        }
+        self.budgets.invalidate_shares();
+        self.set_budgets(now, leading);
+    }
+
+    fn current_gossip(&mut self, now: Ms, leading: bool) -> Gossip {
+        self.gossip.rejected_reports.retain(|&rejected_at| now < rejected_at + REJECTED_REPORT_MS);
         let counts = match &mut self.leader {
-            Some(l) if leading => l.take_counts(500),
+            Some(leader) if leading => leader.take_counts(MAX_COUNTS),
             _ => Vec::new(),
         };
-        for c in &counts {
-            self.job_cache.show(&c.job, c.done, c.running);
+        for count in &counts {
+            self.job_cache.show(&count.job, count.done, count.running);
         }
-        let g = Gossip {
+        Gossip {
             from: self.settings.label.clone(),
             nonce: self.nonce,
-            count: self.gossips,
-            state_age_ms: now.saturating_sub(self.state_ok),
-            rejected_reports: self.rejected_reports.len() as u32,
+            count: self.gossip.frames_sent,
+            state_age_ms: self.state_health.age(now),
+            rejected_reports: self.gossip.rejected_reports.len() as u32,
             leading,
-            reads_used: self.reads.used(now),
-            writes_used: self.writes.used(now),
-            commits_used: self.commits.used(now),
+            reads_used: self.budgets.reads.used(now),
+            writes_used: self.budgets.writes.used(now),
+            commits_used: self.budgets.commits.used(now),
             clock_ms: now,
-            echoes: self
-                .peers
-                .iter()
-                .filter_map(|p| {
-                    let (nonce, clock_ms) = p.clock?;
-                    Some(Echo { of: p.label.clone(), nonce, clock_ms })
-                })
-                .chain([Gossip::reads_mark()])
-                .collect(),
+            echoes: self.echoes(),
             no_renewal_ms: now.saturating_sub(self.renewal_right.last),
             counts,
-        };
-        self.gossips += 1;
-        let bytes = peers::encode(&Frame::Gossip(g));
-        for p in &self.peers {
-            net.send_frame(p.link, &bytes);
-        }
-        self.notices.retain(|(at, _)| now < at + REPEAT_MS);
-        if !self.notices.is_empty() {
-            let again = self.notices.iter().map(|(_, c)| c.clone()).collect();
-            self.send_notice(net, again);
         }
-        self.budget_leading = None;
-        self.set_budgets(now, leading);
+    }
+
+    /// The last clock of each peer, and the mark of the frame types read here.
+    fn echoes(&self) -> Vec<Echo> {
+        let echo = |label: &str, nonce, clock_ms| Echo { of: label.to_owned(), nonce, clock_ms };
+        let peers = self.peers.list.iter();
+        let heard = peers.filter_map(|peer| {
+            let clock = peer.clock.as_ref()?;
+            Some(echo(&peer.label, clock.nonce, clock.clock_ms))
+        });
+        heard.chain([Gossip::reads_mark()]).collect()
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,12 +1,31 @@
-//! One controller: the layers wired together around the event loop.
+//! One controller: the other layers, connected around the event loop.
+//!
+//! [`wiring::Node`] owns all state. Its components each have a module with the
+//! methods that work on them; [`run`](run()) feeds it events and ticks.
 
 mod background;
+mod budgets;
+mod calls;
+mod commits;
+mod effects;
 mod gossip;
+mod grants;
+mod health;
+mod job_feed;
+mod leader_config;
+mod leader_key;
 mod leading;
+mod machine_types;
+mod peers;
+mod poll_loop;
 mod replies;
+mod routes;
+mod run;
+mod task_loading;
 mod upgrade;
 mod users;
+mod waiters;
 mod wiring;
 mod workers;
 
-pub use wiring::{run, Node, NodeError};
+pub use run::{run, NodeError};
--- /dev/null
+++ b/src/node/poll_loop.rs
@@ -0,0 +1,24 @@
+//! The schedule of a request that is repeated for ever.
+
+use crate::coordination::model::Ms;
+
+/// A request that is repeated: at most one at a time, each after a pause.
+#[derive(Debug, Default)]
+pub(super) struct PollLoop {
+    pub in_flight: bool,
+    /// Earliest time of the next request.
+    pub after: Ms,
+}
+
+impl PollLoop {
+    /// Whether the next request should be sent.
+    pub fn due(&self, now: Ms) -> bool {
+        !self.in_flight && now >= self.after
+    }
+
+    /// The request is over; the next one follows no earlier than `after`.
+    pub fn finish(&mut self, after: Ms) {
+        self.in_flight = false;
+        self.after = after;
+    }
+}
--- /dev/null
+++ b/src/node/routes.rs
@@ -0,0 +1,58 @@
+//! Routing of HTTP requests.
+
+use super::wiring::Node;
+use crate::transport::{
+    http::status::{METHOD_NOT_ALLOWED, NOT_FOUND, OK, SERVICE_UNAVAILABLE},
+    ConnId, Net, Request,
+};
+
+/// What a request is for. Paths that don't exist have no route.
+enum Route<'a> {
+    Report,
+    Ready,
+    SubmitJob,
+    PollJob(&'a str),
+    AbortJob(&'a str),
+    MethodNotAllowed,
+}
+
+fn route<'a>(method: &str, path: &'a str) -> Option<Route<'a>> {
+    let (route, allowed) = match path {
+        "/checkin" => (Route::Report, method == "POST"),
+        "/ready" => (Route::Ready, matches!(method, "GET" | "HEAD")),
+        "/api/jobs" => (Route::SubmitJob, method == "POST"),
+        _ => {
+            let job_path = path.strip_prefix("/api/jobs/")?;
+            match job_path.strip_suffix("/abort") {
+                Some(id) => (Route::AbortJob(id), method == "POST"),
+                None if job_path.contains('/') => return None,
+                None => (Route::PollJob(job_path), method == "GET"),
+            }
+        }
+    };
+    Some(if allowed { route } else { Route::MethodNotAllowed })
+}
+
+impl Node {
+    /// Handles a request of a user, a worker or a health probe.
+    pub(super) fn handle_request(&mut self, net: &mut Net, conn: ConnId, request: &Request) {
+        // Guard: overload. Requests of clients that have disconnected meanwhile
+        // are not worked on.
+        if !net.is_open(conn) {
+            return;
+        }
+        let path = request.path.split('?').next().unwrap_or("");
+        match route(&request.method, path) {
+            Some(Route::Report) => self.checkin(net, conn, &request.body),
+            Some(Route::Ready) => {
+                let status = if self.is_ready(net.now()) { OK } else { SERVICE_UNAVAILABLE };
+                net.respond(conn, status, None, b"");
+            }
+            Some(Route::SubmitJob) => self.submit(net, conn, &request.body),
+            Some(Route::PollJob(id)) => self.poll(net, conn, id),
+            Some(Route::AbortJob(id)) => self.abort(net, conn, id.to_owned(), 0),
+            Some(Route::MethodNotAllowed) => net.respond(conn, METHOD_NOT_ALLOWED, None, b""),
+            None => net.respond(conn, NOT_FOUND, None, b""),
+        }
+    }
+}
--- a/src/node/tests/wiring.rs
+++ b/src/node/tests/wiring.rs
@@ -1,7 +1,16 @@
-use super::*;
-use crate::protocol::{
-    settings::tests::SAMPLE,
-    store::{Changes, Page},
+use calloop::EventLoop;
+
+use super::Node;
+use crate::{
+    bookkeeping::records::LeaderRecord,
+    coordination::model::Ms,
+    protocol::{
+        cbor,
+        operator::Operator,
+        settings::{tests::SAMPLE, Settings},
+        store::{Changes, Page},
+    },
+    transport::{Limits, Net, Reply},
 };
 
 const SEED: &str = "[[seeds]]\nlabel = \"n-1\"\nendpoint = \"127.0.0.1:3\"\n[outside]";
@@ -21,11 +30,11 @@
         let sizes = (n.leader_config().txn_ops, n.leader_config().value_fit);
         assert_eq!(sizes, if has_next { (4, 2_048) } else { (24, 16_384) });
         n.set_budgets(1_000, true);
-        assert_eq!(n.commits.burst(), before);
+        assert_eq!(n.budgets.commits.burst(), before);
         for _ in 0..2 {
             n.state_answered(1_000, &Ok(Reply { status, body: Vec::new(), close: false }));
             n.set_budgets(1_000, true);
-            assert_eq!(n.commits.burst(), after, "{has_next} {status}");
+            assert_eq!(n.budgets.commits.burst(), after, "{has_next} {status}");
         }
     }
 }
@@ -56,10 +65,10 @@
     for (i, (key, heard, leads, answered, failing, want)) in cases.into_iter().enumerate() {
         let rec = key.map(|l| LeaderRecord { label: l.to_owned(), nonce: 9 });
         n.election.saw_key(NOW, rec, 10 + i as u64);
-        n.peers[0].heard = heard.map(|ms| NOW - ms);
-        n.peers[0].leading = leads;
-        n.state_ok = NOW - answered;
-        n.state_bad_since = failing.then_some(NOW - 200);
+        n.peers.list[0].heard = heard.map(|ms| NOW - ms);
+        n.peers.list[0].leading = leads;
+        n.state_health.last_answer = NOW - answered;
+        n.state_health.failing_since = failing.then_some(NOW - 200);
         assert_eq!(n.leader_hint(NOW), want, "case {i}");
     }
 }
--- a/src/node/upgrade.rs
+++ b/src/node/upgrade.rs
@@ -1,66 +1,114 @@
-//! An upgrade under way: what waits until every controller runs this version.
+//! Rolling upgrades: what waits until every controller runs this version.
 
-use super::{replies::body, wiring::Node, wiring::Pending};
+use super::{
+    calls::{Pending, StateCall, SLOW_STATE_TIMEOUT_MS},
+    poll_loop::PollLoop,
+    replies::{body, status},
+    wiring::Node,
+};
 use crate::{
     bookkeeping::{
         budget::Urgency,
         records,
-        versions::{version_key, VersionRecord, VERSION, VERSIONS},
+        versions::{version_key, Evidence, VersionRecord, VERSION, VERSIONS},
     },
     coordination::model::Ms,
     protocol::{
-        cbor,
+        settings::Settings,
         store::{Op, Page, Txn},
     },
-    transport::{CallError, Net, Reply},
+    transport::{http::status::OK, CallError, Net, Reply},
 };
 
-/// Between two looks at the keys, while some are missing, and later: an
-/// operator who goes back removes one first.
-const LOOK_MS: Ms = 1_000;
-const LOOK_AGAIN_MS: Ms = 10_000;
+/// Interval, in ms, at which the version keys are read while some are missing.
+const POLL_MS: Ms = 1_000;
+/// The same once none is missing: an operator who rolls a controller back
+/// removes its key first.
+const COMPLETE_POLL_MS: Ms = 10_000;
+
+/// What is known of the versions that the controllers run.
+#[derive(Debug)]
+pub(super) struct VersionFeed {
+    evidence: Evidence,
+    /// This controller's own key was written.
+    own_key_written: bool,
+    write: PollLoop,
+    read: PollLoop,
+}
+
+impl VersionFeed {
+    /// Nothing is known yet.
+    pub fn new(settings: &Settings) -> VersionFeed {
+        let peers = settings.seeds.iter().map(|seed| &*seed.label);
+        VersionFeed {
+            evidence: Evidence::new(peers.chain([&*settings.label])),
+            own_key_written: false,
+            write: PollLoop::default(),
+            read: PollLoop::default(),
+        }
+    }
+
+    /// Whether all controllers are known to run this version.
+    pub fn is_complete(&self) -> bool {
+        self.evidence.is_complete()
+    }
+}
 
 impl Node {
-    /// Writes this controller's key once, and reads all.
-    pub(super) fn keep_versions(&mut self, net: &mut Net, now: Ms) {
-        if !self.version_written {
-            if self.version_write.due(now)
-                && self.reads.take(now, 1.0, Urgency::Submit).is_ok()
-                && self.writes.take(now, 1.0, Urgency::Submit).is_ok()
-            {
-                self.version_write.in_flight = true;
-                let rec = VersionRecord { version: VERSION, nonce: self.nonce };
-                let key = version_key(&self.settings.label);
-                // Under no grant: it outlives the process. Applied late it is as true.
-                let write = Op::Put { key, v: records::to_value(&rec), permit: None };
-                let txn = Txn { conditions: Vec::new(), writes: vec![write] };
-                self.ask_state(net, Pending::VersionWrite, "POST", "/multi".into(), cbor::encode(&txn), 2_500);
-            }
-        } else if self.version_read.due(now) && self.reads.take(now, 1.0, Urgency::Submit).is_ok() {
-            self.version_read.in_flight = true;
-            let path = format!("/store?under={VERSIONS}&most=1000");
-            self.ask_state(net, Pending::VersionRead, "GET", path, Vec::new(), 2_500);
+    /// Writes this controller's key once, then reads those of all controllers.
+    pub(super) fn refresh_versions(&mut self, net: &mut Net, now: Ms) {
+        if self.versions.own_key_written {
+            self.read_versions(net, now);
+        } else {
+            self.write_version(net, now);
+        }
+    }
+
+    fn write_version(&mut self, net: &mut Net, now: Ms) {
+        if !self.versions.write.due(now)
+            || self.budgets.reads.take(now, 1.0, Urgency::Submit).is_err()
+            || self.budgets.writes.take(now, 1.0, Urgency::Submit).is_err()
+        {
+            return;
+        }
+        self.versions.write.in_flight = true;
+        let record = VersionRecord { version: VERSION, nonce: self.nonce };
+        // Attached to no grant, so that it outlives the process. The write is
+        // unconditional, as it may be applied at any later time.
+        let key = version_key(&self.settings.label);
+        let write = Op::Put { key, v: records::to_value(&record), permit: None };
+        let transaction = Txn { conditions: Vec::new(), writes: vec![write] };
+        let call = StateCall::transaction(&transaction, SLOW_STATE_TIMEOUT_MS);
+        self.ask_state(net, Pending::VersionWrite, call);
+    }
+
+    fn read_versions(&mut self, net: &mut Net, now: Ms) {
+        if !self.versions.read.due(now) || self.budgets.reads.take(now, 1.0, Urgency::Submit).is_err() {
+            return;
         }
+        self.versions.read.in_flight = true;
+        let path = format!("/store?under={VERSIONS}&most=1000");
+        self.ask_state(net, Pending::VersionRead, StateCall::read(path, SLOW_STATE_TIMEOUT_MS));
     }
 
-    pub(super) fn version_wrote(&mut self, now: Ms, result: &Result<Reply, CallError>) {
-        self.version_write.in_flight = false;
-        self.version_written = result.as_ref().is_ok_and(|r| r.status == 200);
-        self.version_write.after = now + LOOK_MS;
+    /// The write of this controller's key ended.
+    pub(super) fn version_written(&mut self, now: Ms, result: &Result<Reply, CallError>) {
+        self.versions.own_key_written = status(result) == OK;
+        self.versions.write.finish(now + POLL_MS);
     }
 
+    /// The listing of the version keys came.
     pub(super) fn version_page(&mut self, now: Ms, result: &Result<Reply, CallError>) {
-        self.version_read.in_flight = false;
-        let page = body::<Page>(result).filter(|p| !p.truncated);
-        self.version_read.after = now + LOOK_MS;
-        let Some(page) = page else { return };
-        let was = self.versions.missing();
-        self.versions.saw(&page);
-        if self.versions.is_complete() {
-            self.version_read.after = now + LOOK_AGAIN_MS;
+        self.versions.read.finish(now + POLL_MS);
+        let Some(page) = body::<Page>(result).filter(|page| !page.truncated) else { return };
+        let evidence = &mut self.versions.evidence;
+        let missing_before = evidence.missing();
+        evidence.saw(&page);
+        if evidence.is_complete() {
+            self.versions.read.after = now + COMPLETE_POLL_MS;
         }
-        let missing = self.versions.missing();
-        if missing != was {
+        let missing = evidence.missing();
+        if missing != missing_before {
             tracing::info!(missing, "controllers that have not shown this version yet");
         }
     }
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -4,7 +4,10 @@
 
 use ciborium::Value;
 
-use super::wiring::{wall_ms, Node, Pending, Waiter};
+use super::{
+    calls::{StateCall, SLOW_STATE_TIMEOUT_MS},
+    wiring::{wall_ms, Node, Pending, Waiter},
+};
 use crate::{
     bookkeeping::{
         budget::Urgency,
@@ -105,11 +108,13 @@
         what: Pending,
     ) {
         let now = net.now();
-        if let Err(wait) = self.reads.take(now, 1.0, urgency).and_then(|()| self.writes.take(now, 1.0, urgency)) {
+        let budgets = &mut self.budgets;
+        let taken = budgets.reads.take(now, 1.0, urgency).and_then(|()| budgets.writes.take(now, 1.0, urgency));
+        if let Err(wait) = taken {
             return self.over_budget(net, conn, wait);
         }
         let txn = Txn { conditions, writes: vec![Op::Put { key, v, permit: None }] };
-        self.ask_state(net, what, "POST", "/multi".into(), cbor::encode(&txn), 2_500);
+        self.ask_state(net, what, StateCall::transaction(&txn, SLOW_STATE_TIMEOUT_MS));
     }
 
     /// How such a write ended: applied, or the record had changed. None: it
@@ -132,7 +137,7 @@
             }
             Ok(r) if r.status == 409 => Some(false),
             Ok(r) if r.status == 429 => {
-                self.writes.refused(net.now());
+                self.budgets.writes.refused(net.now());
                 self.user_responses.over_budget += 1;
                 net.respond(conn, 429, Some(TRY_AGAIN_S), b"");
                 None
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -1,10 +1,8 @@
-//! Workers' reports: answered by the leader, kept up or sent on by others.
-
-use ciborium::Value;
+//! Workers' reports: answered by the leader, redirected or answered without a
+//! leader by others.
 
 use super::wiring::Node;
 use crate::{
-    bookkeeping::records::{self, LeaderRecord},
     coordination::{
         leader::{halts_of_cancelled, Answer},
         lease_renewal::{shares_the_cut, Other},
@@ -12,110 +10,109 @@
     },
     protocol::{
         cbor,
-        store::Change,
         workers::{Redirect, Report, ReportAnswer},
     },
-    transport::{ConnId, Net},
+    transport::{
+        http::status::{BAD_REQUEST, MISDIRECTED_REQUEST, OK, SERVICE_UNAVAILABLE},
+        ConnId, Net,
+    },
 };
 
 impl Node {
-    pub fn checkin(&mut self, net: &mut Net, conn: ConnId, bytes: &[u8]) {
+    /// Handles a worker's report.
+    pub(super) fn checkin(&mut self, net: &mut Net, conn: ConnId, bytes: &[u8]) {
         let report: Report = match cbor::decode(bytes) {
-            Ok(r) => r,
-            Err(e) => {
-                tracing::warn!(error = %e, "a report that can't be read");
-                return net.respond(conn, 400, None, b"");
+            Ok(report) => report,
+            Err(error) => {
+                tracing::warn!(%error, "a report that can't be read");
+                return net.respond(conn, BAD_REQUEST, None, b"");
             }
         };
         let now = net.now();
         if report.zone != self.settings.domain {
             self.foreign_zone_report = Some(now);
         }
-        // Guard: what the job cache shows as cancelled is not launched in the answer.
+        // Guard: the answer must not launch what the job cache shows as cancelled.
         self.feed_leader(now);
-        let stamp = self.election.leading(now);
-        let answer = match &mut self.leader {
-            Some(l) if stamp == Some(l.stamp) => Some(l.report(now, &report, &self.job_cache, &mut self.tables)),
-            _ => None,
-        };
-        match answer {
-            Some(Answer::Ok(a)) => {
-                let bytes = cbor::encode(&a);
-                // Guard: thinking took time; a 200 may only be sent within the lease.
-                // Guard: nor may it let a task outlive a cancellation that this
-                // controller doesn't know of; where nothing runs, none can.
-                let now = net.now();
-                let fresh = self.renewal_right.may_renew(now);
-                let entitled = self.election.leading(now).is_some();
-                match &mut self.leader {
-                    Some(l) if entitled && (fresh || !l.may_hold_tasks(&report)) => {
-                        net.respond_report(conn, 200, &bytes);
-                    }
-                    Some(l) => {
-                        tracing::debug!(machine = &*report.machine, entitled, fresh, "a report is not answered");
-                        l.not_answered(&report.machine);
-                        net.respond(conn, 503, None, b"");
-                    }
-                    None => net.respond(conn, 503, None, b""),
-                }
-            }
-            Some(Answer::Stale) => net.respond(conn, 503, None, b""),
+        match self.leader_answer(now, &report) {
+            Some(Answer::Ok(answer)) => self.send_leader_answer(net, conn, &report, &answer),
+            Some(Answer::Stale) => net.respond(conn, SERVICE_UNAVAILABLE, None, b""),
             Some(Answer::Superseded) => {
                 tracing::warn!(machine = &*report.machine, token = report.token, "a worker has seen a higher token");
-                self.turn_away(net, conn, now);
+                self.reject_report(net, conn, now);
             }
             None if self.may_renew_without_leader(now, &report) => {
-                // Guard: noted before it is sent, so that no leader counts it out.
-                self.renewal_right.last = now;
-                // What is known as cancelled ends with it: a halt may come from
-                // anybody, and the rest of the machine goes on.
-                let orders = halts_of_cancelled(&report, &self.job_cache);
-                let bytes = cbor::encode(&ReportAnswer { token: report.token, orders });
-                net.respond_report(conn, 200, &bytes);
+                self.renew_without_leader(net, conn, now, &report);
             }
-            None => self.turn_away(net, conn, now),
+            None => self.reject_report(net, conn, now),
         }
     }
 
-    /// With no leader to be found, a worker's lease is kept; see `coordination::keeping`.
-    pub(super) fn may_renew_without_leader(&self, now: Ms, r: &Report) -> bool {
-        if r.token == 0 || !self.renewal_right.may_renew_without_leader(now) || self.leader_hint(now).is_some() {
-            return false;
+    /// The leader's answer, if this controller leads.
+    fn leader_answer(&mut self, now: Ms, report: &Report) -> Option<Answer> {
+        let stamp = self.election.leading(now)?;
+        let leader = self.leader.as_mut().filter(|leader| leader.stamp == stamp)?;
+        Some(leader.report(now, report, &self.job_cache, &mut self.tables))
+    }
+
+    /// Sends the leader's answer, which renews the worker's lease.
+    ///
+    /// Guard: preparing the answer took time. It may be sent only while this
+    /// controller still leads, as it would renew a lease that a new leader counts
+    /// on to expire.
+    ///
+    /// Guard: it must not let a task outlive a cancellation that this controller
+    /// doesn't know of yet, so the job cache must be recent, unless nothing runs
+    /// on the machine.
+    fn send_leader_answer(&mut self, net: &mut Net, conn: ConnId, report: &Report, answer: &ReportAnswer) {
+        let bytes = cbor::encode(answer);
+        let now = net.now();
+        let fresh = self.renewal_right.may_renew(now);
+        let entitled = self.election.leading(now).is_some();
+        let Some(leader) = &mut self.leader else {
+            return net.respond(conn, SERVICE_UNAVAILABLE, None, b"");
+        };
+        if entitled && (fresh || !leader.may_hold_tasks(report)) {
+            return net.respond_report(conn, OK, &bytes);
         }
-        let others: Vec<Other> = self
-            .settings
-            .seeds
-            .iter()
-            .zip(&self.peers)
-            .map(|(s, p)| Other { near: s.domain == self.settings.domain, heard: p.heard, state_age: p.state_age })
-            .collect();
-        shares_the_cut(now, self.renewal_right.contact(), &others, self.foreign_zone_report)
+        tracing::debug!(machine = &*report.machine, entitled, fresh, "a report is not answered");
+        leader.not_answered(&report.machine);
+        net.respond(conn, SERVICE_UNAVAILABLE, None, b"");
     }
 
-    pub(super) fn turn_away(&mut self, net: &mut Net, conn: ConnId, now: Ms) {
-        self.rejected_reports.push(now);
-        if self.rejected_reports.len() > 10_000 {
-            self.rejected_reports.clear();
+    /// Whether a worker's lease may be renewed although no leader is in contact;
+    /// see `coordination::lease_renewal`.
+    fn may_renew_without_leader(&self, now: Ms, report: &Report) -> bool {
+        if report.token == 0 || !self.renewal_right.may_renew_without_leader(now) || self.leader_hint(now).is_some() {
+            return false;
         }
-        net.respond(conn, 421, None, &cbor::encode(&Redirect { report_to: self.leader_hint(now) }));
+        let seeds = self.settings.seeds.iter();
+        let others: Vec<Other> = seeds
+            .zip(&self.peers.list)
+            .map(|(seed, peer)| Other {
+                near: seed.domain == self.settings.domain,
+                heard: peer.heard,
+                state_age: peer.state_age,
+            })
+            .collect();
+        shares_the_cut(now, self.renewal_right.contact(), &others, self.foreign_zone_report)
     }
 
-    /// Whether the value of this controller's own key is of the grant it holds.
-    pub(super) fn is_mine(&self, v: &Value) -> bool {
-        let ours =
-            |r: LeaderRecord| r.label == self.settings.label && Some(r.nonce) == self.renewal_right.mark(self.nonce);
-        v.deserialized::<LeaderRecord>().is_ok_and(ours)
+    /// Renews a worker's lease. Tasks that are known as cancelled are stopped,
+    /// which any controller may order; all others go on.
+    fn renew_without_leader(&mut self, net: &mut Net, conn: ConnId, now: Ms, report: &Report) {
+        // Guard: recorded before the answer is sent, so that no leader counts the
+        // lease as expired.
+        self.renewal_right.last = now;
+        let orders = halts_of_cancelled(report, &self.job_cache);
+        let bytes = cbor::encode(&ReportAnswer { token: report.token, orders });
+        net.respond_report(conn, OK, &bytes);
     }
 
-    /// A key under which a controller may keep leases came or went.
-    pub(super) fn renewal_key_changed(&mut self, now: Ms, c: &Change) {
-        let Some(key) = c.write.as_ref().or(c.drop.as_ref()) else { return };
-        let there = c.write.is_some();
-        if *key == records::renewal_key(&self.settings.label) {
-            let mine = c.v.as_ref().is_some_and(|v| self.is_mine(v));
-            self.renewal_right.saw_key(if there { c.stamp } else { 0 }, c.stamp, mine);
-        } else if let Some(p) = self.peers.iter_mut().find(|p| *key == records::renewal_key(&p.label)) {
-            p.keyless = (!there).then_some(now);
-        }
+    /// Redirects a worker to the leader, if it is known.
+    fn reject_report(&mut self, net: &mut Net, conn: ConnId, now: Ms) {
+        self.gossip.record_rejected_report(now);
+        let redirect = Redirect { report_to: self.leader_hint(now) };
+        net.respond(conn, MISDIRECTED_REQUEST, None, &cbor::encode(&redirect));
     }
 }
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -1,16 +1,28 @@
 //! Operators' own settings, in protobuf text format. The schema is
 //! `deploy/operator.proto`; each field has a default that needs no file.
 
-use std::{fs, path::Path};
+use std::{fs, io, ops::RangeInclusive, path::Path};
 
 use prost_reflect::{DescriptorPool, DynamicMessage, Value};
 
+use super::settings::single_line;
+
+/// Times to live, in ms, that the leader's grant may have. A shorter one would
+/// not survive a few slow renewals; a longer one would delay every failover.
+const LEADER_TTL_MS: RangeInclusive<u32> = 1_000..=60_000;
+
+/// What operators may set.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Operator {
+    /// Time to live of the leader's grant.
     pub leader_ttl_ms: u64,
+    /// How long a machine without tasks is kept.
     pub idle_keep_s: f64,
+    /// Silence after which a machine is returned to the cloud.
     pub silent_return_s: Option<f64>,
+    /// Most machines held at once.
     pub max_machines: Option<usize>,
+    /// Whether spot machines may be rented.
     pub use_spot: bool,
 }
 
@@ -20,53 +32,74 @@
     }
 }
 
+/// Why a file of operators' settings is refused.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
     #[error("{path}: {source}")]
-    Read { path: String, source: std::io::Error },
-    #[error("{path}: {message}")]
-    Form { path: String, message: String },
+    Read { path: String, source: io::Error },
+    #[error("{path}: {source}")]
+    Form { path: String, source: InvalidOperator },
+}
+
+/// What is wrong with the text of operators' settings.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidOperator {
+    #[error(transparent)]
+    Schema(#[from] prost_reflect::DescriptorError),
+    #[error("schema without Operator")]
+    SchemaWithoutOperator,
+    #[error("{0}")]
+    Syntax(String),
+    #[error("leader_ttl_ms: must lie between 1000 and 60000")]
+    LeaderTtl,
 }
 
 impl Operator {
+    /// Reads a file of operators' settings.
     pub fn load(path: &Path) -> Result<Operator, OperatorError> {
         let shown = path.display().to_string();
         let text = fs::read_to_string(path).map_err(|source| OperatorError::Read { path: shown.clone(), source })?;
-        Operator::parse(&text).map_err(|message| OperatorError::Form { path: shown, message })
+        Operator::parse(&text).map_err(|source| OperatorError::Form { path: shown, source })
     }
 
-    pub fn parse(text: &str) -> Result<Operator, String> {
-        let schema = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
-        let pool = DescriptorPool::decode(&schema[..]).map_err(|e| e.to_string())?;
-        let desc = pool.get_message_by_name("shedhook.Operator").ok_or("schema without Operator")?;
-        let msg = DynamicMessage::parse_text_format(desc, text)
-            .map_err(|e| e.to_string().split_whitespace().collect::<Vec<_>>().join(" "))?;
+    /// Parses operators' settings; what is not set has its default.
+    pub fn parse(text: &str) -> Result<Operator, InvalidOperator> {
+        let message = parse_message(text)?;
         let number = |name: &str| {
-            msg.has_field_by_name(name).then(|| msg.get_field_by_name(name).and_then(|v| v.as_u32())).flatten()
+            let field = message.has_field_by_name(name).then(|| message.get_field_by_name(name)).flatten();
+            field.and_then(|value| value.as_u32())
         };
-        let mut out = Operator::default();
-        if let Some(ms) = number("leader_ttl_ms") {
-            if !(1_000..=60_000).contains(&ms) {
-                return Err("leader_ttl_ms: must lie between 1000 and 60000".into());
+        let mut operator = Operator::default();
+        if let Some(ttl_ms) = number("leader_ttl_ms") {
+            if !LEADER_TTL_MS.contains(&ttl_ms) {
+                return Err(InvalidOperator::LeaderTtl);
             }
-            out.leader_ttl_ms = u64::from(ms);
+            operator.leader_ttl_ms = u64::from(ttl_ms);
         }
-        if let Some(s) = number("idle_keep_s") {
-            out.idle_keep_s = f64::from(s);
+        if let Some(seconds) = number("idle_keep_s") {
+            operator.idle_keep_s = f64::from(seconds);
         }
-        if let Some(s) = number("silent_return_s") {
-            out.silent_return_s = Some(f64::from(s));
+        if let Some(seconds) = number("silent_return_s") {
+            operator.silent_return_s = Some(f64::from(seconds));
         }
-        out.max_machines = number("max_machines").filter(|&n| n > 0).map(|n| n as usize);
-        if msg.has_field_by_name("use_spot") {
-            if let Some(Value::Bool(b)) = msg.get_field_by_name("use_spot").as_deref() {
-                out.use_spot = *b;
+        operator.max_machines = number("max_machines").filter(|&count| count > 0).map(|count| count as usize);
+        if message.has_field_by_name("use_spot") {
+            if let Some(Value::Bool(use_spot)) = message.get_field_by_name("use_spot").as_deref() {
+                operator.use_spot = *use_spot;
             }
         }
-        Ok(out)
+        Ok(operator)
     }
 }
 
+fn parse_message(text: &str) -> Result<DynamicMessage, InvalidOperator> {
+    let schema = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
+    let pool = DescriptorPool::decode(&schema[..])?;
+    let descriptor = pool.get_message_by_name("shedhook.Operator").ok_or(InvalidOperator::SchemaWithoutOperator)?;
+    DynamicMessage::parse_text_format(descriptor, text)
+        .map_err(|error| InvalidOperator::Syntax(single_line(&error.to_string())))
+}
+
 #[cfg(test)]
 #[path = "tests/operator.rs"]
 mod tests;
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -1,21 +1,32 @@
 //! The platform's settings file (TOML). Unknown fields are ignored.
 
-use std::{fs, net::SocketAddr, path::Path};
+mod validation;
+
+use std::{fs, io, net::SocketAddr, path::Path};
 
 use serde::Deserialize;
 
+pub use self::validation::InvalidValue;
+
+/// All settings of one controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
+    /// Name of this controller.
     pub label: String,
+    /// Zone that it runs in.
     pub domain: String,
+    /// Address for users, workers and health probes.
     pub client_listen: SocketAddr,
+    /// Address for peers.
     pub cluster_listen: SocketAddr,
+    /// The other controllers.
     #[serde(default)]
     pub seeds: Vec<Seed>,
     pub outside: Outside,
     pub cluster: Cluster,
 }
 
+/// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Seed {
     pub label: String,
@@ -24,12 +35,14 @@
     pub endpoint: SocketAddr,
 }
 
+/// Addresses of the outside services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Outside {
     pub cloud: SocketAddr,
     pub state: SocketAddr,
 }
 
+/// What holds for the whole cluster.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Cluster {
     #[serde(default)]
@@ -46,6 +59,7 @@
     pub limits: Own,
 }
 
+/// A team's guaranteed and largest amounts; 0: none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     pub name: String,
@@ -59,6 +73,7 @@
     pub gpus_max: f64,
 }
 
+/// A service objective: a share of a class of jobs within a time.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
     pub kind: String,
@@ -70,27 +85,37 @@
     pub share: Option<f64>,
 }
 
+/// Times of the workers' interface.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
+    /// Interval of a worker's reports.
     pub report_s: f64,
+    /// A worker without an answer for this long stops its tasks.
     pub lease_s: f64,
+    /// How long a worker waits for the other members of a gang to start.
     pub gang_wait_s: f64,
     pub gang_peer_s: f64,
+    /// A cancelled job's tasks must have ended within this time.
     pub cancel_s: f64,
 }
 
+/// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
+    /// Requests per second.
     pub rps: f64,
+    /// Writes per second.
     pub write_rps: f64,
+    /// Largest value.
     pub value_kb: f64,
+    /// Most writes of a transaction.
     pub txn_ops: usize,
-    /// What will hold from some moment on, without notice.
+    /// Limits that take effect at some later moment, without notice.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
-/// None: as now.
+/// Limits that will replace those of [`StateLimits`]; None: unchanged.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextLimits {
     pub rps: Option<f64>,
@@ -99,39 +124,62 @@
     pub txn_ops: Option<usize>,
 }
 
+/// Which of the state service's limits hold.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LimitPhase {
+    /// Those in force at the start.
+    Current,
+    /// Those of [`StateLimits::next`], as far as they are lower.
+    Lowered,
+}
+
+/// The state service's limits per second.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct StateRates {
+    pub requests: f64,
+    pub writes: f64,
+}
+
 impl StateLimits {
-    fn least(&self, of: fn(&NextLimits) -> Option<f64>, now: f64) -> f64 {
-        self.next.as_ref().and_then(of).map_or(now, |n| n.min(now))
+    fn lower(&self, next: fn(&NextLimits) -> Option<f64>, current: f64) -> f64 {
+        self.next.as_ref().and_then(next).map_or(current, |next| next.min(current))
     }
 
     /// Size of a value that fits now and later.
     pub fn fitting_value_kb(&self) -> f64 {
-        self.least(|n| n.value_kb, self.value_kb)
+        self.lower(|next| next.value_kb, self.value_kb)
     }
 
     /// Writes of a transaction that fit now and later, and into a burst of
     /// one second.
     pub fn fitting_txn_ops(&self) -> usize {
-        let ops = self.next.as_ref().and_then(|n| n.txn_ops).map_or(self.txn_ops, |n| n.min(self.txn_ops));
-        ops.min(self.rates(true).1 as usize).max(1)
+        let next = self.next.as_ref().and_then(|next| next.txn_ops);
+        let ops = next.map_or(self.txn_ops, |next| next.min(self.txn_ops));
+        ops.min(self.rates(LimitPhase::Lowered).writes as usize).max(1)
     }
 
-    /// Requests and writes a second, as they are now or `later`.
-    pub fn rates(&self, later: bool) -> (f64, f64) {
-        if later {
-            (self.least(|n| n.rps, self.rps), self.least(|n| n.write_rps, self.write_rps))
-        } else {
-            (self.rps, self.write_rps)
+    /// The rates that are allowed in a phase.
+    pub fn rates(&self, phase: LimitPhase) -> StateRates {
+        match phase {
+            LimitPhase::Current => StateRates { requests: self.rps, writes: self.write_rps },
+            LimitPhase::Lowered => StateRates {
+                requests: self.lower(|next| next.rps, self.rps),
+                writes: self.lower(|next| next.write_rps, self.write_rps),
+            },
         }
     }
 }
 
+/// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
+    /// Requests per second.
     pub rps: f64,
+    /// The list of hosts may be this old.
     pub list_lag_s: f64,
 }
 
+/// Limits of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Own {
     #[serde(default)]
@@ -141,70 +189,37 @@
     pub sockets: usize,
 }
 
+/// Why a settings file is refused.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     #[error("{path}: {source}")]
-    Read { path: String, source: std::io::Error },
+    Read { path: String, source: io::Error },
     #[error("{path}: {message}")]
     Form { path: String, message: String },
-    #[error("{path}: {field}: {message}")]
-    Value { path: String, field: &'static str, message: &'static str },
+    #[error("{path}: {source}")]
+    Value { path: String, source: InvalidValue },
 }
 
 impl Settings {
+    /// Reads and validates a settings file.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let shown = path.display().to_string();
         let text = fs::read_to_string(path).map_err(|source| SettingsError::Read { path: shown.clone(), source })?;
         Settings::parse(&text, &shown)
     }
 
+    /// Parses and validates settings; `path` is named in errors.
     pub fn parse(text: &str, path: &str) -> Result<Settings, SettingsError> {
-        let s: Settings = toml::from_str(text).map_err(|e| SettingsError::Form {
-            path: path.to_owned(),
-            message: e.to_string().split_whitespace().collect::<Vec<_>>().join(" "),
-        })?;
-        s.check().map_err(|(field, message)| SettingsError::Value { path: path.to_owned(), field, message })?;
-        Ok(s)
+        let settings: Settings = toml::from_str(text)
+            .map_err(|error| SettingsError::Form { path: path.to_owned(), message: single_line(&error.to_string()) })?;
+        settings.validate().map_err(|source| SettingsError::Value { path: path.to_owned(), source })?;
+        Ok(settings)
     }
+}
 
-    fn check(&self) -> Result<(), (&'static str, &'static str)> {
-        let positive = |x: f64| x.is_finite() && x > 0.0;
-        let c = &self.cluster;
-        let table: [(bool, &'static str, &'static str); 13] = [
-            (!self.label.is_empty(), "label", "must not be empty"),
-            (positive(c.workers.report_s), "cluster.workers.report_s", "must be above 0"),
-            (positive(c.workers.lease_s), "cluster.workers.lease_s", "must be above 0"),
-            (positive(c.workers.gang_wait_s), "cluster.workers.gang_wait_s", "must be above 0"),
-            (positive(c.workers.gang_peer_s), "cluster.workers.gang_peer_s", "must be above 0"),
-            (positive(c.workers.cancel_s), "cluster.workers.cancel_s", "must be above 0"),
-            // No lease could be renewed without outliving a cancellation.
-            (c.workers.cancel_s >= c.workers.lease_s + 4.0, "cluster.workers.cancel_s", "must be 4 s above lease_s"),
-            (positive(c.state.rps), "cluster.state.rps", "must be above 0"),
-            (positive(c.state.write_rps), "cluster.state.write_rps", "must be above 0"),
-            (positive(c.state.value_kb), "cluster.state.value_kb", "must be above 0"),
-            (c.state.txn_ops >= 2, "cluster.state.txn_ops", "must be 2 or more"),
-            (positive(c.cloud.rps), "cluster.cloud.rps", "must be above 0"),
-            (c.limits.sockets >= 32, "cluster.limits.sockets", "must be 32 or more"),
-        ];
-        for (ok, field, message) in table {
-            if !ok {
-                return Err((field, message));
-            }
-        }
-        if let Some(n) = &c.state.next {
-            let amounts = [n.rps, n.write_rps, n.value_kb];
-            if amounts.into_iter().flatten().any(|x| !positive(x)) || n.txn_ops == Some(0) {
-                return Err(("cluster.state.next", "must be above 0"));
-            }
-        }
-        for t in &c.teams {
-            let amounts = [t.cpus, t.cpus_max, t.gpus, t.gpus_max];
-            if t.name.is_empty() || amounts.iter().any(|x| !x.is_finite() || *x < 0.0) {
-                return Err(("cluster.teams", "a name and amounts of 0 or more are needed"));
-            }
-        }
-        Ok(())
-    }
+/// A message without line breaks, for logs and terminals.
+pub(super) fn single_line(message: &str) -> String {
+    message.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
 #[cfg(test)]
--- a/src/protocol/tests/operator.rs
+++ b/src/protocol/tests/operator.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::Operator;
 
 #[test]
 fn text_format_table() {
--- a/src/protocol/tests/settings.rs
+++ b/src/protocol/tests/settings.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::{LimitPhase, Settings, StateRates};
 
 pub const SAMPLE: &str = r#"
 label = "n-0"
@@ -70,19 +70,20 @@
 
 #[test]
 fn the_smaller_of_both_limits() {
+    let rates = |requests, writes| StateRates { requests, writes };
     // (next, value, operations, rates later)
     let cases = [
-        ("", 16.0, 24, (100.0, 30.0)),
-        ("value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 21.0", 2.0, 4, (100.0, 21.0)),
-        ("value_kb = 64.0\ntxn_ops = 99\nrps = 500.0\nwrite_rps = 500", 16.0, 24, (100.0, 30.0)),
-        ("rps = 10.0\nwrite_rps = 3.5", 16.0, 3, (10.0, 3.5)),
-        ("write_rps = 0.5", 16.0, 1, (100.0, 0.5)),
+        ("", 16.0, 24, rates(100.0, 30.0)),
+        ("value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 21.0", 2.0, 4, rates(100.0, 21.0)),
+        ("value_kb = 64.0\ntxn_ops = 99\nrps = 500.0\nwrite_rps = 500", 16.0, 24, rates(100.0, 30.0)),
+        ("rps = 10.0\nwrite_rps = 3.5", 16.0, 3, rates(10.0, 3.5)),
+        ("write_rps = 0.5", 16.0, 1, rates(100.0, 0.5)),
     ];
-    for (next, value, ops, rates) in cases {
+    for (next, value, ops, lowered) in cases {
         let text = SAMPLE.replacen("[cluster.cloud]", &format!("[cluster.state.next]\n{next}\n[cluster.cloud]"), 1);
-        let st = Settings::parse(&text, "x.toml").unwrap().cluster.state;
-        let got = (st.fitting_value_kb(), st.fitting_txn_ops(), st.rates(true));
-        assert_eq!(got, (value, ops, rates), "{next}");
-        assert_eq!(st.rates(false), (100.0, 30.0), "{next}");
+        let state = Settings::parse(&text, "x.toml").unwrap().cluster.state;
+        let got = (state.fitting_value_kb(), state.fitting_txn_ops(), state.rates(LimitPhase::Lowered));
+        assert_eq!(got, (value, ops, lowered), "{next}");
+        assert_eq!(state.rates(LimitPhase::Current), rates(100.0, 30.0), "{next}");
     }
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,7 +1,10 @@
-//! Sockets, HTTP and peer frames on one `calloop` loop. Knows bytes only.
+//! Sockets, HTTP and peer frames on one `calloop` event loop.
+//!
+//! This layer moves bytes and knows nothing of what they mean: [`http`] parses
+//! and writes HTTP/1.1 messages, [`net`] owns the sockets.
 
 pub mod http;
 pub mod net;
 
-pub use http::{Reply, Request};
-pub use net::{Call, CallError, ConnId, Event, Limits, Net};
+pub use http::{Method, Reply, Request};
+pub use net::{Call, CallError, ConnId, Event, Limits, ListenerKind, Net};
--- /dev/null
+++ b/src/transport/net/connection.rs
@@ -0,0 +1,108 @@
+//! One TCP connection: what it is used for, its buffers and its deadline.
+
+use std::{
+    io::{self, Read, Write},
+    net::{SocketAddr, TcpStream},
+    rc::Rc,
+};
+
+use calloop::RegistrationToken;
+
+/// Identifies a connection for the life of the process; never reused.
+pub type ConnId = u64;
+
+/// What a connection is used for.
+pub(super) enum Role {
+    /// A client's connection: `busy` while a request is being answered, `close`
+    /// when it must be closed after the answer.
+    Served { busy: bool, close: bool },
+    /// Our connection to a service: the tag of the call in flight, if any, and
+    /// whether any of its bytes were sent.
+    Calling { dest: SocketAddr, tag: Option<u64>, sent: bool },
+    /// Frames of a peer come in.
+    FramesIn,
+    /// Our frames go out to peer `link`.
+    FramesOut { link: usize },
+}
+
+/// What to do with a connection after an operation on it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Disposition {
+    Keep,
+    Close,
+}
+
+/// What became of a non-blocking read.
+pub(super) enum ReadOutcome {
+    /// So many bytes were read into the buffer.
+    Bytes(usize),
+    /// No more bytes for now.
+    WouldBlock,
+    /// End of stream, or an error.
+    Closed,
+}
+
+/// An open connection.
+pub(super) struct Connection {
+    pub stream: Rc<TcpStream>,
+    pub token: RegistrationToken,
+    pub role: Role,
+    /// The connection is not established yet.
+    pub connecting: bool,
+    pub input: Vec<u8>,
+    pub output: Vec<u8>,
+    /// Bytes of `output` that were written already.
+    pub written: usize,
+    /// The connection is closed at this time, in ms of [`super::Net::now`].
+    pub deadline: u64,
+}
+
+impl Connection {
+    /// Bytes that still wait to be written.
+    pub fn unsent(&self) -> usize {
+        self.output.len() - self.written
+    }
+
+    /// Whether it serves a client that has no request under way.
+    pub fn is_idle_served(&self) -> bool {
+        matches!(self.role, Role::Served { busy: false, .. }) && self.input.is_empty()
+    }
+
+    /// Writes as much of the output as the socket takes.
+    pub fn flush(&mut self) -> Disposition {
+        if self.connecting {
+            return Disposition::Keep;
+        }
+        while self.written < self.output.len() {
+            if let Role::Calling { sent, .. } = &mut self.role {
+                *sent = true;
+            }
+            match (&*self.stream).write(&self.output[self.written..]) {
+                Ok(0) => return Disposition::Close,
+                Ok(count) => self.written += count,
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Disposition::Keep,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => return Disposition::Close,
+            }
+        }
+        self.output.clear();
+        self.written = 0;
+        match self.role {
+            Role::Served { busy: false, close: true } => Disposition::Close,
+            _ => Disposition::Keep,
+        }
+    }
+
+    /// Reads once into `buffer`.
+    pub fn read_into(&self, buffer: &mut [u8]) -> ReadOutcome {
+        loop {
+            match (&*self.stream).read(buffer) {
+                Ok(0) => return ReadOutcome::Closed,
+                Ok(count) => return ReadOutcome::Bytes(count),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return ReadOutcome::WouldBlock,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => return ReadOutcome::Closed,
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/transport/net/peer_links.rs
@@ -0,0 +1,104 @@
+//! Standing links to peers, and the frames on them: a length of four bytes
+//! (little endian), then the content.
+
+use std::net::SocketAddr;
+
+use super::{
+    connection::{ConnId, Connection, Disposition, Role},
+    outgoing::dial,
+    Event, Net,
+};
+
+/// Largest content of a frame, in bytes; a longer one is taken for garbage.
+const MAX_FRAME: usize = 512 * 1024;
+/// Bytes that may wait on a link; above it frames are dropped, and a link that
+/// does not drain is closed.
+const MAX_LINK_QUEUE: usize = 256 * 1024;
+/// Pause, in ms, between two attempts to connect to a peer.
+const LINK_RETRY_MS: u64 = 400;
+/// A link must be established within this time, in ms.
+const CONNECT_MS: u64 = 1_000;
+/// Bytes of a frame's length.
+const LENGTH_BYTES: usize = 4;
+
+/// A link to one peer; it is connected when a frame is to be sent.
+pub(super) struct PeerLink {
+    dest: SocketAddr,
+    connection: Option<ConnId>,
+    retry_at: u64,
+}
+
+/// Whether a link must be closed: it could not connect, or it doesn't drain. A
+/// working link has no deadline.
+pub(super) fn is_broken(connection: &Connection, now: u64) -> bool {
+    (connection.connecting && now >= connection.deadline) || connection.unsent() > MAX_LINK_QUEUE
+}
+
+impl Net {
+    /// Adds a link to a peer and returns its number.
+    pub fn add_link(&mut self, dest: SocketAddr) -> usize {
+        self.links.push(PeerLink { dest, connection: None, retry_at: 0 });
+        self.links.len() - 1
+    }
+
+    /// Sends a frame to a peer, or drops it when the link is down or full:
+    /// frames carry state that the next one repeats.
+    pub fn send_frame(&mut self, link: usize, content: &[u8]) {
+        let Some(id) = self.link_connection(link) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if connection.unsent() > MAX_LINK_QUEUE || content.len() > MAX_FRAME {
+            return;
+        }
+        connection.output.extend_from_slice(&(content.len() as u32).to_le_bytes());
+        connection.output.extend_from_slice(content);
+        if connection.flush() == Disposition::Close {
+            self.close(id);
+        }
+    }
+
+    /// The connection of a link, which is opened unless an attempt failed just now.
+    fn link_connection(&mut self, link: usize) -> Option<ConnId> {
+        let now = self.now();
+        let peer_link = self.links.get_mut(link)?;
+        if let Some(id) = peer_link.connection {
+            return Some(id);
+        }
+        if now < peer_link.retry_at {
+            return None;
+        }
+        peer_link.retry_at = now + LINK_RETRY_MS;
+        let stream = dial(peer_link.dest).ok()?;
+        let id = self.register(stream, Role::FramesOut { link }, true, now + CONNECT_MS)?;
+        self.links[link].connection = Some(id);
+        Some(id)
+    }
+
+    /// A link's connection was closed: it is opened again after a pause.
+    pub(super) fn link_closed(&mut self, link: usize) {
+        let retry_at = self.now() + LINK_RETRY_MS;
+        if let Some(peer_link) = self.links.get_mut(link) {
+            peer_link.connection = None;
+            peer_link.retry_at = retry_at;
+        }
+    }
+
+    /// Takes the complete frames out of a peer's input.
+    pub(super) fn parse_frames(&mut self, id: ConnId) -> Disposition {
+        let deadline = self.now() + self.limits.idle_ms;
+        let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
+        connection.deadline = deadline;
+        let mut at = 0;
+        while let Some(head) = connection.input.get(at..at + LENGTH_BYTES) {
+            let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
+            if length > MAX_FRAME {
+                return Disposition::Close;
+            }
+            let start = at + LENGTH_BYTES;
+            let Some(content) = connection.input.get(start..start + length) else { break };
+            self.events.push_back(Event::Frame { bytes: content.to_vec() });
+            at = start + length;
+        }
+        connection.input.drain(..at);
+        Disposition::Keep
+    }
+}
--- /dev/null
+++ b/src/transport/net/server.rs
@@ -0,0 +1,188 @@
+//! Listeners and the connections of clients: HTTP requests in, replies out.
+
+use std::{
+    io,
+    net::{SocketAddr, TcpListener, TcpStream},
+};
+
+use calloop::{generic::Generic, Interest, Mode, PostAction};
+
+use super::{
+    connection::{ConnId, Connection, Disposition, Role},
+    Event, Net,
+};
+use crate::transport::http::{self, Parsed};
+
+/// Connections accepted per turn: a flood of them must not starve the rest.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// Connections closed at a time when sockets run out.
+const MAX_CLOSED_AT_ONCE: usize = 32;
+/// Pause, in ms, before looking for connections to close again after none was found.
+const FULL_RETRY_MS: u64 = 50;
+/// Bytes that a client may send while its request is being answered: one more
+/// request. Requests are never pipelined, so a client that sends more is closed.
+const MAX_PENDING_INPUT: usize = http::MAX_REQUEST_BODY + http::MAX_HEAD;
+
+/// What is spoken on the connections of a listener.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ListenerKind {
+    /// HTTP requests of users, workers and health probes.
+    Http,
+    /// Frames of peers.
+    Frames,
+}
+
+impl Net {
+    /// Listens on `addr` and returns the address that was bound.
+    pub fn listen(&mut self, addr: SocketAddr, kind: ListenerKind) -> io::Result<SocketAddr> {
+        let listener = TcpListener::bind(addr)?;
+        listener.set_nonblocking(true)?;
+        let bound = listener.local_addr()?;
+        let source = Generic::new(listener, Interest::READ, Mode::Level);
+        self.handle
+            .insert_source(source, move |_, listener, net: &mut Net| {
+                net.accept(listener, kind);
+                Ok(PostAction::Continue)
+            })
+            .map_err(|error| io::Error::other(error.to_string()))?;
+        Ok(bound)
+    }
+
+    fn accept(&mut self, listener: &TcpListener, kind: ListenerKind) {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            match listener.accept() {
+                Ok((stream, _)) => self.admit(stream, kind),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => return,
+            }
+        }
+    }
+
+    /// Registers an accepted connection. Without a free socket it is dropped,
+    /// which closes it, so that a load balancer tries another controller.
+    fn admit(&mut self, stream: TcpStream, kind: ListenerKind) {
+        if self.connections.len() >= self.limits.max_for_accepting() && !self.free_sockets() {
+            return;
+        }
+        if stream.set_nonblocking(true).is_err() {
+            return;
+        }
+        let _ = stream.set_nodelay(true);
+        let role = match kind {
+            ListenerKind::Frames => Role::FramesIn,
+            ListenerKind::Http => Role::Served { busy: false, close: false },
+        };
+        let deadline = self.now() + self.limits.idle_ms;
+        if let Some(id) = self.register(stream, role, false, deadline) {
+            self.ready(id, true, false);
+        }
+    }
+
+    /// At the limit of sockets: closes our own idle connections first, then
+    /// served ones that have had no request for long, the longest idle first;
+    /// never one whose request is being answered. Returns whether any was closed.
+    pub(super) fn free_sockets(&mut self) -> bool {
+        let now = self.now();
+        if now < self.full_until {
+            return false;
+        }
+        for _ in 0..MAX_CLOSED_AT_ONCE {
+            if !self.close_oldest_idle_call() {
+                break;
+            }
+        }
+        if self.connections.len() < self.limits.max_for_accepting() {
+            return true;
+        }
+        let closed = self.close_stale_served(now);
+        if !closed {
+            self.full_until = now + FULL_RETRY_MS;
+        }
+        closed
+    }
+
+    fn close_stale_served(&mut self, now: u64) -> bool {
+        // A served connection's deadline is `idle_ms` after its last request.
+        let stale_deadline = now + self.limits.idle_ms.saturating_sub(self.limits.stale_ms);
+        let mut stale: Vec<(u64, ConnId)> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.is_idle_served() && connection.deadline <= stale_deadline)
+            .map(|(&id, connection)| (connection.deadline, id))
+            .collect();
+        stale.sort_unstable();
+        for &(_, id) in stale.iter().take(MAX_CLOSED_AT_ONCE) {
+            self.close(id);
+        }
+        !stale.is_empty()
+    }
+
+    pub(super) fn floods_while_busy(connection: &Connection) -> bool {
+        matches!(connection.role, Role::Served { busy: true, .. }) && connection.input.len() > MAX_PENDING_INPUT
+    }
+
+    /// Parses the request of a served connection that is not busy.
+    pub(super) fn parse_request(&mut self, id: ConnId) -> Disposition {
+        let deadline = self.now() + self.limits.idle_ms;
+        let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
+        let Role::Served { busy, close } = &mut connection.role else { return Disposition::Keep };
+        match http::parse_request(&connection.input) {
+            Ok(Parsed::Partial) => Disposition::Keep,
+            Ok(Parsed::Whole(request, used)) => {
+                connection.input.drain(..used);
+                *busy = true;
+                *close = request.close;
+                connection.deadline = deadline;
+                self.events.push_back(Event::Request { conn: id, req: request });
+                Disposition::Keep
+            }
+            Err(error) => {
+                *close = true;
+                connection.input.clear();
+                http::write_reply(&mut connection.output, error.status(), None, b"", true);
+                connection.flush();
+                Disposition::Close
+            }
+        }
+    }
+
+    /// Answers a served request. Unknown connections (closed meanwhile) are ignored.
+    pub fn respond(&mut self, conn: ConnId, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
+        let deadline = self.now() + self.limits.idle_ms;
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        let Role::Served { busy, close } = &mut connection.role else { return };
+        if !std::mem::replace(busy, false) {
+            return;
+        }
+        http::write_reply(&mut connection.output, status, retry_after_s, body, *close);
+        connection.deadline = deadline;
+        if connection.flush() == Disposition::Close {
+            return self.close(conn);
+        }
+        // Bytes of the next request may have arrived already.
+        let has_input = self.connections.get(&conn).is_some_and(|connection| !connection.input.is_empty());
+        if has_input && self.parse(conn) == Disposition::Close {
+            self.close(conn);
+        }
+    }
+
+    /// Answers a worker's report.
+    ///
+    /// Guard: there may be more workers than sockets. While sockets are scarce,
+    /// the worker is also told to close the connection, which admits another;
+    /// it connects again for its next report.
+    pub fn respond_report(&mut self, conn: ConnId, status: u16, body: &[u8]) {
+        if self.connections.len() > self.limits.crowded() {
+            if let Some(Connection { role: Role::Served { close, .. }, .. }) = self.connections.get_mut(&conn) {
+                *close = true;
+            }
+        }
+        self.respond(conn, status, None, body);
+    }
+
+    /// Whether the client of this connection is still connected, as far as is known.
+    pub fn is_open(&self, conn: ConnId) -> bool {
+        self.connections.contains_key(&conn)
+    }
+}
--- a/src/transport/tests/http.rs
+++ b/src/transport/tests/http.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::{parse_request, HttpError, Parsed, MAX_HEAD, MAX_REQUEST_BODY};
 
 #[test]
 fn requests_table() {
--- a/src/transport/tests/net.rs
+++ b/src/transport/tests/net.rs
@@ -1,19 +1,28 @@
-use super::*;
+use std::{
+    io::{self, Read, Write},
+    net::{SocketAddr, TcpListener, TcpStream},
+    time::Duration,
+};
 
-struct Bed {
+use calloop::EventLoop;
+
+use super::{Call, CallError, Event, Limits, ListenerKind, Net};
+use crate::transport::http::Method;
+
+struct TestServer {
     event_loop: EventLoop<'static, Net>,
     net: Net,
-    at: SocketAddr,
+    addr: SocketAddr,
 }
 
-fn bed(limits: Limits) -> Bed {
+fn start_server(limits: Limits) -> TestServer {
     let event_loop = EventLoop::try_new().unwrap();
     let mut net = Net::new(&event_loop, limits);
-    let at = net.listen("127.0.0.1:0".parse().unwrap(), false).unwrap();
-    Bed { event_loop, net, at }
+    let addr = net.listen("127.0.0.1:0".parse().unwrap(), ListenerKind::Http).unwrap();
+    TestServer { event_loop, net, addr }
 }
 
-impl Bed {
+impl TestServer {
     fn turn(&mut self, ms: u64) {
         let until = self.net.now() + ms;
         while self.net.now() < until {
@@ -31,7 +40,7 @@
     }
 
     fn client(&mut self, send: &[u8]) -> TcpStream {
-        let mut s = TcpStream::connect(self.at).unwrap();
+        let mut s = TcpStream::connect(self.addr).unwrap();
         s.write_all(send).unwrap();
         s.set_nonblocking(true).unwrap();
         s
@@ -52,7 +61,7 @@
 /// Guard: a connection lives only as long as something comes of it.
 #[test]
 fn connections_that_idle_are_closed() {
-    let mut b = bed(Limits { sockets: 100, idle_ms: 1_500, head_ms: 300, stale_ms: 100 });
+    let mut server = start_server(Limits { sockets: 100, idle_ms: 1_500, head_ms: 300, stale_ms: 100 });
     // (what the client sends, open after 700 ms, open after 2,500 ms)
     let cases: [(&[u8], bool, bool); 4] = [
         (b"", true, false),
@@ -60,85 +69,85 @@
         (b"GET /now HT", false, false),
         (b"POST /now HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc", false, false),
     ];
-    let mut clients: Vec<TcpStream> = cases.iter().map(|c| b.client(c.0)).collect();
-    b.turn(700);
+    let mut clients: Vec<TcpStream> = cases.iter().map(|c| server.client(c.0)).collect();
+    server.turn(700);
     for (c, (sent, open, _)) in clients.iter_mut().zip(cases) {
         assert_eq!(is_open(c), open, "after 700 ms: {}", String::from_utf8_lossy(sent));
     }
-    b.turn(1_800);
+    server.turn(1_800);
     for (c, (sent, _, open)) in clients.iter_mut().zip(cases) {
         assert_eq!(is_open(c), open, "after 2,500 ms: {}", String::from_utf8_lossy(sent));
     }
-    assert_eq!(b.net.sockets(), 0);
+    assert_eq!(server.net.sockets(), 0);
 }
 
 /// Guard: more workers than sockets. Those who found none lost their
 /// leases, and users and probes were refused with them.
 #[test]
 fn sockets_fewer_than_workers() {
-    let mut b = bed(Limits { sockets: 64, idle_ms: 60_000, head_ms: 5_000, stale_ms: 30_000 });
+    let mut server = start_server(Limits { sockets: 64, idle_ms: 60_000, head_ms: 5_000, stale_ms: 30_000 });
     let mut workers: Vec<Option<TcpStream>> = (0..96).map(|_| None).collect();
     for round in 0..4 {
         for (n, worker) in workers.iter_mut().enumerate() {
             if !worker.as_mut().is_some_and(is_open) {
-                *worker = Some(b.client(b""));
+                *worker = Some(server.client(b""));
             }
             let Some(s) = worker else { continue };
             s.write_all(b"GET /report HTTP/1.1\r\n\r\n").unwrap();
-            b.turn(5);
+            server.turn(5);
             let got = s.read(&mut [0; 1024]).unwrap_or(0);
             assert!(got > 0, "round {round}: worker {n} is not answered");
         }
-        let mut user = b.client(b"GET /now HTTP/1.1\r\n\r\n");
-        b.turn(20);
+        let mut user = server.client(b"GET /now HTTP/1.1\r\n\r\n");
+        server.turn(20);
         assert!(is_open(&mut user), "round {round}: a user is refused");
     }
-    assert!(b.net.sockets() <= 48 && b.net.sockets() > 32, "{} sockets", b.net.sockets());
+    assert!(server.net.sockets() <= 48 && server.net.sockets() > 32, "{} sockets", server.net.sockets());
 }
 
 /// Guard: after a halt, what waits in the sockets is old: no request of
 /// then is carried out, and no answer of then believed.
 #[test]
 fn after_a_halt_nothing_old_counts() {
-    let mut b = bed(Limits { sockets: 64, idle_ms: 60_000, head_ms: 5_000, stale_ms: 30_000 });
+    let mut server = start_server(Limits { sockets: 64, idle_ms: 60_000, head_ms: 5_000, stale_ms: 30_000 });
     let other = TcpListener::bind("127.0.0.1:0").unwrap();
     let dest = other.local_addr().unwrap();
-    b.net.call(Call { dest, method: "GET", path: "/".into(), body: vec![], timeout_ms: 60_000, tag: 7 });
-    b.turn(50);
+    server.net.call(Call { dest, method: Method::Get, path: "/".into(), body: vec![], timeout_ms: 60_000, tag: 7 });
+    server.turn(50);
     let (mut far, _) = other.accept().unwrap();
     far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
-    let mut client = b.client(b"GET /now HTTP/1.1\r\n\r\n");
+    let mut client = server.client(b"GET /now HTTP/1.1\r\n\r\n");
     // Read, but not acted on yet.
     for _ in 0..5 {
-        b.net.turn(&mut b.event_loop, Duration::from_millis(10)).unwrap();
+        server.net.turn(&mut server.event_loop, Duration::from_millis(10)).unwrap();
     }
-    b.net.stood_still();
+    server.net.drop_stale_io();
     let mut events = Vec::new();
-    while let Some(e) = b.net.pop() {
+    while let Some(e) = server.net.pop() {
         events.push(e);
     }
     assert!(matches!(&events[..], [Event::Reply { tag: 7, result: Err(CallError::Unknown) }]), "{events:?}");
-    b.turn(20);
-    assert!(!is_open(&mut client) && b.net.sockets() == 0);
+    server.turn(20);
+    assert!(!is_open(&mut client) && server.net.sockets() == 0);
 }
 
 /// Guard: machines that are gone left their connections behind; at the
 /// limit those that live found none, until leases ran out.
 #[test]
 fn at_the_limit_the_longest_idle_make_room() {
-    let mut b = bed(Limits { sockets: 40, idle_ms: 60_000, head_ms: 5_000, stale_ms: 300 });
-    let mut old: Vec<TcpStream> = (0..24).map(|_| b.client(b"GET /now HTTP/1.1\r\n\r\n")).collect();
-    b.turn(100);
+    let mut server = start_server(Limits { sockets: 40, idle_ms: 60_000, head_ms: 5_000, stale_ms: 300 });
+    let mut old: Vec<TcpStream> = (0..24).map(|_| server.client(b"GET /now HTTP/1.1\r\n\r\n")).collect();
+    server.turn(100);
     // One is being answered: it is not idle, however long it takes.
     old[0].write_all(b"GET /later HTTP/1.1\r\n\r\n").unwrap();
-    let mut early = b.client(b"GET /now HTTP/1.1\r\n\r\n");
-    b.turn(100);
+    let mut early = server.client(b"GET /now HTTP/1.1\r\n\r\n");
+    server.turn(100);
     assert!(!is_open(&mut early), "nothing idle for long yet: refused");
-    b.turn(400);
-    let mut new: Vec<TcpStream> = (0..10).map(|_| b.client(b"GET /now HTTP/1.1\r\n\r\n")).collect();
-    b.turn(200);
+    server.turn(400);
+    let mut new: Vec<TcpStream> = (0..10).map(|_| server.client(b"GET /now HTTP/1.1\r\n\r\n")).collect();
+    server.turn(200);
     assert!(new.iter_mut().all(is_open), "room is made for those that come");
     assert!(is_open(&mut old[0]), "a request that is being answered is not cut off");
     assert!(old.iter_mut().filter_map(|c| is_open(c).then_some(())).count() < 24);
-    assert!(b.net.sockets() <= 24);
+    assert!(server.net.sockets() <= 24);
 }
