--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -29,13 +29,13 @@
 #[derive(Debug)]
 pub(super) enum Pending {
     /// The grant for the leader's key.
-    Grant,
-    Renew,
-    Claim,
-    Resign,
+    LeaderGrant,
+    LeaderGrantRenewal,
+    LeaderClaim,
+    LeaderResign,
     /// A listing of the leader's key and the renewal keys, or their changes.
-    LeaderKey,
-    LeaderWatch {
+    LeaderKeyPage,
+    LeaderKeyWatch {
         sent: Ms,
     },
     /// A page of the jobs' records, or their changes.
@@ -50,9 +50,9 @@
         sent: Ms,
     },
     /// The grant for this controller's renewal key.
-    RenewalRightGrant,
-    RenewalRightRenew,
-    RenewalRightRegister,
+    RenewalKeyGrant,
+    RenewalKeyGrantRenewal,
+    RenewalKeyClaim,
     /// This controller's version key, and a listing of all of them.
     VersionWrite,
     VersionRead,
@@ -88,21 +88,21 @@
         key: String,
     },
     /// Orders sent to a worker.
-    Do {
+    Orders {
         stamp: u64,
         machine: MachineIx,
         call: u64,
     },
     /// Requests to the cloud.
-    Rent {
+    RentHosts {
         stamp: u64,
         call: u64,
     },
-    Return {
+    ReturnHosts {
         stamp: u64,
         call: u64,
     },
-    List {
+    ListHosts {
         stamp: u64,
         call: u64,
     },
@@ -112,7 +112,7 @@
         machine: MachineIx,
     },
     /// The machine types.
-    Flavors,
+    MachineTypes,
 }
 
 impl Pending {
@@ -122,11 +122,11 @@
     pub fn shows_state_health(&self) -> bool {
         !matches!(
             self,
-            Pending::Do { .. }
-                | Pending::Rent { .. }
-                | Pending::Return { .. }
-                | Pending::List { .. }
-                | Pending::Flavors
+            Pending::Orders { .. }
+                | Pending::RentHosts { .. }
+                | Pending::ReturnHosts { .. }
+                | Pending::ListHosts { .. }
+                | Pending::MachineTypes
         )
     }
 }
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -59,7 +59,7 @@
                 let body = cbor::encode(&req);
                 let request =
                     WorkerCall { addr, method: Method::Post, path: "/do", body, timeout_ms: ORDERS_TIMEOUT_MS };
-                self.ask_worker(net, Pending::Do { stamp, machine, call }, request);
+                self.ask_worker(net, Pending::Orders { stamp, machine, call }, request);
             }
             Effect::Do { machine, call, .. } => {
                 if let Some(leader) = &mut self.leader {
@@ -69,7 +69,13 @@
             }
             Effect::Rent { call, req } => {
                 let request = CloudCall::post("/hosts", cbor::encode(&req));
-                if !self.ask_cloud_as_leader(net, authority, Urgency::Commit, Pending::Rent { stamp, call }, request) {
+                if !self.ask_cloud_as_leader(
+                    net,
+                    authority,
+                    Urgency::Commit,
+                    Pending::RentHosts { stamp, call },
+                    request,
+                ) {
                     if let Some(leader) = &mut self.leader {
                         leader.rented(now, call, RentOutcome::Again);
                     }
@@ -77,8 +83,13 @@
             }
             Effect::Return { call, ids } => {
                 let request = CloudCall::post("/hosts/return", cbor::encode(&HostNames { hosts: ids }));
-                if !self.ask_cloud_as_leader(net, authority, Urgency::Cancel, Pending::Return { stamp, call }, request)
-                {
+                if !self.ask_cloud_as_leader(
+                    net,
+                    authority,
+                    Urgency::Cancel,
+                    Pending::ReturnHosts { stamp, call },
+                    request,
+                ) {
                     if let Some(leader) = &mut self.leader {
                         leader.returned(now, call, false);
                     }
@@ -92,7 +103,13 @@
             Effect::List { call, from } => {
                 let from = from.map_or(String::new(), |from| format!("from={from}&"));
                 let request = CloudCall::get(format!("/hosts?{from}most=500"));
-                if !self.ask_cloud_as_leader(net, authority, Urgency::Submit, Pending::List { stamp, call }, request) {
+                if !self.ask_cloud_as_leader(
+                    net,
+                    authority,
+                    Urgency::Submit,
+                    Pending::ListHosts { stamp, call },
+                    request,
+                ) {
                     if let Some(leader) = &mut self.leader {
                         leader.listed(now, call, None, &mut self.tables);
                     }
--- a/src/node/grants.rs
+++ b/src/node/grants.rs
@@ -44,20 +44,20 @@
         match action {
             election::Action::Grant => {
                 let call = request_grant(self.election.ttl_ms());
-                self.ask_state(net, Pending::Grant, call);
+                self.ask_state(net, Pending::LeaderGrant, call);
             }
             election::Action::Renew(permit) => {
                 let call = renew_grant(permit, self.election.patience_ms());
-                self.ask_state(net, Pending::Renew, call);
+                self.ask_state(net, Pending::LeaderGrantRenewal, call);
             }
             election::Action::Claim { permit, expect } => {
                 let call = write_key(records::LEADER.into(), &self.election.record(permit), permit, expect);
                 let _ = self.budgets.commits.take(now, 1.0, Urgency::Lease);
-                self.ask_state(net, Pending::Claim, call);
+                self.ask_state(net, Pending::LeaderClaim, call);
             }
             election::Action::Resign(permit) => {
                 let call = StateCall::delete(format!("/grants/{permit}"), STATE_TIMEOUT_MS);
-                self.ask_state(net, Pending::Resign, call);
+                self.ask_state(net, Pending::LeaderResign, call);
             }
         }
     }
@@ -69,18 +69,18 @@
         match action {
             lease_renewal::Action::Grant => {
                 let call = request_grant(self.renewal_right.ttl_ms());
-                self.ask_state(net, Pending::RenewalRightGrant, call);
+                self.ask_state(net, Pending::RenewalKeyGrant, call);
             }
             lease_renewal::Action::Renew(permit) => {
                 let call = renew_grant(permit, STATE_TIMEOUT_MS);
-                self.ask_state(net, Pending::RenewalRightRenew, call);
+                self.ask_state(net, Pending::RenewalKeyGrantRenewal, call);
             }
             lease_renewal::Action::Register { permit, expect } => {
                 let nonce = self.renewal_right.mark(self.nonce).unwrap_or(self.nonce);
                 let record = LeaderRecord { label: self.settings.label.clone(), nonce };
                 let call = write_key(records::renewal_key(&self.settings.label), &record, permit, expect);
                 let _ = self.budgets.commits.take(now, 1.0, Urgency::Lease);
-                self.ask_state(net, Pending::RenewalRightRegister, call);
+                self.ask_state(net, Pending::RenewalKeyClaim, call);
             }
         }
     }
--- a/src/node/leader_config.rs
+++ b/src/node/leader_config.rs
@@ -7,7 +7,7 @@
         leader::{Config, ServiceObjective},
         model::{Ms, TeamLimits},
     },
-    protocol::settings::{Objective, Team},
+    protocol::settings::{Objective, ObjectiveKind, Team},
 };
 
 const BYTES_PER_KB: f64 = 1024.0;
@@ -19,10 +19,6 @@
 const SILENT_REPORT_INTERVALS: Ms = 2;
 const SILENT_GRACE_MS: Ms = 2_500;
 
-/// The kinds of objectives that scheduling can serve, as the settings name them.
-const WAIT_OBJECTIVE: &str = "wait";
-const FINISHED_OBJECTIVE: &str = "finished";
-
 fn ms(seconds: f64) -> Ms {
     (seconds * MS_PER_S) as Ms
 }
@@ -74,10 +70,10 @@
     fn objectives(&mut self) -> Vec<ServiceObjective> {
         let mut objectives = Vec::new();
         for Objective { kind, class, within_s, .. } in &self.settings.cluster.objectives {
-            let start = match kind.as_str() {
-                WAIT_OBJECTIVE => true,
-                FINISHED_OBJECTIVE => false,
-                _ => continue,
+            let start = match kind {
+                ObjectiveKind::Wait => true,
+                ObjectiveKind::Finished => false,
+                ObjectiveKind::Other => continue,
             };
             let Some(class) = class else { continue };
             let class = self.tables.classes.intern(class);
--- a/src/node/leader_key.rs
+++ b/src/node/leader_key.rs
@@ -51,10 +51,10 @@
             let epoch = self.leader_key.epoch;
             let path = format!("/changes?under={}&from={epoch}&waitMs={WATCH_MS}", records::LEADER);
             let call = StateCall::read(path, WATCH_MS + WATCH_GRACE_MS);
-            self.ask_state(net, Pending::LeaderWatch { sent: now }, call);
+            self.ask_state(net, Pending::LeaderKeyWatch { sent: now }, call);
         } else {
             let path = format!("/store?under={}&most=1000", records::LEADER);
-            self.ask_state(net, Pending::LeaderKey, StateCall::read(path, LIST_TIMEOUT_MS));
+            self.ask_state(net, Pending::LeaderKeyPage, StateCall::read(path, LIST_TIMEOUT_MS));
         }
     }
 
--- a/src/node/machine_types.rs
+++ b/src/node/machine_types.rs
@@ -8,7 +8,7 @@
 use crate::{
     bookkeeping::budget::Urgency,
     coordination::model::{Ms, Res, TypeInfo},
-    protocol::cloud::{Flavor, Flavors},
+    protocol::cloud::{MachineType, MachineTypeList},
     transport::{CallError, Net, Reply},
 };
 
@@ -18,16 +18,16 @@
 const REFRESH_MS: Ms = 30_000;
 
 /// Whether all amounts of a type make sense.
-fn is_plausible(flavor: &Flavor) -> bool {
+fn is_plausible(offered: &MachineType) -> bool {
     let amounts = [
-        flavor.cpus,
-        flavor.gpus,
-        flavor.memory_gb,
-        flavor.cache_gb,
-        flavor.fetch_gb_per_s,
-        flavor.price,
-        flavor.spot_price,
-        flavor.boot_s,
+        offered.cpus,
+        offered.gpus,
+        offered.memory_gb,
+        offered.cache_gb,
+        offered.fetch_gb_per_s,
+        offered.price,
+        offered.spot_price,
+        offered.boot_s,
     ];
     amounts.iter().all(|amount| amount.is_finite() && *amount >= 0.0)
 }
@@ -37,23 +37,23 @@
     pub(super) fn refresh_machine_types(&mut self, net: &mut Net, now: Ms) {
         if self.types_poll.due(now) && self.budgets.cloud.take(now, 1.0, Urgency::Commit).is_ok() {
             self.types_poll.in_flight = true;
-            self.ask_cloud(net, Pending::Flavors, CloudCall::get("/flavors".into()));
+            self.ask_cloud(net, Pending::MachineTypes, CloudCall::get("/flavors".into()));
         }
     }
 
     /// The list of machine types came.
     pub(super) fn machine_types_listed(&mut self, now: Ms, result: &Result<Reply, CallError>) {
-        let Some(flavors) = body::<Flavors>(result) else {
+        let Some(list) = body::<MachineTypeList>(result) else {
             self.types_poll.finish(now + RETRY_MS);
             return;
         };
         self.types_poll.finish(now + REFRESH_MS);
         let mut types = Vec::new();
-        for flavor in flavors.types {
-            if is_plausible(&flavor) {
-                types.push(self.machine_type(&flavor));
+        for offered in list.types {
+            if is_plausible(&offered) {
+                types.push(self.machine_type(&offered));
             } else {
-                tracing::warn!(name = &*flavor.name, "a machine type with impossible numbers is left out");
+                tracing::warn!(name = &*offered.name, "a machine type with impossible numbers is left out");
             }
         }
         if let Some(leader) = &mut self.leader {
@@ -63,16 +63,16 @@
         self.types = types;
     }
 
-    fn machine_type(&mut self, flavor: &Flavor) -> TypeInfo {
+    fn machine_type(&mut self, offered: &MachineType) -> TypeInfo {
         TypeInfo {
-            ix: self.tables.types.intern(&flavor.name),
-            cap: Res { cpus: flavor.cpus, gpus: flavor.gpus, memory_gb: flavor.memory_gb },
-            cache_gb: flavor.cache_gb,
-            fetch_gb_per_s: flavor.fetch_gb_per_s,
-            price: flavor.price,
-            spot_price: flavor.spot_price,
-            boot_s: flavor.boot_s,
-            zones: flavor.zones.iter().map(|zone| self.tables.zones.intern(zone)).collect(),
+            ix: self.tables.types.intern(&offered.name),
+            cap: Res { cpus: offered.cpus, gpus: offered.gpus, memory_gb: offered.memory_gb },
+            cache_gb: offered.cache_gb,
+            fetch_gb_per_s: offered.fetch_gb_per_s,
+            price: offered.price,
+            spot_price: offered.spot_price,
+            boot_s: offered.boot_s,
+            zones: offered.zones.iter().map(|zone| self.tables.zones.intern(zone)).collect(),
         }
     }
 }
--- a/src/node/replies.rs
+++ b/src/node/replies.rs
@@ -60,17 +60,17 @@
             self.state_answered(now, &result);
         }
         match pending {
-            Pending::Grant => self.election.granted(now, permit(&result)),
-            Pending::Renew => self.election.renewed(now, renewed(&result)),
-            Pending::Claim => self.claimed(now, &result),
-            Pending::Resign => {}
-            Pending::RenewalRightGrant => self.renewal_right.granted(now, permit(&result)),
-            Pending::RenewalRightRenew => self.renewal_right.renewed(now, renewed(&result)),
-            Pending::RenewalRightRegister => self.renewal_right_registered(now, &result),
+            Pending::LeaderGrant => self.election.granted(now, permit(&result)),
+            Pending::LeaderGrantRenewal => self.election.renewed(now, renewed(&result)),
+            Pending::LeaderClaim => self.claimed(now, &result),
+            Pending::LeaderResign => {}
+            Pending::RenewalKeyGrant => self.renewal_right.granted(now, permit(&result)),
+            Pending::RenewalKeyGrantRenewal => self.renewal_right.renewed(now, renewed(&result)),
+            Pending::RenewalKeyClaim => self.renewal_right_registered(now, &result),
             Pending::VersionWrite => self.version_written(now, &result),
             Pending::VersionRead => self.version_page(now, &result),
-            Pending::LeaderKey => self.leader_page(now, &result),
-            Pending::LeaderWatch { sent } => self.leader_changes(now, sent, &result),
+            Pending::LeaderKeyPage => self.leader_page(now, &result),
+            Pending::LeaderKeyWatch { sent } => self.leader_changes(now, sent, &result),
             Pending::JobsPage { first } => self.jobs_page(now, first, &result),
             Pending::JobsWatch { sent } => self.jobs_watched(now, sent, &result),
             Pending::Barrier { sent } => self.barrier_read(net, now, sent, &result),
@@ -80,12 +80,12 @@
             Pending::TasksPage { stamp } => self.tasks_page(now, stamp, &result),
             Pending::Commit { stamp } => self.committed(net, now, stamp, &result),
             Pending::Resync { stamp, key } => self.resynced(now, stamp, &key, &result),
-            Pending::Do { stamp, machine, call } => self.orders_answered(now, stamp, machine, call, &result),
-            Pending::Rent { stamp, call } => self.rented(now, stamp, call, &result),
-            Pending::Return { stamp, call } => self.returned(now, stamp, call, &result),
-            Pending::List { stamp, call } => self.hosts_listed(now, stamp, call, &result),
+            Pending::Orders { stamp, machine, call } => self.orders_answered(now, stamp, machine, call, &result),
+            Pending::RentHosts { stamp, call } => self.rented(now, stamp, call, &result),
+            Pending::ReturnHosts { stamp, call } => self.returned(now, stamp, call, &result),
+            Pending::ListHosts { stamp, call } => self.hosts_listed(now, stamp, call, &result),
             Pending::Probe { stamp, machine } => self.probed(now, stamp, machine, &result),
-            Pending::Flavors => self.machine_types_listed(now, &result),
+            Pending::MachineTypes => self.machine_types_listed(now, &result),
         }
     }
 
--- a/src/node/routes.rs
+++ b/src/node/routes.rs
@@ -7,6 +7,7 @@
 };
 
 /// What a request is for. Paths that don't exist have no route.
+#[derive(Debug, PartialEq, Eq)]
 enum Route<'a> {
     Report,
     Ready,
@@ -56,3 +57,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "tests/routes.rs"]
+mod tests;
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -9,7 +9,7 @@
     coordination::model::Ms,
     protocol::{
         operator::Operator,
-        settings::{Settings, Workers},
+        settings::{Settings, WorkerSettings},
     },
     transport::{Limits, ListenerKind, Net},
 };
@@ -40,7 +40,7 @@
     Listen { addr: SocketAddr, source: io::Error },
 }
 
-fn stale_ms(workers: &Workers) -> u64 {
+fn stale_ms(workers: &WorkerSettings) -> u64 {
     ((workers.report_s * STALE_MS_PER_REPORT_S) as u64).clamp(MIN_STALE_MS, MAX_STALE_MS)
 }
 
--- /dev/null
+++ b/src/node/tests/routes.rs
@@ -0,0 +1,28 @@
+use super::{route, Route};
+
+#[test]
+fn routes_table() {
+    let cases = [
+        ("POST", "/checkin", Some(Route::Report)),
+        ("GET", "/checkin", Some(Route::MethodNotAllowed)),
+        ("GET", "/ready", Some(Route::Ready)),
+        ("HEAD", "/ready", Some(Route::Ready)),
+        ("POST", "/ready", Some(Route::MethodNotAllowed)),
+        ("POST", "/api/jobs", Some(Route::SubmitJob)),
+        ("GET", "/api/jobs", Some(Route::MethodNotAllowed)),
+        ("GET", "/api/jobs/j-1", Some(Route::PollJob("j-1"))),
+        ("GET", "/api/jobs/", Some(Route::PollJob(""))),
+        ("POST", "/api/jobs/j-1", Some(Route::MethodNotAllowed)),
+        ("POST", "/api/jobs/j-1/abort", Some(Route::AbortJob("j-1"))),
+        ("GET", "/api/jobs/j-1/abort", Some(Route::MethodNotAllowed)),
+        ("POST", "/api/jobs/a/b/abort", Some(Route::AbortJob("a/b"))),
+        ("GET", "/api/jobs/a/b", None),
+        ("POST", "/api/jobs/a/b", None),
+        ("GET", "/", None),
+        ("GET", "/checkin/", None),
+        ("GET", "", None),
+    ];
+    for (method, path, want) in cases {
+        assert_eq!(route(method, path), want, "{method} {path}");
+    }
+}
--- a/src/node/tests/wiring.rs
+++ b/src/node/tests/wiring.rs
@@ -26,15 +26,15 @@
     for (has_next, status, before, after) in cases {
         let mut net = Net::new(&event_loop, Limits { ..limits });
         let text = if has_next { SAMPLE.replacen("[cluster.cloud]", NEXT, 1) } else { SAMPLE.to_owned() };
-        let mut n = Node::new(Settings::parse(&text, "x.toml").unwrap(), Operator::default(), &mut net);
-        let sizes = (n.leader_config().txn_ops, n.leader_config().value_fit);
+        let mut node = Node::new(Settings::parse(&text, "x.toml").unwrap(), Operator::default(), &mut net);
+        let sizes = (node.leader_config().txn_ops, node.leader_config().value_fit);
         assert_eq!(sizes, if has_next { (4, 2_048) } else { (24, 16_384) });
-        n.set_budgets(1_000, true);
-        assert_eq!(n.budgets.commits.burst(), before);
+        node.set_budgets(1_000, true);
+        assert_eq!(node.budgets.commits.burst(), before);
         for _ in 0..2 {
-            n.state_answered(1_000, &Ok(Reply { status, body: Vec::new(), close: false }));
-            n.set_budgets(1_000, true);
-            assert_eq!(n.budgets.commits.burst(), after, "{has_next} {status}");
+            node.state_answered(1_000, &Ok(Reply { status, body: Vec::new(), close: false }));
+            node.set_budgets(1_000, true);
+            assert_eq!(node.budgets.commits.burst(), after, "{has_next} {status}");
         }
     }
 }
@@ -47,7 +47,7 @@
     let limits = Limits { sockets: 100, idle_ms: 1_000, head_ms: 1_000, stale_ms: 1_000 };
     let mut net = Net::new(&event_loop, limits);
     let settings = Settings::parse(&SAMPLE.replacen("[outside]", SEED, 1), "x.toml").unwrap();
-    let mut n = Node::new(settings, Operator::default(), &mut net);
+    let mut node = Node::new(settings, Operator::default(), &mut net);
     const NOW: Ms = 100_000;
     // (who holds the key, peer last heard, says it leads, state service
     // last answered, has been failing, whom workers are sent to)
@@ -64,12 +64,12 @@
     ];
     for (i, (key, heard, leads, answered, failing, want)) in cases.into_iter().enumerate() {
         let rec = key.map(|l| LeaderRecord { label: l.to_owned(), nonce: 9 });
-        n.election.saw_key(NOW, rec, 10 + i as u64);
-        n.peers.list[0].heard = heard.map(|ms| NOW - ms);
-        n.peers.list[0].leading = leads;
-        n.state_health.last_answer = NOW - answered;
-        n.state_health.failing_since = failing.then_some(NOW - 200);
-        assert_eq!(n.leader_hint(NOW), want, "case {i}");
+        node.election.saw_key(NOW, rec, 10 + i as u64);
+        node.peers.list[0].heard = heard.map(|ms| NOW - ms);
+        node.peers.list[0].leading = leads;
+        node.state_health.last_answer = NOW - answered;
+        node.state_health.failing_since = failing.then_some(NOW - 200);
+        assert_eq!(node.leader_hint(NOW), want, "case {i}");
     }
 }
 
@@ -81,7 +81,7 @@
     let event_loop = EventLoop::try_new().unwrap();
     let limits = Limits { sockets: 100, idle_ms: 1_000, head_ms: 1_000, stale_ms: 1_000 };
     let mut net = Net::new(&event_loop, limits);
-    let mut n = Node::new(Settings::parse(SAMPLE, "x.toml").unwrap(), Operator::default(), &mut net);
+    let mut node = Node::new(Settings::parse(SAMPLE, "x.toml").unwrap(), Operator::default(), &mut net);
     let page = |truncated| Page { pairs: Vec::new(), truncated, epoch: 7 };
     let changes = |status| {
         let body = cbor::encode(&Changes { epoch: 9, events: Vec::new() });
@@ -91,18 +91,18 @@
     // (what happens before, the answer to the read, whether it counts)
     let cases = [("nothing", 200, false), ("one page", 200, false), ("all", 200, true), ("all", 503, false)];
     for (i, (before, status, counts)) in cases.into_iter().enumerate() {
-        let mut fresh = Node::new(n.settings.clone(), Operator::default(), &mut net);
-        std::mem::swap(&mut n, &mut fresh);
+        let mut fresh = Node::new(node.settings.clone(), Operator::default(), &mut net);
+        std::mem::swap(&mut node, &mut fresh);
         match before {
-            "one page" => n.job_cache.page(&page(true), true, &mut n.tables),
-            "all" => n.job_cache.page(&page(false), true, &mut n.tables),
+            "one page" => node.job_cache.page(&page(true), true, &mut node.tables),
+            "all" => node.job_cache.page(&page(false), true, &mut node.tables),
             _ => {}
         }
-        assert_eq!(n.apply_changes(NOW, &changes(status)), counts, "case {i}");
-        assert_eq!(n.renewal_right.may_renew(NOW + 10), counts, "case {i}");
+        assert_eq!(node.apply_changes(NOW, &changes(status)), counts, "case {i}");
+        assert_eq!(node.renewal_right.may_renew(NOW + 10), counts, "case {i}");
     }
     // Too old a place to read on from: all is read anew, and until then nothing counts.
-    n.job_cache.page(&page(false), true, &mut n.tables);
-    assert!(!n.apply_changes(NOW, &changes(410)) && !n.job_cache.loaded());
-    assert!(!n.apply_changes(NOW, &changes(200)) && !n.renewal_right.may_renew(NOW + 10));
+    node.job_cache.page(&page(false), true, &mut node.tables);
+    assert!(!node.apply_changes(NOW, &changes(410)) && !node.job_cache.loaded());
+    assert!(!node.apply_changes(NOW, &changes(200)) && !node.renewal_right.may_renew(NOW + 10));
 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -6,15 +6,15 @@
 
 /// The list of machine types.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Flavors {
+pub struct MachineTypeList {
     #[serde(rename = "breeds")]
-    pub types: Vec<Flavor>,
+    pub types: Vec<MachineType>,
 }
 
 /// A machine type as the cloud describes it.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(rename_all = "camelCase")]
-pub struct Flavor {
+pub struct MachineType {
     pub name: String,
     #[serde(deserialize_with = "number")]
     pub cpus: f64,
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -53,10 +53,10 @@
     pub teams: Vec<Team>,
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    pub workers: Workers,
+    pub workers: WorkerSettings,
     pub state: StateLimits,
     pub cloud: CloudLimits,
-    pub limits: Own,
+    pub limits: ProcessLimits,
 }
 
 /// A team's guaranteed and largest amounts; 0: none.
@@ -73,10 +73,23 @@
     pub gpus_max: f64,
 }
 
+/// What a service objective measures.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum ObjectiveKind {
+    /// The time until a job starts.
+    Wait,
+    /// The time until a job has finished.
+    Finished,
+    /// Anything else; scheduling has no use for it.
+    #[serde(other)]
+    Other,
+}
+
 /// A service objective: a share of a class of jobs within a time.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    pub kind: String,
+    pub kind: ObjectiveKind,
     #[serde(default)]
     pub class: Option<String>,
     #[serde(default)]
@@ -87,7 +100,7 @@
 
 /// Times of the workers' interface.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Workers {
+pub struct WorkerSettings {
     /// Interval of a worker's reports.
     pub report_s: f64,
     /// A worker without an answer for this long stops its tasks.
@@ -181,7 +194,7 @@
 
 /// Limits of this process.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Own {
+pub struct ProcessLimits {
     #[serde(default)]
     pub cpu: f64,
     #[serde(default)]
--- a/src/protocol/tests/settings.rs
+++ b/src/protocol/tests/settings.rs
@@ -1,4 +1,4 @@
-use super::{LimitPhase, Settings, StateRates};
+use super::{LimitPhase, ObjectiveKind, Settings, StateRates};
 
 pub const SAMPLE: &str = r#"
 label = "n-0"
@@ -68,6 +68,25 @@
     }
 }
 
+/// Guard: a kind of objective that a later platform adds must not keep the
+/// controller from starting.
+#[test]
+fn kinds_of_objectives() {
+    let cases = [
+        ("wait", ObjectiveKind::Wait),
+        ("finished", ObjectiveKind::Finished),
+        ("deadline", ObjectiveKind::Other),
+        ("Wait", ObjectiveKind::Other),
+        ("", ObjectiveKind::Other),
+    ];
+    for (kind, want) in cases {
+        let objective = format!("[[cluster.objectives]]\nkind = \"{kind}\"\n[cluster.workers]");
+        let text = SAMPLE.replacen("[cluster.workers]", &objective, 1);
+        let settings = Settings::parse(&text, "x.toml").unwrap();
+        assert_eq!(settings.cluster.objectives[0].kind, want, "{kind}");
+    }
+}
+
 #[test]
 fn the_smaller_of_both_limits() {
     let rates = |requests, writes| StateRates { requests, writes };
