--- a/src/node/users/mod.rs
+++ b/src/node/users/mod.rs
@@ -5,7 +5,10 @@
 mod cancel;
 mod submit;
 
-use super::wiring::{Node, Pending, Waiter};
+use super::{
+    calls::{StateCall, SLOW_STATE_TIMEOUT_MS},
+    wiring::{Node, Pending, Waiter},
+};
 use crate::{
     bookkeeping::{
         budget::Urgency,
@@ -24,8 +27,6 @@
 const RETRY_AFTER_S: u32 = 1;
 /// Longest `Retry-After` that is told to a user over budget, in seconds.
 const MAX_RETRY_AFTER_S: u64 = 30;
-/// Timeout of a user's write at the state service; users wait 5 s.
-const WRITE_TIMEOUT_MS: u64 = 2_500;
 
 /// How users' requests were answered since this was last logged.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -116,13 +117,15 @@
     /// the user at once when to retry.
     fn write_record(&mut self, net: &mut Net, write: RecordWrite, what: Pending) {
         let now = net.now();
-        let taken = self.reads.take(now, 1.0, write.urgency).and_then(|()| self.writes.take(now, 1.0, write.urgency));
+        let budgets = &mut self.budgets;
+        let taken =
+            budgets.reads.take(now, 1.0, write.urgency).and_then(|()| budgets.writes.take(now, 1.0, write.urgency));
         if let Err(wait_ms) = taken {
             return self.over_budget(net, write.conn, wait_ms);
         }
         let put = Op::Put { key: records::job_key(&write.id), v: records::to_value(&write.record), permit: None };
         let txn = Txn { conditions: write.conditions, writes: vec![put] };
-        self.ask_state(net, what, "POST", "/multi".into(), cbor::encode(&txn), WRITE_TIMEOUT_MS);
+        self.ask_state(net, what, StateCall::transaction(&txn, SLOW_STATE_TIMEOUT_MS));
     }
 
     fn record_written(
@@ -143,7 +146,7 @@
             }
             Ok(reply) if reply.status == 409 => WriteOutcome::Conflict,
             Ok(reply) if reply.status == 429 => {
-                self.writes.refused(net.now());
+                self.budgets.writes.refused(net.now());
                 self.user_responses.over_budget += 1;
                 net.respond(conn, 429, Some(RETRY_AFTER_S), b"");
                 WriteOutcome::Answered
