--- a/src/bookkeeping/tests/versions.rs
+++ b/src/bookkeeping/tests/versions.rs
@@ -18,7 +18,7 @@
         (vec![vec![("version/a", new())]], false),
         (vec![vec![("version/a", new()), ("version/b", new())]], true),
         (vec![vec![("version/a", new())], vec![("version/a", new()), ("version/b", new())]], true),
-        // A key was removed: somebody goes back.
+        // A key was removed: a controller is being rolled back.
         (vec![vec![("version/a", new()), ("version/b", new())], vec![("version/b", new())]], false),
         (vec![vec![("version/a", new()), ("version/b", old())]], false),
         (vec![vec![("version/a", new()), ("version/b", Value::Null)]], false),
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! One controller: the other layers, connected around the event loop.
 //!
-//! [`wiring::Node`] owns all state. Its components each have a module with the
-//! methods that work on them; [`run`](run()) feeds it events and ticks.
+//! `wiring::Node` owns all state. Its components each have a module with the
+//! methods that work on them; [`run()`] feeds it events and ticks.
 
 mod background;
 mod budgets;
--- a/src/transport/tests/net.rs
+++ b/src/transport/tests/net.rs
@@ -27,8 +27,8 @@
         let until = self.net.now() + ms;
         while self.net.now() < until {
             self.net.turn(&mut self.event_loop, Duration::from_millis(5)).unwrap();
-            while let Some(e) = self.net.pop() {
-                if let Event::Request { conn, req } = e {
+            while let Some(event) = self.net.pop() {
+                if let Event::Request { conn, req } = event {
                     if req.path == "/now" {
                         self.net.respond(conn, 200, None, b"");
                     } else if req.path == "/report" {
@@ -40,20 +40,20 @@
     }
 
     fn client(&mut self, send: &[u8]) -> TcpStream {
-        let mut s = TcpStream::connect(self.addr).unwrap();
-        s.write_all(send).unwrap();
-        s.set_nonblocking(true).unwrap();
-        s
+        let mut stream = TcpStream::connect(self.addr).unwrap();
+        stream.write_all(send).unwrap();
+        stream.set_nonblocking(true).unwrap();
+        stream
     }
 }
 
-fn is_open(s: &mut TcpStream) -> bool {
-    let mut buf = [0; 1024];
+fn is_open(stream: &mut TcpStream) -> bool {
+    let mut buffer = [0; 1024];
     loop {
-        match s.read(&mut buf) {
+        match stream.read(&mut buffer) {
             Ok(0) => return false,
             Ok(_) => {}
-            Err(e) => return e.kind() == io::ErrorKind::WouldBlock,
+            Err(error) => return error.kind() == io::ErrorKind::WouldBlock,
         }
     }
 }
@@ -92,10 +92,10 @@
             if !worker.as_mut().is_some_and(is_open) {
                 *worker = Some(server.client(b""));
             }
-            let Some(s) = worker else { continue };
-            s.write_all(b"GET /report HTTP/1.1\r\n\r\n").unwrap();
+            let Some(stream) = worker else { continue };
+            stream.write_all(b"GET /report HTTP/1.1\r\n\r\n").unwrap();
             server.turn(5);
-            let got = s.read(&mut [0; 1024]).unwrap_or(0);
+            let got = stream.read(&mut [0; 1024]).unwrap_or(0);
             assert!(got > 0, "round {round}: worker {n} is not answered");
         }
         let mut user = server.client(b"GET /now HTTP/1.1\r\n\r\n");
@@ -123,8 +123,8 @@
     }
     server.net.drop_stale_io();
     let mut events = Vec::new();
-    while let Some(e) = server.net.pop() {
-        events.push(e);
+    while let Some(event) = server.net.pop() {
+        events.push(event);
     }
     assert!(matches!(&events[..], [Event::Reply { tag: 7, result: Err(CallError::Unknown) }]), "{events:?}");
     server.turn(20);
