--- a/src/coordination/fleet/consolidation.rs
+++ b/src/coordination/fleet/consolidation.rs
@@ -6,7 +6,8 @@
     coordination::{
         leader::Leader,
         model::{AssignmentIx, Machine, MachineIx, MachineLifecycle, Ms, Res, TypeInfo},
-        trial::{TrialRequest, Verdict},
+        snapshot::RoomKind,
+        trial::{HostFilter, TrialRequest, Verdict},
     },
     protocol::jobs::Kind,
 };
@@ -149,8 +150,8 @@
             min: 1,
             zone_used: &zone_used,
             avoid: &[from],
-            later: false,
-            busy_only: true,
+            room: RoomKind::Free,
+            hosts: HostFilter::BusyOnly,
         });
         for pick in &outcome.picks {
             self.snapshot.reserve(pick.host, Res::of(&spec), Res::default());
--- a/src/coordination/fleet/zone_demand.rs
+++ b/src/coordination/fleet/zone_demand.rs
@@ -4,7 +4,7 @@
 
 use super::arrivals::Arrivals;
 use crate::{
-    coordination::{leader::Leader, model::Res},
+    coordination::{leader::Leader, model::Res, snapshot::RoomKind},
     protocol::{
         jobs::{JobSpec, Kind},
         names::ZoneIx,
@@ -75,8 +75,8 @@
         }
         let need = Res::of(spec);
         let mut room = 0;
-        self.snapshot.candidates(spec, Some(zone), true, |_, host, _| {
-            room = (room + need.times_in(&(host.free + host.soon))).min(limit);
+        self.snapshot.candidates(spec, Some(zone), RoomKind::FreeOrStopping, |_, host, _| {
+            room = (room + need.times_in(&host.room(RoomKind::FreeOrStopping))).min(limit);
         });
         room
     }
--- a/src/coordination/leader/assignments.rs
+++ b/src/coordination/leader/assignments.rs
@@ -18,6 +18,15 @@
     pub zone: ZoneIx,
 }
 
+/// What became of a task whose assignment is released.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum TaskFate {
+    /// It completed.
+    Done,
+    /// It has to run again, or for the first time, unless its job is over.
+    Unfinished,
+}
+
 impl Leader {
     /// Assigns a pending task to a machine. `None`: the task is not pending, or
     /// its job is being resharded.
@@ -74,15 +83,15 @@
         Some(ix)
     }
 
-    /// The task is provably not on its machine (any more). `done`: it completed.
-    pub fn release_assignment(&mut self, ix: AssignmentIx, done: bool) -> Option<Assignment> {
+    /// The task is provably not on its machine (any more).
+    pub fn release_assignment(&mut self, ix: AssignmentIx, fate: TaskFate) -> Option<Assignment> {
         let assignment = self.assignments.remove(ix)?;
         self.machines[assignment.machine.at()].assignments.retain(|&other| other != ix);
         self.pass_needed = true;
         if self.job(assignment.job).is_some() {
-            self.release_from_job(&assignment, done);
+            self.release_from_job(&assignment, fate);
             self.changed_progress.insert(assignment.job);
-            if !done {
+            if fate == TaskFate::Unfinished {
                 self.stop_rest_of_gang(&assignment);
             }
             self.retire_if_over(assignment.job);
@@ -90,14 +99,14 @@
         Some(assignment)
     }
 
-    fn release_from_job(&mut self, assignment: &Assignment, done: bool) {
+    fn release_from_job(&mut self, assignment: &Assignment, fate: TaskFate) {
         let Some(job) = self.jobs.get_mut(assignment.job.at()).and_then(Option::as_mut) else { return };
         let task = assignment.task;
         let machine = assignment.machine.at();
         job.touch(task);
         job.placed -= 1;
         let ran_long_enough = assignment.running_since.is_some_and(|since| self.clock >= since + START_COUNTS_MS);
-        job.has_counted_start |= done || ran_long_enough;
+        job.has_counted_start |= fate == TaskFate::Done || ran_long_enough;
         if let Some(used) = job.zone_used.get_mut(assignment.zone.at()) {
             *used -= 1;
         }
@@ -111,14 +120,17 @@
         if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
             job.running = job.running.saturating_sub(1);
         }
-        if done {
-            job.slots[task as usize] = Slot::Done;
-            job.done += 1;
-        } else {
-            job.slots[task as usize] = Slot::Pending;
-            // Keep the lowest number next, so that replacements come first.
-            let position = job.pending.partition_point(|&pending| pending > task);
-            job.pending.insert(position, task);
+        match fate {
+            TaskFate::Done => {
+                job.slots[task as usize] = Slot::Done;
+                job.done += 1;
+            }
+            TaskFate::Unfinished => {
+                job.slots[task as usize] = Slot::Pending;
+                // Keep the lowest number next, so that replacements come first.
+                let position = job.pending.partition_point(|&pending| pending > task);
+                job.pending.insert(position, task);
+            }
         }
     }
 
@@ -146,7 +158,7 @@
             if let Some(job) = self.job_mut(job_ix) {
                 job.lost_count += 1;
             }
-            self.release_assignment(assignment_ix, false);
+            self.release_assignment(assignment_ix, TaskFate::Unfinished);
         }
         self.machines[ix.at()].unreaped_exits.clear();
     }
--- a/src/coordination/leader/exits.rs
+++ b/src/coordination/leader/exits.rs
@@ -1,6 +1,6 @@
 //! Ends of tasks: settled once no earlier command can start the task again.
 
-use super::Leader;
+use super::{Leader, TaskFate};
 use crate::{
     bookkeeping::job_cache::JobIx,
     coordination::model::{Assignment, AssignmentIx, ExitRecord, MachineIx, Ms, TaskFailure, UnreapedExit},
@@ -39,8 +39,8 @@
             return;
         }
         let reason = report.why.unwrap_or(ExitReason::Other);
-        let is_done = reason == ExitReason::Done;
-        let Some(assignment) = self.release_assignment(ix, is_done) else { return };
+        let fate = if reason == ExitReason::Done { TaskFate::Done } else { TaskFate::Unfinished };
+        let Some(assignment) = self.release_assignment(ix, fate) else { return };
         let record = self.record_of_exit(&assignment);
         let machine = &mut self.machines[assignment.machine.at()];
         machine.unreaped_exits.push(UnreapedExit {
@@ -49,7 +49,7 @@
             job: assignment.job,
             record,
         });
-        if is_done {
+        if fate == TaskFate::Done {
             self.observe_run_time(now, &assignment);
         } else {
             tracing::debug!(
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use super::{pipeline::ObsoleteRecord, Leader};
+use super::{pipeline::ObsoleteRecord, Leader, TaskFate};
 use crate::{
     bookkeeping::{
         job_cache::{JobCache, JobIx},
@@ -140,7 +140,7 @@
     pub fn halt(&mut self, now: Ms, ix: AssignmentIx, grace_s: f64) {
         let Some(assignment) = self.assignments.get_mut(ix) else { return };
         if assignment.never_launched() {
-            self.release_assignment(ix, false);
+            self.release_assignment(ix, TaskFate::Unfinished);
             return;
         }
         let (job_ix, machine) = (assignment.job, assignment.machine);
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -33,7 +33,7 @@
 pub(super) use self::reports::SAVE_MARGIN_S;
 use self::{assignment_table::AssignmentTable, pipeline::TransactionPipeline, wake_queue::WakeQueue};
 pub use self::{
-    assignments::NewAssignment,
+    assignments::{NewAssignment, TaskFate},
     commands::halts_of_cancelled,
     config::{Config, ServiceObjective},
     effects::{Answer, CommitOutcome, DirectCallOutcome, Effect},
--- a/src/coordination/leader/reports.rs
+++ b/src/coordination/leader/reports.rs
@@ -4,7 +4,7 @@
     commands::OrderScope,
     halts_of_cancelled,
     task_reports::{ListedTasks, TaskAttempt},
-    Answer, Leader,
+    Answer, Leader, TaskFate,
 };
 use crate::{
     bookkeeping::job_cache::JobCache,
@@ -199,7 +199,7 @@
             })
             .collect();
         for assignment_ix in gone {
-            self.release_assignment(assignment_ix, false);
+            self.release_assignment(assignment_ix, TaskFate::Unfinished);
         }
         // Those still wanted are launched again under the same attempt.
         for &assignment_ix in self.machines[ix.at()].assignments.iter().filter(|other| !listed.contains(other)) {
--- a/src/coordination/leader/resharding.rs
+++ b/src/coordination/leader/resharding.rs
@@ -1,7 +1,7 @@
 //! Records that a lowered limit of the state service makes too large: shrunk,
 //! or resharded into smaller chunks.
 
-use super::{commits::TXN_BYTES_LIMIT, pipeline::TxnContents, Leader};
+use super::{commits::TXN_BYTES_LIMIT, pipeline::TxnContents, Leader, TaskFate};
 use crate::{
     bookkeeping::{
         job_cache::JobIx,
@@ -59,7 +59,7 @@
                 .assignment(assignment_ix)
                 .is_some_and(|assignment| assignment.chunk_version > committed_version && assignment.never_launched());
             if is_unwritten {
-                self.release_assignment(assignment_ix, false);
+                self.release_assignment(assignment_ix, TaskFate::Unfinished);
             }
         }
     }
--- a/src/coordination/pass/mod.rs
+++ b/src/coordination/pass/mod.rs
@@ -14,7 +14,8 @@
     fleet::UnmetDemand,
     leader::{Leader, NewAssignment},
     model::{Job, MachineIx, MachineLifecycle, Ms, Res, Slot, TeamLimits},
-    trial::{Pick, TrialRequest, Verdict},
+    snapshot::RoomKind,
+    trial::{HostFilter, Pick, TrialRequest, Verdict},
 };
 use crate::{
     bookkeeping::job_cache::JobIx,
@@ -204,8 +205,8 @@
             min: placement.min(),
             zone_used: &placement.zone_used,
             avoid: &placement.avoid,
-            later: false,
-            busy_only: false,
+            room: RoomKind::Free,
+            hosts: HostFilter::Any,
         });
         if outcome.verdict != Verdict::Success {
             if placement.is_unrestricted() {
--- a/src/coordination/pass/order.rs
+++ b/src/coordination/pass/order.rs
@@ -43,7 +43,7 @@
     Low,
 }
 
-/// A job's place among those of its tier: the smaller goes first.
+/// A job's position among those of its tier: the smaller goes first.
 #[derive(Debug, Clone, Copy)]
 struct Turn {
     /// Aims that it has missed already.
@@ -52,7 +52,7 @@
     cost: f64,
 }
 
-/// A job's place in the order of a pass.
+/// A job's position in the order of a pass.
 struct Rank {
     tier: Tier,
     beyond_guarantee: bool,
--- a/src/coordination/preemption/plan.rs
+++ b/src/coordination/preemption/plan.rs
@@ -6,7 +6,7 @@
     coordination::{
         leader::Leader,
         model::{AssignmentIx, Job, MachineIx, Ms, Res, RESOURCE_TOLERANCE},
-        snapshot::{Host, Pool},
+        snapshot::{Host, Pool, RoomKind},
         trial::{IDLE_GPU_PENALTY_S, SLOWEST_FETCH_GB_PER_S},
     },
     protocol::{
@@ -122,7 +122,7 @@
         let spec = &search.job.spec;
         let assignments = &self.machine(MachineIx(host_index as u32)).assignments;
         let victims = self.victims_among(search.now, assignments, search.halts, search.job);
-        let mut eviction = choose_victims(&Res::of(spec), host.free + host.soon, victims, host_index)?;
+        let mut eviction = choose_victims(&Res::of(spec), host.room(RoomKind::FreeOrStopping), victims, host_index)?;
         if !host.has_image(spec.image) {
             let fetch_s = spec.image_gb / pool.fetch_gb_per_s.max(SLOWEST_FETCH_GB_PER_S);
             eviction.cost += fetch_s * FETCH_COST_FACTOR;
@@ -172,6 +172,6 @@
 /// Whether a task would fit if all were stopped that may be at best.
 fn may_free_enough(job: &Job, host: &Host) -> bool {
     let stoppable = if job.within_guarantee { PRIORITY_COUNT } else { job.spec.priority as usize };
-    let at_best = host.low[..stoppable].iter().fold(host.free + host.soon, |sum, used| sum + *used);
+    let at_best = host.low[..stoppable].iter().fold(host.room(RoomKind::FreeOrStopping), |sum, used| sum + *used);
     Res::of(&job.spec).fits_in(&at_best)
 }
--- a/src/coordination/snapshot/host.rs
+++ b/src/coordination/snapshot/host.rs
@@ -39,6 +39,15 @@
     pub fixed: Res,
 }
 
+/// Which of a machine's room counts.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RoomKind {
+    /// What is free now.
+    Free,
+    /// What is free once the tasks that are being stopped are gone.
+    FreeOrStopping,
+}
+
 /// Whether a task's load is added to a machine or removed from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadChange {
@@ -47,6 +56,14 @@
 }
 
 impl Host {
+    /// The machine's room of this kind.
+    pub fn room(&self, kind: RoomKind) -> Res {
+        match kind {
+            RoomKind::Free => self.free,
+            RoomKind::FreeOrStopping => self.free + self.soon,
+        }
+    }
+
     /// Whether the machine holds or fetches the image.
     pub fn has_image(&self, image: ImageIx) -> bool {
         self.images.iter().any(|cached| cached.image == image)
--- a/src/coordination/snapshot/mod.rs
+++ b/src/coordination/snapshot/mod.rs
@@ -13,7 +13,7 @@
 
 use self::reservations::Reservation;
 pub use self::{
-    host::{is_fixed, Host, LoadChange},
+    host::{is_fixed, Host, LoadChange, RoomKind},
     pool::Pool,
     search::LOOK,
 };
--- a/src/coordination/snapshot/search.rs
+++ b/src/coordination/snapshot/search.rs
@@ -1,6 +1,6 @@
 //! Searches for machines on the snapshot.
 
-use super::{ClusterSnapshot, Host, Pool};
+use super::{ClusterSnapshot, Host, Pool, RoomKind};
 use crate::{
     coordination::model::{Res, RESOURCE_TOLERANCE},
     protocol::{jobs::JobSpec, names::ZoneIx},
@@ -14,12 +14,11 @@
 impl ClusterSnapshot {
     /// Shows machines that a task may fit on, those with the least room first,
     /// at most [`LOOK`] of each pool, and returns how many were looked at.
-    /// `later`: what is being stopped counts as gone.
     pub fn candidates(
         &self,
         spec: &JobSpec,
         zone: Option<ZoneIx>,
-        later: bool,
+        room: RoomKind,
         mut visit: impl FnMut(usize, &Host, &Pool),
     ) -> u64 {
         let need = Res::of(spec);
@@ -37,7 +36,7 @@
                 }
             }
         }
-        if later {
+        if room == RoomKind::FreeOrStopping {
             looked += self.candidates_with_stopping(spec, zone, visit);
         }
         looked
@@ -59,7 +58,7 @@
             if zone.is_none_or(|zone| zone == pool.zone)
                 && pool.allows(spec)
                 && pool.host_allows(host, spec)
-                && need.fits_in(&(host.free + host.soon))
+                && need.fits_in(&host.room(RoomKind::FreeOrStopping))
             {
                 visit(host_index as usize, host, pool);
             }
--- a/src/coordination/tests/trial.rs
+++ b/src/coordination/tests/trial.rs
@@ -233,8 +233,8 @@
             min: c.min,
             zone_used: &c.zone_used,
             avoid: &[],
-            later: false,
-            busy_only: false,
+            room: RoomKind::Free,
+            hosts: HostFilter::Any,
         };
         let out = p.trial(&ask);
         assert_eq!((out.verdict, out.picks.len()), c.want, "{}", c.name);
@@ -263,7 +263,7 @@
             }
         }
         assert_eq!(p.trial(&ask).picks.len(), 0, "{}: full", c.name);
-        ask.later = true;
+        ask.room = RoomKind::FreeOrStopping;
         let after = p.trial(&ask);
         if c.hosts.iter().all(|h| h.4.is_none()) {
             assert_eq!((after.verdict, after.picks.len()), c.want, "{}: later", c.name);
--- a/src/coordination/trial.rs
+++ b/src/coordination/trial.rs
@@ -9,7 +9,7 @@
 
 use super::{
     model::{MachineIx, Res},
-    snapshot::{ClusterSnapshot, Host, Pool},
+    snapshot::{ClusterSnapshot, Host, Pool, RoomKind},
 };
 use crate::protocol::{
     jobs::{JobSpec, Kind},
@@ -69,6 +69,14 @@
     pub host: usize,
 }
 
+/// Which machines a trial may use.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum HostFilter {
+    Any,
+    /// Only machines that hold something, and that are not to become empty.
+    BusyOnly,
+}
+
 /// What a job asks of a trial.
 #[derive(Debug, Clone)]
 pub struct TrialRequest<'a> {
@@ -81,16 +89,14 @@
     pub zone_used: &'a [u32],
     /// Machines on which its tasks failed.
     pub avoid: &'a [MachineIx],
-    /// As if tasks that are being stopped were gone already.
-    pub later: bool,
-    /// Only on machines that hold something.
-    pub busy_only: bool,
+    pub room: RoomKind,
+    pub hosts: HostFilter,
 }
 
 impl<'a> TrialRequest<'a> {
     /// Room for as many tasks as possible once what is being stopped is gone.
     pub fn later(spec: &'a JobSpec, tasks: &'a [u32], min: usize, zone_used: &'a [u32]) -> TrialRequest<'a> {
-        TrialRequest { spec, tasks, min, zone_used, avoid: &[], later: true, busy_only: false }
+        TrialRequest { spec, tasks, min, zone_used, avoid: &[], room: RoomKind::FreeOrStopping, hosts: HostFilter::Any }
     }
 }
 
@@ -146,10 +152,10 @@
     fn best_host(&mut self, request: &TrialRequest<'_>, zone: Option<ZoneIx>) -> Option<usize> {
         let need = Res::of(request.spec);
         let mut best: Option<ScoredHost> = None;
-        let looked = self.candidates(request.spec, zone, request.later, |host_index, host, pool| {
+        let looked = self.candidates(request.spec, zone, request.room, |host_index, host, pool| {
             let is_avoided = request.avoid.contains(&MachineIx(host_index as u32));
             let is_empty = host.assignments == 0 || host.gpu_only;
-            if is_avoided || (request.busy_only && is_empty) {
+            if is_avoided || (request.hosts == HostFilter::BusyOnly && is_empty) {
                 return;
             }
             let score = score(pool, host, request.spec, &need);
@@ -164,9 +170,8 @@
     /// Whether the machine that the job's last task took takes one more of them.
     fn takes_another(&self, request: &TrialRequest<'_>, host_index: usize) -> bool {
         let host = &self.hosts[host_index];
-        let room = if request.later { host.free + host.soon } else { host.free };
         request.spec.kind != Kind::Service
-            && Res::of(request.spec).fits_in(&room)
+            && Res::of(request.spec).fits_in(&host.room(request.room))
             && host.pool.is_some_and(|pool| self.pools[pool].host_allows(host, request.spec))
     }
 
