--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -17,130 +17,130 @@
         store::{Change, Changes},
     },
 };
-use simulation::{run_table, sub, FaultRates, Simulation};
+use simulation::{run_table, submission, FaultRates, Simulation};
 
 fn after(id: &str, kind: &str, tasks: u32, prereqs: &[&str]) -> Submission {
     let prereqs = Some(prereqs.iter().map(|p| (*p).to_owned()).collect());
-    Submission { prereqs, ..sub(id, kind, tasks) }
+    Submission { prereqs, ..submission(id, kind, tasks) }
 }
 
 fn is_done(id: &'static str) -> impl Fn(&Simulation) -> bool {
-    move |w| w.status(id) == Status::Done
+    move |sim| sim.status(id) == Status::Done
 }
 
-fn has_begun(w: &Simulation, id: &str) -> bool {
+fn has_begun(sim: &Simulation, id: &str) -> bool {
     let of = |t: &str| t.split('/').next() == Some(id);
-    w.completed.iter().any(|t| of(t)) || w.workers.iter().any(|x| x.tasks.iter().any(|t| of(&t.name)))
+    sim.completed.iter().any(|t| of(t)) || sim.workers.iter().any(|x| x.tasks.iter().any(|t| of(&t.name)))
 }
 
 // ---- starts ------------------------------------------------------------
 
-fn chain(w: &mut Simulation) {
-    w.submit(sub("j-1", "batch", 6), 3_000);
-    w.submit(after("j-2", "ensemble", 2, &["j-1"]), 3_000);
-    w.submit(after("j-3", "batch", 3, &["j-2"]), 3_000);
-    w.until("done", 90_000, is_done("j-3"));
+fn chain(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 6), 3_000);
+    sim.submit(after("j-2", "ensemble", 2, &["j-1"]), 3_000);
+    sim.submit(after("j-3", "batch", 3, &["j-2"]), 3_000);
+    sim.run_until("done", 90_000, is_done("j-3"));
 }
 
-fn diamond(w: &mut Simulation) {
-    w.submit(sub("j-1", "batch", 2), 3_000);
-    w.submit(after("j-2", "batch", 1, &["j-1"]), 2_000);
-    w.submit(after("j-3", "batch", 1, &["j-1"]), 12_000);
-    w.submit(after("j-4", "batch", 1, &["j-2", "j-3"]), 2_000);
-    w.until("one side is done", 60_000, is_done("j-2"));
-    w.run(4_000);
-    assert!(!has_begun(w, "j-4"), "the other side isn't done");
-    w.until("done", 60_000, is_done("j-4"));
+fn diamond(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 2), 3_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 2_000);
+    sim.submit(after("j-3", "batch", 1, &["j-1"]), 12_000);
+    sim.submit(after("j-4", "batch", 1, &["j-2", "j-3"]), 2_000);
+    sim.run_until("one side is done", 60_000, is_done("j-2"));
+    sim.run(4_000);
+    assert!(!has_begun(sim, "j-4"), "the other side isn't done");
+    sim.run_until("done", 60_000, is_done("j-4"));
 }
 
-fn fan(w: &mut Simulation) {
-    w.submit(sub("j-1", "batch", 2), 3_000);
+fn fan(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 2), 3_000);
     let names: Vec<String> = (10..30).map(|n| format!("j-{n}")).collect();
     for n in &names {
-        w.submit(after(n, "batch", 1, &["j-1"]), 1_000);
+        sim.submit(after(n, "batch", 1, &["j-1"]), 1_000);
     }
     let all: Vec<&str> = names.iter().map(String::as_str).collect();
-    w.submit(after("j-99", "batch", 1, &all), 1_000);
-    w.until("done", 200_000, is_done("j-99"));
+    sim.submit(after("j-99", "batch", 1, &all), 1_000);
+    sim.run_until("done", 200_000, is_done("j-99"));
 }
 
 /// Ids come in no order: the leader reads dependents before what they need.
-fn read_in_the_order_of_ids(w: &mut Simulation) {
-    w.leader = None;
-    w.submit(sub("j-9", "batch", 1), 2_000);
-    w.submit(after("j-5", "batch", 1, &["j-9"]), 2_000);
-    w.submit(after("j-1", "batch", 1, &["j-5", "j-9"]), 2_000);
-    w.elect();
-    w.until("done", 60_000, is_done("j-1"));
+fn read_in_the_order_of_ids(sim: &mut Simulation) {
+    sim.leader = None;
+    sim.submit(submission("j-9", "batch", 1), 2_000);
+    sim.submit(after("j-5", "batch", 1, &["j-9"]), 2_000);
+    sim.submit(after("j-1", "batch", 1, &["j-5", "j-9"]), 2_000);
+    sim.elect();
+    sim.run_until("done", 60_000, is_done("j-1"));
 }
 
 /// Guard: all tasks have ended, but that isn't written: nothing after it starts.
-fn the_end_cannot_be_written(w: &mut Simulation) {
-    w.submit(sub("j-1", "batch", 2), 3_000);
-    w.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
-    w.until("runs", 10_000, |w| w.where_is("j-1/1").is_some());
-    w.txns_left = Some(0);
-    w.run(30_000);
-    assert!(w.completed.len() == 2 && w.status("j-1") == Status::Pending && !has_begun(w, "j-2"));
-    w.txns_left = None;
-    w.until("done", 60_000, is_done("j-2"));
+fn the_end_cannot_be_written(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 2), 3_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
+    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/1").is_some());
+    sim.txns_left = Some(0);
+    sim.run(30_000);
+    assert!(sim.completed.len() == 2 && sim.status("j-1") == Status::Pending && !has_begun(sim, "j-2"));
+    sim.txns_left = None;
+    sim.run_until("done", 60_000, is_done("j-2"));
 }
 
 /// The leader dies between the end and its record, or between the record and
 /// the start of what waited for it.
-fn the_leader_dies_before_the_end_is_written(w: &mut Simulation) {
-    w.submit(sub("j-1", "batch", 1), 3_000);
-    w.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
-    w.until("ended", 20_000, |w| !w.completed.is_empty());
-    w.die_before_txn = true;
-    w.until("dead", 20_000, |w| w.leader.is_none());
-    w.elect();
-    w.until("done", 60_000, is_done("j-2"));
+fn the_leader_dies_before_the_end_is_written(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 1), 3_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
+    sim.run_until("ended", 20_000, |sim| !sim.completed.is_empty());
+    sim.die_before_txn = true;
+    sim.run_until("dead", 20_000, |sim| sim.leader.is_none());
+    sim.elect();
+    sim.run_until("done", 60_000, is_done("j-2"));
 }
 
-fn the_leader_dies_after_the_end_is_written(w: &mut Simulation) {
-    w.submit(sub("j-1", "batch", 1), 3_000);
-    w.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
-    w.until("ended", 20_000, |w| !w.completed.is_empty());
-    w.die_after_txn = true;
-    w.until("dead", 20_000, |w| w.leader.is_none());
-    assert!(w.status("j-1") == Status::Done && !has_begun(w, "j-2"));
-    w.run(5_000);
-    w.elect();
-    w.until("done", 60_000, is_done("j-2"));
+fn the_leader_dies_after_the_end_is_written(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 1), 3_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
+    sim.run_until("ended", 20_000, |sim| !sim.completed.is_empty());
+    sim.die_after_txn = true;
+    sim.run_until("dead", 20_000, |sim| sim.leader.is_none());
+    assert!(sim.status("j-1") == Status::Done && !has_begun(sim, "j-2"));
+    sim.run(5_000);
+    sim.elect();
+    sim.run_until("done", 60_000, is_done("j-2"));
 }
 
 /// Guard: the answer to the end's write is lost, and it is applied late.
-fn the_end_is_written_late(w: &mut Simulation) {
-    w.submit(sub("j-1", "batch", 1), 3_000);
-    w.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
-    w.until("ended", 20_000, |w| !w.completed.is_empty());
-    w.faults = FaultRates { lost_txn: 100, ..FaultRates::default() };
-    w.run(1_000);
-    w.faults = FaultRates::default();
-    w.elect();
-    w.until("done", 60_000, is_done("j-2"));
-    w.run(45_000);
+fn the_end_is_written_late(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 1), 3_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
+    sim.run_until("ended", 20_000, |sim| !sim.completed.is_empty());
+    sim.faults = FaultRates { lost_txn: 100, ..FaultRates::default() };
+    sim.run(1_000);
+    sim.faults = FaultRates::default();
+    sim.elect();
+    sim.run_until("done", 60_000, is_done("j-2"));
+    sim.run(45_000);
 }
 
 /// A job that is submitted when what it needs is over starts at once.
-fn named_when_it_is_over(w: &mut Simulation) {
-    w.submit(sub("j-1", "batch", 1), 1_000);
-    w.until("done", 30_000, is_done("j-1"));
-    w.submit(after("j-2", "batch", 1, &["j-1"]), 1_000);
-    w.until("done", 30_000, is_done("j-2"));
+fn named_when_it_is_over(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 1), 1_000);
+    sim.run_until("done", 30_000, is_done("j-1"));
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 1_000);
+    sim.run_until("done", 30_000, is_done("j-2"));
 }
 
 /// A waiting job takes no part of its team's limit.
-fn a_waiting_job_holds_no_limit(w: &mut Simulation) {
-    w.team_gpus_max = 4.0;
-    w.elect();
-    w.submit(sub("j-1", "batch", 1), 60_000);
+fn a_waiting_job_holds_no_limit(sim: &mut Simulation) {
+    sim.team_gpus_max = 4.0;
+    sim.elect();
+    sim.submit(submission("j-1", "batch", 1), 60_000);
     let gpus = |s: Submission| Submission { gpus: Some(4.0), cpus: Some(1.0), ..s };
-    w.submit(gpus(after("j-2", "batch", 1, &["j-1"])), 1_000);
-    w.submit(gpus(sub("j-3", "batch", 1)), 2_000);
-    w.until("done", 30_000, is_done("j-3"));
-    let l = w.leader.as_ref().unwrap();
+    sim.submit(gpus(after("j-2", "batch", 1, &["j-1"])), 1_000);
+    sim.submit(gpus(submission("j-3", "batch", 1)), 2_000);
+    sim.run_until("done", 30_000, is_done("j-3"));
+    let l = sim.leader.as_ref().unwrap();
     assert_eq!(l.active.len(), 1, "only what runs is looked at");
 }
 
@@ -171,89 +171,89 @@
         for at in [0, 1_000, 4_000, 9_000, 14_000, 25_000] {
             for change in [false, true] {
                 let what = format!("step {step} cancelled after {at} ms, change of leader: {change}");
-                let mut w = Simulation::new(step as u64, 4);
-                w.elect();
-                w.submit(sub("j-9", "batch", 1), 2_000);
-                w.submit(sub("j-1", "batch", 3), 2_000);
+                let mut sim = Simulation::new(step as u64, 4);
+                sim.elect();
+                sim.submit(submission("j-9", "batch", 1), 2_000);
+                sim.submit(submission("j-1", "batch", 3), 2_000);
                 for n in 1..4 {
-                    w.submit(after(names[n], "batch", 2, &[names[n - 1]]), 2_000);
+                    sim.submit(after(names[n], "batch", 2, &[names[n - 1]]), 2_000);
                 }
-                w.run(at);
+                sim.run(at);
                 if change {
-                    w.leader = None;
+                    sim.leader = None;
                 }
-                let won = w.cancel(names[step]);
-                w.run(500);
+                let won = sim.cancel(names[step]);
+                sim.run(500);
                 if change {
-                    w.elect();
+                    sim.elect();
                 }
-                w.run(100_000);
+                sim.run(100_000);
                 for (n, name) in names.iter().enumerate() {
                     let want = if won && n >= step { Status::Cancelled } else { Status::Done };
-                    assert_eq!(w.user_responses(name), Some(want), "{what}: {name}");
-                    assert!(n <= step || !won || !has_begun(&w, name), "{what}: {name} began");
+                    assert_eq!(sim.status_told_to_users(name), Some(want), "{what}: {name}");
+                    assert!(n <= step || !won || !has_begun(&sim, name), "{what}: {name} began");
                 }
-                w.check(&what);
+                sim.check(&what);
             }
         }
     }
 }
 
 /// Guard: a cancellation that meets the end has one winner, whoever knows of it.
-fn cancelled_while_the_end_is_written(w: &mut Simulation) {
-    w.submit(sub("j-1", "batch", 1), 3_000);
-    w.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
-    w.until("runs", 10_000, |w| w.where_is("j-1/0").is_some());
+fn cancelled_while_the_end_is_written(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 1), 3_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
+    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
     // The leader doesn't see the cancellation, and tries to write the end.
-    w.blind = true;
-    assert!(w.cancel("j-1"));
-    w.run(15_000);
-    assert!(w.status("j-1") == Status::Cancelled && !has_begun(w, "j-2"));
-    w.blind = false;
-    w.run(30_000);
-    assert_eq!(w.user_responses("j-2"), Some(Status::Cancelled));
+    sim.changes_unread = true;
+    assert!(sim.cancel("j-1"));
+    sim.run(15_000);
+    assert!(sim.status("j-1") == Status::Cancelled && !has_begun(sim, "j-2"));
+    sim.changes_unread = false;
+    sim.run(30_000);
+    assert_eq!(sim.status_told_to_users("j-2"), Some(Status::Cancelled));
 }
 
 /// Guard: the write of the end is under way when the job is cancelled.
-fn a_late_end_of_a_cancelled_job(w: &mut Simulation) {
-    w.submit(sub("j-1", "batch", 1), 3_000);
-    w.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
-    w.until("ended", 20_000, |w| !w.completed.is_empty());
-    w.faults = FaultRates { lost_txn: 100, ..FaultRates::default() };
-    w.run(1_000);
-    w.faults = FaultRates::default();
-    let won = w.cancel("j-1");
-    w.run(60_000);
-    assert_eq!(w.user_responses("j-2"), Some(if won { Status::Cancelled } else { Status::Done }));
+fn a_late_end_of_a_cancelled_job(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 1), 3_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
+    sim.run_until("ended", 20_000, |sim| !sim.completed.is_empty());
+    sim.faults = FaultRates { lost_txn: 100, ..FaultRates::default() };
+    sim.run(1_000);
+    sim.faults = FaultRates::default();
+    let won = sim.cancel("j-1");
+    sim.run(60_000);
+    assert_eq!(sim.status_told_to_users("j-2"), Some(if won { Status::Cancelled } else { Status::Done }));
 }
 
-fn cancelled_while_the_state_service_is_away(w: &mut Simulation) {
-    w.submit(sub("j-1", "service", 2), 0);
-    w.submit(sub("j-2", "batch", 2), 30_000);
-    w.submit(after("j-3", "batch", 1, &["j-2"]), 1_000);
-    w.submit(after("j-4", "batch", 1, &["j-3"]), 1_000);
-    w.until("runs", 10_000, |w| w.where_is("j-2/1").is_some());
-    w.txns_left = Some(0);
-    w.cancel("j-2");
-    w.run(20_000);
-    w.txns_left = None;
-    w.run(60_000);
-    assert_eq!(w.user_responses("j-4"), Some(Status::Cancelled));
+fn cancelled_while_the_state_service_is_away(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "service", 2), 0);
+    sim.submit(submission("j-2", "batch", 2), 30_000);
+    sim.submit(after("j-3", "batch", 1, &["j-2"]), 1_000);
+    sim.submit(after("j-4", "batch", 1, &["j-3"]), 1_000);
+    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-2/1").is_some());
+    sim.txns_left = Some(0);
+    sim.cancel("j-2");
+    sim.run(20_000);
+    sim.txns_left = None;
+    sim.run(60_000);
+    assert_eq!(sim.status_told_to_users("j-4"), Some(Status::Cancelled));
 }
 
 /// It is accepted all the same, and never starts.
-fn names_a_cancelled_one(w: &mut Simulation) {
-    w.submit(sub("j-1", "batch", 1), 60_000);
-    w.submit(sub("j-5", "batch", 1), 1_000);
-    w.submit(after("j-2", "batch", 1, &["j-1"]), 1_000);
-    w.run(3_000);
-    w.cancel("j-1");
-    w.submit(after("j-3", "batch", 1, &["j-1"]), 1_000);
-    w.submit(after("j-4", "batch", 1, &["j-5", "j-2"]), 1_000);
-    w.run(30_000);
+fn names_a_cancelled_one(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 1), 60_000);
+    sim.submit(submission("j-5", "batch", 1), 1_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 1_000);
+    sim.run(3_000);
+    sim.cancel("j-1");
+    sim.submit(after("j-3", "batch", 1, &["j-1"]), 1_000);
+    sim.submit(after("j-4", "batch", 1, &["j-5", "j-2"]), 1_000);
+    sim.run(30_000);
     for id in ["j-2", "j-3", "j-4"] {
-        assert!(w.user_responses(id) == Some(Status::Cancelled) && !has_begun(w, id), "{id}");
-        assert_eq!(w.status(id), Status::Pending, "{id}: the first one's record is the fact");
+        assert!(sim.status_told_to_users(id) == Some(Status::Cancelled) && !has_begun(sim, id), "{id}");
+        assert_eq!(sim.status(id), Status::Pending, "{id}: the first one's record is the fact");
     }
 }
 
@@ -272,59 +272,60 @@
 #[test]
 fn pipelines_in_bad_weather() {
     for seed in 0..24 {
-        let mut w = Simulation::new(seed, 6);
-        w.faults = FaultRates {
-            late_do: 10,
-            lost_do: 5,
-            repeat_do: 20,
-            slow_do: 20,
+        let mut sim = Simulation::new(seed, 6);
+        sim.faults = FaultRates {
+            late_command: 10,
+            lost_command: 5,
+            repeated_command: 20,
+            slow_command: 20,
             lost_txn: 15,
-            lost_answer: 10,
+            lost_report_answer: 10,
             late_report: 10,
             ..FaultRates::default()
         };
-        w.elect();
+        sim.elect();
         let mut names: Vec<String> = Vec::new();
         for n in 0..16 {
             // Ids in no order.
             let id = format!("j-{}", (n * 7 + 3) % 16);
             let mut p: Vec<String> = Vec::new();
-            for _ in 0..w.any(3) {
+            for _ in 0..sim.random_below(3) {
                 if !names.is_empty() {
-                    let at = w.any(names.len());
+                    let at = sim.random_below(names.len());
                     p.push(names[at].clone());
                 }
             }
             let p: Vec<&str> = p.iter().map(String::as_str).collect();
-            let kind = ["batch", "ensemble"][w.any(2)];
-            let tasks = 1 + w.any(3) as u32;
-            let run = 500 + 500 * w.any(8) as u64;
-            w.submit(after(&id, kind, tasks, &p), run);
+            let kind = ["batch", "ensemble"][sim.random_below(2)];
+            let tasks = 1 + sim.random_below(3) as u32;
+            let run = 500 + 500 * sim.random_below(8) as u64;
+            sim.submit(after(&id, kind, tasks, &p), run);
             names.push(id);
-            let pause = 200 * w.any(20) as u64;
-            w.run(pause);
-            match w.any(10) {
-                0 => w.elect(),
+            let pause = 200 * sim.random_below(20) as u64;
+            sim.run(pause);
+            match sim.random_below(10) {
+                0 => sim.elect(),
                 1 => {
-                    let at = w.any(names.len());
+                    let at = sim.random_below(names.len());
                     let id = names[at].clone();
-                    w.cancel(&id);
+                    sim.cancel(&id);
                 }
-                2 => w.die_after_txn = true,
-                3 => w.die_before_txn = true,
+                2 => sim.die_after_txn = true,
+                3 => sim.die_before_txn = true,
                 _ => {}
             }
-            if w.leader.is_none() && w.any(2) == 0 {
-                w.elect();
+            if sim.leader.is_none() && sim.random_below(2) == 0 {
+                sim.elect();
             }
         }
-        w.faults = FaultRates::default();
-        (w.die_after_txn, w.die_before_txn) = (false, false);
-        w.elect();
-        let over = |w: &Simulation| names.iter().all(|n| w.user_responses(n).is_some_and(|s| s != Status::Pending));
-        w.until(&format!("all over, seed {seed}"), 600_000, over);
-        w.run(60_000);
-        w.check(&format!("seed {seed}"));
+        sim.faults = FaultRates::default();
+        (sim.die_after_txn, sim.die_before_txn) = (false, false);
+        sim.elect();
+        let over =
+            |sim: &Simulation| names.iter().all(|n| sim.status_told_to_users(n).is_some_and(|s| s != Status::Pending));
+        sim.run_until(&format!("all over, seed {seed}"), 600_000, over);
+        sim.run(60_000);
+        sim.check(&format!("seed {seed}"));
     }
 }
 
@@ -336,63 +337,70 @@
 #[test]
 fn replaced_one_by_one() {
     for seed in 0..8 {
-        let mut w = Simulation::new(seed, 6);
-        (w.slots, w.chunk, w.chunk_fit) = (20, 64, 12);
-        (w.value_now, w.value_max, w.value_fit) = (16 << 10, 16 << 10, 1 << 10);
-        w.faults = FaultRates { late_do: 5, slow_do: 20, lost_txn: 15, lost_answer: 10, ..FaultRates::default() };
+        let mut sim = Simulation::new(seed, 6);
+        (sim.slots, sim.chunk, sim.chunk_fit) = (20, 64, 12);
+        (sim.value_now, sim.value_max, sim.value_fit) = (16 << 10, 16 << 10, 1 << 10);
+        sim.faults = FaultRates {
+            late_command: 5,
+            slow_command: 20,
+            lost_txn: 15,
+            lost_report_answer: 10,
+            ..FaultRates::default()
+        };
         let mut is_new = [false; 5];
         let mut names: Vec<String> = Vec::new();
         for round in 0..40 {
             // A process that dies before its turn comes back old.
-            if round >= 8 && w.any(2) == 0 {
+            if round >= 8 && sim.random_below(2) == 0 {
                 if let Some(n) = is_new.iter().position(|n| !n) {
                     is_new[n] = true;
                 }
             }
             let all_new = is_new.iter().all(|n| *n);
-            if w.leader.is_none() || w.any(3) == 0 {
-                w.writes_old_form = !is_new[w.any(5)];
-                w.may_reshard = all_new;
-                w.elect();
+            if sim.leader.is_none() || sim.random_below(3) == 0 {
+                sim.writes_old_form = !is_new[sim.random_below(5)];
+                sim.may_reshard = all_new;
+                sim.elect();
             }
             let id = format!("j-{}", (round * 27 + 5) % 40);
             let mut p: Vec<String> = Vec::new();
             while all_new && p.len() < 2 {
-                let at = w.any(names.len());
+                let at = sim.random_below(names.len());
                 p.push(names[at].clone());
             }
             let p: Vec<&str> = p.iter().map(String::as_str).collect();
-            let tasks = 1 + w.any(20) as u32;
-            let kind = ["batch", "ensemble"][w.any(2)];
-            let s = Submission { cpus: Some(0.5), ..after(&id, kind, tasks, &p) };
+            let tasks = 1 + sim.random_below(20) as u32;
+            let kind = ["batch", "ensemble"][sim.random_below(2)];
+            let job = Submission { cpus: Some(0.5), ..after(&id, kind, tasks, &p) };
             // Old controllers record larger chunks.
-            w.chunk = if is_new[w.any(5)] { 12 } else { 64 };
-            let run = 500 + 500 * w.any(6) as u64;
-            w.submit(s, run);
+            sim.chunk = if is_new[sim.random_below(5)] { 12 } else { 64 };
+            let run = 500 + 500 * sim.random_below(6) as u64;
+            sim.submit(job, run);
             names.push(id);
-            let pause = 200 * w.any(20) as u64;
-            w.run(pause);
-            match w.any(8) {
+            let pause = 200 * sim.random_below(20) as u64;
+            sim.run(pause);
+            match sim.random_below(8) {
                 0 => {
-                    let at = w.any(names.len());
-                    w.cancel(&names[at].clone());
+                    let at = sim.random_below(names.len());
+                    sim.cancel(&names[at].clone());
                 }
-                1 => w.die_after_txn = true,
-                2 => w.die_before_txn = true,
+                1 => sim.die_after_txn = true,
+                2 => sim.die_before_txn = true,
                 _ => {}
             }
             if round == 30 {
-                w.value_now = 1 << 10;
+                sim.value_now = 1 << 10;
             }
         }
         assert!(is_new.iter().all(|n| *n), "seed {seed}");
-        w.faults = FaultRates::default();
-        (w.die_after_txn, w.die_before_txn, w.writes_old_form, w.may_reshard) = (false, false, false, true);
-        w.elect();
-        let over = |w: &Simulation| names.iter().all(|n| w.user_responses(n).is_some_and(|s| s != Status::Pending));
-        w.until(&format!("all over, seed {seed}"), 600_000, over);
-        w.run(60_000);
-        w.check(&format!("seed {seed}"));
+        sim.faults = FaultRates::default();
+        (sim.die_after_txn, sim.die_before_txn, sim.writes_old_form, sim.may_reshard) = (false, false, false, true);
+        sim.elect();
+        let over =
+            |sim: &Simulation| names.iter().all(|n| sim.status_told_to_users(n).is_some_and(|s| s != Status::Pending));
+        sim.run_until(&format!("all over, seed {seed}"), 600_000, over);
+        sim.run(60_000);
+        sim.check(&format!("seed {seed}"));
     }
 }
 
@@ -486,7 +494,7 @@
         }
         let got: Vec<(Priority, Option<f64>, Option<f64>)> = (1..=4)
             .map(|n| m.effective_spec(m.find(&format!("j-{n}")).unwrap()).unwrap())
-            .map(|s| (s.priority, s.deadline_s, s.overdue_s))
+            .map(|spec| (spec.priority, spec.deadline_s, spec.overdue_s))
             .collect();
         use Priority::High;
         let want = [
@@ -510,22 +518,22 @@
 /// A leader raises what already runs when a job that needs it comes.
 #[test]
 fn a_running_job_is_raised() {
-    let mut w = Simulation::new(1, 4);
-    w.elect();
-    w.submit(Submission { priority: Some("low".into()), ..sub("j-1", "batch", 4) }, 20_000);
-    w.until("runs", 10_000, |w| w.where_is("j-1/3").is_some());
-    w.submit(Submission { priority: Some("high".into()), ..after("j-2", "batch", 1, &["j-1"]) }, 1_000);
-    w.run(500);
-    let l = w.leader.as_ref().unwrap();
+    let mut sim = Simulation::new(1, 4);
+    sim.elect();
+    sim.submit(Submission { priority: Some("low".into()), ..submission("j-1", "batch", 4) }, 20_000);
+    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/3").is_some());
+    sim.submit(Submission { priority: Some("high".into()), ..after("j-2", "batch", 1, &["j-1"]) }, 1_000);
+    sim.run(500);
+    let l = sim.leader.as_ref().unwrap();
     let job = l.active.iter().filter_map(|&j| l.job(j)).find(|j| &*j.id == "j-1").unwrap();
     assert_eq!(job.spec.priority, Priority::High);
-    w.until("done", 90_000, is_done("j-2"));
+    sim.run_until("done", 90_000, is_done("j-2"));
     // What was counted under one priority was taken back under the same.
-    let l = w.leader.as_ref().unwrap();
+    let l = sim.leader.as_ref().unwrap();
     for h in &l.snapshot.hosts {
         assert!(h.low.iter().all(|r| !r.any()) && !h.soon.any(), "left over on a machine");
     }
-    w.check("raised");
+    sim.check("raised");
 }
 
 /// Deep chains, wide fans and wide joins load quickly, in any order, and what
@@ -552,7 +560,7 @@
                         prereqs: Some(p.clone()),
                         deadline_s: (n == last || what == "hard").then_some(1e6),
                         priority: Some(if n == last { "high" } else { "low" }.into()),
-                        ..sub(&name(n), "batch", 1)
+                        ..submission(&name(n), "batch", 1)
                     })
                     .collect();
                 let mut events: Vec<Change> =
@@ -590,18 +598,18 @@
 /// from there.
 #[test]
 fn waiting_counts_from_the_last_end() {
-    let mut w = Simulation::new(5, 4);
-    w.elect();
-    w.submit(sub("j-1", "batch", 1), 40_000);
-    w.submit(after("j-2", "service", 1, &["j-1"]), 0);
-    w.until("done", 60_000, is_done("j-1"));
-    w.run(10_000);
-    let rec: JobRecord = w.store.keys[&records::job_key("j-1")].0.deserialized().unwrap();
-    assert!(rec.at_ms > 40_000 && rec.at_ms < w.now, "{}", rec.at_ms);
+    let mut sim = Simulation::new(5, 4);
+    sim.elect();
+    sim.submit(submission("j-1", "batch", 1), 40_000);
+    sim.submit(after("j-2", "service", 1, &["j-1"]), 0);
+    sim.run_until("done", 60_000, is_done("j-1"));
+    sim.run(10_000);
+    let rec: JobRecord = sim.store.keys[&records::job_key("j-1")].0.deserialized().unwrap();
+    assert!(rec.at_ms > 40_000 && rec.at_ms < sim.now, "{}", rec.at_ms);
     for _ in 0..2 {
-        let l = w.leader.as_ref().unwrap();
+        let l = sim.leader.as_ref().unwrap();
         let job = l.active.iter().filter_map(|&j| l.job(j)).find(|j| &*j.id == "j-2").unwrap();
         assert_eq!(job.since, rec.at_ms as i64);
-        w.elect();
+        sim.elect();
     }
 }
--- /dev/null
+++ b/tests/simulation/cloud.rs
@@ -0,0 +1,67 @@
+//! The cloud: rents machines, and answers a repeated request as before.
+
+use shedhook::{
+    coordination::model::{Ms, Res, TypeInfo},
+    protocol::cloud::RentRequest,
+};
+
+use super::{worker::Worker, Simulation};
+
+impl Simulation {
+    pub fn add_worker(&mut self, zone: &str) -> String {
+        let id = format!("i-{:06}", self.workers.len());
+        self.workers.push(Worker {
+            id: id.clone(),
+            zone: zone.into(),
+            spot: false,
+            session: 1,
+            seq: 0,
+            token: 0,
+            tasks: Vec::new(),
+            lease_start: self.now,
+            next_report: self.now + 100 * (self.workers.len() as Ms % 30),
+            changed: false,
+            partitioned: false,
+            hung: false,
+            dead: false,
+            lease_kept_by_peer: false,
+            answers_lost: false,
+            outbound_lost: false,
+            inbound_lost: false,
+            token_shown: None,
+        });
+        id
+    }
+
+    pub(super) fn types(&self) -> Vec<TypeInfo> {
+        vec![TypeInfo {
+            ix: self.tables.types.find("m").unwrap(),
+            cap: Res { cpus: 8.0, gpus: 4.0, memory_gb: 64.0 },
+            cache_gb: 50.0,
+            fetch_gb_per_s: 1.0,
+            price: 1.0,
+            spot_price: 0.5,
+            boot_s: 5.0,
+            zones: vec![self.tables.zones.find("a").unwrap(), self.tables.zones.find("b").unwrap()],
+        }]
+    }
+
+    pub(super) fn rent(&mut self, req: &RentRequest) -> Option<Vec<String>> {
+        let stamp = self.leader.as_ref().map_or(0, |l| l.stamp);
+        self.rental_requests.push((stamp, req.request.clone()));
+        if let Some(same) = self.rentals.get(&req.request) {
+            return Some(same.clone());
+        }
+        let n = req.count.min(self.capacity);
+        if n == 0 {
+            return None;
+        }
+        self.capacity -= n;
+        let ids: Vec<String> = (0..n).map(|_| self.add_worker(&req.zone)).collect();
+        for w in self.workers.iter_mut().filter(|w| ids.contains(&w.id)) {
+            w.spot = req.spot;
+        }
+        self.rentals.insert(req.request.clone(), ids.clone());
+        Some(ids)
+    }
+}
--- /dev/null
+++ b/tests/simulation/controller.rs
@@ -0,0 +1,312 @@
+//! The leading controller: elections, reads of changes, transactions, and the
+//! effects that the library's leader asks for.
+
+use ciborium::Value;
+use rand::RngExt;
+use shedhook::{
+    bookkeeping::{
+        budget::Urgency,
+        job_cache::JobCache,
+        records::{self, JobRecord, Status},
+    },
+    coordination::{
+        fleet::RentOutcome,
+        leader::{CommitOutcome, Config, DirectCallOutcome, Effect, Leader},
+        model::TeamLimits,
+    },
+    protocol::{
+        cloud::{HostList, HostState, ListedHost},
+        store::Op,
+    },
+};
+
+use super::{faults::Held, worker::Worker, Simulation, LEASE, REPORT};
+
+impl Simulation {
+    /// A new leader: the key changes hands, whatever the old one had under way.
+    pub fn elect(&mut self) {
+        self.leader = None;
+        self.store.epoch += 1;
+        let stamp = self.store.epoch;
+        self.store.keys.insert(records::LEADER.into(), (Value::Null, stamp));
+        let cfg = Config {
+            lease_ms: LEASE,
+            report_ms: REPORT,
+            gang_peer_s: 8.0,
+            txn_ops: 8,
+            value_max: self.value_max,
+            value_fit: self.value_fit,
+            chunk_fit: self.chunk_fit,
+            list_lag_ms: 1_000,
+            teams: vec![TeamLimits {
+                gpus_max: (self.team_gpus_max > 0.0).then_some(self.team_gpus_max),
+                ..TeamLimits::default()
+            }],
+            aims: Vec::new(),
+            idle_keep_ms: 1 << 40,
+            silent_ms: self.silent_ms,
+            max_machines: usize::MAX,
+            use_spot: true,
+        };
+        let nonce = self.rng.random();
+        let mut leader = Leader::new(cfg, stamp, nonce, self.now, self.types());
+        self.job_cache = JobCache::default();
+        self.job_cache.page(&self.store.page(records::JOBS), true, &mut self.tables);
+        self.job_cache.take_changed();
+        for p in self.store.page(records::TASKS).pairs {
+            leader.load(self.now, self.now, &p.key, &p.v, p.stamp, &self.job_cache, &mut self.tables);
+        }
+        leader.loaded(self.now, self.now, &self.job_cache);
+        self.leader = Some(leader);
+    }
+
+    pub(super) fn lead_step(&mut self) {
+        if self.leader.is_none() {
+            return;
+        }
+        let now = self.now;
+        self.read_changes();
+        let changed = self.job_cache.take_changed();
+        let Some(l) = &mut self.leader else { return };
+        for ix in changed {
+            l.job_update(now, now, ix, &self.job_cache);
+        }
+        // Once heard again, those behind the cut say when they last kept a lease.
+        l.no_peer_renewals = (self.last_peer_renewal as i64, self.peers_silent_since.unwrap_or(now) as i64);
+        if let Some(since) = self.peers_silent_since {
+            l.no_peer_renewals.0 = l.no_peer_renewals.0.min(since as i64);
+        }
+        l.may_reshard = self.may_reshard;
+        l.sweep(now);
+        self.cloud |= self.capacity > 0;
+        if self.cloud {
+            l.fleet_step(now, &self.tables);
+        }
+        l.pass(now);
+        self.commit();
+        let Some(l) = &mut self.leader else { return };
+        l.push_orders(now);
+        for e in l.take_effects() {
+            self.perform_effect(e);
+        }
+    }
+
+    pub(super) fn read_changes(&mut self) {
+        let (now, stamp) = (self.now, self.leader.as_ref().map_or(0, |l| l.stamp));
+        if self.refuse_leader || self.changes_unread {
+            return;
+        }
+        if self.changes_ms == 0 {
+            self.reading = None;
+            let changes = self.store.changes(records::JOBS, self.job_cache.epoch());
+            self.job_cache.apply(&changes, &mut self.tables);
+            self.check_dependents_of_cancelled();
+            return;
+        }
+        if let Some((_, _, changes)) = self.reading.take_if(|r| r.1 == stamp && r.0 <= now) {
+            self.job_cache.apply(&changes, &mut self.tables);
+        }
+        if self.reading.as_ref().is_none_or(|r| r.1 != stamp) {
+            let at = now + self.rng.random_range(0..self.changes_ms);
+            self.reading = Some((at, stamp, self.store.changes(records::JOBS, self.job_cache.epoch())));
+        }
+    }
+
+    pub(super) fn commit(&mut self) {
+        let now = self.now;
+        let Some(l) = &mut self.leader else { return };
+        if let Some(key) = l.resync_key().filter(|_| !self.refuse_leader).map(str::to_owned) {
+            let found = self.store.keys.get(&key).cloned();
+            l.resynced(now, &key, found);
+        }
+        if l.commit_busy() || now < l.commit_after {
+            return;
+        }
+        // Now and then there is budget to spare.
+        let (mut spare, mut max_ops) = ((now / 1_000).is_multiple_of(4), 8);
+        if let Some(w) = &mut self.writes {
+            let allowed = w.controllers[0].commits.available(now, Urgency::Commit);
+            (spare, max_ops) = (allowed > 0.6 * w.controllers[0].commits.burst(), max_ops.min(allowed as usize));
+            if max_ops == 0 {
+                return;
+            }
+        }
+        if !l.has_writes(now, spare) {
+            return;
+        }
+        let Some(mut txn) = l.commit(now, max_ops, spare, &self.tables) else { return };
+        if self.writes_old_form {
+            for w in &mut txn.writes {
+                let Op::Put { key, v, .. } = w else { continue };
+                if let Some(rec) = key.starts_with(records::JOBS).then(|| v.deserialized::<JobRecord>().unwrap()) {
+                    let at_ms = if rec.status == Status::Done { 0 } else { rec.at_ms };
+                    *v = records::to_value(&JobRecord { at_ms, ..rec });
+                }
+            }
+        }
+        if let Some(w) = &mut self.writes {
+            let _ = w.controllers[0].commits.take(now, txn.writes.len() as f64, Urgency::Lease);
+        }
+        self.count_writes(txn.writes.len());
+        self.txns += 1;
+        if txn.writes.len() > 8 || txn.conditions.len() > 32 {
+            self.violations.push(format!("a transaction of {} writes", txn.writes.len()));
+        }
+        let stamp = self.store.keys[records::LEADER].1;
+        if !txn.conditions.iter().any(|c| c.key == records::LEADER && c.stamp == stamp) {
+            self.violations.push(format!("a transaction that any later leader would let through, at {now}"));
+        }
+        if std::mem::take(&mut self.die_before_txn) {
+            self.leader = None;
+            return;
+        }
+        if self.txns_left == Some(0) || self.refuse_leader {
+            if let Some(l) = &mut self.leader {
+                l.committed(now, CommitOutcome::Refused);
+            }
+            return;
+        }
+        self.txns_left = self.txns_left.map(|n| n - 1);
+        let too_large = |w: &Op| matches!(w, Op::Put { v, .. } if records::json_size(v) > self.value_now);
+        if txn.writes.len() > self.ops_now || txn.writes.iter().any(too_large) {
+            self.too_large += 1;
+            if let Some(l) = &mut self.leader {
+                l.committed(now, CommitOutcome::TooLarge);
+            }
+            return;
+        }
+        if self.chance(self.faults.lost_txn) {
+            if self.rng.random_range(0..2) == 0 {
+                let _ = self.store.apply(&txn);
+            } else {
+                let at = now + self.rng.random_range(100..40_000);
+                self.delayed.push((at, Held::Txn(txn)));
+            }
+            if let Some(l) = &mut self.leader {
+                l.committed(now, CommitOutcome::Unknown);
+            }
+            return;
+        }
+        if self.chance(self.faults.late_txn) {
+            let at = now + self.rng.random_range(2_000..12_000);
+            self.delayed.push((at, Held::Txn(txn)));
+            if let Some(l) = &mut self.leader {
+                l.committed(now, CommitOutcome::Unknown);
+            }
+            return;
+        }
+        if self.txn_ms > 0 {
+            let at = now + self.rng.random_range(0..self.txn_ms);
+            self.delayed.push((at, Held::SlowTxn { txn, stamp }));
+            return;
+        }
+        let outcome = match self.store.apply(&txn) {
+            Ok(epoch) => CommitOutcome::Done(epoch),
+            Err(failed) => CommitOutcome::Conflict(failed),
+        };
+        if std::mem::take(&mut self.die_after_txn) {
+            self.leader = None;
+            return;
+        }
+        if self.leader.as_mut().is_some_and(|l| !l.committed(now, outcome)) {
+            self.leader = None;
+        }
+    }
+
+    pub(super) fn perform_effect(&mut self, e: Effect) {
+        let now = self.now;
+        match e {
+            Effect::Do { machine, call, req, .. } => {
+                let id = self.leader.as_ref().map(|l| l.machine(machine).id.clone()).unwrap_or_default();
+                let Some(n) = self.workers.iter().position(|w| w.id == id) else { return };
+                self.check_orders(&id, &req.orders);
+                let reached = self.workers[n].is_reached();
+                if reached && self.chance(self.faults.slow_command) {
+                    let stamp = self.leader.as_ref().map_or(0, |l| l.stamp);
+                    let at = now + self.rng.random_range(300..1_900);
+                    self.delayed.push((at, Held::SlowDo { worker: n, req, machine, call, stamp }));
+                    return;
+                }
+                let out = if !reached {
+                    if self.workers[n].hung {
+                        self.delayed.push((now + 1_000, Held::Do { worker: n, req }));
+                    }
+                    DirectCallOutcome::Unknown
+                } else if self.chance(self.faults.late_command) {
+                    let at = now + self.rng.random_range(200..90_000);
+                    self.delayed.push((at, Held::Do { worker: n, req }));
+                    DirectCallOutcome::Unknown
+                } else if self.chance(self.faults.lost_command) {
+                    DirectCallOutcome::Unknown
+                } else {
+                    if self.chance(self.faults.repeated_command) {
+                        let at = now + self.rng.random_range(200..40_000);
+                        self.delayed.push((at, Held::Do { worker: n, req: req.clone() }));
+                    }
+                    let out = self.execute_command(n, &req);
+                    if self.chance(self.faults.slow_command_answer) {
+                        let stamp = self.leader.as_ref().map_or(0, |l| l.stamp);
+                        let at = now + self.rng.random_range(300..1_900);
+                        self.delayed.push((at, Held::DoAnswer { out, machine, call, stamp }));
+                        return;
+                    }
+                    out
+                };
+                if let Some(l) = &mut self.leader {
+                    l.direct_call_result(now, machine, call, out, &self.job_cache, &mut self.tables);
+                }
+            }
+            Effect::Rent { call, req } => {
+                let names = self.rent(&req);
+                let lost = self.chance(self.faults.lost_rental_answer);
+                if let Some(l) = &mut self.leader {
+                    let out = match names {
+                        _ if lost => RentOutcome::Again,
+                        Some(n) => RentOutcome::Rented(n),
+                        None => RentOutcome::NoCapacity,
+                    };
+                    l.rented(now, call, out);
+                }
+            }
+            Effect::Return { call, ids } => {
+                for w in &mut self.workers {
+                    if ids.contains(&w.id) {
+                        w.dead = true;
+                        w.tasks.clear();
+                    }
+                }
+                if let Some(l) = &mut self.leader {
+                    l.returned(now, call, true);
+                }
+            }
+            Effect::Probe { machine, .. } => {
+                let id = self.leader.as_ref().map(|l| l.machine(machine).id.clone()).unwrap_or_default();
+                let w = self.workers.iter_mut().find(|w| w.id == id && w.is_reached());
+                let report = w.map(Worker::report);
+                if let Some(l) = &mut self.leader {
+                    l.probed(now, machine, report.as_ref(), &self.job_cache, &mut self.tables);
+                }
+            }
+            Effect::List { call, .. } => {
+                let hosts = self
+                    .workers
+                    .iter()
+                    .filter(|w| !w.dead)
+                    .map(|w| ListedHost {
+                        id: w.id.clone(),
+                        addr: None,
+                        machine_type: "m".into(),
+                        zone: w.zone.clone(),
+                        spot: w.spot,
+                        state: HostState::Running,
+                        age_s: 1.0,
+                    })
+                    .collect();
+                let list = HostList { hosts, truncated: false };
+                if let Some(l) = &mut self.leader {
+                    l.listed(now, call, Some(&list), &mut self.tables);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/tests/simulation/state_service.rs
@@ -0,0 +1,63 @@
+//! The state service: versioned keys, conditional transactions and reads of
+//! what changed.
+
+use std::collections::BTreeMap;
+
+use ciborium::Value;
+use shedhook::protocol::store::{Change, Changes, Op, Page, Pair, Txn};
+
+#[derive(Default)]
+pub struct Store {
+    pub keys: BTreeMap<String, (Value, u64)>,
+    pub epoch: u64,
+    log: Vec<Change>,
+}
+
+impl Store {
+    pub fn apply(&mut self, txn: &Txn) -> Result<u64, Vec<String>> {
+        let failed: Vec<String> = txn
+            .conditions
+            .iter()
+            .filter(|c| self.keys.get(&c.key).map_or(0, |k| k.1) != c.stamp)
+            .map(|c| c.key.clone())
+            .collect();
+        if !failed.is_empty() {
+            return Err(failed);
+        }
+        self.epoch += 1;
+        let stamp = self.epoch;
+        for w in &txn.writes {
+            match w {
+                Op::Put { key, v, .. } => {
+                    self.keys.insert(key.clone(), (v.clone(), stamp));
+                    self.log.push(Change { write: Some(key.clone()), drop: None, v: Some(v.clone()), stamp });
+                }
+                Op::Delete { key } => {
+                    self.keys.remove(key);
+                    self.log.push(Change { write: None, drop: Some(key.clone()), v: None, stamp });
+                }
+            }
+        }
+        Ok(stamp)
+    }
+
+    pub(super) fn page(&self, prefix: &str) -> Page {
+        let pairs = self
+            .keys
+            .iter()
+            .filter(|(k, _)| k.starts_with(prefix))
+            .map(|(k, (v, stamp))| Pair { key: k.clone(), v: v.clone(), stamp: *stamp, permit: None })
+            .collect();
+        Page { pairs, truncated: false, epoch: self.epoch }
+    }
+
+    pub(super) fn changes(&self, prefix: &str, from: u64) -> Changes {
+        let events = self
+            .log
+            .iter()
+            .filter(|c| c.stamp > from && c.write.as_deref().is_some_and(|k| k.starts_with(prefix)))
+            .cloned()
+            .collect();
+        Changes { epoch: self.epoch, events }
+    }
+}
