--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -116,9 +116,8 @@
 }
 
 impl Pending {
-    /// Whether the reply shows if the state service works.
-    ///
-    /// Replies to probes count too, although it is a worker that sends them.
+    /// Whether the reply shows if the state service works. Guard: a reply of a
+    /// worker or of the cloud shows nothing of it.
     pub fn shows_state_health(&self) -> bool {
         !matches!(
             self,
@@ -126,6 +125,7 @@
                 | Pending::RentHosts { .. }
                 | Pending::ReturnHosts { .. }
                 | Pending::ListHosts { .. }
+                | Pending::Probe { .. }
                 | Pending::MachineTypes
         )
     }
--- a/src/node/tests/wiring.rs
+++ b/src/node/tests/wiring.rs
@@ -1,16 +1,16 @@
 use calloop::EventLoop;
 
-use super::Node;
+use super::{super::health::StateHealth, Node, Pending};
 use crate::{
     bookkeeping::records::LeaderRecord,
-    coordination::model::Ms,
+    coordination::model::{MachineIx, Ms},
     protocol::{
         cbor,
         operator::Operator,
         settings::{tests::SAMPLE, Settings},
         store::{Changes, Page},
     },
-    transport::{Limits, Net, Reply},
+    transport::{CallError, Limits, Net, Reply},
 };
 
 const SEED: &str = "[[seeds]]\nlabel = \"n-1\"\nendpoint = \"127.0.0.1:3\"\n[outside]";
@@ -39,6 +39,40 @@
     }
 }
 
+/// Guard: a worker that answered a probe, or didn't, counted as the state service.
+/// In an outage a leader that probes then seemed to be served, and its peers, who
+/// weren't, took themselves for cut off alone and became unready.
+#[test]
+fn only_the_state_service_tells_of_its_health() {
+    let event_loop = EventLoop::try_new().unwrap();
+    let limits = Limits { sockets: 100, idle_ms: 1_000, head_ms: 1_000, stale_ms: 1_000 };
+    let mut net = Net::new(&event_loop, limits);
+    let mut node = Node::new(Settings::parse(SAMPLE, "x.toml").unwrap(), Operator::default(), &mut net);
+    let answered = |status| Ok(Reply { status, body: Vec::new(), close: false });
+    let probe = || Pending::Probe { stamp: 1, machine: MachineIx(0) };
+    let list = || Pending::ListHosts { stamp: 1, call: 1 };
+    // (what the reply is for, the reply, whether it tells of the state service)
+    let cases = [
+        (probe(), answered(200), false),
+        (probe(), answered(503), false),
+        (probe(), Err(CallError::Unknown), false),
+        (Pending::Orders { stamp: 1, machine: MachineIx(0), call: 1 }, Err(CallError::Unknown), false),
+        (list(), answered(200), false),
+        (list(), answered(503), false),
+        (Pending::VersionRead, answered(200), true),
+        (Pending::VersionRead, answered(503), true),
+        (Pending::VersionRead, Err(CallError::Unknown), true),
+    ];
+    for (i, (pending, result, tells)) in cases.into_iter().enumerate() {
+        let is_failure = result.as_ref().map_or(true, |reply: &Reply| reply.status == 503);
+        // As it was before: failing where the reply would clear that, and the reverse.
+        node.state_health = StateHealth { last_answer: 0, failing_since: (!is_failure).then_some(0) };
+        node.handle_reply(&mut net, pending, result);
+        let changed = node.state_health.failing_since.is_some() == is_failure;
+        assert_eq!(changed, tells, "case {i}");
+    }
+}
+
 /// Guard: a controller that had lost state service and peers sent its
 /// workers to a leader that was long gone.
 #[test]
