--- a/src/node/budgets.rs
+++ b/src/node/budgets.rs
@@ -27,7 +27,8 @@
 // Seconds of the state service's limits that may be used at once.
 const LEADER_READ_BURST_S: f64 = 0.5;
 const FOLLOWER_READ_BURST_S: f64 = 0.2;
-const WRITE_BURST_S: f64 = 0.2;
+/// The jobs of a pipeline are submitted together, to one controller.
+const WRITE_BURST_S: f64 = 0.4;
 const COMMIT_BURST_S: f64 = 0.5;
 /// Smallest burst of writes, so that one with several parts is possible at all.
 const MIN_WRITE_BURST: f64 = 4.0;
