--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -45,10 +45,13 @@
 /// Status of a job. The last two are final.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Status {
+    /// Accepted, and not over. Recorded as `p`.
     #[serde(rename = "p")]
     Pending,
+    /// Cancelled by its user. Recorded as `c`.
     #[serde(rename = "c")]
     Cancelled,
+    /// All of its tasks completed. Recorded as `d`.
     #[serde(rename = "d")]
     Done,
 }
@@ -56,8 +59,10 @@
 /// Record of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// What the user submitted. Recorded as `s`.
     #[serde(rename = "s")]
     pub submission: Submission,
+    /// Status of the job. Recorded as `st`.
     #[serde(rename = "st")]
     pub status: Status,
     /// Time of day at acceptance, in ms.
@@ -71,6 +76,7 @@
 /// Record of a controller that leads, or may renew leases.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
+    /// Label of the controller. Recorded as `l`.
     #[serde(rename = "l")]
     pub label: String,
     /// Identifies the start of the process, or its grant.
@@ -99,6 +105,7 @@
     /// Done tasks as hex digits; the first task is the lowest bit of the first digit.
     #[serde(rename = "d")]
     pub done: String,
+    /// Where the tasks that are not done may run. Recorded as `p`.
     #[serde(rename = "p")]
     pub assignments: Vec<AssignmentRecord>,
     /// Identifies the writer, which so recognizes its own late write.
--- a/src/bookkeeping/versions.rs
+++ b/src/bookkeeping/versions.rs
@@ -23,6 +23,7 @@
 /// Value of a version key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
+    /// Version that the controller runs. Recorded as `v`.
     #[serde(rename = "v")]
     pub version: u64,
     /// Identifies the start of the process that wrote it.
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -30,7 +30,12 @@
     /// POST /grants/{}/renew
     Renew(u64),
     /// Write the key under the grant, if its stamp is as expected.
-    Claim { permit: u64, expect: u64 },
+    Claim {
+        /// Number of the grant.
+        permit: u64,
+        /// Stamp that the key must have; 0: it must not exist.
+        expect: u64,
+    },
     /// DELETE /grants/{}
     Resign(u64),
 }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -61,7 +61,9 @@
 /// Tasks of a job that found no room in the last pass.
 #[derive(Debug, Clone, Copy)]
 pub struct UnmetDemand {
+    /// The job.
     pub job: JobIx,
+    /// How many of its tasks found no room.
     pub tasks: u32,
 }
 
@@ -94,10 +96,13 @@
 /// How a rental request ended.
 #[derive(Debug)]
 pub enum RentOutcome {
+    /// Done; the names of the machines, which may be fewer than asked for.
     Rented(Vec<String>),
+    /// The cloud has no machine of this type, zone and billing kind.
     NoCapacity,
     /// Not executed, or not known: the same request again.
     Again,
+    /// The cloud rejects the request as malformed.
     Malformed,
 }
 
--- a/src/coordination/leader/assignments.rs
+++ b/src/coordination/leader/assignments.rs
@@ -10,11 +10,17 @@
 /// An assignment to be made.
 #[derive(Debug, Clone, Copy)]
 pub struct NewAssignment {
+    /// The task's job.
     pub job: JobIx,
+    /// Number of the task within its job.
     pub task: u32,
+    /// The machine that it is assigned to.
     pub machine: MachineIx,
+    /// The worker's session that the assignment is made for.
     pub session: u64,
+    /// Number of the attempt to run the task.
     pub attempt: u64,
+    /// Zone of the machine.
     pub zone: ZoneIx,
 }
 
--- a/src/coordination/leader/config.rs
+++ b/src/coordination/leader/config.rs
@@ -22,23 +22,29 @@
     pub value_fit: usize,
     /// Tasks per chunk whose record fits under the lower limit.
     pub chunk_fit: u32,
+    /// How old the cloud's list of hosts may be, in ms.
     pub list_lag_ms: Ms,
     /// By index of the team.
     pub teams: Vec<TeamLimits>,
+    /// What users expect of classes, the shortest time first.
     pub aims: Vec<ServiceObjective>,
     /// How long an idle machine is kept at least.
     pub idle_keep_ms: Ms,
     /// How long past its due report a machine counts as silent.
     pub silent_ms: Ms,
+    /// Most machines held at once; `usize::MAX`: no limit.
     pub max_machines: usize,
+    /// Whether spot machines may be rented.
     pub use_spot: bool,
 }
 
 /// What users expect of a class: that its jobs start or end within some seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceObjective {
+    /// The class of jobs that it is about.
     pub class: ClassIx,
     /// True: the first tasks run by then; false: all are done.
     pub start: bool,
+    /// The time limit, in seconds.
     pub within_s: f64,
 }
--- a/src/coordination/leader/effects.rs
+++ b/src/coordination/leader/effects.rs
@@ -14,20 +14,50 @@
 #[derive(Debug, Clone)]
 pub enum Effect {
     /// POST /do: a command sent straight to a worker.
-    Do { machine: MachineIx, call: u64, addr: SocketAddr, req: DirectCommandRequest },
+    Do {
+        /// The machine of the worker.
+        machine: MachineIx,
+        /// Number of the call.
+        call: u64,
+        /// Address of the worker.
+        addr: SocketAddr,
+        /// The body of the request.
+        req: DirectCommandRequest,
+    },
     /// POST /hosts
-    Rent { call: u64, req: RentRequest },
+    Rent {
+        /// Number of the call.
+        call: u64,
+        /// The body of the request.
+        req: RentRequest,
+    },
     /// POST /hosts/return
-    Return { call: u64, ids: Vec<String> },
+    Return {
+        /// Number of the call.
+        call: u64,
+        /// Names of the machines.
+        ids: Vec<String>,
+    },
     /// GET /hosts, from one machine's name on.
-    List { call: u64, from: Option<String> },
+    List {
+        /// Number of the call.
+        call: u64,
+        /// The first name to list; None: from the beginning.
+        from: Option<String>,
+    },
     /// GET /status, of a worker whose report is overdue.
-    Probe { machine: MachineIx, addr: SocketAddr },
+    Probe {
+        /// The machine of the worker.
+        machine: MachineIx,
+        /// Address of the worker.
+        addr: SocketAddr,
+    },
 }
 
 /// How a worker's report is answered.
 #[derive(Debug)]
 pub enum Answer {
+    /// Accepted: this renews the worker's lease and carries orders.
     Ok(ReportAnswer),
     /// Too old to mean anything, or from a machine that is gone.
     Stale,
@@ -38,8 +68,11 @@
 /// How a command sent straight to a worker ended.
 #[derive(Debug)]
 pub enum DirectCallOutcome {
+    /// Executed; the worker's report after it.
     Executed(Report),
+    /// Refused by the worker; its report.
     Refused(Report),
+    /// Never sent, so certainly not executed.
     NotSent,
     /// Unanswered: it may have been executed, or may yet be.
     Unknown,
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -59,6 +59,7 @@
 
 /// All that a controller keeps while it leads.
 pub struct Leader {
+    /// Settings of this leadership.
     pub cfg: Config,
     /// Stamp of the leader record: identifies this leadership.
     pub stamp: u64,
@@ -74,27 +75,34 @@
     pub started: Ms,
     /// All records are read.
     pub loaded: bool,
+    /// Jobs by their index; None: not known, or over and released.
     pub jobs: Vec<Option<Job>>,
     /// Jobs that are known and not over.
     pub active: Vec<JobIx>,
+    /// All machines known so far, by their index.
     pub machines: Vec<Machine>,
+    /// Indices of the machines, by name.
     pub machine_ix: HashMap<String, MachineIx>,
     assignments: AssignmentTable,
+    /// Machine types that may be rented.
     pub types: Vec<TypeInfo>,
     /// Something changed that may let a waiting job be placed.
     pub pass_needed: bool,
+    /// When the last pass was made.
     pub last_pass: Ms,
     last_attempt: u64,
     last_call: u64,
     transactions: TransactionPipeline,
     /// No transaction is sent before.
     pub commit_after: Ms,
+    /// State of renting and returning machines.
     pub fleet: Fleet,
     effects: Vec<Effect>,
     /// Jobs whose progress changed since it was last published.
     changed_progress: HashSet<JobIx>,
     /// When any worker was last heard.
     pub heard_any: Ms,
+    /// The machines as trials see them.
     pub snapshot: ClusterSnapshot,
     /// In use by each team, unproven assignments included.
     pub team_used: Vec<Res>,
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -66,7 +66,12 @@
     /// POST /grants/{}/renew
     Renew(u64),
     /// Write this controller's key under the grant, if its stamp is as expected.
-    Register { permit: u64, expect: u64 },
+    Register {
+        /// Number of the grant.
+        permit: u64,
+        /// Stamp that the key must have; 0: it must not exist.
+        expect: u64,
+    },
 }
 
 /// The call that is unanswered, if any.
@@ -261,7 +266,9 @@
 /// A span of time on this controller's clock; empty if it ends before it begins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeSpan {
+    /// Start of the span, in ms.
     pub from: i64,
+    /// End of the span, in ms.
     pub to: i64,
 }
 
@@ -324,6 +331,7 @@
 pub struct Other {
     /// In this controller's zone.
     pub near: bool,
+    /// When it was last heard; None: never.
     pub heard: Option<Ms>,
     /// How long it had been without the state service when it was heard.
     pub state_age: Ms,
--- a/src/coordination/model/assignment.rs
+++ b/src/coordination/model/assignment.rs
@@ -24,6 +24,7 @@
 /// A task that is to be stopped.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Halt {
+    /// Grace period of the halt, in seconds.
     pub grace_s: f64,
     /// When the halt was last sent to the worker.
     pub sent: Option<Ms>,
@@ -32,19 +33,27 @@
 /// A task that is, or may be, on a machine.
 #[derive(Debug)]
 pub struct Assignment {
+    /// The task's job.
     pub job: JobIx,
+    /// Number of the task within its job.
     pub task: u32,
+    /// The machine that it is assigned to.
     pub machine: MachineIx,
+    /// The zone of that machine.
     pub zone: ZoneIx,
     /// The worker's session for which the task was assigned.
     pub session: u64,
+    /// Number of the attempt to run the task.
     pub attempt: u64,
     /// Version of its chunk that first contained this assignment.
     pub chunk_version: u64,
+    /// How far the task has come.
     pub state: AssignmentState,
     /// When its launch was last sent.
     pub sent: Option<Ms>,
+    /// When the leader first heard that it runs; None: it has not.
     pub running_since: Option<Ms>,
+    /// The halt of the task; None: it is not to be stopped.
     pub halt: Option<Halt>,
     /// When the assignment was made.
     pub made: Ms,
@@ -68,7 +77,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitRecord {
     /// Its end is recorded once this version of its chunk is written.
-    WrittenWith { chunk: usize, version: u64 },
+    WrittenWith {
+        /// Index of the chunk within its job.
+        chunk: usize,
+        /// Version of the chunk's wanted state.
+        version: u64,
+    },
     /// It runs though no record says so: halted until it ends, then reaped.
     Stray,
 }
@@ -77,23 +91,31 @@
 /// is written.
 #[derive(Debug, Clone)]
 pub struct UnreapedExit {
+    /// Name of the task, as its worker lists it.
     pub task: String,
+    /// Number of the attempt.
     pub attempt: u64,
+    /// The task's job.
     pub job: JobIx,
+    /// Whether its end is or will be recorded.
     pub record: ExitRecord,
 }
 
 /// Identifies one launch command of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LaunchId {
+    /// The task's job.
     pub job: JobIx,
+    /// Number of the task within its job.
     pub task: u32,
+    /// Number of the attempt.
     pub attempt: u64,
 }
 
 /// A command that was sent straight to a worker and is not answered yet.
 #[derive(Debug, Clone)]
 pub struct DirectCall {
+    /// Number of the call, unique within the leadership.
     pub id: u64,
     /// The launches that it carries.
     pub launches: Vec<LaunchId>,
--- a/src/coordination/model/job.rs
+++ b/src/coordination/model/job.rs
@@ -14,7 +14,9 @@
 /// Where one task of a job stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Slot {
+    /// Not assigned to any machine.
     Pending,
+    /// Completed.
     Done,
     /// On a machine, or on its way there.
     At(AssignmentIx),
@@ -50,31 +52,41 @@
 /// Task counts of a job, as users see them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobProgress {
+    /// Tasks that completed.
     pub done: u32,
+    /// Tasks that run now.
     pub running: u32,
 }
 
 /// A job that is not over, or whose tasks are still somewhere.
 #[derive(Debug)]
 pub struct Job {
+    /// Index of the job.
     pub ix: JobIx,
+    /// Id of the job, as users see it.
     pub id: Rc<str>,
+    /// What was submitted.
     pub spec: Rc<JobSpec>,
     /// Stamp of its record.
     pub stamp: u64,
+    /// Status according to its record.
     pub status: Status,
     /// Since when it may run, on the leader's steady clock; may lie before the
     /// clock's start.
     pub since: i64,
     /// Tasks per chunk.
     pub chunk_size: u32,
+    /// Where each task stands, by task number.
     pub slots: Vec<Slot>,
+    /// State of its chunk records, by chunk number.
     pub chunks: Vec<Chunk>,
     /// Pending task numbers, the next one last.
     pub pending: Vec<u32>,
+    /// Tasks that completed.
     pub done: u32,
     /// Tasks that have an assignment.
     pub placed: u32,
+    /// Tasks that run now.
     pub running: u32,
     /// None of its tasks are to be assigned before.
     pub not_before: Ms,
@@ -93,6 +105,7 @@
     pub has_counted_start: bool,
     /// At least one of its tasks was assigned before.
     pub ever_assigned: bool,
+    /// Failures of its tasks so far.
     pub failure_count: u32,
     /// Machines on which its tasks failed.
     pub failed_on: Vec<MachineIx>,
--- a/src/coordination/model/machine.rs
+++ b/src/coordination/model/machine.rs
@@ -13,6 +13,7 @@
 pub enum MachineLifecycle {
     /// Rented or listed; its worker has not reported yet.
     Booting,
+    /// Its worker has reported.
     Up,
     /// Being handed back.
     Returning,
@@ -27,21 +28,30 @@
 /// A failed task, noted at the machine on which it failed.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskFailure {
+    /// The job of the task.
     pub job: JobIx,
+    /// When the leader heard of the failure.
     pub at: Ms,
 }
 
 /// One machine, rented or inherited from an earlier leader.
 #[derive(Debug)]
 pub struct Machine {
+    /// Name that the cloud gave it.
     pub id: String,
+    /// Address of its worker; None: not known yet.
     pub addr: Option<SocketAddr>,
+    /// Its type; None: unknown.
     pub machine_type: Option<TypeIx>,
+    /// Its zone.
     pub zone: ZoneIx,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Where it is between its rental and its return.
     pub lifecycle: MachineLifecycle,
     /// The latest session of its worker, and the latest report in that session.
     pub session: u64,
+    /// Number of the latest report of the session.
     pub seq: u64,
     /// Reports of sessions up to this one are too old to mean anything.
     pub dead_session: u64,
@@ -56,6 +66,7 @@
     pub answered_since_fence: bool,
     /// Reports since then that show no sign of an answer.
     pub unacknowledged_reports: u32,
+    /// When the last such report was counted; 0: never.
     pub last_unacknowledged: Ms,
     /// When its last report came, sent by itself or as the answer to a call.
     pub last_heard: Option<Ms>,
@@ -67,18 +78,25 @@
     pub probing: bool,
     /// Probes in a row that went unanswered.
     pub failed_probes: u32,
+    /// When a spot machine with a notice will be taken away; None: no notice.
     pub spot_notice_until: Option<Ms>,
+    /// The tasks that are, or may be, on it.
     pub assignments: Vec<AssignmentIx>,
     /// How many of the assignments use GPUs.
     pub gpu_assignments: u32,
+    /// Ended tasks that its worker still lists.
     pub unreaped_exits: Vec<UnreapedExit>,
+    /// The direct command that is not answered yet, if any.
     pub direct_call: Option<DirectCall>,
     /// No direct call is made before.
     pub direct_call_after: Ms,
     /// The answer to its last report carried launches, and no report came since.
     pub launch_in_answer: bool,
+    /// When it was rented, or first listed or heard of.
     pub rented_at: Ms,
+    /// When its worker first reported to this leader; None: it has not.
     pub up_at: Option<Ms>,
+    /// Since when nothing is on it; None: something is, or it is not up.
     pub idle_since: Option<Ms>,
     /// Since when none of its GPUs is in use.
     pub gpu_idle_since: Option<Ms>,
--- a/src/coordination/model/machine_type.rs
+++ b/src/coordination/model/machine_type.rs
@@ -9,15 +9,21 @@
 /// A machine type as the cloud describes it.
 #[derive(Debug, Clone)]
 pub struct TypeInfo {
+    /// Index of the type.
     pub ix: TypeIx,
     /// Capacity of one machine.
     pub cap: Res,
+    /// Size of a machine's image cache, in GB.
     pub cache_gb: f64,
+    /// Rate at which a machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
+    /// Price per hour of a machine on demand.
     pub price: f64,
     /// 0: the type has no spot price of its own.
     pub spot_price: f64,
+    /// Nominal boot time, in seconds.
     pub boot_s: f64,
+    /// The zones in which the type is offered.
     pub zones: Vec<ZoneIx>,
 }
 
--- a/src/coordination/model/resources.rs
+++ b/src/coordination/model/resources.rs
@@ -7,8 +7,11 @@
 /// An amount of each resource that the scheduler accounts for.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Res {
+    /// CPUs.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory, in GB.
     pub memory_gb: f64,
 }
 
--- a/src/coordination/model/team.rs
+++ b/src/coordination/model/team.rs
@@ -6,9 +6,13 @@
 /// A team's guarantee and limit. `None`: none is set.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TeamLimits {
+    /// CPUs that are guaranteed.
     pub cpus: Option<f64>,
+    /// GPUs that are guaranteed.
     pub gpus: Option<f64>,
+    /// Most CPUs in use at once.
     pub cpus_max: Option<f64>,
+    /// Most GPUs in use at once.
     pub gpus_max: Option<f64>,
 }
 
--- a/src/coordination/snapshot/host.rs
+++ b/src/coordination/snapshot/host.rs
@@ -26,6 +26,7 @@
     pub gpu_only: bool,
     /// Tasks assigned to it.
     pub assignments: u32,
+    /// Free room for new tasks.
     pub free: Res,
     /// What tasks that are being stopped will leave.
     pub soon: Res,
@@ -51,7 +52,9 @@
 /// Whether a task's load is added to a machine or removed from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadChange {
+    /// A task comes to the machine.
     Added,
+    /// A task leaves the machine.
     Removed,
 }
 
--- a/src/coordination/snapshot/mod.rs
+++ b/src/coordination/snapshot/mod.rs
@@ -28,6 +28,7 @@
 pub struct ClusterSnapshot {
     /// One entry per machine, at the machine's index.
     pub hosts: Vec<Host>,
+    /// The pools, in the order in which they were first needed.
     pub pools: Vec<Pool>,
     /// Machines on which something is being stopped.
     stopping: BTreeSet<u32>,
--- a/src/coordination/snapshot/pool.rs
+++ b/src/coordination/snapshot/pool.rs
@@ -29,17 +29,24 @@
 /// Machines of one type, zone and billing kind.
 #[derive(Debug)]
 pub struct Pool {
+    /// Type of the machines.
     pub machine_type: TypeIx,
+    /// Zone of the machines.
     pub zone: ZoneIx,
+    /// Whether they are spot machines.
     pub spot: bool,
     /// Capacity of one machine.
     pub cap: Res,
+    /// Size of a machine's image cache, in GB.
     pub cache_gb: f64,
+    /// Rate at which a machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
+    /// Price per hour of one machine.
     pub price: f64,
     /// What recent GPU work that these machines could run asked for: tasks
     /// that can't be stopped for such work must leave that much.
     pub guard: Option<Res>,
+    /// The machines of the pool, by their index.
     pub members: BTreeSet<u32>,
     /// Open machines with room, by the free share of the scarcer of CPUs and memory.
     by_room: BTreeSet<IndexEntry>,
--- a/src/coordination/tests/model.rs
+++ b/src/coordination/tests/model.rs
@@ -4,6 +4,7 @@
     names::{ClassIx, ImageIx, TeamIx},
 };
 
+/// A job of this kind, priority and number of tasks; each needs `cpus` and 1 GB.
 pub fn spec(kind: Kind, priority: Priority, tasks: u32, cpus: f64) -> JobSpec {
     JobSpec {
         class: ClassIx(0),
--- a/src/coordination/trial.rs
+++ b/src/coordination/trial.rs
@@ -39,6 +39,7 @@
 /// Result of a node of the tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
+    /// It has room for all that it needs.
     Success,
     /// Children that were not tried yet may still make it succeed.
     Wait,
@@ -65,13 +66,16 @@
 /// A machine found for a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pick {
+    /// Number of the task within its job.
     pub task: u32,
+    /// Index of the machine in the snapshot.
     pub host: usize,
 }
 
 /// Which machines a trial may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostFilter {
+    /// All machines that take new tasks.
     Any,
     /// Only machines that hold something, and that are not to become empty.
     BusyOnly,
@@ -80,6 +84,7 @@
 /// What a job asks of a trial.
 #[derive(Debug, Clone)]
 pub struct TrialRequest<'a> {
+    /// The job.
     pub spec: &'a JobSpec,
     /// Tasks to place, in order.
     pub tasks: &'a [u32],
@@ -89,7 +94,9 @@
     pub zone_used: &'a [u32],
     /// Machines on which its tasks failed.
     pub avoid: &'a [MachineIx],
+    /// Which room of a machine counts.
     pub room: RoomKind,
+    /// Which machines may be used.
     pub hosts: HostFilter,
 }
 
@@ -103,7 +110,9 @@
 /// What a trial found.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
+    /// Result of the root.
     pub verdict: Verdict,
+    /// The machines found, one per task; empty unless the root has room.
     pub picks: Vec<Pick>,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,6 +8,8 @@
 //! - [`coordination`]: all decisions, without any I/O.
 //! - [`node`]: one controller, made of the other layers.
 
+#![deny(missing_docs)]
+
 pub mod bookkeeping;
 pub mod coordination;
 pub mod node;
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -32,12 +32,20 @@
 /// Why the process can't go on.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
+    /// The event loop can't be set up, or a source can't be added to it.
     #[error("event loop: {0}")]
     EventLoop(#[from] calloop::Error),
+    /// A turn of the event loop failed.
     #[error("event loop: {0}")]
     Turn(#[source] io::Error),
+    /// An address can't be listened on.
     #[error("listening on {addr}: {source}")]
-    Listen { addr: SocketAddr, source: io::Error },
+    Listen {
+        /// The address.
+        addr: SocketAddr,
+        /// The error of the socket.
+        source: io::Error,
+    },
 }
 
 fn stale_ms(workers: &WorkerSettings) -> u64 {
--- a/src/protocol/cbor.rs
+++ b/src/protocol/cbor.rs
@@ -14,6 +14,7 @@
 /// A body that can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
+    /// The body is not CBOR, is nested too deeply, or has the wrong fields or types.
     #[error("not CBOR of the expected form: {0}")]
     Decode(#[from] ciborium::de::Error<std::io::Error>),
 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -7,6 +7,7 @@
 /// The list of machine types.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineTypeList {
+    /// All types that may be rented. On the wire: `breeds`.
     #[serde(rename = "breeds")]
     pub types: Vec<MachineType>,
 }
@@ -15,29 +16,39 @@
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(rename_all = "camelCase")]
 pub struct MachineType {
+    /// Name of the type, unique in the list.
     pub name: String,
+    /// CPUs of one machine.
     #[serde(deserialize_with = "number")]
     pub cpus: f64,
+    /// GPUs of one machine; 0 if the cloud names none. On the wire: `cards`.
     #[serde(rename = "cards", default)]
     #[serde(deserialize_with = "number")]
     pub gpus: f64,
+    /// Memory of one machine, in GB.
     #[serde(deserialize_with = "number")]
     pub memory_gb: f64,
+    /// Size of one machine's image cache, in GB. On the wire: `localGb`.
     #[serde(rename = "localGb", default)]
     #[serde(deserialize_with = "number")]
     pub cache_gb: f64,
+    /// Rate at which a machine fetches images, in GB per second. On the wire: `pullGbPerS`.
     #[serde(rename = "pullGbPerS", default)]
     #[serde(deserialize_with = "number")]
     pub fetch_gb_per_s: f64,
+    /// Price per hour of a machine on demand.
     #[serde(default)]
     #[serde(deserialize_with = "number")]
     pub price: f64,
+    /// Present price per hour of a spot machine; 0 if the cloud names none.
     #[serde(default)]
     #[serde(deserialize_with = "number")]
     pub spot_price: f64,
+    /// Nominal boot time, in seconds. On the wire: `readyS`.
     #[serde(rename = "readyS", default)]
     #[serde(deserialize_with = "number")]
     pub boot_s: f64,
+    /// Names of the zones in which the type is offered. On the wire: `yards`.
     #[serde(rename = "yards", default)]
     pub zones: Vec<String>,
 }
@@ -48,12 +59,16 @@
     /// Makes the request idempotent: the same name rents only once.
     #[serde(rename = "ask")]
     pub request: String,
+    /// Name of the machine type. On the wire: `breed`.
     #[serde(rename = "breed")]
     pub machine_type: String,
+    /// Name of the zone. On the wire: `yard`.
     #[serde(rename = "yard")]
     pub zone: String,
+    /// Whether spot machines are asked for. On the wire: `loaners`.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// Most hosts to rent; the cloud may rent fewer. On the wire: `number`.
     #[serde(rename = "number")]
     pub count: u32,
 }
@@ -61,13 +76,16 @@
 /// Hosts by name: those that were rented, or are to be returned.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HostNames {
+    /// Names of the hosts.
     pub hosts: Vec<String>,
 }
 
 /// A part of the list of rented hosts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HostList {
+    /// The hosts, in the order of their names.
     pub hosts: Vec<ListedHost>,
+    /// More hosts follow after the last one.
     #[serde(default)]
     pub truncated: bool,
 }
@@ -75,18 +93,25 @@
 /// A rented host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedHost {
+    /// Name of the host. On the wire: `nameId`.
     #[serde(rename = "nameId")]
     pub id: String,
+    /// Address of the host's worker; None if the cloud names none. On the wire: `endpoint`.
     #[serde(rename = "endpoint", default)]
     pub addr: Option<String>,
+    /// Name of the machine type. On the wire: `breed`.
     #[serde(rename = "breed")]
     pub machine_type: String,
+    /// Name of the zone. On the wire: `yard`.
     #[serde(rename = "yard")]
     pub zone: String,
+    /// Whether it is a spot machine. On the wire: `loaners`.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
+    /// State of the host. On the wire: `status`.
     #[serde(rename = "status")]
     pub state: HostState,
+    /// Seconds since the host was asked for. On the wire: `heldS`.
     #[serde(rename = "heldS", default)]
     #[serde(deserialize_with = "number")]
     pub age_s: f64,
@@ -95,10 +120,13 @@
 /// The state of a rented host.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 pub enum HostState {
+    /// Rented, but not up yet.
     #[serde(rename = "booting")]
     Booting,
+    /// Up.
     #[serde(rename = "running")]
     Running,
+    /// Stopped by itself, without a return.
     #[serde(rename = "failed")]
     Failed,
     /// A state that a later version added.
--- a/src/protocol/jobs.rs
+++ b/src/protocol/jobs.rs
@@ -393,6 +393,7 @@
     pub running: u32,
 }
 
+/// Tests of submissions, and a sample that other tests use.
 #[cfg(test)]
 #[path = "tests/jobs.rs"]
 pub mod tests;
--- a/src/protocol/names.rs
+++ b/src/protocol/names.rs
@@ -79,9 +79,14 @@
 /// All interned names of one process.
 #[derive(Debug, Default, Clone)]
 pub struct Tables {
+    /// Teams.
     pub teams: Names<TeamIx>,
+    /// Classes of jobs.
     pub classes: Names<ClassIx>,
+    /// Zones.
     pub zones: Names<ZoneIx>,
+    /// Machine types.
     pub types: Names<TypeIx>,
+    /// Images.
     pub images: Names<ImageIx>,
 }
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -35,21 +35,37 @@
 /// Why a file of operators' settings is refused.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
+    /// The file can't be read.
     #[error("{path}: {source}")]
-    Read { path: String, source: io::Error },
+    Read {
+        /// Path of the file.
+        path: String,
+        /// The error of the read.
+        source: io::Error,
+    },
+    /// The file's text is refused.
     #[error("{path}: {source}")]
-    Form { path: String, source: InvalidOperator },
+    Form {
+        /// Path of the file.
+        path: String,
+        /// What is wrong with the text.
+        source: InvalidOperator,
+    },
 }
 
 /// What is wrong with the text of operators' settings.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidOperator {
+    /// The built-in schema can't be decoded.
     #[error(transparent)]
     Schema(#[from] prost_reflect::DescriptorError),
+    /// The built-in schema lacks the message `Operator`.
     #[error("schema without Operator")]
     SchemaWithoutOperator,
+    /// The text doesn't follow the schema; the parser's message.
     #[error("{0}")]
     Syntax(String),
+    /// `leader_ttl_ms` lies outside the allowed range.
     #[error("leader_ttl_ms: must lie between 1000 and 60000")]
     LeaderTtl,
 }
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -22,6 +22,7 @@
     pub state_age_ms: u64,
     /// Workers' reports that the sender rejected in the last seconds.
     pub rejected_reports: u32,
+    /// Whether the sender leads.
     pub leading: bool,
     /// Reads per second that the sender uses of the state service's limit.
     pub reads_used: f64,
@@ -45,22 +46,29 @@
 pub struct Echo {
     /// Label of the peer.
     pub of: String,
+    /// Identifies the start of the peer's process that was heard.
     pub nonce: u64,
+    /// The peer's steady clock in the last frame, in ms.
     pub clock_ms: u64,
 }
 
 /// Task counts of one job.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Count {
+    /// Id of the job.
     pub job: String,
+    /// Tasks that completed.
     pub done: u32,
+    /// Tasks that run now.
     pub running: u32,
 }
 
 /// A confirmed cancellation: the job's record is stored with this stamp.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Cancelled {
+    /// Id of the job.
     pub job: String,
+    /// Stamp of the cancelled job's record.
     pub stamp: u64,
 }
 
@@ -68,14 +76,18 @@
 /// and repeated frames do no harm.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Notice {
+    /// Label of the sender.
     pub from: String,
+    /// The cancellations, in no particular order.
     pub cancelled: Vec<Cancelled>,
 }
 
 /// The content of a frame.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Frame {
+    /// The periodic state of a controller.
     Gossip(Gossip),
+    /// Cancellations that were confirmed lately.
     Notice(Notice),
 }
 
@@ -100,10 +112,13 @@
 /// A frame that can't be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
+    /// The frame has no byte at all.
     #[error("an empty frame")]
     Empty,
+    /// The first byte names a frame type that this version doesn't read.
     #[error("a frame of version {0}")]
     Version(u8),
+    /// The bytes after the frame type can't be decoded.
     #[error("a frame that can't be read")]
     Garbled,
 }
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -22,53 +22,73 @@
     /// The other controllers.
     #[serde(default)]
     pub seeds: Vec<Seed>,
+    /// Addresses of the cloud and of the state service.
     pub outside: Outside,
+    /// What all controllers have in common.
     pub cluster: Cluster,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Seed {
+    /// Name of the controller.
     pub label: String,
+    /// Zone that it runs in; empty if the file names none.
     #[serde(default)]
     pub domain: String,
+    /// Address at which it listens for peers.
     pub endpoint: SocketAddr,
 }
 
 /// Addresses of the outside services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Outside {
+    /// The cloud.
     pub cloud: SocketAddr,
+    /// The state service.
     pub state: SocketAddr,
 }
 
 /// What holds for the whole cluster.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Cluster {
+    /// Names of the zones.
     #[serde(default)]
     pub zones: Vec<String>,
+    /// Most by which a controller's time of day may differ from the true time, in ms.
     #[serde(default)]
     pub skew_ms: f64,
+    /// Guarantees and limits of teams.
     #[serde(default)]
     pub teams: Vec<Team>,
+    /// Service objectives of classes of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
+    /// Times of the workers' interface.
     pub workers: WorkerSettings,
+    /// Limits of the state service.
     pub state: StateLimits,
+    /// Limits of the cloud.
     pub cloud: CloudLimits,
+    /// Limits of each controller's process.
     pub limits: ProcessLimits,
 }
 
 /// A team's guaranteed and largest amounts; 0: none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
+    /// Name of the team.
     pub name: String,
+    /// CPUs that are guaranteed.
     #[serde(default)]
     pub cpus: f64,
+    /// Most CPUs in use at once.
     #[serde(default)]
     pub cpus_max: f64,
+    /// GPUs that are guaranteed.
     #[serde(default)]
     pub gpus: f64,
+    /// Most GPUs in use at once.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -89,11 +109,15 @@
 /// A service objective: a share of a class of jobs within a time.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
+    /// What is measured.
     pub kind: ObjectiveKind,
+    /// Name of the class of jobs; None if the objective names none.
     #[serde(default)]
     pub class: Option<String>,
+    /// The time limit, in seconds; None if the objective has none.
     #[serde(default)]
     pub within_s: Option<f64>,
+    /// Share of the jobs that must keep the time, from 0 to 1; None if it has none.
     #[serde(default)]
     pub share: Option<f64>,
 }
@@ -107,6 +131,7 @@
     pub lease_s: f64,
     /// How long a worker waits for the other members of a gang to start.
     pub gang_wait_s: f64,
+    /// Seconds within which the members of a running gang notice that one is gone.
     pub gang_peer_s: f64,
     /// A cancelled job's tasks must have ended within this time.
     pub cancel_s: f64,
@@ -131,9 +156,13 @@
 /// Limits that will replace those of [`StateLimits`]; None: unchanged.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextLimits {
+    /// Requests per second.
     pub rps: Option<f64>,
+    /// Writes per second.
     pub write_rps: Option<f64>,
+    /// Largest value, in KiB.
     pub value_kb: Option<f64>,
+    /// Most writes of a transaction.
     pub txn_ops: Option<usize>,
 }
 
@@ -149,7 +178,9 @@
 /// The state service's limits per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StateRates {
+    /// Requests of any kind.
     pub requests: f64,
+    /// Writes.
     pub writes: f64,
 }
 
@@ -195,22 +226,43 @@
 /// Limits of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessLimits {
+    /// CPU time that the process may use, in CPUs; 0 if the file names none.
     #[serde(default)]
     pub cpu: f64,
+    /// Memory that the process may use, in MB; 0 if the file names none.
     #[serde(default)]
     pub ram_mb: f64,
+    /// Most sockets open at once.
     pub sockets: usize,
 }
 
 /// Why a settings file is refused.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
+    /// The file can't be read.
     #[error("{path}: {source}")]
-    Read { path: String, source: io::Error },
+    Read {
+        /// Path of the file.
+        path: String,
+        /// The error of the read.
+        source: io::Error,
+    },
+    /// The file is not TOML of the expected form.
     #[error("{path}: {message}")]
-    Form { path: String, message: String },
+    Form {
+        /// Path of the file.
+        path: String,
+        /// The parser's message, on one line.
+        message: String,
+    },
+    /// A setting has a value that is not allowed.
     #[error("{path}: {source}")]
-    Value { path: String, source: InvalidValue },
+    Value {
+        /// Path of the file.
+        path: String,
+        /// The setting, and what is wrong with it.
+        source: InvalidValue,
+    },
 }
 
 impl Settings {
@@ -235,6 +287,7 @@
     message.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
+/// Tests of the settings, and a sample file that other tests use.
 #[cfg(test)]
 #[path = "tests/settings.rs"]
 pub mod tests;
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -14,7 +14,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {message}")]
 pub struct InvalidValue {
+    /// Full name of the setting, such as `cluster.state.rps`.
     pub field: &'static str,
+    /// What is required of it.
     pub message: &'static str,
 }
 
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -7,6 +7,7 @@
 /// A transaction is applied only if the key has this stamp.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Condition {
+    /// The key that is compared.
     pub key: String,
     /// Revision of the last write of the key; 0: the key must not exist.
     pub stamp: u64,
@@ -16,15 +17,20 @@
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 #[serde(untagged)]
 pub enum Op {
+    /// Sets the value of a key. On the wire an operation with `write`.
     Put {
+        /// The key. On the wire: `write`.
         #[serde(rename = "write")]
         key: String,
+        /// The new value.
         v: Value,
         /// The grant that the key is attached to: it is removed when the grant ends.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         permit: Option<u64>,
     },
+    /// Removes a key. On the wire an operation with `drop`.
     Delete {
+        /// The key. On the wire: `drop`.
         #[serde(rename = "drop")]
         key: String,
     },
@@ -33,14 +39,17 @@
 /// Writes that are applied together, if all conditions hold.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Default)]
 pub struct Txn {
+    /// All must hold for any write to be applied. On the wire: `if`.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
+    /// The writes, applied together.
     pub writes: Vec<Op>,
 }
 
 /// The answer to a transaction: the revision of the store after it.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Epoch {
+    /// Revision of the store; also the stamp of each key that was written.
     pub epoch: u64,
 }
 
@@ -50,6 +59,7 @@
     /// Keys whose conditions did not hold.
     #[serde(default)]
     pub failed: Vec<String>,
+    /// Revision of the store at the attempt; 0 if it is not given.
     #[serde(default)]
     pub epoch: u64,
 }
@@ -57,9 +67,13 @@
 /// A key with its value.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Pair {
+    /// The key.
     pub key: String,
+    /// Its value.
     pub v: Value,
+    /// Revision of the key's last write.
     pub stamp: u64,
+    /// The grant that the key is attached to; None: it is attached to none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub permit: Option<u64>,
 }
@@ -67,16 +81,19 @@
 /// A part of a listing, in the order of the keys.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Page {
+    /// The keys with their values.
     pub pairs: Vec<Pair>,
     /// More keys follow after the last one.
     #[serde(default)]
     pub truncated: bool,
+    /// Revision of the store that the listing shows.
     pub epoch: u64,
 }
 
 /// The answer to a request for a grant.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Permit {
+    /// Number of the grant.
     pub permit: u64,
 }
 
@@ -84,13 +101,16 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct GrantRequest {
+    /// Time to live of the grant, in ms.
     pub ttl_ms: u64,
 }
 
 /// The changes under a prefix since a revision, up to `epoch`.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Changes {
+    /// Revision of the store up to which the changes are complete.
     pub epoch: u64,
+    /// The changes, not necessarily in the order of their revisions.
     #[serde(default)]
     pub events: Vec<Change>,
 }
@@ -98,11 +118,15 @@
 /// One change of a key: either `write` or `drop` names it.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Change {
+    /// The key, if it was written; otherwise None.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub write: Option<String>,
+    /// The key, if it was removed; otherwise None.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drop: Option<String>,
+    /// The value that was written; None for a removal.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub v: Option<Value>,
+    /// Revision of the change.
     pub stamp: u64,
 }
--- a/src/protocol/tests/jobs.rs
+++ b/src/protocol/tests/jobs.rs
@@ -2,6 +2,7 @@
 use crate::protocol::cbor;
 use ciborium::{cbor, Value};
 
+/// A valid submission of a gang that needs GPUs.
 pub fn sample() -> Value {
     cbor!({"nameId" => "j-000412", "lane" => "train", "owner" => "vision", "shape" => "ensemble",
         "rank" => "high", "pieces" => 16, "cpus" => 8, "cards" => 1.0, "memoryGb" => 64.0,
--- a/src/protocol/tests/settings.rs
+++ b/src/protocol/tests/settings.rs
@@ -1,5 +1,6 @@
 use super::{LimitPhase, ObjectiveKind, Settings, StateRates};
 
+/// A settings file with a field that is unknown.
 pub const SAMPLE: &str = r#"
 label = "n-0"
 domain = "a"
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -7,14 +7,19 @@
 /// What a worker says of itself and of its tasks.
 #[derive(Debug, Clone, Deserialize, Serialize, PartialEq)]
 pub struct Report {
+    /// Name of the machine. On the wire: `host`.
     #[serde(rename = "host")]
     pub machine: String,
+    /// Address of the worker, for direct commands and probes. On the wire: `endpoint`.
     #[serde(rename = "endpoint")]
     pub addr: String,
+    /// Name of the machine's type. On the wire: `breed`.
     #[serde(rename = "breed")]
     pub machine_type: String,
+    /// Name of the machine's zone. On the wire: `yard`.
     #[serde(rename = "yard")]
     pub zone: String,
+    /// Whether it is a spot machine. On the wire: `loaners`.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
     /// Starts at 1 and increases whenever the worker's lease expires.
@@ -30,6 +35,7 @@
     /// For a spot machine that is being reclaimed: seconds until it is taken away.
     #[serde(rename = "warningS", default, deserialize_with = "maybe_number")]
     pub notice_s: Option<f64>,
+    /// Attempts on the machine, also ended ones that are not reaped yet. On the wire: `pieces`.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskReport>,
 }
@@ -37,12 +43,16 @@
 /// The state of one attempt of a task on the worker.
 #[derive(Debug, Clone, Deserialize, Serialize, PartialEq)]
 pub struct TaskReport {
+    /// Name of the task, such as `j-000412/3`. On the wire: `piece`.
     #[serde(rename = "piece")]
     pub task: String,
+    /// Number of the attempt. On the wire: `try`.
     #[serde(rename = "try")]
     pub attempt: u64,
+    /// State of the attempt. On the wire: `status`.
     #[serde(rename = "status")]
     pub state: TaskState,
+    /// Why the attempt ended; None while it has not. On the wire: `cause`.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub why: Option<ExitReason>,
     /// Whether the attempt saved its state before it ended.
@@ -53,14 +63,19 @@
 /// The states of an attempt on a worker.
 #[derive(Debug, Clone, Copy, Deserialize, Serialize, PartialEq, Eq)]
 pub enum TaskState {
+    /// Fetching the image.
     #[serde(rename = "fetching")]
     Fetching,
+    /// Waiting for the other tasks of its gang.
     #[serde(rename = "waiting")]
     Waiting,
+    /// Running.
     #[serde(rename = "running")]
     Running,
+    /// Saving its state before it ends. On the wire: `flushing`.
     #[serde(rename = "flushing")]
     Saving,
+    /// Over, but not reaped yet. On the wire: `ended`.
     #[serde(rename = "ended")]
     Exited,
     /// A state that a later version added; the attempt exists, no more is known.
@@ -71,20 +86,28 @@
 /// Why an attempt ended, or was not started.
 #[derive(Debug, Clone, Copy, Deserialize, Serialize, PartialEq, Eq)]
 pub enum ExitReason {
+    /// The task completed.
     #[serde(rename = "done")]
     Done,
+    /// Stopped by order. On the wire: `halted`.
     #[serde(rename = "halted")]
     Stopped,
+    /// Another task of its gang is gone.
     #[serde(rename = "peers")]
     Peers,
+    /// The gang was not complete in time.
     #[serde(rename = "alone")]
     Alone,
+    /// The task failed.
     #[serde(rename = "error")]
     Error,
+    /// Not started: the machine lacks free resources. On the wire: `full`.
     #[serde(rename = "full")]
     NoRoom,
+    /// Not started: another attempt of the task is on the machine.
     #[serde(rename = "busy")]
     Busy,
+    /// Not started: there is no such job or task. On the wire: `no_such`.
     #[serde(rename = "no_such")]
     Unknown,
     /// A reason that a later version added.
@@ -99,26 +122,33 @@
     /// Start the attempt.
     #[serde(rename = "launch")]
     Launch {
+        /// Name of the task. On the wire: `piece`.
         #[serde(rename = "piece")]
         task: String,
+        /// Number of the attempt. On the wire: `try`.
         #[serde(rename = "try")]
         attempt: u64,
     },
     /// Stop the attempt after a grace period.
     #[serde(rename = "halt")]
     Halt {
+        /// Name of the task. On the wire: `piece`.
         #[serde(rename = "piece")]
         task: String,
+        /// Number of the attempt. On the wire: `try`.
         #[serde(rename = "try")]
         attempt: u64,
+        /// Seconds that the attempt gets to save its state. On the wire: `leewayS`.
         #[serde(rename = "leewayS")]
         grace_s: f64,
     },
     /// Forget the attempt, which has ended.
     #[serde(rename = "reap")]
     Reap {
+        /// Name of the task. On the wire: `piece`.
         #[serde(rename = "piece")]
         task: String,
+        /// Number of the attempt. On the wire: `try`.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -139,24 +169,30 @@
 /// The answer to a report; it renews the worker's lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ReportAnswer {
+    /// Fencing token that the worker is to hold from now on. On the wire: `baton`.
     #[serde(rename = "baton")]
     pub token: u64,
+    /// What the worker is to do, in order.
     pub orders: Vec<Order>,
 }
 
 /// Orders that the leader sends to a worker without waiting for its report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DirectCommandRequest {
+    /// Fencing token of the leader. On the wire: `baton`.
     #[serde(rename = "baton")]
     pub token: u64,
+    /// The worker's session that the orders are meant for. On the wire: `shift`.
     #[serde(rename = "shift")]
     pub session: u64,
+    /// What the worker is to do, in order.
     pub orders: Vec<Order>,
 }
 
 /// The answer to a report that this controller doesn't serve: whom to report to.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Redirect<'a> {
+    /// Label of the leader; None if no leader is known. On the wire: `boss`.
     #[serde(rename = "boss", skip_serializing_if = "Option::is_none")]
     pub report_to: Option<&'a str>,
 }
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -21,26 +21,42 @@
 
 /// Status codes that are sent or acted on.
 pub mod status {
+    /// Success.
     pub const OK: u16 = 200;
+    /// A new resource exists.
     pub const CREATED: u16 = 201;
+    /// The request is malformed.
     pub const BAD_REQUEST: u16 = 400;
+    /// There is no such resource.
     pub const NOT_FOUND: u16 = 404;
+    /// The path doesn't support the method.
     pub const METHOD_NOT_ALLOWED: u16 = 405;
+    /// The request contradicts the present state.
     pub const CONFLICT: u16 = 409;
+    /// What was asked for is no longer available.
     pub const GONE: u16 = 410;
+    /// The body is too long.
     pub const CONTENT_TOO_LARGE: u16 = 413;
+    /// Another controller has to serve the request.
     pub const MISDIRECTED_REQUEST: u16 = 421;
+    /// The request is well-formed, but can't be carried out.
     pub const UNPROCESSABLE_CONTENT: u16 = 422;
+    /// The client is to send fewer requests.
     pub const TOO_MANY_REQUESTS: u16 = 429;
+    /// The head of the request is too long.
     pub const HEADERS_TOO_LARGE: u16 = 431;
+    /// The service can't answer at present.
     pub const SERVICE_UNAVAILABLE: u16 = 503;
 }
 
 /// Methods of the requests that are sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
+    /// GET.
     Get,
+    /// POST.
     Post,
+    /// DELETE.
     Delete,
 }
 
@@ -58,8 +74,11 @@
 /// A request as it was received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
+    /// Method, as it was sent.
     pub method: String,
+    /// Path, with its query if there is one.
     pub path: String,
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
     /// The client wants the connection closed after the reply.
     pub close: bool,
@@ -68,7 +87,9 @@
 /// A reply as it was received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
+    /// Status code.
     pub status: u16,
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
     /// The service closes the connection after this reply.
     pub close: bool,
@@ -86,10 +107,13 @@
 /// Why bytes are refused as a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
+    /// The bytes are no message of HTTP/1.1.
     #[error("not HTTP/1.1")]
     Malformed,
+    /// The head exceeds its limit.
     #[error("head too long")]
     HeadTooLong,
+    /// The body exceeds its limit.
     #[error("body too long")]
     BodyTooLong,
 }
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -43,11 +43,24 @@
 #[derive(Debug)]
 pub enum Event {
     /// A client's request, to be answered by [`Net::respond`].
-    Request { conn: ConnId, req: Request },
+    Request {
+        /// The client's connection.
+        conn: ConnId,
+        /// The request.
+        req: Request,
+    },
     /// The outcome of a [`Call`].
-    Reply { tag: u64, result: Result<Reply, CallError> },
+    Reply {
+        /// The call's tag.
+        tag: u64,
+        /// The reply, or why there is none.
+        result: Result<Reply, CallError>,
+    },
     /// A frame of a peer.
-    Frame { bytes: Vec<u8> },
+    Frame {
+        /// The frame, without its length.
+        bytes: Vec<u8>,
+    },
 }
 
 /// All sockets of the process.
--- a/src/transport/net/outgoing.rs
+++ b/src/transport/net/outgoing.rs
@@ -22,10 +22,15 @@
 /// One request to an outside service.
 #[derive(Debug, Clone)]
 pub struct Call {
+    /// Address of the service.
     pub dest: SocketAddr,
+    /// Method of the request.
     pub method: Method,
+    /// Path, with its query if there is one.
     pub path: String,
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
+    /// How long the reply is waited for, in ms.
     pub timeout_ms: u64,
     /// Returned with the reply.
     pub tag: u64,
