--- a/src/node/users/mod.rs
+++ b/src/node/users/mod.rs
@@ -118,8 +118,9 @@
     fn write_record(&mut self, net: &mut Net, write: RecordWrite, what: Pending) {
         let now = net.now();
         let budgets = &mut self.budgets;
+        // Writes are the scarcer: where they refuse, no request is taken either.
         let taken =
-            budgets.reads.take(now, 1.0, write.urgency).and_then(|()| budgets.writes.take(now, 1.0, write.urgency));
+            budgets.writes.take(now, 1.0, write.urgency).and_then(|()| budgets.reads.take(now, 1.0, write.urgency));
         if let Err(wait_ms) = taken {
             return self.over_budget(net, write.conn, wait_ms);
         }
