--- /dev/null
+++ b/tests/combined_failures/cancellations.rs
@@ -0,0 +1,101 @@
+//! Cancellations during other failures: each is in force in time, or is refused.
+
+use shedhook::{bookkeeping::records::Status, protocol::workers::TaskState};
+
+use crate::simulation::{submission, Simulation, CANCEL, LEASE};
+
+/// Guard: leases are kept by a controller that can't read the records only for
+/// `cancel_s - lease_s` less a margin after its last read was sent. Here the
+/// leader alone is refused, a cancellation is confirmed by another controller
+/// at that moment, and a second later the state service is away for everybody.
+pub fn cancelled_as_the_leader_alone_is_refused(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 4), 500_000);
+    sim.submit(submission("j-2", "service", 4), 0);
+    sim.run_until("all run", 20_000, |sim| sim.starts == 8);
+    let longest_renewal = Simulation::longest_renewal_by_peer();
+    sim.refuse_leader = true;
+    let read = sim.now;
+    sim.run(100);
+    assert!(sim.cancel("j-1"));
+    sim.run(1_000);
+    // Its lease ends: from now on it may only keep what runs.
+    sim.run(3_000);
+    sim.leader = None;
+    sim.workers.iter_mut().for_each(|x| (x.outbound_lost, x.lease_kept_by_peer) = (true, true));
+    sim.run(read + longest_renewal - sim.now);
+    sim.workers.iter_mut().for_each(|x| x.lease_kept_by_peer = false);
+    sim.run(read + CANCEL + 2_000 - sim.now);
+    assert!(sim.none_running("j-1", 4), "cancelled, and nobody told the workers");
+    sim.run(20_000);
+}
+
+/// Guard: a worker that reaches no controller is asked, and what it answers
+/// counts as heard, so that direct commands go on reaching it: a cancellation
+/// doesn't wait for the end of its lease.
+pub fn workers_reach_nobody_but_commands_reach_them(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 6), 500_000);
+    sim.submit(submission("j-2", "service", 6), 0);
+    sim.run_until("all run", 20_000, |sim| sim.starts == 12);
+    sim.run(5_000);
+    sim.workers.iter_mut().for_each(|x| x.outbound_lost = true);
+    sim.run(8_000);
+    assert!(sim.cancel("j-1"));
+    sim.run_until("stopped by direct commands", 14_000, |sim| sim.none_running("j-1", 6));
+    sim.elect();
+    sim.submit(submission("j-3", "batch", 2), 3_000);
+    sim.run(LEASE * 2);
+}
+
+/// Guard: "done" is written only on the job's own stamp, so that it never
+/// replaces a cancellation; and a job that is done can't be cancelled. The
+/// cancellation falls into each of the moments around the end of the last task.
+pub fn cancelled_at_the_very_end(sim: &mut Simulation) {
+    sim.run(4_000);
+    (sim.txn_ms, sim.changes_ms) = (400, 600);
+    let (mut done, mut cancelled) = (0, 0);
+    for n in 0..30u64 {
+        let id = format!("j-{n}");
+        sim.submit(submission(&id, "batch", 2), 1_500);
+        let both = |sim: &Simulation| (0..2).all(|t| sim.completed.contains(&format!("{id}/{t}")));
+        sim.run_until("both end", 60_000, both);
+        sim.run(n % 15 * 100);
+        let was = sim.status(&id);
+        if sim.cancel(&id) {
+            assert_eq!(was, Status::Pending);
+            cancelled += 1;
+        } else {
+            done += 1;
+        }
+        if n % 7 == 3 {
+            sim.elect();
+        }
+    }
+    assert!(done > 3 && cancelled > 3, "{done} done, {cancelled} cancelled");
+    sim.run(20_000);
+    for n in 0..30 {
+        let f = &sim.jobs[&format!("j-{n}")];
+        let want = if f.cancelled_at.is_some() { Status::Cancelled } else { Status::Done };
+        assert_eq!(sim.status(&format!("j-{n}")), want);
+    }
+}
+
+/// Guard: a leader that learns of a cancellation late stops what it launched
+/// meanwhile; what it hears after it starts nothing. Reads of the changes take
+/// seconds, machines hang with commands queued, and all of it is cancelled.
+pub fn cancelled_unseen_with_commands_queued(sim: &mut Simulation) {
+    sim.run(4_000);
+    sim.changes_ms = 4_000;
+    sim.submit(submission("j-1", "batch", 12), 300_000);
+    sim.run_until("known", 6_000, |sim| !sim.workers.iter().all(|x| x.tasks.is_empty()));
+    sim.workers.iter_mut().step_by(2).for_each(|x| x.hung = true);
+    assert!(sim.cancel("j-1"));
+    sim.run(9_000);
+    sim.workers.iter_mut().for_each(|x| x.hung = false);
+    // What was queued begins when the machine goes on, and ends at once.
+    sim.run(6_000);
+    sim.run_until("all gone", CANCEL - 16_000, |sim| sim.none_running("j-1", 12));
+    let starts = sim.starts_cancelled;
+    sim.run(LEASE);
+    assert_eq!(sim.starts_cancelled, starts, "starts once the cancellation was known");
+    assert!(sim.workers.iter().all(|x| x.tasks.iter().all(|t| t.state == TaskState::Exited)));
+}
--- /dev/null
+++ b/tests/pipelines/cancellations.rs
@@ -0,0 +1,99 @@
+//! Cancellations of prerequisites: all dependents are cancelled, whoever learns of it and when.
+
+use shedhook::bookkeeping::records::Status;
+
+use crate::{
+    helpers::{after, has_begun, lose_transaction_answers_for_a_second, run_until_the_prerequisite_ended},
+    simulation::{submission, Simulation},
+};
+
+/// Guard: whichever step is cancelled, at whatever time, all after it are, and
+/// those before it go on.
+#[test]
+fn cancelled_at_each_step() {
+    let names = ["j-1", "j-2", "j-3", "j-4"];
+    for step in 0..4 {
+        for at in [0, 1_000, 4_000, 9_000, 14_000, 25_000] {
+            for change in [false, true] {
+                let what = format!("step {step} cancelled after {at} ms, change of leader: {change}");
+                let mut sim = Simulation::new(step as u64, 4);
+                sim.elect();
+                sim.submit(submission("j-9", "batch", 1), 2_000);
+                sim.submit(submission("j-1", "batch", 3), 2_000);
+                for n in 1..4 {
+                    sim.submit(after(names[n], "batch", 2, &[names[n - 1]]), 2_000);
+                }
+                sim.run(at);
+                if change {
+                    sim.leader = None;
+                }
+                let won = sim.cancel(names[step]);
+                sim.run(500);
+                if change {
+                    sim.elect();
+                }
+                sim.run(100_000);
+                for (n, name) in names.iter().enumerate() {
+                    let want = if won && n >= step { Status::Cancelled } else { Status::Done };
+                    assert_eq!(sim.status_told_to_users(name), Some(want), "{what}: {name}");
+                    assert!(n <= step || !won || !has_begun(&sim, name), "{what}: {name} began");
+                }
+                sim.check(&what);
+            }
+        }
+    }
+}
+
+/// Guard: a cancellation that meets the end has one winner, whoever knows of it.
+pub fn cancelled_while_the_end_is_written(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 1), 3_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
+    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
+    // The leader doesn't see the cancellation, and tries to write the end.
+    sim.changes_unread = true;
+    assert!(sim.cancel("j-1"));
+    sim.run(15_000);
+    assert!(sim.status("j-1") == Status::Cancelled && !has_begun(sim, "j-2"));
+    sim.changes_unread = false;
+    sim.run(30_000);
+    assert_eq!(sim.status_told_to_users("j-2"), Some(Status::Cancelled));
+}
+
+/// Guard: the write of the end is under way when the job is cancelled.
+pub fn a_late_end_of_a_cancelled_job(sim: &mut Simulation) {
+    run_until_the_prerequisite_ended(sim);
+    lose_transaction_answers_for_a_second(sim);
+    let won = sim.cancel("j-1");
+    sim.run(60_000);
+    assert_eq!(sim.status_told_to_users("j-2"), Some(if won { Status::Cancelled } else { Status::Done }));
+}
+
+pub fn cancelled_while_the_state_service_is_away(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "service", 2), 0);
+    sim.submit(submission("j-2", "batch", 2), 30_000);
+    sim.submit(after("j-3", "batch", 1, &["j-2"]), 1_000);
+    sim.submit(after("j-4", "batch", 1, &["j-3"]), 1_000);
+    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-2/1").is_some());
+    sim.txns_left = Some(0);
+    sim.cancel("j-2");
+    sim.run(20_000);
+    sim.txns_left = None;
+    sim.run(60_000);
+    assert_eq!(sim.status_told_to_users("j-4"), Some(Status::Cancelled));
+}
+
+/// It is accepted all the same, and never starts.
+pub fn names_a_cancelled_one(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 1), 60_000);
+    sim.submit(submission("j-5", "batch", 1), 1_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 1_000);
+    sim.run(3_000);
+    sim.cancel("j-1");
+    sim.submit(after("j-3", "batch", 1, &["j-1"]), 1_000);
+    sim.submit(after("j-4", "batch", 1, &["j-5", "j-2"]), 1_000);
+    sim.run(30_000);
+    for id in ["j-2", "j-3", "j-4"] {
+        assert!(sim.status_told_to_users(id) == Some(Status::Cancelled) && !has_begun(sim, id), "{id}");
+        assert_eq!(sim.status(id), Status::Pending, "{id}: the first one's record is the fact");
+    }
+}
--- /dev/null
+++ b/tests/pipelines/cancelled_shapes.rs
@@ -0,0 +1,93 @@
+//! Cancellations in fan-outs, chains and diamonds.
+
+use shedhook::{bookkeeping::records::Status, protocol::jobs::Submission};
+
+use crate::{
+    helpers::{after, all_run, has_begun, is_done},
+    simulation::{submission, Simulation},
+};
+
+/// Cancels a prerequisite that can't be placed: everything else is told
+/// cancelled, now and by the next leader, and nothing but the one record is written.
+fn cancel_first_of(sim: &mut Simulation, dependents: &[String]) {
+    sim.run(5_000);
+    let before = sim.store.epoch;
+    assert!(sim.cancel("j-1"));
+    sim.run(30_000);
+    assert_eq!(sim.store.epoch, before + 1, "one cancellation is one write");
+    let all_cancelled =
+        |sim: &Simulation| dependents.iter().all(|id| sim.status_told_to_users(id) == Some(Status::Cancelled));
+    assert!(all_cancelled(sim), "under the same leader");
+    sim.elect();
+    let elected = sim.store.epoch;
+    sim.run(30_000);
+    assert!(all_cancelled(sim), "under the next leader");
+    assert_eq!(sim.store.epoch, elected, "nothing is written by the next leader");
+    assert!(dependents.iter().all(|id| !has_begun(sim, id)));
+    // The case itself has to run something.
+    sim.submit(submission("j-9000", "batch", 1), 1_000);
+    sim.run_until("unrelated work goes on", 30_000, is_done("j-9000"));
+}
+
+fn unplaceable(id: &str) -> Submission {
+    Submission { zone: Some("nowhere".into()), ..submission(id, "batch", 1) }
+}
+
+pub fn a_wide_fan_out_cancelled_at_the_first(sim: &mut Simulation) {
+    const DEPENDENTS: u32 = 200;
+    sim.submit(unplaceable("j-1"), 1_000);
+    let names: Vec<String> = (0..DEPENDENTS).map(|n| format!("j-{}", 100 + n)).collect();
+    for id in &names {
+        sim.submit(after(id, "batch", 1, &["j-1"]), 1_000);
+    }
+    cancel_first_of(sim, &names);
+}
+
+pub fn a_deep_chain_cancelled_at_the_first(sim: &mut Simulation) {
+    const DEPTH: u32 = 60;
+    sim.submit(unplaceable("j-1"), 1_000);
+    let names: Vec<String> = (0..DEPTH).map(|n| format!("j-{}", 100 + n)).collect();
+    let mut previous = "j-1";
+    for id in &names {
+        sim.submit(after(id, "batch", 1, &[previous]), 1_000);
+        previous = id;
+    }
+    cancel_first_of(sim, &names);
+}
+
+pub fn a_diamond_cancelled_at_one_side(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 1), 3_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 30_000);
+    sim.submit(after("j-3", "batch", 1, &["j-1"]), 5_000);
+    sim.submit(after("j-4", "batch", 1, &["j-2", "j-3"]), 1_000);
+    sim.run_until("both sides run", 30_000, |sim| all_run("j-2", 1)(sim) && all_run("j-3", 1)(sim));
+    assert!(sim.cancel("j-2"));
+    sim.run_until("the other side goes on", 30_000, is_done("j-3"));
+    sim.run(30_000);
+    assert_eq!(sim.status_told_to_users("j-4"), Some(Status::Cancelled));
+    assert_eq!(sim.status_told_to_users("j-1"), Some(Status::Done));
+    assert!(!has_begun(sim, "j-4"));
+    sim.elect();
+    sim.run(30_000);
+    assert_eq!(sim.status_told_to_users("j-4"), Some(Status::Cancelled), "to the next leader");
+    assert!(!has_begun(sim, "j-4"));
+}
+
+pub fn one_prerequisite_done_before_and_one_cancelled_after(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 1), 1_000);
+    sim.run_until("the first is done", 30_000, is_done("j-1"));
+    sim.submit(submission("j-2", "batch", 1), 60_000);
+    sim.run_until("the second runs", 30_000, all_run("j-2", 1));
+    sim.submit(after("j-3", "batch", 1, &["j-1", "j-2"]), 1_000);
+    sim.run(10_000);
+    assert!(sim.status_told_to_users("j-3") == Some(Status::Pending) && !has_begun(sim, "j-3"));
+    assert!(sim.cancel("j-2"));
+    sim.run(30_000);
+    for leader in ["the same leader", "the next leader"] {
+        assert_eq!(sim.status_told_to_users("j-3"), Some(Status::Cancelled), "{leader}");
+        assert_eq!(sim.status_told_to_users("j-1"), Some(Status::Done), "{leader}");
+        assert!(!has_begun(sim, "j-3"), "{leader}");
+        sim.elect();
+        sim.run(10_000);
+    }
+}
--- /dev/null
+++ b/tests/pipelines/job_cache.rs
@@ -0,0 +1,185 @@
+//! The job cache alone: statuses, priorities and deadlines derived along dependencies, and their cost.
+
+use std::time::{Duration, Instant};
+
+use ciborium::Value;
+use shedhook::{
+    bookkeeping::{
+        job_cache::JobCache,
+        records::{job_key, to_value, JobRecord, Status},
+    },
+    protocol::{
+        jobs::{Priority, Submission},
+        names::Tables,
+        store::{Change, Changes},
+    },
+};
+
+use crate::{helpers::after, simulation::submission};
+
+fn record(s: &Submission, status: Status, at_ms: u64) -> Value {
+    to_value(&JobRecord { submission: s.clone(), status, at_ms, chunk: 4 })
+}
+
+fn change(s: &Submission, status: Status, at_ms: u64, stamp: u64) -> Change {
+    let id = s.name_id.as_deref().unwrap();
+    Change { write: Some(job_key(id)), drop: None, v: Some(record(s, status, at_ms)), stamp }
+}
+
+/// Guard: whatever the order in which records are seen, the outcome is the same.
+#[test]
+fn the_order_of_records_does_not_matter() {
+    use Status::*;
+    let s = |id: &str, p: &[&str]| after(id, "batch", 1, p);
+    // j-1 -> j-2 -> j-4 -> j-5, j-1 -> j-3 -> j-4; j-6 -> j-7.
+    let (one, six) = (s("j-1", &[]), s("j-6", &[]));
+    let rest =
+        [s("j-2", &["j-1"]), s("j-3", &["j-1"]), s("j-4", &["j-2", "j-3"]), s("j-5", &["j-4"]), s("j-7", &["j-6"])];
+    let mut all = vec![
+        change(&one, Pending, 100, 1),
+        change(&six, Pending, 100, 2),
+        change(&one, Cancelled, 100, 20),
+        change(&six, Done, 7_000, 21),
+        // A late copy, and an abort of one that is cancelled already.
+        change(&rest[1], Cancelled, 100, 30),
+    ];
+    all.extend(rest.iter().enumerate().map(|(n, r)| change(r, Pending, 100, 3 + n as u64)));
+    let mut state = 7u64;
+    for round in 0..500 {
+        let mut m = JobCache::default();
+        for c in &all {
+            m.apply(&Changes { epoch: c.stamp, events: vec![c.clone()] }, &mut Tables::default());
+        }
+        let shown: Vec<Status> = (1..=7).map(|n| m.get(m.find(&format!("j-{n}")).unwrap()).status).collect();
+        assert_eq!(shown, [Cancelled, Cancelled, Cancelled, Cancelled, Cancelled, Done, Pending], "round {round}");
+        let last = m.find("j-7").unwrap();
+        assert!(!m.waits(last) && m.ready_ms(last) == 7_000, "round {round}");
+        for i in (1..all.len()).rev() {
+            state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            all.swap(i, (state >> 33) as usize % (i + 1));
+        }
+    }
+}
+
+/// Guard: once it is called cancelled, no record of its own changes that.
+#[test]
+fn a_derived_cancellation_stays() {
+    let (one, two) = (after("j-1", "batch", 1, &[]), after("j-2", "batch", 1, &["j-1"]));
+    let mut m = JobCache::default();
+    let mut t = Tables::default();
+    let steps = [
+        (change(&one, Status::Pending, 1, 1), Status::Pending),
+        (change(&two, Status::Pending, 1, 2), Status::Pending),
+        (change(&one, Status::Cancelled, 1, 3), Status::Cancelled),
+        (change(&two, Status::Pending, 1, 4), Status::Cancelled),
+        (change(&two, Status::Done, 1, 5), Status::Cancelled),
+    ];
+    for (c, want) in steps {
+        m.apply(&Changes { epoch: c.stamp, events: vec![c.clone()] }, &mut t);
+        if let Some(ix) = m.find("j-2") {
+            assert_eq!(m.get(ix).status, want, "after {}", c.stamp);
+        }
+    }
+}
+
+#[test]
+fn priority_and_deadline_reach_back() {
+    let with = |s: Submission, rank: &str, due: Option<f64>| Submission {
+        priority: Some(rank.into()),
+        deadline_s: due,
+        estimate_s: Some(10.0),
+        ..s
+    };
+    let jobs = [
+        with(after("j-1", "batch", 1, &[]), "low", None),
+        with(after("j-2", "batch", 1, &["j-1"]), "normal", None),
+        with(after("j-3", "batch", 1, &["j-1"]), "low", Some(500.0)),
+        with(after("j-4", "batch", 1, &["j-2", "j-3"]), "high", Some(100.0)),
+    ];
+    let mut t = Tables::default();
+    for order in [[0, 1, 2, 3], [3, 2, 1, 0], [1, 3, 0, 2]] {
+        let mut m = JobCache::default();
+        for n in order {
+            let c = change(&jobs[n], Status::Pending, 1_000, n as u64 + 1);
+            m.apply(&Changes { epoch: c.stamp, events: vec![c] }, &mut t);
+        }
+        let got: Vec<(Priority, Option<f64>, Option<f64>)> = (1..=4)
+            .map(|n| m.effective_spec(m.find(&format!("j-{n}")).unwrap()).unwrap())
+            .map(|spec| (spec.priority, spec.deadline_s, spec.overdue_s))
+            .collect();
+        use Priority::High;
+        let want = [
+            (High, Some(80.0), Some(130.0)),
+            (High, Some(90.0), Some(140.0)),
+            (High, Some(90.0), Some(140.0)),
+            (High, Some(100.0), Some(150.0)),
+        ];
+        assert_eq!(got, want, "{order:?}");
+        // The deadline counts from the submission, however long it waited.
+        for (n, end) in [(0, 31_000), (1, 41_000), (2, 36_000)] {
+            let c = change(&jobs[n], Status::Done, end, 10 + n as u64);
+            m.apply(&Changes { epoch: c.stamp, events: vec![c] }, &mut t);
+        }
+        let last = m.find("j-4").unwrap();
+        let s = m.effective_spec(last).unwrap();
+        assert_eq!((m.ready_ms(last), s.deadline_s, s.overdue_s), (41_000, Some(60.0), Some(110.0)));
+    }
+}
+
+/// Deep chains, wide fans and wide joins load quickly, in any order, and what
+/// ends costs work in its dependents alone.
+#[test]
+fn deep_and_wide() {
+    let name = |n: usize| format!("j-{n:06}");
+    let chain: Vec<Vec<String>> = (0..2_000).map(|n| (n > 0).then(|| name(n - 1)).into_iter().collect()).collect();
+    let fan: Vec<Vec<String>> = (0..5_001).map(|n| (n > 0).then(|| name(0)).into_iter().collect()).collect();
+    let join: Vec<Vec<String>> =
+        (0..1_001).map(|n| if n < 1_000 { vec![] } else { (0..1_000).map(name).collect() }).collect();
+    let lattice: Vec<Vec<String>> =
+        (0..2_000).map(|n| if n < 10 { vec![] } else { (n / 10 * 10 - 10..n / 10 * 10).map(name).collect() }).collect();
+    // Where each has a deadline, every new one raises all above it.
+    let hard = chain.clone();
+    for (what, shape) in [("chain", chain), ("hard", hard), ("fan", fan), ("join", join), ("lattice", lattice)] {
+        for backwards in [false, true] {
+            for end in [Status::Cancelled, Status::Done] {
+                let last = shape.len() - 1;
+                let subs: Vec<Submission> = shape
+                    .iter()
+                    .enumerate()
+                    .map(|(n, p)| Submission {
+                        prereqs: Some(p.clone()),
+                        deadline_s: (n == last || what == "hard").then_some(1e6),
+                        priority: Some(if n == last { "high" } else { "low" }.into()),
+                        ..submission(&name(n), "batch", 1)
+                    })
+                    .collect();
+                let mut events: Vec<Change> =
+                    subs.iter().enumerate().map(|(n, s)| change(s, Status::Pending, 1, n as u64 + 1)).collect();
+                if backwards {
+                    events.reverse();
+                }
+                let (mut m, mut t) = (JobCache::default(), Tables::default());
+                let began = Instant::now();
+                m.apply(&Changes { epoch: 10_000, events }, &mut t);
+                let loaded = began.elapsed();
+                m.take_changed();
+                let c = change(&subs[0], end, 1, 20_000);
+                m.apply(&Changes { epoch: 20_000, events: vec![c] }, &mut t);
+                let took = began.elapsed();
+                let changed = m.take_changed().len();
+                eprintln!(
+                    "{what}, backwards {backwards}: loaded in {loaded:?}, {end:?} at {took:?}, {changed} changed"
+                );
+                // Of an unoptimized build, with room for a busy machine.
+                assert!(took < Duration::from_secs(5), "{what} took {took:?}");
+                let first = shape.iter().filter(|p| p.contains(&name(0))).count();
+                if end == Status::Done {
+                    assert!(changed <= 1 + first, "{what}: {changed} changed by one end");
+                } else if what != "join" && what != "lattice" {
+                    assert_eq!(changed, shape.len(), "{what}");
+                }
+                assert!(end == Status::Done || m.get(m.find(&name(last)).unwrap()).status == Status::Cancelled);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/tests/pipelines/random_faults.rs
@@ -0,0 +1,147 @@
+//! Pipelines under random faults with fixed seeds, also during a rolling upgrade.
+
+use shedhook::{bookkeeping::records::Status, protocol::jobs::Submission};
+
+use crate::{
+    helpers::after,
+    simulation::{FaultRates, Simulation},
+};
+
+/// By chance with fixed seeds: pipelines in all faults, cancelled now and
+/// then, under leaders that change.
+#[test]
+fn pipelines_in_bad_weather() {
+    for seed in 0..24 {
+        let mut sim = Simulation::new(seed, 6);
+        sim.faults = FaultRates {
+            late_command: 10,
+            lost_command: 5,
+            repeated_command: 20,
+            slow_command: 20,
+            lost_txn: 15,
+            lost_report_answer: 10,
+            late_report: 10,
+            ..FaultRates::default()
+        };
+        sim.elect();
+        let mut names: Vec<String> = Vec::new();
+        for n in 0..16 {
+            // Ids in no order.
+            let id = format!("j-{}", (n * 7 + 3) % 16);
+            let mut p: Vec<String> = Vec::new();
+            for _ in 0..sim.random_below(3) {
+                if !names.is_empty() {
+                    let at = sim.random_below(names.len());
+                    p.push(names[at].clone());
+                }
+            }
+            let p: Vec<&str> = p.iter().map(String::as_str).collect();
+            let kind = ["batch", "ensemble"][sim.random_below(2)];
+            let tasks = 1 + sim.random_below(3) as u32;
+            let run = 500 + 500 * sim.random_below(8) as u64;
+            sim.submit(after(&id, kind, tasks, &p), run);
+            names.push(id);
+            let pause = 200 * sim.random_below(20) as u64;
+            sim.run(pause);
+            match sim.random_below(10) {
+                0 => sim.elect(),
+                1 => {
+                    let at = sim.random_below(names.len());
+                    let id = names[at].clone();
+                    sim.cancel(&id);
+                }
+                2 => sim.die_after_txn = true,
+                3 => sim.die_before_txn = true,
+                _ => {}
+            }
+            if sim.leader.is_none() && sim.random_below(2) == 0 {
+                sim.elect();
+            }
+        }
+        sim.faults = FaultRates::default();
+        (sim.die_after_txn, sim.die_before_txn) = (false, false);
+        sim.elect();
+        run_until_all_are_over(&mut sim, &names, seed);
+    }
+}
+
+/// Without faults, every job is done or cancelled in the end, and nothing broke
+/// an invariant.
+fn run_until_all_are_over(sim: &mut Simulation, names: &[String], seed: u64) {
+    let over =
+        |sim: &Simulation| names.iter().all(|n| sim.status_told_to_users(n).is_some_and(|s| s != Status::Pending));
+    sim.run_until(&format!("all over, seed {seed}"), 600_000, over);
+    sim.run(60_000);
+    sim.check(&format!("seed {seed}"));
+}
+
+/// Five controllers of both versions take turns at leading and are replaced one
+/// by one, in bad faults; jobs with prerequisites come only when all are new,
+/// and name jobs that were recorded, or ended, by either. The old ones are played
+/// by this version's logic with the old form of records: what an old process does
+/// besides, this can't show.
+#[test]
+fn replaced_one_by_one() {
+    for seed in 0..8 {
+        let mut sim = Simulation::new(seed, 6);
+        (sim.slots, sim.chunk, sim.chunk_fit) = (20, 64, 12);
+        (sim.value_now, sim.value_max, sim.value_fit) = (16 << 10, 16 << 10, 1 << 10);
+        sim.faults = FaultRates {
+            late_command: 5,
+            slow_command: 20,
+            lost_txn: 15,
+            lost_report_answer: 10,
+            ..FaultRates::default()
+        };
+        let mut is_new = [false; 5];
+        let mut names: Vec<String> = Vec::new();
+        for round in 0..40 {
+            // A process that dies before its turn comes back old.
+            if round >= 8 && sim.random_below(2) == 0 {
+                if let Some(n) = is_new.iter().position(|n| !n) {
+                    is_new[n] = true;
+                }
+            }
+            let all_new = is_new.iter().all(|n| *n);
+            if sim.leader.is_none() || sim.random_below(3) == 0 {
+                sim.writes_old_form = !is_new[sim.random_below(5)];
+                sim.may_reshard = all_new;
+                sim.elect();
+            }
+            let id = format!("j-{}", (round * 27 + 5) % 40);
+            let mut p: Vec<String> = Vec::new();
+            while all_new && p.len() < 2 {
+                let at = sim.random_below(names.len());
+                p.push(names[at].clone());
+            }
+            let p: Vec<&str> = p.iter().map(String::as_str).collect();
+            let tasks = 1 + sim.random_below(20) as u32;
+            let kind = ["batch", "ensemble"][sim.random_below(2)];
+            let job = Submission { cpus: Some(0.5), ..after(&id, kind, tasks, &p) };
+            // Old controllers record larger chunks.
+            sim.chunk = if is_new[sim.random_below(5)] { 12 } else { 64 };
+            let run = 500 + 500 * sim.random_below(6) as u64;
+            sim.submit(job, run);
+            names.push(id);
+            let pause = 200 * sim.random_below(20) as u64;
+            sim.run(pause);
+            match sim.random_below(8) {
+                0 => {
+                    let at = sim.random_below(names.len());
+                    sim.cancel(&names[at].clone());
+                }
+                1 => sim.die_after_txn = true,
+                2 => sim.die_before_txn = true,
+                _ => {}
+            }
+            if round == 30 {
+                sim.value_now = 1 << 10;
+            }
+        }
+        assert!(is_new.iter().all(|n| *n), "seed {seed}");
+        sim.faults = FaultRates::default();
+        (sim.die_after_txn, sim.die_before_txn, sim.writes_old_form, sim.may_reshard) = (false, false, false, true);
+        sim.elect();
+        run_until_all_are_over(&mut sim, &names, seed);
+    }
+}
--- /dev/null
+++ b/tests/pipelines/starts.rs
@@ -0,0 +1,109 @@
+//! When dependent jobs start, also where the end of a prerequisite is recorded late.
+
+use shedhook::{bookkeeping::records::Status, protocol::jobs::Submission};
+
+use crate::{
+    helpers::{after, has_begun, is_done, lose_transaction_answers_for_a_second, run_until_the_prerequisite_ended},
+    simulation::{submission, Simulation},
+};
+
+pub fn chain(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 6), 3_000);
+    sim.submit(after("j-2", "ensemble", 2, &["j-1"]), 3_000);
+    sim.submit(after("j-3", "batch", 3, &["j-2"]), 3_000);
+    sim.run_until("done", 90_000, is_done("j-3"));
+}
+
+pub fn diamond(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 2), 3_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 2_000);
+    sim.submit(after("j-3", "batch", 1, &["j-1"]), 12_000);
+    sim.submit(after("j-4", "batch", 1, &["j-2", "j-3"]), 2_000);
+    sim.run_until("one side is done", 60_000, is_done("j-2"));
+    sim.run(4_000);
+    assert!(!has_begun(sim, "j-4"), "the other side isn't done");
+    sim.run_until("done", 60_000, is_done("j-4"));
+}
+
+pub fn fan(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 2), 3_000);
+    let names: Vec<String> = (10..30).map(|n| format!("j-{n}")).collect();
+    for n in &names {
+        sim.submit(after(n, "batch", 1, &["j-1"]), 1_000);
+    }
+    let all: Vec<&str> = names.iter().map(String::as_str).collect();
+    sim.submit(after("j-99", "batch", 1, &all), 1_000);
+    sim.run_until("done", 200_000, is_done("j-99"));
+}
+
+/// Ids come in no order: the leader reads dependents before what they need.
+pub fn read_in_the_order_of_ids(sim: &mut Simulation) {
+    sim.leader = None;
+    sim.submit(submission("j-9", "batch", 1), 2_000);
+    sim.submit(after("j-5", "batch", 1, &["j-9"]), 2_000);
+    sim.submit(after("j-1", "batch", 1, &["j-5", "j-9"]), 2_000);
+    sim.elect();
+    sim.run_until("done", 60_000, is_done("j-1"));
+}
+
+/// Guard: all tasks have ended, but that isn't written: nothing after it starts.
+pub fn the_end_cannot_be_written(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 2), 3_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
+    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/1").is_some());
+    sim.txns_left = Some(0);
+    sim.run(30_000);
+    assert!(sim.completed.len() == 2 && sim.status("j-1") == Status::Pending && !has_begun(sim, "j-2"));
+    sim.txns_left = None;
+    sim.run_until("done", 60_000, is_done("j-2"));
+}
+
+/// The leader dies between the end and its record, or between the record and
+/// the start of what waited for it.
+pub fn the_leader_dies_before_the_end_is_written(sim: &mut Simulation) {
+    run_until_the_prerequisite_ended(sim);
+    sim.die_before_txn = true;
+    sim.run_until("dead", 20_000, |sim| sim.leader.is_none());
+    sim.elect();
+    sim.run_until("done", 60_000, is_done("j-2"));
+}
+
+pub fn the_leader_dies_after_the_end_is_written(sim: &mut Simulation) {
+    run_until_the_prerequisite_ended(sim);
+    sim.die_after_txn = true;
+    sim.run_until("dead", 20_000, |sim| sim.leader.is_none());
+    assert!(sim.status("j-1") == Status::Done && !has_begun(sim, "j-2"));
+    sim.run(5_000);
+    sim.elect();
+    sim.run_until("done", 60_000, is_done("j-2"));
+}
+
+/// Guard: the answer to the end's write is lost, and it is applied late.
+pub fn the_end_is_written_late(sim: &mut Simulation) {
+    run_until_the_prerequisite_ended(sim);
+    lose_transaction_answers_for_a_second(sim);
+    sim.elect();
+    sim.run_until("done", 60_000, is_done("j-2"));
+    sim.run(45_000);
+}
+
+/// A job that is submitted when what it needs is over starts at once.
+pub fn named_when_it_is_over(sim: &mut Simulation) {
+    sim.submit(submission("j-1", "batch", 1), 1_000);
+    sim.run_until("done", 30_000, is_done("j-1"));
+    sim.submit(after("j-2", "batch", 1, &["j-1"]), 1_000);
+    sim.run_until("done", 30_000, is_done("j-2"));
+}
+
+/// A waiting job takes no part of its team's limit.
+pub fn a_waiting_job_holds_no_limit(sim: &mut Simulation) {
+    sim.team_gpus_max = 4.0;
+    sim.elect();
+    sim.submit(submission("j-1", "batch", 1), 60_000);
+    let gpus = |s: Submission| Submission { gpus: Some(4.0), cpus: Some(1.0), ..s };
+    sim.submit(gpus(after("j-2", "batch", 1, &["j-1"])), 1_000);
+    sim.submit(gpus(submission("j-3", "batch", 1)), 2_000);
+    sim.run_until("done", 30_000, is_done("j-3"));
+    let l = sim.leader.as_ref().unwrap();
+    assert_eq!(l.active.len(), 1, "only what runs is looked at");
+}
--- /dev/null
+++ b/tests/safety_rules/renting.rs
@@ -0,0 +1,48 @@
+//! Renting: idempotent requests, and machines in the zones that need them.
+
+use shedhook::bookkeeping::records::Status;
+
+use crate::simulation::{submission, FaultRates, Simulation, LEASE};
+
+/// Guard: a rental that went unanswered is asked for again by the same name,
+/// and no later leader uses a name of an earlier one.
+pub fn rentals_are_never_doubled(sim: &mut Simulation) {
+    sim.capacity = 6;
+    sim.faults = FaultRates { lost_rental_answer: 100, ..FaultRates::default() };
+    sim.elect();
+    sim.submit(submission("j-1", "batch", 24), 8_000);
+    sim.run(8_000);
+    let machines = sim.workers.len();
+    sim.elect();
+    sim.run(4_000);
+    sim.faults = FaultRates::default();
+    sim.run_until("done", 200_000, |sim| sim.status("j-1") == Status::Done);
+    assert!(machines > 4, "what was rented unheard is used");
+    for request in &sim.rental_requests {
+        let other_leader =
+            sim.rental_requests.iter().any(|r| r.name == request.name && r.leader_stamp != request.leader_stamp);
+        assert!(!other_leader, "{} in two leaderships", request.name);
+    }
+    assert!(sim.rental_requests.len() > sim.rentals.len(), "some were repeated");
+}
+
+/// Guard: machines were rented without end in one zone for a gang that must be
+/// over two; and half in each for one that must be in one.
+pub fn machines_come_in_the_zones_that_need_them(sim: &mut Simulation) {
+    sim.capacity = 20;
+    for x in sim.workers.iter_mut().filter(|x| x.zone == "b") {
+        x.dead = true;
+    }
+    sim.run(LEASE + 3_000);
+    let mut job = submission("j-1", "ensemble", 3);
+    (job.cpus, job.spread) = (Some(8.0), Some(true));
+    sim.submit(job, 0);
+    sim.run_until("over two zones", 30_000, |sim| sim.all_running("j-1", 3));
+    sim.run(10_000);
+    let mut job = submission("j-2", "ensemble", 4);
+    (job.cpus, job.one_zone) = (Some(8.0), Some(true));
+    sim.submit(job, 0);
+    sim.run_until("in one", 30_000, |sim| sim.all_running("j-2", 4));
+    sim.run(10_000);
+    assert!(sim.workers.len() <= 4 + 8, "{} machines", sim.workers.len());
+}
--- /dev/null
+++ b/tests/safety_rules/scale.rs
@@ -0,0 +1,76 @@
+//! The cost of one and a half times the largest deployment, in machines examined and records written.
+
+use shedhook::{bookkeeping::records::Status, coordination::snapshot::LOOK};
+
+use crate::simulation::{submission, Simulation};
+
+/// Half as many again as the largest deployment.
+const MACHINES: usize = 2_850;
+const SERVICES: usize = 60;
+const ARRAYS: usize = 100;
+
+/// Work is counted in machines looked at and records written, not by the clock.
+///
+/// Guard: each pass, report and sweep looked at every machine, place and job;
+/// every end rewrote its job's record; fixed shares of the writes left half of
+/// them unused while submissions were refused.
+#[test]
+fn thousands_of_machines_and_five_controllers() {
+    let mut sim = Simulation::new(3, MACHINES);
+    sim.limit_writes(35.0, 5);
+    (sim.chunk, sim.run_ms_step) = (64, 700);
+    sim.elect();
+    sim.run(8_000);
+    let looked = |sim: &Simulation| sim.leader.as_ref().unwrap().snapshot.looked;
+    let written = |sim: &Simulation| sim.writes.as_ref().unwrap().written;
+    assert_eq!((looked(&sim), written(&sim)), (0, 0), "nobody asked for anything");
+
+    // Two jobs a second, ten in a row at one controller.
+    let (mut refused, mut tasks) = (0, 0);
+    for n in 0..SERVICES + ARRAYS {
+        let (id, service) = (format!("j-{n}"), n % 8 < 3);
+        let (kind, size, run) = if service { ("service", 8, 0) } else { ("batch", 20 + (n % 40) as u32, 3_000) };
+        let mut job = submission(&id, kind, size);
+        job.spread = Some(service);
+        job.priority = Some(if service { "prod" } else { "low" }.into());
+        tasks += size as usize;
+        while !sim.submit_at(n / 10 % 5, job.clone(), run) {
+            refused += 1;
+            sim.run(1_000);
+        }
+        sim.run(if n % 10 == 9 { 4_000 } else { 100 });
+    }
+    let over = |sim: &Simulation| {
+        (0..SERVICES + ARRAYS).filter(|n| n % 8 >= 3).all(|n| sim.status(&format!("j-{n}")) == Status::Done)
+    };
+    sim.run_until("all arrays are done", 60_000, over);
+    assert!(refused <= 3, "{refused} submissions refused at a fifteenth of the limit");
+    assert!(sim.writes.as_ref().unwrap().refused == 0, "the service itself refused");
+    // A task is looked for on a sample, whatever the number of machines; most
+    // find their place beside another of their job.
+    let per_task = looked(&sim) / tasks as u64;
+    assert!(per_task <= 2 * LOOK as u64, "{per_task} machines looked at for a task");
+    // Submitted, placed, some ends, done, dropped: not a write for each task.
+    let per_job = written(&sim) as f64 / (SERVICES + ARRAYS) as f64;
+    assert!(per_job < 7.0, "{per_job} writes a job");
+
+    // Reports and sweeps that change nothing cost nothing of either.
+    sim.run(250_000);
+    let before = (looked(&sim), written(&sim));
+    sim.run(30_000);
+    assert_eq!((looked(&sim), written(&sim)), before, "nothing happened");
+
+    // A new leader hears all workers anew: nothing moves.
+    let starts = sim.starts;
+    sim.elect();
+    sim.run(20_000);
+    assert_eq!(sim.starts, starts, "nothing starts anew");
+    assert!(sim.worker_running("j-0/7").is_some());
+    let n = sim.worker_running("j-0/0").unwrap();
+    sim.workers[n].dead = true;
+    sim.run_until("the dead machine's replica runs elsewhere", 60_000, |sim| {
+        sim.worker_running("j-0/0").is_some_and(|m| m != n)
+    });
+    assert!(looked(&sim) < 20_000, "{} machines looked at for a few replicas", looked(&sim));
+    sim.check("thousands of machines");
+}
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -5,7 +5,7 @@
 use shedhook::{
     coordination::{
         leader::{CommitOutcome, DirectCallOutcome},
-        model::MachineIx,
+        model::{MachineIx, Ms},
     },
     protocol::{
         store::Txn,
@@ -13,7 +13,7 @@
     },
 };
 
-use super::Simulation;
+use super::{submission, Simulation};
 
 /// A command or report that arrives later than it was sent.
 pub enum Held {
@@ -138,7 +138,33 @@
         }
     }
 
-    /// All troubles are over. Whatever is still on its way arrives all the same.
+    /// Cuts a zone off or connects it again; behind the cut another controller
+    /// may keep its workers' leases.
+    pub fn partition_zone(&mut self, zone: &str, partitioned: bool, lease_kept_by_peer: bool) {
+        for worker in self.workers.iter_mut().filter(|worker| worker.zone == zone) {
+            (worker.partitioned, worker.lease_kept_by_peer) = (partitioned, lease_kept_by_peer);
+        }
+    }
+
+    /// Submits "j-1", a gang of two tasks that each take a whole machine. Both
+    /// launches go unanswered: the one to worker 0 arrives after `delay_ms`, the
+    /// other one at once.
+    pub fn submit_gang_with_launches_in_flight(&mut self, delay_ms: Ms) {
+        self.faults = FaultRates { late_command: 100, ..FaultRates::default() };
+        let mut gang = submission("j-1", "ensemble", 2);
+        gang.cpus = Some(8.0);
+        self.submit(gang, 0);
+        self.run(200);
+        assert_eq!(self.delayed.len(), 2, "both launches are on their way");
+        let now = self.now;
+        for (at, held) in &mut self.delayed {
+            let is_delayed = matches!(held, Held::Do { worker: 0, .. });
+            *at = now + if is_delayed { delay_ms } else { 100 };
+        }
+        self.faults = FaultRates::default();
+    }
+
+    /// All faults are over. Whatever is still on its way arrives all the same.
     pub fn heal_faults(&mut self) {
         self.faults = FaultRates::default();
         (self.refuse_leader, self.changes_ms, self.txn_ms, self.peers_silent_since) = (false, 0, 0, None);
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -10,6 +10,7 @@
 mod faults;
 mod invariants;
 mod progress;
+mod queries;
 mod state_service;
 mod users;
 mod worker;
