--- a/tests/combined_failures/main.rs
+++ b/tests/combined_failures/main.rs
@@ -20,7 +20,7 @@
 use slow_links::*;
 
 #[test]
-fn meetings_table() {
+fn combined_failures_table() {
     let cases: &[Case] = &[
         ("leader ends, machines unreachable", the_leader_ends_while_machines_are_unreachable),
         ("old reports after newer ones", old_reports_after_newer_ones),
--- a/tests/combined_failures/random_faults.rs
+++ b/tests/combined_failures/random_faults.rs
@@ -6,8 +6,8 @@
 /// breaks a rule, and once they are over every job that was accepted and not
 /// cancelled is done or runs, and none waits for 90 s beside room.
 #[test]
-fn troubles_meet_at_random() {
-    let seeds: u64 = std::env::var("MEETING_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(32);
+fn failures_combined_at_random() {
+    let seeds: u64 = std::env::var("COMBINED_FAILURE_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(32);
     let mut failed = Vec::new();
     for seed in 0..seeds {
         if std::panic::catch_unwind(|| play_random_faults(seed)).is_err() {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -214,7 +214,7 @@
 
 /// Arrays of all sizes, some of their tasks done, in bad faults, leaders
 /// changing: nothing is lost, and nothing runs twice.
-fn divided_in_bad_weather(sim: &mut Simulation) {
+fn resharded_under_random_faults(sim: &mut Simulation) {
     sim.may_reshard = true;
     sim.run_ms_step = 400;
     for n in 0..10 {
@@ -283,10 +283,10 @@
 }
 
 #[test]
-fn divided_whatever_comes() {
+fn resharded_under_failures() {
     for seed in 0..8 {
         let mut sim = simulation(seed);
-        divided_in_bad_weather(&mut sim);
+        resharded_under_random_faults(&mut sim);
         sim.check(&format!("seed {seed}"));
         eprintln!("seed {seed}: {} refused", sim.too_large);
     }
--- a/tests/pipelines/random_faults.rs
+++ b/tests/pipelines/random_faults.rs
@@ -10,7 +10,7 @@
 /// By chance with fixed seeds: pipelines in all faults, cancelled now and
 /// then, under leaders that change.
 #[test]
-fn pipelines_in_bad_weather() {
+fn pipelines_under_random_faults() {
     for seed in 0..24 {
         let mut sim = Simulation::new(seed, 6);
         sim.faults = FaultRates {
--- a/tests/safety_rules/random_faults.rs
+++ b/tests/safety_rules/random_faults.rs
@@ -7,7 +7,7 @@
 /// Everything at once, by chance with fixed seeds: nothing breaks a rule, and
 /// once the faults are over all arrays are done.
 #[test]
-fn bad_weather() {
+fn jobs_under_random_faults() {
     for seed in 0..32 {
         let mut sim = Simulation::new(seed, 6);
         sim.team_gpus_max = 8.0;
