--- a/src/node/budgets.rs
+++ b/src/controller/budgets.rs
@@ -1,15 +1,15 @@
 //! This controller's shares of the outside services' limits.
 
-use super::{peers::Peer, wiring::Node};
+use super::{peers::Peer, wiring::Controller};
 use crate::{
-    bookkeeping::budget::{share, Budget, BudgetRole},
-    coordination::model::Ms,
+    coordination::model::Millis,
     protocol::settings::{CloudLimits, LimitPhase, StateLimits, StateRates},
+    storage::budget::{share, Budget, BudgetRole},
 };
 
 /// A peer that was not heard for this long, in ms, is assumed to use its whole
 /// share of the budgets.
-const PEER_SILENT_MS: Ms = 2_000;
+const PEER_SILENT_MS: Millis = 2_000;
 
 // Shares of the limits at the start, before anything is known of what the
 // peers use.
@@ -80,7 +80,7 @@
     }
 
     /// Sets the shares by need: what the peers say they use is left to them.
-    fn set_shares(&mut self, now: Ms, leading: bool, limits: &StateLimits, peers: &[Peer]) {
+    fn set_shares(&mut self, now: Millis, leading: bool, limits: &StateLimits, peers: &[Peer]) {
         if self.set_while_leading == Some(leading) {
             return;
         }
@@ -109,9 +109,9 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Sets this controller's shares, unless they are up to date.
-    pub(super) fn set_budgets(&mut self, now: Ms, leading: bool) {
+    pub(super) fn set_budgets(&mut self, now: Millis, leading: bool) {
         self.budgets.set_shares(now, leading, &self.settings.cluster.state, &self.peers.list);
     }
 
--- a/src/node/calls.rs
+++ b/src/controller/calls.rs
@@ -2,16 +2,16 @@
 
 use std::{collections::HashMap, net::SocketAddr, rc::Rc};
 
-use super::wiring::Node;
+use super::wiring::Controller;
 use crate::{
-    bookkeeping::records::JobRecord,
-    coordination::model::{MachineIx, Ms},
+    coordination::model::{MachineIndex, Millis},
     protocol::{cbor, store::Txn},
+    storage::records::JobRecord,
     transport::{Call, ConnId, Method, Net},
 };
 
 /// Timeout, in ms, of small requests to the state service whose result is
-/// needed soon: grants, the leader's transactions, reads for the barrier.
+/// needed soon: grants, the leader's transactions, reads for the read barrier.
 pub(super) const STATE_TIMEOUT_MS: u64 = 1_500;
 /// Timeout, in ms, of requests to the state service that are not urgent.
 pub(super) const SLOW_STATE_TIMEOUT_MS: u64 = 2_500;
@@ -24,7 +24,7 @@
 
 /// What a pending reply is for.
 ///
-/// `sent` is when the request was sent, `stamp` the leadership it was sent under,
+/// `sent` is when the request was sent, `revision` the leadership it was sent under,
 /// `call` the leader's own number of the request.
 #[derive(Debug)]
 pub(super) enum Pending {
@@ -32,22 +32,22 @@
     LeaderGrant,
     LeaderGrantRenewal,
     LeaderClaim,
-    LeaderResign,
+    LeaderStepDown,
     /// A listing of the leader's key and the renewal keys, or their changes.
     LeaderKeyPage,
     LeaderKeyWatch {
-        sent: Ms,
+        sent: Millis,
     },
     /// A page of the jobs' records, or their changes.
     JobsPage {
         first: bool,
     },
     JobsWatch {
-        sent: Ms,
+        sent: Millis,
     },
     /// The read that users' requests wait for.
-    Barrier {
-        sent: Ms,
+    ReadBarrier {
+        sent: Millis,
     },
     /// The grant for this controller's renewal key.
     RenewalKeyGrant,
@@ -71,45 +71,45 @@
     },
     /// Before a new leader loads the task records: changes of the jobs' records.
     TasksSync {
-        stamp: u64,
-        sent: Ms,
+        revision: u64,
+        sent: Millis,
     },
     /// A page of the task records.
     TasksPage {
-        stamp: u64,
+        revision: u64,
     },
     /// A transaction of the leader.
     Commit {
-        stamp: u64,
+        revision: u64,
     },
     /// A record that is read again after a transaction's result was unknown.
     Resync {
-        stamp: u64,
+        revision: u64,
         key: String,
     },
     /// Orders sent to a worker.
-    Orders {
-        stamp: u64,
-        machine: MachineIx,
+    Commands {
+        revision: u64,
+        machine: MachineIndex,
         call: u64,
     },
     /// Requests to the cloud.
     RentHosts {
-        stamp: u64,
+        revision: u64,
         call: u64,
     },
     ReturnHosts {
-        stamp: u64,
+        revision: u64,
         call: u64,
     },
     ListHosts {
-        stamp: u64,
+        revision: u64,
         call: u64,
     },
     /// A worker's status, asked for after it stopped reporting.
     Probe {
-        stamp: u64,
-        machine: MachineIx,
+        revision: u64,
+        machine: MachineIndex,
     },
     /// The machine types.
     MachineTypes,
@@ -121,7 +121,7 @@
     pub fn shows_state_health(&self) -> bool {
         !matches!(
             self,
-            Pending::Orders { .. }
+            Pending::Commands { .. }
                 | Pending::RentHosts { .. }
                 | Pending::ReturnHosts { .. }
                 | Pending::ListHosts { .. }
@@ -219,7 +219,7 @@
     pub timeout_ms: u64,
 }
 
-impl Node {
+impl Controller {
     /// Sends a request to the state service.
     pub(super) fn ask_state(&mut self, net: &mut Net, pending: Pending, call: StateCall) {
         let StateCall { method, path, body, timeout_ms } = call;
--- a/src/node/commits.rs
+++ b/src/controller/commits.rs
@@ -3,15 +3,15 @@
 use super::{
     calls::{Pending, StateCall, STATE_TIMEOUT_MS},
     replies::body,
-    wiring::Node,
+    wiring::Controller,
 };
 use crate::{
-    bookkeeping::budget::Urgency,
-    coordination::{leader::CommitOutcome, model::Ms},
+    coordination::{leader::CommitOutcome, model::Millis},
     protocol::{
         cbor,
         store::{Conflict, Epoch},
     },
+    storage::budget::Urgency,
     transport::{
         http::status::{BAD_REQUEST, CONFLICT, OK, SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS},
         CallError, Net, Reply,
@@ -22,9 +22,9 @@
 /// share of their burst is available.
 const SPARE_WRITES: f64 = 0.6;
 
-impl Node {
+impl Controller {
     /// Sends the leader's next transaction, if there is one and the budget allows it.
-    pub(super) fn commit(&mut self, net: &mut Net, stamp: u64) {
+    pub(super) fn commit(&mut self, net: &mut Net, revision: u64) {
         let now = net.now();
         let Some(leader) = &mut self.leader else { return };
         if !leader.may_commit(now) {
@@ -32,7 +32,7 @@
         }
         if let Some(key) = leader.resync_key() {
             let key = key.to_owned();
-            return self.resync_record(net, now, stamp, key);
+            return self.resync_record(net, now, revision, key);
         }
         let budgets = &mut self.budgets;
         let available = budgets.commits.available(now, Urgency::Commit);
@@ -48,28 +48,28 @@
         let _ = budgets.reads.take(now, 1.0, Urgency::Lease);
         let call = StateCall::transaction(&transaction, STATE_TIMEOUT_MS);
         // Guard: preparing took time, and the leadership may have ended meanwhile.
-        if self.election.leading(net.now()) == Some(stamp) {
-            self.ask_state(net, Pending::Commit { stamp }, call);
+        if self.election.leading(net.now()) == Some(revision) {
+            self.ask_state(net, Pending::Commit { revision }, call);
         } else {
             leader.committed(now, CommitOutcome::Refused);
         }
     }
 
     /// The result of the leader's transaction came.
-    pub(super) fn committed(&mut self, net: &mut Net, now: Ms, stamp: u64, result: &Result<Reply, CallError>) {
+    pub(super) fn committed(&mut self, net: &mut Net, now: Millis, revision: u64, result: &Result<Reply, CallError>) {
         let outcome = self.commit_outcome(now, result);
         let is_conflict = matches!(outcome, CommitOutcome::Conflict(_));
-        let Some(leader) = self.leader.as_mut().filter(|leader| leader.stamp == stamp) else { return };
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.revision == revision) else { return };
         if !leader.committed(now, outcome) {
-            tracing::warn!(stamp, "another leader has written: leadership lost");
-            self.resign(net, now);
+            tracing::warn!(revision, "another leader has written: leadership lost");
+            self.step_down(net, now);
         } else if is_conflict {
             // Jobs' records changed; they are read before the next transaction.
             self.jobs.watch_now(now);
         }
     }
 
-    fn commit_outcome(&mut self, now: Ms, result: &Result<Reply, CallError>) -> CommitOutcome {
+    fn commit_outcome(&mut self, now: Millis, result: &Result<Reply, CallError>) -> CommitOutcome {
         let reply = match result {
             Ok(reply) => reply,
             Err(CallError::NotSent) => return CommitOutcome::Refused,
--- a/src/node/effects.rs
+++ b/src/controller/effects.rs
@@ -3,20 +3,20 @@
 use super::{
     calls::{CloudCall, Pending, WorkerCall},
     replies::{body, status},
-    wiring::Node,
+    wiring::Controller,
 };
 use crate::{
-    bookkeeping::budget::Urgency,
     coordination::{
-        fleet::RentOutcome,
+        autoscaler::RentOutcome,
         leader::{DirectCallOutcome, Effect},
-        model::{MachineIx, Ms},
+        model::{MachineIndex, Millis},
     },
     protocol::{
         cbor,
         cloud::{HostList, HostNames},
-        workers::Report,
+        workers::Heartbeat,
     },
+    storage::budget::Urgency,
     transport::{
         http::status::{BAD_REQUEST, CONFLICT, OK, SERVICE_UNAVAILABLE},
         CallError, Method, Net, Reply,
@@ -24,7 +24,7 @@
 };
 
 /// Timeout, in ms, of orders to a worker.
-const ORDERS_TIMEOUT_MS: u64 = 2_000;
+const COMMANDS_TIMEOUT_MS: u64 = 2_000;
 /// Timeout, in ms, of a probe: a worker that works answers at once.
 const PROBE_TIMEOUT_MS: u64 = 700;
 /// Word in the body of a 503 of the cloud that has no such machine to rent.
@@ -33,33 +33,33 @@
 /// The leadership that effects are carried out for.
 #[derive(Debug, Clone, Copy)]
 struct Authority {
-    now: Ms,
-    stamp: u64,
+    now: Millis,
+    revision: u64,
     /// It still holds.
     valid: bool,
 }
 
-impl Node {
+impl Controller {
     /// Carries out what the leader decided.
-    pub(super) fn carry_out_effects(&mut self, net: &mut Net, stamp: u64) {
+    pub(super) fn carry_out_effects(&mut self, net: &mut Net, revision: u64) {
         let Some(leader) = &mut self.leader else { return };
         for effect in leader.take_effects() {
             let now = net.now();
             // Guard: the leadership may end at any time, so it is checked again
             // before each request.
-            let valid = self.election.leading(now) == Some(stamp);
-            self.carry_out(net, Authority { now, stamp, valid }, effect);
+            let valid = self.election.leading(now) == Some(revision);
+            self.carry_out(net, Authority { now, revision, valid }, effect);
         }
     }
 
     fn carry_out(&mut self, net: &mut Net, authority: Authority, effect: Effect) {
-        let Authority { now, stamp, valid } = authority;
+        let Authority { now, revision, valid } = authority;
         match effect {
             Effect::Do { machine, call, addr, req } if valid => {
                 let body = cbor::encode(&req);
                 let request =
-                    WorkerCall { addr, method: Method::Post, path: "/do", body, timeout_ms: ORDERS_TIMEOUT_MS };
-                self.ask_worker(net, Pending::Orders { stamp, machine, call }, request);
+                    WorkerCall { addr, method: Method::Post, path: "/do", body, timeout_ms: COMMANDS_TIMEOUT_MS };
+                self.ask_worker(net, Pending::Commands { revision, machine, call }, request);
             }
             Effect::Do { machine, call, .. } => {
                 if let Some(leader) = &mut self.leader {
@@ -73,7 +73,7 @@
                     net,
                     authority,
                     Urgency::Commit,
-                    Pending::RentHosts { stamp, call },
+                    Pending::RentHosts { revision, call },
                     request,
                 ) {
                     if let Some(leader) = &mut self.leader {
@@ -87,7 +87,7 @@
                     net,
                     authority,
                     Urgency::Cancel,
-                    Pending::ReturnHosts { stamp, call },
+                    Pending::ReturnHosts { revision, call },
                     request,
                 ) {
                     if let Some(leader) = &mut self.leader {
@@ -98,7 +98,7 @@
             Effect::Probe { machine, addr } => {
                 let (path, body, timeout_ms) = ("/status", Vec::new(), PROBE_TIMEOUT_MS);
                 let request = WorkerCall { addr, method: Method::Get, path, body, timeout_ms };
-                self.ask_worker(net, Pending::Probe { stamp, machine }, request);
+                self.ask_worker(net, Pending::Probe { revision, machine }, request);
             }
             Effect::List { call, from } => {
                 let from = from.map_or(String::new(), |from| format!("from={from}&"));
@@ -107,7 +107,7 @@
                     net,
                     authority,
                     Urgency::Submit,
-                    Pending::ListHosts { stamp, call },
+                    Pending::ListHosts { revision, call },
                     request,
                 ) {
                     if let Some(leader) = &mut self.leader {
@@ -136,58 +136,64 @@
     }
 
     /// The answer to orders came.
-    pub(super) fn orders_answered(
+    pub(super) fn commands_answered(
         &mut self,
-        now: Ms,
-        stamp: u64,
-        machine: MachineIx,
+        now: Millis,
+        revision: u64,
+        machine: MachineIndex,
         call: u64,
         result: &Result<Reply, CallError>,
     ) {
-        let outcome = orders_outcome(result);
-        let Some(leader) = self.leader.as_mut().filter(|leader| leader.stamp == stamp) else { return };
+        let outcome = command_outcome(result);
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.revision == revision) else { return };
         if !leader.direct_call_result(now, machine, call, outcome, &self.job_cache, &mut self.tables) {
             tracing::warn!("a worker has seen a higher token than this leader's");
         }
     }
 
     /// The answer to a probe came.
-    pub(super) fn probed(&mut self, now: Ms, stamp: u64, machine: MachineIx, result: &Result<Reply, CallError>) {
-        let report = body::<Report>(result);
-        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.stamp == stamp) {
-            leader.probed(now, machine, report.as_ref(), &self.job_cache, &mut self.tables);
+    pub(super) fn probed(
+        &mut self,
+        now: Millis,
+        revision: u64,
+        machine: MachineIndex,
+        result: &Result<Reply, CallError>,
+    ) {
+        let heartbeat = body::<Heartbeat>(result);
+        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.revision == revision) {
+            leader.probed(now, machine, heartbeat.as_ref(), &self.job_cache, &mut self.tables);
         }
     }
 
     /// The answer to a rental request came.
-    pub(super) fn rented(&mut self, now: Ms, stamp: u64, call: u64, result: &Result<Reply, CallError>) {
+    pub(super) fn rented(&mut self, now: Millis, revision: u64, call: u64, result: &Result<Reply, CallError>) {
         let outcome = rent_outcome(result);
-        if let Some(leader) = self.leader_of(stamp) {
+        if let Some(leader) = self.leader_of(revision) {
             leader.rented(now, call, outcome);
         }
     }
 
     /// The answer to a return of hosts came.
-    pub(super) fn returned(&mut self, now: Ms, stamp: u64, call: u64, result: &Result<Reply, CallError>) {
-        if let Some(leader) = self.leader_of(stamp) {
+    pub(super) fn returned(&mut self, now: Millis, revision: u64, call: u64, result: &Result<Reply, CallError>) {
+        if let Some(leader) = self.leader_of(revision) {
             leader.returned(now, call, status(result) == OK);
         }
     }
 
     /// A part of the list of hosts came.
-    pub(super) fn hosts_listed(&mut self, now: Ms, stamp: u64, call: u64, result: &Result<Reply, CallError>) {
+    pub(super) fn hosts_listed(&mut self, now: Millis, revision: u64, call: u64, result: &Result<Reply, CallError>) {
         let list = body::<HostList>(result);
-        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.stamp == stamp) {
+        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.revision == revision) {
             leader.listed(now, call, list.as_ref(), &mut self.tables);
         }
     }
 }
 
-fn orders_outcome(result: &Result<Reply, CallError>) -> DirectCallOutcome {
+fn command_outcome(result: &Result<Reply, CallError>) -> DirectCallOutcome {
     match result {
-        Ok(reply) if matches!(reply.status, OK | CONFLICT) => match cbor::decode::<Report>(&reply.body) {
-            Ok(report) if reply.status == OK => DirectCallOutcome::Executed(report),
-            Ok(report) => DirectCallOutcome::Refused(report),
+        Ok(reply) if matches!(reply.status, OK | CONFLICT) => match cbor::decode::<Heartbeat>(&reply.body) {
+            Ok(heartbeat) if reply.status == OK => DirectCallOutcome::Executed(heartbeat),
+            Ok(heartbeat) => DirectCallOutcome::Refused(heartbeat),
             Err(_) => DirectCallOutcome::Unknown,
         },
         Ok(_) | Err(CallError::Unknown) => DirectCallOutcome::Unknown,
--- a/src/node/gossip.rs
+++ b/src/controller/gossip.rs
@@ -2,62 +2,62 @@
 
 use std::collections::VecDeque;
 
-use super::wiring::Node;
+use super::wiring::Controller;
 use crate::{
-    coordination::model::Ms,
+    coordination::model::Millis,
     protocol::peers::{self, Cancelled, Echo, Frame, Gossip, Notice},
     transport::Net,
 };
 
 /// Interval of gossip, in ms: several frames within the time after which a peer
 /// counts as silent.
-const GOSSIP_INTERVAL_MS: Ms = 400;
+const GOSSIP_INTERVAL_MS: Millis = 400;
 /// For how long, in ms, a confirmed cancellation is repeated to peers.
-const NOTICE_REPEAT_MS: Ms = 12_000;
+const NOTICE_REPEAT_MS: Millis = 12_000;
 /// Most cancellations that are repeated, which bounds the size of a frame.
 const MAX_REPEATED_NOTICES: usize = 256;
-/// For how long, in ms, a rejected report is counted.
-const REJECTED_REPORT_MS: Ms = 4_000;
-/// Most rejected reports that are remembered, the latest ones. Far above what
+/// For how long, in ms, a rejected heartbeat is counted.
+const REJECTED_HEARTBEAT_MS: Millis = 4_000;
+/// Most rejected heartbeats that are remembered, the latest ones. Far above what
 /// means trouble, so that the count stays high however many machines there are.
-const MAX_REJECTED_REPORTS: usize = 10_000;
+const MAX_REJECTED_HEARTBEATS: usize = 10_000;
 /// Most jobs per frame whose task counts are told, which bounds its size.
 const MAX_COUNTS: usize = 500;
 
 /// A cancellation that was confirmed here.
 #[derive(Debug)]
 struct ConfirmedCancellation {
-    confirmed_at: Ms,
+    confirmed_at: Millis,
     cancelled: Cancelled,
 }
 
 /// What this controller tells its peers.
 #[derive(Debug, Default)]
 pub(super) struct GossipState {
-    next_at: Ms,
+    next_at: Millis,
     frames_sent: u64,
-    /// When workers' reports were rejected lately.
-    rejected_reports: VecDeque<Ms>,
+    /// When workers' heartbeats were rejected lately.
+    rejected_heartbeats: VecDeque<Millis>,
     /// Cancellations confirmed here lately, oldest first.
     cancellations: VecDeque<ConfirmedCancellation>,
 }
 
 impl GossipState {
-    /// A worker's report was rejected.
-    pub fn record_rejected_report(&mut self, now: Ms) {
-        self.rejected_reports.push_back(now);
-        if self.rejected_reports.len() > MAX_REJECTED_REPORTS {
-            self.rejected_reports.pop_front();
+    /// A worker's heartbeat was rejected.
+    pub fn record_rejected_heartbeat(&mut self, now: Millis) {
+        self.rejected_heartbeats.push_back(now);
+        if self.rejected_heartbeats.len() > MAX_REJECTED_HEARTBEATS {
+            self.rejected_heartbeats.pop_front();
         }
     }
 
-    /// Reports that were rejected in the last seconds.
-    fn rejected_lately(&mut self, now: Ms) -> u32 {
-        self.rejected_reports.retain(|&rejected_at| now < rejected_at + REJECTED_REPORT_MS);
-        self.rejected_reports.len() as u32
+    /// Heartbeats that were rejected in the last seconds.
+    fn rejected_lately(&mut self, now: Millis) -> u32 {
+        self.rejected_heartbeats.retain(|&rejected_at| now < rejected_at + REJECTED_HEARTBEAT_MS);
+        self.rejected_heartbeats.len() as u32
     }
 
-    fn record_cancellation(&mut self, now: Ms, cancelled: Cancelled) {
+    fn record_cancellation(&mut self, now: Millis, cancelled: Cancelled) {
         self.cancellations.push_back(ConfirmedCancellation { confirmed_at: now, cancelled });
         if self.cancellations.len() > MAX_REPEATED_NOTICES {
             self.cancellations.pop_front();
@@ -65,20 +65,20 @@
     }
 
     /// The cancellations that are still to be repeated.
-    fn repeated_cancellations(&mut self, now: Ms) -> Vec<Cancelled> {
+    fn repeated_cancellations(&mut self, now: Millis) -> Vec<Cancelled> {
         self.cancellations.retain(|cancellation| now < cancellation.confirmed_at + NOTICE_REPEAT_MS);
         self.cancellations.iter().map(|cancellation| cancellation.cancelled.clone()).collect()
     }
 }
 
-impl Node {
+impl Controller {
     /// Tells peers at once of a cancellation that was confirmed to a user.
     ///
     /// Guard: the controller that serves the workers may be another one, and must
     /// not launch what a user was told is cancelled. The limit on how long answers
     /// may rely on old reads holds without this, but acts later.
-    pub(super) fn tell_cancelled(&mut self, net: &mut Net, now: Ms, job: &str, stamp: u64) {
-        let cancelled = Cancelled { job: job.to_owned(), stamp };
+    pub(super) fn tell_cancelled(&mut self, net: &mut Net, now: Millis, job: &str, revision: u64) {
+        let cancelled = Cancelled { job: job.to_owned(), revision };
         self.gossip.record_cancellation(now, cancelled.clone());
         self.send_notice(net, vec![cancelled]);
     }
@@ -97,12 +97,12 @@
             return;
         }
         for cancelled in &notice.cancelled {
-            self.job_cache.cancelled_elsewhere(&cancelled.job, cancelled.stamp, &mut self.tables);
+            self.job_cache.cancelled_elsewhere(&cancelled.job, cancelled.revision, &mut self.tables);
         }
     }
 
     /// Sends gossip when it is due, then sets the budgets anew.
-    pub(super) fn gossip_if_due(&mut self, net: &mut Net, now: Ms) {
+    pub(super) fn gossip_if_due(&mut self, net: &mut Net, now: Millis) {
         if now < self.gossip.next_at {
             return;
         }
@@ -121,10 +121,10 @@
         self.set_budgets(now, leading);
     }
 
-    fn current_gossip(&mut self, now: Ms, leading: bool) -> Gossip {
-        let rejected_reports = self.gossip.rejected_lately(now);
+    fn current_gossip(&mut self, now: Millis, leading: bool) -> Gossip {
+        let rejected_heartbeats = self.gossip.rejected_lately(now);
         let counts = match &mut self.leader {
-            Some(leader) if leading => leader.take_counts(MAX_COUNTS),
+            Some(leader) if leading => leader.take_progress(MAX_COUNTS),
             _ => Vec::new(),
         };
         for count in &counts {
@@ -135,7 +135,7 @@
             nonce: self.nonce,
             count: self.gossip.frames_sent,
             state_age_ms: self.state_health.age(now),
-            rejected_reports,
+            rejected_heartbeats,
             leading,
             reads_used: self.budgets.reads.used(now),
             writes_used: self.budgets.writes.used(now),
--- a/src/node/grants.rs
+++ b/src/controller/grants.rs
@@ -4,18 +4,18 @@
 
 use super::{
     calls::{Pending, StateCall, STATE_TIMEOUT_MS},
-    wiring::Node,
+    wiring::Controller,
 };
 use crate::{
-    bookkeeping::{
-        budget::Urgency,
-        records::{self, LeaderRecord},
-    },
-    coordination::{election, lease_renewal, model::Ms},
+    coordination::{election, lease_renewal, model::Millis},
     protocol::{
         cbor,
         store::{Condition, GrantRequest, Op, Txn},
     },
+    storage::{
+        budget::Urgency,
+        records::{self, LeaderRecord},
+    },
     transport::Net,
 };
 
@@ -27,16 +27,16 @@
     StateCall::post(format!("/grants/{permit}/renew"), Vec::new(), timeout_ms)
 }
 
-/// Writes a key that is attached to a grant, if its stamp is as expected.
-fn write_key(key: String, record: &LeaderRecord, permit: u64, expected_stamp: u64) -> StateCall {
+/// Writes a key that is attached to a grant, if its revision is as expected.
+fn write_key(key: String, record: &LeaderRecord, permit: u64, expected_revision: u64) -> StateCall {
     let transaction = Txn {
-        conditions: vec![Condition { key: key.clone(), stamp: expected_stamp }],
+        conditions: vec![Condition { key: key.clone(), revision: expected_revision }],
         writes: vec![Op::Put { key, v: records::to_value(record), permit: Some(permit) }],
     };
     StateCall::transaction(&transaction, STATE_TIMEOUT_MS)
 }
 
-impl Node {
+impl Controller {
     /// Carries out what the election decided.
     pub(super) fn perform_election_action(&mut self, net: &mut Net, action: election::Action) {
         let now = net.now();
@@ -55,9 +55,9 @@
                 let _ = self.budgets.commits.take(now, 1.0, Urgency::Lease);
                 self.ask_state(net, Pending::LeaderClaim, call);
             }
-            election::Action::Resign(permit) => {
+            election::Action::StepDown(permit) => {
                 let call = StateCall::delete(format!("/grants/{permit}"), STATE_TIMEOUT_MS);
-                self.ask_state(net, Pending::LeaderResign, call);
+                self.ask_state(net, Pending::LeaderStepDown, call);
             }
         }
     }
@@ -86,8 +86,8 @@
     }
 
     /// Gives up leading, if this controller does, so that another can be elected.
-    pub(super) fn resign(&mut self, net: &mut Net, now: Ms) {
-        if let Some(action) = self.election.resign(now) {
+    pub(super) fn step_down(&mut self, net: &mut Net, now: Millis) {
+        if let Some(action) = self.election.step_down(now) {
             self.perform_election_action(net, action);
         }
         self.leader = None;
--- a/src/node/health.rs
+++ b/src/controller/health.rs
@@ -1,9 +1,9 @@
 //! Whether this controller can serve, and who leads: from what the state service
 //! and the peers show.
 
-use super::wiring::Node;
+use super::wiring::Controller;
 use crate::{
-    coordination::model::Ms,
+    coordination::model::Millis,
     transport::{
         http::status::{SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS},
         CallError, Reply,
@@ -11,47 +11,47 @@
 };
 
 /// For how long, in ms, a peer's statement that it leads is believed.
-const LEADER_HINT_PEER_MS: Ms = 1_500;
+const LEADER_HINT_PEER_MS: Millis = 1_500;
 /// For how long, in ms, the leader's key is believed after the state service
 /// last answered: a watch of it, and the time to notice that it failed.
-const LEADER_HINT_STATE_MS: Ms = 4_500;
+const LEADER_HINT_STATE_MS: Millis = 4_500;
 /// The state service may fail for this long, in ms, before the controller may
 /// become unready.
-const UNREADY_AFTER_MS: Ms = 2_500;
+const UNREADY_AFTER_MS: Millis = 2_500;
 /// A peer is in contact when it was heard within this time, in ms.
-const PEER_CONTACT_MS: Ms = 2_500;
+const PEER_CONTACT_MS: Millis = 2_500;
 /// A peer that the state service answered this much later, in ms, than it
 /// answered us shows that the failure is ours.
-const SERVED_LATER_MS: Ms = 1_500;
+const SERVED_LATER_MS: Millis = 1_500;
 
 /// Whether the state service serves this controller.
 #[derive(Debug, Default)]
 pub(super) struct StateHealth {
     /// When it last answered with anything but 503.
-    pub last_answer: Ms,
+    pub last_answer: Millis,
     /// When it began to fail, if it does.
-    pub failing_since: Option<Ms>,
+    pub failing_since: Option<Millis>,
 }
 
 impl StateHealth {
     /// Milliseconds since the last answer.
-    pub fn age(&self, now: Ms) -> Ms {
+    pub fn age(&self, now: Millis) -> Millis {
         now.saturating_sub(self.last_answer)
     }
 
-    fn record_answer(&mut self, now: Ms) {
+    fn record_answer(&mut self, now: Millis) {
         self.last_answer = now;
         self.failing_since = None;
     }
 
-    fn record_failure(&mut self, now: Ms) {
+    fn record_failure(&mut self, now: Millis) {
         self.failing_since.get_or_insert(now);
     }
 }
 
-impl Node {
+impl Controller {
     /// Takes note of whether the state service answered a request.
-    pub(super) fn state_answered(&mut self, now: Ms, result: &Result<Reply, CallError>) {
+    pub(super) fn state_answered(&mut self, now: Millis, result: &Result<Reply, CallError>) {
         match result {
             Ok(reply) if reply.status != SERVICE_UNAVAILABLE => {
                 if reply.status == TOO_MANY_REQUESTS {
@@ -71,7 +71,7 @@
     /// Guard: never this controller itself, and no leader that may be gone. Either
     /// the peer said a moment ago that it leads, or the state service answered
     /// lately, so that the watch of the leader's key is up to date.
-    pub(super) fn leader_hint(&self, now: Ms) -> Option<&str> {
+    pub(super) fn leader_hint(&self, now: Millis) -> Option<&str> {
         let label = self.election.leader().filter(|label| *label != self.settings.label)?;
         let peer = self.peers.find(label)?;
         let peer_confirms = peer.leading && peer.heard_within(now, LEADER_HINT_PEER_MS);
@@ -85,7 +85,7 @@
     /// In an outage of the state service that affects all controllers, they stay
     /// ready, so that no connection is lost. A controller becomes unready when it
     /// alone is refused, or when it is in contact with no peer.
-    pub(super) fn is_ready(&self, now: Ms) -> bool {
+    pub(super) fn is_ready(&self, now: Millis) -> bool {
         if !self.job_cache.loaded() || self.types.is_empty() {
             return false;
         }
--- a/src/node/job_feed.rs
+++ b/src/controller/job_feed.rs
@@ -4,12 +4,12 @@
     calls::{Pending, StateCall, PAGE_TIMEOUT_MS, STATE_TIMEOUT_MS, WATCH_GRACE_MS},
     poll_loop::PollLoop,
     replies::{body, status},
-    wiring::Node,
+    wiring::Controller,
 };
 use crate::{
-    bookkeeping::{budget::Urgency, records},
-    coordination::model::Ms,
+    coordination::model::Millis,
     protocol::store::{Changes, Page},
+    storage::{budget::Urgency, records},
     transport::{http::status::GONE, CallError, Net, Reply},
 };
 
@@ -20,16 +20,16 @@
 /// Watches sent within the time for which a read allows leases to be renewed.
 const WATCHES_PER_RENEWAL: u64 = 4;
 /// Pause, in ms, after a request that failed.
-const RETRY_MS: Ms = 250;
+const RETRY_MS: Millis = 250;
 /// Pause, in ms, between two watches of the leader.
-const LEADER_WATCH_GAP_MS: Ms = 10;
+const LEADER_WATCH_GAP_MS: Millis = 10;
 /// The same at other controllers. They need no current cache of their own: the
 /// reads for users' requests bring it up to date.
-const FOLLOWER_WATCH_GAP_MS: Ms = 1_000;
-/// Gap, in ms, between two reads for the barrier, times the number of controllers.
-const BARRIER_GAP_MS: Ms = 40;
-/// Longest time, in ms, that a user's request waits for the barrier.
-const MAX_BARRIER_WAIT_MS: Ms = 1_600;
+const FOLLOWER_WATCH_GAP_MS: Millis = 1_000;
+/// Gap, in ms, between two reads for the read barrier, times the number of controllers.
+const BARRIER_GAP_MS: Millis = 40;
+/// Longest time, in ms, that a user's request waits for the read barrier.
+const MAX_BARRIER_WAIT_MS: Millis = 1_600;
 
 /// How far the jobs' records were read.
 #[derive(Debug, Default)]
@@ -42,14 +42,14 @@
 
 impl JobFeed {
     /// The next watch is sent no later than now.
-    pub fn watch_now(&mut self, now: Ms) {
+    pub fn watch_now(&mut self, now: Millis) {
         self.watch.after = now;
     }
 }
 
-impl Node {
+impl Controller {
     /// Keeps the loading of all records, or a watch of their changes, going.
-    pub(super) fn refresh_job_cache(&mut self, net: &mut Net, now: Ms) {
+    pub(super) fn refresh_job_cache(&mut self, net: &mut Net, now: Millis) {
         if self.job_cache.loaded() {
             self.watch_jobs(net, now);
         } else {
@@ -57,7 +57,7 @@
         }
     }
 
-    fn load_jobs(&mut self, net: &mut Net, now: Ms) {
+    fn load_jobs(&mut self, net: &mut Net, now: Millis) {
         if !self.jobs.page.due(now) || self.budgets.reads.take(now, 1.0, Urgency::Commit).is_err() {
             return;
         }
@@ -68,7 +68,7 @@
         self.ask_state(net, Pending::JobsPage { first }, StateCall::read(path, PAGE_TIMEOUT_MS));
     }
 
-    fn watch_jobs(&mut self, net: &mut Net, now: Ms) {
+    fn watch_jobs(&mut self, net: &mut Net, now: Millis) {
         if !self.jobs.watch.due(now) || self.budgets.reads.take(now, 1.0, Urgency::Commit).is_err() {
             return;
         }
@@ -86,31 +86,31 @@
         StateCall::read(path, timeout_ms)
     }
 
-    /// Sends a read for the requests that wait for the barrier, and refuses those
+    /// Sends a read for the requests that wait for the read barrier, and refuses those
     /// that have waited too long.
-    pub(super) fn flush_barrier(&mut self, net: &mut Net) {
+    pub(super) fn flush_read_barrier(&mut self, net: &mut Net) {
         let now = net.now();
-        if self.barrier.due(now) {
-            self.barrier.sent(now, BARRIER_GAP_MS * (self.peers.list.len() as Ms + 1));
+        if self.read_barrier.due(now) {
+            self.read_barrier.sent(now, BARRIER_GAP_MS * (self.peers.list.len() as Millis + 1));
             if self.budgets.reads.take(now, 1.0, Urgency::Cancel).is_err() {
-                let waiters = self.barrier.ended();
+                let waiters = self.read_barrier.ended();
                 return self.refuse_all(net, waiters);
             }
             let call = self.read_job_changes(0, STATE_TIMEOUT_MS);
-            self.ask_state(net, Pending::Barrier { sent: now }, call);
+            self.ask_state(net, Pending::ReadBarrier { sent: now }, call);
         }
-        if !self.barrier.is_empty() {
+        if !self.read_barrier.is_empty() {
             self.refuse_overdue(net, now);
         }
     }
 
-    fn refuse_overdue(&mut self, net: &mut Net, now: Ms) {
-        let overdue = self.barrier.overdue(now, MAX_BARRIER_WAIT_MS);
+    fn refuse_overdue(&mut self, net: &mut Net, now: Millis) {
+        let overdue = self.read_barrier.overdue(now, MAX_BARRIER_WAIT_MS);
         self.refuse_all(net, overdue);
     }
 
     /// A page of the jobs' records came.
-    pub(super) fn jobs_page(&mut self, now: Ms, first: bool, result: &Result<Reply, CallError>) {
+    pub(super) fn jobs_page(&mut self, now: Millis, first: bool, result: &Result<Reply, CallError>) {
         self.jobs.page.in_flight = false;
         match body::<Page>(result) {
             Some(page) => {
@@ -123,19 +123,25 @@
     }
 
     /// The watch of the jobs' changes ended.
-    pub(super) fn jobs_watched(&mut self, now: Ms, sent: Ms, result: &Result<Reply, CallError>) {
+    pub(super) fn jobs_watched(&mut self, now: Millis, sent: Millis, result: &Result<Reply, CallError>) {
         let gap_ms = if self.leader.is_some() { LEADER_WATCH_GAP_MS } else { FOLLOWER_WATCH_GAP_MS };
         let applied = self.apply_changes(sent, result);
         self.jobs.watch.finish(now + if applied { gap_ms } else { RETRY_MS });
     }
 
-    /// The read for the barrier came: the requests that it was sent for are answered.
-    pub(super) fn barrier_read(&mut self, net: &mut Net, now: Ms, sent: Ms, result: &Result<Reply, CallError>) {
+    /// The read for the read barrier came: the requests that it was sent for are answered.
+    pub(super) fn read_barrier_completed(
+        &mut self,
+        net: &mut Net,
+        now: Millis,
+        sent: Millis,
+        result: &Result<Reply, CallError>,
+    ) {
         let applied = self.apply_changes(sent, result);
         // Guard: after the process was halted, the read is as old as the requests
         // themselves, and must not answer them.
         self.refuse_overdue(net, now);
-        let waiters = self.barrier.ended();
+        let waiters = self.read_barrier.ended();
         if applied {
             self.serve(net, waiters);
         } else {
@@ -145,7 +151,7 @@
 
     /// Applies the result of a read of changes that was sent at `sent`. Returns
     /// whether the cache is now as recent as that.
-    pub(super) fn apply_changes(&mut self, sent: Ms, result: &Result<Reply, CallError>) -> bool {
+    pub(super) fn apply_changes(&mut self, sent: Millis, result: &Result<Reply, CallError>) -> bool {
         // Guard: while all records are loaded again, the changes since the first
         // page don't show what the later pages contain.
         if !self.job_cache.loaded() {
--- a/src/node/leader_config.rs
+++ b/src/controller/leader_config.rs
@@ -1,13 +1,13 @@
 //! The leader's configuration, from the settings.
 
-use super::wiring::Node;
+use super::wiring::Controller;
 use crate::{
-    bookkeeping::records,
     coordination::{
         leader::{Config, ServiceObjective},
-        model::{Ms, TeamLimits},
+        model::{Millis, TeamLimits},
     },
     protocol::settings::{Objective, ObjectiveKind, Team},
+    storage::records,
 };
 
 const BYTES_PER_KB: f64 = 1024.0;
@@ -16,11 +16,11 @@
 const DEFAULT_ZONE_NAME_LENGTH: usize = 16;
 /// Report intervals, and ms besides, after which a silent machine is returned
 /// to the cloud unless operators set another time.
-const SILENT_REPORT_INTERVALS: Ms = 2;
-const SILENT_GRACE_MS: Ms = 2_500;
+const SILENT_HEARTBEAT_INTERVALS: Millis = 2;
+const SILENT_GRACE_MS: Millis = 2_500;
 
-fn ms(seconds: f64) -> Ms {
-    (seconds * MS_PER_S) as Ms
+fn ms(seconds: f64) -> Millis {
+    (seconds * MS_PER_S) as Millis
 }
 
 fn team_limits(team: &Team) -> TeamLimits {
@@ -33,7 +33,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Tasks per chunk of a job that is recorded now.
     pub(super) fn chunk_size(&self) -> u32 {
         let cluster = &self.settings.cluster;
@@ -43,14 +43,14 @@
 
     /// The configuration of a leader that starts now.
     pub(super) fn leader_config(&mut self) -> Config {
-        let aims = self.objectives();
+        let objectives = self.objectives();
         let cluster = &self.settings.cluster;
         let operator = &self.operator;
-        let report_ms = ms(cluster.workers.report_s);
-        let default_silent_ms = report_ms * SILENT_REPORT_INTERVALS + SILENT_GRACE_MS;
+        let heartbeat_interval_ms = ms(cluster.workers.report_s);
+        let default_silent_ms = heartbeat_interval_ms * SILENT_HEARTBEAT_INTERVALS + SILENT_GRACE_MS;
         Config {
             lease_ms: ms(cluster.workers.lease_s),
-            report_ms,
+            heartbeat_interval_ms,
             gang_peer_s: cluster.workers.gang_peer_s,
             txn_ops: cluster.state.fitting_txn_ops(),
             value_max: (cluster.state.value_kb * BYTES_PER_KB) as usize,
@@ -58,7 +58,7 @@
             chunk_fit: self.chunk_size(),
             list_lag_ms: ms(cluster.cloud.list_lag_s),
             teams: cluster.teams.iter().map(team_limits).collect(),
-            aims,
+            objectives,
             idle_keep_ms: ms(operator.idle_keep_s),
             silent_ms: operator.silent_return_s.map_or(default_silent_ms, ms),
             max_machines: operator.max_machines.unwrap_or(usize::MAX),
--- a/src/node/leader_key.rs
+++ b/src/controller/leader_key.rs
@@ -6,15 +6,15 @@
     calls::{Pending, StateCall, WATCH_GRACE_MS},
     poll_loop::PollLoop,
     replies::{body, status},
-    wiring::Node,
+    wiring::Controller,
 };
 use crate::{
-    bookkeeping::{
+    coordination::model::Millis,
+    protocol::store::{Change, Changes, Page},
+    storage::{
         budget::Urgency,
         records::{self, LeaderRecord},
     },
-    coordination::model::Ms,
-    protocol::store::{Change, Changes, Page},
     transport::{http::status::GONE, CallError, Net, Reply},
 };
 
@@ -24,7 +24,7 @@
 /// Timeout, in ms, of the listing of the keys.
 const LIST_TIMEOUT_MS: u64 = 2_000;
 /// Pause, in ms, after a request that failed.
-const RETRY_MS: Ms = 250;
+const RETRY_MS: Millis = 250;
 
 /// How far the keys are known.
 #[derive(Debug, Default)]
@@ -36,9 +36,9 @@
     epoch: u64,
 }
 
-impl Node {
+impl Controller {
     /// Keeps a listing or a watch of the keys going.
-    pub(super) fn refresh_leader_key(&mut self, net: &mut Net, now: Ms) {
+    pub(super) fn refresh_leader_key(&mut self, net: &mut Net, now: Millis) {
         if !self.leader_key.poll.due(now) {
             return;
         }
@@ -59,7 +59,7 @@
     }
 
     /// The listing of the keys came.
-    pub(super) fn leader_page(&mut self, now: Ms, result: &Result<Reply, CallError>) {
+    pub(super) fn leader_page(&mut self, now: Millis, result: &Result<Reply, CallError>) {
         self.leader_key.poll.in_flight = false;
         let Some(page) = body::<Page>(result) else {
             self.leader_key.poll.after = now + RETRY_MS;
@@ -71,11 +71,11 @@
 
         let leader = find(records::LEADER);
         let record = leader.and_then(|pair| pair.v.deserialized::<LeaderRecord>().ok());
-        self.election.saw_key(now, record, leader.map_or(page.epoch, |pair| pair.stamp));
+        self.election.saw_key(now, record, leader.map_or(page.epoch, |pair| pair.revision));
 
         let own = find(&records::renewal_key(&self.settings.label));
         let is_ours = own.is_some_and(|pair| self.is_own_renewal_key(&pair.v));
-        self.renewal_right.saw_key(own.map_or(0, |pair| pair.stamp), page.epoch, is_ours);
+        self.renewal_right.saw_key(own.map_or(0, |pair| pair.revision), page.epoch, is_ours);
 
         for peer in &mut self.peers.list {
             let has_key = find(&records::renewal_key(&peer.label)).is_some();
@@ -84,7 +84,7 @@
     }
 
     /// The watch of the keys ended.
-    pub(super) fn leader_changes(&mut self, now: Ms, sent: Ms, result: &Result<Reply, CallError>) {
+    pub(super) fn leader_changes(&mut self, now: Millis, sent: Millis, result: &Result<Reply, CallError>) {
         self.leader_key.poll.in_flight = false;
         let Some(changes) = body::<Changes>(result) else {
             if status(result) == GONE {
@@ -100,24 +100,24 @@
         self.leader_key.epoch = self.leader_key.epoch.max(changes.epoch);
     }
 
-    fn apply_key_change(&mut self, now: Ms, change: &Change) {
+    fn apply_key_change(&mut self, now: Millis, change: &Change) {
         if change.write.as_deref() == Some(records::LEADER) {
             let record = change.v.as_ref().and_then(|value| value.deserialized::<LeaderRecord>().ok());
-            self.election.saw_key(now, record, change.stamp);
+            self.election.saw_key(now, record, change.revision);
         } else if change.drop.as_deref() == Some(records::LEADER) {
-            self.election.saw_key(now, None, change.stamp);
+            self.election.saw_key(now, None, change.revision);
         } else {
             self.apply_renewal_key_change(now, change);
         }
     }
 
     /// The key under which a controller may renew leases was written or removed.
-    fn apply_renewal_key_change(&mut self, now: Ms, change: &Change) {
+    fn apply_renewal_key_change(&mut self, now: Millis, change: &Change) {
         let Some(key) = change.write.as_ref().or(change.drop.as_ref()) else { return };
         let exists = change.write.is_some();
         if *key == records::renewal_key(&self.settings.label) {
             let is_ours = change.v.as_ref().is_some_and(|value| self.is_own_renewal_key(value));
-            self.renewal_right.saw_key(if exists { change.stamp } else { 0 }, change.stamp, is_ours);
+            self.renewal_right.saw_key(if exists { change.revision } else { 0 }, change.revision, is_ours);
             return;
         }
         let mut peers = self.peers.list.iter_mut();
--- a/src/node/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -3,19 +3,19 @@
 use super::{
     calls::{CloudCall, Pending},
     replies::body,
-    wiring::Node,
+    wiring::Controller,
 };
 use crate::{
-    bookkeeping::budget::Urgency,
-    coordination::model::{Ms, Res, TypeInfo},
+    coordination::model::{MachineTypeSpec, Millis, Resources},
     protocol::cloud::{MachineType, MachineTypeList},
+    storage::budget::Urgency,
     transport::{CallError, Net, Reply},
 };
 
 /// Pause, in ms, after a request that failed; no job is accepted before one succeeds.
-const RETRY_MS: Ms = 500;
+const RETRY_MS: Millis = 500;
 /// Interval, in ms, at which the types and their prices are read again.
-const REFRESH_MS: Ms = 30_000;
+const REFRESH_MS: Millis = 30_000;
 
 /// Whether all amounts of a type make sense.
 fn is_plausible(offered: &MachineType) -> bool {
@@ -32,9 +32,9 @@
     amounts.iter().all(|amount| amount.is_finite() && *amount >= 0.0)
 }
 
-impl Node {
+impl Controller {
     /// Reads the machine types when that is due.
-    pub(super) fn refresh_machine_types(&mut self, net: &mut Net, now: Ms) {
+    pub(super) fn refresh_machine_types(&mut self, net: &mut Net, now: Millis) {
         if self.types_poll.due(now) && self.budgets.cloud.take(now, 1.0, Urgency::Commit).is_ok() {
             self.types_poll.in_flight = true;
             self.ask_cloud(net, Pending::MachineTypes, CloudCall::get("/flavors".into()));
@@ -42,7 +42,7 @@
     }
 
     /// The list of machine types came.
-    pub(super) fn machine_types_listed(&mut self, now: Ms, result: &Result<Reply, CallError>) {
+    pub(super) fn machine_types_listed(&mut self, now: Millis, result: &Result<Reply, CallError>) {
         let Some(list) = body::<MachineTypeList>(result) else {
             self.types_poll.finish(now + RETRY_MS);
             return;
@@ -62,10 +62,10 @@
         self.types = types;
     }
 
-    fn machine_type(&mut self, offered: &MachineType) -> TypeInfo {
-        TypeInfo {
-            ix: self.tables.types.intern(&offered.name),
-            cap: Res { cpus: offered.cpus, gpus: offered.gpus, memory_gb: offered.memory_gb },
+    fn machine_type(&mut self, offered: &MachineType) -> MachineTypeSpec {
+        MachineTypeSpec {
+            index: self.tables.types.intern(&offered.name),
+            capacity: Resources { cpus: offered.cpus, gpus: offered.gpus, memory_gb: offered.memory_gb },
             cache_gb: offered.cache_gb,
             fetch_gb_per_s: offered.fetch_gb_per_s,
             price: offered.price,
--- a/src/node/mod.rs
+++ b/src/controller/mod.rs
@@ -1,6 +1,6 @@
 //! One controller: the other layers, connected around the event loop.
 //!
-//! `wiring::Node` owns all state. Its components each have a module with the
+//! `wiring::Controller` owns all state. Its components each have a module with the
 //! methods that work on them; [`run()`] feeds it events and ticks.
 
 mod background;
@@ -28,4 +28,4 @@
 mod wiring;
 mod workers;
 
-pub use run::{run, NodeError};
+pub use run::{run, ControllerError};
--- a/src/node/peers.rs
+++ b/src/controller/peers.rs
@@ -1,10 +1,10 @@
 //! The other controllers, as their frames show them.
 
-use super::wiring::Node;
+use super::wiring::Controller;
 use crate::{
-    coordination::{lease_renewal::PeerInactivity, model::Ms},
+    coordination::{lease_renewal::PeerInactivity, model::Millis},
     protocol::{
-        peers::{decode, Echo, Frame, Gossip, Order},
+        peers::{decode, Echo, Frame, FrameOrder, Gossip},
         settings::Seed,
     },
     transport::Net,
@@ -15,7 +15,7 @@
 const CLOCK_RATE_MARGIN: f64 = 0.999;
 /// Longest time without renewals that a peer is believed, in ms; more than any
 /// uptime, and safe in signed arithmetic.
-const MAX_QUIET_MS: Ms = 1 << 40;
+const MAX_QUIET_MS: Millis = 1 << 40;
 
 /// What a peer uses per second of the state service's limits.
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
 pub(super) struct PeerClock {
     /// Identifies the start of the peer's process.
     pub nonce: u64,
-    pub clock_ms: Ms,
+    pub clock_ms: Millis,
 }
 
 /// One other controller.
@@ -39,19 +39,19 @@
     pub label: String,
     /// Number of the link to it.
     pub link: usize,
-    order: Order,
+    order: FrameOrder,
     /// When its last frame was received.
-    pub heard: Option<Ms>,
+    pub heard: Option<Millis>,
     /// How long before that the state service had answered it.
-    pub state_age: Ms,
-    /// Workers' reports that it rejected lately.
-    pub rejected_reports: u32,
+    pub state_age: Millis,
+    /// Workers' heartbeats that it rejected lately.
+    pub rejected_heartbeats: u32,
     pub leading: bool,
     pub usage: Usage,
     /// The clock in its last frame.
     pub clock: Option<PeerClock>,
     /// Since when it is known to have no key under which it may renew leases.
-    pub without_key_since: Option<Ms>,
+    pub without_key_since: Option<Millis>,
     /// It reads notices of cancellations.
     pub reads_notices: bool,
 }
@@ -61,10 +61,10 @@
         Peer {
             label: label.to_owned(),
             link,
-            order: Order::default(),
+            order: FrameOrder::default(),
             heard: None,
-            state_age: Ms::MAX,
-            rejected_reports: 0,
+            state_age: Millis::MAX,
+            rejected_heartbeats: 0,
             leading: false,
             usage: Usage::default(),
             clock: None,
@@ -74,16 +74,16 @@
     }
 
     /// Whether a frame of it was received within the last `within_ms`.
-    pub fn heard_within(&self, now: Ms, within_ms: Ms) -> bool {
+    pub fn heard_within(&self, now: Millis, within_ms: Millis) -> bool {
         self.heard.is_some_and(|heard| now < heard + within_ms)
     }
 
-    fn update(&mut self, now: Ms, gossip: &Gossip) {
+    fn update(&mut self, now: Millis, gossip: &Gossip) {
         self.heard = Some(now);
         self.reads_notices = gossip.reads_notices();
         self.clock = Some(PeerClock { nonce: gossip.nonce, clock_ms: gossip.clock_ms });
         self.state_age = gossip.state_age_ms;
-        self.rejected_reports = gossip.rejected_reports;
+        self.rejected_heartbeats = gossip.rejected_heartbeats;
         self.leading = gossip.leading;
         self.usage = Usage { reads: gossip.reads_used, writes: gossip.writes_used, commits: gossip.commits_used };
     }
@@ -112,7 +112,7 @@
 
     /// A watch sent at `sent` returned: peers that had no renewal key since
     /// before then can't have renewed a lease.
-    pub fn record_inactive_without_key(&mut self, sent: Ms) {
+    pub fn record_inactive_without_key(&mut self, sent: Millis) {
         for (index, peer) in self.list.iter().enumerate() {
             if let Some(since) = peer.without_key_since {
                 self.inactivity.record_inactive(index, since as i64, sent as i64);
@@ -121,7 +121,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Handles a frame of a peer.
     pub(super) fn handle_frame(&mut self, net: &mut Net, bytes: &[u8]) {
         match decode(bytes) {
@@ -131,7 +131,7 @@
         }
     }
 
-    fn handle_gossip(&mut self, now: Ms, gossip: Gossip) {
+    fn handle_gossip(&mut self, now: Millis, gossip: Gossip) {
         let Some(index) = self.peers.list.iter().position(|peer| peer.label == gossip.from) else { return };
         let peer = &mut self.peers.list[index];
         if !peer.order.is_news(&gossip) {
--- a/src/node/replies.rs
+++ b/src/controller/replies.rs
@@ -1,8 +1,8 @@
 //! Replies to outgoing calls, handed on to what they are for.
 
-use super::{calls::Pending, wiring::Node};
+use super::{calls::Pending, wiring::Controller};
 use crate::{
-    coordination::{leader::Leader, model::Ms},
+    coordination::{leader::Leader, model::Millis},
     protocol::{
         cbor,
         store::{Epoch, Permit},
@@ -47,10 +47,10 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// The leader, if it is still the one of this leadership.
-    pub(super) fn leader_of(&mut self, stamp: u64) -> Option<&mut Leader> {
-        self.leader.as_mut().filter(|leader| leader.stamp == stamp)
+    pub(super) fn leader_of(&mut self, revision: u64) -> Option<&mut Leader> {
+        self.leader.as_mut().filter(|leader| leader.revision == revision)
     }
 
     /// Handles the outcome of a call.
@@ -63,7 +63,7 @@
             Pending::LeaderGrant => self.election.granted(now, permit(&result)),
             Pending::LeaderGrantRenewal => self.election.renewed(now, renewed(&result)),
             Pending::LeaderClaim => self.claimed(now, &result),
-            Pending::LeaderResign => {}
+            Pending::LeaderStepDown => {}
             Pending::RenewalKeyGrant => self.renewal_right.granted(now, permit(&result)),
             Pending::RenewalKeyGrantRenewal => self.renewal_right.renewed(now, renewed(&result)),
             Pending::RenewalKeyClaim => self.renewal_right_registered(now, &result),
@@ -73,23 +73,25 @@
             Pending::LeaderKeyWatch { sent } => self.leader_changes(now, sent, &result),
             Pending::JobsPage { first } => self.jobs_page(now, first, &result),
             Pending::JobsWatch { sent } => self.jobs_watched(now, sent, &result),
-            Pending::Barrier { sent } => self.barrier_read(net, now, sent, &result),
+            Pending::ReadBarrier { sent } => self.read_barrier_completed(net, now, sent, &result),
             Pending::Submit { conn, id, record, tries } => self.submitted(net, conn, id, record, tries, result),
             Pending::Abort { conn, id, record, tries } => self.aborted(net, conn, id, &record, tries, result),
-            Pending::TasksSync { stamp, sent } => self.tasks_synced(now, stamp, sent, &result),
-            Pending::TasksPage { stamp } => self.tasks_page(now, stamp, &result),
-            Pending::Commit { stamp } => self.committed(net, now, stamp, &result),
-            Pending::Resync { stamp, key } => self.resynced(now, stamp, &key, &result),
-            Pending::Orders { stamp, machine, call } => self.orders_answered(now, stamp, machine, call, &result),
-            Pending::RentHosts { stamp, call } => self.rented(now, stamp, call, &result),
-            Pending::ReturnHosts { stamp, call } => self.returned(now, stamp, call, &result),
-            Pending::ListHosts { stamp, call } => self.hosts_listed(now, stamp, call, &result),
-            Pending::Probe { stamp, machine } => self.probed(now, stamp, machine, &result),
+            Pending::TasksSync { revision, sent } => self.tasks_synced(now, revision, sent, &result),
+            Pending::TasksPage { revision } => self.tasks_page(now, revision, &result),
+            Pending::Commit { revision } => self.committed(net, now, revision, &result),
+            Pending::Resync { revision, key } => self.resynced(now, revision, &key, &result),
+            Pending::Commands { revision, machine, call } => {
+                self.commands_answered(now, revision, machine, call, &result)
+            }
+            Pending::RentHosts { revision, call } => self.rented(now, revision, call, &result),
+            Pending::ReturnHosts { revision, call } => self.returned(now, revision, call, &result),
+            Pending::ListHosts { revision, call } => self.hosts_listed(now, revision, call, &result),
+            Pending::Probe { revision, machine } => self.probed(now, revision, machine, &result),
             Pending::MachineTypes => self.machine_types_listed(now, &result),
         }
     }
 
-    fn claimed(&mut self, now: Ms, result: &Result<Reply, CallError>) {
+    fn claimed(&mut self, now: Millis, result: &Result<Reply, CallError>) {
         // The state service knows no such grant any more.
         if status(result) == BAD_REQUEST {
             self.election.permit_lost();
@@ -97,7 +99,7 @@
         self.election.claimed(now, epoch(result));
     }
 
-    fn renewal_right_registered(&mut self, now: Ms, result: &Result<Reply, CallError>) {
+    fn renewal_right_registered(&mut self, now: Millis, result: &Result<Reply, CallError>) {
         if status(result) == BAD_REQUEST {
             self.renewal_right.lost();
         }
--- a/src/node/routes.rs
+++ b/src/controller/routes.rs
@@ -1,6 +1,6 @@
 //! Routing of HTTP requests.
 
-use super::wiring::Node;
+use super::wiring::Controller;
 use crate::transport::{
     http::status::{METHOD_NOT_ALLOWED, NOT_FOUND, OK, SERVICE_UNAVAILABLE},
     ConnId, Net, Request,
@@ -9,7 +9,7 @@
 /// What a request is for. Paths that don't exist have no route.
 #[derive(Debug, PartialEq, Eq)]
 enum Route<'a> {
-    Report,
+    Heartbeat,
     Ready,
     SubmitJob,
     PollJob(&'a str),
@@ -19,7 +19,7 @@
 
 fn route<'a>(method: &str, path: &'a str) -> Option<Route<'a>> {
     let (route, allowed) = match path {
-        "/checkin" => (Route::Report, method == "POST"),
+        "/checkin" => (Route::Heartbeat, method == "POST"),
         "/ready" => (Route::Ready, matches!(method, "GET" | "HEAD")),
         "/api/jobs" => (Route::SubmitJob, method == "POST"),
         _ => {
@@ -34,7 +34,7 @@
     Some(if allowed { route } else { Route::MethodNotAllowed })
 }
 
-impl Node {
+impl Controller {
     /// Handles a request of a user, a worker or a health probe.
     pub(super) fn handle_request(&mut self, net: &mut Net, conn: ConnId, request: &Request) {
         // Guard: overload. Requests of clients that have disconnected meanwhile
@@ -44,7 +44,7 @@
         }
         let path = request.path.split('?').next().unwrap_or("");
         match route(&request.method, path) {
-            Some(Route::Report) => self.checkin(net, conn, &request.body),
+            Some(Route::Heartbeat) => self.handle_heartbeat(net, conn, &request.body),
             Some(Route::Ready) => {
                 let status = if self.is_ready(net.now()) { OK } else { SERVICE_UNAVAILABLE };
                 net.respond(conn, status, None, b"");
--- a/src/node/run.rs
+++ b/src/controller/run.rs
@@ -4,9 +4,9 @@
 
 use calloop::EventLoop;
 
-use super::wiring::Node;
+use super::wiring::Controller;
 use crate::{
-    coordination::model::Ms,
+    coordination::model::Millis,
     protocol::{
         operator::Operator,
         settings::{Settings, WorkerSettings},
@@ -20,21 +20,21 @@
 /// After a halt of this long, in ms, all pending requests are dropped: nobody
 /// waits longer for an answer of ours, nor do we for one of a peer or the state
 /// service, a few watches aside.
-const HALT_MS: Ms = 5_000;
+const HALT_MS: Millis = 5_000;
 /// A connection with no request is closed after this long, in ms: longer than
 /// load balancers and workers keep theirs idle.
 const IDLE_MS: u64 = 75_000;
 /// A request must be complete within this time, in ms.
 const HEAD_MS: u64 = 5_000;
-/// A worker's connection counts as stale after three report intervals: this many
+/// A worker's connection counts as stale after three heartbeat interval: this many
 /// ms per second of the interval, within the range below.
-const STALE_MS_PER_REPORT_S: f64 = 3_000.0;
+const STALE_MS_PER_HEARTBEAT_S: f64 = 3_000.0;
 const MIN_STALE_MS: u64 = 10_000;
 const MAX_STALE_MS: u64 = 60_000;
 
 /// Why the process can't go on.
 #[derive(Debug, thiserror::Error)]
-pub enum NodeError {
+pub enum ControllerError {
     /// The event loop can't be set up, or a source can't be added to it.
     #[error("event loop: {0}")]
     EventLoop(#[from] calloop::Error),
@@ -52,11 +52,11 @@
 }
 
 fn stale_ms(workers: &WorkerSettings) -> u64 {
-    ((workers.report_s * STALE_MS_PER_REPORT_S) as u64).clamp(MIN_STALE_MS, MAX_STALE_MS)
+    ((workers.report_s * STALE_MS_PER_HEARTBEAT_S) as u64).clamp(MIN_STALE_MS, MAX_STALE_MS)
 }
 
 /// Runs one controller until the process ends.
-pub fn run(settings: Settings, operator: Operator) -> Result<(), NodeError> {
+pub fn run(settings: Settings, operator: Operator) -> Result<(), ControllerError> {
     let mut event_loop: EventLoop<'static, Net> = EventLoop::try_new()?;
     let cluster = &settings.cluster;
     let stale_ms = stale_ms(&cluster.workers);
@@ -68,25 +68,25 @@
     let mut net = Net::new(&event_loop, limits);
     let listeners = [(settings.client_listen, ListenerKind::Http), (settings.cluster_listen, ListenerKind::Frames)];
     for (addr, kind) in listeners {
-        net.listen(addr, kind).map_err(|source| NodeError::Listen { addr, source })?;
+        net.listen(addr, kind).map_err(|source| ControllerError::Listen { addr, source })?;
     }
     tracing::info!(label = &*settings.label, zone = &*settings.domain, "started");
-    let mut node = Node::new(settings, operator, &mut net);
+    let mut controller = Controller::new(settings, operator, &mut net);
     let mut last_turn = net.now();
     loop {
-        node.tick(&mut net);
-        net.turn(&mut event_loop, Duration::from_millis(node.max_wait_ms())).map_err(NodeError::Turn)?;
+        controller.tick(&mut net);
+        net.turn(&mut event_loop, Duration::from_millis(controller.max_wait_ms())).map_err(ControllerError::Turn)?;
         drop_stale_io_after_halt(&mut net, last_turn);
         last_turn = net.now();
         while let Some(event) = net.pop() {
-            node.handle(&mut net, event);
+            controller.handle(&mut net, event);
         }
     }
 }
 
 /// Guard: a process that was halted finds old requests and answers in its
 /// sockets. The halt is noticed before any of them is acted on.
-fn drop_stale_io_after_halt(net: &mut Net, last_turn: Ms) {
+fn drop_stale_io_after_halt(net: &mut Net, last_turn: Millis) {
     let now = net.now();
     if now > last_turn + HALT_MS {
         tracing::warn!(ms = now - last_turn, "stood still: what was waiting is dropped");
--- a/src/node/task_loading.rs
+++ b/src/controller/task_loading.rs
@@ -8,12 +8,12 @@
     calls::{Pending, StateCall, PAGE_TIMEOUT_MS, STATE_TIMEOUT_MS},
     poll_loop::PollLoop,
     replies::{body, status},
-    wiring::{wall_ms, Node},
+    wiring::{wall_ms, Controller},
 };
 use crate::{
-    bookkeeping::{budget::Urgency, records},
-    coordination::model::Ms,
+    coordination::model::Millis,
     protocol::store::{Page, Pair},
+    storage::{budget::Urgency, records},
     transport::{
         http::status::{NOT_FOUND, OK},
         CallError, Net, Reply,
@@ -21,7 +21,7 @@
 };
 
 /// Pause, in ms, after a request that failed.
-const RETRY_MS: Ms = 200;
+const RETRY_MS: Millis = 200;
 
 /// How far the task records were loaded.
 #[derive(Debug, Default)]
@@ -37,7 +37,7 @@
 
 impl TaskLoading {
     /// Starts anew, for a new leadership.
-    pub fn restart(&mut self, now: Ms) {
+    pub fn restart(&mut self, now: Millis) {
         self.jobs_synced = false;
         self.next_page_from = None;
         self.poll.finish(now);
@@ -45,25 +45,25 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Sends the next request of the loading.
-    pub(super) fn load_tasks(&mut self, net: &mut Net, now: Ms, stamp: u64) {
+    pub(super) fn load_tasks(&mut self, net: &mut Net, now: Millis, revision: u64) {
         if !self.task_loading.poll.due(now) || self.budgets.reads.take(now, 1.0, Urgency::Lease).is_err() {
             return;
         }
         self.task_loading.poll.in_flight = true;
         if !self.task_loading.jobs_synced {
             let call = self.read_job_changes(0, STATE_TIMEOUT_MS);
-            return self.ask_state(net, Pending::TasksSync { stamp, sent: now }, call);
+            return self.ask_state(net, Pending::TasksSync { revision, sent: now }, call);
         }
         let from = self.task_loading.next_page_from.as_ref().map_or(String::new(), |key| format!("&from={key}"));
         let path = format!("/store?under={}{from}&most=1000", records::TASKS);
-        self.ask_state(net, Pending::TasksPage { stamp }, StateCall::read(path, PAGE_TIMEOUT_MS));
+        self.ask_state(net, Pending::TasksPage { revision }, StateCall::read(path, PAGE_TIMEOUT_MS));
     }
 
     /// The changes that the job cache may have missed came.
-    pub(super) fn tasks_synced(&mut self, now: Ms, stamp: u64, sent: Ms, result: &Result<Reply, CallError>) {
-        if self.leader_of(stamp).is_none() {
+    pub(super) fn tasks_synced(&mut self, now: Millis, revision: u64, sent: Millis, result: &Result<Reply, CallError>) {
+        if self.leader_of(revision).is_none() {
             return;
         }
         let synced = self.apply_changes(sent, result);
@@ -72,8 +72,8 @@
     }
 
     /// A page of the task records came.
-    pub(super) fn tasks_page(&mut self, now: Ms, stamp: u64, result: &Result<Reply, CallError>) {
-        let Some(leader) = self.leader.as_mut().filter(|leader| leader.stamp == stamp && !leader.loaded) else {
+    pub(super) fn tasks_page(&mut self, now: Millis, revision: u64, result: &Result<Reply, CallError>) {
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.revision == revision && !leader.loaded) else {
             return;
         };
         self.task_loading.poll.in_flight = false;
@@ -83,7 +83,7 @@
         };
         let wall = wall_ms();
         for pair in &page.pairs {
-            leader.load(now, wall, &pair.key, &pair.v, pair.stamp, &self.job_cache, &mut self.tables);
+            leader.load(now, wall, &pair.key, &pair.v, pair.revision, &self.job_cache, &mut self.tables);
         }
         match page.pairs.last() {
             Some(last) if page.truncated => self.task_loading.next_page_from = Some(last.key.clone()),
@@ -92,22 +92,22 @@
     }
 
     /// Reads a record again whose last write may or may not have been applied.
-    pub(super) fn resync_record(&mut self, net: &mut Net, now: Ms, stamp: u64, key: String) {
+    pub(super) fn resync_record(&mut self, net: &mut Net, now: Millis, revision: u64, key: String) {
         if self.task_loading.resync.due(now) && self.budgets.reads.take(now, 1.0, Urgency::Cancel).is_ok() {
             self.task_loading.resync.in_flight = true;
             let call = StateCall::read(format!("/store/{key}"), STATE_TIMEOUT_MS);
-            self.ask_state(net, Pending::Resync { stamp, key }, call);
+            self.ask_state(net, Pending::Resync { revision, key }, call);
         }
     }
 
     /// A record that was read again came.
-    pub(super) fn resynced(&mut self, now: Ms, stamp: u64, key: &str, result: &Result<Reply, CallError>) {
+    pub(super) fn resynced(&mut self, now: Millis, revision: u64, key: &str, result: &Result<Reply, CallError>) {
         self.task_loading.resync.in_flight = false;
-        let Some(leader) = self.leader.as_mut().filter(|leader| leader.stamp == stamp) else { return };
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.revision == revision) else { return };
         match status(result) {
             OK => {
                 if let Some(pair) = body::<Pair>(result) {
-                    leader.resynced(now, key, Some((pair.v, pair.stamp)));
+                    leader.resynced(now, key, Some((pair.v, pair.revision)));
                 }
             }
             NOT_FOUND => leader.resynced(now, key, None),
--- a/src/node/tests/cancel.rs
+++ b/src/controller/tests/cancel.rs
@@ -18,7 +18,7 @@
     let event_loop = EventLoop::try_new().unwrap();
     let mut net = Net::new(&event_loop, Limits { sockets: 100, idle_ms: 1_000, head_ms: 1_000, stale_ms: 1_000 });
     let settings = Settings::parse(&SAMPLE.replacen("[cluster.cloud]", LOWERED, 1), "x.toml").unwrap();
-    let node = Node::new(settings, Operator::default(), &mut net);
+    let controller = Controller::new(settings, Operator::default(), &mut net);
     let small: Submission = cbor::decode(&cbor::encode(&crate::protocol::jobs::tests::sample())).unwrap();
     let names = |count: usize, bytes: usize| Some(vec!["t".repeat(bytes); count]);
     // (machine types, prerequisites, whether both are kept)
@@ -30,10 +30,10 @@
     ];
     for (types, prereqs, kept) in cases {
         let submission = Submission { types, prereqs, ..small.clone() };
-        let pending = JobRecord { submission, status: Status::Pending, at_ms: 5, chunk: 64 };
-        let cancelled = node.cancelled(&pending);
-        assert!(node.fits_a_value(&cancelled), "{pending:?}");
-        assert_eq!((cancelled.status, cancelled.at_ms, cancelled.chunk), (Status::Cancelled, 5, 64));
+        let pending = JobRecord { submission, status: JobStatus::Pending, at_ms: 5, chunk: 64 };
+        let cancelled = controller.cancelled(&pending);
+        assert!(controller.fits_a_value(&cancelled), "{pending:?}");
+        assert_eq!((cancelled.status, cancelled.at_ms, cancelled.chunk), (JobStatus::Cancelled, 5, 64));
         assert_eq!(cancelled.submission == pending.submission, kept, "{pending:?}");
         // What the tasks that are being stopped occupy stays known.
         assert_eq!((cancelled.submission.tasks, cancelled.submission.cpus), (small.tasks, small.cpus));
--- a/src/node/tests/routes.rs
+++ b/src/controller/tests/routes.rs
@@ -3,7 +3,7 @@
 #[test]
 fn routes_table() {
     let cases = [
-        ("POST", "/checkin", Some(Route::Report)),
+        ("POST", "/checkin", Some(Route::Heartbeat)),
         ("GET", "/checkin", Some(Route::MethodNotAllowed)),
         ("GET", "/ready", Some(Route::Ready)),
         ("HEAD", "/ready", Some(Route::Ready)),
--- a/src/node/tests/wiring.rs
+++ b/src/controller/tests/wiring.rs
@@ -1,15 +1,15 @@
 use calloop::EventLoop;
 
-use super::{super::health::StateHealth, Node, Pending};
+use super::{super::health::StateHealth, Controller, Pending};
 use crate::{
-    bookkeeping::records::LeaderRecord,
-    coordination::model::{MachineIx, Ms},
+    coordination::model::{MachineIndex, Millis},
     protocol::{
         cbor,
         operator::Operator,
         settings::{tests::SAMPLE, Settings},
         store::{Changes, Page},
     },
+    storage::records::LeaderRecord,
     transport::{CallError, Limits, Net, Reply},
 };
 
@@ -26,15 +26,15 @@
     for (has_next, status, before, after) in cases {
         let mut net = Net::new(&event_loop, Limits { ..limits });
         let text = if has_next { SAMPLE.replacen("[cluster.cloud]", NEXT, 1) } else { SAMPLE.to_owned() };
-        let mut node = Node::new(Settings::parse(&text, "x.toml").unwrap(), Operator::default(), &mut net);
-        let sizes = (node.leader_config().txn_ops, node.leader_config().value_fit);
+        let mut controller = Controller::new(Settings::parse(&text, "x.toml").unwrap(), Operator::default(), &mut net);
+        let sizes = (controller.leader_config().txn_ops, controller.leader_config().value_fit);
         assert_eq!(sizes, if has_next { (4, 2_048) } else { (24, 16_384) });
-        node.set_budgets(1_000, true);
-        assert_eq!(node.budgets.commits.burst(), before);
+        controller.set_budgets(1_000, true);
+        assert_eq!(controller.budgets.commits.burst(), before);
         for _ in 0..2 {
-            node.state_answered(1_000, &Ok(Reply { status, body: Vec::new(), close: false }));
-            node.set_budgets(1_000, true);
-            assert_eq!(node.budgets.commits.burst(), after, "{has_next} {status}");
+            controller.state_answered(1_000, &Ok(Reply { status, body: Vec::new(), close: false }));
+            controller.set_budgets(1_000, true);
+            assert_eq!(controller.budgets.commits.burst(), after, "{has_next} {status}");
         }
     }
 }
@@ -47,16 +47,16 @@
     let event_loop = EventLoop::try_new().unwrap();
     let limits = Limits { sockets: 100, idle_ms: 1_000, head_ms: 1_000, stale_ms: 1_000 };
     let mut net = Net::new(&event_loop, limits);
-    let mut node = Node::new(Settings::parse(SAMPLE, "x.toml").unwrap(), Operator::default(), &mut net);
+    let mut controller = Controller::new(Settings::parse(SAMPLE, "x.toml").unwrap(), Operator::default(), &mut net);
     let answered = |status| Ok(Reply { status, body: Vec::new(), close: false });
-    let probe = || Pending::Probe { stamp: 1, machine: MachineIx(0) };
-    let list = || Pending::ListHosts { stamp: 1, call: 1 };
+    let probe = || Pending::Probe { revision: 1, machine: MachineIndex(0) };
+    let list = || Pending::ListHosts { revision: 1, call: 1 };
     // (what the reply is for, the reply, whether it tells of the state service)
     let cases = [
         (probe(), answered(200), false),
         (probe(), answered(503), false),
         (probe(), Err(CallError::Unknown), false),
-        (Pending::Orders { stamp: 1, machine: MachineIx(0), call: 1 }, Err(CallError::Unknown), false),
+        (Pending::Commands { revision: 1, machine: MachineIndex(0), call: 1 }, Err(CallError::Unknown), false),
         (list(), answered(200), false),
         (list(), answered(503), false),
         (Pending::VersionRead, answered(200), true),
@@ -66,9 +66,9 @@
     for (i, (pending, result, tells)) in cases.into_iter().enumerate() {
         let is_failure = result.as_ref().map_or(true, |reply: &Reply| reply.status == 503);
         // As it was before: failing where the reply would clear that, and the reverse.
-        node.state_health = StateHealth { last_answer: 0, failing_since: (!is_failure).then_some(0) };
-        node.handle_reply(&mut net, pending, result);
-        let changed = node.state_health.failing_since.is_some() == is_failure;
+        controller.state_health = StateHealth { last_answer: 0, failing_since: (!is_failure).then_some(0) };
+        controller.handle_reply(&mut net, pending, result);
+        let changed = controller.state_health.failing_since.is_some() == is_failure;
         assert_eq!(changed, tells, "case {i}");
     }
 }
@@ -81,8 +81,8 @@
     let limits = Limits { sockets: 100, idle_ms: 1_000, head_ms: 1_000, stale_ms: 1_000 };
     let mut net = Net::new(&event_loop, limits);
     let settings = Settings::parse(&SAMPLE.replacen("[outside]", SEED, 1), "x.toml").unwrap();
-    let mut node = Node::new(settings, Operator::default(), &mut net);
-    const NOW: Ms = 100_000;
+    let mut controller = Controller::new(settings, Operator::default(), &mut net);
+    const NOW: Millis = 100_000;
     // (who holds the key, peer last heard, says it leads, state service
     // last answered, has been failing, whom workers are sent to)
     let cases = [
@@ -98,12 +98,12 @@
     ];
     for (i, (key, heard, leads, answered, failing, want)) in cases.into_iter().enumerate() {
         let rec = key.map(|l| LeaderRecord { label: l.to_owned(), nonce: 9 });
-        node.election.saw_key(NOW, rec, 10 + i as u64);
-        node.peers.list[0].heard = heard.map(|ms| NOW - ms);
-        node.peers.list[0].leading = leads;
-        node.state_health.last_answer = NOW - answered;
-        node.state_health.failing_since = failing.then_some(NOW - 200);
-        assert_eq!(node.leader_hint(NOW), want, "case {i}");
+        controller.election.saw_key(NOW, rec, 10 + i as u64);
+        controller.peers.list[0].heard = heard.map(|ms| NOW - ms);
+        controller.peers.list[0].leading = leads;
+        controller.state_health.last_answer = NOW - answered;
+        controller.state_health.failing_since = failing.then_some(NOW - 200);
+        assert_eq!(controller.leader_hint(NOW), want, "case {i}");
     }
 }
 
@@ -115,28 +115,28 @@
     let event_loop = EventLoop::try_new().unwrap();
     let limits = Limits { sockets: 100, idle_ms: 1_000, head_ms: 1_000, stale_ms: 1_000 };
     let mut net = Net::new(&event_loop, limits);
-    let mut node = Node::new(Settings::parse(SAMPLE, "x.toml").unwrap(), Operator::default(), &mut net);
+    let mut controller = Controller::new(Settings::parse(SAMPLE, "x.toml").unwrap(), Operator::default(), &mut net);
     let page = |truncated| Page { pairs: Vec::new(), truncated, epoch: 7 };
     let changes = |status| {
         let body = cbor::encode(&Changes { epoch: 9, events: Vec::new() });
         Ok(Reply { status, body, close: false })
     };
-    const NOW: Ms = 20_000;
+    const NOW: Millis = 20_000;
     // (what happens before, the answer to the read, whether it counts)
     let cases = [("nothing", 200, false), ("one page", 200, false), ("all", 200, true), ("all", 503, false)];
     for (i, (before, status, counts)) in cases.into_iter().enumerate() {
-        let mut fresh = Node::new(node.settings.clone(), Operator::default(), &mut net);
-        std::mem::swap(&mut node, &mut fresh);
+        let mut fresh = Controller::new(controller.settings.clone(), Operator::default(), &mut net);
+        std::mem::swap(&mut controller, &mut fresh);
         match before {
-            "one page" => node.job_cache.page(&page(true), true, &mut node.tables),
-            "all" => node.job_cache.page(&page(false), true, &mut node.tables),
+            "one page" => controller.job_cache.page(&page(true), true, &mut controller.tables),
+            "all" => controller.job_cache.page(&page(false), true, &mut controller.tables),
             _ => {}
         }
-        assert_eq!(node.apply_changes(NOW, &changes(status)), counts, "case {i}");
-        assert_eq!(node.renewal_right.may_renew(NOW + 10), counts, "case {i}");
+        assert_eq!(controller.apply_changes(NOW, &changes(status)), counts, "case {i}");
+        assert_eq!(controller.renewal_right.may_renew(NOW + 10), counts, "case {i}");
     }
     // Too old a place to read on from: all is read anew, and until then nothing counts.
-    node.job_cache.page(&page(false), true, &mut node.tables);
-    assert!(!node.apply_changes(NOW, &changes(410)) && !node.job_cache.loaded());
-    assert!(!node.apply_changes(NOW, &changes(200)) && !node.renewal_right.may_renew(NOW + 10));
+    controller.job_cache.page(&page(false), true, &mut controller.tables);
+    assert!(!controller.apply_changes(NOW, &changes(410)) && !controller.job_cache.loaded());
+    assert!(!controller.apply_changes(NOW, &changes(200)) && !controller.renewal_right.may_renew(NOW + 10));
 }
--- a/src/node/upgrade.rs
+++ b/src/controller/upgrade.rs
@@ -4,27 +4,27 @@
     calls::{Pending, StateCall, SLOW_STATE_TIMEOUT_MS},
     poll_loop::PollLoop,
     replies::{body, status},
-    wiring::Node,
+    wiring::Controller,
 };
 use crate::{
-    bookkeeping::{
-        budget::Urgency,
-        records,
-        versions::{version_key, Evidence, VersionRecord, VERSION, VERSIONS},
-    },
-    coordination::model::Ms,
+    coordination::model::Millis,
     protocol::{
         settings::Settings,
         store::{Op, Page, Txn},
     },
+    storage::{
+        budget::Urgency,
+        records,
+        versions::{version_key, Evidence, VersionRecord, VERSION, VERSIONS},
+    },
     transport::{http::status::OK, CallError, Net, Reply},
 };
 
 /// Interval, in ms, at which the version keys are read while some are missing.
-const POLL_MS: Ms = 1_000;
+const POLL_MS: Millis = 1_000;
 /// The same once none is missing: an operator who rolls a controller back
 /// removes its key first.
-const COMPLETE_POLL_MS: Ms = 10_000;
+const COMPLETE_POLL_MS: Millis = 10_000;
 
 /// What is known of the versions that the controllers run.
 #[derive(Debug)]
@@ -54,9 +54,9 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Writes this controller's key once, then reads those of all controllers.
-    pub(super) fn refresh_versions(&mut self, net: &mut Net, now: Ms) {
+    pub(super) fn refresh_versions(&mut self, net: &mut Net, now: Millis) {
         if self.versions.own_key_written {
             self.read_versions(net, now);
         } else {
@@ -64,7 +64,7 @@
         }
     }
 
-    fn write_version(&mut self, net: &mut Net, now: Ms) {
+    fn write_version(&mut self, net: &mut Net, now: Millis) {
         if !self.versions.write.due(now)
             || self.budgets.reads.take(now, 1.0, Urgency::Submit).is_err()
             || self.budgets.writes.take(now, 1.0, Urgency::Submit).is_err()
@@ -82,7 +82,7 @@
         self.ask_state(net, Pending::VersionWrite, call);
     }
 
-    fn read_versions(&mut self, net: &mut Net, now: Ms) {
+    fn read_versions(&mut self, net: &mut Net, now: Millis) {
         if !self.versions.read.due(now) || self.budgets.reads.take(now, 1.0, Urgency::Submit).is_err() {
             return;
         }
@@ -92,13 +92,13 @@
     }
 
     /// The write of this controller's key ended.
-    pub(super) fn version_written(&mut self, now: Ms, result: &Result<Reply, CallError>) {
+    pub(super) fn version_written(&mut self, now: Millis, result: &Result<Reply, CallError>) {
         self.versions.own_key_written = status(result) == OK;
         self.versions.write.finish(now + POLL_MS);
     }
 
     /// The listing of the version keys came.
-    pub(super) fn version_page(&mut self, now: Ms, result: &Result<Reply, CallError>) {
+    pub(super) fn version_page(&mut self, now: Millis, result: &Result<Reply, CallError>) {
         self.versions.read.finish(now + POLL_MS);
         let Some(page) = body::<Page>(result).filter(|page| !page.truncated) else { return };
         let evidence = &mut self.versions.evidence;
--- a/src/node/users/cancel.rs
+++ b/src/controller/users/cancel.rs
@@ -5,36 +5,36 @@
 
 use super::{RecordWrite, WriteOutcome};
 use crate::{
-    bookkeeping::{
-        budget::Urgency,
-        records::{self, JobRecord, Status},
-    },
-    node::wiring::{Node, Pending, Waiter},
+    controller::wiring::{Controller, Pending, Waiter},
     protocol::{
         jobs::{valid_id, Submission},
         store::Condition,
     },
+    storage::{
+        budget::Urgency,
+        records::{self, JobRecord, JobStatus},
+    },
     transport::{CallError, ConnId, Net, Reply},
 };
 
 /// How often a cancellation is tried again when the job's record changes.
 const ABORT_RETRIES: u32 = 3;
 
-impl Node {
+impl Controller {
     /// `POST /api/jobs/{id}/abort`
     pub fn abort(&mut self, net: &mut Net, conn: ConnId, id: String, tries: u32) {
         if !valid_id(&id) {
             return net.respond(conn, 404, None, b"");
         }
         match self.job_cache.find(&id) {
-            Some(ix) if self.is_over(ix) => self.known_job_answer(net, conn, ix),
-            Some(ix) => {
-                let entry = self.job_cache.get(ix);
-                let (Some(pending), stamp) = (entry.record.clone(), entry.stamp) else {
+            Some(index) if self.is_over(index) => self.known_job_answer(net, conn, index),
+            Some(index) => {
+                let entry = self.job_cache.get(index);
+                let (Some(pending), revision) = (entry.record.clone(), entry.revision) else {
                     return self.unavailable(net, conn);
                 };
                 let record = Rc::new(self.cancelled(&pending));
-                let conditions = vec![Condition { key: records::job_key(&id), stamp }];
+                let conditions = vec![Condition { key: records::job_key(&id), revision }];
                 let write = RecordWrite {
                     conn,
                     urgency: Urgency::Cancel,
@@ -45,7 +45,7 @@
                 self.write_record(net, write, Pending::Abort { conn, id, record, tries });
             }
             None if !self.job_cache.loaded() => self.unavailable(net, conn),
-            None => self.barrier.join(net.now(), Waiter::Abort { conn, id, tries }),
+            None => self.read_barrier.join(net.now(), Waiter::Abort { conn, id, tries }),
         }
     }
 
@@ -53,7 +53,7 @@
     /// under a larger limit must still fit, or the cancellation would be refused
     /// for ever. What only matters for starts can go.
     fn cancelled(&self, pending: &JobRecord) -> JobRecord {
-        let record = JobRecord { status: Status::Cancelled, ..pending.clone() };
+        let record = JobRecord { status: JobStatus::Cancelled, ..pending.clone() };
         if self.fits_a_value(&record) {
             return record;
         }
@@ -73,14 +73,14 @@
     ) {
         match self.record_written(net, conn, &id, record, &result) {
             WriteOutcome::Applied => {
-                if let Some(stamp) = self.job_cache.find(&id).map(|ix| self.job_cache.get(ix).stamp) {
-                    self.tell_cancelled(net, net.now(), &id, stamp);
+                if let Some(revision) = self.job_cache.find(&id).map(|index| self.job_cache.get(index).revision) {
+                    self.tell_cancelled(net, net.now(), &id, revision);
                 }
                 self.job_answer(net, conn, 200, &id, "cancelled");
             }
             // Done or cancelled in the meantime: read, then decide again.
             WriteOutcome::Conflict if tries < ABORT_RETRIES => {
-                self.barrier.join(net.now(), Waiter::Abort { conn, id, tries: tries + 1 });
+                self.read_barrier.join(net.now(), Waiter::Abort { conn, id, tries: tries + 1 });
             }
             WriteOutcome::Conflict => self.unavailable(net, conn),
             WriteOutcome::Answered => {}
--- a/src/node/users/mod.rs
+++ b/src/controller/users/mod.rs
@@ -7,19 +7,19 @@
 
 use super::{
     calls::{StateCall, SLOW_STATE_TIMEOUT_MS},
-    wiring::{Node, Pending, Waiter},
+    wiring::{Controller, Pending, Waiter},
 };
 use crate::{
-    bookkeeping::{
-        budget::Urgency,
-        job_cache::{JobEntry, JobIx},
-        records::{self, JobRecord, Status},
-    },
     protocol::{
         cbor,
         jobs::{valid_id, JobAnswer, PollAnswer},
         store::{Condition, Epoch, Op, Txn},
     },
+    storage::{
+        budget::Urgency,
+        job_cache::{JobEntry, JobIndex},
+        records::{self, JobRecord, JobStatus},
+    },
     transport::{CallError, ConnId, Net, Reply},
 };
 
@@ -59,14 +59,14 @@
 
 fn status_word(entry: &JobEntry) -> &'static str {
     match entry.status {
-        Status::Done => "done",
-        Status::Cancelled => "cancelled",
-        Status::Pending if entry.running > 0 => "running",
-        Status::Pending => "pending",
+        JobStatus::Done => "done",
+        JobStatus::Cancelled => "cancelled",
+        JobStatus::Pending if entry.running > 0 => "running",
+        JobStatus::Pending => "pending",
     }
 }
 
-impl Node {
+impl Controller {
     /// Logs how users were answered, if some of them have to retry.
     pub fn log_user_responses(&mut self) {
         let counts = std::mem::take(&mut self.user_responses);
@@ -97,20 +97,20 @@
     }
 
     /// Answers 200 with the state of a known job.
-    fn known_job_answer(&self, net: &mut Net, conn: ConnId, ix: JobIx) {
-        let entry = self.job_cache.get(ix);
+    fn known_job_answer(&self, net: &mut Net, conn: ConnId, index: JobIndex) {
+        let entry = self.job_cache.get(index);
         self.job_answer(net, conn, 200, &entry.id, status_word(entry));
     }
 
-    fn poll_answer(&self, net: &mut Net, conn: ConnId, ix: JobIx) {
-        let entry = self.job_cache.get(ix);
+    fn poll_answer(&self, net: &mut Net, conn: ConnId, index: JobIndex) {
+        let entry = self.job_cache.get(index);
         let answer =
             PollAnswer { name_id: &entry.id, status: status_word(entry), done: entry.done, running: entry.running };
         net.respond(conn, 200, None, &cbor::encode(&answer));
     }
 
-    fn is_over(&self, ix: JobIx) -> bool {
-        self.job_cache.get(ix).status != Status::Pending
+    fn is_over(&self, index: JobIndex) -> bool {
+        self.job_cache.get(index).status != JobStatus::Pending
     }
 
     /// Sends a record's write if the budgets allow it now, and otherwise tells
@@ -165,9 +165,9 @@
             return net.respond(conn, 404, None, b"");
         }
         match self.job_cache.find(id) {
-            Some(ix) if self.is_over(ix) => self.poll_answer(net, conn, ix),
+            Some(index) if self.is_over(index) => self.poll_answer(net, conn, index),
             _ if !self.job_cache.loaded() => self.unavailable(net, conn),
-            _ => self.barrier.join(net.now(), Waiter::Poll { conn, id: id.to_owned() }),
+            _ => self.read_barrier.join(net.now(), Waiter::Poll { conn, id: id.to_owned() }),
         }
     }
 
@@ -182,22 +182,22 @@
     fn serve_one(&mut self, net: &mut Net, waiter: Waiter) {
         match waiter {
             Waiter::Poll { conn, id } => match self.job_cache.find(&id) {
-                Some(ix) => self.poll_answer(net, conn, ix),
+                Some(index) => self.poll_answer(net, conn, index),
                 None => net.respond(conn, 404, None, b""),
             },
             Waiter::Known { conn, id } => match self.job_cache.find(&id) {
-                Some(ix) => self.known_job_answer(net, conn, ix),
+                Some(index) => self.known_job_answer(net, conn, index),
                 None => self.unavailable(net, conn),
             },
             Waiter::Refuse { conn, id, status, why } => match self.job_cache.find(&id) {
-                Some(ix) => self.known_job_answer(net, conn, ix),
+                Some(index) => self.known_job_answer(net, conn, index),
                 None => {
                     tracing::info!(job = &*id, why, "can never run");
                     net.respond(conn, status, None, b"");
                 }
             },
             Waiter::Dependent { conn, id, record, tries } => match self.job_cache.find(&id) {
-                Some(ix) => self.known_job_answer(net, conn, ix),
+                Some(index) => self.known_job_answer(net, conn, index),
                 None => self.create_or_refuse(net, conn, id, record, tries),
             },
             Waiter::Abort { conn, id, tries } => match self.job_cache.find(&id) {
--- a/src/node/users/submit.rs
+++ b/src/controller/users/submit.rs
@@ -4,18 +4,18 @@
 
 use super::{status_word, RecordWrite, WriteOutcome};
 use crate::{
-    bookkeeping::{
-        budget::Urgency,
-        records::{self, JobRecord, Status},
-    },
+    controller::wiring::{wall_ms, Controller, Pending, Waiter},
     coordination::model::{fits_some_type, TeamLimits},
-    node::wiring::{wall_ms, Node, Pending, Waiter},
     protocol::{
         cbor,
         jobs::{JobSpec, Refusal, Submission},
-        names::TeamIx,
+        names::TeamIndex,
         store::Condition,
     },
+    storage::{
+        budget::Urgency,
+        records::{self, JobRecord, JobStatus},
+    },
     transport::{CallError, ConnId, Net, Reply},
 };
 
@@ -33,7 +33,7 @@
     Service,
 }
 
-impl Node {
+impl Controller {
     /// `POST /api/jobs`
     pub fn submit(&mut self, net: &mut Net, conn: ConnId, body: &[u8]) {
         let Ok(mut submission) = cbor::decode::<Submission>(body) else {
@@ -52,17 +52,17 @@
         let Some(id) = submission.name_id.clone() else {
             return net.respond(conn, 400, None, b"");
         };
-        if let Some(ix) = self.job_cache.find(&id) {
-            if self.is_over(ix) {
-                return self.known_job_answer(net, conn, ix);
+        if let Some(index) = self.job_cache.find(&id) {
+            if self.is_over(index) {
+                return self.known_job_answer(net, conn, index);
             }
-            return self.barrier.join(net.now(), Waiter::Known { conn, id });
+            return self.read_barrier.join(net.now(), Waiter::Known { conn, id });
         }
         if let Some(why) = self.never_runs(&checked) {
             return self.refuse(net, conn, id, 422, why);
         }
         let chunk = self.chunk_size();
-        let record = JobRecord { submission, status: Status::Pending, at_ms: wall_ms(), chunk };
+        let record = JobRecord { submission, status: JobStatus::Pending, at_ms: wall_ms(), chunk };
         if !self.fits_a_value(&record) {
             return self.refuse(net, conn, id, 400, "too long for a record");
         }
@@ -77,7 +77,7 @@
     /// Refuses a submission for good. Guard: never one of a job that was
     /// accepted, so a read comes first.
     fn refuse(&mut self, net: &Net, conn: ConnId, id: String, status: u16, why: &'static str) {
-        self.barrier.join(net.now(), Waiter::Refuse { conn, id, status, why });
+        self.read_barrier.join(net.now(), Waiter::Refuse { conn, id, status, why });
     }
 
     /// Why a well-formed job can never run.
@@ -91,7 +91,7 @@
     }
 
     /// The limits of a team; its guarantee doesn't matter here.
-    fn team_limits(&self, team: TeamIx) -> TeamLimits {
+    fn team_limits(&self, team: TeamIndex) -> TeamLimits {
         let set = |amount: f64| (amount > 0.0).then_some(amount);
         let team = self.settings.cluster.teams.get(team.at());
         team.map_or_else(TeamLimits::default, |team| TeamLimits {
@@ -114,8 +114,8 @@
             Prereqs::Accepted(conditions) => self.write_new_job(net, conn, id, record, tries, conditions),
             Prereqs::Unknown | Prereqs::Service => {
                 // The jobs of a pipeline are submitted one after another, to any controller.
-                self.barrier.expedite(net.now());
-                self.barrier.join(net.now(), Waiter::Dependent { conn, id, record, tries });
+                self.read_barrier.expedite(net.now());
+                self.read_barrier.join(net.now(), Waiter::Dependent { conn, id, record, tries });
             }
         }
     }
@@ -149,7 +149,7 @@
         tries: u32,
         prereqs_unchanged: Vec<Condition>,
     ) {
-        let mut conditions = vec![Condition { key: records::job_key(&id), stamp: 0 }];
+        let mut conditions = vec![Condition { key: records::job_key(&id), revision: 0 }];
         conditions.extend(prereqs_unchanged);
         let urgency = self.submission_urgency(&record);
         let write = RecordWrite { conn, urgency, conditions, id: id.clone(), record: (*record).clone() };
@@ -160,8 +160,8 @@
     /// submissions of the others.
     fn submission_urgency(&self, record: &JobRecord) -> Urgency {
         let team = record.submission.team.as_deref().unwrap_or_default();
-        if self.settings.cluster.is_without_guarantee(team) {
-            Urgency::UnguaranteedSubmit
+        if self.settings.cluster.is_best_effort(team) {
+            Urgency::BestEffortSubmit
         } else {
             Urgency::Submit
         }
@@ -174,12 +174,12 @@
         let mut conditions = Vec::new();
         let mut has_service = false;
         for prereq in record.submission.prereqs() {
-            let Some(ix) = self.job_cache.find(prereq) else { return Prereqs::Unknown };
-            has_service |= self.job_cache.is_service(ix);
+            let Some(index) = self.job_cache.find(prereq) else { return Prereqs::Unknown };
+            has_service |= self.job_cache.is_service(index);
             // A job that is over doesn't change any more.
-            if !self.is_over(ix) && conditions.len() < most {
-                let stamp = self.job_cache.get(ix).stamp;
-                conditions.push(Condition { key: records::job_key(prereq), stamp });
+            if !self.is_over(index) && conditions.len() < most {
+                let revision = self.job_cache.get(index).revision;
+                conditions.push(Condition { key: records::job_key(prereq), revision });
             }
         }
         if has_service {
@@ -202,15 +202,15 @@
             WriteOutcome::Applied => {
                 self.user_responses.accepted += 1;
                 // It is cancelled at once if it needs a cancelled job.
-                let word = self.job_cache.find(&id).map_or("pending", |ix| status_word(self.job_cache.get(ix)));
+                let word = self.job_cache.find(&id).map_or("pending", |index| status_word(self.job_cache.get(index)));
                 self.job_answer(net, conn, 201, &id, word);
             }
             WriteOutcome::Conflict if record.submission.prereqs().is_empty() => {
-                self.barrier.join(net.now(), Waiter::Known { conn, id });
+                self.read_barrier.join(net.now(), Waiter::Known { conn, id });
             }
             // The job exists, or one that it needs has changed.
             WriteOutcome::Conflict if tries < CREATE_RETRIES => {
-                self.barrier.join(net.now(), Waiter::Dependent { conn, id, record, tries: tries + 1 });
+                self.read_barrier.join(net.now(), Waiter::Dependent { conn, id, record, tries: tries + 1 });
             }
             WriteOutcome::Conflict => self.unavailable(net, conn),
             WriteOutcome::Answered => {}
--- a/src/node/waiters.rs
+++ b/src/controller/waiters.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use crate::{bookkeeping::records::JobRecord, transport::ConnId};
+use crate::{storage::records::JobRecord, transport::ConnId};
 
 /// A user's request, to be answered after the next read of the jobs' changes.
 #[derive(Debug)]
--- a/src/node/wiring.rs
+++ b/src/controller/wiring.rs
@@ -9,19 +9,19 @@
 };
 pub(super) use super::{calls::Pending, waiters::Waiter};
 use crate::{
-    bookkeeping::{barrier::Barrier, job_cache::JobCache},
     coordination::{
         election::Election,
         leader::Leader,
         lease_renewal::{self, RenewalRight},
-        model::{Ms, TypeInfo},
+        model::{MachineTypeSpec, Millis},
     },
     protocol::{names::Tables, operator::Operator, settings::Settings},
+    storage::{job_cache::JobCache, read_barrier::ReadBarrier},
     transport::{Event, Net},
 };
 
 /// One controller.
-pub(super) struct Node {
+pub(super) struct Controller {
     pub settings: Settings,
     pub operator: Operator,
     /// Identifies this start of the process.
@@ -33,9 +33,9 @@
     pub job_cache: JobCache,
     pub jobs: JobFeed,
     /// Users' requests that wait for a read.
-    pub barrier: Barrier<Waiter>,
+    pub read_barrier: ReadBarrier<Waiter>,
     /// The machine types, and when they are read again.
-    pub types: Vec<TypeInfo>,
+    pub types: Vec<MachineTypeSpec>,
     pub types_poll: PollLoop,
     /// Which controllers run this version.
     pub versions: VersionFeed,
@@ -45,12 +45,12 @@
     /// Present while this controller leads.
     pub leader: Option<Leader>,
     pub task_loading: TaskLoading,
-    /// Whether to resign is checked no earlier.
-    pub next_resign_check: Ms,
+    /// Whether to step down is checked no earlier.
+    pub next_step_down_check: Millis,
     /// The right to renew workers' leases without leading.
     pub renewal_right: RenewalRight,
     /// When a worker of another zone last reported here.
-    pub foreign_zone_report: Option<Ms>,
+    pub last_foreign_heartbeat: Option<Millis>,
 
     pub calls: PendingCalls,
     pub budgets: Budgets,
@@ -59,7 +59,7 @@
     pub gossip: GossipState,
     /// Outcomes of users' requests, and when they are logged next.
     pub user_responses: UserResponseCounts,
-    pub next_user_summary: Ms,
+    pub next_user_summary: Millis,
 }
 
 /// The time of day, in ms since the epoch.
@@ -87,17 +87,17 @@
     RenewalRight::new(lease_renewal::renewal_ms(workers.cancel_s, workers.lease_s), max_ms)
 }
 
-impl Node {
+impl Controller {
     /// A controller that knows nothing yet of the state service and its peers.
-    pub fn new(settings: Settings, operator: Operator, net: &mut Net) -> Node {
+    pub fn new(settings: Settings, operator: Operator, net: &mut Net) -> Controller {
         // 63 bits, as the state service's numbers are signed.
         let nonce: u64 = rand::random::<u64>() >> 1;
-        Node {
+        Controller {
             nonce,
             tables: configured_names(&settings),
             job_cache: JobCache::default(),
             jobs: JobFeed::default(),
-            barrier: Barrier::default(),
+            read_barrier: ReadBarrier::default(),
             types: Vec::new(),
             types_poll: PollLoop::default(),
             versions: VersionFeed::new(&settings),
@@ -105,9 +105,9 @@
             leader_key: LeaderKeyFeed::default(),
             leader: None,
             task_loading: TaskLoading::default(),
-            next_resign_check: 0,
+            next_step_down_check: 0,
             renewal_right: new_renewal_right(&settings),
-            foreign_zone_report: None,
+            last_foreign_heartbeat: None,
             calls: PendingCalls::default(),
             budgets: Budgets::new(&settings.cluster.state, &settings.cluster.cloud),
             state_health: StateHealth::default(),
--- a/src/coordination/fleet/consolidation.rs
+++ b/src/coordination/autoscaler/consolidation.rs
@@ -2,14 +2,14 @@
 
 use super::UNCROWDED_MS;
 use crate::{
-    bookkeeping::{job_cache::JobIx, records::Status},
     coordination::{
         leader::{Leader, SAVE_MARGIN_S},
-        model::{AssignmentIx, Job, Machine, MachineIx, MachineLifecycle, Ms, Res, TypeInfo},
+        model::{AssignmentIndex, Job, Machine, MachineIndex, MachineLifecycle, MachineTypeSpec, Millis, Resources},
         snapshot::RoomKind,
         trial::{HostFilter, TrialRequest, Verdict},
     },
     protocol::jobs::Kind,
+    storage::{job_cache::JobIndex, records::JobStatus},
 };
 
 /// A machine is vacated only if it costs more than this many times what its
@@ -18,42 +18,46 @@
 /// A machine with GPUs is expensive per CPU beyond this many times the cheapest.
 const GPU_PRICE_FACTOR: f64 = 2.0;
 /// A new leader vacates nothing for this many times [`UNCROWDED_MS`].
-const START_DELAY_FACTOR: Ms = 4;
-/// Machines tried in one step, the dearest first.
+const START_DELAY_FACTOR: Millis = 4;
+/// Machines tried in one step, the most expensive first.
 const CANDIDATES_PER_STEP: usize = 4;
 
-/// Machines drained of unguaranteed work in one step: their ends have to be written.
+/// Machines drained of best-effort work in one step: their ends have to be written.
 const DRAINS_PER_STEP: usize = 8;
 
 /// A machine that may be vacated.
 struct Candidate {
     price: f64,
-    machine: MachineIx,
+    machine: MachineIndex,
 }
 
 impl Leader {
     /// An expensive machine whose GPUs have no use takes no other work once
     /// nothing waits: it becomes empty and is handed back.
-    pub fn reserved_for_gpu_work(&self, now: Ms, machine: &Machine, machine_type: &TypeInfo) -> bool {
-        if machine_type.cap.gpus <= 0.0 || machine_type.cap.cpus <= 0.0 || self.fleet.is_crowded(now, machine_type.ix) {
+    pub fn reserved_for_gpu_work(&self, now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
+        if machine_type.capacity.gpus <= 0.0
+            || machine_type.capacity.cpus <= 0.0
+            || self.autoscaler.is_crowded(now, machine_type.index)
+        {
             return false;
         }
-        let price_per_cpu = |t: &TypeInfo| t.price_of(machine.spot) / t.cap.cpus;
-        let cheapest = self.types.iter().filter(|t| t.cap.cpus > 0.0).map(price_per_cpu).fold(f64::INFINITY, f64::min);
+        let price_per_cpu = |t: &MachineTypeSpec| t.price_of(machine.spot) / t.capacity.cpus;
+        let cheapest =
+            self.types.iter().filter(|t| t.capacity.cpus > 0.0).map(price_per_cpu).fold(f64::INFINITY, f64::min);
         machine.gpu_idle_since.is_some_and(|since| now > since + UNCROWDED_MS)
             && price_per_cpu(machine_type) > GPU_PRICE_FACTOR * cheapest
     }
 
-    /// When nothing waits, replicas on the dearest machine that holds nothing
+    /// When nothing waits, replicas on the most expensive machine that holds nothing
     /// else move to where there is room among others, and it goes back. A move
     /// costs a replica the moment between its stop and its start.
-    pub(super) fn consolidate(&mut self, now: Ms) {
-        self.drain_unguaranteed_work(now);
-        let is_crowded = now < self.fleet.crowded + UNCROWDED_MS;
+    pub(super) fn consolidate(&mut self, now: Millis) {
+        self.drain_best_effort_work(now);
+        let is_crowded = now < self.autoscaler.crowded + UNCROWDED_MS;
         if is_crowded || now < self.started + START_DELAY_FACTOR * UNCROWDED_MS {
             return;
         }
-        if self.machines.iter().any(|machine| machine.retiring && !machine.assignments.is_empty()) {
+        if self.machines.iter().any(|machine| machine.cordoned && !machine.assignments.is_empty()) {
             return;
         }
         let candidates = self.consolidation_candidates(now);
@@ -75,70 +79,70 @@
     ///
     /// Guard: such tasks may run for minutes, one after another: what they hold
     /// is as good as rented for them.
-    fn drain_unguaranteed_work(&mut self, now: Ms) {
-        let drained: Vec<MachineIx> = (0..self.machines.len() as u32)
-            .map(MachineIx)
-            .filter(|&ix| self.holds_only_unguaranteed_work(ix))
+    fn drain_best_effort_work(&mut self, now: Millis) {
+        let drained: Vec<MachineIndex> = (0..self.machines.len() as u32)
+            .map(MachineIndex)
+            .filter(|&index| self.holds_only_best_effort_work(index))
             .take(DRAINS_PER_STEP)
             .collect();
-        for ix in drained {
-            let machine = &mut self.machines[ix.at()];
+        for index in drained {
+            let machine = &mut self.machines[index.at()];
             tracing::info!(machine = &*machine.id, tasks = machine.assignments.len(), "drained of unguaranteed work");
-            machine.retiring = true;
-            for assignment_ix in machine.assignments.clone() {
-                let save_s = self.save_time_s(assignment_ix);
-                self.halt(now, assignment_ix, save_s);
+            machine.cordoned = true;
+            for assignment_index in machine.assignments.clone() {
+                let save_s = self.save_time_s(assignment_index);
+                self.halt(now, assignment_index, save_s);
             }
-            self.refresh(now, ix);
-            self.pass_needed = true;
+            self.refresh(now, index);
+            self.cycle_needed = true;
         }
     }
 
-    fn holds_only_unguaranteed_work(&self, ix: MachineIx) -> bool {
-        let machine = self.machine(ix);
-        let takes_gpu_work_only = self.snapshot.hosts.get(ix.at()).is_some_and(|host| host.gpu_only);
-        let may_be_drained = machine.lifecycle == MachineLifecycle::Up && !machine.retiring && machine.fenced();
+    fn holds_only_best_effort_work(&self, index: MachineIndex) -> bool {
+        let machine = self.machine(index);
+        let takes_gpu_work_only = self.snapshot.hosts.get(index.at()).is_some_and(|host| host.gpu_only);
+        let may_be_drained = machine.lifecycle == MachineLifecycle::Up && !machine.cordoned && machine.fenced();
         if !takes_gpu_work_only || !may_be_drained || machine.assignments.is_empty() {
             return false;
         }
-        let jobs = machine.assignments.iter().map(|&assignment_ix| {
-            let assignment = self.assignment(assignment_ix)?;
+        let jobs = machine.assignments.iter().map(|&assignment_index| {
+            let assignment = self.assignment(assignment_index)?;
             self.job(assignment.job)
         });
         let is_drainable = |job: &Job| {
-            job.spec.checkpoint_s > 0.0 && job.spec.kind == Kind::Array && self.is_without_guarantee(job.spec.team)
+            job.spec.checkpoint_s > 0.0 && job.spec.kind == Kind::Array && self.is_best_effort(job.spec.team)
         };
         jobs.into_iter().all(|job| job.is_some_and(is_drainable))
     }
 
     /// The grace in which a task saves what it did.
-    fn save_time_s(&self, ix: AssignmentIx) -> f64 {
-        let job = self.assignment(ix).and_then(|assignment| self.job(assignment.job));
+    fn save_time_s(&self, index: AssignmentIndex) -> f64 {
+        let job = self.assignment(index).and_then(|assignment| self.job(assignment.job));
         job.map_or(0.0, |job| job.spec.save_s + SAVE_MARGIN_S)
     }
 
-    /// Machines that may be vacated, the dearest first.
-    fn consolidation_candidates(&self, now: Ms) -> Vec<Candidate> {
+    /// Machines that may be vacated, the most expensive first.
+    fn consolidation_candidates(&self, now: Millis) -> Vec<Candidate> {
         let mut candidates: Vec<Candidate> = Vec::new();
         for (n, machine) in self.machines.iter().enumerate() {
             if machine.lifecycle != MachineLifecycle::Up
-                || machine.retiring
+                || machine.cordoned
                 || machine.assignments.is_empty()
                 || !machine.fenced()
                 || !self.is_settled(now, machine.up_at)
             {
                 continue;
             }
-            let all_movable = machine.assignments.iter().all(|&ix| self.is_movable_replica(now, ix));
+            let all_movable = machine.assignments.iter().all(|&index| self.is_movable_replica(now, index));
             let price = self.type_of(machine).map_or(0.0, |machine_type| machine_type.price_of(machine.spot));
             let fair_price: f64 = machine
                 .assignments
                 .iter()
-                .filter_map(|&ix| self.assignment(ix))
+                .filter_map(|&index| self.assignment(index))
                 .map(|assignment| self.fair_price(assignment.job))
                 .sum();
             if all_movable && price > PRICE_FACTOR * fair_price {
-                candidates.push(Candidate { price, machine: MachineIx(n as u32) });
+                candidates.push(Candidate { price, machine: MachineIndex(n as u32) });
             }
         }
         candidates.sort_by(|a, b| b.price.total_cmp(&a.price));
@@ -146,27 +150,27 @@
     }
 
     /// Whether something has lasted long enough to be left alone no longer.
-    fn is_settled(&self, now: Ms, since: Option<Ms>) -> bool {
+    fn is_settled(&self, now: Millis, since: Option<Millis>) -> bool {
         since.is_some_and(|since| now > since + self.cfg.idle_keep_ms)
     }
 
     /// A service replica without GPUs that has been running for a while.
-    fn is_movable_replica(&self, now: Ms, ix: AssignmentIx) -> bool {
-        let Some(assignment) = self.assignment(ix) else { return false };
-        let is_replica = self
-            .job(assignment.job)
-            .is_some_and(|job| job.spec.kind == Kind::Service && job.status == Status::Pending && job.spec.gpus <= 0.0);
+    fn is_movable_replica(&self, now: Millis, index: AssignmentIndex) -> bool {
+        let Some(assignment) = self.assignment(index) else { return false };
+        let is_replica = self.job(assignment.job).is_some_and(|job| {
+            job.spec.kind == Kind::Service && job.status == JobStatus::Pending && job.spec.gpus <= 0.0
+        });
         is_replica && self.is_settled(now, assignment.running_since) && assignment.halt.is_none()
     }
 
     /// Whether everything on a machine finds room on machines that hold
     /// something; what is found stays reserved.
-    fn find_room_for_all(&mut self, machine: MachineIx) -> bool {
+    fn find_room_for_all(&mut self, machine: MachineIndex) -> bool {
         let assignments = self.machine(machine).assignments.clone();
         assignments.into_iter().all(|assignment| self.find_room_elsewhere(machine, assignment))
     }
 
-    fn vacate(&mut self, now: Ms, candidate: &Candidate) {
+    fn vacate(&mut self, now: Millis, candidate: &Candidate) {
         let machine = &mut self.machines[candidate.machine.at()];
         tracing::info!(
             machine = &*machine.id,
@@ -174,18 +178,18 @@
             replicas = machine.assignments.len(),
             "its replicas move, it goes back"
         );
-        machine.retiring = true;
+        machine.cordoned = true;
         for assignment in machine.assignments.clone() {
             self.halt(now, assignment, 0.0);
         }
         self.refresh(now, candidate.machine);
-        self.pass_needed = true;
+        self.cycle_needed = true;
     }
 
     /// Reserves room elsewhere for a replica on `from`, on a machine that has
     /// its image.
-    fn find_room_elsewhere(&mut self, from: MachineIx, ix: AssignmentIx) -> bool {
-        let Some(assignment) = self.assignment(ix) else { return false };
+    fn find_room_elsewhere(&mut self, from: MachineIndex, index: AssignmentIndex) -> bool {
+        let Some(assignment) = self.assignment(index) else { return false };
         let Some(job) = self.job(assignment.job) else { return false };
         let spec = job.spec.clone();
         let task = assignment.task;
@@ -204,22 +208,22 @@
             hosts: HostFilter::BusyOnly,
         });
         for pick in &outcome.picks {
-            self.snapshot.reserve(pick.host, Res::of(&spec), Res::default());
+            self.snapshot.reserve(pick.host, Resources::of(&spec), Resources::default());
         }
         outcome.verdict == Verdict::Success
             && outcome.picks.iter().all(|pick| self.snapshot.hosts[pick.host].has_image(spec.image))
     }
 
     /// What a task of this job costs an hour on the machine type that suits it best.
-    fn fair_price(&self, job: JobIx) -> f64 {
+    fn fair_price(&self, job: JobIndex) -> f64 {
         let Some(job) = self.job(job) else { return 0.0 };
-        let need = Res::of(&job.spec);
-        let price_per_task = |machine_type: &TypeInfo| {
-            machine_type.price_of(job.spec.spot) / f64::from(need.times_in(&machine_type.cap).max(1))
+        let need = Resources::of(&job.spec);
+        let price_per_task = |machine_type: &MachineTypeSpec| {
+            machine_type.price_of(job.spec.spot) / f64::from(need.times_in(&machine_type.capacity).max(1))
         };
         self.types
             .iter()
-            .filter(|machine_type| need.fits_in(&machine_type.cap) && job.spec.allows_type(machine_type.ix))
+            .filter(|machine_type| need.fits_in(&machine_type.capacity) && job.spec.allows_type(machine_type.index))
             .map(price_per_task)
             .fold(f64::INFINITY, f64::min)
     }
--- a/src/coordination/fleet/lateness.rs
+++ b/src/coordination/autoscaler/lateness.rs
@@ -5,9 +5,9 @@
 use crate::{
     coordination::{
         leader::Leader,
-        model::{Machine, MachineLifecycle, Ms, TypeInfo},
+        model::{Machine, MachineLifecycle, MachineTypeSpec, Millis},
     },
-    protocol::names::TypeIx,
+    protocol::names::MachineTypeIndex,
 };
 
 /// A machine is late after this many milliseconds per second of its type's boot
@@ -16,7 +16,7 @@
 /// ...this long.
 const LATE_SLACK_MS: f64 = 5_000.0;
 /// Machines of a type that came up within this time speak for the type.
-const CAME_UP_MEMORY_MS: Ms = 120_000;
+const CAME_UP_MEMORY_MS: Millis = 120_000;
 /// Fewest late machines that speak against their type: one may never come up.
 const LATE_MACHINES_MIN: u32 = 2;
 
@@ -29,17 +29,17 @@
 
 impl Leader {
     /// Whether a machine should have come up by now.
-    pub(super) fn is_late(&self, now: Ms, machine: &Machine, machine_type: &TypeInfo) -> bool {
+    pub(super) fn is_late(&self, now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
         let waited_ms = now.saturating_sub(machine.rented_at) as f64;
         waited_ms > machine_type.boot_s * LATE_MS_PER_BOOT_S + LATE_SLACK_MS
     }
 
     /// Notes the types of which more machines are late than came up lately.
-    pub(super) fn note_late_types(&mut self, now: Ms) {
-        let mut records: HashMap<TypeIx, BootRecord> = HashMap::new();
+    pub(super) fn note_late_types(&mut self, now: Millis) {
+        let mut records: HashMap<MachineTypeIndex, BootRecord> = HashMap::new();
         for machine in &self.machines {
             let Some(machine_type) = self.type_of(machine) else { continue };
-            let record = records.entry(machine_type.ix).or_default();
+            let record = records.entry(machine_type.index).or_default();
             match machine.lifecycle {
                 MachineLifecycle::Booting if !machine.is_inherited_unheard() => {
                     record.late += u32::from(self.is_late(now, machine, machine_type));
@@ -53,7 +53,7 @@
         }
         let late_types =
             records.into_iter().filter(|(_, record)| record.is_late()).map(|(machine_type, _)| machine_type);
-        self.fleet.late_types = late_types.collect();
+        self.autoscaler.late_types = late_types.collect();
     }
 }
 
--- a/src/coordination/fleet/listing.rs
+++ b/src/coordination/autoscaler/listing.rs
@@ -4,7 +4,7 @@
 use crate::{
     coordination::{
         leader::{Effect, Leader},
-        model::{MachineLifecycle, Ms},
+        model::{MachineLifecycle, Millis},
     },
     protocol::{
         cloud::{HostList, HostState, ListedHost},
@@ -22,32 +22,32 @@
     /// list never came to its end while rentals used up the cloud's limit.
     pub(super) fn list_machines(&mut self) {
         let call = self.call_id();
-        self.fleet.calls.insert(call, Call::List);
-        let from = self.fleet.list_from.clone();
+        self.autoscaler.calls.insert(call, Call::List);
+        let from = self.autoscaler.list_from.clone();
         self.push_effect(Effect::List { call, from });
     }
 
     /// How a listing ended. `None`: it failed.
-    pub fn listed(&mut self, now: Ms, call: u64, list: Option<&HostList>, tables: &mut Tables) {
-        self.fleet.calls.remove(&call);
+    pub fn listed(&mut self, now: Millis, call: u64, list: Option<&HostList>, tables: &mut Tables) {
+        self.autoscaler.calls.remove(&call);
         let Some(list) = list else { return };
-        self.fleet.listed_once = true;
-        self.fleet.cloud_ok = now;
+        self.autoscaler.listed_once = true;
+        self.autoscaler.cloud_ok = now;
         for host in &list.hosts {
-            self.take_listed_host(now, host, tables);
+            self.apply_listed_host(now, host, tables);
         }
         let last = list.hosts.last().filter(|_| list.truncated);
-        self.fleet.list_from = last.map(|host| host.id.clone());
-        if self.fleet.list_from.is_some() {
+        self.autoscaler.list_from = last.map(|host| host.id.clone());
+        if self.autoscaler.list_from.is_some() {
             self.list_machines();
         }
     }
 
-    fn take_listed_host(&mut self, now: Ms, host: &ListedHost, tables: &mut Tables) {
+    fn apply_listed_host(&mut self, now: Millis, host: &ListedHost, tables: &mut Tables) {
         let zone = tables.zones.intern(&host.zone);
-        let is_known = self.machine_ix.contains_key(&host.id);
-        let ix = self.machine_named(now, &host.id, zone);
-        let machine = &mut self.machines[ix.at()];
+        let is_known = self.machine_index.contains_key(&host.id);
+        let index = self.machine_named(now, &host.id, zone);
+        let machine = &mut self.machines[index.at()];
         if machine.lifecycle == MachineLifecycle::Gone {
             return; // lists lag
         }
@@ -59,7 +59,7 @@
             machine.addr = machine.addr.or(addr.parse().ok());
         }
         if !is_known {
-            let age_ms = (host.age_s.clamp(0.0, AGE_MAX_S) * 1000.0) as Ms;
+            let age_ms = (host.age_s.clamp(0.0, AGE_MAX_S) * 1000.0) as Millis;
             machine.rented_at = now.saturating_sub(age_ms);
             tracing::info!(machine = &*machine.id, state = ?host.state, "adopted from the list");
         }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -1,10 +1,10 @@
-//! The fleet: what is rented for work that waits, and what is handed back.
+//! The autoscaler: what is rented for work that waits, and what is handed back.
 
-mod arrivals;
 mod consolidation;
 mod lateness;
 mod listing;
 mod offers;
+mod pending_capacity;
 mod renting;
 mod returns;
 mod zone_demand;
@@ -14,32 +14,32 @@
 use self::offers::Offer;
 use super::{
     leader::Leader,
-    model::{MachineIx, Ms, Res, TypeInfo},
+    model::{MachineIndex, MachineTypeSpec, Millis, Resources},
 };
 use crate::{
-    bookkeeping::job_cache::JobIx,
     protocol::{
         cloud::RentRequest,
-        names::{Tables, TypeIx, ZoneIx},
+        names::{MachineTypeIndex, Tables, ZoneIndex},
     },
+    storage::job_cache::JobIndex,
 };
 
 /// Interval of decisions on rentals.
-const RENT_INTERVAL_MS: Ms = 250;
+const RENT_INTERVAL_MS: Millis = 250;
 /// Interval of listings of all machines at the cloud.
-const LIST_INTERVAL_MS: Ms = 2_500;
+const LIST_INTERVAL_MS: Millis = 2_500;
 /// Interval of decisions on returns.
-const RETURN_INTERVAL_MS: Ms = 400;
+const RETURN_INTERVAL_MS: Millis = 400;
 /// Interval of decisions on consolidation.
-const CONSOLIDATION_INTERVAL_MS: Ms = 2_000;
+const CONSOLIDATION_INTERVAL_MS: Millis = 2_000;
 /// Machines are only vacated once no work has waited for room for this long.
-const UNCROWDED_MS: Ms = 12_000;
+const UNCROWDED_MS: Millis = 12_000;
 
 /// A call to the cloud that is not answered yet.
 #[derive(Debug)]
 enum Call {
     Rent { offer: Offer, req: RentRequest },
-    Return(Vec<MachineIx>),
+    Return(Vec<MachineIndex>),
     List,
 }
 
@@ -48,32 +48,32 @@
 struct RentRetry {
     offer: Offer,
     req: RentRequest,
-    at: Ms,
+    at: Millis,
 }
 
 /// An offer that the cloud had no capacity for.
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
-    until: Ms,
+    until: Millis,
     /// How long the last wait was.
-    wait_ms: Ms,
+    wait_ms: Millis,
 }
 
-/// Tasks of a job that found no room in the last pass.
+/// Tasks of a job that found no room in the last scheduling cycle.
 #[derive(Debug, Clone, Copy)]
 pub struct UnmetDemand {
     /// The job.
-    pub job: JobIx,
+    pub job: JobIndex,
     /// How many of its tasks found no room.
     pub tasks: u32,
 }
 
 /// What the leader keeps about renting and returning machines.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct Autoscaler {
     nonce: u64,
     /// When the leadership began.
-    began: Ms,
+    began: Millis,
     request_count: u64,
     calls: HashMap<u64, Call>,
     /// Rental requests that went unanswered: sent again until it is known what
@@ -81,26 +81,26 @@
     retries: Vec<RentRetry>,
     backoffs: HashMap<Offer, Backoff>,
     /// Types whose machines come up late, as a rule, at present.
-    late_types: HashSet<TypeIx>,
-    /// What found no room in the last pass, in the order of the pass.
+    late_types: HashSet<MachineTypeIndex>,
+    /// What found no room in the last scheduling cycle, in the order of the scheduling cycle.
     pub unmet: Vec<UnmetDemand>,
-    next_list: Ms,
+    next_list: Millis,
     /// The machine after which the next page of the list begins; None: the list
     /// begins anew.
     list_from: Option<String>,
-    next_rent: Ms,
-    next_return: Ms,
-    next_consolidation: Ms,
+    next_rent: Millis,
+    next_return: Millis,
+    next_consolidation: Millis,
     /// All machines were listed at least once.
     pub listed_once: bool,
     /// Since when most machines of a zone have been heard from.
-    zone_heard_since: HashMap<ZoneIx, Ms>,
+    zone_heard_since: HashMap<ZoneIndex, Millis>,
     /// When the cloud last answered.
-    pub cloud_ok: Ms,
+    pub cloud_ok: Millis,
     /// When work last waited for room.
-    pub crowded: Ms,
+    pub crowded: Millis,
     /// The same of work that could run on machines of a type.
-    crowded_types: HashMap<TypeIx, Ms>,
+    crowded_types: HashMap<MachineTypeIndex, Millis>,
 }
 
 /// How a rental request ended.
@@ -116,10 +116,10 @@
     Malformed,
 }
 
-impl Fleet {
-    /// The fleet of a leadership that has listed no machines yet.
-    pub fn new(nonce: u64, now: Ms) -> Fleet {
-        Fleet {
+impl Autoscaler {
+    /// The autoscaler of a leadership that has listed no machines yet.
+    pub fn new(nonce: u64, now: Millis) -> Autoscaler {
+        Autoscaler {
             nonce,
             began: now,
             request_count: 0,
@@ -143,13 +143,13 @@
 
     /// Whether work that could run on machines of this type waited for room lately.
     /// A new leader has not seen yet what waits.
-    fn is_crowded(&self, now: Ms, machine_type: TypeIx) -> bool {
+    fn is_crowded(&self, now: Millis, machine_type: MachineTypeIndex) -> bool {
         let crowded_at = self.crowded_types.get(&machine_type).copied().unwrap_or(self.began);
         now < crowded_at + UNCROWDED_MS
     }
 
     /// Whether the cloud had no lack of this offer lately.
-    fn is_available(&self, now: Ms, offer: &Offer) -> bool {
+    fn is_available(&self, now: Millis, offer: &Offer) -> bool {
         self.backoffs.get(offer).is_none_or(|backoff| now >= backoff.until)
     }
 
@@ -163,25 +163,25 @@
 
 impl Leader {
     /// Lists, returns, consolidates and rents machines, each at its interval.
-    pub fn fleet_step(&mut self, now: Ms, tables: &Tables) {
-        let is_listing = self.fleet.calls.values().any(|call| matches!(call, Call::List));
-        if now >= self.fleet.next_list && !is_listing {
-            self.fleet.next_list = now + LIST_INTERVAL_MS;
+    pub fn autoscale(&mut self, now: Millis, tables: &Tables) {
+        let is_listing = self.autoscaler.calls.values().any(|call| matches!(call, Call::List));
+        if now >= self.autoscaler.next_list && !is_listing {
+            self.autoscaler.next_list = now + LIST_INTERVAL_MS;
             self.list_machines();
         }
-        if now >= self.fleet.next_return {
-            self.fleet.next_return = now + RETURN_INTERVAL_MS;
+        if now >= self.autoscaler.next_return {
+            self.autoscaler.next_return = now + RETURN_INTERVAL_MS;
             self.note_zones(now);
             self.note_late_types(now);
             self.return_machines(now);
         }
         self.note_crowding(now);
-        if now >= self.fleet.next_consolidation {
-            self.fleet.next_consolidation = now + CONSOLIDATION_INTERVAL_MS;
+        if now >= self.autoscaler.next_consolidation {
+            self.autoscaler.next_consolidation = now + CONSOLIDATION_INTERVAL_MS;
             self.consolidate(now);
         }
-        if now >= self.fleet.next_rent {
-            self.fleet.next_rent = now + RENT_INTERVAL_MS;
+        if now >= self.autoscaler.next_rent {
+            self.autoscaler.next_rent = now + RENT_INTERVAL_MS;
             self.rent(now, tables);
         }
     }
@@ -189,24 +189,24 @@
     /// vacated.
     ///
     /// Guard: a team without a guarantee may have work waiting at all times. Once
-    /// it has begun, it would keep each machine from going back, however dear; and
+    /// it has begun, it would keep each machine from going back, however expensive; and
     /// so would work that can't run on such a machine at all.
-    fn note_crowding(&mut self, now: Ms) {
-        let mut crowded_types: Vec<TypeIx> = Vec::new();
-        for unmet in &self.fleet.unmet {
+    fn note_crowding(&mut self, now: Millis) {
+        let mut crowded_types: Vec<MachineTypeIndex> = Vec::new();
+        for unmet in &self.autoscaler.unmet {
             let Some(job) = self.job(unmet.job) else { continue };
-            if job.placed > 0 && self.is_without_guarantee(job.spec.team) {
+            if job.placed > 0 && self.is_best_effort(job.spec.team) {
                 continue;
             }
-            let need = Res::of(&job.spec);
-            let usable = |known: &&TypeInfo| job.spec.allows_type(known.ix) && need.fits_in(&known.cap);
-            crowded_types.extend(self.types.iter().filter(usable).map(|known| known.ix));
+            let need = Resources::of(&job.spec);
+            let usable = |known: &&MachineTypeSpec| job.spec.allows_type(known.index) && need.fits_in(&known.capacity);
+            crowded_types.extend(self.types.iter().filter(usable).map(|known| known.index));
         }
         if !crowded_types.is_empty() {
-            self.fleet.crowded = now;
+            self.autoscaler.crowded = now;
         }
         for machine_type in crowded_types {
-            self.fleet.crowded_types.insert(machine_type, now);
+            self.autoscaler.crowded_types.insert(machine_type, now);
         }
     }
 }
--- a/src/coordination/fleet/offers.rs
+++ b/src/coordination/autoscaler/offers.rs
@@ -3,31 +3,31 @@
 use crate::{
     coordination::{
         leader::Leader,
-        model::{Ms, Res, TypeInfo},
+        model::{MachineTypeSpec, Millis, Resources},
         trial::SLOWEST_FETCH_GB_PER_S,
     },
     protocol::{
         jobs::{JobSpec, Priority},
-        names::{TypeIx, ZoneIx},
+        names::{MachineTypeIndex, ZoneIndex},
     },
 };
 
 /// A machine that takes this many seconds until its first task runs counts as
-/// twice as dear.
+/// twice as expensive.
 const READY_DOUBLES_COST_S: f64 = 120.0;
 
 /// Growth of the price tolerance with each second that work waits.
 const TOLERANCE_PER_S: f64 = 1.0;
 /// The same for work of teams without a guarantee...
-const UNGUARANTEED_TOLERANCE_PER_S: f64 = 1.0 / 60.0;
+const BEST_EFFORT_TOLERANCE_PER_S: f64 = 1.0 / 60.0;
 /// ...up to this: about what on-demand machines cost more than spot ones.
-const UNGUARANTEED_TOLERANCE_MAX: f64 = 4.0;
+const BEST_EFFORT_TOLERANCE_MAX: f64 = 4.0;
 
 /// A kind of machine that can be rented.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Offer {
-    pub machine_type: TypeIx,
-    pub zone: ZoneIx,
+    pub machine_type: MachineTypeIndex,
+    pub zone: ZoneIndex,
     pub spot: bool,
 }
 
@@ -60,7 +60,7 @@
 pub(super) struct RentalDemand<'a> {
     pub spec: &'a JobSpec,
     /// Only machines of this zone will do.
-    pub zone: Option<ZoneIx>,
+    pub zone: Option<ZoneIndex>,
     /// The job's assignments by zone, if it restricts zones.
     pub zone_used: &'a [u32],
     /// Tasks over which a machine's cost is shared.
@@ -82,7 +82,7 @@
 
 impl Leader {
     /// The cheapest offer for the work, and how many of its tasks one machine takes.
-    pub(super) fn choose_offer(&self, now: Ms, demand: &RentalDemand<'_>) -> Option<ChosenOffer> {
+    pub(super) fn choose_offer(&self, now: Millis, demand: &RentalDemand<'_>) -> Option<ChosenOffer> {
         let mut cheapest = f64::INFINITY;
         let mut best: Option<ChosenOffer> = None;
         for machine_type in &self.types {
@@ -90,14 +90,14 @@
                 for spot in [false, true] {
                     let Some(candidate) = self.rate_offer(machine_type, zone, spot, demand) else { continue };
                     cheapest = cheapest.min(candidate.cost);
-                    let is_available = self.fleet.is_available(now, &candidate.offer);
+                    let is_available = self.autoscaler.is_available(now, &candidate.offer);
                     if is_available && best.is_none_or(|best| candidate.cost < best.cost) {
                         best = Some(candidate);
                     }
                 }
             }
         }
-        // Much dearer than the cheapest offer: only for urgent work, or work
+        // Much more expensive than the cheapest offer: only for urgent work, or work
         // that has waited.
         let best = best?;
         let is_affordable = best.cost <= cheapest * price_tolerance(demand);
@@ -107,8 +107,8 @@
     /// What the work costs on machines of this kind, if it may run there.
     fn rate_offer(
         &self,
-        machine_type: &TypeInfo,
-        zone: ZoneIx,
+        machine_type: &MachineTypeSpec,
+        zone: ZoneIndex,
         spot: bool,
         demand: &RentalDemand<'_>,
     ) -> Option<ChosenOffer> {
@@ -116,8 +116,8 @@
         if spot && !(spec.spot && self.cfg.use_spot) {
             return None;
         }
-        let tasks_per_machine = Res::of(spec).times_in(&machine_type.cap);
-        let offer = Offer { machine_type: machine_type.ix, zone, spot };
+        let tasks_per_machine = Resources::of(spec).times_in(&machine_type.capacity);
+        let offer = Offer { machine_type: machine_type.index, zone, spot };
         if tasks_per_machine == 0 || !offer.allows(spec, demand.zone_used) {
             return None;
         }
@@ -129,18 +129,18 @@
     }
 }
 
-/// How many times dearer than the cheapest offer one may be for this work.
+/// How many times more expensive than the cheapest offer one may be for this work.
 ///
 /// Guard: work of a team without a guarantee bought every machine there was, of
-/// the dearest types too, once it had waited for a while.
+/// the most expensive types too, once it had waited for a while.
 fn price_tolerance(demand: &RentalDemand<'_>) -> f64 {
     let base = base_price_tolerance(demand.spec.priority);
     match demand.guarantee {
         Guarantee::Some => base + demand.waited_s * TOLERANCE_PER_S,
         Guarantee::NoneBegun if demand.spec.priority == Priority::Low => base,
         Guarantee::NoneNotBegun | Guarantee::NoneBegun => {
-            let grown = base + demand.waited_s * UNGUARANTEED_TOLERANCE_PER_S;
-            grown.min(UNGUARANTEED_TOLERANCE_MAX.max(base))
+            let grown = base + demand.waited_s * BEST_EFFORT_TOLERANCE_PER_S;
+            grown.min(BEST_EFFORT_TOLERANCE_MAX.max(base))
         }
     }
 }
--- a/src/coordination/fleet/arrivals.rs
+++ b/src/coordination/autoscaler/pending_capacity.rs
@@ -3,34 +3,34 @@
 use super::{Call, Offer};
 use crate::coordination::{
     leader::Leader,
-    model::{MachineLifecycle, Ms, Res, RESOURCE_TOLERANCE},
+    model::{MachineLifecycle, Millis, Resources, RESOURCE_TOLERANCE},
 };
 
 /// Machines of one offer that are not up yet.
-struct ArrivingMachines {
+struct PendingMachines {
     offer: Offer,
     /// Capacity of one of them.
-    capacity: Res,
+    capacity: Resources,
     /// Those of which nothing is allotted yet.
     untouched: u32,
     /// What is left of those on which tasks are counted.
-    remainders: Vec<Res>,
+    remainders: Vec<Resources>,
 }
 
 /// Machines that are not up yet, by offer.
 #[derive(Default)]
-pub(super) struct Arrivals(Vec<ArrivingMachines>);
+pub(super) struct PendingCapacity(Vec<PendingMachines>);
 
-impl Arrivals {
-    pub fn add(&mut self, offer: Offer, capacity: Res, count: u32) {
+impl PendingCapacity {
+    pub fn add(&mut self, offer: Offer, capacity: Resources, count: u32) {
         match self.0.iter_mut().find(|arriving| arriving.offer == offer) {
             Some(arriving) => arriving.untouched += count,
-            None => self.0.push(ArrivingMachines { offer, capacity, untouched: count, remainders: Vec::new() }),
+            None => self.0.push(PendingMachines { offer, capacity, untouched: count, remainders: Vec::new() }),
         }
     }
 
     /// Room on them for tasks of this shape, counted up to `limit`.
-    pub fn room(&self, need: &Res, limit: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
+    pub fn room(&self, need: &Resources, limit: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
         let mut tasks = 0;
         for arriving in self.0.iter().filter(|arriving| allows(&arriving.offer)) {
             tasks += arriving.remainders.iter().map(|remainder| need.times_in(remainder)).sum::<u32>();
@@ -44,7 +44,7 @@
     }
 
     /// Allots room to up to `tasks` tasks and returns how many found some.
-    pub fn allot(&mut self, need: &Res, tasks: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
+    pub fn allot(&mut self, need: &Resources, tasks: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
         let mut left = tasks;
         for arriving in self.0.iter_mut().filter(|arriving| allows(&arriving.offer)) {
             left -= arriving.allot(need, left);
@@ -56,8 +56,8 @@
     }
 }
 
-impl ArrivingMachines {
-    fn allot(&mut self, need: &Res, tasks: u32) -> u32 {
+impl PendingMachines {
+    fn allot(&mut self, need: &Resources, tasks: u32) -> u32 {
         let mut left = tasks;
         for remainder in &mut self.remainders {
             let count = need.times_in(remainder).min(left);
@@ -80,8 +80,8 @@
 
 impl Leader {
     /// All machines that are booting or asked for.
-    pub(super) fn arrivals(&self, now: Ms) -> Arrivals {
-        let mut arrivals = Arrivals::default();
+    pub(super) fn pending_capacity(&self, now: Millis) -> PendingCapacity {
+        let mut pending_capacity = PendingCapacity::default();
         for machine in &self.machines {
             if machine.lifecycle != MachineLifecycle::Booting || !machine.assignments.is_empty() {
                 continue;
@@ -89,20 +89,20 @@
             let Some(machine_type) = self.type_of(machine) else { continue };
             // A late machine is not counted on: it may never come.
             if !self.is_late(now, machine, machine_type) {
-                let offer = Offer { machine_type: machine_type.ix, zone: machine.zone, spot: machine.spot };
-                arrivals.add(offer, machine_type.cap, 1);
+                let offer = Offer { machine_type: machine_type.index, zone: machine.zone, spot: machine.spot };
+                pending_capacity.add(offer, machine_type.capacity, 1);
             }
         }
-        let requested = self.fleet.calls.values().filter_map(|call| match call {
+        let requested = self.autoscaler.calls.values().filter_map(|call| match call {
             Call::Rent { offer, req } => Some((*offer, req.count)),
             Call::Return(_) | Call::List => None,
         });
-        let retried = self.fleet.retries.iter().map(|retry| (retry.offer, retry.req.count));
+        let retried = self.autoscaler.retries.iter().map(|retry| (retry.offer, retry.req.count));
         for (offer, count) in requested.chain(retried) {
-            if let Some(machine_type) = self.types.iter().find(|known| known.ix == offer.machine_type) {
-                arrivals.add(offer, machine_type.cap, count);
+            if let Some(machine_type) = self.types.iter().find(|known| known.index == offer.machine_type) {
+                pending_capacity.add(offer, machine_type.capacity, count);
             }
         }
-        arrivals
+        pending_capacity
     }
 }
--- a/src/coordination/fleet/renting.rs
+++ b/src/coordination/autoscaler/renting.rs
@@ -3,30 +3,30 @@
 use std::collections::HashMap;
 
 use super::{
-    arrivals::Arrivals,
     offers::{Guarantee, Offer, RentalDemand},
+    pending_capacity::PendingCapacity,
     Backoff, Call, RentOutcome, RentRetry,
 };
 use crate::{
     coordination::{
-        fleet::UnmetDemand,
+        autoscaler::UnmetDemand,
         leader::{Effect, Leader},
-        model::{MachineLifecycle, Ms, Res},
+        model::{MachineLifecycle, Millis, Resources},
     },
     protocol::{
         cloud::RentRequest,
-        names::{ClassIx, Tables},
+        names::{ClassIndex, Tables},
     },
 };
 
 /// How long an offer is not asked for after the cloud had no capacity.
-const BACKOFF_MS: Ms = 6_000;
+const BACKOFF_MS: Millis = 6_000;
 /// The same after repeated refusals, each wait half as long again as the last.
-const BACKOFF_MAX_MS: Ms = 25_000;
+const BACKOFF_MAX_MS: Millis = 25_000;
 /// Pause before an unanswered request is sent again.
-const RETRY_MS: Ms = 1_500;
+const RETRY_MS: Millis = 1_500;
 /// A new leader that inherits machines lets them report for this long first.
-const SETTLE_MS: Ms = 1_500;
+const SETTLE_MS: Millis = 1_500;
 /// Offers asked for in one step.
 const OFFERS_PER_STEP: usize = 4;
 /// Rental calls under way at a time.
@@ -46,12 +46,12 @@
 
 /// A step's rentals as they are put together.
 struct RentalPlan {
-    arrivals: Arrivals,
+    pending_capacity: PendingCapacity,
     wanted: Vec<WantedMachines>,
     /// Machines that there are, or will be.
     total_machines: usize,
     /// Unmet tasks by class.
-    unmet_by_class: HashMap<ClassIx, u32>,
+    unmet_by_class: HashMap<ClassIndex, u32>,
 }
 
 impl RentalPlan {
@@ -69,22 +69,22 @@
 }
 
 impl Leader {
-    pub(super) fn rent(&mut self, now: Ms, tables: &Tables) {
+    pub(super) fn rent(&mut self, now: Millis, tables: &Tables) {
         self.send_retries(now);
         // Without a list, what is already there isn't known; and where there
         // are machines, they get time to report first.
         let settle_ms = if self.machines.is_empty() { 0 } else { SETTLE_MS };
-        let rentals = self.fleet.calls.values().filter(|call| matches!(call, Call::Rent { .. })).count();
-        if !self.fleet.listed_once || now < self.started + settle_ms || rentals >= CONCURRENT_RENTALS {
+        let rentals = self.autoscaler.calls.values().filter(|call| matches!(call, Call::Rent { .. })).count();
+        if !self.autoscaler.listed_once || now < self.started + settle_ms || rentals >= CONCURRENT_RENTALS {
             return;
         }
         let mut plan = RentalPlan {
-            arrivals: self.arrivals(now),
+            pending_capacity: self.pending_capacity(now),
             wanted: Vec::new(),
             total_machines: self.machine_count() + self.requested_machines(),
             unmet_by_class: self.unmet_by_class(),
         };
-        for &unmet in self.fleet.unmet.iter().take(JOBS_PER_STEP) {
+        for &unmet in self.autoscaler.unmet.iter().take(JOBS_PER_STEP) {
             self.plan_for_job(now, unmet, &mut plan);
             if plan.is_full() {
                 break;
@@ -92,7 +92,7 @@
         }
         for WantedMachines { offer, count } in plan.wanted {
             let req = RentRequest {
-                request: self.fleet.next_request_name(),
+                request: self.autoscaler.next_request_name(),
                 machine_type: tables.types.name(offer.machine_type.0).to_owned(),
                 zone: tables.zones.name(offer.zone.0).to_owned(),
                 spot: offer.spot,
@@ -102,12 +102,12 @@
         }
     }
 
-    fn send_retries(&mut self, now: Ms) {
-        for retry in std::mem::take(&mut self.fleet.retries) {
+    fn send_retries(&mut self, now: Millis) {
+        for retry in std::mem::take(&mut self.autoscaler.retries) {
             if now >= retry.at {
                 self.send_rent(retry.offer, retry.req);
             } else {
-                self.fleet.retries.push(retry);
+                self.autoscaler.retries.push(retry);
             }
         }
     }
@@ -120,19 +120,19 @@
 
     /// Machines asked for in requests that are not answered yet.
     fn requested_machines(&self) -> usize {
-        let in_flight = self.fleet.calls.values().map(|call| match call {
+        let in_flight = self.autoscaler.calls.values().map(|call| match call {
             Call::Rent { req, .. } => req.count as usize,
             Call::Return(_) | Call::List => 0,
         });
-        let retried = self.fleet.retries.iter().map(|retry| retry.req.count as usize);
+        let retried = self.autoscaler.retries.iter().map(|retry| retry.req.count as usize);
         in_flight.chain(retried).sum()
     }
 
     /// A large machine is cheap for many small jobs together, though not for one
     /// of them: what waits of a class is counted as a whole.
-    fn unmet_by_class(&self) -> HashMap<ClassIx, u32> {
-        let mut unmet_by_class: HashMap<ClassIx, u32> = HashMap::new();
-        for unmet in &self.fleet.unmet {
+    fn unmet_by_class(&self) -> HashMap<ClassIndex, u32> {
+        let mut unmet_by_class: HashMap<ClassIndex, u32> = HashMap::new();
+        for unmet in &self.autoscaler.unmet {
             if let Some(job) = self.job(unmet.job) {
                 *unmet_by_class.entry(job.spec.class).or_default() += unmet.tasks;
             }
@@ -140,19 +140,19 @@
         unmet_by_class
     }
 
-    fn plan_for_job(&self, now: Ms, unmet: UnmetDemand, plan: &mut RentalPlan) {
+    fn plan_for_job(&self, now: Millis, unmet: UnmetDemand, plan: &mut RentalPlan) {
         let Some(job) = self.job(unmet.job) else { return };
         let (spec, zone_used) = (&*job.spec, &*job.zone_used);
-        let need = Res::of(spec);
-        let guarantee = match (self.is_without_guarantee(spec.team), job.placed > 0) {
+        let need = Resources::of(spec);
+        let guarantee = match (self.is_best_effort(spec.team), job.placed > 0) {
             (false, _) => Guarantee::Some,
             (true, false) => Guarantee::NoneNotBegun,
             (true, true) => Guarantee::NoneBegun,
         };
         let alike = plan.unmet_by_class.get(&spec.class).copied().unwrap_or(0);
-        for zone_demand in self.demand_by_zone(spec, zone_used, unmet.tasks, &plan.arrivals) {
+        for zone_demand in self.demand_by_zone(spec, zone_used, unmet.tasks, &plan.pending_capacity) {
             let zone = zone_demand.zone;
-            let allotted = plan.arrivals.allot(&need, zone_demand.tasks, |offer| {
+            let allotted = plan.pending_capacity.allot(&need, zone_demand.tasks, |offer| {
                 zone.is_none_or(|zone| zone == offer.zone) && offer.allows(spec, zone_used)
             });
             let mut left = zone_demand.tasks - allotted;
@@ -166,10 +166,10 @@
                 let Some(chosen) = self.choose_offer(now, &demand) else { break };
                 let allowed = (self.cfg.max_machines - plan.total_machines) as u32;
                 let count = left.div_ceil(chosen.tasks_per_machine).min(MACHINES_PER_CALL).min(allowed);
-                let known_type = self.types.iter().find(|known| known.ix == chosen.offer.machine_type);
+                let known_type = self.types.iter().find(|known| known.index == chosen.offer.machine_type);
                 let Some(machine_type) = known_type else { break };
-                plan.arrivals.add(chosen.offer, machine_type.cap, count);
-                left -= plan.arrivals.allot(&need, left, |offer| *offer == chosen.offer);
+                plan.pending_capacity.add(chosen.offer, machine_type.capacity, count);
+                left -= plan.pending_capacity.allot(&need, left, |offer| *offer == chosen.offer);
                 plan.want(chosen.offer, count);
                 if plan.is_full() {
                     return;
@@ -188,31 +188,31 @@
             count = req.count,
             "renting"
         );
-        self.fleet.calls.insert(call, Call::Rent { offer, req: req.clone() });
+        self.autoscaler.calls.insert(call, Call::Rent { offer, req: req.clone() });
         self.push_effect(Effect::Rent { call, req });
     }
 
     /// How a rental request ended.
-    pub fn rented(&mut self, now: Ms, call: u64, outcome: RentOutcome) {
-        let Some(Call::Rent { offer, req }) = self.fleet.calls.remove(&call) else { return };
+    pub fn rented(&mut self, now: Millis, call: u64, outcome: RentOutcome) {
+        let Some(Call::Rent { offer, req }) = self.autoscaler.calls.remove(&call) else { return };
         match outcome {
             RentOutcome::Rented(ids) => {
                 if (ids.len() as u32) < req.count {
                     self.back_off(now, offer, BACKOFF_MS);
                 } else {
-                    self.fleet.backoffs.remove(&offer);
+                    self.autoscaler.backoffs.remove(&offer);
                 }
                 for id in ids {
                     self.add_rented_machine(now, &id, offer);
                 }
             }
             RentOutcome::NoCapacity => {
-                let last = self.fleet.backoffs.get(&offer);
+                let last = self.autoscaler.backoffs.get(&offer);
                 let wait_ms = last.map_or(BACKOFF_MS, |backoff| (backoff.wait_ms * 3 / 2).min(BACKOFF_MAX_MS));
                 self.back_off(now, offer, wait_ms);
             }
             // Guard: the same request name again, so that no machine is rented twice.
-            RentOutcome::Again => self.fleet.retries.push(RentRetry { offer, req, at: now + RETRY_MS }),
+            RentOutcome::Again => self.autoscaler.retries.push(RentRetry { offer, req, at: now + RETRY_MS }),
             RentOutcome::Malformed => {
                 tracing::error!(ask = &*req.request, "the cloud calls a rental malformed");
                 self.back_off(now, offer, BACKOFF_MAX_MS);
@@ -220,13 +220,13 @@
         }
     }
 
-    fn back_off(&mut self, now: Ms, offer: Offer, wait_ms: Ms) {
-        self.fleet.backoffs.insert(offer, Backoff { until: now + wait_ms, wait_ms });
+    fn back_off(&mut self, now: Millis, offer: Offer, wait_ms: Millis) {
+        self.autoscaler.backoffs.insert(offer, Backoff { until: now + wait_ms, wait_ms });
     }
 
-    fn add_rented_machine(&mut self, now: Ms, id: &str, offer: Offer) {
-        let ix = self.machine_named(now, id, offer.zone);
-        let machine = &mut self.machines[ix.at()];
+    fn add_rented_machine(&mut self, now: Millis, id: &str, offer: Offer) {
+        let index = self.machine_named(now, id, offer.zone);
+        let machine = &mut self.machines[index.at()];
         machine.machine_type = machine.machine_type.or(Some(offer.machine_type));
         machine.spot = offer.spot;
         machine.zone = offer.zone;
--- a/src/coordination/fleet/returns.rs
+++ b/src/coordination/autoscaler/returns.rs
@@ -6,10 +6,10 @@
 use crate::{
     coordination::{
         leader::{Effect, Leader},
-        model::{Machine, MachineIx, MachineLifecycle, Ms, Res},
+        model::{Machine, MachineIndex, MachineLifecycle, Millis, Resources},
         trial::SLOWEST_FETCH_GB_PER_S,
     },
-    protocol::names::ZoneIx,
+    protocol::names::ZoneIndex,
 };
 
 /// Machines handed back in one call.
@@ -18,13 +18,13 @@
 const SILENT_PROBES: u32 = 2;
 /// Silent machines are handed back only if the cloud answered within this time:
 /// otherwise it may be this controller that is cut off.
-const CLOUD_ANSWER_MS: Ms = 5_000;
+const CLOUD_ANSWER_MS: Millis = 5_000;
 /// Pause before a return that was requested is requested again.
-const RETURN_RETRY_MS: Ms = 2_500;
+const RETURN_RETRY_MS: Millis = 2_500;
 /// Pause before a return that failed is requested again.
-const RETURN_FAILED_PAUSE_MS: Ms = 1_000;
-/// Slack, besides a quarter of the interval, after which a report was due.
-const REPORT_DUE_SLACK_MS: Ms = 100;
+const RETURN_FAILED_PAUSE_MS: Millis = 1_000;
+/// Slack, besides a quarter of the interval, after which a heartbeat was due.
+const HEARTBEAT_DUE_SLACK_MS: Millis = 100;
 /// Boot time assumed of a machine whose type is unknown.
 const UNKNOWN_BOOT_S: f64 = 60.0;
 /// A machine that isn't up after this many times its boot time, and...
@@ -47,8 +47,8 @@
     AskedBefore,
     Silent,
     NeverCameUp,
-    MissesAnswers,
-    Retired,
+    Unreachable,
+    Cordoned,
     Idle,
 }
 
@@ -59,8 +59,8 @@
             ReturnReason::AskedBefore => "asked before",
             ReturnReason::Silent => "silent",
             ReturnReason::NeverCameUp => "never came up",
-            ReturnReason::MissesAnswers => "hears nothing",
-            ReturnReason::Retired => "retired",
+            ReturnReason::Unreachable => "hears nothing",
+            ReturnReason::Cordoned => "retired",
             ReturnReason::Idle => "idle",
         }
     }
@@ -74,16 +74,16 @@
 
 /// A machine to be handed back.
 struct MachineReturn {
-    machine: MachineIx,
+    machine: MachineIndex,
     reason: ReturnReason,
 }
 
 /// When the machines of one zone, or of all, were last heard, in order of time.
 #[derive(Default)]
-struct HeardTimes(Vec<Ms>);
+struct HeardTimes(Vec<Millis>);
 
 impl HeardTimes {
-    fn heard_after(&self, moment: Ms) -> usize {
+    fn heard_after(&self, moment: Millis) -> usize {
         self.0.len() - self.0.partition_point(|&heard| heard <= moment)
     }
 
@@ -95,7 +95,7 @@
 
 /// When machines were last heard, by zone; `None`: those of all zones.
 #[derive(Default)]
-struct HeardByZone(HashMap<Option<ZoneIx>, HeardTimes>);
+struct HeardByZone(HashMap<Option<ZoneIndex>, HeardTimes>);
 
 /// How many machines of a zone were heard lately.
 #[derive(Default)]
@@ -106,12 +106,12 @@
 
 /// How many machines report, and how many of them take our answers.
 #[derive(Default)]
-struct AnswerUptake {
+struct ResponseUptake {
     heard: usize,
     taking: usize,
 }
 
-impl AnswerUptake {
+impl ResponseUptake {
     /// Whether most machines other than one that takes none do; otherwise it is
     /// this controller whose answers are lost.
     fn others_take_them(&self) -> bool {
@@ -120,13 +120,13 @@
 }
 
 impl Leader {
-    pub(super) fn return_machines(&mut self, now: Ms) {
+    pub(super) fn return_machines(&mut self, now: Millis) {
         let returns = self.machines_to_return(now);
         if returns.is_empty() {
             return;
         }
-        for MachineReturn { machine: ix, reason } in &returns {
-            let machine = &mut self.machines[ix.at()];
+        for MachineReturn { machine: index, reason } in &returns {
+            let machine = &mut self.machines[index.at()];
             if machine.lifecycle != MachineLifecycle::Returning {
                 tracing::info!(
                     machine = &*machine.id,
@@ -137,28 +137,28 @@
             }
             machine.lifecycle = MachineLifecycle::Returning;
             machine.return_after = now + RETURN_RETRY_MS;
-            self.refresh(now, *ix);
+            self.refresh(now, *index);
         }
         let call = self.call_id();
-        let machines: Vec<MachineIx> = returns.into_iter().map(|returned| returned.machine).collect();
-        let ids = machines.iter().map(|ix| self.machine(*ix).id.clone()).collect();
-        self.fleet.calls.insert(call, Call::Return(machines));
+        let machines: Vec<MachineIndex> = returns.into_iter().map(|returned| returned.machine).collect();
+        let ids = machines.iter().map(|index| self.machine(*index).id.clone()).collect();
+        self.autoscaler.calls.insert(call, Call::Return(machines));
         self.push_effect(Effect::Return { call, ids });
     }
 
-    fn machines_to_return(&self, now: Ms) -> Vec<MachineReturn> {
+    fn machines_to_return(&self, now: Millis) -> Vec<MachineReturn> {
         let heard_by_zone = self.heard_by_zone(now);
-        let answers = self.answer_uptake(now);
+        let answers = self.response_uptake(now);
         let mut returns = Vec::new();
-        for ix in (0..self.machines.len() as u32).map(MachineIx) {
+        for index in (0..self.machines.len() as u32).map(MachineIndex) {
             if returns.len() >= RETURNS_PER_CALL {
                 break;
             }
-            if now < self.machine(ix).return_after {
+            if now < self.machine(index).return_after {
                 continue;
             }
-            if let Some(reason) = self.return_reason(now, ix, &heard_by_zone, &answers) {
-                returns.push(MachineReturn { machine: ix, reason });
+            if let Some(reason) = self.return_reason(now, index, &heard_by_zone, &answers) {
+                returns.push(MachineReturn { machine: index, reason });
             }
         }
         returns
@@ -166,31 +166,31 @@
 
     fn return_reason(
         &self,
-        now: Ms,
-        ix: MachineIx,
+        now: Millis,
+        index: MachineIndex,
         heard_by_zone: &HeardByZone,
-        answers: &AnswerUptake,
+        answers: &ResponseUptake,
     ) -> Option<ReturnReason> {
-        let machine = self.machine(ix);
-        let cloud_answers = self.fleet.cloud_ok + CLOUD_ANSWER_MS > now;
+        let machine = self.machine(index);
+        let cloud_answers = self.autoscaler.cloud_ok + CLOUD_ANSWER_MS > now;
         let is_dead = || self.is_silent(now, machine) && cloud_answers && self.is_dead(now, machine, heard_by_zone);
         match machine.lifecycle {
             MachineLifecycle::Gone => None,
             MachineLifecycle::Returning => Some(ReturnReason::AskedBefore),
             MachineLifecycle::Booting if machine.is_inherited_unheard() => is_dead().then_some(ReturnReason::Silent),
-            MachineLifecycle::Booting => self.is_past_boot_limit(now, ix).then_some(ReturnReason::NeverCameUp),
+            MachineLifecycle::Booting => self.is_past_boot_limit(now, index).then_some(ReturnReason::NeverCameUp),
             MachineLifecycle::Up if is_dead() => Some(ReturnReason::Silent),
-            MachineLifecycle::Up if machine.misses_answers() && cloud_answers && answers.others_take_them() => {
-                Some(ReturnReason::MissesAnswers)
+            MachineLifecycle::Up if machine.is_unreachable() && cloud_answers && answers.others_take_them() => {
+                Some(ReturnReason::Unreachable)
             }
             MachineLifecycle::Up if !machine.assignments.is_empty() => None,
-            MachineLifecycle::Up if machine.retiring => Some(ReturnReason::Retired),
+            MachineLifecycle::Up if machine.cordoned => Some(ReturnReason::Cordoned),
             MachineLifecycle::Up => self.is_idle_long(now, machine).then_some(ReturnReason::Idle),
         }
     }
 
     /// Whether a machine's report is so late that it may be dead.
-    fn is_silent(&self, now: Ms, machine: &Machine) -> bool {
+    fn is_silent(&self, now: Millis, machine: &Machine) -> bool {
         let is_overdue =
             now > self.heard_or_start(machine) + self.cfg.silent_ms || machine.failed_probes >= SILENT_PROBES;
         let expects_reports = match machine.lifecycle {
@@ -203,19 +203,19 @@
 
     /// When a machine was last heard; one that this leader never heard could
     /// have reported within an interval of its beginning.
-    fn heard_or_start(&self, machine: &Machine) -> Ms {
-        machine.last_heard.unwrap_or(self.started + self.cfg.report_ms)
+    fn heard_or_start(&self, machine: &Machine) -> Millis {
+        machine.last_contact.unwrap_or(self.started + self.cfg.heartbeat_interval_ms)
     }
 
     /// When machines were last heard; empty if none is silent.
-    fn heard_by_zone(&self, now: Ms) -> HeardByZone {
+    fn heard_by_zone(&self, now: Millis) -> HeardByZone {
         let mut heard_by_zone = HeardByZone::default();
         if !self.machines.iter().any(|machine| self.is_silent(now, machine)) {
             return heard_by_zone;
         }
         for machine in self.machines.iter().filter(|machine| expected_to_report(machine)) {
             for zone in [None, Some(machine.zone)] {
-                heard_by_zone.0.entry(zone).or_default().0.push(machine.last_heard.unwrap_or(0));
+                heard_by_zone.0.entry(zone).or_default().0.push(machine.last_contact.unwrap_or(0));
             }
         }
         for times in heard_by_zone.0.values_mut() {
@@ -229,11 +229,11 @@
     /// were heard after the moment at which it should have been: a partition
     /// would have stopped those too. Where it has no others, those of all zones
     /// speak for it, after twice the time.
-    fn is_dead(&self, now: Ms, suspect: &Machine, heard_by_zone: &HeardByZone) -> bool {
+    fn is_dead(&self, now: Millis, suspect: &Machine, heard_by_zone: &HeardByZone) -> bool {
         let since = self.heard_or_start(suspect);
-        let due = since + self.cfg.report_ms * 5 / 4 + REPORT_DUE_SLACK_MS;
+        let due = since + self.cfg.heartbeat_interval_ms * 5 / 4 + HEARTBEAT_DUE_SLACK_MS;
         let none = HeardTimes::default();
-        let times_in = |zone: Option<ZoneIx>| heard_by_zone.0.get(&zone).unwrap_or(&none);
+        let times_in = |zone: Option<ZoneIndex>| heard_by_zone.0.get(&zone).unwrap_or(&none);
         let in_zone = times_in(Some(suspect.zone));
         if in_zone.others() == 0 {
             let everywhere = times_in(None);
@@ -243,8 +243,8 @@
     }
 
     /// Notes since when most machines of each zone have been heard from.
-    pub fn note_zones(&mut self, now: Ms) {
-        let mut zones: HashMap<ZoneIx, ZoneHealth> = HashMap::new();
+    pub fn note_zones(&mut self, now: Millis) {
+        let mut zones: HashMap<ZoneIndex, ZoneHealth> = HashMap::new();
         for machine in self.machines.iter().filter(|machine| expected_to_report(machine)) {
             let health = zones.entry(machine.zone).or_default();
             health.heard += u32::from(self.heard_lately(now, machine));
@@ -252,89 +252,89 @@
         }
         for (zone, health) in zones {
             if health.heard * 2 >= health.all {
-                self.fleet.zone_heard_since.entry(zone).or_insert(now);
+                self.autoscaler.zone_heard_since.entry(zone).or_insert(now);
             } else {
-                self.fleet.zone_heard_since.remove(&zone);
+                self.autoscaler.zone_heard_since.remove(&zone);
             }
         }
     }
 
-    fn heard_lately(&self, now: Ms, machine: &Machine) -> bool {
-        machine.last_heard.is_some_and(|heard| now < heard + 2 * self.cfg.report_ms)
+    fn heard_lately(&self, now: Millis, machine: &Machine) -> bool {
+        machine.last_contact.is_some_and(|heard| now < heard + 2 * self.cfg.heartbeat_interval_ms)
     }
 
     /// Guard: when a partition ends, or a leader is new, machines come back one
     /// by one; the last of them are not dead.
-    fn is_zone_sound(&self, now: Ms, zone: ZoneIx) -> bool {
-        self.fleet.zone_heard_since.get(&zone).is_some_and(|since| now > since + self.cfg.silent_ms)
+    fn is_zone_sound(&self, now: Millis, zone: ZoneIndex) -> bool {
+        self.autoscaler.zone_heard_since.get(&zone).is_some_and(|since| now > since + self.cfg.silent_ms)
     }
 
     /// How many of the machines that report take what they are told.
     ///
     /// Guard: counted once for all machines that may be handed back; counted for
     /// each of them, the work would grow with the square of their number.
-    fn answer_uptake(&self, now: Ms) -> AnswerUptake {
-        let mut uptake = AnswerUptake::default();
+    fn response_uptake(&self, now: Millis) -> ResponseUptake {
+        let mut uptake = ResponseUptake::default();
         let is_heard =
             |machine: &&Machine| machine.lifecycle == MachineLifecycle::Up && self.heard_lately(now, machine);
         for machine in self.machines.iter().filter(is_heard) {
             uptake.heard += 1;
-            uptake.taking += usize::from(machine.unacknowledged_reports == 0);
+            uptake.taking += usize::from(machine.unacknowledged_heartbeats == 0);
         }
         uptake
     }
 
-    fn is_past_boot_limit(&self, now: Ms, ix: MachineIx) -> bool {
-        let machine = self.machine(ix);
+    fn is_past_boot_limit(&self, now: Millis, index: MachineIndex) -> bool {
+        let machine = self.machine(index);
         let boot_s = self.type_of(machine).map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s);
         // Guard: when all machines were slow to come up, each was handed back
         // before it did, and none ever came. Some are waited for; the others go
         // back, since those ordered after the trouble come sooner.
-        let is_late_type = machine.machine_type.is_some_and(|known| self.fleet.late_types.contains(&known));
-        let is_waited_for = is_late_type && ix.at().is_multiple_of(LATE_KEPT_DIVISOR);
+        let is_late_type = machine.machine_type.is_some_and(|known| self.autoscaler.late_types.contains(&known));
+        let is_waited_for = is_late_type && index.at().is_multiple_of(LATE_KEPT_DIVISOR);
         let factor = if is_waited_for { LATE_BOOT_LIMIT_FACTOR } else { BOOT_LIMIT_FACTOR };
         let limit_ms = (boot_s * factor + BOOT_LIMIT_SLACK_S) * 1000.0;
         let since = machine.rented_at.max(self.started);
         (now - since) as f64 > limit_ms
     }
 
-    fn is_idle_long(&self, now: Ms, machine: &Machine) -> bool {
+    fn is_idle_long(&self, now: Millis, machine: &Machine) -> bool {
         machine.idle_since.is_some_and(|since| now > since + self.keep_ms(now, machine))
     }
 
     /// How long an idle machine is kept: longer if it takes long to get again.
-    fn keep_ms(&self, now: Ms, machine: &Machine) -> Ms {
+    fn keep_ms(&self, now: Millis, machine: &Machine) -> Millis {
         let ready_s = self.type_of(machine).map_or(0.0, |machine_type| {
-            if machine_type.cap.gpus <= 0.0 {
+            if machine_type.capacity.gpus <= 0.0 {
                 return machine_type.boot_s;
             }
             // With GPUs, the image counts too; but only while such work comes.
             let expected = self.gpu_demand.shapes().iter().filter(|shape| {
-                shape.spec.allows_type(machine_type.ix)
-                    && Res::of(&shape.spec).fits_in(&machine_type.cap)
+                shape.spec.allows_type(machine_type.index)
+                    && Resources::of(&shape.spec).fits_in(&machine_type.capacity)
                     && now as i64 - shape.latest_arrival < GPU_WORK_EXPECTED_MS
             });
             let fetch_rate = machine_type.fetch_gb_per_s.max(SLOWEST_FETCH_GB_PER_S);
             expected.map(|shape| machine_type.boot_s + shape.spec.image_gb / fetch_rate).fold(0.0, f64::max)
         });
-        self.cfg.idle_keep_ms.max((ready_s * KEEP_FACTOR * 1000.0) as Ms)
+        self.cfg.idle_keep_ms.max((ready_s * KEEP_FACTOR * 1000.0) as Millis)
     }
 
     /// How a return ended. After a 200, the machines and everything on them are gone.
-    pub fn returned(&mut self, now: Ms, call: u64, ok: bool) {
-        let Some(Call::Return(machines)) = self.fleet.calls.remove(&call) else { return };
-        for ix in machines {
+    pub fn returned(&mut self, now: Millis, call: u64, ok: bool) {
+        let Some(Call::Return(machines)) = self.autoscaler.calls.remove(&call) else { return };
+        for index in machines {
             if ok {
-                self.free_machine(ix, None);
-                let machine = &mut self.machines[ix.at()];
+                self.free_machine(index, None);
+                let machine = &mut self.machines[index.at()];
                 machine.lifecycle = MachineLifecycle::Gone;
                 machine.direct_call = None;
-                self.refresh(now, ix);
+                self.refresh(now, index);
             } else {
-                self.machines[ix.at()].return_after = now + RETURN_FAILED_PAUSE_MS;
+                self.machines[index.at()].return_after = now + RETURN_FAILED_PAUSE_MS;
             }
         }
-        self.pass_needed = true;
+        self.cycle_needed = true;
     }
 }
 
--- a/src/coordination/fleet/zone_demand.rs
+++ b/src/coordination/autoscaler/zone_demand.rs
@@ -2,12 +2,12 @@
 
 use std::cmp::Reverse;
 
-use super::arrivals::Arrivals;
+use super::pending_capacity::PendingCapacity;
 use crate::{
-    coordination::{leader::Leader, model::Res, snapshot::RoomKind},
+    coordination::{leader::Leader, model::Resources, snapshot::RoomKind},
     protocol::{
         jobs::{JobSpec, Kind},
-        names::ZoneIx,
+        names::ZoneIndex,
     },
 };
 
@@ -17,13 +17,13 @@
 
 /// Tasks for which machines are wanted, in any zone or in this one.
 pub(super) struct ZoneDemand {
-    pub zone: Option<ZoneIx>,
+    pub zone: Option<ZoneIndex>,
     pub tasks: u32,
 }
 
 /// What a zone has for a job that must be spread.
 struct SpreadZone {
-    zone: ZoneIx,
+    zone: ZoneIndex,
     /// Tasks that the spread rule still allows there.
     limit: u32,
     /// Tasks for which there is room, now or soon.
@@ -42,22 +42,22 @@
         spec: &JobSpec,
         zone_used: &[u32],
         tasks: u32,
-        arrivals: &Arrivals,
+        pending_capacity: &PendingCapacity,
     ) -> Vec<ZoneDemand> {
         let is_one_zone_gang = spec.one_zone && spec.kind == Kind::Gang && tasks > 1;
         if spec.spread && !spec.one_zone {
             self.spread_demand(spec, zone_used, tasks)
         } else if spec.one_zone && (spec.spread || is_one_zone_gang) {
-            vec![self.one_zone_demand(spec, zone_used, tasks, arrivals)]
+            vec![self.one_zone_demand(spec, zone_used, tasks, pending_capacity)]
         } else {
             vec![ZoneDemand { zone: None, tasks: tasks * room_factor(spec) }]
         }
     }
 
     /// Zones of the machine types that the job may use, in the order of the types.
-    fn zones_for(&self, spec: &JobSpec) -> Vec<ZoneIx> {
-        let mut zones: Vec<ZoneIx> = Vec::new();
-        let allowed_types = self.types.iter().filter(|machine_type| spec.allows_type(machine_type.ix));
+    fn zones_for(&self, spec: &JobSpec) -> Vec<ZoneIndex> {
+        let mut zones: Vec<ZoneIndex> = Vec::new();
+        let allowed_types = self.types.iter().filter(|machine_type| spec.allows_type(machine_type.index));
         for zone in allowed_types.flat_map(|machine_type| machine_type.zones.iter().copied()) {
             if !zones.contains(&zone) && spec.zone.is_none_or(|only| only == zone) {
                 zones.push(zone);
@@ -69,11 +69,11 @@
     /// Tasks for which a zone has room, counted up to `limit`: now, or once what
     /// is being stopped is gone. What a started array or service could place
     /// there now, it has placed.
-    fn room_in_zone(&self, spec: &JobSpec, zone: ZoneIx, limit: u32) -> u32 {
+    fn room_in_zone(&self, spec: &JobSpec, zone: ZoneIndex, limit: u32) -> u32 {
         if spec.kind != Kind::Gang {
             return 0;
         }
-        let need = Res::of(spec);
+        let need = Resources::of(spec);
         let mut room = 0;
         self.snapshot.candidates(spec, Some(zone), RoomKind::FreeOrStopping, |_, host, _| {
             room = (room + need.times_in(&host.room(RoomKind::FreeOrStopping))).min(limit);
@@ -82,12 +82,18 @@
     }
 
     /// Everything goes to the zone that has, or will have, the most room.
-    fn one_zone_demand(&self, spec: &JobSpec, zone_used: &[u32], tasks: u32, arrivals: &Arrivals) -> ZoneDemand {
-        let need = Res::of(spec);
+    fn one_zone_demand(
+        &self,
+        spec: &JobSpec,
+        zone_used: &[u32],
+        tasks: u32,
+        pending_capacity: &PendingCapacity,
+    ) -> ZoneDemand {
+        let need = Resources::of(spec);
         let zones = self.zones_for(spec).into_iter().map(|zone| {
             let room = self.room_in_zone(spec, zone, tasks);
             let arriving =
-                arrivals.room(&need, tasks - room, |offer| offer.zone == zone && offer.allows(spec, zone_used));
+                pending_capacity.room(&need, tasks - room, |offer| offer.zone == zone && offer.allows(spec, zone_used));
             (zone, room, arriving)
         });
         match zones.max_by_key(|(_, room, arriving)| room + arriving) {
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -5,7 +5,7 @@
 //! counted on the steady clock from when the renewal was *sent*, less drift: the
 //! service counts from a later moment, so it can't have given the grant up before.
 
-use crate::bookkeeping::records::LeaderRecord;
+use crate::storage::records::LeaderRecord;
 
 /// Two steady clocks may part by twice this share; the lease is cut by more.
 const DRIFT: f64 = 0.002;
@@ -29,15 +29,15 @@
     Grant,
     /// POST /grants/{}/renew
     Renew(u64),
-    /// Write the key under the grant, if its stamp is as expected.
+    /// Write the key under the grant, if its revision is as expected.
     Claim {
         /// Number of the grant.
         permit: u64,
-        /// Stamp that the key must have; 0: it must not exist.
+        /// Revision that the key must have; 0: it must not exist.
         expect: u64,
     },
     /// DELETE /grants/{}
-    Resign(u64),
+    StepDown(u64),
 }
 
 /// The call that is unanswered, if any.
@@ -54,8 +54,8 @@
 struct SeenKey {
     /// `None`: the key isn't there.
     record: Option<LeaderRecord>,
-    /// Stamp of the record, or of its removal.
-    stamp: u64,
+    /// Revision of the record, or of its removal.
+    revision: u64,
 }
 
 /// This controller's part in the election of a leader.
@@ -116,25 +116,25 @@
         self.ttl_ms
     }
 
-    /// The key's stamp, if the key names this start and this grant.
-    fn own_key_stamp(&self) -> Option<u64> {
+    /// The key's revision, if the key names this start and this grant.
+    fn own_key_revision(&self) -> Option<u64> {
         let own = self.record(self.permit?);
         let key = self.key.as_ref()?;
-        (key.record.as_ref() == Some(&own)).then_some(key.stamp)
+        (key.record.as_ref() == Some(&own)).then_some(key.revision)
     }
 
-    /// Stamp of this controller's leadership, if it may act at this moment.
+    /// Revision of this controller's leadership, if it may act at this moment.
     pub fn leading(&self, now: u64) -> Option<u64> {
         if now < self.valid_until {
-            self.own_key_stamp()
+            self.own_key_revision()
         } else {
             None
         }
     }
 
-    /// Stamp of this controller's leadership, even if it may not act just now.
+    /// Revision of this controller's leadership, even if it may not act just now.
     pub fn holds_key(&self) -> Option<u64> {
-        self.own_key_stamp()
+        self.own_key_revision()
     }
 
     /// The label of the controller that the key names.
@@ -143,15 +143,15 @@
         Some(&record.label)
     }
 
-    /// The key was seen at `stamp` (of its record, or of its removal).
-    pub fn saw_key(&mut self, now: u64, record: Option<LeaderRecord>, stamp: u64) {
-        if self.key.as_ref().is_some_and(|seen| seen.stamp > stamp) {
+    /// The key was seen at `revision` (of its record, or of its removal).
+    pub fn saw_key(&mut self, now: u64, record: Option<LeaderRecord>, revision: u64) {
+        if self.key.as_ref().is_some_and(|seen| seen.revision > revision) {
             return;
         }
         if record.is_none() {
             self.retry_at = self.retry_at.min(now);
         }
-        self.key = Some(SeenKey { record, stamp });
+        self.key = Some(SeenKey { record, revision });
     }
 
     /// The next call to make, if one is due.
@@ -159,13 +159,13 @@
         if self.pending != PendingCall::None {
             return None;
         }
-        if self.own_key_stamp().is_some() {
+        if self.own_key_revision().is_some() {
             return self.renew_if_due(now);
         }
         if now < self.retry_at || now < self.aside_until {
             return None;
         }
-        let expect = self.claimable_stamp()?;
+        let expect = self.claimable_revision()?;
         match self.permit {
             Some(permit) if now + self.ttl_ms / 2 < self.valid_until => {
                 self.pending = PendingCall::Claim;
@@ -189,13 +189,13 @@
         Some(Action::Renew(permit))
     }
 
-    /// The stamp that the key has if it may be claimed (0: it isn't there).
-    fn claimable_stamp(&self) -> Option<u64> {
+    /// The revision that the key has if it may be claimed (0: it isn't there).
+    fn claimable_revision(&self) -> Option<u64> {
         let key = self.key.as_ref()?;
         match &key.record {
             None => Some(0),
             // The key of an earlier start of this controller may be replaced at once.
-            Some(record) if record.label == self.label => Some(key.stamp),
+            Some(record) if record.label == self.label => Some(key.revision),
             Some(_) => None,
         }
     }
@@ -249,17 +249,17 @@
         (self.ttl_ms * 4 / 5).max(RENEWAL_TIMEOUT_MS)
     }
 
-    /// `Some(stamp)`: the key is ours at that stamp. `None`: lost or unknown;
+    /// `Some(revision)`: the key is ours at that revision. `None`: lost or unknown;
     /// the watch tells which.
-    pub fn claimed(&mut self, now: u64, stamp: Option<u64>) {
+    pub fn claimed(&mut self, now: u64, revision: Option<u64>) {
         if self.pending != PendingCall::Claim {
             return;
         }
         self.pending = PendingCall::None;
-        match stamp {
-            Some(stamp) => {
+        match revision {
+            Some(revision) => {
                 let record = self.permit.map(|permit| self.record(permit));
-                self.saw_key(now, record, stamp);
+                self.saw_key(now, record, revision);
             }
             None => self.retry_at = now + CLAIM_RETRY_MS,
         }
@@ -279,12 +279,12 @@
 
     /// Gives up leadership, and doesn't stand again for a while: workers reach
     /// other controllers, but not this one.
-    pub fn resign(&mut self, now: u64) -> Option<Action> {
+    pub fn step_down(&mut self, now: u64) -> Option<Action> {
         self.aside_until = now + STEP_ASIDE_MS;
         self.valid_until = 0;
         self.forget_record();
         self.pending = PendingCall::None;
-        self.permit.take().map(Action::Resign)
+        self.permit.take().map(Action::StepDown)
     }
 }
 
--- a/src/coordination/leader/assignment_table.rs
+++ b/src/coordination/leader/assignment_table.rs
@@ -1,40 +1,40 @@
 //! The table of assignments, whose freed entries are used again.
 
-use crate::coordination::model::{Assignment, AssignmentIx};
+use crate::coordination::model::{Assignment, AssignmentIndex};
 
 /// All assignments, by a dense index.
 #[derive(Debug, Default)]
 pub(super) struct AssignmentTable {
     entries: Vec<Option<Assignment>>,
     /// Free entries, the next to be used last.
-    free: Vec<AssignmentIx>,
+    free: Vec<AssignmentIndex>,
 }
 
 impl AssignmentTable {
-    pub fn get(&self, ix: AssignmentIx) -> Option<&Assignment> {
-        self.entries.get(ix.at()).and_then(Option::as_ref)
+    pub fn get(&self, index: AssignmentIndex) -> Option<&Assignment> {
+        self.entries.get(index.at()).and_then(Option::as_ref)
     }
 
-    pub fn get_mut(&mut self, ix: AssignmentIx) -> Option<&mut Assignment> {
-        self.entries.get_mut(ix.at()).and_then(Option::as_mut)
+    pub fn get_mut(&mut self, index: AssignmentIndex) -> Option<&mut Assignment> {
+        self.entries.get_mut(index.at()).and_then(Option::as_mut)
     }
 
-    pub fn insert(&mut self, assignment: Assignment) -> AssignmentIx {
+    pub fn insert(&mut self, assignment: Assignment) -> AssignmentIndex {
         match self.free.pop() {
-            Some(ix) => {
-                self.entries[ix.at()] = Some(assignment);
-                ix
+            Some(index) => {
+                self.entries[index.at()] = Some(assignment);
+                index
             }
             None => {
                 self.entries.push(Some(assignment));
-                AssignmentIx(self.entries.len() as u32 - 1)
+                AssignmentIndex(self.entries.len() as u32 - 1)
             }
         }
     }
 
-    pub fn remove(&mut self, ix: AssignmentIx) -> Option<Assignment> {
-        let assignment = self.entries.get_mut(ix.at())?.take()?;
-        self.free.push(ix);
+    pub fn remove(&mut self, index: AssignmentIndex) -> Option<Assignment> {
+        let assignment = self.entries.get_mut(index.at())?.take()?;
+        self.free.push(index);
         Some(assignment)
     }
 }
--- a/src/coordination/leader/assignments.rs
+++ b/src/coordination/leader/assignments.rs
@@ -2,26 +2,28 @@
 
 use super::Leader;
 use crate::{
-    bookkeeping::{job_cache::JobIx, records::Status},
-    coordination::model::{Assignment, AssignmentIx, AssignmentState, Job, MachineIx, Ms, Res, Slot, START_COUNTS_MS},
-    protocol::{jobs::Kind, names::ZoneIx, workers::TaskState},
+    coordination::model::{
+        Assignment, AssignmentIndex, AssignmentState, Job, MachineIndex, Millis, Resources, Slot, START_COUNTS_MS,
+    },
+    protocol::{jobs::Kind, names::ZoneIndex, workers::TaskState},
+    storage::{job_cache::JobIndex, records::JobStatus},
 };
 
 /// An assignment to be made.
 #[derive(Debug, Clone, Copy)]
 pub struct NewAssignment {
     /// The task's job.
-    pub job: JobIx,
+    pub job: JobIndex,
     /// Number of the task within its job.
     pub task: u32,
     /// The machine that it is assigned to.
-    pub machine: MachineIx,
-    /// The worker's session that the assignment is made for.
-    pub session: u64,
+    pub machine: MachineIndex,
+    /// The worker's incarnation that the assignment is made for.
+    pub incarnation: u64,
     /// Number of the attempt to run the task.
     pub attempt: u64,
     /// Zone of the machine.
-    pub zone: ZoneIx,
+    pub zone: ZoneIndex,
 }
 
 /// What became of a task whose assignment is released.
@@ -36,7 +38,7 @@
 impl Leader {
     /// Assigns a pending task to a machine. `None`: the task is not pending, or
     /// its job is being resharded.
-    pub fn add_assignment(&mut self, now: Ms, new: NewAssignment) -> Option<AssignmentIx> {
+    pub fn add_assignment(&mut self, now: Millis, new: NewAssignment) -> Option<AssignmentIndex> {
         let job = self.jobs.get_mut(new.job.at()).and_then(Option::as_mut)?;
         // Guard: its chunks are being resharded on the assumption that no task
         // is assigned meanwhile.
@@ -53,7 +55,7 @@
         job.ever_assigned = true;
         count_in_zone(job, new.zone);
         if let Some(used) = self.team_used.get_mut(job.spec.team.at()) {
-            *used += Res::of(&job.spec);
+            *used += Resources::of(&job.spec);
         }
         self.snapshot.take(new.machine.at(), &job.spec);
         job.last_assigned = now;
@@ -62,12 +64,12 @@
         } else {
             job.pending.retain(|&task| task != new.task);
         }
-        let ix = self.assignments.insert(Assignment {
+        let index = self.assignments.insert(Assignment {
             job: new.job,
             task: new.task,
             machine: new.machine,
             zone: new.zone,
-            session: new.session,
+            incarnation: new.incarnation,
             attempt: new.attempt,
             chunk_version,
             state: AssignmentState::Wanted,
@@ -77,30 +79,30 @@
             made: now,
             inherited: false,
         });
-        job.slots[new.task as usize] = Slot::At(ix);
+        job.slots[new.task as usize] = Slot::At(index);
         let uses_gpus = job.spec.gpus > 0.0;
         let machine = &mut self.machines[new.machine.at()];
-        machine.assignments.push(ix);
+        machine.assignments.push(index);
         machine.idle_since = None;
         if uses_gpus {
             machine.gpu_assignments += 1;
             machine.gpu_idle_since = None;
         }
-        Some(ix)
+        Some(index)
     }
 
     /// The task is provably not on its machine (any more).
-    pub fn release_assignment(&mut self, ix: AssignmentIx, fate: TaskFate) -> Option<Assignment> {
-        let assignment = self.assignments.remove(ix)?;
-        self.machines[assignment.machine.at()].assignments.retain(|&other| other != ix);
-        self.pass_needed = true;
+    pub fn release_assignment(&mut self, index: AssignmentIndex, fate: TaskFate) -> Option<Assignment> {
+        let assignment = self.assignments.remove(index)?;
+        self.machines[assignment.machine.at()].assignments.retain(|&other| other != index);
+        self.cycle_needed = true;
         if self.job(assignment.job).is_some() {
             self.release_from_job(&assignment, fate);
             self.changed_progress.insert(assignment.job);
             if fate == TaskFate::Unfinished {
                 self.stop_rest_of_gang(&assignment);
             }
-            self.retire_if_over(assignment.job);
+            self.remove_if_finished(assignment.job);
         }
         Some(assignment)
     }
@@ -117,7 +119,7 @@
             *used -= 1;
         }
         if let Some(used) = self.team_used.get_mut(job.spec.team.at()) {
-            *used -= Res::of(&job.spec);
+            *used -= Resources::of(&job.spec);
         }
         self.snapshot.give(machine, &job.spec, assignment.halt.is_some());
         if job.spec.gpus > 0.0 {
@@ -145,29 +147,29 @@
     /// it starts again once all of them are gone.
     fn stop_rest_of_gang(&mut self, released: &Assignment) {
         let Some(job) = self.job(released.job) else { return };
-        if job.spec.kind != Kind::Gang || job.placed == 0 || job.status != Status::Pending {
+        if job.spec.kind != Kind::Gang || job.placed == 0 || job.status != JobStatus::Pending {
             return;
         }
-        for assignment_ix in job.assignments() {
-            self.halt(released.made, assignment_ix, 0.0);
+        for assignment_index in job.assignments() {
+            self.halt(released.made, assignment_index, 0.0);
         }
     }
 
-    /// Everything on a machine is provably gone; with `below_session`, only
-    /// what was assigned in an earlier session.
-    pub fn free_machine(&mut self, ix: MachineIx, below_session: Option<u64>) {
-        for assignment_ix in self.machines[ix.at()].assignments.clone() {
-            let Some(assignment) = self.assignments.get(assignment_ix) else { continue };
-            if below_session.is_some_and(|session| assignment.session >= session) {
+    /// Everything on a machine is provably gone; with `before_incarnation`, only
+    /// what was assigned in an earlier incarnation.
+    pub fn free_machine(&mut self, index: MachineIndex, before_incarnation: Option<u64>) {
+        for assignment_index in self.machines[index.at()].assignments.clone() {
+            let Some(assignment) = self.assignments.get(assignment_index) else { continue };
+            if before_incarnation.is_some_and(|incarnation| assignment.incarnation >= incarnation) {
                 continue;
             }
-            let job_ix = assignment.job;
-            if let Some(job) = self.job_mut(job_ix) {
+            let job_index = assignment.job;
+            if let Some(job) = self.job_mut(job_index) {
                 job.lost_count += 1;
             }
-            self.release_assignment(assignment_ix, TaskFate::Unfinished);
+            self.release_assignment(assignment_index, TaskFate::Unfinished);
         }
-        self.machines[ix.at()].unreaped_exits.clear();
+        self.machines[index.at()].unreaped_exits.clear();
     }
 
     /// Whether a command with the assignment's launch is unanswered.
@@ -187,14 +189,14 @@
     /// find every task that may run.
     pub(super) fn may_launch(&self, assignment: &Assignment) -> bool {
         let Some(job) = self.job(assignment.job) else { return false };
-        if assignment.halt.is_some() || job.status != Status::Pending || !self.written(assignment) {
+        if assignment.halt.is_some() || job.status != JobStatus::Pending || !self.written(assignment) {
             return false;
         }
         !(job.spec.kind == Kind::Gang && job.has_unwritten_placement())
     }
 }
 
-fn count_in_zone(job: &mut Job, zone: ZoneIx) {
+fn count_in_zone(job: &mut Job, zone: ZoneIndex) {
     if !(job.spec.one_zone || job.spec.spread) {
         return;
     }
--- a/src/coordination/leader/commit_outcomes.rs
+++ b/src/coordination/leader/commit_outcomes.rs
@@ -8,25 +8,25 @@
     CommitOutcome, Leader,
 };
 use crate::{
-    bookkeeping::{
-        job_cache::JobIx,
+    coordination::model::{AssignmentState, MachineIndex, Millis},
+    protocol::{jobs::Kind, store::Op},
+    storage::{
+        job_cache::JobIndex,
         records::{self, ChunkRecord},
     },
-    coordination::model::{AssignmentState, MachineIx, Ms},
-    protocol::{jobs::Kind, store::Op},
 };
 
 /// Pause before an unanswered transaction is sent again.
-const UNANSWERED_PAUSE_MS: Ms = 100;
+const UNANSWERED_PAUSE_MS: Millis = 100;
 /// Pause after a transaction within the lower limits was refused as too large.
-const TOO_LARGE_PAUSE_MS: Ms = 1_000;
+const TOO_LARGE_PAUSE_MS: Millis = 1_000;
 
 impl Leader {
     /// How the transaction under way ended. False: the leadership is lost.
-    pub fn committed(&mut self, now: Ms, outcome: CommitOutcome) -> bool {
+    pub fn committed(&mut self, now: Millis, outcome: CommitOutcome) -> bool {
         let Some(mut in_flight) = self.transactions.in_flight.take() else { return true };
         match outcome {
-            CommitOutcome::Done(stamp) => self.applied(now, in_flight, stamp),
+            CommitOutcome::Done(revision) => self.applied(now, in_flight, revision),
             CommitOutcome::Refused => {
                 self.transactions.paused_until = now + REFUSED_PAUSE_MS;
                 // Rebuilt from the wanted state as it is by then. But if an
@@ -60,7 +60,7 @@
         }
         for key in &failed_keys {
             if let Some(id) = key.strip_prefix(records::JOBS) {
-                self.mark_stale(id, stamp_of(&in_flight, key));
+                self.mark_stale(id, expected_revision(&in_flight, key));
             }
         }
         let contents = &mut in_flight.contents;
@@ -80,23 +80,23 @@
         true
     }
 
-    /// A job's record changed under a transaction that expected `sent_stamp`.
-    fn mark_stale(&mut self, id: &str, sent_stamp: u64) {
-        for ix in self.active_with_id(id) {
+    /// A job's record changed under a transaction that expected `sent_revision`.
+    fn mark_stale(&mut self, id: &str, sent_revision: u64) {
+        for index in self.active_with_id(id) {
             // Unless the job cache has shown the change already.
-            if let Some(job) = self.job_mut(ix).filter(|job| job.stamp == sent_stamp) {
+            if let Some(job) = self.job_mut(index).filter(|job| job.revision == sent_revision) {
                 job.stale = true;
             }
         }
     }
 
-    fn active_with_id(&self, id: &str) -> Vec<JobIx> {
-        self.active_jobs().filter(|job| &*job.id == id).map(|job| job.ix).collect()
+    fn active_with_id(&self, id: &str) -> Vec<JobIndex> {
+        self.active_jobs().filter(|job| &*job.id == id).map(|job| job.index).collect()
     }
 
     /// The first 400 shows that the lower limits hold; what fits them and is
     /// refused all the same is cut smaller, and in the end set aside.
-    fn too_large(&mut self, now: Ms, mut in_flight: InFlightTxn) {
+    fn too_large(&mut self, now: Millis, mut in_flight: InFlightTxn) {
         if self.value_limit > self.cfg.value_fit {
             tracing::warn!(bytes = self.cfg.value_fit, "values are kept smaller from now on");
             self.value_limit = self.cfg.value_fit;
@@ -126,7 +126,7 @@
     }
 
     /// Sets aside what is refused as too large even as the only write.
-    fn set_aside(&mut self, now: Ms, in_flight: &InFlightTxn) {
+    fn set_aside(&mut self, now: Millis, in_flight: &InFlightTxn) {
         for written in &in_flight.contents.chunks {
             self.shrink_chunk(now, written.job, written.chunk);
         }
@@ -146,11 +146,11 @@
                 job.resharding = false;
             }
             self.adopt_recorded_sharding(plan.job);
-            self.retire_if_over(plan.job);
+            self.remove_if_finished(plan.job);
         }
         for key in &in_flight.contents.dropped_keys {
-            let stamp = stamp_of(&in_flight, key);
-            self.transactions.drop_later(ObsoleteRecord { key: key.clone(), stamp });
+            let revision = expected_revision(&in_flight, key);
+            self.transactions.drop_later(ObsoleteRecord { key: key.clone(), revision });
         }
         self.after_settled(&in_flight.contents.chunks);
     }
@@ -158,30 +158,30 @@
     /// A transaction is settled: jobs that were kept for it may be forgotten.
     fn after_settled(&mut self, chunks: &[WrittenChunk]) {
         for written in chunks {
-            self.retire_if_over(written.job);
+            self.remove_if_finished(written.job);
         }
-        self.pass_needed = true;
+        self.cycle_needed = true;
     }
 
-    fn applied(&mut self, now: Ms, in_flight: InFlightTxn, stamp: u64) {
+    fn applied(&mut self, now: Millis, in_flight: InFlightTxn, revision: u64) {
         let contents = &in_flight.contents;
         let statistics = &mut self.transactions.statistics;
         statistics.txns += 1;
         statistics.finished_jobs += contents.finished_jobs.len() as u32;
         statistics.drops += contents.dropped_keys.len() as u32;
         for written in &contents.chunks {
-            self.chunk_applied(now, written, stamp);
+            self.chunk_applied(now, written, revision);
         }
         if let Some(plan) = &contents.reshard {
-            self.resharded(now, plan, stamp);
+            self.resharded(now, plan, revision);
         }
-        for &ix in &contents.finished_jobs {
-            self.end_applied(now, ix, stamp);
+        for &index in &contents.finished_jobs {
+            self.end_applied(now, index, revision);
         }
         self.after_settled(&contents.chunks);
     }
 
-    fn chunk_applied(&mut self, now: Ms, written: &WrittenChunk, stamp: u64) {
+    fn chunk_applied(&mut self, now: Millis, written: &WrittenChunk, revision: u64) {
         let Some(job) = self.jobs.get_mut(written.job.at()).and_then(Option::as_mut) else {
             tracing::debug!("records of a job that is over were written");
             return;
@@ -195,25 +195,25 @@
             statistics.ends += 1;
         }
         chunk.committed_version = chunk.committed_version.max(written.version);
-        chunk.stamp = stamp;
+        chunk.revision = revision;
         job.unwritten_since = None;
         // A gang's launches wait for the last of its records.
         let launchable =
             if job.spec.kind == Kind::Gang { job.assignments() } else { job.assignments_of_chunk(written.chunk) };
-        let machines: Vec<MachineIx> = launchable
+        let machines: Vec<MachineIndex> = launchable
             .into_iter()
-            .filter_map(|ix| self.assignment(ix))
+            .filter_map(|index| self.assignment(index))
             .filter(|assignment| assignment.state == AssignmentState::Wanted)
             .map(|assignment| assignment.machine)
             .collect();
         for machine in machines {
-            self.wake.schedule(now, machine);
+            self.dispatch_queue.schedule(now, machine);
         }
     }
 
-    fn end_applied(&mut self, now: Ms, ix: JobIx, stamp: u64) {
-        if let Some(job) = self.job_mut(ix) {
-            job.stamp = stamp;
+    fn end_applied(&mut self, now: Millis, index: JobIndex, revision: u64) {
+        if let Some(job) = self.job_mut(index) {
+            job.revision = revision;
             let last_s = (job.last_assigned as i64 - job.since) as f64 / 1000.0;
             tracing::info!(
                 job = &*job.id,
@@ -227,23 +227,23 @@
                 "done"
             );
         }
-        self.finish(ix);
+        self.finish(index);
     }
 
-    /// A key asked for by `resync_key` was read: its value and its stamp.
-    pub fn resynced(&mut self, now: Ms, key: &str, found: Option<(Value, u64)>) {
+    /// A key asked for by `resync_key` was read: its value and its revision.
+    pub fn resynced(&mut self, now: Millis, key: &str, found: Option<(Value, u64)>) {
         let Some(mut in_flight) = self.transactions.in_flight.take() else { return };
-        let mut current_stamp = 0;
-        if let Some((value, stamp)) = found {
-            current_stamp = stamp;
+        let mut current_revision = 0;
+        if let Some((value, revision)) = found {
+            current_revision = revision;
             let record = value.deserialized::<ChunkRecord>().unwrap_or_default();
             if record.tag == in_flight.tag {
-                // It was applied after all: everything in it has this one stamp.
-                self.applied(now, in_flight, stamp);
+                // It was applied after all: everything in it has this one revision.
+                self.applied(now, in_flight, revision);
                 return;
             }
         }
-        self.set_chunk_stamp(key, current_stamp);
+        self.set_chunk_revision(key, current_revision);
         if let TxnState::Resync(keys) = &mut in_flight.state {
             keys.retain(|other| other != key);
             if !keys.is_empty() {
@@ -255,19 +255,19 @@
         self.give_back(in_flight);
     }
 
-    fn set_chunk_stamp(&mut self, key: &str, stamp: u64) {
+    fn set_chunk_revision(&mut self, key: &str, revision: u64) {
         let Some((id, chunk_number)) = records::split_chunk_key(key) else { return };
-        for ix in self.active_with_id(id) {
-            let chunk = self.job_mut(ix).and_then(|job| job.chunks.get_mut(chunk_number as usize));
+        for index in self.active_with_id(id) {
+            let chunk = self.job_mut(index).and_then(|job| job.chunks.get_mut(chunk_number as usize));
             if let Some(chunk) = chunk {
-                chunk.stamp = stamp;
+                chunk.revision = revision;
             }
         }
     }
 }
 
-/// The stamp that a transaction expects of a key.
-fn stamp_of(in_flight: &InFlightTxn, key: &str) -> u64 {
+/// The revision that a transaction expects of a key.
+fn expected_revision(in_flight: &InFlightTxn, key: &str) -> u64 {
     let conditions = &in_flight.txn.conditions;
-    conditions.iter().find(|condition| condition.key == key).map_or(0, |condition| condition.stamp)
+    conditions.iter().find(|condition| condition.key == key).map_or(0, |condition| condition.revision)
 }
