--- a/src/coordination/leader/commits.rs
+++ b/src/coordination/leader/commits.rs
@@ -8,22 +8,22 @@
     Leader,
 };
 use crate::{
-    bookkeeping::{
-        job_cache::JobIx,
-        records::{self, AssignmentRecord, ChunkRecord, JobRecord, Status},
-    },
-    coordination::model::{Chunk, Job, Ms, Slot},
+    coordination::model::{Chunk, Job, Millis, Slot},
     protocol::{
         jobs::{Priority, Submission},
         names::Tables,
         store::{Condition, Op, Txn},
     },
+    storage::{
+        job_cache::JobIndex,
+        records::{self, AssignmentRecord, ChunkRecord, JobRecord, JobStatus},
+    },
 };
 
 /// Ends of tasks wait this long for others to be written with them.
-const ENDS_DELAY_MS: Ms = 8_000;
+const EXITS_DELAY_MS: Millis = 8_000;
 /// The same when there is budget to spare.
-const ENDS_DELAY_SPARE_MS: Ms = 1_500;
+const EXITS_DELAY_SPARE_MS: Millis = 1_500;
 /// Bytes of values after which a transaction takes no more; well below the
 /// size of a request that the state service takes.
 pub(super) const TXN_BYTES_LIMIT: usize = 48 * 1024;
@@ -32,7 +32,7 @@
 /// Obsolete records dropped in one transaction.
 const DROPS_PER_TXN: usize = 4;
 /// Pause between transactions that drop obsolete records.
-const DROP_GAP_MS: Ms = 800;
+const DROP_GAP_MS: Millis = 800;
 
 /// How urgently a job's records are to be written, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -47,7 +47,7 @@
 
 /// A chunk whose value is too large to be written.
 struct OversizedChunk {
-    job: JobIx,
+    job: JobIndex,
     chunk: usize,
 }
 
@@ -75,19 +75,19 @@
         self.txn.writes.push(Op::Put { key, v: value, permit: None });
     }
 
-    fn require(&mut self, key: String, stamp: u64) {
-        self.txn.conditions.push(Condition { key, stamp });
+    fn require(&mut self, key: String, revision: u64) {
+        self.txn.conditions.push(Condition { key, revision });
     }
 }
 
 /// How urgently a job's records are to be written, if at all. Ends wait for one
 /// another: nothing but the reaping of what has ended depends on them, and a
 /// later leader learns them from the workers.
-fn write_class(job: &Job, now: Ms, spare: bool) -> Option<WriteClass> {
+fn write_class(job: &Job, now: Millis, spare: bool) -> Option<WriteClass> {
     if job.stale || job.resharding {
         return None;
     }
-    if job.status != Status::Pending {
+    if job.status != JobStatus::Pending {
         return None; // its records are dropped once all of it is gone
     }
     if job.all_done() {
@@ -102,7 +102,7 @@
         });
     }
     let waited_ms = now.saturating_sub(job.unwritten_since?);
-    let delay_ms = if spare { ENDS_DELAY_SPARE_MS } else { ENDS_DELAY_MS };
+    let delay_ms = if spare { EXITS_DELAY_SPARE_MS } else { EXITS_DELAY_MS };
     (waited_ms >= delay_ms).then_some(WriteClass::Ends)
 }
 
@@ -116,7 +116,7 @@
     pub(super) fn chunk_value_of(&self, job: &Job, from: usize, size: usize, tag: u64, tables: &Tables) -> Value {
         let to = (from + size).min(job.slots.len());
         let assigned = |slot: &Slot| match slot {
-            Slot::At(ix) => self.assignment(*ix),
+            Slot::At(index) => self.assignment(*index),
             Slot::Pending | Slot::Done => None,
         };
         let assignments = job.slots[from..to]
@@ -126,7 +126,7 @@
                 AssignmentRecord(
                     assignment.task,
                     self.machine(assignment.machine).id.clone(),
-                    assignment.session,
+                    assignment.incarnation,
                     assignment.attempt,
                     tables.zones.name(assignment.zone.0).to_owned(),
                 )
@@ -138,7 +138,7 @@
 
     /// Whether a transaction may be sent: none is unanswered, and no pause is kept
     /// after one that failed.
-    pub fn may_commit(&self, now: Ms) -> bool {
+    pub fn may_commit(&self, now: Millis) -> bool {
         let is_sent = |in_flight: &InFlightTxn| matches!(in_flight.state, TxnState::Sent);
         now >= self.transactions.paused_until && !self.transactions.in_flight.as_ref().is_some_and(is_sent)
     }
@@ -153,7 +153,7 @@
 
     /// Whether something is to be written. `spare`: there is budget for more
     /// than what is urgent.
-    pub fn has_writes(&mut self, now: Ms, spare: bool) -> bool {
+    pub fn has_writes(&mut self, now: Millis, spare: bool) -> bool {
         self.note_unwritten_changes(now);
         let reshards = self.reshard_candidate(now, spare).is_some();
         if !reshards && now >= self.transactions.reshard_after {
@@ -166,9 +166,9 @@
             || self.active_jobs().any(|job| write_class(job, now, spare).is_some())
     }
 
-    fn note_unwritten_changes(&mut self, now: Ms) {
-        for &ix in &self.active {
-            let Some(job) = self.jobs.get_mut(ix.at()).and_then(Option::as_mut) else { continue };
+    fn note_unwritten_changes(&mut self, now: Millis) {
+        for &index in &self.active {
+            let Some(job) = self.jobs.get_mut(index.at()).and_then(Option::as_mut) else { continue };
             if job.unwritten_since.is_none() && job.has_unwritten_changes() {
                 job.unwritten_since = Some(now);
             }
@@ -179,7 +179,7 @@
     /// first, then placements by priority, then ends that have waited; a job
     /// whose chunks don't fit waits for the next one. An unanswered transaction
     /// is sent again as it was.
-    pub fn commit(&mut self, now: Ms, max_ops: usize, spare: bool, tables: &Tables) -> Option<Txn> {
+    pub fn commit(&mut self, now: Millis, max_ops: usize, spare: bool, tables: &Tables) -> Option<Txn> {
         if let Some(in_flight) = &mut self.transactions.in_flight {
             if !matches!(in_flight.state, TxnState::Resend) {
                 return None;
@@ -212,14 +212,14 @@
         }
         // Guard: whoever leads by the time it is applied, only this
         // leadership's writes count.
-        builder.require(records::LEADER.to_owned(), self.stamp);
+        builder.require(records::LEADER.to_owned(), self.revision);
         Some(self.transactions.send(builder.txn, builder.contents, builder.tag))
     }
 
-    fn add_jobs(&self, now: Ms, spare: bool, tables: &Tables, builder: &mut TxnBuilder) {
+    fn add_jobs(&self, now: Millis, spare: bool, tables: &Tables, builder: &mut TxnBuilder) {
         let mut order: Vec<(WriteClass, &Job)> =
             self.active_jobs().filter_map(|job| Some((write_class(job, now, spare)?, job))).collect();
-        order.sort_unstable_by_key(|(class, job)| (*class, job.since, job.ix));
+        order.sort_unstable_by_key(|(class, job)| (*class, job.since, job.index));
         for (class, job) in order {
             if builder.is_full() {
                 break;
@@ -232,29 +232,29 @@
                 _ => self.add_chunks(now, job, class, tables, builder),
             };
             if is_written {
-                builder.require(records::job_key(&job.id), job.stamp);
+                builder.require(records::job_key(&job.id), job.revision);
             }
         }
     }
 
-    fn add_finished_job(&self, now: Ms, job: &Job, builder: &mut TxnBuilder) {
+    fn add_finished_job(&self, now: Millis, job: &Job, builder: &mut TxnBuilder) {
         let submission = Submission { tasks: Some(f64::from(job.spec.tasks)), ..Submission::default() };
         // The next leader counts from here how long its dependents have waited.
         let at_ms = (now as i64 + self.wall_clock_offset_ms).max(0) as u64;
-        let record = JobRecord { submission, status: Status::Done, at_ms, chunk: job.chunk_size };
+        let record = JobRecord { submission, status: JobStatus::Done, at_ms, chunk: job.chunk_size };
         let value = records::to_value(&record);
         let bytes = records::json_size(&value);
         builder.put(records::job_key(&job.id), value, bytes);
-        builder.contents.finished_jobs.push(job.ix);
+        builder.contents.finished_jobs.push(job.index);
     }
 
     /// Adds the job's chunks that are due. False: none was added.
-    fn add_chunks(&self, now: Ms, job: &Job, class: WriteClass, tables: &Tables, builder: &mut TxnBuilder) -> bool {
-        let is_due = |chunk: &Chunk| {
+    fn add_chunks(&self, now: Millis, job: &Job, class: WriteClass, tables: &Tables, builder: &mut TxnBuilder) -> bool {
+        let is_overdue_unplaced = |chunk: &Chunk| {
             let is_wanted = chunk.has_unwritten_placement() || (class == WriteClass::Ends && chunk.is_dirty());
             now >= chunk.retry_at && is_wanted
         };
-        let due: Vec<usize> = (0..job.chunks.len()).filter(|&chunk| is_due(&job.chunks[chunk])).collect();
+        let due: Vec<usize> = (0..job.chunks.len()).filter(|&chunk| is_overdue_unplaced(&job.chunks[chunk])).collect();
         let ops_left = builder.ops_left();
         // A job is split only if it alone is more than a transaction takes.
         if due.len() > ops_left && ops_left < builder.max_ops {
@@ -270,14 +270,14 @@
             // Guard: what is too large is never sent again as it is; it would
             // be refused for ever.
             if bytes > self.value_limit {
-                builder.oversized.push(OversizedChunk { job: job.ix, chunk });
+                builder.oversized.push(OversizedChunk { job: job.index, chunk });
                 continue;
             }
             let key = records::chunk_key(&job.id, chunk as u32);
             let state = &job.chunks[chunk];
-            builder.require(key.clone(), state.stamp);
+            builder.require(key.clone(), state.revision);
             builder.put(key, value, bytes);
-            builder.contents.chunks.push(WrittenChunk { job: job.ix, chunk, version: state.version });
+            builder.contents.chunks.push(WrittenChunk { job: job.index, chunk, version: state.version });
             is_written = true;
         }
         is_written
@@ -285,14 +285,14 @@
 
     /// Records of jobs that are over are dropped slowly: a large job's must not
     /// take the budget from anything that somebody waits for.
-    fn add_drops(&mut self, now: Ms, builder: &mut TxnBuilder) {
+    fn add_drops(&mut self, now: Millis, builder: &mut TxnBuilder) {
         if now < self.transactions.drop_after {
             return;
         }
         for _ in 0..builder.ops_left().min(DROPS_PER_TXN) {
             let Some(record) = self.transactions.obsolete_records.pop_front() else { break };
             self.transactions.drop_after = now + DROP_GAP_MS;
-            builder.require(record.key.clone(), record.stamp);
+            builder.require(record.key.clone(), record.revision);
             builder.txn.writes.push(Op::Delete { key: record.key.clone() });
             builder.contents.dropped_keys.push(record.key);
         }
--- a/src/coordination/leader/effects.rs
+++ b/src/coordination/leader/effects.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 
 use crate::{
-    coordination::model::{MachineIx, Ms},
+    coordination::model::{MachineIndex, Millis},
     protocol::{
         cloud::RentRequest,
-        workers::{DirectCommandRequest, Report, ReportAnswer},
+        workers::{DirectCommandRequest, Heartbeat, HeartbeatResponse},
     },
 };
 
@@ -16,7 +16,7 @@
     /// POST /do: a command sent straight to a worker.
     Do {
         /// The machine of the worker.
-        machine: MachineIx,
+        machine: MachineIndex,
         /// Number of the call.
         call: u64,
         /// Address of the worker.
@@ -48,17 +48,17 @@
     /// GET /status, of a worker whose report is overdue.
     Probe {
         /// The machine of the worker.
-        machine: MachineIx,
+        machine: MachineIndex,
         /// Address of the worker.
         addr: SocketAddr,
     },
 }
 
-/// How a worker's report is answered.
+/// How a worker's heartbeat is answered.
 #[derive(Debug)]
-pub enum Answer {
+pub enum HeartbeatOutcome {
     /// Accepted: this renews the worker's lease and carries orders.
-    Ok(ReportAnswer),
+    Ok(HeartbeatResponse),
     /// Too old to mean anything, or from a machine that is gone.
     Stale,
     /// The worker has seen a higher token than any of ours.
@@ -68,10 +68,10 @@
 /// How a command sent straight to a worker ended.
 #[derive(Debug)]
 pub enum DirectCallOutcome {
-    /// Executed; the worker's report after it.
-    Executed(Report),
-    /// Refused by the worker; its report.
-    Refused(Report),
+    /// Executed; the worker's heartbeat after it.
+    Executed(Heartbeat),
+    /// Refused by the worker; its heartbeat.
+    Refused(Heartbeat),
     /// Never sent, so certainly not executed.
     NotSent,
     /// Unanswered: it may have been executed, or may yet be.
@@ -81,9 +81,9 @@
 /// How a transaction ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitOutcome {
-    /// Applied; the stamp that all of its records have now.
+    /// Applied; the revision that all of its records have now.
     Done(u64),
-    /// Not applied, because these keys had other stamps than expected.
+    /// Not applied, because these keys had other revisions than expected.
     Conflict(Vec<String>),
     /// Certainly not executed.
     Refused,
@@ -94,4 +94,4 @@
 }
 
 /// Pause after a refusal, so that a busy service is not asked at once again.
-pub(super) const REFUSED_PAUSE_MS: Ms = 150;
+pub(super) const REFUSED_PAUSE_MS: Millis = 150;
--- a/src/coordination/leader/exits.rs
+++ b/src/coordination/leader/exits.rs
@@ -2,33 +2,33 @@
 
 use super::{Leader, TaskFate};
 use crate::{
-    coordination::model::{Assignment, AssignmentIx, ExitRecord, Ms, UnreapedExit},
-    protocol::workers::{ExitReason, TaskReport},
+    coordination::model::{Assignment, AssignmentIndex, ExitRecord, Millis, UnreapedExit},
+    protocol::workers::{ExitReason, TaskStatus},
 };
 
 /// How long a machine that refused a start gets no new tasks, and a job whose
 /// task its worker did not know.
-const REFUSED_START_PAUSE_MS: Ms = 3_000;
+const REFUSED_START_PAUSE_MS: Millis = 3_000;
 
 impl Leader {
     /// A task has ended. Its assignment is released unless a command sent
     /// earlier could still start it again.
-    pub(super) fn settle_exit(&mut self, now: Ms, ix: AssignmentIx, report: &TaskReport) {
-        let Some(assignment) = self.assignment(ix) else { return };
+    pub(super) fn settle_exit(&mut self, now: Millis, index: AssignmentIndex, heartbeat: &TaskStatus) {
+        let Some(assignment) = self.assignment(index) else { return };
         let machine = self.machine(assignment.machine);
         // Guard: a launch still under way could arrive after the reap and start
         // the task a second time.
         if !machine.fenced() || self.in_flight_launch(assignment) || machine.launch_in_answer {
             return;
         }
-        let reason = report.why.unwrap_or(ExitReason::Other);
+        let reason = heartbeat.why.unwrap_or(ExitReason::Other);
         let fate = if reason == ExitReason::Done { TaskFate::Done } else { TaskFate::Unfinished };
-        let Some(assignment) = self.release_assignment(ix, fate) else { return };
+        let Some(assignment) = self.release_assignment(index, fate) else { return };
         let record = self.record_of_exit(&assignment);
         let machine = &mut self.machines[assignment.machine.at()];
         machine.unreaped_exits.push(UnreapedExit {
-            task: report.task.clone(),
-            attempt: report.attempt,
+            task: heartbeat.task.clone(),
+            attempt: heartbeat.attempt,
             job: assignment.job,
             record,
         });
@@ -36,13 +36,13 @@
             self.observe_run_time(now, &assignment);
         } else {
             tracing::debug!(
-                task = &*report.task,
+                task = &*heartbeat.task,
                 machine = &*machine.id,
                 why = ?reason,
-                saved = ?report.saved,
+                saved = ?heartbeat.saved,
                 "ended"
             );
-            self.handle_early_end(now, &assignment, reason, &report.task);
+            self.handle_early_end(now, &assignment, reason, &heartbeat.task);
         }
     }
 
@@ -58,22 +58,22 @@
     }
 
     /// A task ended before it was done.
-    fn handle_early_end(&mut self, now: Ms, assignment: &Assignment, reason: ExitReason, task: &str) {
-        let (machine_ix, job_ix) = (assignment.machine, assignment.job);
+    fn handle_early_end(&mut self, now: Millis, assignment: &Assignment, reason: ExitReason, task: &str) {
+        let (machine_index, job_index) = (assignment.machine, assignment.job);
         match reason {
             ExitReason::NoRoom | ExitReason::Busy => {
-                let machine = &mut self.machines[machine_ix.at()];
+                let machine = &mut self.machines[machine_index.at()];
                 tracing::info!(task, machine = &*machine.id, why = ?reason, "start refused");
                 machine.avoid_until = now + REFUSED_START_PAUSE_MS;
-                self.refresh(now, machine_ix);
+                self.refresh(now, machine_index);
             }
             ExitReason::Unknown => {
-                if let Some(job) = self.job_mut(job_ix) {
+                if let Some(job) = self.job_mut(job_index) {
                     job.not_before = now + REFUSED_START_PAUSE_MS;
                 }
             }
             ExitReason::Stopped => {
-                if let Some(job) = self.job_mut(job_ix) {
+                if let Some(job) = self.job_mut(job_index) {
                     job.stop_count += 1;
                 }
             }
@@ -83,7 +83,7 @@
     }
 
     /// The run time of a task that was not stopped corrects its class's estimates.
-    fn observe_run_time(&mut self, now: Ms, assignment: &Assignment) {
+    fn observe_run_time(&mut self, now: Millis, assignment: &Assignment) {
         let Some(running_since) = assignment.running_since else { return };
         if assignment.halt.is_some() {
             return;
--- a/src/coordination/leader/failures.rs
+++ b/src/coordination/leader/failures.rs
@@ -6,48 +6,48 @@
 
 use super::Leader;
 use crate::{
-    bookkeeping::job_cache::JobIx,
-    coordination::model::{Assignment, Job, JobFailures, MachineIx, Ms, TaskFailure},
+    coordination::model::{Assignment, Job, JobFailures, MachineIndex, Millis, TaskFailure},
+    storage::job_cache::JobIndex,
 };
 
 /// How long a machine on which a task failed gets no new tasks; doubled with
 /// each further job that failed there lately.
-const MACHINE_PAUSE_MS: Ms = 5_000;
+const MACHINE_PAUSE_MS: Millis = 5_000;
 /// Longest pause of such a machine.
-const MACHINE_PAUSE_MAX_MS: Ms = 60_000;
+const MACHINE_PAUSE_MAX_MS: Millis = 60_000;
 /// How long a failure is remembered at its machine.
-const FAILURE_MEMORY_MS: Ms = 120_000;
+const FAILURE_MEMORY_MS: Millis = 120_000;
 /// Sound jobs that failed on one machine lately after which it counts as faulty.
 const FAULTY_MACHINE_JOBS: usize = 2;
 /// Pause of a job after a failure that is not taken for its own.
-const RETRY_PAUSE_MS: Ms = 300;
+const RETRY_PAUSE_MS: Millis = 300;
 /// First pause of a job that is at fault itself; doubled with each round...
-const BACKOFF_MS: Ms = 2_000;
+const BACKOFF_MS: Millis = 2_000;
 /// ...up to this many times: it is tried again for as long as it is wanted.
 const BACKOFF_DOUBLINGS: u32 = 5;
 /// Interval at which failures are judged.
-const JUDGE_INTERVAL_MS: Ms = 2_000;
+const JUDGE_INTERVAL_MS: Millis = 2_000;
 
 impl Leader {
     /// A task failed: its job tries again, elsewhere at first.
-    pub(super) fn task_failed(&mut self, now: Ms, assignment: &Assignment, task: &str) {
-        let (machine_ix, job_ix) = (assignment.machine, assignment.job);
-        tracing::info!(task, machine = &*self.machine(machine_ix).id, "failed");
+    pub(super) fn task_failed(&mut self, now: Millis, assignment: &Assignment, task: &str) {
+        let (machine_index, job_index) = (assignment.machine, assignment.job);
+        tracing::info!(task, machine = &*self.machine(machine_index).id, "failed");
         let last_attempt = self.last_attempt;
-        let Some(job) = self.job_mut(job_ix) else { return };
+        let Some(job) = self.job_mut(job_index) else { return };
         let ran_ms = assignment.running_since.map_or(0, |since| now.saturating_sub(since));
-        job.failures.record(machine_ix, ran_ms, assignment.attempt, last_attempt);
+        job.failures.record(machine_index, ran_ms, assignment.attempt, last_attempt);
         job.not_before = now + retry_pause_ms(&job.failures);
         // Guard: a job that fails everywhere would keep healthy machines from
         // taking any work.
         if !job.failures.job_is_at_fault() {
-            self.pause_machine(now, machine_ix, job_ix);
+            self.pause_machine(now, machine_index, job_index);
         }
-        self.refresh(now, machine_ix);
+        self.refresh(now, machine_index);
     }
 
-    fn pause_machine(&mut self, now: Ms, machine_ix: MachineIx, job: JobIx) {
-        let machine = &mut self.machines[machine_ix.at()];
+    fn pause_machine(&mut self, now: Millis, machine_index: MachineIndex, job: JobIndex) {
+        let machine = &mut self.machines[machine_index.at()];
         machine.recent_failures.retain(|failure| failure.job != job);
         machine.recent_failures.push(TaskFailure { job, at: now, job_is_sound: false });
         let doublings = machine.recent_failures.len() as u32 - 1;
@@ -56,7 +56,7 @@
     }
 
     /// Retires machines on which several jobs failed that run well elsewhere.
-    pub(super) fn judge_failures(&mut self, now: Ms) {
+    pub(super) fn judge_failures(&mut self, now: Millis) {
         if now < self.next_judgement {
             return;
         }
@@ -70,23 +70,23 @@
     }
 
     /// Clears the jobs of which a task has run for longer than any that failed.
-    fn clear_jobs_that_run_well(&mut self, now: Ms) {
-        let slack_ms = 2 * self.cfg.report_ms;
+    fn clear_jobs_that_run_well(&mut self, now: Millis) {
+        let slack_ms = 2 * self.cfg.heartbeat_interval_ms;
         let outlasts = |job: &Job| {
             let limit_ms = job.failures.longest_run_ms + slack_ms;
-            let assignments = job.assignments().into_iter().filter_map(|ix| self.assignment(ix));
+            let assignments = job.assignments().into_iter().filter_map(|index| self.assignment(index));
             assignments.filter_map(|assignment| assignment.running_since).any(|since| now > since + limit_ms)
         };
         let suspects = self.active_jobs().filter(|job| job.failures.are_unexplained());
-        let sound: Vec<JobIx> = suspects.filter(|job| outlasts(job)).map(|job| job.ix).collect();
-        for ix in sound {
-            if let Some(job) = self.job_mut(ix) {
+        let sound: Vec<JobIndex> = suspects.filter(|job| outlasts(job)).map(|job| job.index).collect();
+        for index in sound {
+            if let Some(job) = self.job_mut(index) {
                 job.failures.job_is_sound = true;
             }
         }
     }
 
-    fn judge_machine(&mut self, now: Ms, n: usize) {
+    fn judge_machine(&mut self, now: Millis, n: usize) {
         let (jobs, machine) = (&self.jobs, &mut self.machines[n]);
         machine.recent_failures.retain(|failure| now < failure.at + FAILURE_MEMORY_MS);
         for failure in &mut machine.recent_failures {
@@ -94,24 +94,24 @@
             failure.job_is_sound |= job.is_some_and(|job| job.failures.job_is_sound);
         }
         let sound_jobs = machine.recent_failures.iter().filter(|failure| failure.job_is_sound).count();
-        if sound_jobs >= FAULTY_MACHINE_JOBS && !machine.retiring {
-            machine.retiring = true;
+        if sound_jobs >= FAULTY_MACHINE_JOBS && !machine.cordoned {
+            machine.cordoned = true;
             tracing::warn!(machine = &*machine.id, "jobs failed here that run elsewhere: retired");
         }
     }
 
     /// A job that failed somewhere has completed: its machines were at fault.
-    pub(super) fn blame_machines_of(&mut self, ix: JobIx) {
-        let Some(job) = self.job(ix) else { return };
+    pub(super) fn blame_machines_of(&mut self, index: JobIndex) {
+        let Some(job) = self.job(index) else { return };
         for machine in job.failures.machines.clone() {
             let failures = &mut self.machines[machine.at()].recent_failures;
-            failures.iter_mut().filter(|failure| failure.job == ix).for_each(|failure| failure.job_is_sound = true);
+            failures.iter_mut().filter(|failure| failure.job == index).for_each(|failure| failure.job_is_sound = true);
         }
     }
 }
 
 /// How long a job waits after one of its tasks failed.
-fn retry_pause_ms(failures: &JobFailures) -> Ms {
+fn retry_pause_ms(failures: &JobFailures) -> Millis {
     if !failures.job_is_at_fault() {
         return RETRY_PAUSE_MS;
     }
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -4,14 +4,14 @@
 
 use super::{pipeline::ObsoleteRecord, Leader, TaskFate};
 use crate::{
-    bookkeeping::{
-        job_cache::{JobCache, JobIx},
-        records::{self, Status},
-    },
     coordination::model::{
-        AssignmentIx, Chunk, ExitRecord, Halt, Job, JobFailures, JobProgress, Ms, Slot, UnreapedExit,
+        AssignmentIndex, Chunk, ExitRecord, Halt, Job, JobFailures, JobProgress, Millis, Slot, UnreapedExit,
     },
     protocol::{jobs::JobSpec, peers::Count},
+    storage::{
+        job_cache::{JobCache, JobIndex},
+        records::{self, JobStatus},
+    },
 };
 
 /// Greatest age of a job that is believed, in ms (about 35 years): a time of
@@ -24,62 +24,62 @@
 
 impl Leader {
     /// The job cache shows a job's record, new or changed.
-    pub fn job_update(&mut self, now: Ms, wall_ms: u64, ix: JobIx, job_cache: &JobCache) {
-        let entry = job_cache.get(ix);
+    pub fn job_update(&mut self, now: Millis, wall_ms: u64, index: JobIndex, job_cache: &JobCache) {
+        let entry = job_cache.get(index);
         self.set_wall_clock(now, wall_ms);
-        self.reserve_job_slot(ix);
-        match (&mut self.jobs[ix.at()], entry.status) {
+        self.reserve_job_slot(index);
+        match (&mut self.jobs[index.at()], entry.status) {
             // Guard: until the ends of all that it depends on are written, a job
             // takes part in no trial, and holds no part of any limit or guarantee.
-            (None, Status::Pending) if job_cache.waits(ix) => return,
-            (None, Status::Pending) => {
-                let Some(spec) = job_cache.effective_spec(ix) else { return };
-                self.add_job(now, wall_ms, ix, spec, job_cache);
+            (None, JobStatus::Pending) if job_cache.waits(index) => return,
+            (None, JobStatus::Pending) => {
+                let Some(spec) = job_cache.effective_spec(index) else { return };
+                self.add_job(now, wall_ms, index, spec, job_cache);
             }
-            (Some(job), Status::Pending) => {
-                job.stamp = entry.stamp;
+            (Some(job), JobStatus::Pending) => {
+                job.revision = entry.revision;
                 job.stale = false;
                 job.recorded_chunk_size = entry.chunk;
-                self.adopt_recorded_sharding(ix);
-                if let Some(spec) = job_cache.effective_spec(ix) {
-                    self.change_spec(ix, spec);
+                self.adopt_recorded_sharding(index);
+                if let Some(spec) = job_cache.effective_spec(index) {
+                    self.change_spec(index, spec);
                 }
             }
-            (Some(job), Status::Cancelled) => {
-                job.stamp = entry.stamp;
+            (Some(job), JobStatus::Cancelled) => {
+                job.revision = entry.revision;
                 job.stale = false;
-                if job.status != Status::Cancelled {
-                    job.status = Status::Cancelled;
+                if job.status != JobStatus::Cancelled {
+                    job.status = JobStatus::Cancelled;
                     tracing::info!(job = &*job.id, "cancelled by its user");
-                    self.changed_progress.insert(ix);
-                    self.stop_job(now, ix, 0.0);
+                    self.changed_progress.insert(index);
+                    self.stop_job(now, index, 0.0);
                 }
             }
-            (Some(_), Status::Done) => self.finish(ix),
+            (Some(_), JobStatus::Done) => self.finish(index),
             (None, _) => {}
         }
-        self.pass_needed = true;
+        self.cycle_needed = true;
     }
 
-    pub(super) fn set_wall_clock(&mut self, now: Ms, wall_ms: u64) {
+    pub(super) fn set_wall_clock(&mut self, now: Millis, wall_ms: u64) {
         self.wall_clock_offset_ms = wall_ms as i64 - now as i64;
     }
 
-    pub(super) fn reserve_job_slot(&mut self, ix: JobIx) {
-        if self.jobs.len() <= ix.at() {
-            self.jobs.resize_with(ix.at() + 1, || None);
+    pub(super) fn reserve_job_slot(&mut self, index: JobIndex) {
+        if self.jobs.len() <= index.at() {
+            self.jobs.resize_with(index.at() + 1, || None);
         }
     }
 
     /// Jobs that depend on this one changed its priority or its deadline.
-    fn change_spec(&mut self, ix: JobIx, spec: Rc<JobSpec>) {
-        let Some(job) = self.jobs[ix.at()].as_mut() else { return };
+    fn change_spec(&mut self, index: JobIndex, spec: Rc<JobSpec>) {
+        let Some(job) = self.jobs[index.at()].as_mut() else { return };
         if *job.spec == *spec {
             return;
         }
         let previous = std::mem::replace(&mut job.spec, spec.clone());
-        for assignment_ix in job.assignments() {
-            let Some(assignment) = self.assignments.get(assignment_ix) else { continue };
+        for assignment_index in job.assignments() {
+            let Some(assignment) = self.assignments.get(assignment_index) else { continue };
             let host = assignment.machine.at();
             let is_stopping = assignment.halt.is_some();
             // The snapshot counts by priority what may be stopped.
@@ -91,16 +91,23 @@
         }
     }
 
-    pub(super) fn add_job(&mut self, now: Ms, wall_ms: u64, ix: JobIx, spec: Rc<JobSpec>, job_cache: &JobCache) {
-        let entry = job_cache.get(ix);
+    pub(super) fn add_job(
+        &mut self,
+        now: Millis,
+        wall_ms: u64,
+        index: JobIndex,
+        spec: Rc<JobSpec>,
+        job_cache: &JobCache,
+    ) {
+        let entry = job_cache.get(index);
         let tasks = spec.tasks;
         let is_oversized = entry.chunk > self.cfg.chunk_fit && tasks > self.cfg.chunk_fit;
-        let age_ms = wall_ms.saturating_sub(job_cache.ready_ms(ix)).min(OLDEST_MS) as i64;
-        self.jobs[ix.at()] = Some(Job {
-            ix,
+        let age_ms = wall_ms.saturating_sub(job_cache.ready_ms(index)).min(OLDEST_MS) as i64;
+        self.jobs[index.at()] = Some(Job {
+            index,
             id: entry.id.clone(),
             spec,
-            stamp: entry.stamp,
+            revision: entry.revision,
             status: entry.status,
             since: now as i64 - age_ms,
             chunk_size: entry.chunk,
@@ -120,7 +127,7 @@
             has_counted_start: false,
             failures: JobFailures::default(),
             published: JobProgress::default(),
-            next_eviction: 0,
+            next_preemption: 0,
             zone_used: Vec::new(),
             within_guarantee: false,
             stop_count: 0,
@@ -128,27 +135,27 @@
             last_assigned: now,
             waiting_since: now,
         });
-        self.active.push(ix);
+        self.active.push(index);
     }
 
     /// Stops all of a job's tasks; those that were never launched are simply dropped.
-    pub fn stop_job(&mut self, now: Ms, ix: JobIx, grace_s: f64) {
-        let Some(job) = self.job(ix) else { return };
-        for assignment_ix in job.assignments() {
-            self.halt(now, assignment_ix, grace_s);
+    pub fn stop_job(&mut self, now: Millis, index: JobIndex, grace_s: f64) {
+        let Some(job) = self.job(index) else { return };
+        for assignment_index in job.assignments() {
+            self.halt(now, assignment_index, grace_s);
         }
-        self.retire_if_over(ix);
+        self.remove_if_finished(index);
     }
 
     /// Wants a task stopped. An assignment whose launch was never sent is
     /// released at once.
-    pub fn halt(&mut self, now: Ms, ix: AssignmentIx, grace_s: f64) {
-        let Some(assignment) = self.assignments.get_mut(ix) else { return };
+    pub fn halt(&mut self, now: Millis, index: AssignmentIndex, grace_s: f64) {
+        let Some(assignment) = self.assignments.get_mut(index) else { return };
         if assignment.never_launched() {
-            self.release_assignment(ix, TaskFate::Unfinished);
+            self.release_assignment(index, TaskFate::Unfinished);
             return;
         }
-        let (job_ix, machine) = (assignment.job, assignment.machine);
+        let (job_index, machine) = (assignment.job, assignment.machine);
         match &mut assignment.halt {
             Some(halt) if grace_s < halt.grace_s => {
                 halt.grace_s = grace_s;
@@ -157,37 +164,37 @@
             Some(_) => return,
             None => {
                 assignment.halt = Some(Halt { grace_s, sent: None });
-                if let Some(job) = self.jobs.get(job_ix.at()).and_then(Option::as_ref) {
+                if let Some(job) = self.jobs.get(job_index.at()).and_then(Option::as_ref) {
                     self.snapshot.stop(machine.at(), &job.spec);
                 }
             }
         }
-        self.wake.schedule(now, machine);
+        self.dispatch_queue.schedule(now, machine);
     }
 
     /// Forgets a job that is over and has no assignments; its records are dropped.
-    pub(super) fn retire_if_over(&mut self, ix: JobIx) {
-        let Some(job) = self.job(ix) else { return };
-        if job.status != Status::Pending && job.placed == 0 && !self.transactions.is_writing(ix) {
-            self.forget(ix);
+    pub(super) fn remove_if_finished(&mut self, index: JobIndex) {
+        let Some(job) = self.job(index) else { return };
+        if job.status != JobStatus::Pending && job.placed == 0 && !self.transactions.is_writing(index) {
+            self.forget(index);
         }
     }
 
-    pub(super) fn finish(&mut self, ix: JobIx) {
-        self.blame_machines_of(ix);
-        if let Some(job) = self.job_mut(ix) {
-            job.status = Status::Done;
+    pub(super) fn finish(&mut self, index: JobIndex) {
+        self.blame_machines_of(index);
+        if let Some(job) = self.job_mut(index) {
+            job.status = JobStatus::Done;
         }
-        self.retire_if_over(ix);
+        self.remove_if_finished(index);
     }
 
-    fn forget(&mut self, ix: JobIx) {
-        let Some(job) = self.jobs[ix.at()].take() else { return };
-        self.active.retain(|&active| active != ix);
+    fn forget(&mut self, index: JobIndex) {
+        let Some(job) = self.jobs[index.at()].take() else { return };
+        self.active.retain(|&active| active != index);
         for (chunk_number, chunk) in job.chunks.iter().enumerate() {
-            if chunk.stamp != 0 {
+            if chunk.revision != 0 {
                 let key = records::chunk_key(&job.id, chunk_number as u32);
-                self.transactions.drop_later(ObsoleteRecord { key, stamp: chunk.stamp });
+                self.transactions.drop_later(ObsoleteRecord { key, revision: chunk.revision });
             }
         }
     }
@@ -207,7 +214,7 @@
     /// call, and again of some others that have begun. Guard: a controller that
     /// missed the first message, or didn't know the job then, would go on
     /// calling a running job pending.
-    pub fn take_counts(&mut self, max: usize) -> Vec<Count> {
+    pub fn take_progress(&mut self, max: usize) -> Vec<Count> {
         let mut counts = self.changed_counts(max);
         let repeated = self.repeated_counts(REPEATED_COUNTS.min(max - counts.len()));
         counts.extend(repeated);
@@ -215,11 +222,11 @@
     }
 
     fn changed_counts(&mut self, max: usize) -> Vec<Count> {
-        let changed: Vec<JobIx> = self.changed_progress.iter().copied().take(max).collect();
+        let changed: Vec<JobIndex> = self.changed_progress.iter().copied().take(max).collect();
         let mut counts = Vec::with_capacity(changed.len());
-        for ix in changed {
-            self.changed_progress.remove(&ix);
-            let Some(job) = self.job_mut(ix) else { continue };
+        for index in changed {
+            self.changed_progress.remove(&index);
+            let Some(job) = self.job_mut(index) else { continue };
             let progress = JobProgress { done: job.done, running: job.running };
             if job.published != progress {
                 job.published = progress;
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/leader/leases.rs
@@ -1,17 +1,17 @@
 //! What the end of a worker's lease proves.
 
 use super::Leader;
-use crate::coordination::model::{MachineIx, Ms};
+use crate::coordination::model::{MachineIndex, Millis};
 
 /// The drift of two steady clocks over a lease is at most one part in this many.
-const CLOCK_DRIFT_DIVISOR: Ms = 500;
+const CLOCK_DRIFT_DIVISOR: Millis = 500;
 /// Added to a lease besides the drift, for a worker that is slow to stop.
-const LEASE_MARGIN_MS: Ms = 500;
+const LEASE_MARGIN_MS: Millis = 500;
 
 impl Leader {
     /// Releases what the end of a worker's lease proves gone.
-    pub(super) fn expire_lease(&mut self, now: Ms, ix: MachineIx) {
-        let machine = &self.machines[ix.at()];
+    pub(super) fn expire_lease(&mut self, now: Millis, index: MachineIndex) {
+        let machine = &self.machines[index.at()];
         if machine.assignments.is_empty() && machine.unreaped_exits.is_empty() {
             return;
         }
@@ -26,10 +26,10 @@
             return;
         }
         tracing::warn!(machine = &*machine.id, tasks = machine.assignments.len(), "lease ran out");
-        let sessions = machine.assignments.iter().filter_map(|&assignment_ix| self.assignment(assignment_ix));
-        let last_session = sessions.map(|assignment| assignment.session).max().unwrap_or(0);
-        let machine = &mut self.machines[ix.at()];
-        machine.dead_session = machine.dead_session.max(machine.session).max(last_session);
-        self.free_machine(ix, None);
+        let incarnations = machine.assignments.iter().filter_map(|&assignment_index| self.assignment(assignment_index));
+        let last_incarnation = incarnations.map(|assignment| assignment.incarnation).max().unwrap_or(0);
+        let machine = &mut self.machines[index.at()];
+        machine.expired_incarnation = machine.expired_incarnation.max(machine.incarnation).max(last_incarnation);
+        self.free_machine(index, None);
     }
 }
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -4,12 +4,12 @@
 
 use super::{pipeline::ObsoleteRecord, Leader, NewAssignment};
 use crate::{
-    bookkeeping::{
-        job_cache::{JobCache, JobIx},
-        records::{self, AssignmentRecord, ChunkRecord, Status},
-    },
-    coordination::model::{Job, Ms, Slot},
+    coordination::model::{Job, Millis, Slot},
     protocol::names::Tables,
+    storage::{
+        job_cache::{JobCache, JobIndex},
+        records::{self, AssignmentRecord, ChunkRecord, JobStatus},
+    },
 };
 
 impl Leader {
@@ -17,56 +17,62 @@
     #[allow(clippy::too_many_arguments)]
     pub fn load(
         &mut self,
-        now: Ms,
+        now: Millis,
         wall_ms: u64,
         key: &str,
         value: &Value,
-        stamp: u64,
+        revision: u64,
         job_cache: &JobCache,
         tables: &mut Tables,
     ) {
         let Some((id, chunk_number)) = records::split_chunk_key(key) else { return };
-        let Some(ix) = job_cache.find(id) else { return };
-        self.reserve_job_slot(ix);
-        if job_cache.get(ix).status == Status::Done {
-            self.transactions.drop_later(ObsoleteRecord { key: key.to_owned(), stamp });
+        let Some(index) = job_cache.find(id) else { return };
+        self.reserve_job_slot(index);
+        if job_cache.get(index).status == JobStatus::Done {
+            self.transactions.drop_later(ObsoleteRecord { key: key.to_owned(), revision });
             return;
         }
-        if self.jobs[ix.at()].is_none() {
+        if self.jobs[index.at()].is_none() {
             // Guard: nothing of a job that still waits for others can have been
             // assigned. Were it so all the same, its assignments must count.
-            if job_cache.waits(ix) {
+            if job_cache.waits(index) {
                 tracing::error!(key, "a task record of a job that waits for others");
             }
-            let Some(spec) = job_cache.effective_spec(ix) else { return };
-            self.add_job(now, wall_ms, ix, spec, job_cache);
+            let Some(spec) = job_cache.effective_spec(index) else { return };
+            self.add_job(now, wall_ms, index, spec, job_cache);
         }
         let Ok(record) = value.deserialized::<ChunkRecord>() else {
             tracing::error!(key, "a task record can't be read");
             return;
         };
-        let Some(job) = self.jobs[ix.at()].as_mut() else { return };
+        let Some(job) = self.jobs[index.at()].as_mut() else { return };
         let Some(chunk) = job.chunks.get_mut(chunk_number as usize) else { return };
-        chunk.stamp = stamp;
+        chunk.revision = revision;
         load_done_tasks(job, chunk_number, &record.done);
-        self.load_assignments(now, ix, record.assignments, tables);
+        self.load_assignments(now, index, record.assignments, tables);
         // What was read is what is written.
-        if let Some(job) = self.jobs[ix.at()].as_mut() {
+        if let Some(job) = self.jobs[index.at()].as_mut() {
             let chunk = &mut job.chunks[chunk_number as usize];
             chunk.version = chunk.version.max(1);
             chunk.committed_version = chunk.version;
         }
     }
 
-    fn load_assignments(&mut self, now: Ms, job: JobIx, assignments: Vec<AssignmentRecord>, tables: &mut Tables) {
-        for AssignmentRecord(task, machine_id, session, attempt, zone_name) in assignments {
+    fn load_assignments(
+        &mut self,
+        now: Millis,
+        job: JobIndex,
+        assignments: Vec<AssignmentRecord>,
+        tables: &mut Tables,
+    ) {
+        for AssignmentRecord(task, machine_id, incarnation, attempt, zone_name) in assignments {
             let zone = tables.zones.intern(&zone_name);
             let machine = self.machine_named(now, &machine_id, zone);
             self.machines[machine.at()].lease_renewed = now;
-            let new = NewAssignment { job, task, machine, session, attempt, zone };
-            let Some(assignment_ix) = self.add_assignment(now, new) else { continue };
+            let new = NewAssignment { job, task, machine, incarnation, attempt, zone };
+            let Some(assignment_index) = self.add_assignment(now, new) else { continue };
             // Its launch may have been sent by an earlier leader.
-            if let Some(assignment) = self.assignments.get_mut(assignment_ix) {
+            if let Some(assignment) = self.assignments.get_mut(assignment_index) {
                 assignment.sent = Some(now);
                 assignment.inherited = true;
             }
@@ -74,22 +80,22 @@
     }
 
     /// All records are read.
-    pub fn loaded(&mut self, now: Ms, wall_ms: u64, job_cache: &JobCache) {
+    pub fn loaded(&mut self, now: Millis, wall_ms: u64, job_cache: &JobCache) {
         self.loaded = true;
         self.set_wall_clock(now, wall_ms);
-        for ix in job_cache.all() {
-            if job_cache.get(ix).status == Status::Pending && self.job(ix).is_none() {
-                self.job_update(now, wall_ms, ix, job_cache);
+        for index in job_cache.all() {
+            if job_cache.get(index).status == JobStatus::Pending && self.job(index).is_none() {
+                self.job_update(now, wall_ms, index, job_cache);
             }
         }
-        for ix in self.active.clone() {
-            if job_cache.get(ix).status == Status::Cancelled {
-                self.stop_job(now, ix, 0.0);
+        for index in self.active.clone() {
+            if job_cache.get(index).status == JobStatus::Cancelled {
+                self.stop_job(now, index, 0.0);
             }
         }
         let placed: u32 = self.active_jobs().map(|job| job.placed).sum();
         tracing::info!(jobs = self.active.len(), placed, "records read, leading");
-        self.pass_needed = true;
+        self.cycle_needed = true;
     }
 }
 
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -13,42 +13,42 @@
 mod commits;
 mod config;
 mod direct_calls;
+mod dispatch_queue;
 mod effects;
 mod exits;
 mod failures;
 mod gpu_demand;
+mod heartbeats;
 mod jobs;
 mod leases;
 mod loading;
 mod machines;
 mod pipeline;
 mod reach;
-mod reports;
 mod resharding;
 mod run_times;
 mod sweep;
-mod task_reports;
-mod wake_queue;
+mod task_statuses;
 
 use std::collections::{HashMap, HashSet};
 
-pub(super) use self::reports::SAVE_MARGIN_S;
-use self::{assignment_table::AssignmentTable, pipeline::TransactionPipeline, wake_queue::WakeQueue};
+pub(super) use self::heartbeats::SAVE_MARGIN_S;
+use self::{assignment_table::AssignmentTable, dispatch_queue::DispatchQueue, pipeline::TransactionPipeline};
 pub use self::{
     assignments::{NewAssignment, TaskFate},
     commands::halts_of_cancelled,
     config::{Config, ServiceObjective},
-    effects::{Answer, CommitOutcome, DirectCallOutcome, Effect},
+    effects::{CommitOutcome, DirectCallOutcome, Effect, HeartbeatOutcome},
     gpu_demand::GpuDemand,
     run_times::RunTimeEstimates,
 };
 use super::{
-    fleet::Fleet,
+    autoscaler::Autoscaler,
     lease_renewal::TimeSpan,
-    model::{Assignment, AssignmentIx, Job, Machine, MachineIx, Ms, Res, TypeInfo},
+    model::{Assignment, AssignmentIndex, Job, Machine, MachineIndex, MachineTypeSpec, Millis, Resources},
     snapshot::ClusterSnapshot,
 };
-use crate::bookkeeping::job_cache::JobIx;
+use crate::storage::job_cache::JobIndex;
 
 /// Bits of a token that count the raises of one leadership.
 const TOKEN_COUNT_BITS: u32 = 16;
@@ -63,10 +63,10 @@
 pub struct Leader {
     /// Settings of this leadership.
     pub(in crate::coordination) cfg: Config,
-    /// Stamp of the leader record: identifies this leadership.
-    pub stamp: u64,
+    /// Revision of the leader record: identifies this leadership.
+    pub revision: u64,
     /// The latest moment heard of.
-    pub(in crate::coordination) clock: Ms,
+    pub(in crate::coordination) clock: Millis,
     /// Largest value, in bytes, that the state service is known to take.
     pub value_limit: usize,
     /// All controllers run a version that can follow a resharded job.
@@ -74,69 +74,69 @@
     /// The time of day minus the steady clock.
     wall_clock_offset_ms: i64,
     /// When this leadership began.
-    pub started: Ms,
+    pub started: Millis,
     /// All records are read.
     pub loaded: bool,
     /// Jobs by their index; None: not known, or over and released.
     pub(in crate::coordination) jobs: Vec<Option<Job>>,
     /// Jobs that are known and not over.
-    pub(in crate::coordination) active: Vec<JobIx>,
+    pub(in crate::coordination) active: Vec<JobIndex>,
     /// Position in `active` from which progress is repeated next.
     next_repeated: usize,
     /// All machines known so far, by their index.
     pub(in crate::coordination) machines: Vec<Machine>,
     /// Indices of the machines, by name.
-    pub(in crate::coordination) machine_ix: HashMap<String, MachineIx>,
+    pub(in crate::coordination) machine_index: HashMap<String, MachineIndex>,
     assignments: AssignmentTable,
     /// Machine types that may be rented.
-    pub(in crate::coordination) types: Vec<TypeInfo>,
+    pub(in crate::coordination) types: Vec<MachineTypeSpec>,
     /// Something changed that may let a waiting job be placed.
-    pub(in crate::coordination) pass_needed: bool,
-    /// When the last pass was made.
-    pub(in crate::coordination) last_pass: Ms,
+    pub(in crate::coordination) cycle_needed: bool,
+    /// When the last scheduling cycle was made.
+    pub(in crate::coordination) last_cycle: Millis,
     last_attempt: u64,
     last_call: u64,
     transactions: TransactionPipeline,
     /// State of renting and returning machines.
-    pub(in crate::coordination) fleet: Fleet,
+    pub(in crate::coordination) autoscaler: Autoscaler,
     effects: Vec<Effect>,
     /// Jobs whose progress changed since it was last published.
-    changed_progress: HashSet<JobIx>,
+    changed_progress: HashSet<JobIndex>,
     /// When any worker was last heard.
-    pub(in crate::coordination) heard_any: Ms,
+    pub(in crate::coordination) last_heartbeat_from_any: Millis,
     /// The machines as trials see them.
     pub snapshot: ClusterSnapshot,
     /// In use by each team, unproven assignments included.
-    pub(in crate::coordination) team_used: Vec<Res>,
-    /// Where the next sample of machines for eviction begins.
-    pub(in crate::coordination) eviction_cursor: u32,
+    pub(in crate::coordination) team_used: Vec<Resources>,
+    /// Where the next sample of machines for preemption begins.
+    pub(in crate::coordination) preemption_cursor: u32,
     /// Machines that may have to be sent something, and when to look.
-    wake: WakeQueue,
-    next_sweep: Ms,
+    dispatch_queue: DispatchQueue,
+    next_sweep: Millis,
     /// The time in which no other controller renewed any lease.
     pub no_peer_renewals: TimeSpan,
-    next_summary: Ms,
+    next_summary: Millis,
     /// Failed tasks are judged no earlier.
-    next_judgement: Ms,
+    next_judgement: Millis,
     /// GPU work seen lately.
     pub(in crate::coordination) gpu_demand: GpuDemand,
     /// Observed run times against their owners' estimates.
     pub(in crate::coordination) run_times: RunTimeEstimates,
 }
 
-/// The first token of a leadership. A token is the leader's stamp and a count,
+/// The first token of a leadership. A token is the leader's revision and a count,
 /// so that a later leader's are always higher and one worker's can be raised alone.
-pub fn base_token(stamp: u64) -> u64 {
-    stamp << TOKEN_COUNT_BITS
+pub fn first_token(revision: u64) -> u64 {
+    revision << TOKEN_COUNT_BITS
 }
 
 impl Leader {
     /// A new leadership that has read no records yet. `nonce` is a random number
     /// that no other leadership has.
-    pub fn new(cfg: Config, stamp: u64, nonce: u64, now: Ms, types: Vec<TypeInfo>) -> Leader {
-        let first_in_sequence = stamp << SEQUENCE_BITS;
+    pub fn new(cfg: Config, revision: u64, nonce: u64, now: Millis, types: Vec<MachineTypeSpec>) -> Leader {
+        let first_in_sequence = revision << SEQUENCE_BITS;
         Leader {
-            stamp,
+            revision,
             clock: now,
             value_limit: cfg.value_max,
             may_reshard: false,
@@ -147,22 +147,22 @@
             active: Vec::new(),
             next_repeated: 0,
             machines: Vec::new(),
-            machine_ix: HashMap::new(),
+            machine_index: HashMap::new(),
             assignments: AssignmentTable::default(),
             types,
-            pass_needed: true,
-            last_pass: 0,
+            cycle_needed: true,
+            last_cycle: 0,
             last_attempt: first_in_sequence,
             last_call: 1,
             transactions: TransactionPipeline::new(first_in_sequence),
-            fleet: Fleet::new(nonce, now),
+            autoscaler: Autoscaler::new(nonce, now),
             effects: Vec::new(),
             changed_progress: HashSet::new(),
-            heard_any: now,
+            last_heartbeat_from_any: now,
             snapshot: ClusterSnapshot::default(),
-            team_used: vec![Res::default(); cfg.teams.len()],
-            eviction_cursor: 0,
-            wake: WakeQueue::default(),
+            team_used: vec![Resources::default(); cfg.teams.len()],
+            preemption_cursor: 0,
+            dispatch_queue: DispatchQueue::default(),
             next_sweep: now,
             no_peer_renewals: TimeSpan::ALWAYS,
             next_summary: now + sweep::SUMMARY_MS,
@@ -174,38 +174,38 @@
     }
 
     /// A job that is not over, or whose tasks are still somewhere.
-    pub fn job(&self, ix: JobIx) -> Option<&Job> {
-        self.jobs.get(ix.at()).and_then(Option::as_ref)
+    pub fn job(&self, index: JobIndex) -> Option<&Job> {
+        self.jobs.get(index.at()).and_then(Option::as_ref)
     }
 
     /// As [`Leader::job`], to be changed.
-    pub fn job_mut(&mut self, ix: JobIx) -> Option<&mut Job> {
-        self.jobs.get_mut(ix.at()).and_then(Option::as_mut)
+    pub fn job_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
+        self.jobs.get_mut(index.at()).and_then(Option::as_mut)
     }
 
     /// The active jobs, in the order in which they came.
     pub fn active_jobs(&self) -> impl Iterator<Item = &Job> {
-        self.active.iter().filter_map(|&ix| self.job(ix))
+        self.active.iter().filter_map(|&index| self.job(index))
     }
 
     /// An assignment that was not released yet.
-    pub fn assignment(&self, ix: AssignmentIx) -> Option<&Assignment> {
-        self.assignments.get(ix)
+    pub fn assignment(&self, index: AssignmentIndex) -> Option<&Assignment> {
+        self.assignments.get(index)
     }
 
     /// A machine; machines are never forgotten, only marked as gone.
-    pub fn machine(&self, ix: MachineIx) -> &Machine {
-        &self.machines[ix.at()]
+    pub fn machine(&self, index: MachineIndex) -> &Machine {
+        &self.machines[index.at()]
     }
 
     /// The description of a machine's type, if it is known.
-    pub fn type_of(&self, machine: &Machine) -> Option<&TypeInfo> {
+    pub fn type_of(&self, machine: &Machine) -> Option<&MachineTypeSpec> {
         let machine_type = machine.machine_type?;
-        self.types.iter().find(|known| known.ix == machine_type)
+        self.types.iter().find(|known| known.index == machine_type)
     }
 
     /// The cloud's machine types were read again: prices change.
-    pub fn set_types(&mut self, types: &[TypeInfo]) {
+    pub fn set_types(&mut self, types: &[MachineTypeSpec]) {
         self.types = types.to_vec();
         self.snapshot.types_changed(types);
     }
@@ -233,8 +233,8 @@
 
     /// The count inside some worker's token is nearly used up: the next
     /// leadership begins a new one.
-    pub fn tokens_spent(&self) -> bool {
-        let base = base_token(self.stamp);
+    pub fn tokens_exhausted(&self) -> bool {
+        let base = first_token(self.revision);
         self.machines.iter().any(|machine| machine.token - base > TOKEN_RAISE_LIMIT)
     }
 }
--- a/src/coordination/leader/pipeline.rs
+++ b/src/coordination/leader/pipeline.rs
@@ -4,21 +4,21 @@
 use std::collections::VecDeque;
 
 use super::resharding::ReshardPlan;
-use crate::{bookkeeping::job_cache::JobIx, coordination::model::Ms, protocol::store::Txn};
+use crate::{coordination::model::Millis, protocol::store::Txn, storage::job_cache::JobIndex};
 
 /// A chunk and the version of it that a transaction writes.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WrittenChunk {
-    pub job: JobIx,
+    pub job: JobIndex,
     pub chunk: usize,
     pub version: u64,
 }
 
-/// A record that no job needs any more, at its last known stamp.
+/// A record that no job needs any more, at its last known revision.
 #[derive(Debug)]
 pub(super) struct ObsoleteRecord {
     pub key: String,
-    pub stamp: u64,
+    pub revision: u64,
 }
 
 /// What of the wanted state a transaction carries.
@@ -26,7 +26,7 @@
 pub(super) struct TxnContents {
     pub chunks: Vec<WrittenChunk>,
     /// Jobs whose end it writes.
-    pub finished_jobs: Vec<JobIx>,
+    pub finished_jobs: Vec<JobIndex>,
     /// Keys of obsolete records that it deletes.
     pub dropped_keys: Vec<String>,
     /// A job whose chunks it reshards.
@@ -86,11 +86,11 @@
     pub ops_cap: usize,
     pub obsolete_records: VecDeque<ObsoleteRecord>,
     /// No transaction is sent before.
-    pub paused_until: Ms,
+    pub paused_until: Millis,
     /// No obsolete records are dropped before.
-    pub drop_after: Ms,
+    pub drop_after: Millis,
     /// No job is resharded before.
-    pub reshard_after: Ms,
+    pub reshard_after: Millis,
     pub statistics: WriteStatistics,
 }
 
@@ -109,7 +109,7 @@
     }
 
     /// Whether the transaction under way writes chunks of this job.
-    pub fn is_writing(&self, job: JobIx) -> bool {
+    pub fn is_writing(&self, job: JobIndex) -> bool {
         self.in_flight.as_ref().is_some_and(|in_flight| {
             let contents = &in_flight.contents;
             contents.chunks.iter().any(|written| written.job == job)
--- a/src/coordination/leader/reach.rs
+++ b/src/coordination/leader/reach.rs
@@ -1,7 +1,7 @@
 //! Whether workers reach this controller.
 
 use super::Leader;
-use crate::coordination::model::{Machine, MachineLifecycle, Ms};
+use crate::coordination::model::{Machine, MachineLifecycle, Millis};
 
 /// A leader that is reached by less than one in this many of the workers that
 /// ought to report is cut off from them.
@@ -11,11 +11,11 @@
     /// Whether hardly any of the workers that ought to report have reached this
     /// controller for so long.
     ///
-    /// Guard: only news of a worker counts. Delayed copies of old reports kept a
+    /// Guard: only news of a worker counts. Delayed copies of old heartbeats kept a
     /// leader that no worker reached in office, until their leases had run out.
-    pub fn is_unreached(&self, now: Ms, for_ms: Ms) -> bool {
-        let window_ms = for_ms.max(self.cfg.report_ms * 3 / 2);
-        let reaches = |machine: &&Machine| machine.last_own_report.is_some_and(|heard| now <= heard + window_ms);
+    pub fn is_unreached(&self, now: Millis, for_ms: Millis) -> bool {
+        let window_ms = for_ms.max(self.cfg.heartbeat_interval_ms * 3 / 2);
+        let reaches = |machine: &&Machine| machine.last_heartbeat.is_some_and(|heard| now <= heard + window_ms);
         let ought_to_report = |machine: &&Machine| match machine.lifecycle {
             MachineLifecycle::Up => true,
             MachineLifecycle::Booting => machine.is_inherited_unheard(),
@@ -23,7 +23,7 @@
         };
         let expected = self.machines.iter().filter(ought_to_report).count();
         if expected == 0 {
-            return now > self.heard_any + for_ms;
+            return now > self.last_heartbeat_from_any + for_ms;
         }
         let reached = self.machines.iter().filter(ought_to_report).filter(reaches).count();
         reached * REACHED_DIVISOR < expected && now > self.started + window_ms
--- a/src/coordination/leader/resharding.rs
+++ b/src/coordination/leader/resharding.rs
@@ -3,27 +3,27 @@
 
 use super::{commits::TXN_BYTES_LIMIT, pipeline::TxnContents, Leader, TaskFate};
 use crate::{
-    bookkeeping::{
-        job_cache::JobIx,
-        records::{self, JobRecord, Status},
-    },
-    coordination::model::{Chunk, ExitRecord, Job, MachineIx, Ms, Slot},
+    coordination::model::{Chunk, ExitRecord, Job, MachineIndex, Millis, Slot},
     protocol::{
         names::Tables,
         store::{Condition, Op, Txn},
         workers::split_task,
     },
+    storage::{
+        job_cache::JobIndex,
+        records::{self, JobRecord, JobStatus},
+    },
 };
 
 /// Pause between two jobs that are resharded, and between two searches for one.
-pub(super) const RESHARD_GAP_MS: Ms = 200;
+pub(super) const RESHARD_GAP_MS: Millis = 200;
 /// How long a chunk that is too large to be written is set aside.
-const OVERSIZED_PAUSE_MS: Ms = 2_000;
+const OVERSIZED_PAUSE_MS: Millis = 2_000;
 
 /// A resharding under way, and the job as it was when its transaction was built.
 #[derive(Debug)]
 pub(super) struct ReshardPlan {
-    pub job: JobIx,
+    pub job: JobIndex,
     slots: Vec<Slot>,
     /// Versions of the old chunks.
     versions: Vec<u64>,
@@ -31,10 +31,10 @@
     written_chunks: Vec<usize>,
 }
 
-/// What is written under new chunk sizes, and the stamp that it has.
+/// What is written under new chunk sizes, and the revision that it has.
 struct AppliedPlan<'a> {
     plan: &'a ReshardPlan,
-    stamp: u64,
+    revision: u64,
 }
 
 /// What becomes of a chunk's record when its job is resharded.
@@ -48,25 +48,25 @@
 impl Leader {
     /// A chunk can't be written as it is: its assignments that are not written
     /// yet are released, the rest waits for ends.
-    pub(super) fn shrink_chunk(&mut self, now: Ms, ix: JobIx, chunk: usize) {
-        let Some(job) = self.job_mut(ix) else { return };
+    pub(super) fn shrink_chunk(&mut self, now: Millis, index: JobIndex, chunk: usize) {
+        let Some(job) = self.job_mut(index) else { return };
         let retry_at = now + OVERSIZED_PAUSE_MS;
         job.chunks[chunk].retry_at = retry_at;
         job.not_before = job.not_before.max(retry_at);
         let committed_version = job.chunks[chunk].committed_version;
-        for assignment_ix in job.assignments_of_chunk(chunk) {
+        for assignment_index in job.assignments_of_chunk(chunk) {
             let is_unwritten = self
-                .assignment(assignment_ix)
+                .assignment(assignment_index)
                 .is_some_and(|assignment| assignment.chunk_version > committed_version && assignment.never_launched());
             if is_unwritten {
-                self.release_assignment(assignment_ix, TaskFate::Unfinished);
+                self.release_assignment(assignment_index, TaskFate::Unfinished);
             }
         }
     }
 
     /// An unfinished job whose chunks were sized for a larger limit, and that
     /// can be resharded in one transaction.
-    pub(super) fn reshard_candidate(&self, now: Ms, spare: bool) -> Option<&Job> {
+    pub(super) fn reshard_candidate(&self, now: Millis, spare: bool) -> Option<&Job> {
         // Guard: a controller of the version before would go on with the old
         // chunks once it leads.
         if !self.may_reshard {
@@ -81,7 +81,7 @@
         let max_writes = self.cfg.txn_ops.min(self.transactions.ops_cap).min(values_per_txn).max(1);
         self.active_jobs().find(|job| {
             job.oversized_record.is_some()
-                && job.status == Status::Pending
+                && job.status == JobStatus::Pending
                 && !job.stale
                 && !job.all_done()
                 && self.new_chunks(job).iter().filter(|chunk| **chunk != NewChunk::Nothing).count() < max_writes
@@ -92,7 +92,7 @@
         let new_chunk = |(chunk_number, slots): (usize, &[Slot])| {
             if slots.iter().any(|slot| *slot != Slot::Pending) {
                 NewChunk::Put
-            } else if job.chunks.get(chunk_number).is_some_and(|chunk| chunk.stamp != 0) {
+            } else if job.chunks.get(chunk_number).is_some_and(|chunk| chunk.revision != 0) {
                 NewChunk::Drop
             } else {
                 NewChunk::Nothing
@@ -102,9 +102,9 @@
     }
 
     /// A transaction that reshards a job, if one is to be resharded.
-    pub(super) fn reshard(&mut self, now: Ms, max_ops: usize, spare: bool, tables: &Tables) -> Option<Txn> {
+    pub(super) fn reshard(&mut self, now: Millis, max_ops: usize, spare: bool, tables: &Tables) -> Option<Txn> {
         let job = self.reshard_candidate(now, spare)?;
-        let job_ix = job.ix;
+        let job_index = job.index;
         let tag = self.transactions.last_tag + 1;
         let (txn, plan) = self.reshard_txn(job, tag, tables)?;
         if txn.writes.len() > max_ops {
@@ -112,7 +112,7 @@
         }
         self.transactions.last_tag = tag;
         self.transactions.reshard_after = now + RESHARD_GAP_MS;
-        if let Some(job) = self.job_mut(job_ix) {
+        if let Some(job) = self.job_mut(job_index) {
             job.resharding = true;
         }
         let contents = TxnContents { reshard: Some(plan), ..TxnContents::default() };
@@ -124,7 +124,7 @@
         let record = JobRecord { chunk: size, ..(**job.oversized_record.as_ref()?).clone() };
         let job_key = records::job_key(&job.id);
         let mut txn = Txn::default();
-        txn.conditions.push(Condition { key: job_key.clone(), stamp: job.stamp });
+        txn.conditions.push(Condition { key: job_key.clone(), revision: job.revision });
         txn.writes.push(Op::Put { key: job_key, v: records::to_value(&record), permit: None });
         let mut written_chunks = Vec::new();
         for (chunk_number, new_chunk) in self.new_chunks(job).into_iter().enumerate() {
@@ -138,58 +138,58 @@
                     written_chunks.push(chunk_number);
                 }
             }
-            let stamp = job.chunks.get(chunk_number).map_or(0, |chunk| chunk.stamp);
-            txn.conditions.push(Condition { key, stamp });
+            let revision = job.chunks.get(chunk_number).map_or(0, |chunk| chunk.revision);
+            txn.conditions.push(Condition { key, revision });
         }
         // Guard: as for every transaction, only this leadership's writes count.
-        txn.conditions.push(Condition { key: records::LEADER.to_owned(), stamp: self.stamp });
+        txn.conditions.push(Condition { key: records::LEADER.to_owned(), revision: self.revision });
         let versions = job.chunks.iter().map(|chunk| chunk.version).collect();
-        Some((txn, ReshardPlan { job: job.ix, slots: job.slots.clone(), versions, written_chunks }))
+        Some((txn, ReshardPlan { job: job.index, slots: job.slots.clone(), versions, written_chunks }))
     }
 
     /// The resharded records are written.
-    pub(super) fn resharded(&mut self, now: Ms, plan: &ReshardPlan, stamp: u64) {
+    pub(super) fn resharded(&mut self, now: Millis, plan: &ReshardPlan, revision: u64) {
         let size = self.cfg.chunk_fit;
         let Some(job) = self.job_mut(plan.job) else { return };
-        job.stamp = job.stamp.max(stamp);
+        job.revision = job.revision.max(revision);
         job.recorded_chunk_size = size;
         job.unwritten_since = None;
-        self.apply_sharding(plan.job, size, Some(AppliedPlan { plan, stamp }));
+        self.apply_sharding(plan.job, size, Some(AppliedPlan { plan, revision }));
         let Some(job) = self.job(plan.job) else { return };
-        let machines: Vec<MachineIx> = job
+        let machines: Vec<MachineIndex> = job
             .assignments()
             .into_iter()
-            .filter_map(|ix| self.assignment(ix))
+            .filter_map(|index| self.assignment(index))
             .map(|assignment| assignment.machine)
             .collect();
         for machine in machines {
-            self.wake.schedule(now, machine);
+            self.dispatch_queue.schedule(now, machine);
         }
-        self.retire_if_over(plan.job);
+        self.remove_if_finished(plan.job);
     }
 
     /// Its record says another chunk size than ours: a write of ours that was
     /// never answered. All chunks are written once more under that size.
-    pub(super) fn adopt_recorded_sharding(&mut self, ix: JobIx) {
-        let Some(job) = self.job(ix) else { return };
+    pub(super) fn adopt_recorded_sharding(&mut self, index: JobIndex) {
+        let Some(job) = self.job(index) else { return };
         if job.recorded_chunk_size != job.chunk_size && !job.resharding {
-            self.apply_sharding(ix, job.recorded_chunk_size, None);
+            self.apply_sharding(index, job.recorded_chunk_size, None);
         }
     }
 
     /// Splits a job's tasks into chunks of `size`. `applied`: what of it is
     /// written; otherwise all of it counts as unwritten.
-    fn apply_sharding(&mut self, ix: JobIx, size: u32, applied: Option<AppliedPlan<'_>>) {
-        let Some(job) = self.jobs.get_mut(ix.at()).and_then(Option::as_mut) else { return };
+    fn apply_sharding(&mut self, index: JobIndex, size: u32, applied: Option<AppliedPlan<'_>>) {
+        let Some(job) = self.jobs.get_mut(index.at()).and_then(Option::as_mut) else { return };
         job.oversized_record = None;
         job.resharding = false;
         job.chunk_size = size.max(1);
         let chunk_count = job.spec.tasks.div_ceil(job.chunk_size) as usize;
         let version = u64::from(applied.is_some());
         job.chunks = vec![Chunk { version, committed_version: version, ..Chunk::default() }; chunk_count];
-        if let Some(AppliedPlan { plan, stamp }) = &applied {
+        if let Some(AppliedPlan { plan, revision }) = &applied {
             for &chunk in &plan.written_chunks {
-                job.chunks[chunk].stamp = *stamp;
+                job.chunks[chunk].revision = *revision;
             }
         }
         for task in 0..job.spec.tasks {
@@ -208,21 +208,21 @@
                 }
                 None => {}
             }
-            if let Slot::At(assignment_ix) = slot {
-                if let Some(assignment) = self.assignments.get_mut(assignment_ix) {
+            if let Slot::At(assignment_index) = slot {
+                if let Some(assignment) = self.assignments.get_mut(assignment_index) {
                     assignment.chunk_version = 1;
                 }
             }
         }
-        self.renumber_unreaped_exits(ix, applied.as_ref());
+        self.renumber_unreaped_exits(index, applied.as_ref());
     }
 
     /// Guard: an end is not reaped before it is written, under the new chunks
     /// either.
-    fn renumber_unreaped_exits(&mut self, ix: JobIx, applied: Option<&AppliedPlan<'_>>) {
-        let Some(job) = self.jobs.get(ix.at()).and_then(Option::as_ref) else { return };
+    fn renumber_unreaped_exits(&mut self, index: JobIndex, applied: Option<&AppliedPlan<'_>>) {
+        let Some(job) = self.jobs.get(index.at()).and_then(Option::as_ref) else { return };
         let exits = self.machines.iter_mut().flat_map(|machine| &mut machine.unreaped_exits);
-        for exit in exits.filter(|exit| exit.job == ix) {
+        for exit in exits.filter(|exit| exit.job == index) {
             let ExitRecord::WrittenWith { chunk: old_chunk, version: old_version } = exit.record else { continue };
             let Some((_, task)) = split_task(&exit.task) else { continue };
             let is_written =
--- a/src/coordination/leader/run_times.rs
+++ b/src/coordination/leader/run_times.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::protocol::{jobs::JobSpec, names::ClassIx};
+use crate::protocol::{jobs::JobSpec, names::ClassIndex};
 
 /// Bounds of an observed ratio, so that one odd run doesn't spoil the mean.
 const RATIO_MIN: f64 = 0.05;
@@ -21,7 +21,7 @@
 /// Corrections of owners' run-time estimates.
 #[derive(Debug, Default)]
 pub struct RunTimeEstimates {
-    by_class: HashMap<ClassIx, RatioMean>,
+    by_class: HashMap<ClassIndex, RatioMean>,
 }
 
 impl RunTimeEstimates {
--- a/src/coordination/leader/sweep.rs
+++ b/src/coordination/leader/sweep.rs
@@ -1,32 +1,32 @@
 //! Regular checks for what only time tells, and the summary for the logs.
 
 use super::Leader;
-use crate::coordination::model::{MachineIx, MachineLifecycle, Ms, Res};
+use crate::coordination::model::{MachineIndex, MachineLifecycle, Millis, Resources};
 
-/// Interval of the checks: short against leases and report intervals.
-const SWEEP_MS: Ms = 250;
+/// Interval of the checks: short against leases and heartbeat interval.
+const SWEEP_MS: Millis = 250;
 /// Interval of the summary in the logs.
-pub(super) const SUMMARY_MS: Ms = 10_000;
+pub(super) const SUMMARY_MS: Millis = 10_000;
 
 impl Leader {
     /// Checks every machine for what only time tells: leases that ran out,
-    /// reports that are overdue, machines that have nothing to do or may take
+    /// heartbeats that are overdue, machines that have nothing to do or may take
     /// nothing new.
-    pub fn sweep(&mut self, now: Ms) {
+    pub fn sweep(&mut self, now: Millis) {
         if now < self.next_sweep {
             return;
         }
         self.next_sweep = now + SWEEP_MS;
         self.clock = now;
         for n in 0..self.machines.len() {
-            let ix = MachineIx(n as u32);
+            let index = MachineIndex(n as u32);
             if self.machines[n].lifecycle == MachineLifecycle::Gone {
                 continue;
             }
-            self.expire_lease(now, ix);
-            self.probe_if_overdue(now, ix);
-            self.note_idle(now, ix);
-            self.refresh(now, ix);
+            self.expire_lease(now, index);
+            self.probe_if_overdue(now, index);
+            self.note_idle(now, index);
+            self.refresh(now, index);
         }
         self.judge_failures(now);
         if now >= self.next_summary {
@@ -38,9 +38,9 @@
     /// Logs what there is, what of it is in use, what waits, and what was
     /// written since the last summary.
     fn log_summary(&mut self) {
-        let (mut capacity, mut free, mut closed) = (Res::default(), Res::default(), 0);
+        let (mut capacity, mut free, mut closed) = (Resources::default(), Resources::default(), 0);
         for pool in &self.snapshot.pools {
-            capacity += pool.cap * pool.members.len() as f64;
+            capacity += pool.capacity * pool.members.len() as f64;
             for host in pool.members.iter().filter_map(|&n| self.snapshot.hosts.get(n as usize)) {
                 free += host.free.max0();
                 closed += u32::from(!host.open);
@@ -56,7 +56,7 @@
             gpus = capacity.gpus.round(),
             gpus_free = free.gpus.round(),
             jobs = self.active.len(),
-            waiting = self.fleet.unmet.len(),
+            waiting = self.autoscaler.unmet.len(),
             txns = written.txns,
             placements = written.placements,
             ends = written.ends,
@@ -67,8 +67,8 @@
         );
     }
 
-    fn note_idle(&mut self, now: Ms, ix: MachineIx) {
-        let machine = &mut self.machines[ix.at()];
+    fn note_idle(&mut self, now: Millis, index: MachineIndex) {
+        let machine = &mut self.machines[index.at()];
         if machine.lifecycle != MachineLifecycle::Up {
             return;
         }
--- a/src/coordination/leader/task_reports.rs
+++ b/src/coordination/leader/task_statuses.rs
@@ -1,15 +1,17 @@
-//! What a report says of single tasks.
+//! What a heartbeat says of single tasks.
 
 use std::collections::HashSet;
 
 use super::{Leader, NewAssignment};
 use crate::{
-    bookkeeping::{
-        job_cache::{JobCache, JobIx},
-        records::Status,
+    coordination::model::{
+        AssignmentIndex, AssignmentState, ExitRecord, Job, MachineIndex, Millis, Slot, UnreapedExit,
+    },
+    protocol::workers::{split_task, ExitReason, TaskState, TaskStatus},
+    storage::{
+        job_cache::{JobCache, JobIndex},
+        records::JobStatus,
     },
-    coordination::model::{AssignmentIx, AssignmentState, ExitRecord, Job, MachineIx, Ms, Slot, UnreapedExit},
-    protocol::workers::{split_task, ExitReason, TaskReport, TaskState},
 };
 
 /// One attempt to run a task, by the name that workers know.
@@ -20,94 +22,94 @@
 }
 
 impl TaskAttempt {
-    fn of(report: &TaskReport) -> TaskAttempt {
-        TaskAttempt { task: report.task.clone(), attempt: report.attempt }
+    fn of(heartbeat: &TaskStatus) -> TaskAttempt {
+        TaskAttempt { task: heartbeat.task.clone(), attempt: heartbeat.attempt }
     }
 }
 
-/// What a report listed.
+/// What a heartbeat listed.
 #[derive(Debug, Default)]
 pub(super) struct ListedTasks {
-    pub assignments: Vec<AssignmentIx>,
+    pub assignments: Vec<AssignmentIndex>,
     /// Tasks without an assignment: their unreaped exits stay.
     pub exits: HashSet<TaskAttempt>,
 }
 
-/// A task that a report listed.
+/// A task that a heartbeat listed.
 struct ListedTask<'a> {
-    report: &'a TaskReport,
-    machine: MachineIx,
-    job: JobIx,
+    heartbeat: &'a TaskStatus,
+    machine: MachineIndex,
+    job: JobIndex,
     number: u32,
     slot: Option<Slot>,
 }
 
 impl Leader {
     /// Takes in what a machine's report says of one task.
-    pub(super) fn take_task(
+    pub(super) fn reconcile_task(
         &mut self,
-        now: Ms,
-        machine: MachineIx,
-        report: &TaskReport,
+        now: Millis,
+        machine: MachineIndex,
+        heartbeat: &TaskStatus,
         job_cache: &JobCache,
         listed: &mut ListedTasks,
     ) {
-        let Some((id, number)) = split_task(&report.task) else { return };
+        let Some((id, number)) = split_task(&heartbeat.task) else { return };
         let Some(job) = job_cache.find(id) else { return };
         let slot = self.job(job).and_then(|job| job.slots.get(number as usize).copied());
-        let task = ListedTask { report, machine, job, number, slot };
-        if let Some(assignment_ix) = self.assignment_of(&task) {
-            self.take_assigned_task(now, &task, assignment_ix, listed);
-        } else if report.state == TaskState::Exited {
-            self.take_unassigned_exit(&task, listed);
+        let task = ListedTask { heartbeat, machine, job, number, slot };
+        if let Some(assignment_index) = self.assignment_of(&task) {
+            self.reconcile_assigned_task(now, &task, assignment_index, listed);
+        } else if heartbeat.state == TaskState::Exited {
+            self.reconcile_unassigned_exit(&task, listed);
         } else if !self.adopt(now, &task, listed) {
             self.note_stray(&task, listed);
         }
     }
 
     /// The assignment that this very attempt belongs to.
-    fn assignment_of(&self, task: &ListedTask<'_>) -> Option<AssignmentIx> {
-        let Some(Slot::At(assignment_ix)) = task.slot else { return None };
-        let assignment = self.assignment(assignment_ix)?;
+    fn assignment_of(&self, task: &ListedTask<'_>) -> Option<AssignmentIndex> {
+        let Some(Slot::At(assignment_index)) = task.slot else { return None };
+        let assignment = self.assignment(assignment_index)?;
         let is_same = assignment.machine == task.machine
-            && assignment.attempt == task.report.attempt
-            && assignment.session == self.machine(task.machine).session;
-        is_same.then_some(assignment_ix)
+            && assignment.attempt == task.heartbeat.attempt
+            && assignment.incarnation == self.machine(task.machine).incarnation;
+        is_same.then_some(assignment_index)
     }
 
-    fn take_assigned_task(
+    fn reconcile_assigned_task(
         &mut self,
-        now: Ms,
+        now: Millis,
         task: &ListedTask<'_>,
-        assignment_ix: AssignmentIx,
+        assignment_index: AssignmentIndex,
         listed: &mut ListedTasks,
     ) {
-        listed.assignments.push(assignment_ix);
-        self.take_state(now, assignment_ix, task.report);
+        listed.assignments.push(assignment_index);
+        self.apply_task_state(now, assignment_index, task.heartbeat);
         let is_still_assigned = self
-            .assignment(assignment_ix)
-            .is_some_and(|assignment| assignment.job == task.job && assignment.attempt == task.report.attempt);
+            .assignment(assignment_index)
+            .is_some_and(|assignment| assignment.job == task.job && assignment.attempt == task.heartbeat.attempt);
         if !is_still_assigned {
             // Settled just now: it has an unreaped exit.
-            listed.exits.insert(TaskAttempt::of(task.report));
+            listed.exits.insert(TaskAttempt::of(task.heartbeat));
         }
     }
 
     /// An end that no assignment waits for. A task that completed is done all
     /// the same.
-    fn take_unassigned_exit(&mut self, task: &ListedTask<'_>, listed: &mut ListedTasks) {
-        listed.exits.insert(TaskAttempt::of(task.report));
+    fn reconcile_unassigned_exit(&mut self, task: &ListedTask<'_>, listed: &mut ListedTasks) {
+        listed.exits.insert(TaskAttempt::of(task.heartbeat));
         if self.has_unreaped_exit(task) {
             return;
         }
         let is_settled = self.machine(task.machine).has_no_command_in_flight();
         let mut record = ExitRecord::WrittenWith { chunk: 0, version: 0 };
-        if task.slot == Some(Slot::Pending) && task.report.why == Some(ExitReason::Done) {
+        if task.slot == Some(Slot::Pending) && task.heartbeat.why == Some(ExitReason::Done) {
             if let Some(job) = self.job_mut(task.job) {
                 record = complete_pending_task(job, task.number);
             }
             self.changed_progress.insert(task.job);
-            self.pass_needed = true;
+            self.cycle_needed = true;
         }
         if is_settled {
             self.add_unreaped_exit(task, record);
@@ -116,9 +118,9 @@
 
     /// The task runs where no record says so. If it is wanted, it is adopted;
     /// otherwise it has to go. Either way it is accounted for meanwhile.
-    fn adopt(&mut self, now: Ms, task: &ListedTask<'_>, listed: &mut ListedTasks) -> bool {
+    fn adopt(&mut self, now: Millis, task: &ListedTask<'_>, listed: &mut ListedTasks) -> bool {
         let is_wanted =
-            task.slot == Some(Slot::Pending) && self.job(task.job).is_some_and(|job| job.status == Status::Pending);
+            task.slot == Some(Slot::Pending) && self.job(task.job).is_some_and(|job| job.status == JobStatus::Pending);
         if !is_wanted {
             return false;
         }
@@ -127,14 +129,14 @@
             job: task.job,
             task: task.number,
             machine: task.machine,
-            session: machine.session,
-            attempt: task.report.attempt,
+            incarnation: machine.incarnation,
+            attempt: task.heartbeat.attempt,
             zone: machine.zone,
         };
-        if let Some(assignment_ix) = self.add_assignment(now, new) {
-            tracing::warn!(task = &*task.report.task, machine = &*self.machine(task.machine).id, "adopted");
-            listed.assignments.push(assignment_ix);
-            self.take_state(now, assignment_ix, task.report);
+        if let Some(assignment_index) = self.add_assignment(now, new) {
+            tracing::warn!(task = &*task.heartbeat.task, machine = &*self.machine(task.machine).id, "adopted");
+            listed.assignments.push(assignment_index);
+            self.apply_task_state(now, assignment_index, task.heartbeat);
         }
         true
     }
@@ -142,49 +144,49 @@
     /// A live task that is not wanted: halted until it ends, then reaped.
     fn note_stray(&mut self, task: &ListedTask<'_>, listed: &mut ListedTasks) {
         tracing::warn!(
-            task = &*task.report.task,
-            attempt = task.report.attempt,
+            task = &*task.heartbeat.task,
+            attempt = task.heartbeat.attempt,
             machine = &*self.machine(task.machine).id,
             "stray task, stopping it"
         );
         if !self.has_unreaped_exit(task) {
             self.add_unreaped_exit(task, ExitRecord::Stray);
         }
-        listed.exits.insert(TaskAttempt::of(task.report));
+        listed.exits.insert(TaskAttempt::of(task.heartbeat));
     }
 
     fn has_unreaped_exit(&self, task: &ListedTask<'_>) -> bool {
         let exits = &self.machine(task.machine).unreaped_exits;
-        exits.iter().any(|exit| exit.task == task.report.task && exit.attempt == task.report.attempt)
+        exits.iter().any(|exit| exit.task == task.heartbeat.task && exit.attempt == task.heartbeat.attempt)
     }
 
     fn add_unreaped_exit(&mut self, task: &ListedTask<'_>, record: ExitRecord) {
         self.machines[task.machine.at()].unreaped_exits.push(UnreapedExit {
-            task: task.report.task.clone(),
-            attempt: task.report.attempt,
+            task: task.heartbeat.task.clone(),
+            attempt: task.heartbeat.attempt,
             job: task.job,
             record,
         });
     }
 
-    fn take_state(&mut self, now: Ms, ix: AssignmentIx, report: &TaskReport) {
-        if report.state == TaskState::Exited {
-            self.take_end(now, ix, report);
+    fn apply_task_state(&mut self, now: Millis, index: AssignmentIndex, heartbeat: &TaskStatus) {
+        if heartbeat.state == TaskState::Exited {
+            self.apply_task_exit(now, index, heartbeat);
             return;
         }
-        let Some(assignment) = self.assignments.get_mut(ix) else { return };
-        let previous = std::mem::replace(&mut assignment.state, AssignmentState::Seen(report.state));
+        let Some(assignment) = self.assignments.get_mut(index) else { return };
+        let previous = std::mem::replace(&mut assignment.state, AssignmentState::Seen(heartbeat.state));
         if previous == assignment.state {
             return;
         }
-        let is_running = report.state == TaskState::Running;
+        let is_running = heartbeat.state == TaskState::Running;
         if is_running && assignment.running_since.is_none() {
             assignment.running_since = Some(now);
         }
         let was_running = previous == AssignmentState::Seen(TaskState::Running);
-        let (job_ix, machine) = (assignment.job, assignment.machine);
+        let (job_index, machine) = (assignment.job, assignment.machine);
         let (made, inherited) = (assignment.made, assignment.inherited);
-        let Some(job) = self.jobs[job_ix.at()].as_mut() else { return };
+        let Some(job) = self.jobs[job_index.at()].as_mut() else { return };
         match (was_running, is_running) {
             (false, true) => {
                 job.running += 1;
@@ -195,22 +197,22 @@
             (true, false) => job.running = job.running.saturating_sub(1),
             _ => {}
         }
-        self.changed_progress.insert(job_ix);
+        self.changed_progress.insert(job_index);
         if let Some(host) = self.snapshot.hosts.get_mut(machine.at()) {
             let cache_gb = host.pool.map_or(0.0, |pool| self.snapshot.pools[pool].cache_gb);
             host.note_image(job.spec.image, job.spec.image_gb, cache_gb);
         }
     }
 
-    fn take_end(&mut self, now: Ms, ix: AssignmentIx, report: &TaskReport) {
-        let Some(assignment) = self.assignments.get_mut(ix) else { return };
+    fn apply_task_exit(&mut self, now: Millis, index: AssignmentIndex, heartbeat: &TaskStatus) {
+        let Some(assignment) = self.assignments.get_mut(index) else { return };
         if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
             if let Some(job) = self.jobs[assignment.job.at()].as_mut() {
                 job.running = job.running.saturating_sub(1);
             }
         }
-        assignment.state = AssignmentState::Ended(report.why.unwrap_or(ExitReason::Other));
-        self.settle_exit(now, ix, report);
+        assignment.state = AssignmentState::Ended(heartbeat.why.unwrap_or(ExitReason::Other));
+        self.settle_exit(now, index, heartbeat);
     }
 }
 
@@ -222,7 +224,7 @@
     ExitRecord::WrittenWith { chunk: job.chunk_of(task), version: job.touch(task) }
 }
 
-fn log_first_start(now: Ms, job: &Job, assigned_at: Ms) {
+fn log_first_start(now: Millis, job: &Job, assigned_at: Millis) {
     tracing::info!(
         job = &*job.id,
         kind = ?job.spec.kind,
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -3,7 +3,7 @@
 //! A zone that is cut off, or an outage of the state service, leaves workers
 //! with no leader, and at the end of their leases they kill all they run. A
 //! controller that was in contact a moment ago may renew the leases meanwhile:
-//! it answers workers' reports with the token they hold and with no orders.
+//! it answers workers' heartbeats with the token they hold and with no orders.
 //! Nothing new starts by that, and nothing that runs is lost. Two things must
 //! hold:
 //!
@@ -17,39 +17,39 @@
 //!   a grant; [`PeerInactivity`] believes that a controller renewed nothing only
 //!   for the time that the controller itself vouched for, or its key was away.
 
-use super::model::Ms;
+use super::model::Millis;
 
 /// Two steady clocks may part by twice this share; times are cut by more.
 const DRIFT: f64 = 0.002;
 /// Taken off a grant's time besides the drift, for rounding and scheduling.
-const MARGIN_MS: Ms = 40;
+const MARGIN_MS: Millis = 40;
 /// Out of contact for this long before any lease is renewed without a leader.
-const OUT_OF_CONTACT_MS: Ms = 2_500;
+const OUT_OF_CONTACT_MS: Millis = 2_500;
 /// A controller heard within this time is there.
-const HEARD_MS: Ms = 2_000;
+const HEARD_MS: Millis = 2_000;
 /// Besides both clocks' drift: for answers and reports on their way.
 const SLACK_MS: f64 = 2_000.0;
 /// A grant outlives the time in which leases may be renewed by this much.
-const GRANT_SLACK_MS: Ms = 6_000;
+const GRANT_SLACK_MS: Millis = 6_000;
 /// Interval of the grant's renewals.
-const GRANT_RENEWAL_MS: Ms = 3_000;
+const GRANT_RENEWAL_MS: Millis = 3_000;
 /// Pause after a call that failed or went unanswered.
-const RETRY_MS: Ms = 1_000;
-/// A report from another zone within this time after the last contact says
+const RETRY_MS: Millis = 1_000;
+/// A heartbeat from another zone within this time after the last contact says
 /// nothing: the partition may have begun after it.
-const FOREIGN_REPORT_SLACK_MS: Ms = 1_000;
+const FOREIGN_HEARTBEAT_SLACK_MS: Millis = 1_000;
 
 /// How long after the sending of its last read of the jobs' records a controller
 /// may answer a worker 200: a lease renewed then ends before a cancellation that
 /// the read could not show has to be carried out.
-pub fn renewal_ms(cancel_s: f64, lease_s: f64) -> Ms {
+pub fn renewal_ms(cancel_s: f64, lease_s: f64) -> Millis {
     let longest = (cancel_s * (1.0 - DRIFT) - lease_s * (1.0 + DRIFT)) * 1000.0 - SLACK_MS;
-    longest.max(0.0) as Ms
+    longest.max(0.0) as Millis
 }
 
 /// How long after its last contact a controller that doesn't lead may renew
 /// leases; 0: never.
-pub fn most_ms(cancel_s: f64, lease_s: f64) -> Ms {
+pub fn most_ms(cancel_s: f64, lease_s: f64) -> Millis {
     let longest = renewal_ms(cancel_s, lease_s);
     if longest >= 2 * OUT_OF_CONTACT_MS {
         longest
@@ -65,11 +65,11 @@
     Grant,
     /// POST /grants/{}/renew
     Renew(u64),
-    /// Write this controller's key under the grant, if its stamp is as expected.
+    /// Write this controller's key under the grant, if its revision is as expected.
     Register {
         /// Number of the grant.
         permit: u64,
-        /// Stamp that the key must have; 0: it must not exist.
+        /// Revision that the key must have; 0: it must not exist.
         expect: u64,
     },
 }
@@ -78,44 +78,44 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PendingCall {
     None,
-    Grant { sent: Ms },
-    Renew { sent: Ms },
+    Grant { sent: Millis },
+    Renew { sent: Millis },
     Register,
 }
 
 /// This controller's key as last seen.
 #[derive(Debug, Clone, Copy)]
 struct SeenKey {
-    /// 0: the key isn't there.
-    stamp: u64,
-    /// The revision at which it was seen.
-    revision: u64,
+    /// Revision of the key's last write; 0: the key isn't there.
+    key_revision: u64,
+    /// Revision of the store at which it was seen.
+    store_revision: u64,
 }
 
 /// This controller's own right to renew leases.
 #[derive(Debug)]
 pub struct RenewalRight {
-    renewal_ms: Ms,
+    renewal_ms: Millis,
     /// The same without leading.
-    most_ms: Ms,
+    most_ms: Millis,
     permit: Option<u64>,
     /// The grant is alive at least until then.
-    valid_until: Ms,
-    last_renewal: Ms,
+    valid_until: Millis,
+    last_renewal: Millis,
     pending: PendingCall,
-    retry_at: Ms,
+    retry_at: Millis,
     key: Option<SeenKey>,
     /// The key stands, written by this start of the process.
     registered: bool,
     /// When the last read of the jobs' records that was taken in was sent.
-    synced: Option<Ms>,
+    synced: Option<Millis>,
     /// When a lease was last renewed without leading.
-    pub last: Ms,
+    pub last: Millis,
 }
 
 impl RenewalRight {
     /// `renewal_ms`: for any answer, the leader's too; `most_ms`: while not leading.
-    pub fn new(renewal_ms: Ms, most_ms: Ms) -> RenewalRight {
+    pub fn new(renewal_ms: Millis, most_ms: Millis) -> RenewalRight {
         RenewalRight {
             renewal_ms,
             most_ms,
@@ -139,22 +139,22 @@
     }
 
     /// How long after the sending of its last read it may answer a worker 200.
-    pub fn renewal_ms(&self) -> Ms {
+    pub fn renewal_ms(&self) -> Millis {
         self.renewal_ms
     }
 
     /// How long a grant lasts: longer than leases may be renewed by one renewal
     /// of it and more.
-    pub fn ttl_ms(&self) -> Ms {
+    pub fn ttl_ms(&self) -> Millis {
         self.most_ms + GRANT_SLACK_MS
     }
 
     /// The next call to make, if one is due.
-    pub fn tick(&mut self, now: Ms) -> Option<Action> {
+    pub fn tick(&mut self, now: Millis) -> Option<Action> {
         if self.most_ms == 0 || self.pending != PendingCall::None || now < self.retry_at {
             return None;
         }
-        let expect = self.key?.stamp;
+        let expect = self.key?.key_revision;
         match self.permit {
             Some(permit) if self.registered => {
                 if now < self.last_renewal + GRANT_RENEWAL_MS {
@@ -177,13 +177,13 @@
     }
 
     /// Until when a grant that was asked for or renewed at `sent` lasts at least.
-    fn alive_until(&self, sent: Ms) -> Ms {
-        let shortest_ms = (self.ttl_ms() as f64 * (1.0 - DRIFT)) as Ms;
+    fn alive_until(&self, sent: Millis) -> Millis {
+        let shortest_ms = (self.ttl_ms() as f64 * (1.0 - DRIFT)) as Millis;
         (sent + shortest_ms).saturating_sub(MARGIN_MS)
     }
 
     /// How the request for a grant ended. `None`: it failed.
-    pub fn granted(&mut self, now: Ms, permit: Option<u64>) {
+    pub fn granted(&mut self, now: Millis, permit: Option<u64>) {
         let PendingCall::Grant { sent } = self.pending else { return };
         self.pending = PendingCall::None;
         match permit {
@@ -197,7 +197,7 @@
     }
 
     /// `Some(true)`: renewed; `Some(false)`: the grant has ended; `None`: unknown.
-    pub fn renewed(&mut self, now: Ms, result: Option<bool>) {
+    pub fn renewed(&mut self, now: Millis, result: Option<bool>) {
         let PendingCall::Renew { sent } = self.pending else { return };
         self.pending = PendingCall::None;
         match result {
@@ -210,14 +210,14 @@
         }
     }
 
-    /// `Some(stamp)`: written. `None`: lost or unknown; the watch tells which.
-    pub fn registered(&mut self, now: Ms, stamp: Option<u64>) {
+    /// `Some(revision)`: written. `None`: lost or unknown; the watch tells which.
+    pub fn registered(&mut self, now: Millis, revision: Option<u64>) {
         if self.pending != PendingCall::Register {
             return;
         }
         self.pending = PendingCall::None;
-        match stamp {
-            Some(stamp) => self.saw_key(stamp, stamp, true),
+        match revision {
+            Some(revision) => self.saw_key(revision, revision, true),
             None => self.retry_at = now + RETRY_MS,
         }
     }
@@ -229,34 +229,34 @@
         self.registered = false;
     }
 
-    /// The key was seen at this revision: its stamp (0: not there), and whether
-    /// it is of this start of the process.
-    pub fn saw_key(&mut self, stamp: u64, revision: u64, mine: bool) {
-        if self.key.is_some_and(|seen| seen.revision > revision) {
+    /// The key was seen at a revision of the store: the revision of its last write
+    /// (0: not there), and whether it is of this start of the process.
+    pub fn saw_key(&mut self, key_revision: u64, store_revision: u64, mine: bool) {
+        if self.key.is_some_and(|seen| seen.store_revision > store_revision) {
             return;
         }
-        self.key = Some(SeenKey { stamp, revision });
-        self.registered = mine && stamp != 0;
+        self.key = Some(SeenKey { key_revision, store_revision });
+        self.registered = mine && key_revision != 0;
     }
 
     /// A read of the jobs' records that was sent then has come back.
-    pub fn synced(&mut self, sent: Ms) {
+    pub fn synced(&mut self, sent: Millis) {
         self.synced = self.synced.max(Some(sent));
     }
 
     /// When contact was last had, as far as is known.
-    pub fn contact(&self) -> Ms {
+    pub fn contact(&self) -> Millis {
         self.synced.unwrap_or(0)
     }
 
     /// Guard: a 200 sent now can't let a task outlive a cancellation that this
     /// controller doesn't know of, whether it leads or not.
-    pub fn may_renew(&self, now: Ms) -> bool {
+    pub fn may_renew(&self, now: Millis) -> bool {
         self.synced.is_some_and(|synced| now < synced + self.renewal_ms)
     }
 
     /// Only out of contact, only for a time, and only while the key stands.
-    pub fn may_renew_without_leader(&self, now: Ms) -> bool {
+    pub fn may_renew_without_leader(&self, now: Millis) -> bool {
         let is_out_of_contact =
             self.synced.is_some_and(|synced| now >= synced + OUT_OF_CONTACT_MS && now < synced + self.most_ms);
         is_out_of_contact && self.may_renew(now) && self.registered && now < self.valid_until
@@ -332,9 +332,9 @@
     /// In this controller's zone.
     pub near: bool,
     /// When it was last heard; None: never.
-    pub heard: Option<Ms>,
+    pub heard: Option<Millis>,
     /// How long it had been without the state service when it was heard.
-    pub state_age: Ms,
+    pub state_age: Millis,
 }
 
 /// Guard: a controller that is alone in being cut off must not hold workers
@@ -342,14 +342,14 @@
 /// controller that it hears is out of contact too; or when it hears none, has no
 /// other in its zone, and no worker of another zone reported since its last
 /// contact.
-pub fn shares_the_cut(now: Ms, contact: Ms, others: &[Other], foreign_zone_report: Option<Ms>) -> bool {
+pub fn shares_the_cut(now: Millis, contact: Millis, others: &[Other], last_foreign_heartbeat: Option<Millis>) -> bool {
     let is_heard = |other: &&Other| other.heard.is_some_and(|heard| now < heard + HEARD_MS);
     let mut heard = others.iter().filter(is_heard).peekable();
     if heard.peek().is_some() {
         return heard.all(|other| other.state_age >= OUT_OF_CONTACT_MS);
     }
     let is_alone_in_zone = !others.iter().any(|other| other.near);
-    is_alone_in_zone && foreign_zone_report.is_none_or(|report| report < contact + FOREIGN_REPORT_SLACK_MS)
+    is_alone_in_zone && last_foreign_heartbeat.is_none_or(|heartbeat| heartbeat < contact + FOREIGN_HEARTBEAT_SLACK_MS)
 }
 
 #[cfg(test)]
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,12 +1,12 @@
 //! Who leads, and what runs where. Everything here is pure: events and the
 //! present moment go in, effects come out.
 
+pub mod autoscaler;
 pub mod election;
-pub mod fleet;
 pub mod leader;
 pub mod lease_renewal;
 pub mod model;
-pub mod pass;
 pub mod preemption;
+pub mod scheduler;
 pub mod snapshot;
 pub mod trial;
--- a/src/coordination/model/assignment.rs
+++ b/src/coordination/model/assignment.rs
@@ -1,12 +1,12 @@
 //! Assignments of tasks to machines, and what is left of those that ended.
 
-use super::{MachineIx, Ms};
+use super::{MachineIndex, Millis};
 use crate::{
-    bookkeeping::job_cache::JobIx,
     protocol::{
-        names::ZoneIx,
+        names::ZoneIndex,
         workers::{ExitReason, TaskState},
     },
+    storage::job_cache::JobIndex,
 };
 
 /// How far a task has come on the machine it is assigned to.
@@ -27,22 +27,22 @@
     /// Grace period of the halt, in seconds.
     pub grace_s: f64,
     /// When the halt was last sent to the worker.
-    pub sent: Option<Ms>,
+    pub sent: Option<Millis>,
 }
 
 /// A task that is, or may be, on a machine.
 #[derive(Debug)]
 pub struct Assignment {
     /// The task's job.
-    pub job: JobIx,
+    pub job: JobIndex,
     /// Number of the task within its job.
     pub task: u32,
     /// The machine that it is assigned to.
-    pub machine: MachineIx,
+    pub machine: MachineIndex,
     /// The zone of that machine.
-    pub zone: ZoneIx,
-    /// The worker's session for which the task was assigned.
-    pub session: u64,
+    pub zone: ZoneIndex,
+    /// The worker's incarnation for which the task was assigned.
+    pub incarnation: u64,
     /// Number of the attempt to run the task.
     pub attempt: u64,
     /// Version of its chunk that first contained this assignment.
@@ -50,13 +50,13 @@
     /// How far the task has come.
     pub state: AssignmentState,
     /// When its launch was last sent.
-    pub sent: Option<Ms>,
+    pub sent: Option<Millis>,
     /// When the leader first heard that it runs; None: it has not.
-    pub running_since: Option<Ms>,
+    pub running_since: Option<Millis>,
     /// The halt of the task; None: it is not to be stopped.
     pub halt: Option<Halt>,
     /// When the assignment was made.
-    pub made: Ms,
+    pub made: Millis,
     /// Read from a record: an earlier leader may have sent its launch.
     pub inherited: bool,
 }
@@ -96,7 +96,7 @@
     /// Number of the attempt.
     pub attempt: u64,
     /// The task's job.
-    pub job: JobIx,
+    pub job: JobIndex,
     /// Whether its end is or will be recorded.
     pub record: ExitRecord,
 }
@@ -105,7 +105,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LaunchId {
     /// The task's job.
-    pub job: JobIx,
+    pub job: JobIndex,
     /// Number of the task within its job.
     pub task: u32,
     /// Number of the attempt.
--- a/src/coordination/model/failures.rs
+++ b/src/coordination/model/failures.rs
@@ -1,6 +1,6 @@
 //! What a job's failed tasks say of the job itself.
 
-use super::{MachineIx, Ms};
+use super::{MachineIndex, Millis};
 
 /// Machines on which a job failed, and ran well nowhere, after which the fault
 /// is taken for its own.
@@ -10,11 +10,11 @@
 #[derive(Debug, Default)]
 pub struct JobFailures {
     /// Machines on which its tasks failed.
-    pub machines: Vec<MachineIx>,
+    pub machines: Vec<MachineIndex>,
     /// Rounds of attempts that ended in failures.
     pub rounds: u32,
     /// The longest that a task ran before it failed.
-    pub longest_run_ms: Ms,
+    pub longest_run_ms: Millis,
     /// A task of the job completed, or outlasted those that failed.
     pub job_is_sound: bool,
     /// The latest attempt when the current round was counted.
@@ -24,7 +24,7 @@
 impl JobFailures {
     /// A task that ran for `ran_ms` failed. `attempt`: its attempt;
     /// `last_attempt`: the latest one of any job.
-    pub fn record(&mut self, machine: MachineIx, ran_ms: Ms, attempt: u64, last_attempt: u64) {
+    pub fn record(&mut self, machine: MachineIndex, ran_ms: Millis, attempt: u64, last_attempt: u64) {
         if !self.machines.contains(&machine) {
             self.machines.push(machine);
         }
--- a/src/coordination/model/index.rs
+++ b/src/coordination/model/index.rs
@@ -17,9 +17,9 @@
 
 index!(
     /// Index of an assignment in the leader's table of assignments.
-    AssignmentIx
+    AssignmentIndex
 );
 index!(
     /// Index of a machine in the leader's table of machines.
-    MachineIx
+    MachineIndex
 );
--- a/src/coordination/model/job.rs
+++ b/src/coordination/model/job.rs
@@ -2,13 +2,13 @@
 
 use std::rc::Rc;
 
-use super::{AssignmentIx, JobFailures, Ms};
+use super::{AssignmentIndex, JobFailures, Millis};
 use crate::{
-    bookkeeping::{
-        job_cache::JobIx,
-        records::{JobRecord, Status},
-    },
     protocol::jobs::JobSpec,
+    storage::{
+        job_cache::JobIndex,
+        records::{JobRecord, JobStatus},
+    },
 };
 
 /// Where one task of a job stands.
@@ -19,7 +19,7 @@
     /// Completed.
     Done,
     /// On a machine, or on its way there.
-    At(AssignmentIx),
+    At(AssignmentIndex),
 }
 
 /// State of one chunk record (`t/`), which holds a part of a job's tasks.
@@ -31,10 +31,10 @@
     pub committed_version: u64,
     /// The version that last gained an assignment: its launch waits for the write.
     pub placement_version: u64,
-    /// Stamp of the written record; 0: there is none.
-    pub stamp: u64,
+    /// Revision of the written record; 0: there is none.
+    pub revision: u64,
     /// Its value is larger than may be written; not to be tried before.
-    pub retry_at: Ms,
+    pub retry_at: Millis,
 }
 
 impl Chunk {
@@ -62,15 +62,15 @@
 #[derive(Debug)]
 pub struct Job {
     /// Index of the job.
-    pub ix: JobIx,
+    pub index: JobIndex,
     /// Id of the job, as users see it.
     pub id: Rc<str>,
     /// What was submitted.
     pub spec: Rc<JobSpec>,
-    /// Stamp of its record.
-    pub stamp: u64,
+    /// Revision of its record.
+    pub revision: u64,
     /// Status according to its record.
-    pub status: Status,
+    pub status: JobStatus,
     /// Since when it may run, on the leader's steady clock; may lie before the
     /// clock's start.
     pub since: i64,
@@ -89,7 +89,7 @@
     /// Tasks that run now.
     pub running: u32,
     /// None of its tasks are to be assigned before.
-    pub not_before: Ms,
+    pub not_before: Millis,
     /// A transaction found the record changed; wait until the job cache shows it.
     pub stale: bool,
     /// Its record, while that splits its tasks into chunks that are too large
@@ -100,7 +100,7 @@
     /// Tasks per chunk according to its record.
     pub recorded_chunk_size: u32,
     /// Since when changes wait to be written.
-    pub unwritten_since: Option<Ms>,
+    pub unwritten_since: Option<Millis>,
     /// A task completed, or ran long enough to count as a start.
     pub has_counted_start: bool,
     /// At least one of its tasks was assigned before.
@@ -110,19 +110,19 @@
     /// The progress last published to the other controllers.
     pub published: JobProgress,
     /// No tasks are stopped for it before.
-    pub next_eviction: Ms,
+    pub next_preemption: Millis,
     /// Its assignments by zone, if it restricts zones.
     pub zone_used: Vec<u32>,
-    /// Within its team's guarantee, as of the last pass.
+    /// Within its team's guarantee, as of the last scheduling cycle.
     pub within_guarantee: bool,
     /// Tasks stopped by command, for the logs.
     pub stop_count: u32,
     /// Tasks lost with their machine, for the logs.
     pub lost_count: u32,
     /// When one of its tasks was last assigned, for the logs.
-    pub last_assigned: Ms,
-    /// Since when it waits without room, for eviction, rentals and the logs.
-    pub waiting_since: Ms,
+    pub last_assigned: Millis,
+    /// Since when it waits without room, for preemption, rentals and the logs.
+    pub waiting_since: Millis,
 }
 
 impl Job {
@@ -154,29 +154,29 @@
     }
 
     /// Seconds since it became ready to run.
-    pub fn age_s(&self, now: Ms) -> f64 {
+    pub fn age_s(&self, now: Millis) -> f64 {
         (now as i64 - self.since) as f64 / 1000.0
     }
 
     /// Milliseconds since it began to wait for room; negative if that lies ahead.
-    pub fn waited_ms(&self, now: Ms) -> i64 {
+    pub fn waited_ms(&self, now: Millis) -> i64 {
         now as i64 - self.waiting_since as i64
     }
 
     /// All of its assignments, in the order of its tasks.
-    pub fn assignments(&self) -> Vec<AssignmentIx> {
+    pub fn assignments(&self) -> Vec<AssignmentIndex> {
         assignments_in(&self.slots)
     }
 
     /// The assignments of one chunk's tasks.
-    pub fn assignments_of_chunk(&self, chunk: usize) -> Vec<AssignmentIx> {
+    pub fn assignments_of_chunk(&self, chunk: usize) -> Vec<AssignmentIndex> {
         let size = self.chunk_size as usize;
         let start = chunk * size;
         assignments_in(&self.slots[start..(start + size).min(self.slots.len())])
     }
 }
 
-fn assignments_in(slots: &[Slot]) -> Vec<AssignmentIx> {
+fn assignments_in(slots: &[Slot]) -> Vec<AssignmentIndex> {
     let assigned = |slot: &Slot| match slot {
         Slot::At(assignment) => Some(*assignment),
         Slot::Pending | Slot::Done => None,
--- a/src/coordination/model/machine.rs
+++ b/src/coordination/model/machine.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use super::{AssignmentIx, DirectCall, Ms, UnreapedExit};
+use super::{AssignmentIndex, DirectCall, Millis, UnreapedExit};
 use crate::{
-    bookkeeping::job_cache::JobIx,
-    protocol::names::{TypeIx, ZoneIx},
+    protocol::names::{MachineTypeIndex, ZoneIndex},
+    storage::job_cache::JobIndex,
 };
 
 /// Where a machine is between its rental and its return.
@@ -23,15 +23,15 @@
 
 /// After this many reports in a row that show no sign of our answers, a
 /// machine counts as unable to receive them.
-const UNACKNOWLEDGED_REPORT_LIMIT: u32 = 3;
+const UNACKNOWLEDGED_HEARTBEAT_LIMIT: u32 = 3;
 
 /// A failed task, noted at the machine on which it failed.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskFailure {
     /// The job of the task.
-    pub job: JobIx,
+    pub job: JobIndex,
     /// When the leader heard of the failure.
-    pub at: Ms,
+    pub at: Millis,
     /// The job ran well elsewhere, so the machine is to blame.
     pub job_is_sound: bool,
 }
@@ -44,19 +44,19 @@
     /// Address of its worker; None: not known yet.
     pub addr: Option<SocketAddr>,
     /// Its type; None: unknown.
-    pub machine_type: Option<TypeIx>,
+    pub machine_type: Option<MachineTypeIndex>,
     /// Its zone.
-    pub zone: ZoneIx,
+    pub zone: ZoneIndex,
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Where it is between its rental and its return.
     pub lifecycle: MachineLifecycle,
-    /// The latest session of its worker, and the latest report in that session.
-    pub session: u64,
-    /// Number of the latest report of the session.
-    pub seq: u64,
-    /// Reports of sessions up to this one are too old to mean anything.
-    pub dead_session: u64,
+    /// The latest incarnation of its worker, and the latest report in that incarnation.
+    pub incarnation: u64,
+    /// Number of the latest report of the incarnation.
+    pub sequence: u64,
+    /// Heartbeats of incarnations up to this one are too old to mean anything.
+    pub expired_incarnation: u64,
     /// The token that commands to it carry now.
     pub token: u64,
     /// A task's absence or end proves something only once the worker has shown
@@ -64,26 +64,26 @@
     pub fence_token: u64,
     /// The highest token that the worker has shown.
     pub seen_token: u64,
-    /// A report of it was answered since the fence was last raised.
+    /// A heartbeat of it was answered since the fence was last raised.
     pub answered_since_fence: bool,
-    /// Reports since then that show no sign of an answer.
-    pub unacknowledged_reports: u32,
+    /// Heartbeats since then that show no sign of an answer.
+    pub unacknowledged_heartbeats: u32,
     /// When the last such report was counted; 0: never.
-    pub last_unacknowledged: Ms,
-    /// When its last report came, sent by itself or as the answer to a call.
-    pub last_heard: Option<Ms>,
-    /// When the last report that it sent by itself came.
-    pub last_own_report: Option<Ms>,
-    /// When the last 200 was sent to one of its reports, by any leader.
-    pub lease_renewed: Ms,
+    pub last_unacknowledged_at: Millis,
+    /// When its last heartbeat came, sent by itself or as the answer to a call.
+    pub last_contact: Option<Millis>,
+    /// When the last heartbeat that it sent by itself came.
+    pub last_heartbeat: Option<Millis>,
+    /// When the last 200 was sent to one of its heartbeats, by any leader.
+    pub lease_renewed: Millis,
     /// A probe is in flight.
     pub probing: bool,
     /// Probes in a row that went unanswered.
     pub failed_probes: u32,
     /// When a spot machine with a notice will be taken away; None: no notice.
-    pub spot_notice_until: Option<Ms>,
+    pub spot_notice_until: Option<Millis>,
     /// The tasks that are, or may be, on it.
-    pub assignments: Vec<AssignmentIx>,
+    pub assignments: Vec<AssignmentIndex>,
     /// How many of the assignments use GPUs.
     pub gpu_assignments: u32,
     /// Ended tasks that its worker still lists.
@@ -91,30 +91,30 @@
     /// The direct command that is not answered yet, if any.
     pub direct_call: Option<DirectCall>,
     /// No direct call is made before.
-    pub direct_call_after: Ms,
-    /// The answer to its last report carried launches, and no report came since.
+    pub direct_call_after: Millis,
+    /// The answer to its last heartbeat carried launches, and no report came since.
     pub launch_in_answer: bool,
     /// When it was rented, or first listed or heard of.
-    pub rented_at: Ms,
+    pub rented_at: Millis,
     /// When its worker first reported to this leader; None: it has not.
-    pub up_at: Option<Ms>,
+    pub up_at: Option<Millis>,
     /// Since when nothing is on it; None: something is, or it is not up.
-    pub idle_since: Option<Ms>,
+    pub idle_since: Option<Millis>,
     /// Since when none of its GPUs is in use.
-    pub gpu_idle_since: Option<Ms>,
+    pub gpu_idle_since: Option<Millis>,
     /// No new tasks are assigned to it before.
-    pub avoid_until: Ms,
+    pub avoid_until: Millis,
     /// Tasks that failed here lately, one entry per job.
     pub recent_failures: Vec<TaskFailure>,
     /// To be emptied and handed back.
-    pub retiring: bool,
+    pub cordoned: bool,
     /// Its return is not requested before.
-    pub return_after: Ms,
+    pub return_after: Millis,
 }
 
 impl Machine {
     /// A machine that was just rented, listed or heard of for the first time.
-    pub fn new(id: &str, zone: ZoneIx, token: u64, now: Ms) -> Machine {
+    pub fn new(id: &str, zone: ZoneIndex, token: u64, now: Millis) -> Machine {
         Machine {
             id: id.to_owned(),
             addr: None,
@@ -122,17 +122,17 @@
             zone,
             spot: false,
             lifecycle: MachineLifecycle::Booting,
-            session: 0,
-            seq: 0,
-            dead_session: 0,
+            incarnation: 0,
+            sequence: 0,
+            expired_incarnation: 0,
             token,
             fence_token: token,
             seen_token: 0,
             answered_since_fence: false,
-            unacknowledged_reports: 0,
-            last_unacknowledged: 0,
-            last_heard: None,
-            last_own_report: None,
+            unacknowledged_heartbeats: 0,
+            last_unacknowledged_at: 0,
+            last_contact: None,
+            last_heartbeat: None,
             lease_renewed: now,
             probing: false,
             failed_probes: 0,
@@ -149,14 +149,14 @@
             gpu_idle_since: None,
             avoid_until: 0,
             recent_failures: Vec::new(),
-            retiring: false,
+            cordoned: false,
             return_after: 0,
         }
     }
 
     /// Its reports arrive, but our answers don't reach it.
-    pub fn misses_answers(&self) -> bool {
-        self.unacknowledged_reports >= UNACKNOWLEDGED_REPORT_LIMIT
+    pub fn is_unreachable(&self) -> bool {
+        self.unacknowledged_heartbeats >= UNACKNOWLEDGED_HEARTBEAT_LIMIT
     }
 
     /// No command sent before the fence was raised can still take effect.
--- a/src/coordination/model/machine_type.rs
+++ b/src/coordination/model/machine_type.rs
@@ -1,18 +1,18 @@
 //! Machine types that can be rented.
 
-use super::Res;
+use super::Resources;
 use crate::protocol::{
     jobs::JobSpec,
-    names::{TypeIx, ZoneIx},
+    names::{MachineTypeIndex, ZoneIndex},
 };
 
 /// A machine type as the cloud describes it.
 #[derive(Debug, Clone)]
-pub struct TypeInfo {
+pub struct MachineTypeSpec {
     /// Index of the type.
-    pub ix: TypeIx,
+    pub index: MachineTypeIndex,
     /// Capacity of one machine.
-    pub cap: Res,
+    pub capacity: Resources,
     /// Size of a machine's image cache, in GB.
     pub cache_gb: f64,
     /// Rate at which a machine fetches images, in GB per second.
@@ -24,10 +24,10 @@
     /// Nominal boot time, in seconds.
     pub boot_s: f64,
     /// The zones in which the type is offered.
-    pub zones: Vec<ZoneIx>,
+    pub zones: Vec<ZoneIndex>,
 }
 
-impl TypeInfo {
+impl MachineTypeSpec {
     /// Price of a machine, on demand or as a spot machine.
     pub fn price_of(&self, spot: bool) -> f64 {
         if spot && self.spot_price > 0.0 {
@@ -39,10 +39,10 @@
 }
 
 /// Whether one task of this job can ever run on some machine that may be rented.
-pub fn fits_some_type(spec: &JobSpec, types: &[TypeInfo]) -> bool {
+pub fn fits_some_type(spec: &JobSpec, types: &[MachineTypeSpec]) -> bool {
     types.iter().any(|machine_type| {
-        spec.allows_type(machine_type.ix)
-            && Res::of(spec).fits_in(&machine_type.cap)
+        spec.allows_type(machine_type.index)
+            && Resources::of(spec).fits_in(&machine_type.capacity)
             && spec.zone.is_none_or(|zone| machine_type.zones.contains(&zone))
     })
 }
--- a/src/coordination/model/mod.rs
+++ b/src/coordination/model/mod.rs
@@ -13,23 +13,23 @@
 pub use self::{
     assignment::{Assignment, AssignmentState, DirectCall, ExitRecord, Halt, LaunchId, UnreapedExit},
     failures::JobFailures,
-    index::{AssignmentIx, MachineIx},
+    index::{AssignmentIndex, MachineIndex},
     job::{Chunk, Job, JobProgress, Slot},
     machine::{Machine, MachineLifecycle, TaskFailure},
-    machine_type::{fits_some_type, TypeInfo},
-    resources::{Res, RESOURCE_TOLERANCE},
+    machine_type::{fits_some_type, MachineTypeSpec},
+    resources::{Resources, RESOURCE_TOLERANCE},
     team::TeamLimits,
 };
 
 /// Milliseconds on this process's steady clock, or a duration in milliseconds.
-pub type Ms = u64;
+pub type Millis = u64;
 
 /// A task that ran this long counts as started for good (PROTOCOL, "How aims
 /// are counted").
-pub const START_COUNTS_MS: Ms = 30_000;
+pub const START_COUNTS_MS: Millis = 30_000;
 
 /// Converts a duration in milliseconds to seconds.
-pub fn seconds(duration_ms: Ms) -> f64 {
+pub fn seconds(duration_ms: Millis) -> f64 {
     duration_ms as f64 / 1000.0
 }
 
--- a/src/coordination/model/resources.rs
+++ b/src/coordination/model/resources.rs
@@ -6,7 +6,7 @@
 
 /// An amount of each resource that the scheduler accounts for.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Res {
+pub struct Resources {
     /// CPUs.
     pub cpus: f64,
     /// GPUs.
@@ -19,21 +19,21 @@
 /// rounding errors don't decide whether a task fits.
 pub const RESOURCE_TOLERANCE: f64 = 1e-6;
 
-impl Res {
+impl Resources {
     /// What one task of the job requests.
-    pub fn of(spec: &JobSpec) -> Res {
-        Res { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
+    pub fn of(spec: &JobSpec) -> Resources {
+        Resources { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
 
     /// Whether `room` has at least this much of every resource.
-    pub fn fits_in(&self, room: &Res) -> bool {
+    pub fn fits_in(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus + RESOURCE_TOLERANCE
             && self.gpus <= room.gpus + RESOURCE_TOLERANCE
             && self.memory_gb <= room.memory_gb + RESOURCE_TOLERANCE
     }
 
     /// How many times `self` fits into `room`.
-    pub fn times_in(&self, room: &Res) -> u32 {
+    pub fn times_in(&self, room: &Resources) -> u32 {
         let of_one_resource = |need: f64, have: f64| {
             if need <= RESOURCE_TOLERANCE {
                 f64::from(u32::MAX)
@@ -54,13 +54,13 @@
     }
 
     /// Negative amounts replaced by zero.
-    pub fn max0(self) -> Res {
-        Res { cpus: self.cpus.max(0.0), gpus: self.gpus.max(0.0), memory_gb: self.memory_gb.max(0.0) }
+    pub fn max0(self) -> Resources {
+        Resources { cpus: self.cpus.max(0.0), gpus: self.gpus.max(0.0), memory_gb: self.memory_gb.max(0.0) }
     }
 
     /// The larger amount of each resource.
-    pub fn max(self, other: Res) -> Res {
-        Res {
+    pub fn max(self, other: Resources) -> Resources {
+        Resources {
             cpus: self.cpus.max(other.cpus),
             gpus: self.gpus.max(other.gpus),
             memory_gb: self.memory_gb.max(other.memory_gb),
@@ -68,8 +68,8 @@
     }
 
     /// The smaller amount of each resource.
-    pub fn min(self, other: Res) -> Res {
-        Res {
+    pub fn min(self, other: Resources) -> Resources {
+        Resources {
             cpus: self.cpus.min(other.cpus),
             gpus: self.gpus.min(other.gpus),
             memory_gb: self.memory_gb.min(other.memory_gb),
@@ -77,35 +77,43 @@
     }
 }
 
-impl ops::Add for Res {
-    type Output = Res;
-    fn add(self, other: Res) -> Res {
-        Res { cpus: self.cpus + other.cpus, gpus: self.gpus + other.gpus, memory_gb: self.memory_gb + other.memory_gb }
+impl ops::Add for Resources {
+    type Output = Resources;
+    fn add(self, other: Resources) -> Resources {
+        Resources {
+            cpus: self.cpus + other.cpus,
+            gpus: self.gpus + other.gpus,
+            memory_gb: self.memory_gb + other.memory_gb,
+        }
     }
 }
 
-impl ops::Sub for Res {
-    type Output = Res;
-    fn sub(self, other: Res) -> Res {
-        Res { cpus: self.cpus - other.cpus, gpus: self.gpus - other.gpus, memory_gb: self.memory_gb - other.memory_gb }
+impl ops::Sub for Resources {
+    type Output = Resources;
+    fn sub(self, other: Resources) -> Resources {
+        Resources {
+            cpus: self.cpus - other.cpus,
+            gpus: self.gpus - other.gpus,
+            memory_gb: self.memory_gb - other.memory_gb,
+        }
     }
 }
 
-impl ops::Mul<f64> for Res {
-    type Output = Res;
-    fn mul(self, factor: f64) -> Res {
-        Res { cpus: self.cpus * factor, gpus: self.gpus * factor, memory_gb: self.memory_gb * factor }
+impl ops::Mul<f64> for Resources {
+    type Output = Resources;
+    fn mul(self, factor: f64) -> Resources {
+        Resources { cpus: self.cpus * factor, gpus: self.gpus * factor, memory_gb: self.memory_gb * factor }
     }
 }
 
-impl ops::AddAssign for Res {
-    fn add_assign(&mut self, other: Res) {
+impl ops::AddAssign for Resources {
+    fn add_assign(&mut self, other: Resources) {
         *self = *self + other;
     }
 }
 
-impl ops::SubAssign for Res {
-    fn sub_assign(&mut self, other: Res) {
+impl ops::SubAssign for Resources {
+    fn sub_assign(&mut self, other: Resources) {
         *self = *self - other;
     }
 }
--- a/src/coordination/model/team.rs
+++ b/src/coordination/model/team.rs
@@ -1,6 +1,6 @@
 //! Guarantees and limits of teams.
 
-use super::{Res, RESOURCE_TOLERANCE};
+use super::{Resources, RESOURCE_TOLERANCE};
 use crate::protocol::jobs::{JobSpec, Kind};
 
 /// A team's guarantee and limit. `None`: none is set.
@@ -23,7 +23,7 @@
     }
 
     /// How many more tasks of this kind the limit allows on top of `used`.
-    pub fn room_for(&self, spec: &JobSpec, used: &Res) -> u32 {
+    pub fn room_for(&self, spec: &JobSpec, used: &Resources) -> u32 {
         let tasks_within = |limit: Option<f64>, used: f64, need: f64| match limit {
             Some(limit) if need > 0.0 => ((limit - used + RESOURCE_TOLERANCE) / need).floor().max(0.0) as u32,
             _ => u32::MAX,
@@ -39,6 +39,6 @@
             Kind::Array => 1,
             Kind::Gang | Kind::Service => spec.tasks,
         };
-        self.room_for(spec, &Res::default()) >= concurrent_tasks
+        self.room_for(spec, &Resources::default()) >= concurrent_tasks
     }
 }
--- a/src/coordination/preemption/mod.rs
+++ b/src/coordination/preemption/mod.rs
@@ -6,18 +6,18 @@
 
 use super::{
     leader::{Leader, SAVE_MARGIN_S},
-    model::{AssignmentIx, Ms, Res},
+    model::{AssignmentIndex, Millis, Resources},
 };
 use crate::{
-    bookkeeping::job_cache::JobIx,
     protocol::{
         jobs::{JobSpec, Kind, Priority},
-        names::ZoneIx,
+        names::ZoneIndex,
     },
+    storage::job_cache::JobIndex,
 };
 
-/// Tasks of one array for which room is made in one pass.
-const ARRAY_TASKS_PER_PASS: usize = 4;
+/// Tasks of one array for which room is made in one scheduling cycle.
+const ARRAY_TASKS_PER_CYCLE: usize = 4;
 /// The next sample of machines begins at the last start times this...
 const CURSOR_MULTIPLIER: u32 = 5;
 /// ...plus this, modulo the number of machines: so that samples differ.
@@ -29,52 +29,52 @@
     /// Guard: a gang that must be in one zone went to that of its first task's
     /// cheapest machine, and waited when that had too few. Each zone is planned
     /// for by itself; the feasible plan that costs least wins.
-    pub fn evict(&mut self, now: Ms, ix: JobIx, tasks: &[u32]) -> bool {
-        let Some(job) = self.job(ix) else { return false };
+    pub fn preempt(&mut self, now: Millis, index: JobIndex, tasks: &[u32]) -> bool {
+        let Some(job) = self.job(index) else { return false };
         let spec = job.spec.clone();
         let has_zone = job.zone_used.iter().any(|&used| used > 0);
         let tasks = match spec.kind {
-            Kind::Array => &tasks[..tasks.len().min(ARRAY_TASKS_PER_PASS)],
+            Kind::Array => &tasks[..tasks.len().min(ARRAY_TASKS_PER_CYCLE)],
             Kind::Gang | Kind::Service => tasks,
         };
-        self.move_eviction_cursor();
+        self.advance_preemption_cursor();
         let zones = if spec.one_zone && !has_zone && tasks.len() > 1 { self.each_zone() } else { vec![None] };
         let mut plans = Vec::new();
         for zone in zones {
-            plans.extend(self.plan_eviction(now, ix, tasks, zone));
+            plans.extend(self.plan_preemption(now, index, tasks, zone));
         }
         let best = plans.into_iter().min_by(|a, b| b.picks.len().cmp(&a.picks.len()).then(a.cost.total_cmp(&b.cost)));
         let Some(plan) = best else { return false };
         let stopped = plan.halts.into_iter().filter(|&victim| self.stop_victim(now, victim, &spec)).count();
         for &host in &plan.picks {
-            self.snapshot.reserve(host, Res::of(&spec), Res::default());
+            self.snapshot.reserve(host, Resources::of(&spec), Resources::default());
         }
         if stopped > 0 {
-            tracing::info!(job = ix.0, stopped, tasks = plan.picks.len(), "made room");
+            tracing::info!(job = index.0, stopped, tasks = plan.picks.len(), "made room");
         }
         stopped > 0
     }
 
-    fn move_eviction_cursor(&mut self) {
-        let next = self.eviction_cursor.wrapping_mul(CURSOR_MULTIPLIER).wrapping_add(CURSOR_INCREMENT);
-        self.eviction_cursor = next % (self.machines.len().max(1) as u32);
+    fn advance_preemption_cursor(&mut self) {
+        let next = self.preemption_cursor.wrapping_mul(CURSOR_MULTIPLIER).wrapping_add(CURSOR_INCREMENT);
+        self.preemption_cursor = next % (self.machines.len().max(1) as u32);
     }
 
-    fn each_zone(&self) -> Vec<Option<ZoneIx>> {
-        let mut zones: Vec<ZoneIx> = self.snapshot.pools.iter().map(|pool| pool.zone).collect();
+    fn each_zone(&self) -> Vec<Option<ZoneIndex>> {
+        let mut zones: Vec<ZoneIndex> = self.snapshot.pools.iter().map(|pool| pool.zone).collect();
         zones.sort_unstable();
         zones.dedup();
         zones.into_iter().map(Some).collect()
     }
 
     /// Stops a task, or its whole gang. False: it is gone already.
-    fn stop_victim(&mut self, now: Ms, victim: AssignmentIx, preemptor: &JobSpec) -> bool {
+    fn stop_victim(&mut self, now: Millis, victim: AssignmentIndex, preemptor: &JobSpec) -> bool {
         let Some(assignment) = self.assignment(victim) else { return false };
-        let job_ix = assignment.job;
-        let Some(job) = self.job(job_ix) else { return false };
+        let job_index = assignment.job;
+        let Some(job) = self.job(job_index) else { return false };
         let save_s = if job.spec.checkpoint_s > 0.0 { job.spec.save_s + SAVE_MARGIN_S } else { 0.0 };
         if job.spec.kind == Kind::Gang {
-            self.stop_job(now, job_ix, save_s);
+            self.stop_job(now, job_index, save_s);
         } else {
             let is_urgent = preemptor.priority == Priority::Production;
             self.halt(now, victim, if is_urgent { 0.0 } else { save_s });
--- a/src/coordination/preemption/plan.rs
+++ b/src/coordination/preemption/plan.rs
@@ -2,17 +2,17 @@
 
 use super::victims::Victim;
 use crate::{
-    bookkeeping::job_cache::JobIx,
     coordination::{
         leader::Leader,
-        model::{AssignmentIx, Job, MachineIx, Ms, Res, RESOURCE_TOLERANCE},
+        model::{AssignmentIndex, Job, MachineIndex, Millis, Resources, RESOURCE_TOLERANCE},
         snapshot::{Host, Pool, RoomKind},
         trial::{IDLE_GPU_PENALTY_S, SLOWEST_FETCH_GB_PER_S},
     },
     protocol::{
         jobs::{JobSpec, Kind},
-        names::ZoneIx,
+        names::ZoneIndex,
     },
+    storage::job_cache::JobIndex,
 };
 
 /// Machines of each pool looked at for one task.
@@ -26,67 +26,67 @@
 
 /// Machines for so many tasks, and the assignments to be stopped there.
 #[derive(Default)]
-pub(super) struct EvictionPlan {
+pub(super) struct PreemptionPlan {
     pub cost: f64,
     pub picks: Vec<usize>,
-    pub halts: Vec<AssignmentIx>,
+    pub halts: Vec<AssignmentIndex>,
 }
 
 /// Room for one task on one machine, and what is stopped for it.
-struct HostEviction {
+struct HostPreemption {
     host: usize,
     cost: f64,
-    halts: Vec<AssignmentIx>,
-    freed: Res,
+    halts: Vec<AssignmentIndex>,
+    freed: Resources,
 }
 
 /// What is searched for: room for one more task.
 struct Search<'a> {
-    now: Ms,
+    now: Millis,
     job: &'a Job,
     sample: &'a [usize],
     /// The job's assignments by zone, those planned included.
     zone_used: &'a [u32],
     /// Assignments that the plan stops already.
-    halts: &'a [AssignmentIx],
+    halts: &'a [AssignmentIndex],
 }
 
 impl Leader {
     /// What is stopped, and where, so that `tasks` get room; in `zone` only, if
     /// one is given. `None`: not enough may be stopped.
-    pub(super) fn plan_eviction(
+    pub(super) fn plan_preemption(
         &mut self,
-        now: Ms,
-        ix: JobIx,
+        now: Millis,
+        index: JobIndex,
         tasks: &[u32],
-        zone: Option<ZoneIx>,
-    ) -> Option<EvictionPlan> {
-        let spec = self.job(ix)?.spec.clone();
-        let mut zone_used = self.job(ix)?.zone_used.clone();
-        let mut plan = EvictionPlan::default();
+        zone: Option<ZoneIndex>,
+    ) -> Option<PreemptionPlan> {
+        let spec = self.job(index)?.spec.clone();
+        let mut zone_used = self.job(index)?.zone_used.clone();
+        let mut plan = PreemptionPlan::default();
         let reservations = self.snapshot.reservations();
-        let sample = self.snapshot.sample(&spec, zone, self.eviction_cursor, MACHINES_SAMPLED);
+        let sample = self.snapshot.sample(&spec, zone, self.preemption_cursor, MACHINES_SAMPLED);
         for _ in tasks {
-            let job = self.job(ix)?;
+            let job = self.job(index)?;
             let search = Search { now, job, sample: &sample, zone_used: &zone_used, halts: &plan.halts };
-            let best = self.cheapest_eviction(&search);
+            let best = self.cheapest_preemption(&search);
             self.snapshot.looked += sample.len() as u64;
-            let Some(eviction) = best else {
+            let Some(preemption) = best else {
                 if spec.kind == Kind::Gang {
                     self.snapshot.release(reservations);
                     return None;
                 }
                 break;
             };
-            let zone = self.machine(MachineIx(eviction.host as u32)).zone;
+            let zone = self.machine(MachineIndex(preemption.host as u32)).zone;
             if zone_used.len() <= zone.at() {
                 zone_used.resize(zone.at() + 1, 0);
             }
             zone_used[zone.at()] += 1;
-            self.snapshot.reserve(eviction.host, Res::of(&spec), eviction.freed);
-            plan.cost += eviction.cost;
-            plan.halts.extend(eviction.halts);
-            plan.picks.push(eviction.host);
+            self.snapshot.reserve(preemption.host, Resources::of(&spec), preemption.freed);
+            plan.cost += preemption.cost;
+            plan.halts.extend(preemption.halts);
+            plan.picks.push(preemption.host);
         }
         // What is stopped counts as such by itself; the room is reserved again
         // once a plan is chosen.
@@ -95,9 +95,9 @@
     }
 
     /// The machine of the sample on which room for one task costs least.
-    fn cheapest_eviction(&self, search: &Search<'_>) -> Option<HostEviction> {
+    fn cheapest_preemption(&self, search: &Search<'_>) -> Option<HostPreemption> {
         let spec = &search.job.spec;
-        let mut best: Option<HostEviction> = None;
+        let mut best: Option<HostPreemption> = None;
         let mut examined = 0;
         for &host_index in search.sample {
             let host = &self.snapshot.hosts[host_index];
@@ -109,35 +109,42 @@
                 continue;
             }
             examined += 1;
-            let Some(eviction) = self.eviction_on(search, host_index, host, pool) else { continue };
-            if best.as_ref().is_none_or(|best| eviction.cost < best.cost) {
-                best = Some(eviction);
+            let Some(preemption) = self.preemption_on(search, host_index, host, pool) else { continue };
+            if best.as_ref().is_none_or(|best| preemption.cost < best.cost) {
+                best = Some(preemption);
             }
         }
         best
     }
 
     /// What is stopped on one machine so that a task gets room there.
-    fn eviction_on(&self, search: &Search<'_>, host_index: usize, host: &Host, pool: &Pool) -> Option<HostEviction> {
+    fn preemption_on(
+        &self,
+        search: &Search<'_>,
+        host_index: usize,
+        host: &Host,
+        pool: &Pool,
+    ) -> Option<HostPreemption> {
         let spec = &search.job.spec;
-        let assignments = &self.machine(MachineIx(host_index as u32)).assignments;
+        let assignments = &self.machine(MachineIndex(host_index as u32)).assignments;
         let victims = self.victims_among(search.now, assignments, search.halts, search.job);
-        let mut eviction = choose_victims(&Res::of(spec), host.room(RoomKind::FreeOrStopping), victims, host_index)?;
+        let mut preemption =
+            choose_victims(&Resources::of(spec), host.room(RoomKind::FreeOrStopping), victims, host_index)?;
         if !host.has_image(spec.image) {
             let fetch_s = spec.image_gb / pool.fetch_gb_per_s.max(SLOWEST_FETCH_GB_PER_S);
-            eviction.cost += fetch_s * FETCH_COST_FACTOR;
+            preemption.cost += fetch_s * FETCH_COST_FACTOR;
         }
-        if spec.gpus <= 0.0 && pool.cap.gpus > 0.0 {
-            eviction.cost += IDLE_GPU_PENALTY_S;
+        if spec.gpus <= 0.0 && pool.capacity.gpus > 0.0 {
+            preemption.cost += IDLE_GPU_PENALTY_S;
         }
-        Some(eviction)
+        Some(preemption)
     }
 }
 
 /// Takes victims in order until the task fits. `None`: it doesn't fit even then.
-fn choose_victims(need: &Res, available: Res, victims: Vec<Victim>, host: usize) -> Option<HostEviction> {
+fn choose_victims(need: &Resources, available: Resources, victims: Vec<Victim>, host: usize) -> Option<HostPreemption> {
     let mut available = available;
-    let mut eviction = HostEviction { host, cost: 0.0, halts: Vec::new(), freed: Res::default() };
+    let mut preemption = HostPreemption { host, cost: 0.0, halts: Vec::new(), freed: Resources::default() };
     for victim in victims {
         if need.fits_in(&available) {
             break;
@@ -146,22 +153,22 @@
             continue;
         }
         available += victim.need;
-        eviction.freed += victim.need;
-        eviction.cost += victim.cost;
-        eviction.halts.push(victim.assignment);
+        preemption.freed += victim.need;
+        preemption.cost += victim.cost;
+        preemption.halts.push(victim.assignment);
     }
-    need.fits_in(&available).then_some(eviction)
+    need.fits_in(&available).then_some(preemption)
 }
 
 /// Whether a victim uses some resource of which too little is available.
-fn frees_what_is_missing(victim: &Res, need: &Res, available: &Res) -> bool {
+fn frees_what_is_missing(victim: &Resources, need: &Resources, available: &Resources) -> bool {
     (victim.gpus > 0.0 && available.gpus < need.gpus)
         || (victim.cpus > 0.0 && available.cpus + RESOURCE_TOLERANCE < need.cpus)
         || (victim.memory_gb > 0.0 && available.memory_gb + RESOURCE_TOLERANCE < need.memory_gb)
 }
 
 /// Whether one more task of the job may be in this zone.
-fn zone_allows(spec: &JobSpec, zone: ZoneIx, zone_used: &[u32]) -> bool {
+fn zone_allows(spec: &JobSpec, zone: ZoneIndex, zone_used: &[u32]) -> bool {
     let here = zone_used.get(zone.at()).copied().unwrap_or(0);
     let elsewhere = zone_used.iter().sum::<u32>() - here;
     let is_other_zone = spec.one_zone && elsewhere > 0;
@@ -173,5 +180,5 @@
 fn may_free_enough(job: &Job, host: &Host) -> bool {
     let stoppable = if job.within_guarantee { PRIORITY_COUNT } else { job.spec.priority as usize };
     let at_best = host.low[..stoppable].iter().fold(host.room(RoomKind::FreeOrStopping), |sum, used| sum + *used);
-    Res::of(&job.spec).fits_in(&at_best)
+    Resources::of(&job.spec).fits_in(&at_best)
 }
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/preemption/victims.rs
@@ -1,13 +1,13 @@
 //! Which tasks may be stopped for a job, and what that costs.
 
 use crate::{
-    bookkeeping::records::Status,
     coordination::{
         leader::{Leader, SAVE_MARGIN_S},
-        model::{AssignmentIx, AssignmentState, Job, Ms, Res, RESOURCE_TOLERANCE, START_COUNTS_MS},
-        pass::is_overdue,
+        model::{AssignmentIndex, AssignmentState, Job, Millis, Resources, RESOURCE_TOLERANCE, START_COUNTS_MS},
+        scheduler::is_overdue,
     },
     protocol::jobs::{Kind, Priority},
+    storage::records::JobStatus,
 };
 
 /// How long a job within its team's guarantee waits before borrowed room is
@@ -21,21 +21,21 @@
 
 /// A task that may be stopped.
 pub(super) struct Victim {
-    pub assignment: AssignmentIx,
+    pub assignment: AssignmentIndex,
     /// What it would free.
-    pub need: Res,
+    pub need: Resources,
     pub cost: f64,
 }
 
 impl Leader {
     /// What stopping a task costs, or `None` when the preemptor may not stop it.
-    pub(super) fn victim(&self, now: Ms, ix: AssignmentIx, preemptor: &Job) -> Option<Victim> {
-        let assignment = self.assignment(ix)?;
+    pub(super) fn victim(&self, now: Millis, index: AssignmentIndex, preemptor: &Job) -> Option<Victim> {
+        let assignment = self.assignment(index)?;
         if assignment.halt.is_some() || matches!(assignment.state, AssignmentState::Ended(_)) {
             return None;
         }
         let job = self.job(assignment.job)?;
-        if job.status != Status::Pending || assignment.job == preemptor.ix {
+        if job.status != JobStatus::Pending || assignment.job == preemptor.index {
             return None;
         }
         let is_lower = job.spec.priority < preemptor.spec.priority;
@@ -49,12 +49,12 @@
         if preemptor.spec.priority < Priority::Production && is_overdue(now, job) && is_fresh {
             return None;
         }
-        Some(Victim { assignment: ix, need: Res::of(&job.spec), cost: cost_of_stop(job, ran_s, is_fresh) })
+        Some(Victim { assignment: index, need: Resources::of(&job.spec), cost: cost_of_stop(job, ran_s, is_fresh) })
     }
 
     /// Whether a job's team uses more than its guarantee, of what the preemptor
     /// is guaranteed.
-    fn is_borrowed_from(&self, now: Ms, job: &Job, preemptor: &Job) -> bool {
+    fn is_borrowed_from(&self, now: Millis, job: &Job, preemptor: &Job) -> bool {
         let has_waited = preemptor.waited_ms(now) >= BORROW_PATIENCE_MS;
         if !preemptor.within_guarantee || !has_waited || job.spec.team == preemptor.spec.team {
             return false;
@@ -70,15 +70,15 @@
     /// Victims on a machine that are not stopped yet, the cheapest first.
     pub(super) fn victims_among(
         &self,
-        now: Ms,
-        assignments: &[AssignmentIx],
-        already_chosen: &[AssignmentIx],
+        now: Millis,
+        assignments: &[AssignmentIndex],
+        already_chosen: &[AssignmentIndex],
         preemptor: &Job,
     ) -> Vec<Victim> {
         let mut victims: Vec<Victim> = assignments
             .iter()
-            .filter(|ix| !already_chosen.contains(ix))
-            .filter_map(|&ix| self.victim(now, ix, preemptor))
+            .filter(|index| !already_chosen.contains(index))
+            .filter_map(|&index| self.victim(now, index, preemptor))
             .collect();
         victims.sort_by(|a, b| a.cost.total_cmp(&b.cost));
         victims
--- a/src/coordination/pass/demand.rs
+++ b/src/coordination/scheduler/demand.rs
@@ -1,11 +1,11 @@
-//! What a pass notes of the demand before it begins: guarantees and GPU work.
+//! What a scheduling cycle notes of the demand before it begins: guarantees and GPU work.
 
 use crate::{
-    bookkeeping::{job_cache::JobIx, records::Status},
     coordination::{
         leader::Leader,
-        model::{Job, Ms, Res, TeamLimits, RESOURCE_TOLERANCE},
+        model::{Job, Millis, Resources, TeamLimits, RESOURCE_TOLERANCE},
     },
+    storage::{job_cache::JobIndex, records::JobStatus},
 };
 
 impl Leader {
@@ -13,35 +13,35 @@
     /// into it together with their team's earlier unfinished jobs. Where no
     /// amount is set for CPUs, only work that asks for GPUs can be within it.
     pub(super) fn note_guarantees(&mut self) {
-        let mut oldest_first: Vec<JobIx> =
-            self.active_jobs().filter(|job| job.status == Status::Pending).map(|job| job.ix).collect();
-        oldest_first.sort_unstable_by_key(|&ix| (self.job(ix).map(|job| job.since), ix));
-        let mut demand_by_team: Vec<Res> = vec![Res::default(); self.cfg.teams.len()];
-        for ix in oldest_first {
-            let Some(job) = self.jobs[ix.at()].as_mut() else { continue };
+        let mut oldest_first: Vec<JobIndex> =
+            self.active_jobs().filter(|job| job.status == JobStatus::Pending).map(|job| job.index).collect();
+        oldest_first.sort_unstable_by_key(|&index| (self.job(index).map(|job| job.since), index));
+        let mut demand_by_team: Vec<Resources> = vec![Resources::default(); self.cfg.teams.len()];
+        for index in oldest_first {
+            let Some(job) = self.jobs[index.at()].as_mut() else { continue };
             let team = job.spec.team.at();
             let Some(team_demand) = demand_by_team.get_mut(team) else { continue };
             let limits = self.cfg.teams.get(team).copied().unwrap_or_default();
             let unfinished = f64::from(job.spec.tasks - job.done.min(job.spec.tasks));
-            *team_demand += Res::of(&job.spec) * unfinished;
+            *team_demand += Resources::of(&job.spec) * unfinished;
             job.within_guarantee = is_within_guarantee(job, &limits, team_demand);
         }
     }
 
     /// Notes what GPU work of the last minutes asked for, and what of it each
     /// pool's machines could run.
-    pub(super) fn note_gpu_demand(&mut self, now: Ms) {
-        let jobs = self.active.iter().filter_map(|&ix| self.jobs.get(ix.at()).and_then(Option::as_ref));
+    pub(super) fn note_gpu_demand(&mut self, now: Millis) {
+        let jobs = self.active.iter().filter_map(|&index| self.jobs.get(index.at()).and_then(Option::as_ref));
         self.gpu_demand.observe(now, jobs);
         for pool in &mut self.snapshot.pools {
             pool.guard = None;
-            if pool.cap.gpus <= 0.0 {
+            if pool.capacity.gpus <= 0.0 {
                 continue;
             }
             for shape in self.gpu_demand.shapes() {
-                let need = Res::of(&shape.spec);
+                let need = Resources::of(&shape.spec);
                 let may_use_pool = shape.spec.spot || !pool.spot;
-                if shape.spec.allows_type(pool.machine_type) && may_use_pool && need.fits_in(&pool.cap) {
+                if shape.spec.allows_type(pool.machine_type) && may_use_pool && need.fits_in(&pool.capacity) {
                     pool.guard = Some(pool.guard.map_or(need, |guard| guard.max(need)));
                 }
             }
@@ -50,7 +50,7 @@
 }
 
 /// Whether a team's demand up to and including this job is within its guarantee.
-fn is_within_guarantee(job: &Job, limits: &TeamLimits, team_demand: &Res) -> bool {
+fn is_within_guarantee(job: &Job, limits: &TeamLimits, team_demand: &Resources) -> bool {
     let cpus_fit = limits.cpus.is_none_or(|guaranteed| team_demand.cpus <= guaranteed + RESOURCE_TOLERANCE);
     let gpus_fit = match limits.gpus {
         Some(guaranteed) => team_demand.gpus <= guaranteed + RESOURCE_TOLERANCE,
--- a/src/coordination/pass/headroom.rs
+++ b/src/coordination/scheduler/headroom.rs
@@ -3,13 +3,13 @@
 use std::rc::Rc;
 
 use crate::{
-    bookkeeping::records::Status,
     coordination::{
         leader::Leader,
-        model::{Ms, Res},
+        model::{Millis, Resources},
         trial::TrialRequest,
     },
     protocol::jobs::{JobSpec, Kind, Priority},
+    storage::records::JobStatus,
 };
 
 /// Replicas are expected at the rate of this long before.
@@ -35,21 +35,21 @@
 impl Leader {
     /// Shapes of the unfinished production services, and how many replicas of
     /// each may be expected within the time a machine takes to come.
-    pub(super) fn expected_replicas(&self, now: Ms) -> Vec<ExpectedReplicas> {
-        let mut arrivals: Vec<RecentArrivals> = Vec::new();
+    pub(super) fn expected_replicas(&self, now: Millis) -> Vec<ExpectedReplicas> {
+        let mut pending_capacity: Vec<RecentArrivals> = Vec::new();
         for job in self.active_jobs() {
             let spec = &job.spec;
             let is_service = spec.kind == Kind::Service && spec.priority == Priority::Production;
-            if !is_service || job.status != Status::Pending {
+            if !is_service || job.status != JobStatus::Pending {
                 continue;
             }
             let recent = if job.age_s(now) < ARRIVAL_WINDOW_S { f64::from(spec.tasks) } else { 0.0 };
-            match arrivals.iter_mut().find(|known| known.spec.class == spec.class) {
+            match pending_capacity.iter_mut().find(|known| known.spec.class == spec.class) {
                 Some(known) => known.replicas += recent,
-                None => arrivals.push(RecentArrivals { spec: spec.clone(), replicas: recent }),
+                None => pending_capacity.push(RecentArrivals { spec: spec.clone(), replicas: recent }),
             }
         }
-        arrivals.into_iter().map(RecentArrivals::expected).collect()
+        pending_capacity.into_iter().map(RecentArrivals::expected).collect()
     }
 
     /// Reserves room for replicas until the reservations are released.
@@ -58,13 +58,13 @@
         let tasks: Vec<u32> = (0..expected.replicas as u32).collect();
         let outcome = self.snapshot.trial(&TrialRequest::later(spec, &tasks, 1, &[]));
         for pick in &outcome.picks {
-            self.snapshot.reserve(pick.host, Res::of(spec), Res::default());
+            self.snapshot.reserve(pick.host, Resources::of(spec), Resources::default());
         }
     }
 
     /// Reserves room for all replicas that are expected next, until the
     /// reservations are released.
-    pub fn reserve_all_headroom(&mut self, now: Ms) {
+    pub fn reserve_all_headroom(&mut self, now: Millis) {
         for expected in self.expected_replicas(now) {
             self.reserve_headroom(&expected);
         }
--- a/src/coordination/pass/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -1,34 +1,34 @@
-//! A scheduling pass: every waiting job's tree is tried on the snapshot, in
+//! A scheduling cycle: every waiting job's tree is tried on the snapshot, in
 //! order of priority; what succeeds becomes part of the wanted state.
 
+mod best_effort;
 mod demand;
 mod headroom;
 mod order;
 mod room;
-mod unguaranteed;
 
 use std::rc::Rc;
 
 pub use self::order::is_overdue;
-use self::{headroom::ExpectedReplicas, order::is_due, room::HopelessShapes};
+use self::{headroom::ExpectedReplicas, order::is_overdue_unplaced, room::InfeasibleShapes};
 use super::{
-    fleet::UnmetDemand,
+    autoscaler::UnmetDemand,
     leader::{Leader, NewAssignment},
-    model::{Job, MachineIx, MachineLifecycle, Ms, Res, Slot, TeamLimits},
+    model::{Job, MachineIndex, MachineLifecycle, Millis, Resources, Slot, TeamLimits},
     snapshot::RoomKind,
     trial::{HostFilter, Pick, TrialRequest, Verdict},
 };
 use crate::{
-    bookkeeping::job_cache::JobIx,
     protocol::{
         jobs::{JobSpec, Kind},
-        names::TeamIx,
+        names::TeamIndex,
     },
+    storage::job_cache::JobIndex,
 };
 
-/// Most tasks of one job assigned in one pass, so that a large one doesn't
+/// Most tasks of one job assigned in one scheduling cycle, so that a large one doesn't
 /// stall the rest.
-const TASKS_PER_PASS: usize = 256;
+const TASKS_PER_CYCLE: usize = 256;
 /// An array that is overdue begins with this part of its tasks: it is to begin,
 /// not to go before all others as a whole.
 const OVERDUE_ARRAY_DIVISOR: u32 = 16;
@@ -37,29 +37,29 @@
 /// After failures on this many machines, they aren't the reason.
 const FAILED_MACHINES_MAX: usize = 4;
 
-/// What a pass keeps from one job to the next.
-struct PassState {
+/// What a scheduling cycle keeps from one job to the next.
+struct CycleState {
     unmet: Vec<UnmetDemand>,
     /// Replicas that are expected next; `None` once room is reserved for them.
     headroom: Option<Vec<ExpectedReplicas>>,
-    hopeless: HopelessShapes,
+    infeasible: InfeasibleShapes,
     /// CPUs left to teams without a guarantee.
-    unguaranteed_cpus: f64,
+    best_effort_cpus: f64,
     /// Gangs that room was reserved for so far.
-    gathering_gangs: usize,
+    reserving_gangs: usize,
     /// One gang in each zone at a time collects its machines.
-    gathering_gangs_max: usize,
+    reserving_gangs_max: usize,
 }
 
 /// What is needed to place one job's tasks.
 struct Placement {
-    job: JobIx,
+    job: JobIndex,
     spec: Rc<JobSpec>,
     /// The tasks to be placed, in order.
     tasks: Vec<u32>,
     zone_used: Vec<u32>,
     /// Machines on which its tasks failed.
-    avoid: Vec<MachineIx>,
+    avoid: Vec<MachineIndex>,
 }
 
 impl Placement {
@@ -76,59 +76,59 @@
 
 impl Leader {
     /// A team's guarantee and limit.
-    pub fn team_limits(&self, team: TeamIx) -> TeamLimits {
+    pub fn team_limits(&self, team: TeamIndex) -> TeamLimits {
         self.cfg.teams.get(team.at()).copied().unwrap_or_default()
     }
 
     /// Whether nothing is guaranteed to a team, while something is to others.
-    pub fn is_without_guarantee(&self, team: TeamIx) -> bool {
+    pub fn is_best_effort(&self, team: TeamIndex) -> bool {
         !self.team_limits(team).has_guarantee() && self.cfg.teams.iter().any(TeamLimits::has_guarantee)
     }
 
     /// What a team's assignments use.
-    pub(super) fn used_by_team(&self, team: TeamIx) -> Res {
+    pub(super) fn used_by_team(&self, team: TeamIndex) -> Resources {
         self.team_used.get(team.at()).copied().unwrap_or_default()
     }
 
-    /// Whether something changed since the last pass that may let a job be placed.
-    pub fn waits_for_pass(&self) -> bool {
-        self.pass_needed
+    /// Whether something changed since the last scheduling cycle that may let a job be placed.
+    pub fn is_cycle_pending(&self) -> bool {
+        self.cycle_needed
     }
 
-    /// Whether a pass is due: something changed, or the longest gap is over.
-    pub fn needs_pass(&self, now: Ms, min_gap_ms: Ms, max_gap_ms: Ms) -> bool {
-        let gap_ms = now.saturating_sub(self.last_pass);
-        (self.pass_needed && gap_ms >= min_gap_ms) || gap_ms >= max_gap_ms
+    /// Whether a scheduling cycle is due: something changed, or the longest gap is over.
+    pub fn is_cycle_due(&self, now: Millis, min_gap_ms: Millis, max_gap_ms: Millis) -> bool {
+        let gap_ms = now.saturating_sub(self.last_cycle);
+        (self.cycle_needed && gap_ms >= min_gap_ms) || gap_ms >= max_gap_ms
     }
 
     /// Tries to place every waiting job.
-    pub fn pass(&mut self, now: Ms) {
-        self.pass_needed = false;
-        self.last_pass = now;
+    pub fn pass(&mut self, now: Millis) {
+        self.cycle_needed = false;
+        self.last_cycle = now;
         self.note_guarantees();
-        let order = self.pass_order(now);
+        let order = self.scheduling_order(now);
         if order.is_empty() {
-            self.fleet.unmet = Vec::new();
+            self.autoscaler.unmet = Vec::new();
             return;
         }
         self.note_gpu_demand(now);
-        let mut state = PassState {
+        let mut state = CycleState {
             unmet: Vec::new(),
             headroom: Some(self.expected_replicas(now)),
-            hopeless: HopelessShapes::default(),
-            unguaranteed_cpus: self.unguaranteed_cpus(now),
-            gathering_gangs: 0,
-            gathering_gangs_max: self.snapshot.zone_count(),
+            infeasible: InfeasibleShapes::default(),
+            best_effort_cpus: self.best_effort_cpus(now),
+            reserving_gangs: 0,
+            reserving_gangs_max: self.snapshot.zone_count(),
         };
         for job in order {
-            self.pass_job(now, job, &mut state);
+            self.schedule_job(now, job, &mut state);
         }
         self.snapshot.release(0);
-        self.fleet.unmet = state.unmet;
+        self.autoscaler.unmet = state.unmet;
     }
 
-    fn pass_job(&mut self, now: Ms, ix: JobIx, state: &mut PassState) {
-        let Some(job) = self.job(ix) else { return };
+    fn schedule_job(&mut self, now: Millis, index: JobIndex, state: &mut CycleState) {
+        let Some(job) = self.job(index) else { return };
         if job.spec.kind != Kind::Service {
             // Services come first in the order; what follows leaves room for
             // the replicas that are expected next.
@@ -136,57 +136,57 @@
                 self.reserve_headroom(&expected);
             }
         }
-        let Some(job) = self.job(ix) else { return };
-        let is_due = is_due(now, job);
-        let wanted = self.tasks_to_place(job, is_due);
-        let gets_what_is_left = self.gets_what_is_left(job);
+        let Some(job) = self.job(index) else { return };
+        let is_overdue_unplaced = is_overdue_unplaced(now, job);
+        let wanted = self.tasks_to_place(job, is_overdue_unplaced);
+        let is_best_effort_array = self.is_best_effort_array(job);
         let mut tasks = wanted.clone();
-        if gets_what_is_left {
-            tasks.truncate(self.unguaranteed_tasks(now, job, state.unguaranteed_cpus));
+        if is_best_effort_array {
+            tasks.truncate(self.best_effort_tasks(now, job, state.best_effort_cpus));
         }
         if wanted.is_empty() {
             return;
         }
         let placement = Placement {
-            job: ix,
+            job: index,
             spec: job.spec.clone(),
             tasks,
             zone_used: job.zone_used.clone(),
             avoid: self.avoided_machines(job),
         };
         let placed = self.try_place(now, &placement, state);
-        if gets_what_is_left {
-            state.unguaranteed_cpus -= placed as f64 * placement.spec.cpus;
+        if is_best_effort_array {
+            state.best_effort_cpus -= placed as f64 * placement.spec.cpus;
         }
         if placed == wanted.len() {
-            if let Some(job) = self.job_mut(ix) {
+            if let Some(job) = self.job_mut(index) {
                 job.waiting_since = now;
             }
             return;
         }
-        let is_at_fault = self.job(ix).is_some_and(|job| job.failures.job_is_at_fault());
+        let is_at_fault = self.job(index).is_some_and(|job| job.failures.job_is_at_fault());
         if !is_at_fault {
-            state.unmet.push(UnmetDemand { job: ix, tasks: (wanted.len() - placed) as u32 });
+            state.unmet.push(UnmetDemand { job: index, tasks: (wanted.len() - placed) as u32 });
         }
         let reservations = self.snapshot.reservations();
-        self.make_room(now, ix, &placement.tasks[placed..], &mut state.hopeless);
-        let may_gather = placement.spec.kind == Kind::Gang
-            && is_due
-            && state.gathering_gangs < state.gathering_gangs_max
+        self.preempt_for(now, index, &placement.tasks[placed..], &mut state.infeasible);
+        let may_reserve = placement.spec.kind == Kind::Gang
+            && is_overdue_unplaced
+            && state.reserving_gangs < state.reserving_gangs_max
             && self.snapshot.reservations() == reservations;
-        if may_gather {
-            state.gathering_gangs += usize::from(self.gather(&placement));
+        if may_reserve {
+            state.reserving_gangs += usize::from(self.reserve_for_gang(&placement));
         }
     }
 
-    /// The tasks of a job that this pass tries to place, in order.
-    fn tasks_to_place(&self, job: &Job, is_due: bool) -> Vec<u32> {
+    /// The tasks of a job that this scheduling cycle tries to place, in order.
+    fn tasks_to_place(&self, job: &Job, is_overdue_unplaced: bool) -> Vec<u32> {
         let spec = &job.spec;
         let room = self.team_limits(spec.team).room_for(spec, &self.used_by_team(spec.team));
         let is_gang = spec.kind == Kind::Gang;
-        let tasks_per_pass = if is_gang { TASKS_PER_PASS.max(job.pending.len()) } else { TASKS_PER_PASS };
+        let tasks_per_pass = if is_gang { TASKS_PER_CYCLE.max(job.pending.len()) } else { TASKS_PER_CYCLE };
         let mut limit = job.pending.len().min(room as usize).min(tasks_per_pass);
-        if is_due && spec.kind == Kind::Array {
+        if is_overdue_unplaced && spec.kind == Kind::Array {
             limit = limit.min((spec.tasks / OVERDUE_ARRAY_DIVISOR).max(1) as usize);
         }
         if !is_gang && job.failures.job_is_at_fault() {
@@ -231,8 +231,8 @@
     }
 
     /// Assigns what finds room now and returns how many tasks that are.
-    fn try_place(&mut self, now: Ms, placement: &Placement, state: &mut PassState) -> usize {
-        if placement.tasks.is_empty() || state.hopeless.has_no_room_now(&placement.spec) {
+    fn try_place(&mut self, now: Millis, placement: &Placement, state: &mut CycleState) -> usize {
+        if placement.tasks.is_empty() || state.infeasible.is_infeasible_now(&placement.spec) {
             return 0;
         }
         let outcome = self.snapshot.trial(&TrialRequest {
@@ -246,7 +246,7 @@
         });
         if outcome.verdict != Verdict::Success {
             if placement.is_unrestricted() {
-                state.hopeless.now.push(placement.spec.clone());
+                state.infeasible.now.push(placement.spec.clone());
             }
             return 0;
         }
@@ -256,16 +256,16 @@
         placed
     }
 
-    fn assign_picks(&mut self, now: Ms, job: JobIx, picks: &[Pick]) {
+    fn assign_picks(&mut self, now: Millis, job: JobIndex, picks: &[Pick]) {
         let attempt = self.next_attempt();
         for pick in picks {
-            let machine_ix = MachineIx(pick.host as u32);
-            let machine = self.machine(machine_ix);
+            let machine_index = MachineIndex(pick.host as u32);
+            let machine = self.machine(machine_index);
             let new = NewAssignment {
                 job,
                 task: pick.task,
-                machine: machine_ix,
-                session: machine.session,
+                machine: machine_index,
+                incarnation: machine.incarnation,
                 attempt,
                 zone: machine.zone,
             };
@@ -275,7 +275,7 @@
 
     /// Machines on which the job's tasks failed. Once they failed nearly
     /// everywhere, the machines aren't the reason.
-    fn avoided_machines(&self, job: &Job) -> Vec<MachineIx> {
+    fn avoided_machines(&self, job: &Job) -> Vec<MachineIndex> {
         let failed_on = &job.failures.machines;
         if failed_on.is_empty() {
             return Vec::new();
--- a/src/coordination/pass/order.rs
+++ b/src/coordination/scheduler/order.rs
@@ -1,17 +1,17 @@
-//! The order in which a pass tries the waiting jobs.
+//! The order in which a scheduling cycle tries the waiting jobs.
 
 use std::{cmp::Ordering, collections::HashMap};
 
 use crate::{
-    bookkeeping::{job_cache::JobIx, records::Status},
     coordination::{
         leader::Leader,
-        model::{Job, Ms},
+        model::{Job, Millis},
     },
     protocol::{
         jobs::{Kind, Priority},
-        names::ClassIx,
+        names::ClassIndex,
     },
+    storage::{job_cache::JobIndex, records::JobStatus},
 };
 
 /// Users are promised that a job begins within four minutes: what has waited
@@ -49,24 +49,24 @@
     Guaranteed,
     Beyond,
     /// Nothing is guaranteed to its team: it gets what the others leave.
-    Unguaranteed,
+    BestEffort,
 }
 
 /// A job's position among those of its tier: the smaller goes first.
 #[derive(Debug, Clone, Copy)]
 struct Turn {
     /// Aims that it has missed already.
-    missed_aims: u32,
+    missed_targets: u32,
     /// Its work, or, negated, its age.
     cost: f64,
 }
 
-/// A job's position in the order of a pass.
+/// A job's position in the order of a scheduling cycle.
 struct Rank {
     tier: Tier,
     standing: Standing,
     turn: Turn,
-    job: JobIx,
+    job: JobIndex,
 }
 
 impl Rank {
@@ -74,7 +74,7 @@
         self.tier
             .cmp(&other.tier)
             .then(self.standing.cmp(&other.standing))
-            .then(self.turn.missed_aims.cmp(&other.turn.missed_aims))
+            .then(self.turn.missed_targets.cmp(&other.turn.missed_targets))
             .then(self.turn.cost.total_cmp(&other.turn.cost))
             .then(self.job.cmp(&other.job))
     }
@@ -82,7 +82,7 @@
 
 /// An end or a start that a job should reach within some seconds.
 #[derive(Clone, Copy)]
-struct Aim {
+struct TimeTarget {
     is_start: bool,
     within_s: f64,
 }
@@ -91,7 +91,7 @@
     /// Services first; then what has waited so long without a start that its
     /// beginning is overdue, the oldest first; then by priority, work within its
     /// team's guarantee before other work.
-    pub(super) fn pass_order(&self, now: Ms) -> Vec<JobIx> {
+    pub(super) fn scheduling_order(&self, now: Millis) -> Vec<JobIndex> {
         let largest = self.largest_by_class();
         let mut ranks: Vec<Rank> = self
             .active_jobs()
@@ -103,8 +103,8 @@
     }
 
     /// The task count of the largest unfinished job of each class.
-    fn largest_by_class(&self) -> HashMap<ClassIx, u32> {
-        let mut largest: HashMap<ClassIx, u32> = HashMap::new();
+    fn largest_by_class(&self) -> HashMap<ClassIndex, u32> {
+        let mut largest: HashMap<ClassIndex, u32> = HashMap::new();
         for job in self.active_jobs() {
             let tasks = largest.entry(job.spec.class).or_default();
             *tasks = (*tasks).max(job.spec.tasks);
@@ -112,29 +112,29 @@
         largest
     }
 
-    fn rank(&self, now: Ms, job: &Job, largest_of_class: u32) -> Rank {
+    fn rank(&self, now: Millis, job: &Job, largest_of_class: u32) -> Rank {
         let tier = match job.spec.priority {
             Priority::Production => Tier::Production,
-            _ if is_due(now, job) => Tier::Overdue,
+            _ if is_overdue_unplaced(now, job) => Tier::Overdue,
             Priority::High => Tier::High,
             Priority::Normal => Tier::Normal,
             Priority::Low => Tier::Low,
         };
         if tier != Tier::Overdue {
-            return Rank { tier, standing: self.standing(job), turn: self.turn(now, job), job: job.ix };
+            return Rank { tier, standing: self.standing(job), turn: self.turn(now, job), job: job.index };
         }
         // Guard: when more is overdue than there is room for, the largest of a
         // class, hardest to find room for, would come too late.
         let share_of_largest = f64::from(job.spec.tasks) / f64::from(largest_of_class.max(1));
         let cost = -job.age_s(now) - LARGEST_BONUS_S * share_of_largest;
-        Rank { tier, standing: Standing::Guaranteed, turn: Turn { missed_aims: 0, cost }, job: job.ix }
+        Rank { tier, standing: Standing::Guaranteed, turn: Turn { missed_targets: 0, cost }, job: job.index }
     }
 
     fn standing(&self, job: &Job) -> Standing {
         if job.within_guarantee {
             Standing::Guaranteed
-        } else if self.is_without_guarantee(job.spec.team) {
-            Standing::Unguaranteed
+        } else if self.is_best_effort(job.spec.team) {
+            Standing::BestEffort
         } else {
             Standing::Beyond
         }
@@ -143,12 +143,12 @@
     /// Among equals, jobs whose aim can still be met come before those that have
     /// missed it, and small ones before large ones: so most are in time when
     /// there is too little for all. What missed every aim goes by age.
-    fn turn(&self, now: Ms, job: &Job) -> Turn {
+    fn turn(&self, now: Millis, job: &Job) -> Turn {
         let age_s = job.age_s(now);
         let run_s = self.run_times.expected_s(&job.spec);
         let fetch_s = (job.spec.image_gb / ASSUMED_FETCH_GB_PER_S).min(ASSUMED_FETCH_MAX_S);
         let hoped_end_s = age_s + HOPED_RUN_SHARE * run_s + fetch_s.min(HOPED_FETCH_MAX_S);
-        for (position, aim) in self.aims_of(job).enumerate() {
+        for (position, aim) in self.targets_of(job).enumerate() {
             if aim.is_start && job.ever_assigned {
                 continue;
             }
@@ -156,24 +156,24 @@
             if reached_s <= aim.within_s {
                 let cpus = (job.spec.cpus + CPUS_PER_GPU * job.spec.gpus).max(CPUS_MIN);
                 let work = job.pending.len() as f64 * run_s * cpus;
-                return Turn { missed_aims: position as u32, cost: work };
+                return Turn { missed_targets: position as u32, cost: work };
             }
         }
-        Turn { missed_aims: u32::MAX, cost: -age_s }
+        Turn { missed_targets: u32::MAX, cost: -age_s }
     }
 
     /// The job's own deadlines, then what users expect of its class.
-    fn aims_of<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = Aim> + 'a {
+    fn targets_of<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = TimeTarget> + 'a {
         let deadlines = [job.spec.deadline_s, job.spec.overdue_s].into_iter().flatten();
-        let own = deadlines.map(|within_s| Aim { is_start: false, within_s });
-        let objectives = self.cfg.aims.iter().filter(|objective| objective.class == job.spec.class);
-        own.chain(objectives.map(|objective| Aim { is_start: objective.start, within_s: objective.within_s }))
+        let own = deadlines.map(|within_s| TimeTarget { is_start: false, within_s });
+        let objectives = self.cfg.objectives.iter().filter(|objective| objective.class == job.spec.class);
+        own.chain(objectives.map(|objective| TimeTarget { is_start: objective.start, within_s: objective.within_s }))
     }
 }
 
 /// Whether the job has tasks that may be assigned now.
-fn is_ready(now: Ms, job: &Job) -> bool {
-    let has_work = job.status == Status::Pending && !job.pending.is_empty();
+fn is_ready(now: Millis, job: &Job) -> bool {
+    let has_work = job.status == JobStatus::Pending && !job.pending.is_empty();
     let is_held_back = now < job.not_before || job.stale || job.resharding;
     // A gang starts again only once all of its old attempt is gone.
     let is_partly_placed_gang = job.spec.kind == Kind::Gang && job.placed > 0;
@@ -182,11 +182,11 @@
 
 /// Nothing of it has started for good, and by now it should have. Guard: a job
 /// that fails everywhere would go before all others for as long as it is wanted.
-pub fn is_overdue(now: Ms, job: &Job) -> bool {
+pub fn is_overdue(now: Millis, job: &Job) -> bool {
     !job.has_counted_start && job.age_s(now) >= OVERDUE_S && !job.failures.job_is_at_fault()
 }
 
 /// It is overdue and none of its tasks is even assigned.
-pub(super) fn is_due(now: Ms, job: &Job) -> bool {
+pub(super) fn is_overdue_unplaced(now: Millis, job: &Job) -> bool {
     job.placed == 0 && is_overdue(now, job)
 }
--- a/src/coordination/pass/room.rs
+++ b/src/coordination/scheduler/room.rs
@@ -1,40 +1,40 @@
-//! What a pass does for tasks that found no room.
+//! What a scheduling cycle does for tasks that found no room.
 
 use std::rc::Rc;
 
 use super::{min_tasks, uses_no_zone, Placement};
 use crate::{
-    bookkeeping::job_cache::JobIx,
     coordination::{
         leader::Leader,
-        model::{Job, Ms, Res},
+        model::{Job, Millis, Resources},
         trial::{TrialRequest, Verdict},
     },
     protocol::jobs::{JobSpec, Kind, Priority},
+    storage::job_cache::JobIndex,
 };
 
 /// How long work of normal priority waits before others' work is stopped for it.
-const EVICTION_PATIENCE_MS: i64 = 10_000;
+const PREEMPTION_PATIENCE_MS: i64 = 10_000;
 /// Pause after tasks were stopped for a job before more are.
-const EVICTED_PAUSE_MS: Ms = 1_000;
+const PREEMPTED_PAUSE_MS: Millis = 1_000;
 /// Pause after nothing could be stopped for a job.
-const NOTHING_EVICTED_PAUSE_MS: Ms = 2_000;
+const NOTHING_PREEMPTED_PAUSE_MS: Millis = 2_000;
 
-/// Shapes that a pass found no room for at all: room only shrinks within a pass.
+/// Shapes that a scheduling cycle found no room for at all: room only shrinks within a scheduling cycle.
 #[derive(Default)]
-pub(super) struct HopelessShapes {
+pub(super) struct InfeasibleShapes {
     /// No room now.
     pub now: Vec<Rc<JobSpec>>,
     /// No room even once what is being stopped is gone.
     pub later: Vec<Rc<JobSpec>>,
 }
 
-impl HopelessShapes {
-    pub fn has_no_room_now(&self, spec: &JobSpec) -> bool {
+impl InfeasibleShapes {
+    pub fn is_infeasible_now(&self, spec: &JobSpec) -> bool {
         self.now.iter().any(|failed| at_least_as_hard(spec, failed))
     }
 
-    fn has_no_room_later(&self, spec: &JobSpec) -> bool {
+    fn is_infeasible_later(&self, spec: &JobSpec) -> bool {
         self.later.iter().any(|failed| at_least_as_hard(spec, failed))
     }
 }
@@ -44,60 +44,72 @@
     /// collect. What there is of room for one that is overdue is reserved
     /// against all after it, pass by pass, until there is enough. True if
     /// something was reserved.
-    pub(super) fn gather(&mut self, placement: &Placement) -> bool {
+    pub(super) fn reserve_for_gang(&mut self, placement: &Placement) -> bool {
         let spec = &placement.spec;
         let request = TrialRequest::later(spec, &placement.tasks, 1, &placement.zone_used);
         let outcome = self.snapshot.trial(&request);
         for pick in &outcome.picks {
-            self.snapshot.reserve(pick.host, Res::of(spec), Res::default());
+            self.snapshot.reserve(pick.host, Resources::of(spec), Resources::default());
         }
         !outcome.picks.is_empty()
     }
 
     /// Tasks found no room now: reserves what is being stopped for them, or
     /// stops other work.
-    pub(super) fn make_room(&mut self, now: Ms, ix: JobIx, tasks: &[u32], hopeless: &mut HopelessShapes) {
-        let Some(job) = self.job(ix) else { return };
-        if tasks.is_empty() || !may_make_room(now, job) {
+    pub(super) fn preempt_for(
+        &mut self,
+        now: Millis,
+        index: JobIndex,
+        tasks: &[u32],
+        infeasible: &mut InfeasibleShapes,
+    ) {
+        let Some(job) = self.job(index) else { return };
+        if tasks.is_empty() || !may_preempt(now, job) {
             return;
         }
         let id = job.id.clone();
-        let next_eviction = job.next_eviction;
-        let reserved = self.reserve_stopping_room(ix, tasks, hopeless);
+        let next_preemption = job.next_preemption;
+        let reserved = self.reserve_stopping_room(index, tasks, infeasible);
         let still_waiting = &tasks[reserved..];
-        if still_waiting.is_empty() || now < next_eviction {
+        if still_waiting.is_empty() || now < next_preemption {
             return;
         }
-        let evicted = self.evict(now, ix, still_waiting);
-        tracing::debug!(job = &*id, need = still_waiting.len(), tasks = tasks.len(), made = evicted, "room asked for");
-        if let Some(job) = self.job_mut(ix) {
-            job.next_eviction = now + if evicted { EVICTED_PAUSE_MS } else { NOTHING_EVICTED_PAUSE_MS };
+        let preempted = self.preempt(now, index, still_waiting);
+        tracing::debug!(
+            job = &*id,
+            need = still_waiting.len(),
+            tasks = tasks.len(),
+            made = preempted,
+            "room asked for"
+        );
+        if let Some(job) = self.job_mut(index) {
+            job.next_preemption = now + if preempted { PREEMPTED_PAUSE_MS } else { NOTHING_PREEMPTED_PAUSE_MS };
         }
     }
 
     /// Reserves room that tasks which are being stopped will leave, and returns
     /// for how many tasks there was some.
-    fn reserve_stopping_room(&mut self, ix: JobIx, tasks: &[u32], hopeless: &mut HopelessShapes) -> usize {
-        let Some(job) = self.job(ix) else { return 0 };
+    fn reserve_stopping_room(&mut self, index: JobIndex, tasks: &[u32], infeasible: &mut InfeasibleShapes) -> usize {
+        let Some(job) = self.job(index) else { return 0 };
         let spec = job.spec.clone();
         let zone_used = job.zone_used.clone();
-        if !self.snapshot.anything_stops() || hopeless.has_no_room_later(&spec) {
+        if !self.snapshot.anything_stops() || infeasible.is_infeasible_later(&spec) {
             return 0;
         }
         let min = min_tasks(&spec, tasks.len());
         let outcome = self.snapshot.trial(&TrialRequest::later(&spec, tasks, min, &zone_used));
         for pick in &outcome.picks {
-            self.snapshot.reserve(pick.host, Res::of(&spec), Res::default());
+            self.snapshot.reserve(pick.host, Resources::of(&spec), Resources::default());
         }
         if outcome.verdict != Verdict::Success && uses_no_zone(&zone_used) {
-            hopeless.later.push(spec);
+            infeasible.later.push(spec);
         }
         outcome.picks.len()
     }
 }
 
 /// Whether other work may be stopped for this job by now.
-fn may_make_room(now: Ms, job: &Job) -> bool {
+fn may_preempt(now: Millis, job: &Job) -> bool {
     // Guard: what fails everywhere would have others stopped again and again.
     if job.failures.job_is_at_fault() {
         return false;
@@ -107,7 +119,7 @@
     }
     match job.spec.priority {
         Priority::Production | Priority::High => true,
-        Priority::Normal => job.waited_ms(now) >= EVICTION_PATIENCE_MS,
+        Priority::Normal => job.waited_ms(now) >= PREEMPTION_PATIENCE_MS,
         Priority::Low => false,
     }
 }
--- a/src/coordination/snapshot/host.rs
+++ b/src/coordination/snapshot/host.rs
@@ -1,17 +1,17 @@
 //! One machine as a trial sees it.
 
 use crate::{
-    coordination::model::Res,
+    coordination::model::Resources,
     protocol::{
         jobs::{JobSpec, Kind, Priority},
-        names::ImageIx,
+        names::ImageIndex,
     },
 };
 
 /// An image in a machine's cache.
 #[derive(Debug, Clone, Copy)]
 pub struct CachedImage {
-    pub image: ImageIx,
+    pub image: ImageIndex,
     pub gb: f64,
 }
 
@@ -27,17 +27,17 @@
     /// Tasks assigned to it.
     pub assignments: u32,
     /// Free room for new tasks.
-    pub free: Res,
+    pub free: Resources,
     /// What tasks that are being stopped will leave.
-    pub soon: Res,
+    pub soon: Resources,
     /// In use by tasks that are not being stopped, by priority.
-    pub low: [Res; 4],
+    pub low: [Resources; 4],
     /// Images it holds or fetches, most recent last.
     pub images: Vec<CachedImage>,
     /// Service replicas on it: a machine that dies takes them all.
     pub services: u32,
     /// Used by tasks that are not stopped for others.
-    pub fixed: Res,
+    pub fixed: Resources,
 }
 
 /// Which of a machine's room counts.
@@ -60,7 +60,7 @@
 
 impl Host {
     /// The machine's room of this kind.
-    pub fn room(&self, kind: RoomKind) -> Res {
+    pub fn room(&self, kind: RoomKind) -> Resources {
         match kind {
             RoomKind::Free => self.free,
             RoomKind::FreeOrStopping => self.free + self.soon,
@@ -68,13 +68,13 @@
     }
 
     /// Whether the machine holds or fetches the image.
-    pub fn has_image(&self, image: ImageIx) -> bool {
+    pub fn has_image(&self, image: ImageIndex) -> bool {
         self.images.iter().any(|cached| cached.image == image)
     }
 
     /// Notes that an image was fetched or used, and forgets those that the
-    /// cache evicted for it, least recently used first.
-    pub fn note_image(&mut self, image: ImageIx, gb: f64, cache_gb: f64) {
+    /// cache preempted for it, least recently used first.
+    pub fn note_image(&mut self, image: ImageIndex, gb: f64, cache_gb: f64) {
         if self.images.last().is_some_and(|cached| cached.image == image) {
             return;
         }
@@ -92,7 +92,7 @@
             LoadChange::Added => 1.0,
             LoadChange::Removed => -1.0,
         };
-        let need = Res::of(spec) * sign;
+        let need = Resources::of(spec) * sign;
         self.free -= need;
         if spec.kind == Kind::Service {
             self.services = match change {
--- a/src/coordination/snapshot/mod.rs
+++ b/src/coordination/snapshot/mod.rs
@@ -17,10 +17,10 @@
     pool::Pool,
     search::LOOK,
 };
-use super::model::{Res, TypeInfo};
+use super::model::{MachineTypeSpec, Resources};
 use crate::protocol::{
     jobs::JobSpec,
-    names::{TypeIx, ZoneIx},
+    names::{MachineTypeIndex, ZoneIndex},
 };
 
 /// All machines as trials see them, grouped into pools of machines that are alike.
@@ -39,13 +39,13 @@
 
 impl ClusterSnapshot {
     /// The pool of machines of this kind, if there is one.
-    pub fn find_pool(&self, machine_type: TypeIx, zone: ZoneIx, spot: bool) -> Option<usize> {
+    pub fn find_pool(&self, machine_type: MachineTypeIndex, zone: ZoneIndex, spot: bool) -> Option<usize> {
         self.pools.iter().position(|pool| pool.machine_type == machine_type && pool.zone == zone && pool.spot == spot)
     }
 
     /// The number of zones in which there are machines.
     pub fn zone_count(&self) -> usize {
-        let mut zones: Vec<ZoneIx> =
+        let mut zones: Vec<ZoneIndex> =
             self.pools.iter().filter(|pool| !pool.members.is_empty()).map(|pool| pool.zone).collect();
         zones.sort_unstable();
         zones.dedup();
@@ -53,8 +53,8 @@
     }
 
     /// The pool of machines of this kind, created if there is none.
-    pub fn pool_of(&mut self, machine_type: &TypeInfo, zone: ZoneIx, spot: bool) -> usize {
-        if let Some(pool) = self.find_pool(machine_type.ix, zone, spot) {
+    pub fn pool_of(&mut self, machine_type: &MachineTypeSpec, zone: ZoneIndex, spot: bool) -> usize {
+        if let Some(pool) = self.find_pool(machine_type.index, zone, spot) {
             return pool;
         }
         self.pools.push(Pool::new(machine_type, zone, spot));
@@ -62,26 +62,26 @@
     }
 
     /// Takes over changed machine types: prices change; capacities may, in principle.
-    pub fn types_changed(&mut self, types: &[TypeInfo]) {
+    pub fn types_changed(&mut self, types: &[MachineTypeSpec]) {
         for pool_index in 0..self.pools.len() {
             let pool = &mut self.pools[pool_index];
-            let Some(machine_type) = types.iter().find(|t| t.ix == pool.machine_type) else { continue };
-            let growth = machine_type.cap - pool.cap;
+            let Some(machine_type) = types.iter().find(|t| t.index == pool.machine_type) else { continue };
+            let growth = machine_type.capacity - pool.capacity;
             pool.price = machine_type.price_of(pool.spot);
             pool.fetch_gb_per_s = machine_type.fetch_gb_per_s;
             pool.cache_gb = machine_type.cache_gb;
-            if growth != Res::default() {
-                self.grow_pool(pool_index, machine_type.cap, growth);
+            if growth != Resources::default() {
+                self.grow_pool(pool_index, machine_type.capacity, growth);
             }
         }
     }
 
-    fn grow_pool(&mut self, pool_index: usize, capacity: Res, growth: Res) {
+    fn grow_pool(&mut self, pool_index: usize, capacity: Resources, growth: Resources) {
         let members: Vec<u32> = self.pools[pool_index].members.iter().copied().collect();
         for &host in &members {
             self.unindex(host as usize);
         }
-        self.pools[pool_index].cap = capacity;
+        self.pools[pool_index].capacity = capacity;
         for host in members {
             self.hosts[host as usize].free += growth;
             self.index(host as usize);
@@ -140,8 +140,8 @@
         self.index(host_index);
     }
 
-    fn capacity_of(&self, pool: Option<usize>) -> Res {
-        pool.map_or(Res::default(), |pool| self.pools[pool].cap)
+    fn capacity_of(&self, pool: Option<usize>) -> Resources {
+        pool.map_or(Resources::default(), |pool| self.pools[pool].capacity)
     }
 
     /// Sets whether the machine takes new tasks, and whether only GPU work.
@@ -156,7 +156,7 @@
         self.change(host_index, |host| {
             host.assignments += 1;
             host.account(spec, LoadChange::Added);
-            host.low[spec.priority as usize] += Res::of(spec);
+            host.low[spec.priority as usize] += Resources::of(spec);
         });
     }
 
@@ -166,9 +166,9 @@
             host.assignments -= 1;
             host.account(spec, LoadChange::Removed);
             if halted {
-                host.soon -= Res::of(spec);
+                host.soon -= Resources::of(spec);
             } else {
-                host.low[spec.priority as usize] -= Res::of(spec);
+                host.low[spec.priority as usize] -= Resources::of(spec);
             }
         });
     }
@@ -176,8 +176,8 @@
     /// A task on the machine is being stopped.
     pub fn stop(&mut self, host_index: usize, spec: &JobSpec) {
         self.change(host_index, |host| {
-            host.soon += Res::of(spec);
-            host.low[spec.priority as usize] -= Res::of(spec);
+            host.soon += Resources::of(spec);
+            host.low[spec.priority as usize] -= Resources::of(spec);
         });
     }
 
--- a/src/coordination/snapshot/pool.rs
+++ b/src/coordination/snapshot/pool.rs
@@ -4,10 +4,10 @@
 
 use super::host::{is_fixed, Host};
 use crate::{
-    coordination::model::{Res, TypeInfo},
+    coordination::model::{MachineTypeSpec, Resources},
     protocol::{
         jobs::JobSpec,
-        names::{TypeIx, ZoneIx},
+        names::{MachineTypeIndex, ZoneIndex},
     },
 };
 
@@ -30,13 +30,13 @@
 #[derive(Debug)]
 pub struct Pool {
     /// Type of the machines.
-    pub machine_type: TypeIx,
+    pub machine_type: MachineTypeIndex,
     /// Zone of the machines.
-    pub zone: ZoneIx,
+    pub zone: ZoneIndex,
     /// Whether they are spot machines.
     pub spot: bool,
     /// Capacity of one machine.
-    pub cap: Res,
+    pub capacity: Resources,
     /// Size of a machine's image cache, in GB.
     pub cache_gb: f64,
     /// Rate at which a machine fetches images, in GB per second.
@@ -45,7 +45,7 @@
     pub price: f64,
     /// What recent GPU work that these machines could run asked for: tasks
     /// that can't be stopped for such work must leave that much.
-    pub guard: Option<Res>,
+    pub guard: Option<Resources>,
     /// The machines of the pool, by their index.
     pub members: BTreeSet<u32>,
     /// Open machines with room, by the free share of the scarcer of CPUs and memory.
@@ -53,16 +53,16 @@
     /// Open machines with free GPUs, by their number.
     by_gpus: BTreeSet<IndexEntry>,
     /// Room on all open machines together.
-    pub room: Res,
+    pub room: Resources,
 }
 
 impl Pool {
-    pub(super) fn new(machine_type: &TypeInfo, zone: ZoneIx, spot: bool) -> Pool {
+    pub(super) fn new(machine_type: &MachineTypeSpec, zone: ZoneIndex, spot: bool) -> Pool {
         Pool {
-            machine_type: machine_type.ix,
+            machine_type: machine_type.index,
             zone,
             spot,
-            cap: machine_type.cap,
+            capacity: machine_type.capacity,
             cache_gb: machine_type.cache_gb,
             fetch_gb_per_s: machine_type.fetch_gb_per_s,
             price: machine_type.price_of(spot),
@@ -70,21 +70,21 @@
             members: BTreeSet::new(),
             by_room: BTreeSet::new(),
             by_gpus: BTreeSet::new(),
-            room: Res::default(),
+            room: Resources::default(),
         }
     }
 
-    fn room_key(&self, free: &Res) -> u32 {
+    fn room_key(&self, free: &Resources) -> u32 {
         let share = |have: f64, capacity: f64| if capacity > 0.0 { (have / capacity).clamp(0.0, 1.0) } else { 1.0 };
-        let scarcer = share(free.cpus, self.cap.cpus).min(share(free.memory_gb, self.cap.memory_gb));
+        let scarcer = share(free.cpus, self.capacity.cpus).min(share(free.memory_gb, self.capacity.memory_gb));
         (scarcer * ROOM_STEPS + KEY_TOLERANCE) as u32
     }
 
-    fn gpu_key(free: &Res) -> u32 {
+    fn gpu_key(free: &Resources) -> u32 {
         (free.gpus.max(0.0) * GPU_STEPS + KEY_TOLERANCE) as u32
     }
 
-    pub(super) fn index(&mut self, host: u32, free: &Res) {
+    pub(super) fn index(&mut self, host: u32, free: &Resources) {
         let room_key = self.room_key(free);
         let gpu_key = Pool::gpu_key(free);
         if room_key > 0 {
@@ -96,7 +96,7 @@
         self.room += free.max0();
     }
 
-    pub(super) fn unindex(&mut self, host: u32, free: &Res) {
+    pub(super) fn unindex(&mut self, host: u32, free: &Resources) {
         let room_key = self.room_key(free);
         self.by_room.remove(&IndexEntry { key: room_key, host });
         self.by_gpus.remove(&IndexEntry { key: Pool::gpu_key(free), host });
@@ -104,13 +104,13 @@
     }
 
     /// Open machines that may have room for `need`, those with the least first.
-    pub(super) fn hosts_with_room(&self, need: &Res, needs_gpus: bool) -> impl Iterator<Item = usize> + '_ {
+    pub(super) fn hosts_with_room(&self, need: &Resources, needs_gpus: bool) -> impl Iterator<Item = usize> + '_ {
         let (index, least_key) = if needs_gpus {
             (&self.by_gpus, Pool::gpu_key(need).saturating_sub(1))
         } else {
             // Whatever fits has at least the smaller of the two shares free.
             let share = |need: f64, capacity: f64| if capacity > 0.0 { need / capacity } else { 1.0 };
-            let smaller = share(need.cpus, self.cap.cpus).min(share(need.memory_gb, self.cap.memory_gb));
+            let smaller = share(need.cpus, self.capacity.cpus).min(share(need.memory_gb, self.capacity.memory_gb));
             (&self.by_room, (smaller * ROOM_STEPS) as u32)
         };
         index.range(IndexEntry { key: least_key, host: 0 }..).map(|entry| entry.host as usize)
@@ -121,17 +121,17 @@
         spec.allows_type(self.machine_type)
             && spec.zone.is_none_or(|zone| zone == self.zone)
             && (spec.spot || !self.spot)
-            && Res::of(spec).fits_in(&self.cap)
+            && Resources::of(spec).fits_in(&self.capacity)
     }
 
     /// Guard: a replica that stays for hours on a few CPUs of a machine with
     /// GPUs would keep all GPU work off it, and tasks that can't save would be
     /// stopped for that work at the loss of all they did.
     fn takes_guarded_room(&self, host: &Host, spec: &JobSpec) -> bool {
-        let need = Res::of(spec);
+        let need = Resources::of(spec);
         need.gpus <= 0.0
             && is_fixed(spec)
-            && self.guard.is_some_and(|guard| !(guard + need + host.fixed).fits_in(&self.cap))
+            && self.guard.is_some_and(|guard| !(guard + need + host.fixed).fits_in(&self.capacity))
     }
 
     /// Whether this machine takes new tasks of this job, room aside.
--- a/src/coordination/snapshot/reservations.rs
+++ b/src/coordination/snapshot/reservations.rs
@@ -1,22 +1,22 @@
-//! Room that is reserved until the end of a pass.
+//! Room that is reserved until the end of a scheduling cycle.
 
 use super::ClusterSnapshot;
-use crate::coordination::model::Res;
+use crate::coordination::model::Resources;
 
 /// Room reserved on one machine, taken off what is free and off what will be.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Reservation {
     host: usize,
-    free: Res,
-    soon: Res,
+    free: Resources,
+    soon: Resources,
 }
 
 impl ClusterSnapshot {
     /// Reserves room until it is released: first what is about to be free, then
     /// what is free now, so that no later job takes it. `also_freed`: what else
     /// is about to be free there.
-    pub fn reserve(&mut self, host_index: usize, need: Res, also_freed: Res) {
-        let mut reservation = Reservation { host: host_index, free: Res::default(), soon: Res::default() };
+    pub fn reserve(&mut self, host_index: usize, need: Resources, also_freed: Resources) {
+        let mut reservation = Reservation { host: host_index, free: Resources::default(), soon: Resources::default() };
         self.change(host_index, |host| {
             let from_soon = need.min((host.soon + also_freed).max0());
             reservation.soon = from_soon - also_freed;
--- a/src/coordination/snapshot/search.rs
+++ b/src/coordination/snapshot/search.rs
@@ -2,8 +2,8 @@
 
 use super::{ClusterSnapshot, Host, Pool, RoomKind};
 use crate::{
-    coordination::model::{Res, RESOURCE_TOLERANCE},
-    protocol::{jobs::JobSpec, names::ZoneIx},
+    coordination::model::{Resources, RESOURCE_TOLERANCE},
+    protocol::{jobs::JobSpec, names::ZoneIndex},
 };
 
 /// Machines of one pool looked at for one task, at most.
@@ -17,11 +17,11 @@
     pub fn candidates(
         &self,
         spec: &JobSpec,
-        zone: Option<ZoneIx>,
+        zone: Option<ZoneIndex>,
         room: RoomKind,
         mut visit: impl FnMut(usize, &Host, &Pool),
     ) -> u64 {
-        let need = Res::of(spec);
+        let need = Resources::of(spec);
         let needs_gpus = need.gpus > RESOURCE_TOLERANCE;
         let mut looked = 0;
         for pool in &self.pools {
@@ -46,10 +46,10 @@
     fn candidates_with_stopping(
         &self,
         spec: &JobSpec,
-        zone: Option<ZoneIx>,
+        zone: Option<ZoneIndex>,
         mut visit: impl FnMut(usize, &Host, &Pool),
     ) -> u64 {
-        let need = Res::of(spec);
+        let need = Resources::of(spec);
         let mut looked = 0;
         for &host_index in self.stopping.iter().take(LOOK_STOPPING) {
             looked += 1;
@@ -68,7 +68,7 @@
 
     /// A sample of the machines this job may use, whatever is on them: at most
     /// `limit` of each pool, beginning at machine `first` and wrapping around.
-    pub fn sample(&self, spec: &JobSpec, zone: Option<ZoneIx>, first: u32, limit: usize) -> Vec<usize> {
+    pub fn sample(&self, spec: &JobSpec, zone: Option<ZoneIndex>, first: u32, limit: usize) -> Vec<usize> {
         let mut sample = Vec::new();
         for pool in &self.pools {
             if zone.is_some_and(|zone| zone != pool.zone) || !pool.allows(spec) {
--- a/src/coordination/tests/election.rs
+++ b/src/coordination/tests/election.rs
@@ -103,7 +103,7 @@
         }
         assert_eq!(e.tick(0), stands.then_some(Action::Grant), "{key:?}");
     }
-    // One's own dead start is replaced conditionally on its stamp.
+    // One's own dead start is replaced conditionally on its revision.
     let mut e = Election::new("a", 1, TTL);
     e.saw_key(0, Some(dead), 3);
     e.tick(0);
@@ -117,7 +117,7 @@
     // An older sight of the key changes nothing.
     e.saw_key(60, Some(other(1)), 4);
     assert_eq!(e.leading(61), Some(9));
-    assert_eq!(e.resign(70), Some(Action::Resign(8)));
+    assert_eq!(e.step_down(70), Some(Action::StepDown(8)));
     e.saw_key(80, None, 12);
     assert_eq!((e.leading(80), e.tick(80)), (None, None), "stands aside for a while");
 }
--- a/src/coordination/tests/lease_renewal.rs
+++ b/src/coordination/tests/lease_renewal.rs
@@ -3,11 +3,11 @@
 /// Guard: alone in being cut off, with workers that reach the others.
 #[test]
 fn who_shares_a_cut() {
-    const NOW: Ms = 50_000;
-    let o = |near, ago: Option<Ms>, state_age| Other { near, heard: ago.map(|a| NOW - a), state_age };
-    let far = o(false, None, Ms::MAX);
+    const NOW: Millis = 50_000;
+    let o = |near, ago: Option<Millis>, state_age| Other { near, heard: ago.map(|a| NOW - a), state_age };
+    let far = o(false, None, Millis::MAX);
     // (others, a worker of another zone came so long ago, keeps)
-    let cases: [(&[Other], Option<Ms>, bool); 8] = [
+    let cases: [(&[Other], Option<Millis>, bool); 8] = [
         (&[o(true, Some(300), 6_000), far, far], None, true),
         (&[o(true, Some(300), 6_000), o(false, Some(300), 200)], None, false),
         (&[o(false, Some(300), 6_000), o(false, Some(300), 7_000)], Some(300), true),
@@ -22,7 +22,7 @@
     }
 }
 
-fn ready(most: Ms) -> RenewalRight {
+fn ready(most: Millis) -> RenewalRight {
     let mut k = RenewalRight::new(most, most);
     k.saw_key(0, 5, false);
     assert_eq!(k.tick(0), Some(Action::Grant));
--- a/src/coordination/tests/model.rs
+++ b/src/coordination/tests/model.rs
@@ -1,21 +1,21 @@
 use super::*;
 use crate::protocol::{
     jobs::{JobSpec, Kind, Priority},
-    names::{ClassIx, ImageIx, TeamIx},
+    names::{ClassIndex, ImageIndex, TeamIndex},
 };
 
 /// A job of this kind, priority and number of tasks; each needs `cpus` and 1 GB.
 pub fn spec(kind: Kind, priority: Priority, tasks: u32, cpus: f64) -> JobSpec {
     JobSpec {
-        class: ClassIx(0),
-        team: TeamIx(0),
+        class: ClassIndex(0),
+        team: TeamIndex(0),
         kind,
         priority,
         tasks,
         cpus,
         gpus: 0.0,
         memory_gb: 1.0,
-        image: ImageIx(0),
+        image: ImageIndex(0),
         image_gb: 1.0,
         types: None,
         zone: None,
@@ -50,7 +50,7 @@
     for (i, (limits, gpus, used, room, kind, tasks, ever)) in cases.into_iter().enumerate() {
         let mut s = spec(kind, Priority::Low, tasks, 2.0);
         s.gpus = gpus;
-        let used = Res { gpus: used, ..Res::default() };
+        let used = Resources { gpus: used, ..Resources::default() };
         assert_eq!(limits.room_for(&s, &used), room, "case {i}");
         assert_eq!(limits.ever_allows(&s), ever, "case {i}");
     }
--- a/src/coordination/tests/trial.rs
+++ b/src/coordination/tests/trial.rs
@@ -1,27 +1,27 @@
 use super::*;
 use crate::{
-    coordination::model::{tests::spec, TypeInfo},
-    protocol::{jobs::Priority, names::TypeIx},
+    coordination::model::{tests::spec, MachineTypeSpec},
+    protocol::{jobs::Priority, names::MachineTypeIndex},
 };
 
 /// A machine of a case: zone, CPUs, GPUs, spot, what GPU work needs there.
-type Machine = (u32, f64, f64, bool, Option<Res>);
+type Machine = (u32, f64, f64, bool, Option<Resources>);
 
 fn snapshot(machines: &[Machine]) -> ClusterSnapshot {
     let mut p = ClusterSnapshot::default();
     for (n, &(zone, cpus, gpus, spot, guard)) in machines.iter().enumerate() {
-        let t = TypeInfo {
+        let t = MachineTypeSpec {
             // One type for each size; those of a case without GPUs are type 0.
-            ix: TypeIx(0),
-            cap: Res { cpus, gpus, memory_gb: 100.0 },
+            index: MachineTypeIndex(0),
+            capacity: Resources { cpus, gpus, memory_gb: 100.0 },
             cache_gb: 50.0,
             fetch_gb_per_s: 1.0,
             price: 1.0,
             spot_price: 0.5,
             boot_s: 5.0,
-            zones: vec![ZoneIx(zone)],
+            zones: vec![ZoneIndex(zone)],
         };
-        let pool = p.pool_of(&t, ZoneIx(zone), spot);
+        let pool = p.pool_of(&t, ZoneIndex(zone), spot);
         p.pools[pool].guard = guard;
         p.move_to(n, Some(pool));
         p.set_open(n, true, false);
@@ -63,7 +63,7 @@
     }
     let two = || vec![(0, 8.0, 0.0, false, None), (1, 4.0, 0.0, false, None)];
     let spot = (0, 8.0, 0.0, true, None);
-    let gpu = (0, 8.0, 4.0, false, Some(Res { cpus: 5.0, gpus: 4.0, memory_gb: 1.0 }));
+    let gpu = (0, 8.0, 4.0, false, Some(Resources { cpus: 5.0, gpus: 4.0, memory_gb: 1.0 }));
     let prod: fn(&mut JobSpec) = |s| s.priority = Priority::Production;
     let cases = vec![
         Case {
@@ -164,7 +164,7 @@
             kind: Kind::Array,
             tasks: 1,
             min: 1,
-            change: |s| s.types = Some(vec![TypeIx(7)]),
+            change: |s| s.types = Some(vec![MachineTypeIndex(7)]),
             zone_used: vec![0, 0],
             want: (Unschedulable, 0),
         },
@@ -174,7 +174,7 @@
             kind: Kind::Array,
             tasks: 9,
             min: 1,
-            change: |s| s.zone = Some(ZoneIx(1)),
+            change: |s| s.zone = Some(ZoneIndex(1)),
             zone_used: vec![0, 0],
             want: (Success, 2),
         },
@@ -244,7 +244,7 @@
         assert_eq!(seen.len(), out.picks.len(), "{}: each task once", c.name);
         // What is reserved is nobody else's until it is released.
         for pick in &out.picks {
-            p.reserve(pick.host, Res::of(&s), Res::default());
+            p.reserve(pick.host, Resources::of(&s), Resources::default());
         }
         let full = p.trial(&ask);
         assert!(c.want.0 != Success || full.picks.len() < c.tasks as usize, "{}", c.name);
