--- a/src/coordination/trial.rs
+++ b/src/coordination/trial.rs
@@ -8,12 +8,12 @@
 use std::cmp::Reverse;
 
 use super::{
-    model::{MachineIx, Res},
+    model::{MachineIndex, Resources},
     snapshot::{ClusterSnapshot, Host, Pool, RoomKind},
 };
 use crate::protocol::{
     jobs::{JobSpec, Kind},
-    names::ZoneIx,
+    names::ZoneIndex,
 };
 
 /// Longest image fetch, in seconds, that counts against a machine: beyond it,
@@ -43,7 +43,7 @@
     Success,
     /// Children that were not tried yet may still make it succeed.
     Wait,
-    /// It would succeed if tasks were evicted.
+    /// It would succeed if tasks were preempted.
     Unschedulable,
     /// It can't succeed even then.
     Unresolvable,
@@ -93,7 +93,7 @@
     /// The job's tasks that are somewhere, by zone.
     pub zone_used: &'a [u32],
     /// Machines on which its tasks failed.
-    pub avoid: &'a [MachineIx],
+    pub avoid: &'a [MachineIndex],
     /// Which room of a machine counts.
     pub room: RoomKind,
     /// Which machines may be used.
@@ -118,16 +118,16 @@
 
 /// Score of a machine for one task: the seconds that a start there is worth
 /// against a start elsewhere.
-pub fn score(pool: &Pool, host: &Host, spec: &JobSpec, need: &Res) -> f64 {
+pub fn score(pool: &Pool, host: &Host, spec: &JobSpec, need: &Resources) -> f64 {
     let mut score = 0.0;
     let fetch_s = (spec.image_gb / pool.fetch_gb_per_s.max(SLOWEST_FETCH_GB_PER_S)).min(LONGEST_FETCH_S);
     score += if host.has_image(spec.image) { fetch_s + IMAGE_BONUS_S } else { -fetch_s };
-    if need.gpus <= 0.0 && pool.cap.gpus > 0.0 {
+    if need.gpus <= 0.0 && pool.capacity.gpus > 0.0 {
         score -= IDLE_GPU_PENALTY_S;
     }
     // Best fit: leave whole machines whole.
-    if pool.cap.cpus > 0.0 {
-        score += BEST_FIT_BONUS_S * (1.0 - (host.free.cpus - need.cpus).max(0.0) / pool.cap.cpus);
+    if pool.capacity.cpus > 0.0 {
+        score += BEST_FIT_BONUS_S * (1.0 - (host.free.cpus - need.cpus).max(0.0) / pool.capacity.cpus);
     }
     if spec.kind == Kind::Service {
         score -= SHARED_MACHINE_PENALTY_S * f64::from(host.services);
@@ -153,16 +153,16 @@
 
 /// A zone and how many tasks of one shape it has room for.
 struct ZoneRoom {
-    zone: ZoneIx,
+    zone: ZoneIndex,
     tasks: u32,
 }
 
 impl ClusterSnapshot {
-    fn best_host(&mut self, request: &TrialRequest<'_>, zone: Option<ZoneIx>) -> Option<usize> {
-        let need = Res::of(request.spec);
+    fn best_host(&mut self, request: &TrialRequest<'_>, zone: Option<ZoneIndex>) -> Option<usize> {
+        let need = Resources::of(request.spec);
         let mut best: Option<ScoredHost> = None;
         let looked = self.candidates(request.spec, zone, request.room, |host_index, host, pool| {
-            let is_avoided = request.avoid.contains(&MachineIx(host_index as u32));
+            let is_avoided = request.avoid.contains(&MachineIndex(host_index as u32));
             let is_empty = host.assignments == 0 || host.gpu_only;
             if is_avoided || (request.hosts == HostFilter::BusyOnly && is_empty) {
                 return;
@@ -180,7 +180,7 @@
     fn takes_another(&self, request: &TrialRequest<'_>, host_index: usize) -> bool {
         let host = &self.hosts[host_index];
         request.spec.kind != Kind::Service
-            && Res::of(request.spec).fits_in(&host.room(request.room))
+            && Resources::of(request.spec).fits_in(&host.room(request.room))
             && host.pool.is_some_and(|pool| self.pools[pool].host_allows(host, request.spec))
     }
 
@@ -194,7 +194,7 @@
     /// room speaks for the rest, and a machine that was best for one takes as
     /// many as fit. None of its children is beyond hope: evictions may make
     /// room for each. On success the picks stay assumed.
-    fn try_leaf(&mut self, request: &TrialRequest<'_>, tasks: &[u32], min: usize, zone: Option<ZoneIx>) -> Outcome {
+    fn try_leaf(&mut self, request: &TrialRequest<'_>, tasks: &[u32], min: usize, zone: Option<ZoneIndex>) -> Outcome {
         let mut picks: Vec<Pick> = Vec::new();
         let mut freeable = 0;
         for (position, &task) in tasks.iter().enumerate() {
@@ -224,8 +224,8 @@
     }
 
     /// Zones with machines that the job may use, those with the most room first.
-    fn zones_by_room(&self, request: &TrialRequest<'_>) -> Vec<ZoneIx> {
-        let need = Res::of(request.spec);
+    fn zones_by_room(&self, request: &TrialRequest<'_>) -> Vec<ZoneIndex> {
+        let need = Resources::of(request.spec);
         let mut zones: Vec<ZoneRoom> = Vec::new();
         for pool in self.pools.iter().filter(|pool| !pool.members.is_empty() && pool.allows(request.spec)) {
             let tasks = need.times_in(&pool.room).min(ROOM_COUNT_LIMIT);
@@ -255,7 +255,7 @@
     /// One composite child per candidate zone; the feasible one with the
     /// highest score wins. Score: tasks placed, then quick starts and the room left.
     fn try_one_zone(&mut self, request: &TrialRequest<'_>) -> Outcome {
-        let used_zone = request.zone_used.iter().position(|&tasks| tasks > 0).map(|zone| ZoneIx(zone as u32));
+        let used_zone = request.zone_used.iter().position(|&tasks| tasks > 0).map(|zone| ZoneIndex(zone as u32));
         let candidates = match used_zone {
             Some(zone) => vec![zone],
             None => self.zones_by_room(request),
@@ -287,7 +287,7 @@
     }
 
     fn score_of_zone(&self, spec: &JobSpec, picks: &[Pick]) -> f64 {
-        let need = Res::of(spec);
+        let need = Resources::of(spec);
         let score_of_pick = |pick: &Pick| {
             let host = &self.hosts[pick.host];
             host.pool.map_or(0.0, |pool| score(&self.pools[pool], host, spec, &need))
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,14 +4,14 @@
 //!
 //! - [`transport`]: sockets, HTTP and frames of peers.
 //! - [`protocol`]: typed messages of all interfaces, and the settings.
-//! - [`bookkeeping`]: records, the cache of them, and request budgets.
+//! - [`storage`]: records, the cache of them, and request budgets.
 //! - [`coordination`]: all decisions, without any I/O.
 //! - [`node`]: one controller, made of the other layers.
 
 #![deny(missing_docs)]
 
-pub mod bookkeeping;
+pub mod controller;
 pub mod coordination;
-pub mod node;
 pub mod protocol;
+pub mod storage;
 pub mod transport;
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::Parser;
 use shedhook::{
-    node,
+    controller,
     protocol::{
         operator::{Operator, OperatorError},
         settings::{Settings, SettingsError},
@@ -79,7 +79,7 @@
         println!("settings of {} are fine", settings.label);
         return ExitCode::SUCCESS;
     }
-    match node::run(settings, operator) {
+    match controller::run(settings, operator) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!("{error}");
--- a/src/protocol/jobs.rs
+++ b/src/protocol/jobs.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::cbor::maybe_number;
-use super::names::{ClassIx, ImageIx, Tables, TeamIx, TypeIx, ZoneIx};
+use super::names::{ClassIndex, ImageIndex, MachineTypeIndex, Tables, TeamIndex, ZoneIndex};
 
 /// The largest number of tasks in one job.
 pub const MAX_TASKS: u32 = 100_000;
@@ -151,9 +151,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobSpec {
     /// Class, which the objectives in the settings refer to.
-    pub class: ClassIx,
+    pub class: ClassIndex,
     /// Team whose guarantee and limit apply.
-    pub team: TeamIx,
+    pub team: TeamIndex,
     /// Array, gang or service.
     pub kind: Kind,
     /// Priority; for a prerequisite, the highest of all jobs that need it.
@@ -167,13 +167,13 @@
     /// Memory of each task.
     pub memory_gb: f64,
     /// Image that a machine needs before a task can start.
-    pub image: ImageIx,
+    pub image: ImageIndex,
     /// Size of the image.
     pub image_gb: f64,
     /// Allowed machine types; `None`: any.
-    pub types: Option<Vec<TypeIx>>,
+    pub types: Option<Vec<MachineTypeIndex>>,
     /// The only allowed zone; `None`: any.
-    pub zone: Option<ZoneIx>,
+    pub zone: Option<ZoneIndex>,
     /// All tasks must be in the same zone.
     pub one_zone: bool,
     /// At most half of the tasks, rounded up, may be in one zone.
@@ -203,7 +203,7 @@
     }
 
     /// Whether tasks may run on this machine type.
-    pub fn allows_type(&self, t: TypeIx) -> bool {
+    pub fn allows_type(&self, t: MachineTypeIndex) -> bool {
         self.types.as_ref().is_none_or(|l| l.contains(&t))
     }
 }
@@ -305,7 +305,7 @@
             return Err(Refusal::NeverRuns("needs itself"));
         }
         let team = match tables.teams.find(team) {
-            Some(ix) => ix,
+            Some(index) => index,
             None if accepted => tables.teams.intern(team),
             None => return Err(Refusal::NeverRuns("unknown team")),
         };
@@ -344,7 +344,7 @@
 
     /// A type that isn't known gets an index that no machine has, and stays
     /// out of the tables, so that users can't fill them.
-    fn allowed_types(&self, tables: &mut Tables, accepted: bool) -> Result<Option<Vec<TypeIx>>, Refusal> {
+    fn allowed_types(&self, tables: &mut Tables, accepted: bool) -> Result<Option<Vec<MachineTypeIndex>>, Refusal> {
         let Some(names) = &self.types else { return Ok(None) };
         if names.is_empty() || names.len() > MAX_TYPES || !names.iter().all(|name| is_name(name)) {
             return Err(Refusal::Malformed("breeds"));
@@ -353,18 +353,18 @@
             if accepted {
                 tables.types.intern(name)
             } else {
-                tables.types.find(name).unwrap_or(TypeIx(u32::MAX))
+                tables.types.find(name).unwrap_or(MachineTypeIndex(u32::MAX))
             }
         };
         Ok(Some(names.iter().map(index).collect()))
     }
 
-    fn allowed_zone(&self, tables: &mut Tables, accepted: bool) -> Result<Option<ZoneIx>, Refusal> {
+    fn allowed_zone(&self, tables: &mut Tables, accepted: bool) -> Result<Option<ZoneIndex>, Refusal> {
         match &self.zone {
             None => Ok(None),
             Some(name) if !is_name(name) => Err(Refusal::Malformed("yard")),
             Some(name) if accepted => Ok(Some(tables.zones.intern(name))),
-            Some(name) => Ok(Some(tables.zones.find(name).unwrap_or(ZoneIx(u32::MAX)))),
+            Some(name) => Ok(Some(tables.zones.find(name).unwrap_or(ZoneIndex(u32::MAX)))),
         }
     }
 }
--- a/src/protocol/names.rs
+++ b/src/protocol/names.rs
@@ -37,11 +37,11 @@
     };
 }
 
-index_type!(TeamIx, "Index of a team.");
-index_type!(ClassIx, "Index of a class of jobs.");
-index_type!(ZoneIx, "Index of a zone.");
-index_type!(TypeIx, "Index of a machine type.");
-index_type!(ImageIx, "Index of an image.");
+index_type!(TeamIndex, "Index of a team.");
+index_type!(ClassIndex, "Index of a class of jobs.");
+index_type!(ZoneIndex, "Index of a zone.");
+index_type!(MachineTypeIndex, "Index of a machine type.");
+index_type!(ImageIndex, "Index of an image.");
 
 impl<K: From<u32>> Names<K> {
     /// The index of a name, which is added if it is new.
@@ -80,13 +80,13 @@
 #[derive(Debug, Default, Clone)]
 pub struct Tables {
     /// Teams.
-    pub teams: Names<TeamIx>,
+    pub teams: Names<TeamIndex>,
     /// Classes of jobs.
-    pub classes: Names<ClassIx>,
+    pub classes: Names<ClassIndex>,
     /// Zones.
-    pub zones: Names<ZoneIx>,
+    pub zones: Names<ZoneIndex>,
     /// Machine types.
-    pub types: Names<TypeIx>,
+    pub types: Names<MachineTypeIndex>,
     /// Images.
-    pub images: Names<ImageIx>,
+    pub images: Names<ImageIndex>,
 }
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -20,8 +20,8 @@
     pub count: u64,
     /// Milliseconds since the state service last answered the sender.
     pub state_age_ms: u64,
-    /// Workers' reports that the sender rejected in the last seconds.
-    pub rejected_reports: u32,
+    /// Workers' heartbeats that the sender rejected in the last seconds.
+    pub rejected_heartbeats: u32,
     /// Whether the sender leads.
     pub leading: bool,
     /// Reads per second that the sender uses of the state service's limit.
@@ -63,13 +63,13 @@
     pub running: u32,
 }
 
-/// A confirmed cancellation: the job's record is stored with this stamp.
+/// A confirmed cancellation: the job's record is stored with this revision.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Cancelled {
     /// Id of the job.
     pub job: String,
-    /// Stamp of the cancelled job's record.
-    pub stamp: u64,
+    /// Revision of the cancelled job's record.
+    pub revision: u64,
 }
 
 /// Cancellations that the sender confirmed lately. They are final, so delayed
@@ -151,13 +151,13 @@
 /// The order of a peer's frames: those of a process that ended may arrive after
 /// frames of its next start.
 #[derive(Debug, Default)]
-pub struct Order {
+pub struct FrameOrder {
     nonce: u64,
     count: u64,
     earlier_starts: VecDeque<u64>,
 }
 
-impl Order {
+impl FrameOrder {
     /// Whether a frame is newer than all that were seen.
     pub fn is_news(&mut self, gossip: &Gossip) -> bool {
         if gossip.nonce == self.nonce {
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -102,7 +102,7 @@
 
 impl Cluster {
     /// Whether nothing is guaranteed to this team, while something is to another.
-    pub fn is_without_guarantee(&self, team: &str) -> bool {
+    pub fn is_best_effort(&self, team: &str) -> bool {
         let mut guaranteed = self.teams.iter().filter(|known| known.has_guarantee()).peekable();
         guaranteed.peek().is_some() && !guaranteed.any(|known| known.name == team)
     }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -4,13 +4,14 @@
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-/// A transaction is applied only if the key has this stamp.
+/// A transaction is applied only if the key has this revision.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Condition {
     /// The key that is compared.
     pub key: String,
     /// Revision of the last write of the key; 0: the key must not exist.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 /// One write of a transaction.
@@ -49,7 +50,7 @@
 /// The answer to a transaction: the revision of the store after it.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Epoch {
-    /// Revision of the store; also the stamp of each key that was written.
+    /// Revision of the store; also the revision of each key that was written.
     pub epoch: u64,
 }
 
@@ -72,7 +73,8 @@
     /// Its value.
     pub v: Value,
     /// Revision of the key's last write.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
     /// The grant that the key is attached to; None: it is attached to none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub permit: Option<u64>,
@@ -128,5 +130,6 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub v: Option<Value>,
     /// Revision of the change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
--- a/src/protocol/tests/peers.rs
+++ b/src/protocol/tests/peers.rs
@@ -1,4 +1,4 @@
-use super::{decode, encode, Cancelled, Count, Echo, Frame, FrameError, Gossip, Notice, Order};
+use super::{decode, encode, Cancelled, Count, Echo, Frame, FrameError, FrameOrder, Gossip, Notice};
 
 fn gossip(nonce: u64, count: u64) -> Gossip {
     Gossip {
@@ -6,7 +6,7 @@
         nonce,
         count,
         state_age_ms: 3,
-        rejected_reports: 1,
+        rejected_heartbeats: 1,
         leading: true,
         reads_used: 7.5,
         writes_used: 0.5,
@@ -20,7 +20,7 @@
 
 #[test]
 fn frames_survive_the_way_and_garbage_is_refused() {
-    let notice = Notice { from: "a".into(), cancelled: vec![Cancelled { job: "j-1".into(), stamp: 12 }] };
+    let notice = Notice { from: "a".into(), cancelled: vec![Cancelled { job: "j-1".into(), revision: 12 }] };
     assert_eq!(decode(&[]), Err(FrameError::Empty));
     for frame in [Frame::Gossip(gossip(7, 1)), Frame::Notice(notice)] {
         let bytes = encode(&frame);
@@ -51,7 +51,7 @@
 /// Guard: late frames of a process that is over are no news of the peer.
 #[test]
 fn frames_of_an_earlier_start_are_no_news() {
-    let mut o = Order::default();
+    let mut o = FrameOrder::default();
     // (nonce, count, news)
     for (nonce, count, news) in
         [(5, 1, true), (5, 3, true), (5, 2, false), (5, 3, false), (6, 1, true), (5, 4, false), (6, 2, true)]
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -6,7 +6,7 @@
 
 /// What a worker says of itself and of its tasks.
 #[derive(Debug, Clone, Deserialize, Serialize, PartialEq)]
-pub struct Report {
+pub struct Heartbeat {
     /// Name of the machine. On the wire: `host`.
     #[serde(rename = "host")]
     pub machine: String,
@@ -24,11 +24,11 @@
     pub spot: bool,
     /// Starts at 1 and increases whenever the worker's lease expires.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Increases with every report and answer: of two messages the one with the
-    /// larger session and number is newer.
+    /// larger incarnation and number is newer.
     #[serde(rename = "tick")]
-    pub seq: u64,
+    pub sequence: u64,
     /// The highest fencing token that the worker has seen; 0: none.
     #[serde(rename = "baton", default)]
     pub token: u64,
@@ -37,12 +37,12 @@
     pub notice_s: Option<f64>,
     /// Attempts on the machine, also ended ones that are not reaped yet. On the wire: `pieces`.
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// The state of one attempt of a task on the worker.
 #[derive(Debug, Clone, Deserialize, Serialize, PartialEq)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// Name of the task, such as `j-000412/3`. On the wire: `piece`.
     #[serde(rename = "piece")]
     pub task: String,
@@ -118,7 +118,7 @@
 /// What a worker is told to do with one attempt of a task.
 #[derive(Debug, Clone, Deserialize, Serialize, PartialEq)]
 #[serde(tag = "verb")]
-pub enum Order {
+pub enum WorkerCommand {
     /// Start the attempt.
     #[serde(rename = "launch")]
     Launch {
@@ -154,42 +154,45 @@
     },
 }
 
-impl Order {
+impl WorkerCommand {
     /// Whether both orders stop the same attempt, whatever the grace period.
-    pub fn same_halt(&self, other: &Order) -> bool {
+    pub fn same_halt(&self, other: &WorkerCommand) -> bool {
         match (self, other) {
-            (Order::Halt { task, attempt, .. }, Order::Halt { task: other_task, attempt: other_attempt, .. }) => {
-                task == other_task && attempt == other_attempt
-            }
+            (
+                WorkerCommand::Halt { task, attempt, .. },
+                WorkerCommand::Halt { task: other_task, attempt: other_attempt, .. },
+            ) => task == other_task && attempt == other_attempt,
             _ => false,
         }
     }
 }
 
-/// The answer to a report; it renews the worker's lease.
+/// The answer to a heartbeat; it renews the worker's lease.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     /// Fencing token that the worker is to hold from now on. On the wire: `baton`.
     #[serde(rename = "baton")]
     pub token: u64,
     /// What the worker is to do, in order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
-/// Orders that the leader sends to a worker without waiting for its report.
+/// Orders that the leader sends to a worker without waiting for its heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DirectCommandRequest {
     /// Fencing token of the leader. On the wire: `baton`.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// The worker's session that the orders are meant for. On the wire: `shift`.
+    /// The worker's incarnation that the orders are meant for. On the wire: `shift`.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     /// What the worker is to do, in order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
-/// The answer to a report that this controller doesn't serve: whom to report to.
+/// The answer to a heartbeat that this controller doesn't serve: whom to report to.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Redirect<'a> {
     /// Label of the leader; None if no leader is known. On the wire: `boss`.
--- a/src/bookkeeping/budget.rs
+++ b/src/storage/budget.rs
@@ -9,7 +9,7 @@
 const SUBMIT_FLOOR: f64 = 0.2;
 /// Share of the burst that submissions of teams without a guarantee must leave
 /// to those of teams that have one.
-const UNGUARANTEED_SUBMIT_FLOOR: f64 = 0.3;
+const BEST_EFFORT_SUBMIT_FLOOR: f64 = 0.3;
 /// Share of a service's limit that is distributed; the rest covers what the
 /// service counts differently.
 const DISTRIBUTED_SHARE: f64 = 0.95;
@@ -38,7 +38,7 @@
     /// Submissions and everything else.
     Submit,
     /// Submissions of teams without a guarantee, where other teams have one.
-    UnguaranteedSubmit,
+    BestEffortSubmit,
 }
 
 impl Urgency {
@@ -49,7 +49,7 @@
             Urgency::Cancel => 0.0,
             Urgency::Commit => COMMIT_FLOOR,
             Urgency::Submit => SUBMIT_FLOOR,
-            Urgency::UnguaranteedSubmit => UNGUARANTEED_SUBMIT_FLOOR,
+            Urgency::BestEffortSubmit => BEST_EFFORT_SUBMIT_FLOOR,
         }
     }
 }
--- a/src/bookkeeping/job_cache/dependencies.rs
+++ b/src/storage/job_cache/dependencies.rs
@@ -6,18 +6,18 @@
 
 use std::{collections::VecDeque, rc::Rc};
 
-use super::{JobCache, JobIx};
+use super::{JobCache, JobIndex};
 use crate::{
-    bookkeeping::records::Status,
     protocol::jobs::{JobSpec, Priority},
+    storage::records::JobStatus,
 };
 
 /// What ties an unfinished job to others; most jobs have none.
 #[derive(Debug, Clone)]
 pub(super) struct Dependencies {
     /// Prerequisites that are known and were unfinished when they were linked.
-    prereqs: Vec<JobIx>,
-    dependents: Vec<JobIx>,
+    prereqs: Vec<JobIndex>,
+    dependents: Vec<JobIndex>,
     /// Prerequisites without a `done` record, unseen ones included.
     unfinished: u32,
     /// Time of day at which the last of them ended, as far as is known.
@@ -76,22 +76,22 @@
 
 impl JobCache {
     /// Guard: true until the ends of all its prerequisites are recorded.
-    pub fn waits(&self, ix: JobIx) -> bool {
-        let entry = self.get(ix);
-        entry.status == Status::Pending && entry.dependencies.as_ref().is_some_and(|d| d.unfinished > 0)
+    pub fn waits(&self, index: JobIndex) -> bool {
+        let entry = self.get(index);
+        entry.status == JobStatus::Pending && entry.dependencies.as_ref().is_some_and(|d| d.unfinished > 0)
     }
 
     /// Time of day from which its waiting counts: its acceptance, or the end
     /// of its last prerequisite.
-    pub fn ready_ms(&self, ix: JobIx) -> u64 {
-        let entry = self.get(ix);
+    pub fn ready_ms(&self, index: JobIndex) -> u64 {
+        let entry = self.get(index);
         entry.dependencies.as_ref().map_or(entry.at_ms, |d| d.ready_ms)
     }
 
     /// The job with the urgency inherited from its dependents: their priority,
     /// and their deadline less their run times. Deadlines count from `ready_ms`.
-    pub fn effective_spec(&self, ix: JobIx) -> Option<Rc<JobSpec>> {
-        let entry = self.get(ix);
+    pub fn effective_spec(&self, index: JobIndex) -> Option<Rc<JobSpec>> {
+        let entry = self.get(index);
         let spec = entry.spec.as_ref()?;
         let Some(dependencies) = &entry.dependencies else { return Some(spec.clone()) };
         let ready_ms = dependencies.ready_ms as f64;
@@ -105,64 +105,64 @@
         }))
     }
 
-    fn dependencies_mut(&mut self, ix: JobIx) -> &mut Dependencies {
-        let entry = &mut self.jobs[ix.at()];
+    fn dependencies_mut(&mut self, index: JobIndex) -> &mut Dependencies {
+        let entry = &mut self.jobs[index.at()];
         entry.dependencies.get_or_insert_with(|| Box::new(Dependencies::new(entry.at_ms, entry.spec.as_deref())))
     }
 
     /// Links a job seen for the first time to its prerequisites, and to the
     /// jobs that named it before it was seen.
-    pub(super) fn link(&mut self, ix: JobIx, prereqs: Vec<String>) {
-        let needs_cancelled = self.is_pending(ix) && self.link_prereqs(ix, prereqs);
-        self.link_waiting_dependents(ix);
+    pub(super) fn link(&mut self, index: JobIndex, prereqs: Vec<String>) {
+        let needs_cancelled = self.is_pending(index) && self.link_prereqs(index, prereqs);
+        self.link_waiting_dependents(index);
         if needs_cancelled {
-            let entry = &mut self.jobs[ix.at()];
-            entry.status = Status::Cancelled;
+            let entry = &mut self.jobs[index.at()];
+            entry.status = JobStatus::Cancelled;
             entry.record = None;
-        } else if self.get(ix).dependencies.is_some() && self.is_pending(ix) {
-            self.propagate_urgency(ix);
+        } else if self.get(index).dependencies.is_some() && self.is_pending(index) {
+            self.propagate_urgency(index);
         }
     }
 
     /// Returns true if one of the prerequisites is cancelled.
-    fn link_prereqs(&mut self, ix: JobIx, mut prereqs: Vec<String>) -> bool {
+    fn link_prereqs(&mut self, index: JobIndex, mut prereqs: Vec<String>) -> bool {
         prereqs.sort_unstable();
         prereqs.dedup();
         let mut needs_cancelled = false;
         for id in prereqs {
             let Some(prereq) = self.find(&id) else {
-                self.dependencies_mut(ix).unfinished += 1;
-                self.unseen_prereqs.entry(Rc::from(id)).or_default().push(ix);
+                self.dependencies_mut(index).unfinished += 1;
+                self.unseen_prereqs.entry(Rc::from(id)).or_default().push(index);
                 continue;
             };
             match self.get(prereq).status {
-                Status::Done => {
+                JobStatus::Done => {
                     let end_ms = self.get(prereq).at_ms;
-                    let dependencies = self.dependencies_mut(ix);
+                    let dependencies = self.dependencies_mut(index);
                     dependencies.ready_ms = dependencies.ready_ms.max(end_ms);
                 }
-                Status::Cancelled => needs_cancelled = true,
-                Status::Pending if prereq == ix => {}
-                Status::Pending => {
-                    let dependencies = self.dependencies_mut(ix);
+                JobStatus::Cancelled => needs_cancelled = true,
+                JobStatus::Pending if prereq == index => {}
+                JobStatus::Pending => {
+                    let dependencies = self.dependencies_mut(index);
                     dependencies.unfinished += 1;
                     dependencies.prereqs.push(prereq);
-                    self.dependencies_mut(prereq).dependents.push(ix);
+                    self.dependencies_mut(prereq).dependents.push(index);
                 }
             }
         }
         needs_cancelled
     }
 
-    fn link_waiting_dependents(&mut self, ix: JobIx) {
-        let id = self.get(ix).id.clone();
+    fn link_waiting_dependents(&mut self, index: JobIndex) {
+        let id = self.get(index).id.clone();
         for dependent in self.unseen_prereqs.remove(&id).unwrap_or_default() {
-            if !self.is_pending(dependent) || dependent == ix {
+            if !self.is_pending(dependent) || dependent == index {
                 continue;
             }
-            self.dependencies_mut(ix).dependents.push(dependent);
-            self.dependencies_mut(dependent).prereqs.push(ix);
-            if self.is_pending(ix) {
+            self.dependencies_mut(index).dependents.push(dependent);
+            self.dependencies_mut(dependent).prereqs.push(index);
+            if self.is_pending(index) {
                 self.propagate_urgency(dependent);
             }
         }
@@ -170,11 +170,11 @@
 
     /// Raises the urgency of a job's prerequisites to its own, less its run
     /// time, and so on up; a job is visited again only when it was raised.
-    fn propagate_urgency(&mut self, from: JobIx) {
+    fn propagate_urgency(&mut self, from: JobIndex) {
         let mut queue = VecDeque::from([from]);
-        while let Some(ix) = queue.pop_front() {
-            let run_ms = self.get(ix).spec.as_ref().map_or(0.0, |s| s.estimate_s * 1000.0);
-            let dependencies = self.dependencies_mut(ix);
+        while let Some(index) = queue.pop_front() {
+            let run_ms = self.get(index).spec.as_ref().map_or(0.0, |s| s.estimate_s * 1000.0);
+            let dependencies = self.dependencies_mut(index);
             dependencies.is_queued = false;
             let asked = dependencies.urgency.before(run_ms);
             let mut prereqs = std::mem::take(&mut dependencies.prereqs);
@@ -189,14 +189,14 @@
                 }
                 self.note_changed(prereq);
             }
-            self.dependencies_mut(ix).prereqs = prereqs;
+            self.dependencies_mut(index).prereqs = prereqs;
         }
     }
 
     /// A job's end is recorded: dependents that waited for it alone may start.
-    pub(super) fn release_dependents(&mut self, ix: JobIx) {
-        let end_ms = self.get(ix).at_ms;
-        let Some(ended) = self.jobs[ix.at()].dependencies.take() else { return };
+    pub(super) fn release_dependents(&mut self, index: JobIndex) {
+        let end_ms = self.get(index).at_ms;
+        let Some(ended) = self.jobs[index.at()].dependencies.take() else { return };
         for dependent in ended.dependents {
             if !self.is_pending(dependent) {
                 continue;
@@ -213,16 +213,16 @@
     /// Guard: the record of the job that its user cancelled is the only one
     /// written; that all its dependents are cancelled is derived here, whatever
     /// their own records say.
-    pub(super) fn cancel_dependents(&mut self, ix: JobIx) {
-        let mut stack = vec![ix];
+    pub(super) fn cancel_dependents(&mut self, index: JobIndex) {
+        let mut stack = vec![index];
         while let Some(cancelled) = stack.pop() {
             let Some(dependencies) = self.jobs[cancelled.at()].dependencies.take() else { continue };
             for dependent in dependencies.dependents {
                 let entry = &mut self.jobs[dependent.at()];
-                if entry.status != Status::Pending {
+                if entry.status != JobStatus::Pending {
                     continue;
                 }
-                entry.status = Status::Cancelled;
+                entry.status = JobStatus::Cancelled;
                 entry.record = None;
                 entry.running = 0;
                 self.note_changed(dependent);
--- a/src/bookkeeping/job_cache/mod.rs
+++ b/src/storage/job_cache/mod.rs
@@ -11,7 +11,7 @@
 use ciborium::Value;
 
 use self::dependencies::Dependencies;
-use super::records::{job_key, to_value, JobRecord, Status, JOBS};
+use super::records::{job_key, to_value, JobRecord, JobStatus, JOBS};
 use crate::protocol::{
     jobs::{JobSpec, Kind},
     names::Tables,
@@ -20,9 +20,9 @@
 
 /// Dense index of a job in this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct JobIx(pub u32);
+pub struct JobIndex(pub u32);
 
-impl JobIx {
+impl JobIndex {
     /// The index as a position in a list.
     pub fn at(self) -> usize {
         self.0 as usize
@@ -35,9 +35,9 @@
     /// The id that its user chose.
     pub id: Rc<str>,
     /// Status, derived cancellations included.
-    pub status: Status,
+    pub status: JobStatus,
     /// Revision of its record.
-    pub stamp: u64,
+    pub revision: u64,
     /// Time of day at acceptance; once it is done, at its end, if that is known.
     pub at_ms: u64,
     /// Tasks per chunk record.
@@ -61,8 +61,8 @@
     fn new(id: Rc<str>, record: &JobRecord) -> JobEntry {
         JobEntry {
             id,
-            status: Status::Pending,
-            stamp: 0,
+            status: JobStatus::Pending,
+            revision: 0,
             at_ms: record.at_ms,
             chunk: record.chunk.max(1),
             tasks: record.submission.tasks.unwrap_or(1.0) as u32,
@@ -80,13 +80,13 @@
 #[derive(Debug, Default)]
 pub struct JobCache {
     jobs: Vec<JobEntry>,
-    index: HashMap<Rc<str>, JobIx>,
+    index: HashMap<Rc<str>, JobIndex>,
     epoch: u64,
     loaded: bool,
     /// Jobs whose record changed since they were last taken.
-    changed: Vec<JobIx>,
+    changed: Vec<JobIndex>,
     /// Prerequisites whose record was not seen yet, and the jobs that name them.
-    unseen_prereqs: HashMap<Rc<str>, Vec<JobIx>>,
+    unseen_prereqs: HashMap<Rc<str>, Vec<JobIndex>>,
 }
 
 impl JobCache {
@@ -101,13 +101,13 @@
     }
 
     /// Looks a job up by its id.
-    pub fn find(&self, id: &str) -> Option<JobIx> {
+    pub fn find(&self, id: &str) -> Option<JobIndex> {
         self.index.get(id).copied()
     }
 
     /// The entry of a known job.
-    pub fn get(&self, ix: JobIx) -> &JobEntry {
-        &self.jobs[ix.at()]
+    pub fn get(&self, index: JobIndex) -> &JobEntry {
+        &self.jobs[index.at()]
     }
 
     /// Number of known jobs.
@@ -121,39 +121,39 @@
     }
 
     /// All known jobs.
-    pub fn all(&self) -> impl Iterator<Item = JobIx> {
-        (0..self.jobs.len() as u32).map(JobIx)
+    pub fn all(&self) -> impl Iterator<Item = JobIndex> {
+        (0..self.jobs.len() as u32).map(JobIndex)
     }
 
     /// Jobs that changed since the last call, each once.
-    pub fn take_changed(&mut self) -> Vec<JobIx> {
+    pub fn take_changed(&mut self) -> Vec<JobIndex> {
         let changed = std::mem::take(&mut self.changed);
-        for ix in &changed {
-            self.jobs[ix.at()].is_listed_as_changed = false;
+        for index in &changed {
+            self.jobs[index.at()].is_listed_as_changed = false;
         }
         changed
     }
 
     /// Whether the job is a service, as far as its specification is known.
-    pub fn is_service(&self, ix: JobIx) -> bool {
-        self.get(ix).spec.as_ref().is_some_and(|s| s.kind == Kind::Service)
+    pub fn is_service(&self, index: JobIndex) -> bool {
+        self.get(index).spec.as_ref().is_some_and(|s| s.kind == Kind::Service)
     }
 
-    fn is_pending(&self, ix: JobIx) -> bool {
-        self.get(ix).status == Status::Pending
+    fn is_pending(&self, index: JobIndex) -> bool {
+        self.get(index).status == JobStatus::Pending
     }
 
-    fn note_changed(&mut self, ix: JobIx) {
-        let entry = &mut self.jobs[ix.at()];
+    fn note_changed(&mut self, index: JobIndex) {
+        let entry = &mut self.jobs[index.at()];
         if !std::mem::replace(&mut entry.is_listed_as_changed, true) {
-            self.changed.push(ix);
+            self.changed.push(index);
         }
     }
 
     /// Takes the leader's task counts, for display.
     pub fn show(&mut self, id: &str, done: u32, running: u32) {
-        if let Some(ix) = self.find(id) {
-            let entry = &mut self.jobs[ix.at()];
+        if let Some(index) = self.find(id) {
+            let entry = &mut self.jobs[index.at()];
             entry.done = done.min(entry.tasks);
             entry.running = running.min(entry.tasks);
         }
@@ -167,7 +167,7 @@
             self.epoch = page.epoch;
         }
         for pair in &page.pairs {
-            self.put(&pair.key, &pair.v, pair.stamp, tables);
+            self.put(&pair.key, &pair.v, pair.revision, tables);
         }
         if !page.truncated {
             self.loaded = true;
@@ -178,7 +178,7 @@
     pub fn apply(&mut self, changes: &Changes, tables: &mut Tables) {
         for change in &changes.events {
             if let (Some(key), Some(v)) = (&change.write, &change.v) {
-                self.put(key, v, change.stamp, tables);
+                self.put(key, v, change.revision, tables);
             }
         }
         // Two reads may be in flight; the older answer must not lower the revision.
@@ -187,11 +187,11 @@
 
     /// Another controller told a user that a job is cancelled: its record has
     /// this revision, whether it was read here yet or not.
-    pub fn cancelled_elsewhere(&mut self, id: &str, stamp: u64, tables: &mut Tables) {
-        let Some(entry) = self.find(id).map(|ix| &self.jobs[ix.at()]) else { return };
-        let Some(record) = entry.record.clone().filter(|_| entry.status == Status::Pending) else { return };
-        let record = JobRecord { status: Status::Cancelled, ..(*record).clone() };
-        self.put(&job_key(id), &to_value(&record), stamp, tables);
+    pub fn cancelled_elsewhere(&mut self, id: &str, revision: u64, tables: &mut Tables) {
+        let Some(entry) = self.find(id).map(|index| &self.jobs[index.at()]) else { return };
+        let Some(record) = entry.record.clone().filter(|_| entry.status == JobStatus::Pending) else { return };
+        let record = JobRecord { status: JobStatus::Cancelled, ..(*record).clone() };
+        self.put(&job_key(id), &to_value(&record), revision, tables);
     }
 
     /// The changes asked for are no longer kept: everything must be read again.
@@ -200,10 +200,10 @@
     }
 
     /// Takes one record; keys that are no job's and older revisions are ignored.
-    pub fn put(&mut self, key: &str, v: &Value, stamp: u64, tables: &mut Tables) -> Option<JobIx> {
+    pub fn put(&mut self, key: &str, v: &Value, revision: u64, tables: &mut Tables) -> Option<JobIndex> {
         let id = key.strip_prefix(JOBS)?;
         let known = self.find(id);
-        if known.is_some_and(|ix| self.get(ix).stamp >= stamp) {
+        if known.is_some_and(|index| self.get(index).revision >= revision) {
             return known;
         }
         let record: JobRecord = match v.deserialized() {
@@ -213,59 +213,59 @@
                 return None;
             }
         };
-        let ix = known.unwrap_or_else(|| self.insert(id, &record));
-        let was_pending = self.is_pending(ix);
+        let index = known.unwrap_or_else(|| self.insert(id, &record));
+        let was_pending = self.is_pending(index);
         let prereqs = if known.is_none() { record.submission.prereqs().to_vec() } else { Vec::new() };
-        self.update(ix, record, stamp, tables);
-        self.note_changed(ix);
+        self.update(index, record, revision, tables);
+        self.note_changed(index);
         if known.is_none() {
-            self.link(ix, prereqs);
+            self.link(index, prereqs);
         }
         if was_pending {
-            match self.get(ix).status {
-                Status::Pending => {}
-                Status::Cancelled => self.cancel_dependents(ix),
-                Status::Done => self.release_dependents(ix),
+            match self.get(index).status {
+                JobStatus::Pending => {}
+                JobStatus::Cancelled => self.cancel_dependents(index),
+                JobStatus::Done => self.release_dependents(index),
             }
         }
-        Some(ix)
+        Some(index)
     }
 
-    fn insert(&mut self, id: &str, record: &JobRecord) -> JobIx {
-        let ix = JobIx(self.jobs.len() as u32);
+    fn insert(&mut self, id: &str, record: &JobRecord) -> JobIndex {
+        let index = JobIndex(self.jobs.len() as u32);
         let id: Rc<str> = Rc::from(id);
-        self.index.insert(id.clone(), ix);
+        self.index.insert(id.clone(), index);
         self.jobs.push(JobEntry::new(id, record));
-        ix
+        index
     }
 
-    fn update(&mut self, ix: JobIx, record: JobRecord, stamp: u64, tables: &mut Tables) {
-        let entry = &mut self.jobs[ix.at()];
+    fn update(&mut self, index: JobIndex, record: JobRecord, revision: u64, tables: &mut Tables) {
+        let entry = &mut self.jobs[index.at()];
         // Guard: done and cancelled are final, so no later record turns them
         // back; nor does a pending record of a job that needs a cancelled one.
-        if entry.status == Status::Pending {
+        if entry.status == JobStatus::Pending {
             entry.status = record.status;
         }
-        entry.stamp = stamp;
+        entry.revision = revision;
         // A leader may have resharded its tasks.
         entry.chunk = record.chunk.max(1);
-        if entry.status != Status::Done && entry.spec.is_none() {
+        if entry.status != JobStatus::Done && entry.spec.is_none() {
             match record.submission.check(tables, true) {
                 Ok(spec) => entry.spec = Some(Rc::new(spec)),
-                Err(why) if entry.status == Status::Pending => {
+                Err(why) if entry.status == JobStatus::Pending => {
                     tracing::error!(job = &*entry.id, %why, "an accepted job's record is not valid");
                 }
                 Err(_) => {}
             }
         }
         match entry.status {
-            Status::Pending => entry.record = Some(Rc::new(record)),
+            JobStatus::Pending => entry.record = Some(Rc::new(record)),
             // The leader needs the specification while tasks are being stopped.
-            Status::Cancelled => {
+            JobStatus::Cancelled => {
                 entry.record = None;
                 entry.running = 0;
             }
-            Status::Done => {
+            JobStatus::Done => {
                 entry.spec = None;
                 entry.record = None;
                 entry.done = entry.tasks;
--- a/src/bookkeeping/barrier.rs
+++ b/src/storage/read_barrier.rs
@@ -3,7 +3,7 @@
 //! *sent* after the request arrived. One read serves all requests that were
 //! queued when it was sent.
 
-/// A request that waits for the barrier.
+/// A request that waits for the read barrier.
 #[derive(Debug)]
 struct Queued<W> {
     since: u64,
@@ -12,7 +12,7 @@
 
 /// Requests that wait for a read. Times are in ms on the steady clock.
 #[derive(Debug)]
-pub struct Barrier<W> {
+pub struct ReadBarrier<W> {
     queued_waiters: Vec<Queued<W>>,
     in_flight_waiters: Vec<Queued<W>>,
     in_flight: bool,
@@ -20,13 +20,13 @@
     not_before: u64,
 }
 
-impl<W> Default for Barrier<W> {
+impl<W> Default for ReadBarrier<W> {
     fn default() -> Self {
-        Barrier { queued_waiters: Vec::new(), in_flight_waiters: Vec::new(), in_flight: false, not_before: 0 }
+        ReadBarrier { queued_waiters: Vec::new(), in_flight_waiters: Vec::new(), in_flight: false, not_before: 0 }
     }
 }
 
-impl<W> Barrier<W> {
+impl<W> ReadBarrier<W> {
     /// Adds a request.
     pub fn join(&mut self, now: u64, waiter: W) {
         self.queued_waiters.push(Queued { since: now, waiter });
@@ -83,5 +83,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/barrier.rs"]
+#[path = "tests/read_barrier.rs"]
 mod tests;
--- a/src/bookkeeping/records.rs
+++ b/src/storage/records.rs
@@ -44,7 +44,7 @@
 
 /// Status of a job. The last two are final.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Status {
+pub enum JobStatus {
     /// Accepted, and not over. Recorded as `p`.
     #[serde(rename = "p")]
     Pending,
@@ -64,7 +64,7 @@
     pub submission: Submission,
     /// Status of the job. Recorded as `st`.
     #[serde(rename = "st")]
-    pub status: Status,
+    pub status: JobStatus,
     /// Time of day at acceptance, in ms.
     #[serde(rename = "at")]
     pub at_ms: u64,
@@ -91,7 +91,7 @@
     pub u32,
     /// Machine.
     pub String,
-    /// The worker's session.
+    /// The worker's incarnation.
     pub u64,
     /// Attempt.
     pub u64,
--- a/src/bookkeeping/tests/budget.rs
+++ b/src/storage/tests/budget.rs
@@ -23,7 +23,7 @@
     // Guard: a swarm of submissions of a team without a guarantee had those of
     // the other teams refused.
     let mut b = Budget::new(10.0, 10.0);
-    let taken = (0..20).filter(|_| b.take(0, 1.0, Urgency::UnguaranteedSubmit).is_ok()).count();
+    let taken = (0..20).filter(|_| b.take(0, 1.0, Urgency::BestEffortSubmit).is_ok()).count();
     assert_eq!(taken, 7);
     assert!((0..1).all(|_| b.take(0, 1.0, Urgency::Submit).is_ok()), "the rest is left to the others");
     let mut b = Budget::new(10.0, 10.0);
--- a/src/bookkeeping/tests/job_cache.rs
+++ b/src/storage/tests/job_cache.rs
@@ -1,22 +1,22 @@
 use super::*;
 use crate::protocol::{cbor, jobs::Submission, store::Change};
 
-fn record(status: Status) -> Value {
+fn record(status: JobStatus) -> Value {
     let bytes = cbor::encode(&crate::protocol::jobs::tests::sample());
     let submission: Submission = cbor::decode(&bytes).unwrap();
     to_value(&JobRecord { submission, status, at_ms: 5, chunk: 64 })
 }
 
-fn change(status: Status, stamp: u64) -> Changes {
-    let c = Change { write: Some(job_key("j-000412")), drop: None, v: Some(record(status)), stamp };
-    Changes { epoch: stamp, events: vec![c] }
+fn change(status: JobStatus, revision: u64) -> Changes {
+    let c = Change { write: Some(job_key("j-000412")), drop: None, v: Some(record(status)), revision };
+    Changes { epoch: revision, events: vec![c] }
 }
 
 #[test]
 fn never_back_whatever_the_order() {
-    use Status::*;
-    // Changes as they arrive, with stamps, and the status after each.
-    let cases: [&[(Status, u64, Status)]; 4] = [
+    use JobStatus::*;
+    // Changes as they arrive, with revisions, and the status after each.
+    let cases: [&[(JobStatus, u64, JobStatus)]; 4] = [
         &[(Pending, 1, Pending), (Cancelled, 4, Cancelled)],
         &[(Pending, 1, Pending), (Done, 4, Done), (Pending, 1, Done)],
         &[(Done, 4, Done), (Pending, 1, Done), (Pending, 9, Done)],
@@ -26,11 +26,11 @@
         let mut m = JobCache::default();
         let mut t = Tables::default();
         let mut top = 0;
-        for (status, stamp, want) in *case {
-            m.apply(&change(*status, *stamp), &mut t);
-            top = top.max(*stamp);
-            let ix = m.find("j-000412").expect("known");
-            assert_eq!(m.get(ix).status, *want, "case {n}");
+        for (status, revision, want) in *case {
+            m.apply(&change(*status, *revision), &mut t);
+            top = top.max(*revision);
+            let index = m.find("j-000412").expect("known");
+            assert_eq!(m.get(index).status, *want, "case {n}");
             assert_eq!(m.epoch(), top, "case {n}");
         }
     }
@@ -40,8 +40,8 @@
 /// the record it speaks of turns anything back, in whatever order they come.
 #[test]
 fn a_peers_word_of_a_cancellation() {
-    use Status::*;
-    // (record known before, told stamp, record read after, status at the end)
+    use JobStatus::*;
+    // (record known before, told revision, record read after, status at the end)
     let cases = [
         (Some((Pending, 3)), 7, None, Some(Cancelled)),
         (Some((Pending, 3)), 7, Some((Cancelled, 7)), Some(Cancelled)),
@@ -52,9 +52,9 @@
     ];
     for (n, (before, told_stamp, after, want)) in cases.into_iter().enumerate() {
         let (mut m, mut t) = (JobCache::default(), Tables::default());
-        let read = |m: &mut JobCache, t: &mut Tables, r: Option<(Status, u64)>| {
-            if let Some((status, stamp)) = r {
-                m.apply(&change(status, stamp), t);
+        let read = |m: &mut JobCache, t: &mut Tables, r: Option<(JobStatus, u64)>| {
+            if let Some((status, revision)) = r {
+                m.apply(&change(status, revision), t);
             }
         };
         read(&mut m, &mut t, before);
@@ -63,7 +63,7 @@
         let first = matches!(before, Some((Pending, _)));
         assert_eq!(m.take_changed().len(), usize::from(first), "case {n}: the leader is told once");
         read(&mut m, &mut t, after);
-        assert_eq!(m.find("j-000412").map(|ix| m.get(ix).status), want, "case {n}");
+        assert_eq!(m.find("j-000412").map(|index| m.get(index).status), want, "case {n}");
     }
 }
 
--- a/src/bookkeeping/tests/barrier.rs
+++ b/src/storage/tests/read_barrier.rs
@@ -1,8 +1,8 @@
-use super::Barrier;
+use super::ReadBarrier;
 
 #[test]
 fn a_read_serves_only_those_who_came_before_it() {
-    let mut b = Barrier::default();
+    let mut b = ReadBarrier::default();
     b.join(0, "a");
     assert!(b.due(0));
     b.sent(0, 50);
--- a/src/bookkeeping/tests/versions.rs
+++ b/src/storage/tests/versions.rs
@@ -2,8 +2,8 @@
 
 use super::{Evidence, VersionRecord, VERSION};
 use crate::{
-    bookkeeping::records::to_value,
     protocol::store::{Page, Pair},
+    storage::records::to_value,
 };
 
 #[test]
@@ -29,7 +29,7 @@
     for (i, (pages, want)) in cases.into_iter().enumerate() {
         let mut e = Evidence::new(["a", "b"].into_iter());
         for keys in pages {
-            let pair = |(k, v): (&str, Value)| Pair { key: k.into(), v, stamp: 3, permit: None };
+            let pair = |(k, v): (&str, Value)| Pair { key: k.into(), v, revision: 3, permit: None };
             e.saw(&Page { pairs: keys.into_iter().map(pair).collect(), truncated: false, epoch: 9 });
         }
         assert_eq!(e.is_complete(), want, "case {i}");
--- a/src/transport/net/server.rs
+++ b/src/transport/net/server.rs
@@ -167,12 +167,12 @@
         }
     }
 
-    /// Answers a worker's report.
+    /// Answers a worker's heartbeat.
     ///
     /// Guard: there may be more workers than sockets. While sockets are scarce,
     /// the worker is also told to close the connection, which admits another;
-    /// it connects again for its next report.
-    pub fn respond_report(&mut self, conn: ConnId, status: u16, body: &[u8]) {
+    /// it connects again for its next heartbeat.
+    pub fn respond_heartbeat(&mut self, conn: ConnId, status: u16, body: &[u8]) {
         if self.connections.len() > self.limits.crowded() {
             if let Some(Connection { role: Role::Served { close, .. }, .. }) = self.connections.get_mut(&conn) {
                 *close = true;
--- a/src/transport/tests/net.rs
+++ b/src/transport/tests/net.rs
@@ -32,7 +32,7 @@
                     if req.path == "/now" {
                         self.net.respond(conn, 200, None, b"");
                     } else if req.path == "/report" {
-                        self.net.respond_report(conn, 200, b"");
+                        self.net.respond_heartbeat(conn, 200, b"");
                     }
                 }
             }
--- a/tests/combined_failures/cancellations.rs
+++ b/tests/combined_failures/cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancellations during other failures: each is in force in time, or is refused.
 
-use shedhook::{bookkeeping::records::Status, protocol::workers::TaskState};
+use shedhook::{protocol::workers::TaskState, storage::records::JobStatus};
 
 use crate::simulation::{submission, Simulation, CANCEL, LEASE};
 
@@ -46,7 +46,7 @@
     sim.run(LEASE * 2);
 }
 
-/// Guard: "done" is written only on the job's own stamp, so that it never
+/// Guard: "done" is written only on the job's own revision, so that it never
 /// replaces a cancellation; and a job that is done can't be cancelled. The
 /// cancellation falls into each of the moments around the end of the last task.
 pub fn cancelled_at_the_very_end(sim: &mut Simulation) {
@@ -61,7 +61,7 @@
         sim.run(n % 15 * 100);
         let was = sim.status(&id);
         if sim.cancel(&id) {
-            assert_eq!(was, Status::Pending);
+            assert_eq!(was, JobStatus::Pending);
             cancelled += 1;
         } else {
             done += 1;
@@ -74,7 +74,7 @@
     sim.run(20_000);
     for n in 0..30 {
         let f = &sim.jobs[&format!("j-{n}")];
-        let want = if f.cancelled_at.is_some() { Status::Cancelled } else { Status::Done };
+        let want = if f.cancelled_at.is_some() { JobStatus::Cancelled } else { JobStatus::Done };
         assert_eq!(sim.status(&format!("j-{n}")), want);
     }
 }
--- a/tests/combined_failures/reports.rs
+++ b/tests/combined_failures/heartbeats.rs
@@ -1,8 +1,8 @@
-//! Old reports that come after newer ones, or to another leader.
+//! Old heartbeats that come after newer ones, or to another leader.
 
 use shedhook::{
-    bookkeeping::records::Status,
     protocol::workers::{ExitReason, TaskState},
+    storage::records::JobStatus,
 };
 
 use crate::{
@@ -10,9 +10,9 @@
     simulation::{submission, Simulation, LEASE},
 };
 
-/// Guard: reports are ordered by session and number, and one of a session that
+/// Guard: reports are ordered by incarnation and number, and one of a incarnation that
 /// is over frees nothing and brings nothing back. Copies from before the
-/// launch, from an earlier attempt and from an earlier session come in the
+/// launch, from an earlier attempt and from an earlier incarnation come in the
 /// wrong order, to the leader that knows better and to one that doesn't.
 pub fn old_reports_after_newer_ones(sim: &mut Simulation) {
     sim.run(4_000);
@@ -30,10 +30,10 @@
     deliver_reports_later(sim, &old, 0);
     for _ in 0..10 {
         sim.run(100);
-        let ix = sim.job_cache.find("j-1").unwrap();
-        assert_eq!(sim.leader.as_ref().unwrap().job(ix).unwrap().placed, 0, "an older report was believed");
+        let index = sim.job_cache.find("j-1").unwrap();
+        assert_eq!(sim.leader.as_ref().unwrap().job(index).unwrap().placed, 0, "an older report was believed");
     }
-    sim.run_until("the urgent one is done", 30_000, |sim| sim.status("j-2") == Status::Done);
+    sim.run_until("the urgent one is done", 30_000, |sim| sim.status("j-2") == JobStatus::Done);
     old.extend(sim.latest_reports());
     sim.run_until("runs again", 20_000, |sim| sim.all_running("j-1", 4));
     let now = sim.now;
@@ -54,7 +54,7 @@
     assert_eq!((sim.assignments("j-1", 4), sim.starts), (there, starts), "the next leader believed them");
 }
 
-/// Guard: a session whose lease was counted out is never listened to again. A
+/// Guard: a incarnation whose lease was counted out is never listened to again. A
 /// report is held back until the new leader has counted out its sender and
 /// started its tasks elsewhere; it brings none of them back.
 pub fn a_report_is_held_back_until_a_new_leader_has_acted(sim: &mut Simulation) {
@@ -69,8 +69,8 @@
     // Nobody is free: what the copies list waits, and must not be believed there.
     deliver_reports_later(sim, &late, 0);
     sim.run(300);
-    let ix = sim.job_cache.find("j-1").unwrap();
-    assert_eq!(sim.leader.as_ref().unwrap().job(ix).unwrap().placed, 0, "a dead session was believed");
+    let index = sim.job_cache.find("j-1").unwrap();
+    assert_eq!(sim.leader.as_ref().unwrap().job(index).unwrap().placed, 0, "a dead session was believed");
     sim.add_worker("a");
     sim.run_until("runs elsewhere", 8_000, |sim| sim.all_running("j-1", 3));
     deliver_reports_later(sim, &late, 0);
@@ -82,7 +82,7 @@
 }
 
 /// Guard: what a copy says is an end of its own attempt, and a new leader
-/// settles nothing by a report that doesn't show its token. Old copies list a stopped attempt as ended while a new one of the same task
+/// settles nothing by a heartbeat that doesn't show its token. Old copies list a stopped attempt as ended while a new one of the same task
 /// runs on the same machine.
 pub fn an_end_of_an_earlier_attempt(sim: &mut Simulation) {
     sim.workers.iter_mut().skip(1).for_each(|x| x.dead = true);
--- a/tests/combined_failures/helpers.rs
+++ b/tests/combined_failures/helpers.rs
@@ -1,13 +1,13 @@
-//! Submissions and reports that several cases share.
+//! Submissions and heartbeats that several cases share.
 
-use shedhook::protocol::{jobs::Submission, workers::Report};
+use shedhook::protocol::{jobs::Submission, workers::Heartbeat};
 
 use crate::simulation::{submission, Held, Simulation};
 
-/// Delivers copies of reports to whoever leads then.
-pub fn deliver_reports_later(sim: &mut Simulation, reports: &[Report], delay_ms: u64) {
+/// Delivers copies of heartbeats to whoever leads then.
+pub fn deliver_reports_later(sim: &mut Simulation, heartbeats: &[Heartbeat], delay_ms: u64) {
     let at = sim.now + delay_ms;
-    sim.delayed.extend(reports.iter().map(|r| (at, Held::Report(r.clone()))));
+    sim.delayed.extend(heartbeats.iter().map(|r| (at, Held::Heartbeat(r.clone()))));
 }
 
 /// A submission of low priority.
--- a/tests/combined_failures/leader_changes.rs
+++ b/tests/combined_failures/leader_changes.rs
@@ -1,6 +1,6 @@
 //! Leaders that change while something else fails.
 
-use shedhook::coordination::model::Ms;
+use shedhook::coordination::model::Millis;
 
 use crate::simulation::{submission, FaultRates, Held, Simulation, LEASE, REPORT};
 
@@ -58,7 +58,7 @@
 }
 
 /// Guard: a place that the leader before wrote counts as launched, whether it
-/// was or not; only an end, a session or the lease frees it. The second leader
+/// was or not; only an end, a incarnation or the lease frees it. The second leader
 /// ends within a fraction of a second, all are away, and one returns.
 pub fn handed_over_and_back_and_all_end(sim: &mut Simulation) {
     sim.fetch = 0;
@@ -137,11 +137,11 @@
     assert!(sim.all_running("j-3", 2));
 }
 
-/// Guard: delayed copies of old reports, and a worker or two that still get
+/// Guard: delayed copies of old heartbeats, and a worker or two that still get
 /// through, kept a leader in office that all others could not reach, until
 /// their leases had run out.
 pub fn a_leader_that_hardly_any_worker_reaches(sim: &mut Simulation) {
-    const UNREACHED: Ms = 8_000;
+    const UNREACHED: Millis = 8_000;
     for zone in ["a", "b", "a", "b", "a", "b", "a", "b"] {
         sim.add_worker(zone);
     }
@@ -158,7 +158,7 @@
     sim.workers[..cut_workers].iter_mut().for_each(|worker| worker.partitioned = true);
     for _ in 0..6 {
         sim.run(2_000);
-        let arrive_now = copies.iter().map(|copy| (sim.now, Held::Report(copy.clone())));
+        let arrive_now = copies.iter().map(|copy| (sim.now, Held::Heartbeat(copy.clone())));
         sim.delayed.extend(arrive_now);
     }
     assert!(is_unreached(sim), "copies of old reports count as workers that were heard");
--- a/tests/combined_failures/main.rs
+++ b/tests/combined_failures/main.rs
@@ -3,19 +3,19 @@
 //! nothing that was accepted may be left waiting.
 
 mod cancellations;
+mod heartbeats;
 mod helpers;
 mod leader_changes;
 mod partitions;
 mod random_faults;
-mod reports;
 #[path = "../simulation/mod.rs"]
 mod simulation;
 mod slow_links;
 
 use cancellations::*;
+use heartbeats::*;
 use leader_changes::*;
 use partitions::*;
-use reports::*;
 use simulation::{Case, Simulation};
 use slow_links::*;
 
--- a/tests/combined_failures/partitions.rs
+++ b/tests/combined_failures/partitions.rs
@@ -106,7 +106,7 @@
     sim.run(LEASE);
 }
 
-/// Guard: a new session ends all places of the one before, also those that
+/// Guard: a new incarnation ends all places of the one before, also those that
 /// only the records tell of. All controllers are away for longer than a lease;
 /// one machine hangs over it all, one restarts meanwhile.
 pub fn all_controllers_are_away_for_longer_than_a_lease(sim: &mut Simulation) {
--- a/tests/combined_failures/slow_links.rs
+++ b/tests/combined_failures/slow_links.rs
@@ -72,7 +72,7 @@
     sim.run(LEASE);
 }
 
-/// Guard: every transaction is conditional on the stamps of the records it
+/// Guard: every transaction is conditional on the revisions of the records it
 /// replaces, so that one carried out late can't turn newer ones back.
 pub fn transactions_carried_out_late(sim: &mut Simulation) {
     sim.faults = FaultRates { late_txn: 50, slow_command: 20, ..FaultRates::default() };
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -6,11 +6,6 @@
 
 use ciborium::Value;
 use shedhook::{
-    bookkeeping::{
-        job_cache::JobCache,
-        records::{to_value, AssignmentRecord, ChunkRecord, JobRecord, LeaderRecord, Status},
-        versions::{version_key, Evidence, VersionRecord, VERSION, VERSIONS},
-    },
     protocol::{
         cbor,
         jobs::Submission,
@@ -18,6 +13,11 @@
         peers::{self, Cancelled, Count, Echo, Frame, Gossip, Notice},
         store::{Page, Pair},
     },
+    storage::{
+        job_cache::JobCache,
+        records::{to_value, AssignmentRecord, ChunkRecord, JobRecord, JobStatus, LeaderRecord},
+        versions::{version_key, Evidence, VersionRecord, VERSION, VERSIONS},
+    },
 };
 
 type Lines = BTreeMap<String, Vec<u8>>;
@@ -79,12 +79,16 @@
     assert_eq!((&*frame.from, frame.count, frame.echoes.len(), frame.counts.len()), ("n-2", 41, 2, 1));
     // Production's end of a job says no time, its cancellation keeps all.
     for (name, want) in
-        [("job/pending", Status::Pending), ("job/cancelled", Status::Cancelled), ("job/done", Status::Done)]
+        [("job/pending", JobStatus::Pending), ("job/cancelled", JobStatus::Cancelled), ("job/done", JobStatus::Done)]
     {
         let mut m = JobCache::default();
         let v: Value = cbor::decode(&lines[name]).unwrap();
-        let ix = m.put("j/j-000412", &v, 7, &mut Tables::default()).unwrap();
-        assert_eq!((m.get(ix).status, m.get(ix).tasks, m.get(ix).chunk, m.waits(ix)), (want, 16, 128, false), "{name}");
+        let index = m.put("j/j-000412", &v, 7, &mut Tables::default()).unwrap();
+        assert_eq!(
+            (m.get(index).status, m.get(index).tasks, m.get(index).chunk, m.waits(index)),
+            (want, 16, 128, false),
+            "{name}"
+        );
     }
 }
 
@@ -108,7 +112,7 @@
         nonce: u64::MAX >> 1,
         count: 7,
         state_age_ms: 3,
-        rejected_reports: 0,
+        rejected_heartbeats: 0,
         leading: false,
         reads_used: 0.5,
         writes_used: 0.25,
@@ -121,11 +125,11 @@
     let mut marked = frame.clone();
     marked.echoes.push(Gossip::reads_mark());
     vec![
-        ("job/pending", job(submission(), Status::Pending, 1_780_000_000_000, 28)),
-        ("job/cancelled", job(submission(), Status::Cancelled, 1_780_000_000_000, 28)),
+        ("job/pending", job(submission(), JobStatus::Pending, 1_780_000_000_000, 28)),
+        ("job/cancelled", job(submission(), JobStatus::Cancelled, 1_780_000_000_000, 28)),
         // With the time of the end, for those that wait for it.
-        ("job/done", job(ended, Status::Done, 1_780_000_123_456, 28)),
-        ("job/waiting", job(waiting, Status::Pending, 1_780_000_000_000, 28)),
+        ("job/done", job(ended, JobStatus::Done, 1_780_000_123_456, 28)),
+        ("job/waiting", job(waiting, JobStatus::Pending, 1_780_000_000_000, 28)),
         ("chunk/000001", bytes_of(&chunk)),
         ("leader/n-4", bytes_of(&LeaderRecord { label: "n-4".into(), nonce: 9 })),
         ("frame/plain", peers::encode(&Frame::Gossip(frame.clone()))),
@@ -163,7 +167,7 @@
 // ---- ddfa46b ---------------------------------------------------------------
 
 fn page_of(key: &str, bytes: &[u8]) -> Page {
-    let pair = Pair { key: key.to_owned(), v: cbor::decode(bytes).unwrap(), stamp: 7, permit: None };
+    let pair = Pair { key: key.to_owned(), v: cbor::decode(bytes).unwrap(), revision: 7, permit: None };
     Page { pairs: vec![pair], truncated: false, epoch: 7 }
 }
 
@@ -180,12 +184,12 @@
     sub.fold_prereqs();
     assert_eq!(sub.prereqs(), ["j-000398", "j-000405"]);
     let waiting: JobRecord = record(&lines["job/waiting"]);
-    assert_eq!((&waiting.submission, waiting.status, waiting.chunk), (&sub, Status::Pending, 128));
+    assert_eq!((&waiting.submission, waiting.status, waiting.chunk), (&sub, JobStatus::Pending, 128));
     let without: JobRecord = record(&lines["job/pending"]);
     assert_eq!(without.submission, Submission { prereqs: None, ..sub });
     // The time of a done record is that of the end.
     let done: JobRecord = record(&lines["job/done"]);
-    assert_eq!((done.status, done.at_ms), (Status::Done, 1_780_000_123_456));
+    assert_eq!((done.status, done.at_ms), (JobStatus::Done, 1_780_000_123_456));
     let chunk: ChunkRecord = record(&lines["chunk/000000"]);
     let last = AssignmentRecord(5, "i-001007".into(), 12, 434_896_896_002, "brescia".into());
     assert_eq!((chunk.done.as_str(), chunk.assignments.last()), ("93", Some(&last)));
@@ -195,18 +199,18 @@
 fn ddfa46b_job_records_stand_for_the_same_jobs() {
     let lines = read("ddfa46b.txt");
     let forms = [
-        ("job/pending", Status::Pending, false),
-        ("job/waiting", Status::Pending, true),
-        ("job/waiting-cancelled", Status::Cancelled, false),
-        ("job/cancelled", Status::Cancelled, false),
-        ("job/done", Status::Done, false),
+        ("job/pending", JobStatus::Pending, false),
+        ("job/waiting", JobStatus::Pending, true),
+        ("job/waiting-cancelled", JobStatus::Cancelled, false),
+        ("job/cancelled", JobStatus::Cancelled, false),
+        ("job/done", JobStatus::Done, false),
     ];
     for (name, status, waits) in forms {
         let mut cache = JobCache::default();
         let v: Value = cbor::decode(&lines[name]).unwrap();
-        let ix = cache.put("j/j-000731", &v, 7, &mut Tables::default()).unwrap();
-        let job = cache.get(ix);
-        assert_eq!((job.status, job.tasks, job.chunk, cache.waits(ix)), (status, 6, 128, waits), "{name}");
+        let index = cache.put("j/j-000731", &v, 7, &mut Tables::default()).unwrap();
+        let job = cache.get(index);
+        assert_eq!((job.status, job.tasks, job.chunk, cache.waits(index)), (status, 6, 128, waits), "{name}");
     }
 }
 
@@ -219,7 +223,7 @@
         assert!(frame.reads_notices(), "{name} shows that its sender reads notices");
     }
     let Ok(Frame::Notice(notice)) = peers::decode(&lines["frame/notice"]) else { panic!("no notice") };
-    let cancelled = |job: &str, stamp| Cancelled { job: job.into(), stamp };
+    let cancelled = |job: &str, revision| Cancelled { job: job.into(), revision };
     let all = vec![cancelled("j-000398", 412), cancelled("j-000731", 1 << 32)];
     assert_eq!(notice, Notice { from: "n-2".into(), cancelled: all });
     // Its key is evidence that it takes prerequisites.
@@ -233,8 +237,9 @@
 /// Every form that this version writes where `ddfa46b` meets it.
 fn ours_beside_ddfa46b() -> Vec<(&'static str, Vec<u8>)> {
     let waiting = Submission { prereqs: Some(vec!["j-000398".into(), "j-000405".into()]), ..submission() };
-    let cancelled = JobRecord { submission: waiting, status: Status::Cancelled, at_ms: 1_780_000_000_000, chunk: 28 };
-    let notice = Notice { from: "n-4".into(), cancelled: vec![Cancelled { job: "j-000412".into(), stamp: 431 }] };
+    let cancelled =
+        JobRecord { submission: waiting, status: JobStatus::Cancelled, at_ms: 1_780_000_000_000, chunk: 28 };
+    let notice = Notice { from: "n-4".into(), cancelled: vec![Cancelled { job: "j-000412".into(), revision: 431 }] };
     let mut all = ours();
     all.extend([
         ("job/waiting-cancelled", bytes_of(&cancelled)),
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,8 +4,8 @@
 mod simulation;
 
 use shedhook::{
-    bookkeeping::records::{chunk_size, job_key, JobRecord, Status},
     protocol::jobs::Submission,
+    storage::records::{chunk_size, job_key, JobRecord, JobStatus},
 };
 use simulation::{submission, Case, FaultRates, Simulation};
 
@@ -32,7 +32,7 @@
 }
 
 fn done(ids: &'static [&'static str]) -> impl Fn(&Simulation) -> bool {
-    move |sim| ids.iter().all(|id| sim.status(id) == Status::Done)
+    move |sim| ids.iter().all(|id| sim.status(id) == JobStatus::Done)
 }
 
 /// Guard: a full record of before is too large for ever. What runs goes on,
@@ -84,7 +84,7 @@
     sim.submit(small("j-2", "batch", 6), 5_000);
     sim.run_until("others go on", 60_000, done(&["j-2"]));
     sim.run(60_000);
-    assert!(sim.status("j-1") == Status::Pending && chunk_of(sim, "j-1") == 64);
+    assert!(sim.status("j-1") == JobStatus::Pending && chunk_of(sim, "j-1") == 64);
     assert!(sim.too_large < 5, "{} refused", sim.too_large);
     sim.may_reshard = true;
     sim.run_until("done", 60_000, done(&["j-1"]));
@@ -206,8 +206,8 @@
         }
         sim.workers.iter_mut().skip(4).for_each(|x| x.dead = x.tasks.is_empty());
         sim.faults = FaultRates::default();
-        sim.run_until("divided", 60_000, |sim| chunk_of(sim, id) == sim.chunk_fit || sim.status(id) == Status::Done);
-        sim.run_until("done", 120_000, |sim| sim.status(id) == Status::Done);
+        sim.run_until("divided", 60_000, |sim| chunk_of(sim, id) == sim.chunk_fit || sim.status(id) == JobStatus::Done);
+        sim.run_until("done", 120_000, |sim| sim.status(id) == JobStatus::Done);
     }
     sim.run(45_000);
 }
@@ -255,7 +255,7 @@
     sim.faults = FaultRates::default();
     sim.die_after_txn = false;
     sim.elect();
-    sim.run_until("all over", 600_000, |sim| names.iter().all(|id| sim.status(id) != Status::Pending));
+    sim.run_until("all over", 600_000, |sim| names.iter().all(|id| sim.status(id) != JobStatus::Pending));
     sim.run(60_000);
 }
 
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -13,7 +13,7 @@
 use ciborium::Value;
 use loopback_cluster::{
     cluster::Cluster,
-    controllers::{Node, Shared},
+    controllers::{Controller, Shared},
     http::call,
     users::{ids, is_ready, job, job_after, status, status_word, with},
     wait_for, wait_up_to,
@@ -22,7 +22,7 @@
 use shedhook::protocol::{
     cbor as body,
     store::{Condition, Op, Txn},
-    workers::{Report, TaskReport, TaskState},
+    workers::{Heartbeat, TaskState, TaskStatus},
 };
 
 const SHARED: Shared = Shared { lease_s: 30, cancel_s: 50, next: None };
@@ -74,7 +74,7 @@
     let key = "j/j-100002";
     let confirmed = {
         let mut s = c.store.lock().unwrap();
-        let (record, stamp, _) = s.keys[key].clone();
+        let (record, revision, _) = s.keys[key].clone();
         let mut v = record;
         for (k, x) in v.as_map_mut().unwrap() {
             if k.as_text() == Some("st") {
@@ -82,7 +82,7 @@
             }
         }
         let txn = Txn {
-            conditions: vec![Condition { key: key.into(), stamp }],
+            conditions: vec![Condition { key: key.into(), revision }],
             writes: vec![Op::Put { key: key.into(), v, permit: None }],
         };
         assert_eq!(s.txn(txn).0, 200);
@@ -91,18 +91,28 @@
     let bound = Duration::from_secs(u64::from(CANCEL_S - LEASE_S));
     thread::sleep(bound);
     let last = renewed();
-    let report = |tasks: Vec<TaskReport>, machine: &str| {
+    let heartbeat = |tasks: Vec<TaskStatus>, machine: &str| {
         let w = c.worker.lock().unwrap();
         let (addr, token) = (w.addr.to_string(), w.token);
         let (machine, machine_type, zone) = (machine.to_owned(), "m".into(), "a".into());
-        let r =
-            Report { machine, addr, machine_type, zone, spot: false, session: 1, seq: 1, token, notice_s: None, tasks };
+        let r = Heartbeat {
+            machine,
+            addr,
+            machine_type,
+            zone,
+            spot: false,
+            incarnation: 1,
+            sequence: 1,
+            token,
+            notice_s: None,
+            tasks,
+        };
         body::encode(&r)
     };
     let asks = |bytes: &[u8]| call(c.nodes[leader].client, "POST", "/checkin", bytes).map(|a| a.0);
-    let runs = TaskReport { task: "j-100002/0".into(), attempt: 1, state: TaskState::Running, why: None, saved: None };
-    assert_eq!(asks(&report(vec![runs], "i-000002")), Some(503), "it may hold what is cancelled");
-    assert_eq!(asks(&report(vec![], "i-000003")), Some(200), "nothing runs there, and it still leads");
+    let runs = TaskStatus { task: "j-100002/0".into(), attempt: 1, state: TaskState::Running, why: None, saved: None };
+    assert_eq!(asks(&heartbeat(vec![runs], "i-000002")), Some(503), "it may hold what is cancelled");
+    assert_eq!(asks(&heartbeat(vec![], "i-000003")), Some(200), "nothing runs there, and it still leads");
     thread::sleep(Duration::from_secs(2));
     assert_eq!(renewed(), last, "renewed {:?} after the confirmation", renewed() - confirmed);
     assert!(last < confirmed + bound, "renewed {:?} after the confirmation", last - confirmed);
@@ -171,10 +181,10 @@
     assert_eq!(call(first, "POST", "/api/jobs", &job("j-100001", "service", 2)).map(|a| a.0), Some(201));
     wait_for("running", || (status(first, "j-100001")? == "running").then_some(()));
     let leader = wait_for("a leader", || {
-        let report = worker_state.lock().unwrap().report();
+        let heartbeat = worker_state.lock().unwrap().heartbeat();
         nodes
             .iter()
-            .position(|n| call(n.client, "POST", "/checkin", &body::encode(&report)).is_some_and(|a| a.0 == 200))
+            .position(|n| call(n.client, "POST", "/checkin", &body::encode(&heartbeat)).is_some_and(|a| a.0 == 200))
     });
     nodes[leader].kill();
     let other = nodes[(leader + 1) % 3].client;
@@ -204,8 +214,9 @@
 
     // The leader keeps its workers, but has neither the state service nor peers:
     // it acts for nobody, says so at once, and sends workers to nobody.
-    let report = |worker: &Arc<Mutex<Worker>>| body::encode(&worker.lock().unwrap().report());
-    let leads = |n: &Node| call(n.client, "POST", "/checkin", &report(&worker_state)).is_some_and(|a| a.0 == 200);
+    let heartbeat = |worker: &Arc<Mutex<Worker>>| body::encode(&worker.lock().unwrap().heartbeat());
+    let leads =
+        |n: &Controller| call(n.client, "POST", "/checkin", &heartbeat(&worker_state)).is_some_and(|a| a.0 == 200);
     let leader = wait_for("a leader again", || nodes.iter().position(leads));
     shut[leader].shut.store(true, Ordering::Relaxed);
     for n in (0..3).filter(|n| *n != leader) {
@@ -216,7 +227,7 @@
     wait_for("it no longer leads", || (!leads(&nodes[leader])).then_some(()));
     assert!(since.elapsed() < Duration::from_secs(5), "led on for {:?}", since.elapsed());
     wait_for("not ready", || (call(alone, "GET", "/ready", &[])?.0 == 503).then_some(()));
-    let (code, bytes) = call(alone, "POST", "/checkin", &report(&worker_state)).unwrap();
+    let (code, bytes) = call(alone, "POST", "/checkin", &heartbeat(&worker_state)).unwrap();
     let leader_hint: Value = body::decode(&bytes).unwrap_or(Value::Null);
     assert_eq!((code, leader_hint.as_map().map_or(0, Vec::len)), (421, 0), "names somebody: {leader_hint:?}");
     let unknown = [("GET", "/api/jobs/j-000777", 503), ("GET", "/api/jobs/j-000001", 200)];
--- a/tests/loopback_cluster/cluster.rs
+++ b/tests/loopback_cluster/cluster.rs
@@ -14,7 +14,7 @@
 
 use super::{
     cloud::cloud,
-    controllers::{controllers, this_version, Addresses, Node, Shared},
+    controllers::{controllers, this_version, Addresses, Controller, Shared},
     http::call,
     state_service::{state_service, AccessGate, Store},
     users::is_ready,
@@ -29,7 +29,7 @@
     /// Of each controller.
     pub gates: Vec<Arc<AccessGate>>,
     pub worker: Arc<Mutex<Worker>>,
-    pub nodes: Vec<Node>,
+    pub nodes: Vec<Controller>,
     /// Where the worker reports to.
     reports_to: Arc<Mutex<Vec<SocketAddr>>>,
     addresses: Vec<Addresses>,
@@ -90,8 +90,8 @@
     /// Whoever answers the worker's reports.
     pub fn leader(&self) -> usize {
         wait_for("a leader", || {
-            let report = body::encode(&self.worker.lock().unwrap().report());
-            self.nodes.iter().position(|n| call(n.client, "POST", "/checkin", &report).is_some_and(|a| a.0 == 200))
+            let heartbeat = body::encode(&self.worker.lock().unwrap().heartbeat());
+            self.nodes.iter().position(|n| call(n.client, "POST", "/checkin", &heartbeat).is_some_and(|a| a.0 == 200))
         })
     }
 
--- a/tests/loopback_cluster/controllers.rs
+++ b/tests/loopback_cluster/controllers.rs
@@ -29,13 +29,13 @@
 }
 
 /// One controller, which may be down; killed when dropped.
-pub struct Node {
+pub struct Controller {
     pub client: SocketAddr,
     pub file: PathBuf,
     pub child: Option<Child>,
 }
 
-impl Node {
+impl Controller {
     pub fn start(&mut self) {
         self.start_as(this_version());
     }
@@ -59,7 +59,7 @@
     }
 }
 
-impl Drop for Node {
+impl Drop for Controller {
     fn drop(&mut self) {
         self.kill();
     }
@@ -112,12 +112,12 @@
 }
 
 /// Controllers with their settings, not started yet.
-pub fn controllers(dir: &Path, all: &[Addresses], cloud: SocketAddr, shared: &Shared) -> Vec<Node> {
+pub fn controllers(dir: &Path, all: &[Addresses], cloud: SocketAddr, shared: &Shared) -> Vec<Controller> {
     fs::create_dir_all(dir).unwrap();
-    let node = |n: usize| {
+    let controller = |n: usize| {
         let file = dir.join(format!("n-{n}.toml"));
         fs::write(&file, settings(n, all, cloud, shared)).unwrap();
-        Node { client: all[n].client, file, child: None }
+        Controller { client: all[n].client, file, child: None }
     };
-    (0..all.len()).map(node).collect()
+    (0..all.len()).map(controller).collect()
 }
--- a/tests/loopback_cluster/http.rs
+++ b/tests/loopback_cluster/http.rs
@@ -11,10 +11,10 @@
 use shedhook::transport::http::{parse_reply, parse_request, write_reply, write_request, Parsed};
 
 /// Status and body of a response.
-pub type Answer = (u16, Vec<u8>);
+pub type HeartbeatOutcome = (u16, Vec<u8>);
 
 /// Serves until the test process ends; one thread a connection.
-pub fn serve(handler: impl Fn(&str, &str, &[u8]) -> Answer + Send + Sync + 'static) -> SocketAddr {
+pub fn serve(handler: impl Fn(&str, &str, &[u8]) -> HeartbeatOutcome + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let handler = Arc::new(handler);
@@ -27,7 +27,7 @@
     addr
 }
 
-fn talk(mut stream: TcpStream, handler: &dyn Fn(&str, &str, &[u8]) -> Answer) {
+fn talk(mut stream: TcpStream, handler: &dyn Fn(&str, &str, &[u8]) -> HeartbeatOutcome) {
     let mut buf = Vec::new();
     let mut part = [0; 8192];
     loop {
@@ -51,7 +51,7 @@
 }
 
 /// One request on a connection of its own. None: no response.
-pub fn call(to: SocketAddr, method: &str, path: &str, bytes: &[u8]) -> Option<Answer> {
+pub fn call(to: SocketAddr, method: &str, path: &str, bytes: &[u8]) -> Option<HeartbeatOutcome> {
     let mut s = TcpStream::connect_timeout(&to, Duration::from_millis(500)).ok()?;
     s.set_read_timeout(Some(Duration::from_secs(3))).ok()?;
     let mut out = Vec::new();
--- a/tests/loopback_cluster/state_service.rs
+++ b/tests/loopback_cluster/state_service.rs
@@ -18,7 +18,7 @@
 };
 
 use super::{
-    http::{serve, Answer},
+    http::{serve, HeartbeatOutcome},
     json_size::json_size,
 };
 
@@ -36,7 +36,7 @@
 /// What the controllers' settings say, see [`super::controllers`].
 pub const LIMITS: Limits = Limits { value_kb: 16, txn_ops: 24 };
 
-/// Keys with their values, stamps and permits, and all changes since the start.
+/// Keys with their values, revisions and permits, and all changes since the start.
 pub struct Store {
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     pub epoch: u64,
@@ -81,7 +81,7 @@
         for key in keys {
             self.epoch += 1;
             self.keys.remove(&key);
-            self.write_log(Change { write: None, drop: Some(key), v: None, stamp: self.epoch });
+            self.write_log(Change { write: None, drop: Some(key), v: None, revision: self.epoch });
         }
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// Applies a transaction whole or not at all.
-    pub fn txn(&mut self, txn: Txn) -> Answer {
+    pub fn txn(&mut self, txn: Txn) -> HeartbeatOutcome {
         if self.is_too_large(&txn) {
             self.too_large += 1;
             return (400, body::encode(&cbor!({"error" => "too large"}).unwrap()));
@@ -106,28 +106,28 @@
         if txn.writes.iter().any(lost) {
             return (400, body::encode(&cbor!({"error" => "no such lease"}).unwrap()));
         }
-        let stamp_of = |key: &str| self.keys.get(key).map_or(0, |k| k.1);
+        let expected_revision = |key: &str| self.keys.get(key).map_or(0, |k| k.1);
         let failed: Vec<String> =
-            txn.conditions.iter().filter(|c| stamp_of(&c.key) != c.stamp).map(|c| c.key.clone()).collect();
+            txn.conditions.iter().filter(|c| expected_revision(&c.key) != c.revision).map(|c| c.key.clone()).collect();
         if !failed.is_empty() {
             return (409, body::encode(&cbor!({"failed" => failed, "epoch" => self.epoch}).unwrap()));
         }
         self.epoch += 1;
-        let stamp = self.epoch;
+        let revision = self.epoch;
         for op in txn.writes {
             let change = match op {
                 Op::Put { key, v, permit } => {
-                    self.keys.insert(key.clone(), (v.clone(), stamp, permit));
-                    Change { write: Some(key), drop: None, v: Some(v), stamp }
+                    self.keys.insert(key.clone(), (v.clone(), revision, permit));
+                    Change { write: Some(key), drop: None, v: Some(v), revision }
                 }
                 Op::Delete { key } => {
                     self.keys.remove(&key);
-                    Change { write: None, drop: Some(key), v: None, stamp }
+                    Change { write: None, drop: Some(key), v: None, revision }
                 }
             };
             self.write_log(change);
         }
-        (200, body::encode(&cbor!({"epoch" => stamp}).unwrap()))
+        (200, body::encode(&cbor!({"epoch" => revision}).unwrap()))
     }
 }
 
@@ -182,7 +182,7 @@
 }
 
 /// Renews or ends a grant. `rest`: the path after `/grants/`.
-fn grant(s: &mut Store, method: &str, rest: &str) -> Answer {
+fn grant(s: &mut Store, method: &str, rest: &str) -> HeartbeatOutcome {
     let id: u64 = rest.split('/').next().unwrap().parse().unwrap();
     if method == "DELETE" {
         s.end(id);
@@ -197,17 +197,17 @@
     }
 }
 
-fn page(s: &Store, prefix: &str, from: &str) -> Answer {
+fn page(s: &Store, prefix: &str, from: &str) -> HeartbeatOutcome {
     let pairs: Vec<Pair> = s
         .keys
         .iter()
         .filter(|(k, _)| k.starts_with(prefix) && k.as_str() > from)
-        .map(|(k, v)| Pair { key: k.clone(), v: v.0.clone(), stamp: v.1, permit: v.2 })
+        .map(|(k, v)| Pair { key: k.clone(), v: v.0.clone(), revision: v.1, permit: v.2 })
         .collect();
     (200, body::encode(&Page { pairs, truncated: false, epoch: s.epoch }))
 }
 
-fn watch(store: &Mutex<Store>, gate: &AccessGate, path: &str, prefix: &str) -> Answer {
+fn watch(store: &Mutex<Store>, gate: &AccessGate, path: &str, prefix: &str) -> HeartbeatOutcome {
     let from: u64 = query(path, "from").unwrap().parse().unwrap();
     let wait: u64 = query(path, "waitMs").map_or(0, |w| w.parse().unwrap());
     let until = Instant::now() + Duration::from_millis(wait);
@@ -216,7 +216,7 @@
         let mut s = store.lock().unwrap();
         s.expire();
         let changes = s.log.iter().map(|entry| &entry.change);
-        let events: Vec<Change> = changes.filter(|c| c.stamp > from).filter(touches).cloned().collect();
+        let events: Vec<Change> = changes.filter(|c| c.revision > from).filter(touches).cloned().collect();
         // In an outage open watches stay open.
         let blind = prefix == "j/" && gate.blind.load(Ordering::Relaxed);
         let held = blind || gate.shut.load(Ordering::Relaxed);
--- a/tests/loopback_cluster/upgrade.rs
+++ b/tests/loopback_cluster/upgrade.rs
@@ -13,7 +13,7 @@
     answer_watch::AnswerWatch,
     cluster::Cluster,
     controllers::{this_version, Shared},
-    http::Answer,
+    http::HeartbeatOutcome,
     users::{abort, ids, is_ready, job, status, status_word, submit, with},
     versions::production,
     wait_for, wait_up_to,
@@ -167,8 +167,10 @@
     /// Every controller that is up says so of all that is cancelled.
     pub fn check_cancelled(&self) {
         for id in self.accepted.iter().filter(|(_, a)| a.cancelled.is_some()).map(|(id, _)| id) {
-            for (n, node) in self.cluster.nodes.iter().enumerate().filter(|(_, node)| node.child.is_some()) {
-                let word = status(node.client, id);
+            for (n, controller) in
+                self.cluster.nodes.iter().enumerate().filter(|(_, controller)| controller.child.is_some())
+            {
+                let word = status(controller.client, id);
                 assert_eq!(word.as_deref(), Some("cancelled"), "{id} at {n}, {:?}", self.versions[n]);
             }
         }
@@ -193,7 +195,7 @@
 }
 
 /// Code and status of an answer.
-pub fn answer_of(a: Option<Answer>) -> (u16, Option<String>) {
+pub fn answer_of(a: Option<HeartbeatOutcome>) -> (u16, Option<String>) {
     let (code, bytes) = a.expect("no answer");
     (code, status_word(&bytes))
 }
--- a/tests/loopback_cluster/users.rs
+++ b/tests/loopback_cluster/users.rs
@@ -5,7 +5,7 @@
 use ciborium::{cbor, Value};
 use shedhook::protocol::cbor as body;
 
-use super::http::{call, Answer};
+use super::http::{call, HeartbeatOutcome};
 
 /// The body of a submission.
 pub fn job(id: &str, kind: &str, tasks: u32) -> Vec<u8> {
@@ -36,15 +36,15 @@
     Value::Array(l.iter().map(|s| Value::Text((*s).into())).collect())
 }
 
-pub fn submit(to: SocketAddr, bytes: &[u8]) -> Option<Answer> {
+pub fn submit(to: SocketAddr, bytes: &[u8]) -> Option<HeartbeatOutcome> {
     call(to, "POST", "/api/jobs", bytes)
 }
 
-pub fn abort(to: SocketAddr, id: &str) -> Option<Answer> {
+pub fn abort(to: SocketAddr, id: &str) -> Option<HeartbeatOutcome> {
     call(to, "POST", &format!("/api/jobs/{id}/abort"), &[])
 }
 
-pub fn poll(to: SocketAddr, id: &str) -> Option<Answer> {
+pub fn poll(to: SocketAddr, id: &str) -> Option<HeartbeatOutcome> {
     call(to, "GET", &format!("/api/jobs/{id}"), &[])
 }
 
--- a/tests/loopback_cluster/worker.rs
+++ b/tests/loopback_cluster/worker.rs
@@ -14,7 +14,7 @@
 
 use shedhook::protocol::{
     cbor as body,
-    workers::{DirectCommandRequest, ExitReason, Order, Report, ReportAnswer, TaskReport, TaskState},
+    workers::{DirectCommandRequest, ExitReason, Heartbeat, HeartbeatResponse, TaskState, TaskStatus, WorkerCommand},
 };
 
 use super::http::{call, serve};
@@ -50,10 +50,10 @@
 /// State of the one machine.
 pub struct Worker {
     pub addr: SocketAddr,
-    seq: u64,
+    sequence: u64,
     pub token: u64,
-    pub tasks: Vec<(TaskReport, Instant)>,
-    /// When a report that was answered 200 was last sent.
+    pub tasks: Vec<(TaskStatus, Instant)>,
+    /// When a heartbeat that was answered 200 was last sent.
     pub renewed: Option<Instant>,
     /// Jobs whose tasks the test lets end.
     finishing: BTreeSet<String>,
@@ -64,7 +64,7 @@
     fn new() -> Worker {
         Worker {
             addr: "127.0.0.1:1".parse().unwrap(),
-            seq: 0,
+            sequence: 0,
             token: 0,
             tasks: vec![],
             renewed: None,
@@ -83,9 +83,9 @@
         self.tasks.iter().filter(|(t, _)| t.task.starts_with(job) && t.state == TaskState::Running).count()
     }
 
-    /// The next report, with what has ended by now.
-    pub fn report(&mut self) -> Report {
-        self.seq += 1;
+    /// The next heartbeat, with what has ended by now.
+    pub fn heartbeat(&mut self) -> Heartbeat {
+        self.sequence += 1;
         for (t, since) in &mut self.tasks {
             let job = t.task.split('/').next().unwrap();
             let short = job.starts_with(SHORT_JOBS) || self.finishing.contains(job);
@@ -93,14 +93,14 @@
                 end(t, ExitReason::Done, &mut self.events);
             }
         }
-        Report {
+        Heartbeat {
             machine: "i-000001".into(),
             addr: self.addr.to_string(),
             machine_type: "m".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
-            seq: self.seq,
+            incarnation: 1,
+            sequence: self.sequence,
             token: self.token,
             notice_s: None,
             tasks: self.tasks.iter().map(|t| t.0.clone()).collect(),
@@ -113,30 +113,30 @@
         }
         let at = Instant::now();
         let state = TaskState::Running;
-        self.tasks.push((TaskReport { task: task.to_owned(), attempt, state, why: None, saved: None }, at));
+        self.tasks.push((TaskStatus { task: task.to_owned(), attempt, state, why: None, saved: None }, at));
         self.events.push(TaskEvent { task: task.to_owned(), attempt, change: TaskChange::Started, at });
     }
 
-    fn obey(&mut self, token: u64, orders: &[Order]) {
+    fn obey(&mut self, token: u64, commands: &[WorkerCommand]) {
         self.token = token;
-        for o in orders {
-            let same = |t: &TaskReport, task: &str, attempt: u64| t.task == task && t.attempt == attempt;
+        for o in commands {
+            let same = |t: &TaskStatus, task: &str, attempt: u64| t.task == task && t.attempt == attempt;
             match o {
-                Order::Launch { task, attempt } => self.launch(task, *attempt),
-                Order::Halt { task, attempt, .. } => {
+                WorkerCommand::Launch { task, attempt } => self.launch(task, *attempt),
+                WorkerCommand::Halt { task, attempt, .. } => {
                     for (t, _) in &mut self.tasks {
                         if same(t, task, *attempt) && t.state == TaskState::Running {
                             end(t, ExitReason::Stopped, &mut self.events);
                         }
                     }
                 }
-                Order::Reap { task, attempt } => self.tasks.retain(|(t, _)| !same(t, task, *attempt)),
+                WorkerCommand::Reap { task, attempt } => self.tasks.retain(|(t, _)| !same(t, task, *attempt)),
             }
         }
     }
 }
 
-fn end(t: &mut TaskReport, why: ExitReason, events: &mut Vec<TaskEvent>) {
+fn end(t: &mut TaskStatus, why: ExitReason, events: &mut Vec<TaskEvent>) {
     t.state = TaskState::Exited;
     t.why = Some(why);
     let change = TaskChange::Ended(why);
@@ -151,12 +151,12 @@
         let mut w = shared.lock().unwrap();
         if path == "/do" {
             let req: DirectCommandRequest = body::decode(bytes).unwrap();
-            if req.token < w.token || req.session != 1 {
-                return (409, body::encode(&w.report()));
+            if req.token < w.token || req.incarnation != 1 {
+                return (409, body::encode(&w.heartbeat()));
             }
-            w.obey(req.token, &req.orders);
+            w.obey(req.token, &req.commands);
         }
-        (200, body::encode(&w.report()))
+        (200, body::encode(&w.heartbeat()))
     });
     state.lock().unwrap().addr = addr;
     let shared = state.clone();
@@ -172,15 +172,15 @@
         if controllers.is_empty() {
             continue;
         }
-        let report = worker.lock().unwrap().report();
+        let heartbeat = worker.lock().unwrap().heartbeat();
         let sent = Instant::now();
-        match call(controllers[at % controllers.len()], "POST", "/checkin", &body::encode(&report)) {
+        match call(controllers[at % controllers.len()], "POST", "/checkin", &body::encode(&heartbeat)) {
             Some((200, bytes)) => {
-                let a: ReportAnswer = body::decode(&bytes).unwrap();
+                let a: HeartbeatResponse = body::decode(&bytes).unwrap();
                 let mut w = worker.lock().unwrap();
                 if a.token >= w.token {
                     w.renewed = Some(sent);
-                    w.obey(a.token, &a.orders);
+                    w.obey(a.token, &a.commands);
                 }
             }
             _ => at += 1,
--- a/tests/pipelines/cancellations.rs
+++ b/tests/pipelines/cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancellations of prerequisites: all dependents are cancelled, whoever learns of it and when.
 
-use shedhook::bookkeeping::records::Status;
+use shedhook::storage::records::JobStatus;
 
 use crate::{
     helpers::{after, has_begun, lose_transaction_answers_for_a_second, run_until_the_prerequisite_ended},
@@ -34,7 +34,7 @@
                 }
                 sim.run(100_000);
                 for (n, name) in names.iter().enumerate() {
-                    let want = if won && n >= step { Status::Cancelled } else { Status::Done };
+                    let want = if won && n >= step { JobStatus::Cancelled } else { JobStatus::Done };
                     assert_eq!(sim.status_told_to_users(name), Some(want), "{what}: {name}");
                     assert!(n <= step || !won || !has_begun(&sim, name), "{what}: {name} began");
                 }
@@ -53,10 +53,10 @@
     sim.changes_unread = true;
     assert!(sim.cancel("j-1"));
     sim.run(15_000);
-    assert!(sim.status("j-1") == Status::Cancelled && !has_begun(sim, "j-2"));
+    assert!(sim.status("j-1") == JobStatus::Cancelled && !has_begun(sim, "j-2"));
     sim.changes_unread = false;
     sim.run(30_000);
-    assert_eq!(sim.status_told_to_users("j-2"), Some(Status::Cancelled));
+    assert_eq!(sim.status_told_to_users("j-2"), Some(JobStatus::Cancelled));
 }
 
 /// Guard: the write of the end is under way when the job is cancelled.
@@ -65,7 +65,7 @@
     lose_transaction_answers_for_a_second(sim);
     let won = sim.cancel("j-1");
     sim.run(60_000);
-    assert_eq!(sim.status_told_to_users("j-2"), Some(if won { Status::Cancelled } else { Status::Done }));
+    assert_eq!(sim.status_told_to_users("j-2"), Some(if won { JobStatus::Cancelled } else { JobStatus::Done }));
 }
 
 pub fn cancelled_while_the_state_service_is_away(sim: &mut Simulation) {
@@ -79,7 +79,7 @@
     sim.run(20_000);
     sim.txns_left = None;
     sim.run(60_000);
-    assert_eq!(sim.status_told_to_users("j-4"), Some(Status::Cancelled));
+    assert_eq!(sim.status_told_to_users("j-4"), Some(JobStatus::Cancelled));
 }
 
 /// It is accepted all the same, and never starts.
@@ -93,7 +93,7 @@
     sim.submit(after("j-4", "batch", 1, &["j-5", "j-2"]), 1_000);
     sim.run(30_000);
     for id in ["j-2", "j-3", "j-4"] {
-        assert!(sim.status_told_to_users(id) == Some(Status::Cancelled) && !has_begun(sim, id), "{id}");
-        assert_eq!(sim.status(id), Status::Pending, "{id}: the first one's record is the fact");
+        assert!(sim.status_told_to_users(id) == Some(JobStatus::Cancelled) && !has_begun(sim, id), "{id}");
+        assert_eq!(sim.status(id), JobStatus::Pending, "{id}: the first one's record is the fact");
     }
 }
--- a/tests/pipelines/helpers.rs
+++ b/tests/pipelines/helpers.rs
@@ -1,6 +1,6 @@
 //! Dependent submissions, and what several cases ask of the simulation.
 
-use shedhook::{bookkeeping::records::Status, protocol::jobs::Submission};
+use shedhook::{protocol::jobs::Submission, storage::records::JobStatus};
 
 use crate::simulation::{submission, FaultRates, Simulation};
 
@@ -11,7 +11,7 @@
 }
 
 pub fn is_done(id: &'static str) -> impl Fn(&Simulation) -> bool {
-    move |sim| sim.status(id) == Status::Done
+    move |sim| sim.status(id) == JobStatus::Done
 }
 
 /// Whether a task of this job ever ended or is on a worker.
--- a/tests/pipelines/job_cache.rs
+++ b/tests/pipelines/job_cache.rs
@@ -4,32 +4,32 @@
 
 use ciborium::Value;
 use shedhook::{
-    bookkeeping::{
-        job_cache::JobCache,
-        records::{job_key, to_value, JobRecord, Status},
-    },
     protocol::{
         jobs::{Priority, Submission},
         names::Tables,
         store::{Change, Changes},
     },
+    storage::{
+        job_cache::JobCache,
+        records::{job_key, to_value, JobRecord, JobStatus},
+    },
 };
 
 use crate::{helpers::after, simulation::submission};
 
-fn record(s: &Submission, status: Status, at_ms: u64) -> Value {
+fn record(s: &Submission, status: JobStatus, at_ms: u64) -> Value {
     to_value(&JobRecord { submission: s.clone(), status, at_ms, chunk: 4 })
 }
 
-fn change(s: &Submission, status: Status, at_ms: u64, stamp: u64) -> Change {
+fn change(s: &Submission, status: JobStatus, at_ms: u64, revision: u64) -> Change {
     let id = s.name_id.as_deref().unwrap();
-    Change { write: Some(job_key(id)), drop: None, v: Some(record(s, status, at_ms)), stamp }
+    Change { write: Some(job_key(id)), drop: None, v: Some(record(s, status, at_ms)), revision }
 }
 
 /// Guard: whatever the order in which records are seen, the outcome is the same.
 #[test]
 fn the_order_of_records_does_not_matter() {
-    use Status::*;
+    use JobStatus::*;
     let s = |id: &str, p: &[&str]| after(id, "batch", 1, p);
     // j-1 -> j-2 -> j-4 -> j-5, j-1 -> j-3 -> j-4; j-6 -> j-7.
     let (one, six) = (s("j-1", &[]), s("j-6", &[]));
@@ -48,9 +48,9 @@
     for round in 0..500 {
         let mut m = JobCache::default();
         for c in &all {
-            m.apply(&Changes { epoch: c.stamp, events: vec![c.clone()] }, &mut Tables::default());
+            m.apply(&Changes { epoch: c.revision, events: vec![c.clone()] }, &mut Tables::default());
         }
-        let shown: Vec<Status> = (1..=7).map(|n| m.get(m.find(&format!("j-{n}")).unwrap()).status).collect();
+        let shown: Vec<JobStatus> = (1..=7).map(|n| m.get(m.find(&format!("j-{n}")).unwrap()).status).collect();
         assert_eq!(shown, [Cancelled, Cancelled, Cancelled, Cancelled, Cancelled, Done, Pending], "round {round}");
         let last = m.find("j-7").unwrap();
         assert!(!m.waits(last) && m.ready_ms(last) == 7_000, "round {round}");
@@ -68,16 +68,16 @@
     let mut m = JobCache::default();
     let mut t = Tables::default();
     let steps = [
-        (change(&one, Status::Pending, 1, 1), Status::Pending),
-        (change(&two, Status::Pending, 1, 2), Status::Pending),
-        (change(&one, Status::Cancelled, 1, 3), Status::Cancelled),
-        (change(&two, Status::Pending, 1, 4), Status::Cancelled),
-        (change(&two, Status::Done, 1, 5), Status::Cancelled),
+        (change(&one, JobStatus::Pending, 1, 1), JobStatus::Pending),
+        (change(&two, JobStatus::Pending, 1, 2), JobStatus::Pending),
+        (change(&one, JobStatus::Cancelled, 1, 3), JobStatus::Cancelled),
+        (change(&two, JobStatus::Pending, 1, 4), JobStatus::Cancelled),
+        (change(&two, JobStatus::Done, 1, 5), JobStatus::Cancelled),
     ];
     for (c, want) in steps {
-        m.apply(&Changes { epoch: c.stamp, events: vec![c.clone()] }, &mut t);
-        if let Some(ix) = m.find("j-2") {
-            assert_eq!(m.get(ix).status, want, "after {}", c.stamp);
+        m.apply(&Changes { epoch: c.revision, events: vec![c.clone()] }, &mut t);
+        if let Some(index) = m.find("j-2") {
+            assert_eq!(m.get(index).status, want, "after {}", c.revision);
         }
     }
 }
@@ -100,8 +100,8 @@
     for order in [[0, 1, 2, 3], [3, 2, 1, 0], [1, 3, 0, 2]] {
         let mut m = JobCache::default();
         for n in order {
-            let c = change(&jobs[n], Status::Pending, 1_000, n as u64 + 1);
-            m.apply(&Changes { epoch: c.stamp, events: vec![c] }, &mut t);
+            let c = change(&jobs[n], JobStatus::Pending, 1_000, n as u64 + 1);
+            m.apply(&Changes { epoch: c.revision, events: vec![c] }, &mut t);
         }
         let got: Vec<(Priority, Option<f64>, Option<f64>)> = (1..=4)
             .map(|n| m.effective_spec(m.find(&format!("j-{n}")).unwrap()).unwrap())
@@ -117,8 +117,8 @@
         assert_eq!(got, want, "{order:?}");
         // The deadline counts from the submission, however long it waited.
         for (n, end) in [(0, 31_000), (1, 41_000), (2, 36_000)] {
-            let c = change(&jobs[n], Status::Done, end, 10 + n as u64);
-            m.apply(&Changes { epoch: c.stamp, events: vec![c] }, &mut t);
+            let c = change(&jobs[n], JobStatus::Done, end, 10 + n as u64);
+            m.apply(&Changes { epoch: c.revision, events: vec![c] }, &mut t);
         }
         let last = m.find("j-4").unwrap();
         let s = m.effective_spec(last).unwrap();
@@ -141,7 +141,7 @@
     let hard = chain.clone();
     for (what, shape) in [("chain", chain), ("hard", hard), ("fan", fan), ("join", join), ("lattice", lattice)] {
         for backwards in [false, true] {
-            for end in [Status::Cancelled, Status::Done] {
+            for end in [JobStatus::Cancelled, JobStatus::Done] {
                 let last = shape.len() - 1;
                 let subs: Vec<Submission> = shape
                     .iter()
@@ -154,7 +154,7 @@
                     })
                     .collect();
                 let mut events: Vec<Change> =
-                    subs.iter().enumerate().map(|(n, s)| change(s, Status::Pending, 1, n as u64 + 1)).collect();
+                    subs.iter().enumerate().map(|(n, s)| change(s, JobStatus::Pending, 1, n as u64 + 1)).collect();
                 if backwards {
                     events.reverse();
                 }
@@ -173,12 +173,12 @@
                 // Of an unoptimized build, with room for a busy machine.
                 assert!(took < Duration::from_secs(5), "{what} took {took:?}");
                 let first = shape.iter().filter(|p| p.contains(&name(0))).count();
-                if end == Status::Done {
+                if end == JobStatus::Done {
                     assert!(changed <= 1 + first, "{what}: {changed} changed by one end");
                 } else if what != "join" && what != "lattice" {
                     assert_eq!(changed, shape.len(), "{what}");
                 }
-                assert!(end == Status::Done || m.get(m.find(&name(last)).unwrap()).status == Status::Cancelled);
+                assert!(end == JobStatus::Done || m.get(m.find(&name(last)).unwrap()).status == JobStatus::Cancelled);
             }
         }
     }
--- a/tests/pipelines/random_faults.rs
+++ b/tests/pipelines/random_faults.rs
@@ -1,6 +1,6 @@
 //! Pipelines under random faults with fixed seeds, also during a rolling upgrade.
 
-use shedhook::{bookkeeping::records::Status, protocol::jobs::Submission};
+use shedhook::{protocol::jobs::Submission, storage::records::JobStatus};
 
 use crate::{
     helpers::after,
@@ -69,7 +69,7 @@
 /// an invariant.
 fn run_until_all_are_over(sim: &mut Simulation, names: &[String], seed: u64) {
     let over =
-        |sim: &Simulation| names.iter().all(|n| sim.status_told_to_users(n).is_some_and(|s| s != Status::Pending));
+        |sim: &Simulation| names.iter().all(|n| sim.status_told_to_users(n).is_some_and(|s| s != JobStatus::Pending));
     sim.run_until(&format!("all over, seed {seed}"), 600_000, over);
     sim.run(60_000);
     sim.check(&format!("seed {seed}"));
--- a/tests/pipelines/starts.rs
+++ b/tests/pipelines/starts.rs
@@ -1,6 +1,6 @@
 //! When dependent jobs start, also where the end of a prerequisite is recorded late.
 
-use shedhook::{bookkeeping::records::Status, protocol::jobs::Submission};
+use shedhook::{protocol::jobs::Submission, storage::records::JobStatus};
 
 use crate::{
     helpers::{after, has_begun, is_done, lose_transaction_answers_for_a_second, run_until_the_prerequisite_ended},
@@ -53,7 +53,7 @@
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/1").is_some());
     sim.txns_left = Some(0);
     sim.run(30_000);
-    assert!(sim.completed.len() == 2 && sim.status("j-1") == Status::Pending && !has_begun(sim, "j-2"));
+    assert!(sim.completed.len() == 2 && sim.status("j-1") == JobStatus::Pending && !has_begun(sim, "j-2"));
     sim.txns_left = None;
     sim.run_until("done", 60_000, is_done("j-2"));
 }
@@ -72,7 +72,7 @@
     run_until_the_prerequisite_ended(sim);
     sim.die_after_txn = true;
     sim.run_until("dead", 20_000, |sim| sim.leader.is_none());
-    assert!(sim.status("j-1") == Status::Done && !has_begun(sim, "j-2"));
+    assert!(sim.status("j-1") == JobStatus::Done && !has_begun(sim, "j-2"));
     sim.run(5_000);
     sim.elect();
     sim.run_until("done", 60_000, is_done("j-2"));
--- a/tests/pipelines/urgency.rs
+++ b/tests/pipelines/urgency.rs
@@ -1,8 +1,8 @@
 //! Order, renting and preemption: what a job inherits from its dependents, and from when its wait counts.
 
 use shedhook::{
-    bookkeeping::records::{job_key, JobRecord, Status},
     protocol::jobs::{Priority, Submission},
+    storage::records::{job_key, JobRecord, JobStatus},
 };
 
 use crate::{
@@ -86,7 +86,7 @@
     sim.run_until("the low job is done", 60_000, is_done("j-2"));
 }
 
-/// Guard: much dearer machines are rented for what has waited; the wait for a
+/// Guard: much more expensive machines are rented for what has waited; the wait for a
 /// prerequisite doesn't count.
 pub fn renting_urgency_counts_from_the_last_prerequisite(sim: &mut Simulation) {
     const PATIENCE_MS: u64 = 48_000;
@@ -119,7 +119,7 @@
     sim.capacity = 1;
     sim.submit(whole_machine("j-2", "ensemble", 3, "high", &["j-1"]), 2_000);
     sim.run(45_000);
-    assert_eq!(sim.status("j-1"), Status::Pending);
+    assert_eq!(sim.status("j-1"), JobStatus::Pending);
     assert_eq!((sim.rental_requests.len(), sim.halts.len(), sim.starts), (0, 0, 4), "while it waits");
     sim.run_until("done", 60_000, is_done("j-2"));
     assert!(was_stopped(sim, "j-0"), "the same job preempts once it is ready");
--- a/tests/safety_rules/unguaranteed_teams.rs
+++ b/tests/safety_rules/best_effort_teams.rs
@@ -1,6 +1,6 @@
 //! Teams to which nothing is guaranteed: they get what the others leave.
 
-use shedhook::bookkeeping::records::Status;
+use shedhook::storage::records::JobStatus;
 
 use crate::simulation::{submission, Simulation, CHEAP_MACHINE_TYPE, MACHINE_TYPE};
 
@@ -24,9 +24,9 @@
     let mut own = submission("j-2", "batch", 24);
     own.priority = Some("low".into());
     sim.submit(own, 5_000);
-    sim.run_until("a team with a guarantee goes first", 60_000, |sim| sim.status("j-2") == Status::Done);
-    assert_eq!(sim.status("j-1"), Status::Pending);
-    sim.run_until("it is served in the end", 400_000, |sim| sim.status("j-1") == Status::Done);
+    sim.run_until("a team with a guarantee goes first", 60_000, |sim| sim.status("j-2") == JobStatus::Done);
+    assert_eq!(sim.status("j-1"), JobStatus::Pending);
+    sim.run_until("it is served in the end", 400_000, |sim| sim.status("j-1") == JobStatus::Done);
 }
 
 /// Guard: tasks of a team without a guarantee that run for minutes took all
@@ -74,6 +74,6 @@
         |sim: &Simulation| sim.workers.iter().all(|worker| worker.dead == (worker.machine_type == MACHINE_TYPE));
     sim.run_until("the expensive machines go back", 60_000, expensive_ones_went);
     assert!(sim.halts.iter().all(|halt| halt.2 >= 3.0), "its tasks can save what they did");
-    sim.run_until("it is served on cheap ones", 200_000, |sim| sim.status("j-1") == Status::Done);
+    sim.run_until("it is served on cheap ones", 200_000, |sim| sim.status("j-1") == JobStatus::Done);
     assert!(sim.workers.iter().any(|worker| worker.machine_type == CHEAP_MACHINE_TYPE));
 }
--- a/tests/safety_rules/cancellations.rs
+++ b/tests/safety_rules/cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancellations that the leader learns of late.
 
-use shedhook::bookkeeping::records::Status;
+use shedhook::storage::records::JobStatus;
 
 use crate::simulation::{submission, FaultRates, Simulation};
 
@@ -13,7 +13,7 @@
     sim.faults = FaultRates::default();
     sim.submit(submission("j-2", "batch", 1), 1_000);
     sim.run(150_000);
-    assert_eq!(sim.status("j-1"), Status::Cancelled);
+    assert_eq!(sim.status("j-1"), JobStatus::Cancelled);
 }
 
 pub fn cancelled_while_the_leader_is_away(sim: &mut Simulation) {
--- a/tests/safety_rules/failing_jobs.rs
+++ b/tests/safety_rules/failing_jobs.rs
@@ -1,6 +1,6 @@
 //! Tasks that fail: because of their job, or because of their machine.
 
-use shedhook::bookkeeping::records::Status;
+use shedhook::storage::records::JobStatus;
 
 use crate::simulation::{submission, Simulation};
 
@@ -41,7 +41,7 @@
     let mut low = submission("j-5", "batch", 20);
     low.priority = Some("low".into());
     sim.submit(low, 20_000);
-    sim.run_until("others' work goes on beside them", 45_000, |sim| sim.status("j-5") == Status::Done);
+    sim.run_until("others' work goes on beside them", 45_000, |sim| sim.status("j-5") == JobStatus::Done);
     assert!(sim.halts.iter().all(|halt| !halt.1.starts_with("j-5/")), "others were stopped for them");
     sim.run(30_000);
     let (before, jobs) = (sim.starts, failing_jobs().len());
@@ -76,7 +76,7 @@
         sim.run(4_000);
     }
     sim.run_until("the faulty machine goes back", 60_000, |sim| sim.workers[3].dead);
-    let done = |sim: &Simulation| (0..12).all(|n| sim.status(&format!("j-5{n}")) == Status::Done);
+    let done = |sim: &Simulation| (0..12).all(|n| sim.status(&format!("j-5{n}")) == JobStatus::Done);
     sim.run_until("the others are done", 60_000, done);
     assert_eq!(sim.workers.iter().filter(|worker| worker.dead).count(), 1, "healthy machines are kept");
 }
--- a/tests/safety_rules/reports.rs
+++ b/tests/safety_rules/heartbeats.rs
@@ -1,13 +1,13 @@
-//! Reports that come late, from an ended session or for a lost record.
+//! Heartbeats that come late, from an ended incarnation or for a lost record.
 
 use shedhook::{
-    bookkeeping::records::Status,
-    protocol::workers::{TaskReport, TaskState},
+    protocol::workers::{TaskState, TaskStatus},
+    storage::records::JobStatus,
 };
 
 use crate::simulation::{submission, Held, Simulation, LEASE};
 
-/// Guard: a report from before the launch, delivered to the next leader, does
+/// Guard: a heartbeat from before the launch, delivered to the next leader, does
 /// not list the task; that must not free its place.
 pub fn a_late_report_from_before_the_launch(sim: &mut Simulation) {
     sim.run(4_000);
@@ -19,7 +19,7 @@
     }
     sim.elect();
     for r in early {
-        sim.delayed.push((sim.now, Held::Report(r)));
+        sim.delayed.push((sim.now, Held::Heartbeat(r)));
     }
     let free = sim.add_worker("a");
     sim.run(LEASE - 4_000);
@@ -31,24 +31,24 @@
     sim.run(60_000);
 }
 
-/// Guard: reports are ordered by session and number; what is older than what
-/// is known, or of a session that was counted out, changes nothing.
+/// Guard: reports are ordered by incarnation and number; what is older than what
+/// is known, or of a incarnation that was counted out, changes nothing.
 pub fn old_reports_change_nothing(sim: &mut Simulation) {
     sim.submit(submission("j-0", "batch", 1), 1_000);
     let mut job = submission("j-1", "batch", 1);
     job.zone = Some("nowhere".into());
     sim.submit(job, 1_000);
     sim.run(10_000);
-    let report_of_a_task_never_placed = |sim: &mut Simulation, seq: u64| {
+    let report_of_a_task_never_placed = |sim: &mut Simulation, sequence: u64| {
         let mut r = sim.report_of(0);
-        r.seq = seq;
+        r.sequence = sequence;
         r.tasks =
-            vec![TaskReport { task: "j-1/0".into(), attempt: 1, state: TaskState::Running, why: None, saved: None }];
-        Held::Report(r)
+            vec![TaskStatus { task: "j-1/0".into(), attempt: 1, state: TaskState::Running, why: None, saved: None }];
+        Held::Heartbeat(r)
     };
     let placed = |sim: &Simulation| {
-        let ix = sim.job_cache.find("j-1").unwrap();
-        sim.leader.as_ref().unwrap().job(ix).unwrap().placed
+        let index = sim.job_cache.find("j-1").unwrap();
+        sim.leader.as_ref().unwrap().job(index).unwrap().placed
     };
     let early = report_of_a_task_never_placed(sim, 1);
     sim.delayed.push((sim.now, early));
@@ -79,7 +79,7 @@
     assert_eq!((sim.worker_running("j-1/0"), sim.worker_running("j-1/1")), (a, b));
 }
 
-/// Guard: a copy of a report of a machine that was handed back comes to a
+/// Guard: a copy of a heartbeat of a machine that was handed back comes to a
 /// leader that never heard of it: no task is placed on that machine.
 pub fn a_copy_from_a_machine_that_went_back(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 2), 500_000);
@@ -93,11 +93,11 @@
     sim.records_lost = true;
     sim.elect();
     for (n, c) in copies.into_iter().enumerate() {
-        sim.delayed.push((sim.now + 1_000 * n as u64, Held::Report(c)));
+        sim.delayed.push((sim.now + 1_000 * n as u64, Held::Heartbeat(c)));
     }
     sim.run(3_000);
     sim.submit(submission("j-2", "batch", 8), 5_000);
-    sim.run_until("elsewhere, at once", 9_000, |sim| sim.status("j-2") == Status::Done);
+    sim.run_until("elsewhere, at once", 9_000, |sim| sim.status("j-2") == JobStatus::Done);
 }
 
 /// Guard: to a new leader, an old copy is the newest report it has of a
@@ -110,7 +110,7 @@
     sim.submit(job, 0);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/2").is_some() && sim.worker_running("j-2/2").is_some());
     let copies = sim.latest_reports();
-    // What those copies show is stopped, lost with a session, or goes elsewhere.
+    // What those copies show is stopped, lost with a incarnation, or goes elsewhere.
     assert!(sim.cancel("j-1"));
     let now = sim.now;
     sim.workers[0].restart(now);
@@ -122,7 +122,7 @@
     sim.workers.iter_mut().for_each(|x| x.partitioned = true);
     sim.elect();
     for c in copies {
-        sim.delayed.push((sim.now, Held::Report(c)));
+        sim.delayed.push((sim.now, Held::Heartbeat(c)));
     }
     sim.run(2_000);
     sim.workers.iter_mut().for_each(|x| x.partitioned = false);
--- a/tests/safety_rules/large_jobs.rs
+++ b/tests/safety_rules/large_jobs.rs
@@ -1,11 +1,11 @@
 //! Large jobs: they neither stall others nor wait for ever, and messages stay under their limit.
 
 use shedhook::{
-    bookkeeping::records::Status,
     protocol::{
         cbor,
-        workers::{Order, ReportAnswer, TaskState},
+        workers::{HeartbeatResponse, TaskState, WorkerCommand},
     },
+    storage::records::JobStatus,
 };
 
 use crate::simulation::{submission, Simulation};
@@ -18,14 +18,14 @@
     let mut job = submission("j-2", "batch", 4);
     job.priority = Some("high".into());
     sim.submit(job, 2_000);
-    sim.run_until("the small one is done", 12_000, |sim| sim.status("j-2") == Status::Done);
+    sim.run_until("the small one is done", 12_000, |sim| sim.status("j-2") == JobStatus::Done);
     sim.elect();
     sim.run(10_000);
     assert!(sim.cancel("j-1"));
     sim.run(20_000);
     assert!(sim.workers.iter().all(|x| x.tasks.iter().all(|t| t.state == TaskState::Exited)));
     sim.submit(submission("j-3", "batch", 4), 2_000);
-    sim.run_until("the next is done", 12_000, |sim| sim.status("j-3") == Status::Done);
+    sim.run_until("the next is done", 12_000, |sim| sim.status("j-3") == JobStatus::Done);
 }
 
 /// Guard: small work takes every machine that is free, so that a large gang
@@ -80,16 +80,16 @@
     sim.run_until("all large ones have begun", from + 240_000 - sim.now, begun);
     assert!(sim.completed.len() > 100, "small ones run meanwhile");
     sim.run_until("the small ones are done", 400_000, |sim| {
-        (0..260).all(|n| sim.status(&format!("j-{}", 10 + n)) == Status::Done)
+        (0..260).all(|n| sim.status(&format!("j-{}", 10 + n)) == JobStatus::Done)
     });
 }
 
 /// Guard: orders for one worker may be more than an answer takes.
 pub fn answers_stay_under_their_limit(sim: &mut Simulation) {
-    let orders: Vec<Order> = (0..5_000)
-        .map(|n| Order::Halt { task: format!("j-00000000000000{n}/100000"), attempt: u64::MAX, grace_s: 10.5 })
+    let commands: Vec<WorkerCommand> = (0..5_000)
+        .map(|n| WorkerCommand::Halt { task: format!("j-00000000000000{n}/100000"), attempt: u64::MAX, grace_s: 10.5 })
         .collect();
-    let one = |n: usize| cbor::encode(&ReportAnswer { token: u64::MAX, orders: orders[..n].to_vec() }).len();
+    let one = |n: usize| cbor::encode(&HeartbeatResponse { token: u64::MAX, commands: commands[..n].to_vec() }).len();
     assert!(one(500) * 3 / 2 < 64 * 1024 && one(5_000) > 64 * 1024, "{}", one(500));
     sim.workers.iter_mut().skip(1).for_each(|x| x.dead = true);
     let mut job = submission("j-1", "batch", 1_200);
--- a/tests/safety_rules/launches.rs
+++ b/tests/safety_rules/launches.rs
@@ -1,6 +1,6 @@
 //! Launches: none without its record, and none of a command that comes late or twice.
 
-use shedhook::{bookkeeping::records::Status, protocol::workers::TaskState};
+use shedhook::{protocol::workers::TaskState, storage::records::JobStatus};
 
 use crate::simulation::{submission, FaultRates, Simulation, LEASE};
 
@@ -10,7 +10,7 @@
     sim.run(3_000);
     assert!(sim.leader.is_none() && sim.starts == 0, "nothing starts before its record is written");
     sim.elect();
-    sim.run_until("done", 60_000, |sim| sim.status("j-1") == Status::Done);
+    sim.run_until("done", 60_000, |sim| sim.status("j-1") == JobStatus::Done);
 }
 
 pub fn crash_after_the_write(sim: &mut Simulation) {
@@ -19,7 +19,7 @@
     sim.run(3_000);
     assert!(sim.leader.is_none());
     sim.elect();
-    sim.run_until("done", 60_000, |sim| sim.status("j-1") == Status::Done);
+    sim.run_until("done", 60_000, |sim| sim.status("j-1") == JobStatus::Done);
 }
 
 pub fn a_late_command_to_a_worker_that_moved_on(sim: &mut Simulation) {
@@ -66,7 +66,7 @@
 }
 
 /// Guard: nothing is launched before its record is written, neither by a
-/// command nor in the answer to a report; a gang only after all of its records.
+/// command nor in the answer to a heartbeat; a gang only after all of its records.
 pub fn nothing_starts_while_records_cannot_be_written(sim: &mut Simulation) {
     sim.run(5_000);
     sim.txns_left = Some(1);
@@ -79,7 +79,7 @@
     sim.run(10_000);
     assert!(sim.txns > 2 && sim.workers.iter().all(|x| x.tasks.is_empty()), "launched before it was written");
     sim.txns_left = None;
-    sim.run_until("done", 60_000, |sim| sim.status("j-1") == Status::Done && sim.status("j-2") == Status::Done);
+    sim.run_until("done", 60_000, |sim| sim.status("j-1") == JobStatus::Done && sim.status("j-2") == JobStatus::Done);
 }
 
 /// Guard: a repeat of a command that was carried out comes after its task was
--- a/tests/safety_rules/main.rs
+++ b/tests/safety_rules/main.rs
@@ -1,32 +1,32 @@
 //! The safety rules of PROTOCOL, one table of cases: each delays, loses or
 //! crashes something, and the invariants of `simulation` are checked at every step.
 
+mod best_effort_teams;
 mod cancellations;
 mod failing_jobs;
+mod heartbeats;
 mod large_jobs;
 mod launches;
 mod placement;
 mod random_faults;
 mod renting;
-mod reports;
 mod scale;
 #[path = "../simulation/mod.rs"]
 mod simulation;
 mod transactions;
-mod unguaranteed_teams;
 mod unreachable_machines;
 mod worker_leases;
 
+use best_effort_teams::*;
 use cancellations::*;
 use failing_jobs::*;
+use heartbeats::*;
 use large_jobs::*;
 use launches::*;
 use placement::*;
 use renting::*;
-use reports::*;
 use simulation::{run_table, Case};
 use transactions::*;
-use unguaranteed_teams::*;
 use unreachable_machines::*;
 use worker_leases::*;
 
--- a/tests/safety_rules/random_faults.rs
+++ b/tests/safety_rules/random_faults.rs
@@ -1,6 +1,6 @@
 //! All faults at once, chosen at random with fixed seeds.
 
-use shedhook::bookkeeping::records::Status;
+use shedhook::storage::records::JobStatus;
 
 use crate::simulation::{submission, FaultRates, Simulation};
 
@@ -58,7 +58,7 @@
                 sim.cancel(&id);
             }
         }
-        let over = |sim: &Simulation| (0..12).all(|n| sim.status(&format!("j-{n}")) != Status::Pending);
+        let over = |sim: &Simulation| (0..12).all(|n| sim.status(&format!("j-{n}")) != JobStatus::Pending);
         sim.run_until(&format!("seed {seed}: all over"), 900_000, over);
         sim.check(&format!("seed {seed}, afterwards"));
     }
--- a/tests/safety_rules/renting.rs
+++ b/tests/safety_rules/renting.rs
@@ -1,6 +1,6 @@
 //! Renting: idempotent requests, and machines in the zones that need them.
 
-use shedhook::bookkeeping::records::Status;
+use shedhook::storage::records::JobStatus;
 
 use crate::simulation::{submission, FaultRates, Simulation, LEASE};
 
@@ -16,7 +16,7 @@
     sim.elect();
     sim.run(4_000);
     sim.faults = FaultRates::default();
-    sim.run_until("done", 200_000, |sim| sim.status("j-1") == Status::Done);
+    sim.run_until("done", 200_000, |sim| sim.status("j-1") == JobStatus::Done);
     assert!(machines > 4, "what was rented unheard is used");
     for request in &sim.rental_requests {
         let other_leader =
--- a/tests/safety_rules/scale.rs
+++ b/tests/safety_rules/scale.rs
@@ -1,7 +1,7 @@
 //! Thousands of machines: the cost of work, in machines examined and records
 //! written, and what fails at that size.
 
-use shedhook::{bookkeeping::records::Status, coordination::snapshot::LOOK};
+use shedhook::{coordination::snapshot::LOOK, storage::records::JobStatus};
 
 use crate::simulation::{submission, Simulation, LEASE};
 
@@ -42,7 +42,7 @@
         sim.run(if n % 10 == 9 { 4_000 } else { 100 });
     }
     let over = |sim: &Simulation| {
-        (0..SERVICES + ARRAYS).filter(|n| n % 8 >= 3).all(|n| sim.status(&format!("j-{n}")) == Status::Done)
+        (0..SERVICES + ARRAYS).filter(|n| n % 8 >= 3).all(|n| sim.status(&format!("j-{n}")) == JobStatus::Done)
     };
     sim.run_until("all arrays are done", 60_000, over);
     assert!(refused <= 3, "{refused} submissions refused at a fifteenth of the limit");
@@ -55,7 +55,7 @@
     let per_job = written(&sim) as f64 / (SERVICES + ARRAYS) as f64;
     assert!(per_job < 7.0, "{per_job} writes a job");
 
-    // Reports and sweeps that change nothing cost nothing of either.
+    // Heartbeats and sweeps that change nothing cost nothing of either.
     sim.run(250_000);
     let before = (looked(&sim), written(&sim));
     sim.run(30_000);
@@ -122,7 +122,7 @@
     for n in 0..200 {
         sim.submit(submission(&format!("j-{}", 1_000 + n), "batch", 20), 5_000);
     }
-    let done = |sim: &Simulation| (0..200).all(|n| sim.status(&format!("j-{}", 1_000 + n)) == Status::Done);
+    let done = |sim: &Simulation| (0..200).all(|n| sim.status(&format!("j-{}", 1_000 + n)) == JobStatus::Done);
     sim.run_until("a burst of submissions is served", 60_000, done);
     let per_task = (looked(&sim) - before) / (200 * 20);
     assert!(per_task <= 2 * LOOK as u64, "{per_task} machines looked at for a task");
--- a/tests/safety_rules/transactions.rs
+++ b/tests/safety_rules/transactions.rs
@@ -1,6 +1,6 @@
 //! Transactions whose answer is lost or that are applied late, and leaders in quick succession.
 
-use shedhook::bookkeeping::records::Status;
+use shedhook::storage::records::JobStatus;
 
 use crate::simulation::{submission, FaultRates, Simulation};
 
@@ -10,7 +10,7 @@
     sim.run(500);
     sim.faults = FaultRates::default();
     sim.elect();
-    sim.run_until("done", 90_000, |sim| sim.status("j-1") == Status::Done);
+    sim.run_until("done", 90_000, |sim| sim.status("j-1") == JobStatus::Done);
     sim.run(45_000);
 }
 
@@ -43,7 +43,7 @@
     sim.faults = FaultRates { lost_txn: 50, ..FaultRates::default() };
     sim.submit(submission("j-1", "batch", 12), 2_000);
     sim.submit(submission("j-2", "service", 2), 0);
-    sim.run_until("done", 300_000, |sim| sim.status("j-1") == Status::Done);
+    sim.run_until("done", 300_000, |sim| sim.status("j-1") == JobStatus::Done);
 }
 
 /// A controller comes back within a fraction of a second, again and again, as
@@ -58,6 +58,6 @@
         sim.run(300);
     }
     sim.faults = FaultRates::default();
-    sim.run_until("done", 120_000, |sim| sim.status("j-2") == Status::Done);
+    sim.run_until("done", 120_000, |sim| sim.status("j-2") == JobStatus::Done);
     sim.run_until("runs", 90_000, |sim| sim.all_running("j-1", 6));
 }
--- a/tests/safety_rules/unreachable_machines.rs
+++ b/tests/safety_rules/unreachable_machines.rs
@@ -1,6 +1,6 @@
 //! Machines that are silent, hung or reachable in one direction only.
 
-use shedhook::bookkeeping::records::Status;
+use shedhook::storage::records::JobStatus;
 
 use crate::simulation::{submission, Simulation, LEASE};
 
@@ -62,11 +62,11 @@
         lost.iter().all(|t| sim.worker_running(t).is_some_and(|m| m != n))
     });
     sim.run_until("handed back", 60_000, |sim| sim.workers[n].dead);
-    sim.run_until("nothing waits for it", 60_000, |sim| sim.status("j-2") == Status::Done);
+    sim.run_until("nothing waits for it", 60_000, |sim| sim.status("j-2") == JobStatus::Done);
 }
 
 /// Guard: machines that reach no controller, but answer its calls, took new
-/// work in every new session and lost it with the next lease.
+/// work in every new incarnation and lost it with the next lease.
 pub fn machines_that_reach_nobody_take_nothing_new(sim: &mut Simulation) {
     for zone in ["a", "b", "a", "b"] {
         sim.add_worker(zone);
@@ -116,6 +116,6 @@
     sim.run_until("replaced before their leases are over", LEASE - 5_000, elsewhere);
     sim.run(LEASE);
     hung.iter().for_each(|&n| sim.workers[n].hung = false);
-    sim.run_until("done", 60_000, |sim| sim.status("j-2") == Status::Done);
+    sim.run_until("done", 60_000, |sim| sim.status("j-2") == JobStatus::Done);
     assert!(sim.workers.len() <= 24 + 6, "{} machines", sim.workers.len());
 }
--- a/tests/safety_rules/worker_leases.rs
+++ b/tests/safety_rules/worker_leases.rs
@@ -1,8 +1,8 @@
-//! Workers' leases and sessions: when a silent worker's tasks may start elsewhere.
+//! Workers' leases and incarnations: when a silent worker's tasks may start elsewhere.
 
 use crate::simulation::{submission, Simulation, LEASE};
 
-/// Guard: a session learned from a probe or a command's answer has a lease of
+/// Guard: a incarnation learned from a probe or a command's answer has a lease of
 /// its own, counted from when it was seen, though no report of it came.
 pub fn a_new_session_seen_by_a_probe(sim: &mut Simulation) {
     sim.submit(submission("j-1", "service", 9), 0);
@@ -26,7 +26,7 @@
     sim.run(60_000);
 }
 
-/// A worker comes back with a new session before anybody missed it.
+/// A worker comes back with a new incarnation before anybody missed it.
 pub fn a_worker_that_is_back_at_once(sim: &mut Simulation) {
     sim.submit(submission("j-1", "service", 4), 0);
     let mut job = submission("j-2", "ensemble", 3);
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -1,7 +1,7 @@
 //! The cloud: rents machines, and answers a repeated request as before.
 
 use shedhook::{
-    coordination::model::{Ms, Res, TypeInfo},
+    coordination::model::{MachineTypeSpec, Millis, Resources},
     protocol::cloud::{HostList, HostState, ListedHost, RentRequest},
 };
 
@@ -15,7 +15,7 @@
 
 /// A rental as the cloud was asked for it; the name makes it idempotent.
 pub struct RentalRequest {
-    pub at: Ms,
+    pub at: Millis,
     pub leader_stamp: u64,
     pub name: String,
     pub spot: bool,
@@ -30,12 +30,12 @@
             machine_type: MACHINE_TYPE.into(),
             spot: false,
             up_at: 0,
-            session: 1,
-            seq: 0,
+            incarnation: 1,
+            sequence: 0,
             token: 0,
             tasks: Vec::new(),
             lease_start: self.now,
-            next_report: self.now + 100 * (self.workers.len() as Ms % 30),
+            next_report: self.now + 100 * (self.workers.len() as Millis % 30),
             changed: false,
             partitioned: false,
             hung: false,
@@ -50,10 +50,10 @@
         id
     }
 
-    pub(super) fn types(&self) -> Vec<TypeInfo> {
-        let machine_type = TypeInfo {
-            ix: self.tables.types.find(MACHINE_TYPE).unwrap(),
-            cap: Res { cpus: 8.0, gpus: 4.0, memory_gb: 64.0 },
+    pub(super) fn types(&self) -> Vec<MachineTypeSpec> {
+        let machine_type = MachineTypeSpec {
+            index: self.tables.types.find(MACHINE_TYPE).unwrap(),
+            capacity: Resources { cpus: 8.0, gpus: 4.0, memory_gb: 64.0 },
             cache_gb: 50.0,
             fetch_gb_per_s: 1.0,
             price: 1.0,
@@ -63,9 +63,9 @@
         };
         let mut types = vec![machine_type.clone()];
         if self.offers_cheap_type {
-            types.push(TypeInfo {
-                ix: self.tables.types.find(CHEAP_MACHINE_TYPE).unwrap(),
-                cap: Res { gpus: 0.0, ..machine_type.cap },
+            types.push(MachineTypeSpec {
+                index: self.tables.types.find(CHEAP_MACHINE_TYPE).unwrap(),
+                capacity: Resources { gpus: 0.0, ..machine_type.capacity },
                 price: machine_type.price / 10.0,
                 spot_price: machine_type.spot_price / 10.0,
                 ..machine_type
@@ -97,10 +97,10 @@
     }
 
     pub(super) fn rent(&mut self, req: &RentRequest) -> Option<Vec<String>> {
-        let stamp = self.leader.as_ref().map_or(0, |l| l.stamp);
+        let revision = self.leader.as_ref().map_or(0, |l| l.revision);
         self.rental_requests.push(RentalRequest {
             at: self.now,
-            leader_stamp: stamp,
+            leader_stamp: revision,
             name: req.request.clone(),
             spot: req.spot,
         });
--- a/tests/simulation/controller.rs
+++ b/tests/simulation/controller.rs
@@ -4,18 +4,18 @@
 use ciborium::Value;
 use rand::RngExt;
 use shedhook::{
-    bookkeeping::{
-        budget::Urgency,
-        job_cache::JobCache,
-        records::{self, JobRecord, Status},
-    },
     coordination::{
-        fleet::RentOutcome,
+        autoscaler::RentOutcome,
         leader::{CommitOutcome, Config, DirectCallOutcome, Effect, Leader},
         lease_renewal::TimeSpan,
         model::TeamLimits,
     },
     protocol::store::Op,
+    storage::{
+        budget::Urgency,
+        job_cache::JobCache,
+        records::{self, JobRecord, JobStatus},
+    },
 };
 
 use super::{faults::Held, worker::Worker, Simulation, LEASE, REPORT};
@@ -35,11 +35,11 @@
     pub fn elect(&mut self) {
         self.leader = None;
         self.store.epoch += 1;
-        let stamp = self.store.epoch;
-        self.store.keys.insert(records::LEADER.into(), (Value::Null, stamp));
+        let revision = self.store.epoch;
+        self.store.keys.insert(records::LEADER.into(), (Value::Null, revision));
         let cfg = Config {
             lease_ms: LEASE,
-            report_ms: REPORT,
+            heartbeat_interval_ms: REPORT,
             gang_peer_s: 8.0,
             txn_ops: 8,
             value_max: self.value_max,
@@ -47,19 +47,19 @@
             chunk_fit: self.chunk_fit,
             list_lag_ms: 1_000,
             teams: self.team_limits(),
-            aims: Vec::new(),
+            objectives: Vec::new(),
             idle_keep_ms: 1 << 40,
             silent_ms: self.silent_ms,
             max_machines: usize::MAX,
             use_spot: true,
         };
         let nonce = self.rng.random();
-        let mut leader = Leader::new(cfg, stamp, nonce, self.now, self.types());
+        let mut leader = Leader::new(cfg, revision, nonce, self.now, self.types());
         self.job_cache = JobCache::default();
         self.job_cache.page(&self.store.page(records::JOBS), true, &mut self.tables);
         self.job_cache.take_changed();
         for p in self.store.page(records::TASKS).pairs {
-            leader.load(self.now, self.now, &p.key, &p.v, p.stamp, &self.job_cache, &mut self.tables);
+            leader.load(self.now, self.now, &p.key, &p.v, p.revision, &self.job_cache, &mut self.tables);
         }
         leader.loaded(self.now, self.now, &self.job_cache);
         self.leader = Some(leader);
@@ -73,8 +73,8 @@
         self.read_changes();
         let changed = self.job_cache.take_changed();
         let Some(l) = &mut self.leader else { return };
-        for ix in changed {
-            l.job_update(now, now, ix, &self.job_cache);
+        for index in changed {
+            l.job_update(now, now, index, &self.job_cache);
         }
         // Once heard again, those behind the cut say when they last kept a lease.
         l.no_peer_renewals =
@@ -86,19 +86,19 @@
         l.sweep(now);
         self.cloud |= self.capacity > 0;
         if self.cloud {
-            l.fleet_step(now, &self.tables);
+            l.autoscale(now, &self.tables);
         }
         l.pass(now);
         self.commit();
         let Some(l) = &mut self.leader else { return };
-        l.push_orders(now);
+        l.dispatch_commands(now);
         for e in l.take_effects() {
             self.perform_effect(e);
         }
     }
 
     pub(super) fn read_changes(&mut self) {
-        let (now, stamp) = (self.now, self.leader.as_ref().map_or(0, |l| l.stamp));
+        let (now, revision) = (self.now, self.leader.as_ref().map_or(0, |l| l.revision));
         if self.refuse_leader || self.changes_unread {
             return;
         }
@@ -109,12 +109,12 @@
             self.check_dependents_of_cancelled();
             return;
         }
-        if let Some((_, _, changes)) = self.reading.take_if(|r| r.1 == stamp && r.0 <= now) {
+        if let Some((_, _, changes)) = self.reading.take_if(|r| r.1 == revision && r.0 <= now) {
             self.job_cache.apply(&changes, &mut self.tables);
         }
-        if self.reading.as_ref().is_none_or(|r| r.1 != stamp) {
+        if self.reading.as_ref().is_none_or(|r| r.1 != revision) {
             let at = now + self.rng.random_range(0..self.changes_ms);
-            self.reading = Some((at, stamp, self.store.changes(records::JOBS, self.job_cache.epoch())));
+            self.reading = Some((at, revision, self.store.changes(records::JOBS, self.job_cache.epoch())));
         }
     }
 
@@ -145,7 +145,7 @@
             for w in &mut txn.writes {
                 let Op::Put { key, v, .. } = w else { continue };
                 if let Some(rec) = key.starts_with(records::JOBS).then(|| v.deserialized::<JobRecord>().unwrap()) {
-                    let at_ms = if rec.status == Status::Done { 0 } else { rec.at_ms };
+                    let at_ms = if rec.status == JobStatus::Done { 0 } else { rec.at_ms };
                     *v = records::to_value(&JobRecord { at_ms, ..rec });
                 }
             }
@@ -158,8 +158,8 @@
         if txn.writes.len() > 8 || txn.conditions.len() > 32 {
             self.violations.push(format!("a transaction of {} writes", txn.writes.len()));
         }
-        let stamp = self.store.keys[records::LEADER].1;
-        if !txn.conditions.iter().any(|c| c.key == records::LEADER && c.stamp == stamp) {
+        let revision = self.store.keys[records::LEADER].1;
+        if !txn.conditions.iter().any(|c| c.key == records::LEADER && c.revision == revision) {
             self.violations.push(format!("a transaction that any later leader would let through, at {now}"));
         }
         if std::mem::take(&mut self.die_before_txn) {
@@ -203,7 +203,7 @@
         }
         if self.txn_ms > 0 {
             let at = now + self.rng.random_range(0..self.txn_ms);
-            self.delayed.push((at, Held::SlowTxn { txn, stamp }));
+            self.delayed.push((at, Held::SlowTxn { txn, revision }));
             return;
         }
         let outcome = match self.store.apply(&txn) {
@@ -225,12 +225,12 @@
             Effect::Do { machine, call, req, .. } => {
                 let id = self.leader.as_ref().map(|l| l.machine(machine).id.clone()).unwrap_or_default();
                 let Some(n) = self.workers.iter().position(|w| w.id == id) else { return };
-                self.check_orders(&id, &req.orders);
+                self.check_orders(&id, &req.commands);
                 let reached = self.workers[n].is_reached();
                 if reached && self.chance(self.faults.slow_command) {
-                    let stamp = self.leader.as_ref().map_or(0, |l| l.stamp);
+                    let revision = self.leader.as_ref().map_or(0, |l| l.revision);
                     let at = now + self.rng.random_range(300..1_900);
-                    self.delayed.push((at, Held::SlowDo { worker: n, req, machine, call, stamp }));
+                    self.delayed.push((at, Held::SlowDo { worker: n, req, machine, call, revision }));
                     return;
                 }
                 let out = if !reached {
@@ -251,9 +251,9 @@
                     }
                     let out = self.execute_command(n, &req);
                     if self.chance(self.faults.slow_command_answer) {
-                        let stamp = self.leader.as_ref().map_or(0, |l| l.stamp);
+                        let revision = self.leader.as_ref().map_or(0, |l| l.revision);
                         let at = now + self.rng.random_range(300..1_900);
-                        self.delayed.push((at, Held::DoAnswer { out, machine, call, stamp }));
+                        self.delayed.push((at, Held::DoAnswer { out, machine, call, revision }));
                         return;
                     }
                     out
@@ -288,9 +288,9 @@
             Effect::Probe { machine, .. } => {
                 let id = self.leader.as_ref().map(|l| l.machine(machine).id.clone()).unwrap_or_default();
                 let w = self.workers.iter_mut().find(|w| w.id == id && w.is_reached());
-                let report = w.map(Worker::report);
+                let heartbeat = w.map(Worker::heartbeat);
                 if let Some(l) = &mut self.leader {
-                    l.probed(now, machine, report.as_ref(), &self.job_cache, &mut self.tables);
+                    l.probed(now, machine, heartbeat.as_ref(), &self.job_cache, &mut self.tables);
                 }
             }
             Effect::List { call, from } => {
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -5,11 +5,11 @@
 use shedhook::{
     coordination::{
         leader::{CommitOutcome, DirectCallOutcome},
-        model::{MachineIx, Ms},
+        model::{MachineIndex, Millis},
     },
     protocol::{
         store::Txn,
-        workers::{DirectCommandRequest, Report},
+        workers::{DirectCommandRequest, Heartbeat},
     },
 };
 
@@ -24,27 +24,27 @@
     SlowDo {
         worker: usize,
         req: DirectCommandRequest,
-        machine: MachineIx,
+        machine: MachineIndex,
         call: u64,
-        stamp: u64,
+        revision: u64,
     },
-    Report(Report),
+    Heartbeat(Heartbeat),
     Txn(Txn),
     /// Carried out when it comes, and answered later still.
     SlowTxn {
         txn: Txn,
-        stamp: u64,
+        revision: u64,
     },
     TxnAnswer {
         outcome: CommitOutcome,
-        stamp: u64,
+        revision: u64,
     },
     /// The command was carried out; this is what the leader hears of it.
     DoAnswer {
         out: DirectCallOutcome,
-        machine: MachineIx,
+        machine: MachineIndex,
         call: u64,
-        stamp: u64,
+        revision: u64,
     },
 }
 
@@ -62,9 +62,9 @@
     /// The answer to a transaction is lost; half of those are applied at once,
     /// half later.
     pub lost_txn: u32,
-    /// The answer to a report is lost.
+    /// The answer to a heartbeat is lost.
     pub lost_report_answer: u32,
-    /// A report also arrives a second time, late.
+    /// A heartbeat also arrives a second time, late.
     pub late_report: u32,
     /// A rental's answer is lost.
     pub lost_rental_answer: u32,
@@ -72,9 +72,9 @@
     pub slow_command_answer: u32,
     /// A transaction gets no answer and is carried out 2 to 12 s later.
     pub late_txn: u32,
-    /// A report arrives again from within a lease to four of them later.
+    /// A heartbeat arrives again from within a lease to four of them later.
     pub very_late_report: u32,
-    /// A report does not arrive now, but some seconds later, unanswered.
+    /// A heartbeat does not arrive now, but some seconds later, unanswered.
     pub delayed_report: u32,
 }
 
@@ -101,36 +101,36 @@
                         self.execute_command(worker, &req);
                     }
                 }
-                Held::SlowDo { worker, req, machine, call, stamp } => {
+                Held::SlowDo { worker, req, machine, call, revision } => {
                     let out = self.execute_command(worker, &req);
-                    if let Some(l) = self.leader.as_mut().filter(|l| l.stamp == stamp) {
+                    if let Some(l) = self.leader.as_mut().filter(|l| l.revision == revision) {
                         l.direct_call_result(now, machine, call, out, &self.job_cache, &mut self.tables);
                     }
                 }
-                Held::Report(r) => {
+                Held::Heartbeat(r) => {
                     if let Some(l) = &mut self.leader {
                         // Whatever is answered, nobody listens any more.
-                        l.report(now, &r, &self.job_cache, &mut self.tables);
+                        l.heartbeat(now, &r, &self.job_cache, &mut self.tables);
                     }
                 }
                 Held::Txn(txn) => {
                     let _ = self.store.apply(&txn);
                 }
-                Held::SlowTxn { txn, stamp } => {
+                Held::SlowTxn { txn, revision } => {
                     let outcome = match self.store.apply(&txn) {
                         Ok(epoch) => CommitOutcome::Done(epoch),
                         Err(failed) => CommitOutcome::Conflict(failed),
                     };
                     let at = now + self.rng.random_range(0..self.txn_ms.max(1));
-                    self.delayed.push((at, Held::TxnAnswer { outcome, stamp }));
+                    self.delayed.push((at, Held::TxnAnswer { outcome, revision }));
                 }
-                Held::TxnAnswer { outcome, stamp } => {
-                    if self.leader.as_mut().is_some_and(|l| l.stamp == stamp && !l.committed(now, outcome)) {
+                Held::TxnAnswer { outcome, revision } => {
+                    if self.leader.as_mut().is_some_and(|l| l.revision == revision && !l.committed(now, outcome)) {
                         self.leader = None;
                     }
                 }
-                Held::DoAnswer { out, machine, call, stamp } => {
-                    if let Some(l) = self.leader.as_mut().filter(|l| l.stamp == stamp) {
+                Held::DoAnswer { out, machine, call, revision } => {
+                    if let Some(l) = self.leader.as_mut().filter(|l| l.revision == revision) {
                         l.direct_call_result(now, machine, call, out, &self.job_cache, &mut self.tables);
                     }
                 }
@@ -149,7 +149,7 @@
     /// Submits "j-1", a gang of two tasks that each take a whole machine. Both
     /// launches go unanswered: the one to worker 0 arrives after `delay_ms`, the
     /// other one at once.
-    pub fn submit_gang_with_launches_in_flight(&mut self, delay_ms: Ms) {
+    pub fn submit_gang_with_launches_in_flight(&mut self, delay_ms: Millis) {
         self.faults = FaultRates { late_command: 100, ..FaultRates::default() };
         let mut gang = submission("j-1", "ensemble", 2);
         gang.cpus = Some(8.0);
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -4,8 +4,8 @@
 use std::collections::HashMap;
 
 use shedhook::{
-    bookkeeping::records::{self, ChunkRecord, JobRecord, Status},
-    protocol::workers::{split_task, ExitReason, Order, TaskState},
+    protocol::workers::{split_task, ExitReason, TaskState, WorkerCommand},
+    storage::records::{self, ChunkRecord, JobRecord, JobStatus},
 };
 
 use super::{
@@ -44,10 +44,10 @@
         // not_done: a record may say done only once all its tasks completed.
         for (id, f) in &self.jobs {
             // went_back: what was called cancelled stays so.
-            if f.cancelled_at.is_some() && self.status(id) != Status::Cancelled {
+            if f.cancelled_at.is_some() && self.status(id) != JobStatus::Cancelled {
                 self.violations.push(format!("went_back: {id} at {}", self.now));
             }
-            if self.status(id) == Status::Done {
+            if self.status(id) == JobStatus::Done {
                 let all = (0..f.sub.tasks.unwrap() as u32).all(|n| self.completed.contains(&format!("{id}/{n}")));
                 if !all {
                     self.violations.push(format!("not_done: {id} at {}", self.now));
@@ -69,7 +69,7 @@
         // Stricter than the rule: their ends must be written, too.
         for p in f.sub.prereqs() {
             let all = (0..self.jobs[p].sub.tasks.unwrap() as u32).all(|n| self.completed.contains(&format!("{p}/{n}")));
-            if !all || self.status(p) != Status::Done {
+            if !all || self.status(p) != JobStatus::Done {
                 self.violations.push(format!("too_early: {task} before {p} at {}", self.now));
             }
         }
@@ -83,11 +83,11 @@
                 }
             }
         }
-        let cap = (f.sub.tasks.unwrap() as u32).div_ceil(2);
+        let capacity = (f.sub.tasks.unwrap() as u32).div_ceil(2);
         if f.sub.one_zone == Some(true) && zones.keys().any(|z| z != here) {
             self.violations.push(format!("wrong_place: {task} starts in {here} at {}", self.now));
         }
-        if f.sub.spread == Some(true) && zones.get(here.as_str()).copied().unwrap_or(0) >= cap {
+        if f.sub.spread == Some(true) && zones.get(here.as_str()).copied().unwrap_or(0) >= capacity {
             self.violations.push(format!("wrong_place: {task} is one too many in {here} at {}", self.now));
         }
         if f.sub.zone.as_ref().is_some_and(|z| z != here) {
@@ -97,10 +97,10 @@
 
     /// Our own rules: an end is written before the task is reaped, and no
     /// launch is sent before its place is.
-    pub(super) fn check_orders(&mut self, worker: &str, orders: &[Order]) {
-        self.max_orders_in_message = self.max_orders_in_message.max(orders.len());
-        for o in orders {
-            if let Order::Reap { task, attempt } = o {
+    pub(super) fn check_orders(&mut self, worker: &str, commands: &[WorkerCommand]) {
+        self.max_orders_in_message = self.max_orders_in_message.max(commands.len());
+        for o in commands {
+            if let WorkerCommand::Reap { task, attempt } = o {
                 // A stopped attempt of a task that was done elsewhere says nothing.
                 let of = |w: &&Worker| w.id == worker;
                 let listed = self.workers.iter().find(of).and_then(|w| {
@@ -113,7 +113,7 @@
                         .push(format!("reaped: {task} on {worker} before its end is written at {}", self.now));
                 }
             }
-            let Order::Launch { task, attempt } = o else { continue };
+            let WorkerCommand::Launch { task, attempt } = o else { continue };
             if !self.is_written(task, worker, *attempt) {
                 self.violations.push(format!("unwritten: {task} launched on {worker} at {}", self.now));
             }
@@ -133,7 +133,7 @@
                     above.extend(self.jobs[p].sub.prereqs());
                 }
             }
-            if is_doomed && self.status_told_to_users(id) != Some(Status::Cancelled) {
+            if is_doomed && self.status_told_to_users(id) != Some(JobStatus::Cancelled) {
                 self.violations.push(format!("orphaned: {id} is {:?} at {}", self.status_told_to_users(id), self.now));
             }
         }
@@ -157,7 +157,7 @@
         let Some(rec) = rec.and_then(|(v, _)| v.deserialized::<JobRecord>().ok()) else { return false };
         let part = self.store.keys.get(&records::chunk_key(job, n / rec.chunk));
         let part = part.and_then(|(v, _)| v.deserialized::<ChunkRecord>().ok());
-        rec.status != Status::Pending || part.is_some_and(|r| records::is_done(&r.done, (n % rec.chunk) as usize))
+        rec.status != JobStatus::Pending || part.is_some_and(|r| records::is_done(&r.done, (n % rec.chunk) as usize))
     }
 
     pub fn check(&self, name: &str) {
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -20,9 +20,9 @@
 
 use rand::{rngs::SmallRng, SeedableRng};
 use shedhook::{
-    bookkeeping::job_cache::JobCache,
-    coordination::{leader::Leader, model::Ms},
+    coordination::{leader::Leader, model::Millis},
     protocol::{names::Tables, store::Changes},
+    storage::job_cache::JobCache,
 };
 
 use cloud::RentalRequest;
@@ -34,18 +34,18 @@
 use worker::Worker;
 use write_budget::Writes;
 
-pub const LEASE: Ms = 30_000;
+pub const LEASE: Millis = 30_000;
 
-pub const CANCEL: Ms = 50_000;
+pub const CANCEL: Millis = 50_000;
 
-pub const REPORT: Ms = 3_000;
+pub const REPORT: Millis = 3_000;
 
-const STEP: Ms = 100;
+const STEP: Millis = 100;
 
-const FETCH: Ms = 1_000;
+const FETCH: Millis = 1_000;
 
 pub struct Simulation {
-    pub now: Ms,
+    pub now: Millis,
     pub rng: SmallRng,
     pub store: Store,
     pub workers: Vec<Worker>,
@@ -53,7 +53,7 @@
     pub leader: Option<Leader>,
     pub job_cache: JobCache,
     pub tables: Tables,
-    pub delayed: Vec<(Ms, Held)>,
+    pub delayed: Vec<(Millis, Held)>,
     pub faults: FaultRates,
     /// Tasks that completed; started again, they end at once.
     pub completed: std::collections::HashSet<String>,
@@ -78,7 +78,7 @@
     pub refuses_every_second_page: bool,
     pages_asked: u32,
     /// How long a rented machine takes to come up.
-    pub boot_ms: Ms,
+    pub boot_ms: Millis,
     /// The cloud offers the cheap type, too.
     pub offers_cheap_type: bool,
     /// Price of a spot machine; others cost 1.
@@ -89,24 +89,24 @@
     pub txns: usize,
     /// The state service takes so many transactions more, then it is away.
     pub txns_left: Option<u32>,
-    pub halts: Vec<(Ms, String, f64)>,
+    pub halts: Vec<(Millis, String, f64)>,
     /// This case threw records away.
     pub records_lost: bool,
-    pub silent_ms: Ms,
+    pub silent_ms: Millis,
     /// Tasks in one record; few, so that small jobs have several.
     pub chunk: u32,
     /// How much longer each task runs than the one before, up to sixteen.
-    pub run_ms_step: Ms,
+    pub run_ms_step: Millis,
     /// Tasks that a worker takes at once.
     pub slots: usize,
     /// How long an image takes.
-    pub fetch: Ms,
+    pub fetch: Millis,
     /// Most orders seen in one message.
     pub max_orders_in_message: usize,
     /// When a lease was last kept, and since when the controllers behind the
     /// cut have not been heard.
-    pub last_peer_renewal: Ms,
-    pub peers_silent_since: Option<Ms>,
+    pub last_peer_renewal: Millis,
+    pub peers_silent_since: Option<Millis>,
     /// The leader writes records as the version before did: no time in the end
     /// of a job.
     pub writes_old_form: bool,
@@ -128,20 +128,20 @@
     /// 503. A read that was open waits.
     pub refuse_leader: bool,
     /// The longest that a read of the changes, or a transaction, takes.
-    pub changes_ms: Ms,
-    pub txn_ms: Ms,
+    pub changes_ms: Millis,
+    pub txn_ms: Millis,
     /// The read under way: when it is answered, whose it is, what it says.
-    reading: Option<(Ms, u64, Changes)>,
+    reading: Option<(Millis, u64, Changes)>,
     /// Launches of tasks that had completed and were reaped.
     pub relaunches_of_completed: usize,
     /// Tasks of a gang wait for one another, and end when one of them is gone.
     pub gang_semantics: bool,
     /// Since when a gang's task misses another one.
-    peer_lost_since: HashMap<(String, u64), Ms>,
+    peer_lost_since: HashMap<(String, u64), Millis>,
     /// Starts of jobs whose cancellation was confirmed before.
     pub starts_cancelled: usize,
     /// Since when a job's tasks wait though there is room.
-    waiting_since: HashMap<String, Ms>,
+    waiting_since: HashMap<String, Millis>,
 }
 
 pub type Case = (&'static str, fn(&mut Simulation));
@@ -241,7 +241,7 @@
         w
     }
 
-    pub fn run(&mut self, ms: Ms) {
+    pub fn run(&mut self, ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
             self.step();
@@ -249,7 +249,7 @@
     }
 
     /// Runs until `f`, or fails the case.
-    pub fn run_until(&mut self, what: &str, max: Ms, f: impl Fn(&Simulation) -> bool) {
+    pub fn run_until(&mut self, what: &str, max: Millis, f: impl Fn(&Simulation) -> bool) {
         let end = self.now + max;
         while !f(self) {
             assert!(self.now < end, "never came: {what}");
--- a/tests/simulation/progress.rs
+++ b/tests/simulation/progress.rs
@@ -1,12 +1,12 @@
 //! Progress: no job is left waiting while there is room for it.
 
-use shedhook::{bookkeeping::records::Status, coordination::model::Ms, protocol::workers::TaskState};
+use shedhook::{coordination::model::Millis, protocol::workers::TaskState, storage::records::JobStatus};
 
 use super::{worker::WorkerTask, Simulation};
 
 impl Simulation {
     /// Runs for so long; no job is left waiting for 90 s while there is room.
-    pub fn run_without_starvation(&mut self, name: &str, ids: &[String], ms: Ms) {
+    pub fn run_without_starvation(&mut self, name: &str, ids: &[String], ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
             for id in ids {
@@ -23,7 +23,7 @@
 
     /// Runs until every job that was not cancelled is done, or runs if it is a
     /// service; meanwhile none is left waiting.
-    pub fn run_until_settled(&mut self, name: &str, max: Ms) {
+    pub fn run_until_settled(&mut self, name: &str, max: Millis) {
         let end = self.now + max;
         let mut ids: Vec<String> = self.jobs.keys().cloned().collect();
         ids.sort();
@@ -42,8 +42,8 @@
         let service = f.sub.kind.as_deref() == Some("service");
         let there = |n: u32| self.worker_running(&format!("{id}/{n}")).is_some();
         match self.status(id) {
-            Status::Pending => service && (0..f.sub.tasks.unwrap() as u32).all(there),
-            Status::Done | Status::Cancelled => true,
+            JobStatus::Pending => service && (0..f.sub.tasks.unwrap() as u32).all(there),
+            JobStatus::Done | JobStatus::Cancelled => true,
         }
     }
 
@@ -88,8 +88,8 @@
             return (a >= needed && !in_b) || (b >= needed && !in_a);
         }
         if s.spread == Some(true) {
-            let cap = tasks.div_ceil(2) as usize;
-            return a.min(cap.saturating_sub(taken("a"))) + b.min(cap.saturating_sub(taken("b"))) >= needed;
+            let capacity = tasks.div_ceil(2) as usize;
+            return a.min(capacity.saturating_sub(taken("a"))) + b.min(capacity.saturating_sub(taken("b"))) >= needed;
         }
         a + b >= needed
     }
--- a/tests/simulation/queries.rs
+++ b/tests/simulation/queries.rs
@@ -1,15 +1,15 @@
 //! What test cases ask of the simulation: where tasks run, and what was reported.
 
 use shedhook::{
-    coordination::{lease_renewal, model::Ms},
-    protocol::workers::Report,
+    coordination::{lease_renewal, model::Millis},
+    protocol::workers::Heartbeat,
 };
 
 use super::{Simulation, CANCEL, LEASE};
 
 impl Simulation {
     /// How long a controller that is not leading may keep workers' leases.
-    pub fn longest_renewal_by_peer() -> Ms {
+    pub fn longest_renewal_by_peer() -> Millis {
         lease_renewal::most_ms(CANCEL as f64 / 1000.0, LEASE as f64 / 1000.0)
     }
 
@@ -27,7 +27,7 @@
     }
 
     /// What every worker last could have reported.
-    pub fn latest_reports(&mut self) -> Vec<Report> {
+    pub fn latest_reports(&mut self) -> Vec<Heartbeat> {
         (0..self.workers.len()).map(|n| self.report_of(n)).collect()
     }
 }
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -18,27 +18,27 @@
         let failed: Vec<String> = txn
             .conditions
             .iter()
-            .filter(|c| self.keys.get(&c.key).map_or(0, |k| k.1) != c.stamp)
+            .filter(|c| self.keys.get(&c.key).map_or(0, |k| k.1) != c.revision)
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
             return Err(failed);
         }
         self.epoch += 1;
-        let stamp = self.epoch;
+        let revision = self.epoch;
         for w in &txn.writes {
             match w {
                 Op::Put { key, v, .. } => {
-                    self.keys.insert(key.clone(), (v.clone(), stamp));
-                    self.log.push(Change { write: Some(key.clone()), drop: None, v: Some(v.clone()), stamp });
+                    self.keys.insert(key.clone(), (v.clone(), revision));
+                    self.log.push(Change { write: Some(key.clone()), drop: None, v: Some(v.clone()), revision });
                 }
                 Op::Delete { key } => {
                     self.keys.remove(key);
-                    self.log.push(Change { write: None, drop: Some(key.clone()), v: None, stamp });
+                    self.log.push(Change { write: None, drop: Some(key.clone()), v: None, revision });
                 }
             }
         }
-        Ok(stamp)
+        Ok(revision)
     }
 
     pub(super) fn page(&self, prefix: &str) -> Page {
@@ -46,7 +46,7 @@
             .keys
             .iter()
             .filter(|(k, _)| k.starts_with(prefix))
-            .map(|(k, (v, stamp))| Pair { key: k.clone(), v: v.clone(), stamp: *stamp, permit: None })
+            .map(|(k, (v, revision))| Pair { key: k.clone(), v: v.clone(), revision: *revision, permit: None })
             .collect();
         Page { pairs, truncated: false, epoch: self.epoch }
     }
@@ -55,7 +55,7 @@
         let events = self
             .log
             .iter()
-            .filter(|c| c.stamp > from && c.write.as_deref().is_some_and(|k| k.starts_with(prefix)))
+            .filter(|c| c.revision > from && c.write.as_deref().is_some_and(|k| k.starts_with(prefix)))
             .cloned()
             .collect();
         Changes { epoch: self.epoch, events }
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -1,25 +1,25 @@
 //! Users of the cluster: submissions, cancellations, and what they are told.
 
 use shedhook::{
-    bookkeeping::{
-        budget::Urgency,
-        records::{self, JobRecord, Status},
-    },
-    coordination::model::Ms,
+    coordination::model::Millis,
     protocol::{
         jobs::Submission,
         store::{Op, Txn},
     },
+    storage::{
+        budget::Urgency,
+        records::{self, JobRecord, JobStatus},
+    },
 };
 
 use super::Simulation;
 
 pub struct JobFacts {
     pub sub: Submission,
-    pub cancelled_at: Option<Ms>,
-    pub run_ms: Ms,
+    pub cancelled_at: Option<Millis>,
+    pub run_ms: Millis,
     /// Submitted with a mistake: its tasks fail after running for this long.
-    pub fails_after: Option<Ms>,
+    pub fails_after: Option<Millis>,
 }
 
 pub fn submission(id: &str, kind: &str, tasks: u32) -> Submission {
@@ -46,11 +46,11 @@
 }
 
 impl Simulation {
-    pub fn submit(&mut self, sub: Submission, run_ms: Ms) {
+    pub fn submit(&mut self, sub: Submission, run_ms: Millis) {
         let id = sub.name_id.clone().unwrap();
         let rec = JobRecord {
             submission: sub.clone(),
-            status: Status::Pending,
+            status: JobStatus::Pending,
             at_ms: self.now,
             chunk: self.chunk_size(&sub),
         };
@@ -63,14 +63,14 @@
     }
 
     /// A job that was submitted with a mistake: it fails on every machine.
-    pub fn submit_failing(&mut self, sub: Submission, fails_after: Ms) {
+    pub fn submit_failing(&mut self, sub: Submission, fails_after: Millis) {
         let id = sub.name_id.clone().unwrap();
         self.submit(sub, 0);
         self.jobs.get_mut(&id).unwrap().fails_after = Some(fails_after);
     }
 
     /// A submission at one of the controllers: false when it is over its budget.
-    pub fn submit_at(&mut self, controller: usize, sub: Submission, run_ms: Ms) -> bool {
+    pub fn submit_at(&mut self, controller: usize, sub: Submission, run_ms: Millis) -> bool {
         let now = self.now;
         let w = self.writes.as_mut().expect("writes are limited");
         if w.controllers[controller].users.take(now, 1.0, Urgency::Submit).is_err() {
@@ -85,24 +85,24 @@
     pub fn cancel(&mut self, id: &str) -> bool {
         let key = records::job_key(id);
         let mut rec: JobRecord = self.store.keys[&key].0.deserialized().unwrap();
-        if rec.status == Status::Done {
+        if rec.status == JobStatus::Done {
             return false;
         }
-        rec.status = Status::Cancelled;
+        rec.status = JobStatus::Cancelled;
         let txn = Txn { conditions: vec![], writes: vec![Op::Put { key, v: records::to_value(&rec), permit: None }] };
         self.store.apply(&txn).unwrap();
         self.jobs.get_mut(id).unwrap().cancelled_at = Some(self.now);
         true
     }
 
-    pub fn status(&self, id: &str) -> Status {
+    pub fn status(&self, id: &str) -> JobStatus {
         let rec: JobRecord = self.store.keys[&records::job_key(id)].0.deserialized().unwrap();
         rec.status
     }
 
     /// What the controller tells users of a job.
-    pub fn status_told_to_users(&self, id: &str) -> Option<Status> {
-        self.job_cache.find(id).map(|ix| self.job_cache.get(ix).status)
+    pub fn status_told_to_users(&self, id: &str) -> Option<JobStatus> {
+        self.job_cache.find(id).map(|index| self.job_cache.get(index).status)
     }
 
     pub(super) fn chunk_size(&self, sub: &Submission) -> u32 {
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -4,17 +4,19 @@
 use rand::RngExt;
 use shedhook::{
     coordination::{
-        leader::{Answer, DirectCallOutcome},
-        model::Ms,
+        leader::{DirectCallOutcome, HeartbeatOutcome},
+        model::Millis,
+    },
+    protocol::workers::{
+        split_task, DirectCommandRequest, ExitReason, Heartbeat, TaskState, TaskStatus, WorkerCommand,
     },
-    protocol::workers::{split_task, DirectCommandRequest, ExitReason, Order, Report, TaskReport, TaskState},
 };
 
 use super::{faults::Held, users::JobFacts, Simulation, LEASE, REPORT};
 
-const GANG_WAIT: Ms = 60_000;
+const GANG_WAIT: Millis = 60_000;
 
-const GANG_PEER: Ms = 8_000;
+const GANG_PEER: Millis = 8_000;
 
 #[derive(Debug, Clone)]
 pub struct WorkerTask {
@@ -22,7 +24,7 @@
     pub attempt: u64,
     pub state: TaskState,
     pub why: Option<ExitReason>,
-    pub(super) since: Ms,
+    pub(super) since: Millis,
 }
 
 impl WorkerTask {
@@ -38,14 +40,14 @@
     pub machine_type: String,
     pub spot: bool,
     /// It is booting until then.
-    pub(super) up_at: Ms,
-    pub session: u64,
-    pub seq: u64,
+    pub(super) up_at: Millis,
+    pub incarnation: u64,
+    pub sequence: u64,
     pub token: u64,
     pub tasks: Vec<WorkerTask>,
-    /// When the last answered report was sent, or the session began.
-    pub(super) lease_start: Ms,
-    pub(super) next_report: Ms,
+    /// When the last answered report was sent, or the incarnation began.
+    pub(super) lease_start: Millis,
+    pub(super) next_report: Millis,
     pub(super) changed: bool,
     /// Its packets go nowhere; it goes on working.
     pub partitioned: bool,
@@ -54,16 +56,16 @@
     pub dead: bool,
     /// Behind the cut, another controller keeps its lease.
     pub lease_kept_by_peer: bool,
-    /// Hears no answers to its reports.
+    /// Hears no answers to its heartbeats.
     pub answers_lost: bool,
     /// Its reports go nowhere, commands and probes reach it.
     pub outbound_lost: bool,
     /// Its reports come through, but nothing reaches it.
     pub inbound_lost: bool,
     /// Every task fails here after running for so long.
-    pub fails_after: Option<Ms>,
+    pub fails_after: Option<Millis>,
     /// A higher token counts as a change once in half a lease.
-    pub(super) token_shown: Option<Ms>,
+    pub(super) token_shown: Option<Millis>,
 }
 
 impl Worker {
@@ -74,33 +76,33 @@
 
     /// It never comes up.
     pub fn delay_boot(&mut self) {
-        self.up_at = Ms::MAX;
+        self.up_at = Millis::MAX;
     }
 
-    /// It comes back at once, with a new session and nothing on it.
-    pub fn restart(&mut self, now: Ms) {
+    /// It comes back at once, with a new incarnation and nothing on it.
+    pub fn restart(&mut self, now: Millis) {
         self.tasks.clear();
-        self.session += 1;
+        self.incarnation += 1;
         self.lease_start = now;
         self.changed = true;
     }
 
-    pub(super) fn report(&mut self) -> Report {
-        self.seq += 1;
-        Report {
+    pub(super) fn heartbeat(&mut self) -> Heartbeat {
+        self.sequence += 1;
+        Heartbeat {
             machine: self.id.clone(),
             addr: "127.0.0.1:9".into(),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
             token: self.token,
             notice_s: None,
             tasks: self
                 .tasks
                 .iter()
-                .map(|t| TaskReport {
+                .map(|t| TaskStatus {
                     task: t.name.clone(),
                     attempt: t.attempt,
                     state: t.state,
@@ -136,7 +138,7 @@
             let fails_after = self.facts(&task.name).and_then(|f| f.fails_after).or(self.workers[n].fails_after);
             let gang = self.facts(&task.name).is_some_and(|f| f.sub.kind.as_deref() == Some("ensemble"));
             let waits = self.gang_semantics && gang && !self.completed.contains(&task.name);
-            let longer = split_task(&task.name).map_or(0, |(_, n)| Ms::from(n % 16) * self.run_ms_step);
+            let longer = split_task(&task.name).map_or(0, |(_, n)| Millis::from(n % 16) * self.run_ms_step);
             let (state, why) = match task.state {
                 TaskState::Fetching if now >= task.since + self.fetch && !waits => {
                     if self.completed.contains(&task.name) {
@@ -205,7 +207,7 @@
 
     pub(super) fn send_report(&mut self, n: usize) {
         let sent = self.now;
-        let r = self.workers[n].report();
+        let r = self.workers[n].heartbeat();
         if (self.workers[n].partitioned || self.workers[n].outbound_lost)
             && self.workers[n].lease_kept_by_peer
             && r.token > 0
@@ -218,21 +220,21 @@
         }
         if self.chance(self.faults.late_report) {
             let at = sent + self.rng.random_range(1_000..120_000);
-            self.delayed.push((at, Held::Report(r.clone())));
+            self.delayed.push((at, Held::Heartbeat(r.clone())));
         }
         if self.chance(self.faults.very_late_report) {
             let at = sent + self.rng.random_range(LEASE / 2..4 * LEASE);
-            self.delayed.push((at, Held::Report(r.clone())));
+            self.delayed.push((at, Held::Heartbeat(r.clone())));
         }
         if self.chance(self.faults.delayed_report) {
             let at = sent + self.rng.random_range(500..LEASE / 2);
-            self.delayed.push((at, Held::Report(r)));
+            self.delayed.push((at, Held::Heartbeat(r)));
             return;
         }
         let Some(l) = &mut self.leader else { return };
-        let Answer::Ok(a) = l.report(sent, &r, &self.job_cache, &mut self.tables) else { return };
+        let HeartbeatOutcome::Ok(a) = l.heartbeat(sent, &r, &self.job_cache, &mut self.tables) else { return };
         let id = self.workers[n].id.clone();
-        self.check_orders(&id, &a.orders);
+        self.check_orders(&id, &a.commands);
         if self.workers[n].answers_lost || self.workers[n].inbound_lost || self.chance(self.faults.lost_report_answer) {
             return;
         }
@@ -245,24 +247,24 @@
         }
         w.token = a.token;
         w.lease_start = sent;
-        self.apply_orders(n, &a.orders);
+        self.apply_orders(n, &a.commands);
     }
 
     pub(super) fn execute_command(&mut self, n: usize, req: &DirectCommandRequest) -> DirectCallOutcome {
         let w = &mut self.workers[n];
-        if req.token < w.token || req.session != w.session {
-            return DirectCallOutcome::Refused(w.report());
+        if req.token < w.token || req.incarnation != w.incarnation {
+            return DirectCallOutcome::Refused(w.heartbeat());
         }
         w.token = req.token;
-        self.apply_orders(n, &req.orders);
-        DirectCallOutcome::Executed(self.workers[n].report())
+        self.apply_orders(n, &req.commands);
+        DirectCallOutcome::Executed(self.workers[n].heartbeat())
     }
 
-    pub(super) fn apply_orders(&mut self, n: usize, orders: &[Order]) {
-        for o in orders {
+    pub(super) fn apply_orders(&mut self, n: usize, commands: &[WorkerCommand]) {
+        for o in commands {
             let w = &mut self.workers[n];
             match o {
-                Order::Launch { task, attempt } => {
+                WorkerCommand::Launch { task, attempt } => {
                     if w.tasks.iter().any(|t| t.name == *task && t.attempt == *attempt) {
                         continue;
                     }
@@ -278,7 +280,7 @@
                     w.tasks.push(WorkerTask { name: task.clone(), attempt: *attempt, state, why, since: self.now });
                     w.changed = true;
                 }
-                Order::Halt { task, attempt, grace_s } => {
+                WorkerCommand::Halt { task, attempt, grace_s } => {
                     let hit = w
                         .tasks
                         .iter_mut()
@@ -290,7 +292,7 @@
                         self.halts.push((self.now, task.clone(), *grace_s));
                     }
                 }
-                Order::Reap { task, attempt } => {
+                WorkerCommand::Reap { task, attempt } => {
                     w.tasks.retain(|t| !(t.name == *task && t.attempt == *attempt && t.state == TaskState::Exited));
                 }
             }
@@ -298,11 +300,11 @@
     }
 
     /// What a worker last could have reported.
-    pub fn report_of(&mut self, n: usize) -> Report {
-        let seq = self.workers[n].seq;
-        let report = self.workers[n].report();
-        self.workers[n].seq = seq;
-        Report { seq, ..report }
+    pub fn report_of(&mut self, n: usize) -> Heartbeat {
+        let sequence = self.workers[n].sequence;
+        let heartbeat = self.workers[n].heartbeat();
+        self.workers[n].sequence = sequence;
+        Heartbeat { sequence, ..heartbeat }
     }
 
     pub(super) fn holds(w: &Worker, task: &str) -> bool {
--- a/tests/simulation/write_budget.rs
+++ b/tests/simulation/write_budget.rs
@@ -1,6 +1,6 @@
 //! The state service's limit of writes, shared by several controllers.
 
-use shedhook::bookkeeping::budget::{share, Budget, BudgetRole, Urgency};
+use shedhook::storage::budget::{share, Budget, BudgetRole, Urgency};
 
 use super::Simulation;
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -10,7 +10,7 @@
 use loopback_cluster::{
     cluster::Cluster,
     controllers::Shared,
-    http::{call, Answer},
+    http::{call, HeartbeatOutcome},
     state_service::Limits,
     upgrade::{answer_of, batch, Job, Upgrade, Version},
     users::{abort, ids, is_ready, job, job_after, poll, status, submit, with},
@@ -27,7 +27,7 @@
 
 /// Code, fields and texts of an answer: all but the counts, which are for display
 /// and may lag.
-fn form_of(a: Option<Answer>) -> (u16, Vec<(String, Option<String>)>) {
+fn form_of(a: Option<HeartbeatOutcome>) -> (u16, Vec<(String, Option<String>)>) {
     let (code, bytes) = a.expect("no answer");
     let v: Value = body::decode(&bytes).unwrap_or(Value::Null);
     let fields = v.as_map().map_or(&[][..], Vec::as_slice);
@@ -36,7 +36,7 @@
 }
 
 /// Asked the same, both versions answer the same.
-fn check_alike(u: &Upgrade, what: &str, ask: impl Fn(SocketAddr) -> Option<Answer>) -> u16 {
+fn check_alike(u: &Upgrade, what: &str, ask: impl Fn(SocketAddr) -> Option<HeartbeatOutcome>) -> u16 {
     let answers = u.clients().map(|at| form_of(ask(at)));
     assert!(answers.iter().all(|a| *a == answers[0]), "{what}: {answers:?}");
     answers[0].0
@@ -360,7 +360,7 @@
     for at in [a, b] {
         wait_for("ready", || is_ready(at).then_some(()));
     }
-    let code = |a: Option<Answer>| a.map(|a| a.0);
+    let code = |a: Option<HeartbeatOutcome>| a.map(|a| a.0);
     assert_eq!(code(submit(a, &job("j-000001", "batch", 3))), Some(200), "known still");
     for at in [a, b] {
         wait_for("done", || (status(at, "j-000001")? == "done").then_some(()));
