--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -4,7 +4,7 @@
 
 use super::wiring::Controller;
 use crate::{
-    coordination::model::{MachineIndex, Millis},
+    coordination::model::{CallId, MachineIndex, Millis, Term},
     protocol::{cbor, store::Txn},
     storage::records::JobRecord,
     transport::{Call, ConnId, Method, Net},
@@ -24,7 +24,7 @@
 
 /// What a pending reply is for.
 ///
-/// `sent` is when the request was sent, `revision` the leadership it was sent under,
+/// `sent` is when the request was sent, `term` the leadership it was sent under,
 /// `call` the leader's own number of the request.
 #[derive(Debug)]
 pub(super) enum Pending {
@@ -71,44 +71,44 @@
     },
     /// Before a new leader loads the task records: changes of the jobs' records.
     TasksSync {
-        revision: u64,
+        term: Term,
         sent: Millis,
     },
     /// A page of the task records.
     TasksPage {
-        revision: u64,
+        term: Term,
     },
     /// A transaction of the leader.
     Commit {
-        revision: u64,
+        term: Term,
     },
     /// A record that is read again after a transaction's result was unknown.
     Resync {
-        revision: u64,
+        term: Term,
         key: String,
     },
     /// Orders sent to a worker.
     Commands {
-        revision: u64,
+        term: Term,
         machine: MachineIndex,
-        call: u64,
+        call: CallId,
     },
     /// Requests to the cloud.
     RentHosts {
-        revision: u64,
-        call: u64,
+        term: Term,
+        call: CallId,
     },
     ReturnHosts {
-        revision: u64,
-        call: u64,
+        term: Term,
+        call: CallId,
     },
     ListHosts {
-        revision: u64,
-        call: u64,
+        term: Term,
+        call: CallId,
     },
     /// A worker's status, asked for after it stopped reporting.
     Probe {
-        revision: u64,
+        term: Term,
         machine: MachineIndex,
     },
     /// The machine types.
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -6,10 +6,13 @@
     wiring::Controller,
 };
 use crate::{
-    coordination::{leader::CommitOutcome, model::Millis},
+    coordination::{
+        leader::CommitOutcome,
+        model::{Millis, Term},
+    },
     protocol::{
         cbor,
-        store::{Conflict, Epoch},
+        store::{AppliedTransaction, Conflict},
     },
     storage::budget::Urgency,
     transport::{
@@ -24,7 +27,7 @@
 
 impl Controller {
     /// Sends the leader's next transaction, if there is one and the budget allows it.
-    pub(super) fn commit(&mut self, net: &mut Net, revision: u64) {
+    pub(super) fn commit(&mut self, net: &mut Net, term: Term) {
         let now = net.now();
         let Some(leader) = &mut self.leader else { return };
         if !leader.may_commit(now) {
@@ -32,7 +35,7 @@
         }
         if let Some(key) = leader.resync_key() {
             let key = key.to_owned();
-            return self.resync_record(net, now, revision, key);
+            return self.resync_record(net, now, term, key);
         }
         let budgets = &mut self.budgets;
         let available = budgets.commits.available(now, Urgency::Commit);
@@ -48,20 +51,20 @@
         let _ = budgets.reads.take(now, 1.0, Urgency::Lease);
         let call = StateCall::transaction(&transaction, STATE_TIMEOUT_MS);
         // Guard: preparing took time, and the leadership may have ended meanwhile.
-        if self.election.leading(net.now()) == Some(revision) {
-            self.ask_state(net, Pending::Commit { revision }, call);
+        if self.election.leading(net.now()) == Some(term) {
+            self.ask_state(net, Pending::Commit { term }, call);
         } else {
             leader.committed(now, CommitOutcome::Refused);
         }
     }
 
     /// The result of the leader's transaction came.
-    pub(super) fn committed(&mut self, net: &mut Net, now: Millis, revision: u64, result: &Result<Reply, CallError>) {
+    pub(super) fn committed(&mut self, net: &mut Net, now: Millis, term: Term, result: &Result<Reply, CallError>) {
         let outcome = self.commit_outcome(now, result);
         let is_conflict = matches!(outcome, CommitOutcome::Conflict(_));
-        let Some(leader) = self.leader.as_mut().filter(|leader| leader.revision == revision) else { return };
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) else { return };
         if !leader.committed(now, outcome) {
-            tracing::warn!(revision, "another leader has written: leadership lost");
+            tracing::warn!(%term, "another leader has written: leadership lost");
             self.step_down(net, now);
         } else if is_conflict {
             // Jobs' records changed; they are read before the next transaction.
@@ -76,7 +79,8 @@
             Err(CallError::Unknown) => return CommitOutcome::Unknown,
         };
         match reply.status {
-            OK => body::<Epoch>(result).map_or(CommitOutcome::Unknown, |epoch| CommitOutcome::Done(epoch.epoch)),
+            OK => body::<AppliedTransaction>(result)
+                .map_or(CommitOutcome::Unknown, |applied| CommitOutcome::Done(applied.store_revision)),
             CONFLICT => match cbor::decode::<Conflict>(&reply.body) {
                 Ok(conflict) => CommitOutcome::Conflict(conflict.failed),
                 Err(_) => CommitOutcome::Unknown,
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -9,7 +9,7 @@
     coordination::{
         autoscaler::RentOutcome,
         leader::{DirectCallOutcome, Effect},
-        model::{MachineIndex, Millis},
+        model::{CallId, MachineIndex, Millis, Term},
     },
     protocol::{
         cbor,
@@ -34,32 +34,32 @@
 #[derive(Debug, Clone, Copy)]
 struct Authority {
     now: Millis,
-    revision: u64,
+    term: Term,
     /// It still holds.
     valid: bool,
 }
 
 impl Controller {
     /// Carries out what the leader decided.
-    pub(super) fn carry_out_effects(&mut self, net: &mut Net, revision: u64) {
+    pub(super) fn carry_out_effects(&mut self, net: &mut Net, term: Term) {
         let Some(leader) = &mut self.leader else { return };
         for effect in leader.take_effects() {
             let now = net.now();
             // Guard: the leadership may end at any time, so it is checked again
             // before each request.
-            let valid = self.election.leading(now) == Some(revision);
-            self.carry_out(net, Authority { now, revision, valid }, effect);
+            let valid = self.election.leading(now) == Some(term);
+            self.carry_out(net, Authority { now, term, valid }, effect);
         }
     }
 
     fn carry_out(&mut self, net: &mut Net, authority: Authority, effect: Effect) {
-        let Authority { now, revision, valid } = authority;
+        let Authority { now, term, valid } = authority;
         match effect {
             Effect::Do { machine, call, addr, req } if valid => {
                 let body = cbor::encode(&req);
                 let request =
                     WorkerCall { addr, method: Method::Post, path: "/do", body, timeout_ms: COMMANDS_TIMEOUT_MS };
-                self.ask_worker(net, Pending::Commands { revision, machine, call }, request);
+                self.ask_worker(net, Pending::Commands { term, machine, call }, request);
             }
             Effect::Do { machine, call, .. } => {
                 if let Some(leader) = &mut self.leader {
@@ -73,7 +73,7 @@
                     net,
                     authority,
                     Urgency::Commit,
-                    Pending::RentHosts { revision, call },
+                    Pending::RentHosts { term, call },
                     request,
                 ) {
                     if let Some(leader) = &mut self.leader {
@@ -87,7 +87,7 @@
                     net,
                     authority,
                     Urgency::Cancel,
-                    Pending::ReturnHosts { revision, call },
+                    Pending::ReturnHosts { term, call },
                     request,
                 ) {
                     if let Some(leader) = &mut self.leader {
@@ -98,7 +98,7 @@
             Effect::Probe { machine, addr } => {
                 let (path, body, timeout_ms) = ("/status", Vec::new(), PROBE_TIMEOUT_MS);
                 let request = WorkerCall { addr, method: Method::Get, path, body, timeout_ms };
-                self.ask_worker(net, Pending::Probe { revision, machine }, request);
+                self.ask_worker(net, Pending::Probe { term, machine }, request);
             }
             Effect::List { call, from } => {
                 let from = from.map_or(String::new(), |from| format!("from={from}&"));
@@ -107,7 +107,7 @@
                     net,
                     authority,
                     Urgency::Submit,
-                    Pending::ListHosts { revision, call },
+                    Pending::ListHosts { term, call },
                     request,
                 ) {
                     if let Some(leader) = &mut self.leader {
@@ -139,51 +139,45 @@
     pub(super) fn commands_answered(
         &mut self,
         now: Millis,
-        revision: u64,
+        term: Term,
         machine: MachineIndex,
-        call: u64,
+        call: CallId,
         result: &Result<Reply, CallError>,
     ) {
         let outcome = command_outcome(result);
-        let Some(leader) = self.leader.as_mut().filter(|leader| leader.revision == revision) else { return };
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) else { return };
         if !leader.direct_call_result(now, machine, call, outcome, &self.job_cache, &mut self.tables) {
             tracing::warn!("a worker has seen a higher token than this leader's");
         }
     }
 
     /// The answer to a probe came.
-    pub(super) fn probed(
-        &mut self,
-        now: Millis,
-        revision: u64,
-        machine: MachineIndex,
-        result: &Result<Reply, CallError>,
-    ) {
+    pub(super) fn probed(&mut self, now: Millis, term: Term, machine: MachineIndex, result: &Result<Reply, CallError>) {
         let heartbeat = body::<Heartbeat>(result);
-        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.revision == revision) {
+        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) {
             leader.probed(now, machine, heartbeat.as_ref(), &self.job_cache, &mut self.tables);
         }
     }
 
     /// The answer to a rental request came.
-    pub(super) fn rented(&mut self, now: Millis, revision: u64, call: u64, result: &Result<Reply, CallError>) {
+    pub(super) fn rented(&mut self, now: Millis, term: Term, call: CallId, result: &Result<Reply, CallError>) {
         let outcome = rent_outcome(result);
-        if let Some(leader) = self.leader_of(revision) {
+        if let Some(leader) = self.leader_of(term) {
             leader.rented(now, call, outcome);
         }
     }
 
     /// The answer to a return of hosts came.
-    pub(super) fn returned(&mut self, now: Millis, revision: u64, call: u64, result: &Result<Reply, CallError>) {
-        if let Some(leader) = self.leader_of(revision) {
+    pub(super) fn returned(&mut self, now: Millis, term: Term, call: CallId, result: &Result<Reply, CallError>) {
+        if let Some(leader) = self.leader_of(term) {
             leader.returned(now, call, status(result) == OK);
         }
     }
 
     /// A part of the list of hosts came.
-    pub(super) fn hosts_listed(&mut self, now: Millis, revision: u64, call: u64, result: &Result<Reply, CallError>) {
+    pub(super) fn hosts_listed(&mut self, now: Millis, term: Term, call: CallId, result: &Result<Reply, CallError>) {
         let list = body::<HostList>(result);
-        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.revision == revision) {
+        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) {
             leader.listed(now, call, list.as_ref(), &mut self.tables);
         }
     }
--- a/src/controller/gossip.rs
+++ b/src/controller/gossip.rs
@@ -5,7 +5,10 @@
 use super::wiring::Controller;
 use crate::{
     coordination::model::Millis,
-    protocol::peers::{self, Cancelled, Echo, Frame, Gossip, Notice},
+    protocol::{
+        ids::Revision,
+        peers::{self, Cancelled, Echo, Frame, Gossip, Notice},
+    },
     transport::Net,
 };
 
@@ -77,7 +80,7 @@
     /// Guard: the controller that serves the workers may be another one, and must
     /// not launch what a user was told is cancelled. The limit on how long answers
     /// may rely on old reads holds without this, but acts later.
-    pub(super) fn tell_cancelled(&mut self, net: &mut Net, now: Millis, job: &str, revision: u64) {
+    pub(super) fn tell_cancelled(&mut self, net: &mut Net, now: Millis, job: &str, revision: Revision) {
         let cancelled = Cancelled { job: job.to_owned(), revision };
         self.gossip.record_cancellation(now, cancelled.clone());
         self.send_notice(net, vec![cancelled]);
--- a/src/controller/grants.rs
+++ b/src/controller/grants.rs
@@ -10,6 +10,7 @@
     coordination::{election, lease_renewal, model::Millis},
     protocol::{
         cbor,
+        ids::Revision,
         store::{Condition, GrantRequest, Op, Txn},
     },
     storage::{
@@ -28,7 +29,7 @@
 }
 
 /// Writes a key that is attached to a grant, if its revision is as expected.
-fn write_key(key: String, record: &LeaderRecord, permit: u64, expected_revision: u64) -> StateCall {
+fn write_key(key: String, record: &LeaderRecord, permit: u64, expected_revision: Revision) -> StateCall {
     let transaction = Txn {
         conditions: vec![Condition { key: key.clone(), revision: expected_revision }],
         writes: vec![Op::Put { key, v: records::to_value(record), permit: Some(permit) }],
--- a/src/controller/job_feed.rs
+++ b/src/controller/job_feed.rs
@@ -81,8 +81,8 @@
     /// A read of the jobs' changes since the last one, which waits for a change
     /// for at most `wait_ms`.
     pub(super) fn read_job_changes(&self, wait_ms: u64, timeout_ms: u64) -> StateCall {
-        let epoch = self.job_cache.epoch();
-        let path = format!("/changes?under={}&from={epoch}&waitMs={wait_ms}", records::JOBS);
+        let store_revision = self.job_cache.store_revision();
+        let path = format!("/changes?under={}&from={store_revision}&waitMs={wait_ms}", records::JOBS);
         StateCall::read(path, timeout_ms)
     }
 
--- a/src/controller/leader_key.rs
+++ b/src/controller/leader_key.rs
@@ -10,7 +10,10 @@
 };
 use crate::{
     coordination::model::Millis,
-    protocol::store::{Change, Changes, Page},
+    protocol::{
+        ids::Revision,
+        store::{Change, Changes, Page},
+    },
     storage::{
         budget::Urgency,
         records::{self, LeaderRecord},
@@ -33,7 +36,7 @@
     /// All keys were listed; since then only changes are read.
     listed: bool,
     /// Revision up to which changes were read.
-    epoch: u64,
+    store_revision: Revision,
 }
 
 impl Controller {
@@ -48,8 +51,8 @@
         }
         self.leader_key.poll.in_flight = true;
         if self.leader_key.listed {
-            let epoch = self.leader_key.epoch;
-            let path = format!("/changes?under={}&from={epoch}&waitMs={WATCH_MS}", records::LEADER);
+            let store_revision = self.leader_key.store_revision;
+            let path = format!("/changes?under={}&from={store_revision}&waitMs={WATCH_MS}", records::LEADER);
             let call = StateCall::read(path, WATCH_MS + WATCH_GRACE_MS);
             self.ask_state(net, Pending::LeaderKeyWatch { sent: now }, call);
         } else {
@@ -66,16 +69,16 @@
             return;
         };
         self.leader_key.listed = true;
-        self.leader_key.epoch = page.epoch;
+        self.leader_key.store_revision = page.store_revision;
         let find = |key: &str| page.pairs.iter().find(|pair| pair.key == key);
 
         let leader = find(records::LEADER);
         let record = leader.and_then(|pair| pair.v.deserialized::<LeaderRecord>().ok());
-        self.election.saw_key(now, record, leader.map_or(page.epoch, |pair| pair.revision));
+        self.election.saw_key(now, record, leader.map_or(page.store_revision, |pair| pair.revision));
 
         let own = find(&records::renewal_key(&self.settings.label));
         let is_ours = own.is_some_and(|pair| self.is_own_renewal_key(&pair.v));
-        self.renewal_right.saw_key(own.map_or(0, |pair| pair.revision), page.epoch, is_ours);
+        self.renewal_right.saw_key(own.map_or(Revision::ABSENT, |pair| pair.revision), page.store_revision, is_ours);
 
         for peer in &mut self.peers.list {
             let has_key = find(&records::renewal_key(&peer.label)).is_some();
@@ -97,7 +100,7 @@
             self.apply_key_change(now, change);
         }
         self.peers.record_inactive_without_key(sent);
-        self.leader_key.epoch = self.leader_key.epoch.max(changes.epoch);
+        self.leader_key.store_revision = self.leader_key.store_revision.max(changes.store_revision);
     }
 
     fn apply_key_change(&mut self, now: Millis, change: &Change) {
@@ -117,7 +120,11 @@
         let exists = change.write.is_some();
         if *key == records::renewal_key(&self.settings.label) {
             let is_ours = change.v.as_ref().is_some_and(|value| self.is_own_renewal_key(value));
-            self.renewal_right.saw_key(if exists { change.revision } else { 0 }, change.revision, is_ours);
+            self.renewal_right.saw_key(
+                if exists { change.revision } else { Revision::ABSENT },
+                change.revision,
+                is_ours,
+            );
             return;
         }
         let mut peers = self.peers.list.iter_mut();
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -4,7 +4,10 @@
 
 use super::wiring::{wall_ms, Controller};
 use crate::{
-    coordination::{leader::Leader, model::Millis},
+    coordination::{
+        leader::Leader,
+        model::{Millis, Term},
+    },
     storage::budget::Urgency,
     transport::Net,
 };
@@ -34,41 +37,41 @@
         let leading = self.election.leading(now);
         self.set_budgets(now, leading.is_some());
         self.drop_lost_leadership();
-        let Some(revision) = leading else { return };
+        let Some(term) = leading else { return };
         if self.types.is_empty() || !self.job_cache.loaded() {
             return;
         }
         if self.leader.is_none() {
-            self.begin_leadership(now, revision);
+            self.begin_leadership(now, term);
         }
         self.sync_jobs_to_leader(now);
         if self.leader.as_ref().is_some_and(|leader| !leader.loaded) {
-            return self.load_tasks(net, now, revision);
+            return self.load_tasks(net, now, term);
         }
         self.schedule(now);
-        self.commit(net, revision);
+        self.commit(net, term);
         if let Some(leader) = &mut self.leader {
             leader.dispatch_commands(now);
         }
-        self.carry_out_effects(net, revision);
+        self.carry_out_effects(net, term);
         self.step_down_if_unfit(net, now);
     }
 
     fn drop_lost_leadership(&mut self) {
         let Some(leader) = &self.leader else { return };
-        if self.election.holds_key() != Some(leader.revision) {
-            tracing::warn!(revision = leader.revision, "no longer leading");
+        if self.election.holds_key() != Some(leader.term) {
+            tracing::warn!(term = %leader.term, "no longer leading");
             self.leader = None;
         }
     }
 
-    fn begin_leadership(&mut self, now: Millis, revision: u64) {
-        tracing::info!(revision, "elected");
+    fn begin_leadership(&mut self, now: Millis, term: Term) {
+        tracing::info!(%term, "elected");
         let config = self.leader_config();
         // The nonce is of this leadership alone, so that names of rental requests
         // never repeat.
         let nonce = rand::random();
-        self.leader = Some(Leader::new(config, revision, nonce, now, self.types.clone()));
+        self.leader = Some(Leader::new(config, term, nonce, now, self.types.clone()));
         self.task_loading.restart(now);
     }
 
--- a/src/controller/replies.rs
+++ b/src/controller/replies.rs
@@ -2,10 +2,14 @@
 
 use super::{calls::Pending, wiring::Controller};
 use crate::{
-    coordination::{leader::Leader, model::Millis},
+    coordination::{
+        leader::Leader,
+        model::{Millis, Term},
+    },
     protocol::{
         cbor,
-        store::{Epoch, Permit},
+        ids::Revision,
+        store::{AppliedTransaction, Permit},
     },
     transport::{
         http::status::{BAD_REQUEST, NOT_FOUND, OK},
@@ -34,8 +38,8 @@
     body::<Permit>(result).map(|permit| permit.permit)
 }
 
-fn epoch(result: &Result<Reply, CallError>) -> Option<u64> {
-    body::<Epoch>(result).map(|epoch| epoch.epoch)
+fn store_revision(result: &Result<Reply, CallError>) -> Option<Revision> {
+    body::<AppliedTransaction>(result).map(|applied| applied.store_revision)
 }
 
 /// Whether a grant was renewed; None: not known.
@@ -49,8 +53,8 @@
 
 impl Controller {
     /// The leader, if it is still the one of this leadership.
-    pub(super) fn leader_of(&mut self, revision: u64) -> Option<&mut Leader> {
-        self.leader.as_mut().filter(|leader| leader.revision == revision)
+    pub(super) fn leader_of(&mut self, term: Term) -> Option<&mut Leader> {
+        self.leader.as_mut().filter(|leader| leader.term == term)
     }
 
     /// Handles the outcome of a call.
@@ -76,17 +80,15 @@
             Pending::ReadBarrier { sent } => self.read_barrier_completed(net, now, sent, &result),
             Pending::Submit { conn, id, record, tries } => self.submitted(net, conn, id, record, tries, result),
             Pending::Abort { conn, id, record, tries } => self.aborted(net, conn, id, &record, tries, result),
-            Pending::TasksSync { revision, sent } => self.tasks_synced(now, revision, sent, &result),
-            Pending::TasksPage { revision } => self.tasks_page(now, revision, &result),
-            Pending::Commit { revision } => self.committed(net, now, revision, &result),
-            Pending::Resync { revision, key } => self.resynced(now, revision, &key, &result),
-            Pending::Commands { revision, machine, call } => {
-                self.commands_answered(now, revision, machine, call, &result)
-            }
-            Pending::RentHosts { revision, call } => self.rented(now, revision, call, &result),
-            Pending::ReturnHosts { revision, call } => self.returned(now, revision, call, &result),
-            Pending::ListHosts { revision, call } => self.hosts_listed(now, revision, call, &result),
-            Pending::Probe { revision, machine } => self.probed(now, revision, machine, &result),
+            Pending::TasksSync { term, sent } => self.tasks_synced(now, term, sent, &result),
+            Pending::TasksPage { term } => self.tasks_page(now, term, &result),
+            Pending::Commit { term } => self.committed(net, now, term, &result),
+            Pending::Resync { term, key } => self.resynced(now, term, &key, &result),
+            Pending::Commands { term, machine, call } => self.commands_answered(now, term, machine, call, &result),
+            Pending::RentHosts { term, call } => self.rented(now, term, call, &result),
+            Pending::ReturnHosts { term, call } => self.returned(now, term, call, &result),
+            Pending::ListHosts { term, call } => self.hosts_listed(now, term, call, &result),
+            Pending::Probe { term, machine } => self.probed(now, term, machine, &result),
             Pending::MachineTypes => self.machine_types_listed(now, &result),
         }
     }
@@ -96,13 +98,13 @@
         if status(result) == BAD_REQUEST {
             self.election.permit_lost();
         }
-        self.election.claimed(now, epoch(result));
+        self.election.claimed(now, store_revision(result));
     }
 
     fn renewal_right_registered(&mut self, now: Millis, result: &Result<Reply, CallError>) {
         if status(result) == BAD_REQUEST {
             self.renewal_right.lost();
         }
-        self.renewal_right.registered(now, epoch(result));
+        self.renewal_right.registered(now, store_revision(result));
     }
 }
--- a/src/controller/task_loading.rs
+++ b/src/controller/task_loading.rs
@@ -11,7 +11,7 @@
     wiring::{wall_ms, Controller},
 };
 use crate::{
-    coordination::model::Millis,
+    coordination::model::{Millis, Term},
     protocol::store::{Page, Pair},
     storage::{budget::Urgency, records},
     transport::{
@@ -47,23 +47,23 @@
 
 impl Controller {
     /// Sends the next request of the loading.
-    pub(super) fn load_tasks(&mut self, net: &mut Net, now: Millis, revision: u64) {
+    pub(super) fn load_tasks(&mut self, net: &mut Net, now: Millis, term: Term) {
         if !self.task_loading.poll.due(now) || self.budgets.reads.take(now, 1.0, Urgency::Lease).is_err() {
             return;
         }
         self.task_loading.poll.in_flight = true;
         if !self.task_loading.jobs_synced {
             let call = self.read_job_changes(0, STATE_TIMEOUT_MS);
-            return self.ask_state(net, Pending::TasksSync { revision, sent: now }, call);
+            return self.ask_state(net, Pending::TasksSync { term, sent: now }, call);
         }
         let from = self.task_loading.next_page_from.as_ref().map_or(String::new(), |key| format!("&from={key}"));
         let path = format!("/store?under={}{from}&most=1000", records::TASKS);
-        self.ask_state(net, Pending::TasksPage { revision }, StateCall::read(path, PAGE_TIMEOUT_MS));
+        self.ask_state(net, Pending::TasksPage { term }, StateCall::read(path, PAGE_TIMEOUT_MS));
     }
 
     /// The changes that the job cache may have missed came.
-    pub(super) fn tasks_synced(&mut self, now: Millis, revision: u64, sent: Millis, result: &Result<Reply, CallError>) {
-        if self.leader_of(revision).is_none() {
+    pub(super) fn tasks_synced(&mut self, now: Millis, term: Term, sent: Millis, result: &Result<Reply, CallError>) {
+        if self.leader_of(term).is_none() {
             return;
         }
         let synced = self.apply_changes(sent, result);
@@ -72,8 +72,8 @@
     }
 
     /// A page of the task records came.
-    pub(super) fn tasks_page(&mut self, now: Millis, revision: u64, result: &Result<Reply, CallError>) {
-        let Some(leader) = self.leader.as_mut().filter(|leader| leader.revision == revision && !leader.loaded) else {
+    pub(super) fn tasks_page(&mut self, now: Millis, term: Term, result: &Result<Reply, CallError>) {
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term && !leader.loaded) else {
             return;
         };
         self.task_loading.poll.in_flight = false;
@@ -92,18 +92,18 @@
     }
 
     /// Reads a record again whose last write may or may not have been applied.
-    pub(super) fn resync_record(&mut self, net: &mut Net, now: Millis, revision: u64, key: String) {
+    pub(super) fn resync_record(&mut self, net: &mut Net, now: Millis, term: Term, key: String) {
         if self.task_loading.resync.due(now) && self.budgets.reads.take(now, 1.0, Urgency::Cancel).is_ok() {
             self.task_loading.resync.in_flight = true;
             let call = StateCall::read(format!("/store/{key}"), STATE_TIMEOUT_MS);
-            self.ask_state(net, Pending::Resync { revision, key }, call);
+            self.ask_state(net, Pending::Resync { term, key }, call);
         }
     }
 
     /// A record that was read again came.
-    pub(super) fn resynced(&mut self, now: Millis, revision: u64, key: &str, result: &Result<Reply, CallError>) {
+    pub(super) fn resynced(&mut self, now: Millis, term: Term, key: &str, result: &Result<Reply, CallError>) {
         self.task_loading.resync.in_flight = false;
-        let Some(leader) = self.leader.as_mut().filter(|leader| leader.revision == revision) else { return };
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) else { return };
         match status(result) {
             OK => {
                 if let Some(pair) = body::<Pair>(result) {
--- a/src/controller/tests/wiring.rs
+++ b/src/controller/tests/wiring.rs
@@ -2,9 +2,10 @@
 
 use super::{super::health::StateHealth, Controller, Pending};
 use crate::{
-    coordination::model::{MachineIndex, Millis},
+    coordination::model::{CallId, MachineIndex, Millis, Term},
     protocol::{
         cbor,
+        ids::Revision,
         operator::Operator,
         settings::{tests::SAMPLE, Settings},
         store::{Changes, Page},
@@ -49,14 +50,18 @@
     let mut net = Net::new(&event_loop, limits);
     let mut controller = Controller::new(Settings::parse(SAMPLE, "x.toml").unwrap(), Operator::default(), &mut net);
     let answered = |status| Ok(Reply { status, body: Vec::new(), close: false });
-    let probe = || Pending::Probe { revision: 1, machine: MachineIndex(0) };
-    let list = || Pending::ListHosts { revision: 1, call: 1 };
+    let probe = || Pending::Probe { term: Term(Revision(1)), machine: MachineIndex(0) };
+    let list = || Pending::ListHosts { term: Term(Revision(1)), call: CallId(1) };
     // (what the reply is for, the reply, whether it tells of the state service)
     let cases = [
         (probe(), answered(200), false),
         (probe(), answered(503), false),
         (probe(), Err(CallError::Unknown), false),
-        (Pending::Commands { revision: 1, machine: MachineIndex(0), call: 1 }, Err(CallError::Unknown), false),
+        (
+            Pending::Commands { term: Term(Revision(1)), machine: MachineIndex(0), call: CallId(1) },
+            Err(CallError::Unknown),
+            false,
+        ),
         (list(), answered(200), false),
         (list(), answered(503), false),
         (Pending::VersionRead, answered(200), true),
@@ -98,7 +103,7 @@
     ];
     for (i, (key, heard, leads, answered, failing, want)) in cases.into_iter().enumerate() {
         let rec = key.map(|l| LeaderRecord { label: l.to_owned(), nonce: 9 });
-        controller.election.saw_key(NOW, rec, 10 + i as u64);
+        controller.election.saw_key(NOW, rec, Revision(10 + i as u64));
         controller.peers.list[0].heard = heard.map(|ms| NOW - ms);
         controller.peers.list[0].leading = leads;
         controller.state_health.last_answer = NOW - answered;
@@ -116,9 +121,9 @@
     let limits = Limits { sockets: 100, idle_ms: 1_000, head_ms: 1_000, stale_ms: 1_000 };
     let mut net = Net::new(&event_loop, limits);
     let mut controller = Controller::new(Settings::parse(SAMPLE, "x.toml").unwrap(), Operator::default(), &mut net);
-    let page = |truncated| Page { pairs: Vec::new(), truncated, epoch: 7 };
+    let page = |truncated| Page { pairs: Vec::new(), truncated, store_revision: Revision(7) };
     let changes = |status| {
-        let body = cbor::encode(&Changes { epoch: 9, events: Vec::new() });
+        let body = cbor::encode(&Changes { store_revision: Revision(9), events: Vec::new() });
         Ok(Reply { status, body, close: false })
     };
     const NOW: Millis = 20_000;
--- a/src/controller/users/mod.rs
+++ b/src/controller/users/mod.rs
@@ -13,7 +13,7 @@
     protocol::{
         cbor,
         jobs::{valid_id, JobAnswer, PollAnswer},
-        store::{Condition, Epoch, Op, Txn},
+        store::{AppliedTransaction, Condition, Op, Txn},
     },
     storage::{
         budget::Urgency,
@@ -139,9 +139,9 @@
     ) -> WriteOutcome {
         match result {
             Ok(reply) if reply.status == 200 => {
-                if let Ok(revision) = cbor::decode::<Epoch>(&reply.body) {
+                if let Ok(revision) = cbor::decode::<AppliedTransaction>(&reply.body) {
                     let value = records::to_value(record);
-                    self.job_cache.put(&records::job_key(id), &value, revision.epoch, &mut self.tables);
+                    self.job_cache.put(&records::job_key(id), &value, revision.store_revision, &mut self.tables);
                 }
                 WriteOutcome::Applied
             }
--- a/src/controller/users/submit.rs
+++ b/src/controller/users/submit.rs
@@ -8,6 +8,7 @@
     coordination::model::{fits_some_type, TeamLimits},
     protocol::{
         cbor,
+        ids::Revision,
         jobs::{JobSpec, Refusal, Submission},
         names::TeamIndex,
         store::Condition,
@@ -149,7 +150,7 @@
         tries: u32,
         prereqs_unchanged: Vec<Condition>,
     ) {
-        let mut conditions = vec![Condition { key: records::job_key(&id), revision: 0 }];
+        let mut conditions = vec![Condition { key: records::job_key(&id), revision: Revision::ABSENT }];
         conditions.extend(prereqs_unchanged);
         let urgency = self.submission_urgency(&record);
         let write = RecordWrite { conn, urgency, conditions, id: id.clone(), record: (*record).clone() };
--- a/src/controller/wiring.rs
+++ b/src/controller/wiring.rs
@@ -62,7 +62,7 @@
     pub next_user_summary: Millis,
 }
 
-/// The time of day, in ms since the epoch.
+/// The time of day, in ms since the store_revision.
 pub(super) fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/src/controller/workers.rs
+++ b/src/controller/workers.rs
@@ -10,6 +10,7 @@
     },
     protocol::{
         cbor,
+        ids::FencingToken,
         workers::{Heartbeat, HeartbeatResponse, Redirect},
     },
     transport::{
@@ -40,7 +41,7 @@
             Some(HeartbeatOutcome::Superseded) => {
                 tracing::warn!(
                     machine = &*heartbeat.machine,
-                    token = heartbeat.token,
+                    token = %heartbeat.token,
                     "a worker has seen a higher token"
                 );
                 self.redirect_heartbeat(net, conn, now);
@@ -54,8 +55,8 @@
 
     /// The leader's answer, if this controller leads.
     fn leader_answer(&mut self, now: Millis, heartbeat: &Heartbeat) -> Option<HeartbeatOutcome> {
-        let revision = self.election.leading(now)?;
-        let leader = self.leader.as_mut().filter(|leader| leader.revision == revision)?;
+        let term = self.election.leading(now)?;
+        let leader = self.leader.as_mut().filter(|leader| leader.term == term)?;
         Some(leader.heartbeat(now, heartbeat, &self.job_cache, &mut self.tables))
     }
 
@@ -87,7 +88,9 @@
     /// Whether a worker's lease may be renewed although no leader is in contact;
     /// see `coordination::lease_renewal`.
     fn may_renew_without_leader(&self, now: Millis, heartbeat: &Heartbeat) -> bool {
-        if heartbeat.token == 0 || !self.renewal_right.may_renew_without_leader(now) || self.leader_hint(now).is_some()
+        if heartbeat.token == FencingToken::NONE
+            || !self.renewal_right.may_renew_without_leader(now)
+            || self.leader_hint(now).is_some()
         {
             return false;
         }
--- a/src/coordination/autoscaler/listing.rs
+++ b/src/coordination/autoscaler/listing.rs
@@ -4,7 +4,7 @@
 use crate::{
     coordination::{
         leader::{Effect, Leader},
-        model::{MachineLifecycle, Millis},
+        model::{CallId, MachineLifecycle, Millis},
     },
     protocol::{
         cloud::{HostList, HostState, ListedHost},
@@ -21,14 +21,14 @@
     /// Guard: a page that failed is asked for again. Begun anew each time, a long
     /// list never came to its end while rentals used up the cloud's limit.
     pub(super) fn list_machines(&mut self) {
-        let call = self.call_id();
+        let call = self.next_call();
         self.autoscaler.calls.insert(call, Call::List);
         let from = self.autoscaler.list_from.clone();
         self.push_effect(Effect::List { call, from });
     }
 
     /// How a listing ended. `None`: it failed.
-    pub fn listed(&mut self, now: Millis, call: u64, list: Option<&HostList>, tables: &mut Tables) {
+    pub fn listed(&mut self, now: Millis, call: CallId, list: Option<&HostList>, tables: &mut Tables) {
         self.autoscaler.calls.remove(&call);
         let Some(list) = list else { return };
         self.autoscaler.listed_once = true;
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -14,7 +14,7 @@
 use self::offers::Offer;
 use super::{
     leader::Leader,
-    model::{MachineIndex, MachineTypeSpec, Millis, Resources},
+    model::{CallId, MachineIndex, MachineTypeSpec, Millis, Resources},
 };
 use crate::{
     protocol::{
@@ -75,7 +75,7 @@
     /// When the leadership began.
     began: Millis,
     request_count: u64,
-    calls: HashMap<u64, Call>,
+    calls: HashMap<CallId, Call>,
     /// Rental requests that went unanswered: sent again until it is known what
     /// became of them.
     retries: Vec<RentRetry>,
--- a/src/coordination/autoscaler/renting.rs
+++ b/src/coordination/autoscaler/renting.rs
@@ -11,7 +11,7 @@
     coordination::{
         autoscaler::UnmetDemand,
         leader::{Effect, Leader},
-        model::{MachineLifecycle, Millis, Resources},
+        model::{CallId, MachineLifecycle, Millis, Resources},
     },
     protocol::{
         cloud::RentRequest,
@@ -179,7 +179,7 @@
     }
 
     fn send_rent(&mut self, offer: Offer, req: RentRequest) {
-        let call = self.call_id();
+        let call = self.next_call();
         tracing::info!(
             ask = &*req.request,
             machine_type = &*req.machine_type,
@@ -193,7 +193,7 @@
     }
 
     /// How a rental request ended.
-    pub fn rented(&mut self, now: Millis, call: u64, outcome: RentOutcome) {
+    pub fn rented(&mut self, now: Millis, call: CallId, outcome: RentOutcome) {
         let Some(Call::Rent { offer, req }) = self.autoscaler.calls.remove(&call) else { return };
         match outcome {
             RentOutcome::Rented(ids) => {
--- a/src/coordination/autoscaler/returns.rs
+++ b/src/coordination/autoscaler/returns.rs
@@ -6,7 +6,7 @@
 use crate::{
     coordination::{
         leader::{Effect, Leader},
-        model::{Machine, MachineIndex, MachineLifecycle, Millis, Resources},
+        model::{CallId, Machine, MachineIndex, MachineLifecycle, Millis, Resources},
         trial::SLOWEST_FETCH_GB_PER_S,
     },
     protocol::names::ZoneIndex,
@@ -139,7 +139,7 @@
             machine.return_after = now + RETURN_RETRY_MS;
             self.refresh(now, *index);
         }
-        let call = self.call_id();
+        let call = self.next_call();
         let machines: Vec<MachineIndex> = returns.into_iter().map(|returned| returned.machine).collect();
         let ids = machines.iter().map(|index| self.machine(*index).id.clone()).collect();
         self.autoscaler.calls.insert(call, Call::Return(machines));
@@ -321,7 +321,7 @@
     }
 
     /// How a return ended. After a 200, the machines and everything on them are gone.
-    pub fn returned(&mut self, now: Millis, call: u64, ok: bool) {
+    pub fn returned(&mut self, now: Millis, call: CallId, ok: bool) {
         let Some(Call::Return(machines)) = self.autoscaler.calls.remove(&call) else { return };
         for index in machines {
             if ok {
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -5,7 +5,7 @@
 //! counted on the steady clock from when the renewal was *sent*, less drift: the
 //! service counts from a later moment, so it can't have given the grant up before.
 
-use crate::storage::records::LeaderRecord;
+use crate::{coordination::model::Term, protocol::ids::Revision, storage::records::LeaderRecord};
 
 /// Two steady clocks may part by twice this share; the lease is cut by more.
 const DRIFT: f64 = 0.002;
@@ -34,7 +34,7 @@
         /// Number of the grant.
         permit: u64,
         /// Revision that the key must have; 0: it must not exist.
-        expect: u64,
+        expect: Revision,
     },
     /// DELETE /grants/{}
     StepDown(u64),
@@ -55,7 +55,7 @@
     /// `None`: the key isn't there.
     record: Option<LeaderRecord>,
     /// Revision of the record, or of its removal.
-    revision: u64,
+    revision: Revision,
 }
 
 /// This controller's part in the election of a leader.
@@ -117,24 +117,24 @@
     }
 
     /// The key's revision, if the key names this start and this grant.
-    fn own_key_revision(&self) -> Option<u64> {
+    fn own_key_revision(&self) -> Option<Revision> {
         let own = self.record(self.permit?);
         let key = self.key.as_ref()?;
         (key.record.as_ref() == Some(&own)).then_some(key.revision)
     }
 
-    /// Revision of this controller's leadership, if it may act at this moment.
-    pub fn leading(&self, now: u64) -> Option<u64> {
+    /// Term of this controller's leadership, if it may act at this moment.
+    pub fn leading(&self, now: u64) -> Option<Term> {
         if now < self.valid_until {
-            self.own_key_revision()
+            self.holds_key()
         } else {
             None
         }
     }
 
-    /// Revision of this controller's leadership, even if it may not act just now.
-    pub fn holds_key(&self) -> Option<u64> {
-        self.own_key_revision()
+    /// Term of this controller's leadership, even if it may not act just now.
+    pub fn holds_key(&self) -> Option<Term> {
+        self.own_key_revision().map(Term)
     }
 
     /// The label of the controller that the key names.
@@ -144,7 +144,7 @@
     }
 
     /// The key was seen at `revision` (of its record, or of its removal).
-    pub fn saw_key(&mut self, now: u64, record: Option<LeaderRecord>, revision: u64) {
+    pub fn saw_key(&mut self, now: u64, record: Option<LeaderRecord>, revision: Revision) {
         if self.key.as_ref().is_some_and(|seen| seen.revision > revision) {
             return;
         }
@@ -190,10 +190,10 @@
     }
 
     /// The revision that the key has if it may be claimed (0: it isn't there).
-    fn claimable_revision(&self) -> Option<u64> {
+    fn claimable_revision(&self) -> Option<Revision> {
         let key = self.key.as_ref()?;
         match &key.record {
-            None => Some(0),
+            None => Some(Revision::ABSENT),
             // The key of an earlier start of this controller may be replaced at once.
             Some(record) if record.label == self.label => Some(key.revision),
             Some(_) => None,
@@ -251,7 +251,7 @@
 
     /// `Some(revision)`: the key is ours at that revision. `None`: lost or unknown;
     /// the watch tells which.
-    pub fn claimed(&mut self, now: u64, revision: Option<u64>) {
+    pub fn claimed(&mut self, now: u64, revision: Option<Revision>) {
         if self.pending != PendingCall::Claim {
             return;
         }
--- a/src/coordination/leader/assignments.rs
+++ b/src/coordination/leader/assignments.rs
@@ -5,7 +5,12 @@
     coordination::model::{
         Assignment, AssignmentIndex, AssignmentState, Job, MachineIndex, Millis, Resources, Slot, START_COUNTS_MS,
     },
-    protocol::{jobs::Kind, names::ZoneIndex, workers::TaskState},
+    protocol::{
+        ids::{Attempt, Incarnation},
+        jobs::Kind,
+        names::ZoneIndex,
+        workers::TaskState,
+    },
     storage::{job_cache::JobIndex, records::JobStatus},
 };
 
@@ -19,9 +24,9 @@
     /// The machine that it is assigned to.
     pub machine: MachineIndex,
     /// The worker's incarnation that the assignment is made for.
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// Number of the attempt to run the task.
-    pub attempt: u64,
+    pub attempt: Attempt,
     /// Zone of the machine.
     pub zone: ZoneIndex,
 }
@@ -157,7 +162,7 @@
 
     /// Everything on a machine is provably gone; with `before_incarnation`, only
     /// what was assigned in an earlier incarnation.
-    pub fn free_machine(&mut self, index: MachineIndex, before_incarnation: Option<u64>) {
+    pub fn free_machine(&mut self, index: MachineIndex, before_incarnation: Option<Incarnation>) {
         for assignment_index in self.machines[index.at()].assignments.clone() {
             let Some(assignment) = self.assignments.get(assignment_index) else { continue };
             if before_incarnation.is_some_and(|incarnation| assignment.incarnation >= incarnation) {
--- a/src/coordination/leader/commit_outcomes.rs
+++ b/src/coordination/leader/commit_outcomes.rs
@@ -9,7 +9,7 @@
 };
 use crate::{
     coordination::model::{AssignmentState, MachineIndex, Millis},
-    protocol::{jobs::Kind, store::Op},
+    protocol::{ids::Revision, jobs::Kind, store::Op},
     storage::{
         job_cache::JobIndex,
         records::{self, ChunkRecord},
@@ -81,7 +81,7 @@
     }
 
     /// A job's record changed under a transaction that expected `sent_revision`.
-    fn mark_stale(&mut self, id: &str, sent_revision: u64) {
+    fn mark_stale(&mut self, id: &str, sent_revision: Revision) {
         for index in self.active_with_id(id) {
             // Unless the job cache has shown the change already.
             if let Some(job) = self.job_mut(index).filter(|job| job.revision == sent_revision) {
@@ -163,7 +163,7 @@
         self.cycle_needed = true;
     }
 
-    fn applied(&mut self, now: Millis, in_flight: InFlightTxn, revision: u64) {
+    fn applied(&mut self, now: Millis, in_flight: InFlightTxn, revision: Revision) {
         let contents = &in_flight.contents;
         let statistics = &mut self.transactions.statistics;
         statistics.txns += 1;
@@ -181,7 +181,7 @@
         self.after_settled(&contents.chunks);
     }
 
-    fn chunk_applied(&mut self, now: Millis, written: &WrittenChunk, revision: u64) {
+    fn chunk_applied(&mut self, now: Millis, written: &WrittenChunk, revision: Revision) {
         let Some(job) = self.jobs.get_mut(written.job.at()).and_then(Option::as_mut) else {
             tracing::debug!("records of a job that is over were written");
             return;
@@ -211,7 +211,7 @@
         }
     }
 
-    fn end_applied(&mut self, now: Millis, index: JobIndex, revision: u64) {
+    fn end_applied(&mut self, now: Millis, index: JobIndex, revision: Revision) {
         if let Some(job) = self.job_mut(index) {
             job.revision = revision;
             let last_s = (job.last_assigned as i64 - job.since) as f64 / 1000.0;
@@ -231,9 +231,9 @@
     }
 
     /// A key asked for by `resync_key` was read: its value and its revision.
-    pub fn resynced(&mut self, now: Millis, key: &str, found: Option<(Value, u64)>) {
+    pub fn resynced(&mut self, now: Millis, key: &str, found: Option<(Value, Revision)>) {
         let Some(mut in_flight) = self.transactions.in_flight.take() else { return };
-        let mut current_revision = 0;
+        let mut current_revision = Revision::ABSENT;
         if let Some((value, revision)) = found {
             current_revision = revision;
             let record = value.deserialized::<ChunkRecord>().unwrap_or_default();
@@ -255,7 +255,7 @@
         self.give_back(in_flight);
     }
 
-    fn set_chunk_revision(&mut self, key: &str, revision: u64) {
+    fn set_chunk_revision(&mut self, key: &str, revision: Revision) {
         let Some((id, chunk_number)) = records::split_chunk_key(key) else { return };
         for index in self.active_with_id(id) {
             let chunk = self.job_mut(index).and_then(|job| job.chunks.get_mut(chunk_number as usize));
@@ -267,7 +267,7 @@
 }
 
 /// The revision that a transaction expects of a key.
-fn expected_revision(in_flight: &InFlightTxn, key: &str) -> u64 {
+fn expected_revision(in_flight: &InFlightTxn, key: &str) -> Revision {
     let conditions = &in_flight.txn.conditions;
-    conditions.iter().find(|condition| condition.key == key).map_or(0, |condition| condition.revision)
+    conditions.iter().find(|condition| condition.key == key).map_or(Revision::ABSENT, |condition| condition.revision)
 }
--- a/src/coordination/leader/commits.rs
+++ b/src/coordination/leader/commits.rs
@@ -10,6 +10,7 @@
 use crate::{
     coordination::model::{Chunk, Job, Millis, Slot},
     protocol::{
+        ids::Revision,
         jobs::{Priority, Submission},
         names::Tables,
         store::{Condition, Op, Txn},
@@ -75,7 +76,7 @@
         self.txn.writes.push(Op::Put { key, v: value, permit: None });
     }
 
-    fn require(&mut self, key: String, revision: u64) {
+    fn require(&mut self, key: String, revision: Revision) {
         self.txn.conditions.push(Condition { key, revision });
     }
 }
@@ -212,7 +213,7 @@
         }
         // Guard: whoever leads by the time it is applied, only this
         // leadership's writes count.
-        builder.require(records::LEADER.to_owned(), self.revision);
+        builder.require(records::LEADER.to_owned(), self.term.0);
         Some(self.transactions.send(builder.txn, builder.contents, builder.tag))
     }
 
--- a/src/coordination/leader/direct_calls.rs
+++ b/src/coordination/leader/direct_calls.rs
@@ -5,7 +5,7 @@
     DirectCallOutcome, Effect, Leader,
 };
 use crate::{
-    coordination::model::{DirectCall, LaunchId, MachineIndex, MachineLifecycle, Millis, Slot},
+    coordination::model::{CallId, DirectCall, LaunchId, MachineIndex, MachineLifecycle, Millis, Slot},
     protocol::{
         names::Tables,
         workers::{split_task, DirectCommandRequest, Heartbeat, WorkerCommand},
@@ -57,7 +57,7 @@
             return;
         }
         let launches = commands.iter().filter_map(|order| self.launch_of(index, order)).collect();
-        let call = self.call_id();
+        let call = self.next_call();
         let machine = &mut self.machines[index.at()];
         machine.direct_call = Some(DirectCall { id: call, launches });
         let req = DirectCommandRequest { token: machine.token, incarnation: machine.incarnation, commands };
@@ -83,7 +83,7 @@
         &mut self,
         now: Millis,
         index: MachineIndex,
-        call: u64,
+        call: CallId,
         outcome: DirectCallOutcome,
         job_cache: &JobCache,
         tables: &mut Tables,
@@ -152,7 +152,7 @@
         machine.raise_token();
         machine.fence_token = machine.token;
         machine.answered_since_fence = false;
-        tracing::debug!(machine = &*machine.id, token = machine.token, "command unanswered, token raised");
+        tracing::debug!(machine = &*machine.id, token = %machine.token, "command unanswered, token raised");
         self.refresh(now, index);
     }
 
--- a/src/coordination/leader/effects.rs
+++ b/src/coordination/leader/effects.rs
@@ -3,9 +3,10 @@
 use std::net::SocketAddr;
 
 use crate::{
-    coordination::model::{MachineIndex, Millis},
+    coordination::model::{CallId, MachineIndex, Millis},
     protocol::{
         cloud::RentRequest,
+        ids::Revision,
         workers::{DirectCommandRequest, Heartbeat, HeartbeatResponse},
     },
 };
@@ -18,7 +19,7 @@
         /// The machine of the worker.
         machine: MachineIndex,
         /// Number of the call.
-        call: u64,
+        call: CallId,
         /// Address of the worker.
         addr: SocketAddr,
         /// The body of the request.
@@ -27,21 +28,21 @@
     /// POST /hosts
     Rent {
         /// Number of the call.
-        call: u64,
+        call: CallId,
         /// The body of the request.
         req: RentRequest,
     },
     /// POST /hosts/return
     Return {
         /// Number of the call.
-        call: u64,
+        call: CallId,
         /// Names of the machines.
         ids: Vec<String>,
     },
     /// GET /hosts, from one machine's name on.
     List {
         /// Number of the call.
-        call: u64,
+        call: CallId,
         /// The first name to list; None: from the beginning.
         from: Option<String>,
     },
@@ -82,7 +83,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitOutcome {
     /// Applied; the revision that all of its records have now.
-    Done(u64),
+    Done(Revision),
     /// Not applied, because these keys had other revisions than expected.
     Conflict(Vec<String>),
     /// Certainly not executed.
--- a/src/coordination/leader/exits.rs
+++ b/src/coordination/leader/exits.rs
@@ -13,7 +13,7 @@
 impl Leader {
     /// A task has ended. Its assignment is released unless a command sent
     /// earlier could still start it again.
-    pub(super) fn settle_exit(&mut self, now: Millis, index: AssignmentIndex, heartbeat: &TaskStatus) {
+    pub(super) fn settle_exit(&mut self, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
         let Some(assignment) = self.assignment(index) else { return };
         let machine = self.machine(assignment.machine);
         // Guard: a launch still under way could arrive after the reap and start
@@ -21,14 +21,14 @@
         if !machine.fenced() || self.in_flight_launch(assignment) || machine.launch_in_answer {
             return;
         }
-        let reason = heartbeat.why.unwrap_or(ExitReason::Other);
+        let reason = status.why.unwrap_or(ExitReason::Other);
         let fate = if reason == ExitReason::Done { TaskFate::Done } else { TaskFate::Unfinished };
         let Some(assignment) = self.release_assignment(index, fate) else { return };
         let record = self.record_of_exit(&assignment);
         let machine = &mut self.machines[assignment.machine.at()];
         machine.unreaped_exits.push(UnreapedExit {
-            task: heartbeat.task.clone(),
-            attempt: heartbeat.attempt,
+            task: status.task.clone(),
+            attempt: status.attempt,
             job: assignment.job,
             record,
         });
@@ -36,13 +36,13 @@
             self.observe_run_time(now, &assignment);
         } else {
             tracing::debug!(
-                task = &*heartbeat.task,
+                task = &*status.task,
                 machine = &*machine.id,
                 why = ?reason,
-                saved = ?heartbeat.saved,
+                saved = ?status.saved,
                 "ended"
             );
-            self.handle_early_end(now, &assignment, reason, &heartbeat.task);
+            self.handle_early_end(now, &assignment, reason, &status.task);
         }
     }
 
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -9,6 +9,7 @@
 use crate::{
     coordination::model::{AssignmentIndex, AssignmentState, MachineIndex, MachineLifecycle, Millis},
     protocol::{
+        ids::{FencingToken, Incarnation},
         jobs::Kind,
         names::Tables,
         workers::{Heartbeat, HeartbeatResponse, WorkerCommand},
@@ -71,7 +72,7 @@
     }
 
     /// Notes what a heartbeat shows of our earlier answers.
-    fn note_acknowledgement(&mut self, now: Millis, index: MachineIndex, shown_token: u64) {
+    fn note_acknowledgement(&mut self, now: Millis, index: MachineIndex, shown_token: FencingToken) {
         let machine = &mut self.machines[index.at()];
         machine.last_heartbeat = Some(now);
         // The worker took or dropped our last answer before it sent this.
@@ -172,15 +173,15 @@
     }
 
     /// A new incarnation: the worker killed and forgot all of the former one.
-    fn begin_incarnation(&mut self, now: Millis, index: MachineIndex, incarnation: u64) {
+    fn begin_incarnation(&mut self, now: Millis, index: MachineIndex, incarnation: Incarnation) {
         let machine = &mut self.machines[index.at()];
         let previous = machine.incarnation;
         machine.incarnation = incarnation;
         // Guard: the new incarnation has a lease of its own, from its beginning on,
         // also where only a probe or a command's answer tells of it.
         machine.lease_renewed = machine.lease_renewed.max(now);
-        if previous != 0 {
-            tracing::info!(machine = &*machine.id, incarnation, "new session");
+        if previous != Incarnation::NONE {
+            tracing::info!(machine = &*machine.id, %incarnation, "new session");
         }
         self.free_machine(index, Some(incarnation));
         self.cycle_needed = true;
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -192,7 +192,7 @@
         let Some(job) = self.jobs[index.at()].take() else { return };
         self.active.retain(|&active| active != index);
         for (chunk_number, chunk) in job.chunks.iter().enumerate() {
-            if chunk.revision != 0 {
+            if !chunk.revision.is_absent() {
                 let key = records::chunk_key(&job.id, chunk_number as u32);
                 self.transactions.drop_later(ObsoleteRecord { key, revision: chunk.revision });
             }
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/leader/leases.rs
@@ -1,7 +1,10 @@
 //! What the end of a worker's lease proves.
 
 use super::Leader;
-use crate::coordination::model::{MachineIndex, Millis};
+use crate::{
+    coordination::model::{MachineIndex, Millis},
+    protocol::ids::Incarnation,
+};
 
 /// The drift of two steady clocks over a lease is at most one part in this many.
 const CLOCK_DRIFT_DIVISOR: Millis = 500;
@@ -27,7 +30,7 @@
         }
         tracing::warn!(machine = &*machine.id, tasks = machine.assignments.len(), "lease ran out");
         let incarnations = machine.assignments.iter().filter_map(|&assignment_index| self.assignment(assignment_index));
-        let last_incarnation = incarnations.map(|assignment| assignment.incarnation).max().unwrap_or(0);
+        let last_incarnation = incarnations.map(|assignment| assignment.incarnation).max().unwrap_or(Incarnation::NONE);
         let machine = &mut self.machines[index.at()];
         machine.expired_incarnation = machine.expired_incarnation.max(machine.incarnation).max(last_incarnation);
         self.free_machine(index, None);
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -5,7 +5,7 @@
 use super::{pipeline::ObsoleteRecord, Leader, NewAssignment};
 use crate::{
     coordination::model::{Job, Millis, Slot},
-    protocol::names::Tables,
+    protocol::{ids::Revision, names::Tables},
     storage::{
         job_cache::{JobCache, JobIndex},
         records::{self, AssignmentRecord, ChunkRecord, JobStatus},
@@ -21,7 +21,7 @@
         wall_ms: u64,
         key: &str,
         value: &Value,
-        revision: u64,
+        revision: Revision,
         job_cache: &JobCache,
         tables: &mut Tables,
     ) {
--- a/src/coordination/leader/machines.rs
+++ b/src/coordination/leader/machines.rs
@@ -1,9 +1,9 @@
 //! Machines become known, and the snapshot is shown what they are.
 
-use super::{first_token, Leader};
+use super::Leader;
 use crate::{
     coordination::model::{Machine, MachineIndex, MachineLifecycle, Millis},
-    protocol::names::ZoneIndex,
+    protocol::{ids::Incarnation, names::ZoneIndex},
 };
 
 /// How far past its second missed report a machine still takes new tasks.
@@ -16,7 +16,7 @@
             return index;
         }
         let index = MachineIndex(self.machines.len() as u32);
-        self.machines.push(Machine::new(id, zone, first_token(self.revision), now));
+        self.machines.push(Machine::new(id, zone, self.term.first_token(), now));
         self.machine_index.insert(id.to_owned(), index);
         index
     }
@@ -24,8 +24,8 @@
     /// Shows the snapshot what a machine is and whether it takes new tasks.
     pub fn refresh(&mut self, now: Millis, index: MachineIndex) {
         let machine = &self.machines[index.at()];
-        let is_present =
-            matches!(machine.lifecycle, MachineLifecycle::Up | MachineLifecycle::Returning) && machine.incarnation != 0;
+        let is_present = matches!(machine.lifecycle, MachineLifecycle::Up | MachineLifecycle::Returning)
+            && machine.incarnation != Incarnation::NONE;
         let machine_type = if is_present { self.type_of(machine) } else { None };
         let open = self.takes_new_tasks(now, machine);
         let gpu_only = machine_type.is_some_and(|machine_type| self.reserved_for_gpu_work(now, machine, machine_type));
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -48,12 +48,14 @@
     model::{Assignment, AssignmentIndex, Job, Machine, MachineIndex, MachineTypeSpec, Millis, Resources},
     snapshot::ClusterSnapshot,
 };
-use crate::storage::job_cache::JobIndex;
+use crate::{
+    coordination::model::{CallId, Term},
+    protocol::ids::Attempt,
+    storage::job_cache::JobIndex,
+};
 
-/// Bits of a token that count the raises of one leadership.
-const TOKEN_COUNT_BITS: u32 = 16;
 /// Raises of one worker's token after which the leadership is given up: well
-/// below what [`TOKEN_COUNT_BITS`] can count.
+/// below what a token's count can hold.
 const TOKEN_RAISE_LIMIT: u64 = 60_000;
 /// Bits of an attempt number or a transaction's tag that count those of one
 /// leadership.
@@ -64,7 +66,7 @@
     /// Settings of this leadership.
     pub(in crate::coordination) cfg: Config,
     /// Revision of the leader record: identifies this leadership.
-    pub revision: u64,
+    pub term: Term,
     /// The latest moment heard of.
     pub(in crate::coordination) clock: Millis,
     /// Largest value, in bytes, that the state service is known to take.
@@ -94,8 +96,8 @@
     pub(in crate::coordination) cycle_needed: bool,
     /// When the last scheduling cycle was made.
     pub(in crate::coordination) last_cycle: Millis,
-    last_attempt: u64,
-    last_call: u64,
+    last_attempt: Attempt,
+    last_call: CallId,
     transactions: TransactionPipeline,
     /// State of renting and returning machines.
     pub(in crate::coordination) autoscaler: Autoscaler,
@@ -124,19 +126,13 @@
     pub(in crate::coordination) run_times: RunTimeEstimates,
 }
 
-/// The first token of a leadership. A token is the leader's revision and a count,
-/// so that a later leader's are always higher and one worker's can be raised alone.
-pub fn first_token(revision: u64) -> u64 {
-    revision << TOKEN_COUNT_BITS
-}
-
 impl Leader {
     /// A new leadership that has read no records yet. `nonce` is a random number
     /// that no other leadership has.
-    pub fn new(cfg: Config, revision: u64, nonce: u64, now: Millis, types: Vec<MachineTypeSpec>) -> Leader {
-        let first_in_sequence = revision << SEQUENCE_BITS;
+    pub fn new(cfg: Config, term: Term, nonce: u64, now: Millis, types: Vec<MachineTypeSpec>) -> Leader {
+        let first_in_sequence = term.0 .0 << SEQUENCE_BITS;
         Leader {
-            revision,
+            term,
             clock: now,
             value_limit: cfg.value_max,
             may_reshard: false,
@@ -152,8 +148,8 @@
             types,
             cycle_needed: true,
             last_cycle: 0,
-            last_attempt: first_in_sequence,
-            last_call: 1,
+            last_attempt: Attempt(first_in_sequence),
+            last_call: CallId(1),
             transactions: TransactionPipeline::new(first_in_sequence),
             autoscaler: Autoscaler::new(nonce, now),
             effects: Vec::new(),
@@ -211,14 +207,14 @@
     }
 
     /// A number for a call, unique within this leadership.
-    pub fn call_id(&mut self) -> u64 {
-        self.last_call += 1;
+    pub fn next_call(&mut self) -> CallId {
+        self.last_call = self.last_call.next();
         self.last_call
     }
 
     /// A number for an attempt to run a task, higher than any before.
-    pub fn next_attempt(&mut self) -> u64 {
-        self.last_attempt += 1;
+    pub fn next_attempt(&mut self) -> Attempt {
+        self.last_attempt = self.last_attempt.next();
         self.last_attempt
     }
 
@@ -234,7 +230,7 @@
     /// The count inside some worker's token is nearly used up: the next
     /// leadership begins a new one.
     pub fn tokens_exhausted(&self) -> bool {
-        let base = first_token(self.revision);
-        self.machines.iter().any(|machine| machine.token - base > TOKEN_RAISE_LIMIT)
+        let base = self.term.first_token();
+        self.machines.iter().any(|machine| machine.token.0 - base.0 > TOKEN_RAISE_LIMIT)
     }
 }
--- a/src/coordination/leader/pipeline.rs
+++ b/src/coordination/leader/pipeline.rs
@@ -4,7 +4,11 @@
 use std::collections::VecDeque;
 
 use super::resharding::ReshardPlan;
-use crate::{coordination::model::Millis, protocol::store::Txn, storage::job_cache::JobIndex};
+use crate::{
+    coordination::model::Millis,
+    protocol::{ids::Revision, store::Txn},
+    storage::job_cache::JobIndex,
+};
 
 /// A chunk and the version of it that a transaction writes.
 #[derive(Debug, Clone, Copy)]
@@ -18,7 +22,7 @@
 #[derive(Debug)]
 pub(super) struct ObsoleteRecord {
     pub key: String,
-    pub revision: u64,
+    pub revision: Revision,
 }
 
 /// What of the wanted state a transaction carries.
--- a/src/coordination/leader/resharding.rs
+++ b/src/coordination/leader/resharding.rs
@@ -5,6 +5,7 @@
 use crate::{
     coordination::model::{Chunk, ExitRecord, Job, MachineIndex, Millis, Slot},
     protocol::{
+        ids::Revision,
         names::Tables,
         store::{Condition, Op, Txn},
         workers::split_task,
@@ -34,7 +35,7 @@
 /// What is written under new chunk sizes, and the revision that it has.
 struct AppliedPlan<'a> {
     plan: &'a ReshardPlan,
-    revision: u64,
+    revision: Revision,
 }
 
 /// What becomes of a chunk's record when its job is resharded.
@@ -92,7 +93,7 @@
         let new_chunk = |(chunk_number, slots): (usize, &[Slot])| {
             if slots.iter().any(|slot| *slot != Slot::Pending) {
                 NewChunk::Put
-            } else if job.chunks.get(chunk_number).is_some_and(|chunk| chunk.revision != 0) {
+            } else if job.chunks.get(chunk_number).is_some_and(|chunk| !chunk.revision.is_absent()) {
                 NewChunk::Drop
             } else {
                 NewChunk::Nothing
@@ -138,17 +139,17 @@
                     written_chunks.push(chunk_number);
                 }
             }
-            let revision = job.chunks.get(chunk_number).map_or(0, |chunk| chunk.revision);
+            let revision = job.chunks.get(chunk_number).map_or(Revision::ABSENT, |chunk| chunk.revision);
             txn.conditions.push(Condition { key, revision });
         }
         // Guard: as for every transaction, only this leadership's writes count.
-        txn.conditions.push(Condition { key: records::LEADER.to_owned(), revision: self.revision });
+        txn.conditions.push(Condition { key: records::LEADER.to_owned(), revision: self.term.0 });
         let versions = job.chunks.iter().map(|chunk| chunk.version).collect();
         Some((txn, ReshardPlan { job: job.index, slots: job.slots.clone(), versions, written_chunks }))
     }
 
     /// The resharded records are written.
-    pub(super) fn resharded(&mut self, now: Millis, plan: &ReshardPlan, revision: u64) {
+    pub(super) fn resharded(&mut self, now: Millis, plan: &ReshardPlan, revision: Revision) {
         let size = self.cfg.chunk_fit;
         let Some(job) = self.job_mut(plan.job) else { return };
         job.revision = job.revision.max(revision);
--- a/src/coordination/leader/task_statuses.rs
+++ b/src/coordination/leader/task_statuses.rs
@@ -7,7 +7,10 @@
     coordination::model::{
         AssignmentIndex, AssignmentState, ExitRecord, Job, MachineIndex, Millis, Slot, UnreapedExit,
     },
-    protocol::workers::{split_task, ExitReason, TaskState, TaskStatus},
+    protocol::{
+        ids::Attempt,
+        workers::{split_task, ExitReason, TaskState, TaskStatus},
+    },
     storage::{
         job_cache::{JobCache, JobIndex},
         records::JobStatus,
@@ -18,12 +21,12 @@
 #[derive(Debug, PartialEq, Eq, Hash)]
 pub(super) struct TaskAttempt {
     pub task: String,
-    pub attempt: u64,
+    pub attempt: Attempt,
 }
 
 impl TaskAttempt {
-    fn of(heartbeat: &TaskStatus) -> TaskAttempt {
-        TaskAttempt { task: heartbeat.task.clone(), attempt: heartbeat.attempt }
+    fn of(status: &TaskStatus) -> TaskAttempt {
+        TaskAttempt { task: status.task.clone(), attempt: status.attempt }
     }
 }
 
@@ -37,7 +40,7 @@
 
 /// A task that a heartbeat listed.
 struct ListedTask<'a> {
-    heartbeat: &'a TaskStatus,
+    status: &'a TaskStatus,
     machine: MachineIndex,
     job: JobIndex,
     number: u32,
@@ -50,17 +53,17 @@
         &mut self,
         now: Millis,
         machine: MachineIndex,
-        heartbeat: &TaskStatus,
+        status: &TaskStatus,
         job_cache: &JobCache,
         listed: &mut ListedTasks,
     ) {
-        let Some((id, number)) = split_task(&heartbeat.task) else { return };
+        let Some((id, number)) = split_task(&status.task) else { return };
         let Some(job) = job_cache.find(id) else { return };
         let slot = self.job(job).and_then(|job| job.slots.get(number as usize).copied());
-        let task = ListedTask { heartbeat, machine, job, number, slot };
+        let task = ListedTask { status, machine, job, number, slot };
         if let Some(assignment_index) = self.assignment_of(&task) {
             self.reconcile_assigned_task(now, &task, assignment_index, listed);
-        } else if heartbeat.state == TaskState::Exited {
+        } else if status.state == TaskState::Exited {
             self.reconcile_unassigned_exit(&task, listed);
         } else if !self.adopt(now, &task, listed) {
             self.note_stray(&task, listed);
@@ -72,7 +75,7 @@
         let Some(Slot::At(assignment_index)) = task.slot else { return None };
         let assignment = self.assignment(assignment_index)?;
         let is_same = assignment.machine == task.machine
-            && assignment.attempt == task.heartbeat.attempt
+            && assignment.attempt == task.status.attempt
             && assignment.incarnation == self.machine(task.machine).incarnation;
         is_same.then_some(assignment_index)
     }
@@ -85,26 +88,26 @@
         listed: &mut ListedTasks,
     ) {
         listed.assignments.push(assignment_index);
-        self.apply_task_state(now, assignment_index, task.heartbeat);
+        self.apply_task_state(now, assignment_index, task.status);
         let is_still_assigned = self
             .assignment(assignment_index)
-            .is_some_and(|assignment| assignment.job == task.job && assignment.attempt == task.heartbeat.attempt);
+            .is_some_and(|assignment| assignment.job == task.job && assignment.attempt == task.status.attempt);
         if !is_still_assigned {
             // Settled just now: it has an unreaped exit.
-            listed.exits.insert(TaskAttempt::of(task.heartbeat));
+            listed.exits.insert(TaskAttempt::of(task.status));
         }
     }
 
     /// An end that no assignment waits for. A task that completed is done all
     /// the same.
     fn reconcile_unassigned_exit(&mut self, task: &ListedTask<'_>, listed: &mut ListedTasks) {
-        listed.exits.insert(TaskAttempt::of(task.heartbeat));
+        listed.exits.insert(TaskAttempt::of(task.status));
         if self.has_unreaped_exit(task) {
             return;
         }
         let is_settled = self.machine(task.machine).has_no_command_in_flight();
         let mut record = ExitRecord::WrittenWith { chunk: 0, version: 0 };
-        if task.slot == Some(Slot::Pending) && task.heartbeat.why == Some(ExitReason::Done) {
+        if task.slot == Some(Slot::Pending) && task.status.why == Some(ExitReason::Done) {
             if let Some(job) = self.job_mut(task.job) {
                 record = complete_pending_task(job, task.number);
             }
@@ -130,13 +133,13 @@
             task: task.number,
             machine: task.machine,
             incarnation: machine.incarnation,
-            attempt: task.heartbeat.attempt,
+            attempt: task.status.attempt,
             zone: machine.zone,
         };
         if let Some(assignment_index) = self.add_assignment(now, new) {
-            tracing::warn!(task = &*task.heartbeat.task, machine = &*self.machine(task.machine).id, "adopted");
+            tracing::warn!(task = &*task.status.task, machine = &*self.machine(task.machine).id, "adopted");
             listed.assignments.push(assignment_index);
-            self.apply_task_state(now, assignment_index, task.heartbeat);
+            self.apply_task_state(now, assignment_index, task.status);
         }
         true
     }
@@ -144,42 +147,42 @@
     /// A live task that is not wanted: halted until it ends, then reaped.
     fn note_stray(&mut self, task: &ListedTask<'_>, listed: &mut ListedTasks) {
         tracing::warn!(
-            task = &*task.heartbeat.task,
-            attempt = task.heartbeat.attempt,
+            task = &*task.status.task,
+            attempt = %task.status.attempt,
             machine = &*self.machine(task.machine).id,
             "stray task, stopping it"
         );
         if !self.has_unreaped_exit(task) {
             self.add_unreaped_exit(task, ExitRecord::Stray);
         }
-        listed.exits.insert(TaskAttempt::of(task.heartbeat));
+        listed.exits.insert(TaskAttempt::of(task.status));
     }
 
     fn has_unreaped_exit(&self, task: &ListedTask<'_>) -> bool {
         let exits = &self.machine(task.machine).unreaped_exits;
-        exits.iter().any(|exit| exit.task == task.heartbeat.task && exit.attempt == task.heartbeat.attempt)
+        exits.iter().any(|exit| exit.task == task.status.task && exit.attempt == task.status.attempt)
     }
 
     fn add_unreaped_exit(&mut self, task: &ListedTask<'_>, record: ExitRecord) {
         self.machines[task.machine.at()].unreaped_exits.push(UnreapedExit {
-            task: task.heartbeat.task.clone(),
-            attempt: task.heartbeat.attempt,
+            task: task.status.task.clone(),
+            attempt: task.status.attempt,
             job: task.job,
             record,
         });
     }
 
-    fn apply_task_state(&mut self, now: Millis, index: AssignmentIndex, heartbeat: &TaskStatus) {
-        if heartbeat.state == TaskState::Exited {
-            self.apply_task_exit(now, index, heartbeat);
+    fn apply_task_state(&mut self, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
+        if status.state == TaskState::Exited {
+            self.apply_task_exit(now, index, status);
             return;
         }
         let Some(assignment) = self.assignments.get_mut(index) else { return };
-        let previous = std::mem::replace(&mut assignment.state, AssignmentState::Seen(heartbeat.state));
+        let previous = std::mem::replace(&mut assignment.state, AssignmentState::Seen(status.state));
         if previous == assignment.state {
             return;
         }
-        let is_running = heartbeat.state == TaskState::Running;
+        let is_running = status.state == TaskState::Running;
         if is_running && assignment.running_since.is_none() {
             assignment.running_since = Some(now);
         }
@@ -204,15 +207,15 @@
         }
     }
 
-    fn apply_task_exit(&mut self, now: Millis, index: AssignmentIndex, heartbeat: &TaskStatus) {
+    fn apply_task_exit(&mut self, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
         let Some(assignment) = self.assignments.get_mut(index) else { return };
         if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
             if let Some(job) = self.jobs[assignment.job.at()].as_mut() {
                 job.running = job.running.saturating_sub(1);
             }
         }
-        assignment.state = AssignmentState::Ended(heartbeat.why.unwrap_or(ExitReason::Other));
-        self.settle_exit(now, index, heartbeat);
+        assignment.state = AssignmentState::Ended(status.why.unwrap_or(ExitReason::Other));
+        self.settle_exit(now, index, status);
     }
 }
 
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -18,6 +18,7 @@
 //!   for the time that the controller itself vouched for, or its key was away.
 
 use super::model::Millis;
+use crate::protocol::ids::Revision;
 
 /// Two steady clocks may part by twice this share; times are cut by more.
 const DRIFT: f64 = 0.002;
@@ -70,7 +71,7 @@
         /// Number of the grant.
         permit: u64,
         /// Revision that the key must have; 0: it must not exist.
-        expect: u64,
+        expect: Revision,
     },
 }
 
@@ -87,9 +88,9 @@
 #[derive(Debug, Clone, Copy)]
 struct SeenKey {
     /// Revision of the key's last write; 0: the key isn't there.
-    key_revision: u64,
+    key_revision: Revision,
     /// Revision of the store at which it was seen.
-    store_revision: u64,
+    store_revision: Revision,
 }
 
 /// This controller's own right to renew leases.
@@ -211,7 +212,7 @@
     }
 
     /// `Some(revision)`: written. `None`: lost or unknown; the watch tells which.
-    pub fn registered(&mut self, now: Millis, revision: Option<u64>) {
+    pub fn registered(&mut self, now: Millis, revision: Option<Revision>) {
         if self.pending != PendingCall::Register {
             return;
         }
@@ -231,12 +232,12 @@
 
     /// The key was seen at a revision of the store: the revision of its last write
     /// (0: not there), and whether it is of this start of the process.
-    pub fn saw_key(&mut self, key_revision: u64, store_revision: u64, mine: bool) {
+    pub fn saw_key(&mut self, key_revision: Revision, store_revision: Revision, mine: bool) {
         if self.key.is_some_and(|seen| seen.store_revision > store_revision) {
             return;
         }
         self.key = Some(SeenKey { key_revision, store_revision });
-        self.registered = mine && key_revision != 0;
+        self.registered = mine && !key_revision.is_absent();
     }
 
     /// A read of the jobs' records that was sent then has come back.
--- a/src/coordination/model/assignment.rs
+++ b/src/coordination/model/assignment.rs
@@ -1,8 +1,9 @@
 //! Assignments of tasks to machines, and what is left of those that ended.
 
-use super::{MachineIndex, Millis};
+use super::{CallId, MachineIndex, Millis};
 use crate::{
     protocol::{
+        ids::{Attempt, Incarnation},
         names::ZoneIndex,
         workers::{ExitReason, TaskState},
     },
@@ -42,9 +43,9 @@
     /// The zone of that machine.
     pub zone: ZoneIndex,
     /// The worker's incarnation for which the task was assigned.
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// Number of the attempt to run the task.
-    pub attempt: u64,
+    pub attempt: Attempt,
     /// Version of its chunk that first contained this assignment.
     pub chunk_version: u64,
     /// How far the task has come.
@@ -94,7 +95,7 @@
     /// Name of the task, as its worker lists it.
     pub task: String,
     /// Number of the attempt.
-    pub attempt: u64,
+    pub attempt: Attempt,
     /// The task's job.
     pub job: JobIndex,
     /// Whether its end is or will be recorded.
@@ -109,14 +110,14 @@
     /// Number of the task within its job.
     pub task: u32,
     /// Number of the attempt.
-    pub attempt: u64,
+    pub attempt: Attempt,
 }
 
 /// A command that was sent straight to a worker and is not answered yet.
 #[derive(Debug, Clone)]
 pub struct DirectCall {
     /// Number of the call, unique within the leadership.
-    pub id: u64,
+    pub id: CallId,
     /// The launches that it carries.
     pub launches: Vec<LaunchId>,
 }
--- a/src/coordination/model/failures.rs
+++ b/src/coordination/model/failures.rs
@@ -1,6 +1,7 @@
 //! What a job's failed tasks say of the job itself.
 
 use super::{MachineIndex, Millis};
+use crate::protocol::ids::Attempt;
 
 /// Machines on which a job failed, and ran well nowhere, after which the fault
 /// is taken for its own.
@@ -18,13 +19,13 @@
     /// A task of the job completed, or outlasted those that failed.
     pub job_is_sound: bool,
     /// The latest attempt when the current round was counted.
-    round_attempt: u64,
+    round_attempt: Attempt,
 }
 
 impl JobFailures {
     /// A task that ran for `ran_ms` failed. `attempt`: its attempt;
     /// `last_attempt`: the latest one of any job.
-    pub fn record(&mut self, machine: MachineIndex, ran_ms: Millis, attempt: u64, last_attempt: u64) {
+    pub fn record(&mut self, machine: MachineIndex, ran_ms: Millis, attempt: Attempt, last_attempt: Attempt) {
         if !self.machines.contains(&machine) {
             self.machines.push(machine);
         }
--- a/src/coordination/model/job.rs
+++ b/src/coordination/model/job.rs
@@ -4,7 +4,7 @@
 
 use super::{AssignmentIndex, JobFailures, Millis};
 use crate::{
-    protocol::jobs::JobSpec,
+    protocol::{ids::Revision, jobs::JobSpec},
     storage::{
         job_cache::JobIndex,
         records::{JobRecord, JobStatus},
@@ -32,7 +32,7 @@
     /// The version that last gained an assignment: its launch waits for the write.
     pub placement_version: u64,
     /// Revision of the written record; 0: there is none.
-    pub revision: u64,
+    pub revision: Revision,
     /// Its value is larger than may be written; not to be tried before.
     pub retry_at: Millis,
 }
@@ -68,7 +68,7 @@
     /// What was submitted.
     pub spec: Rc<JobSpec>,
     /// Revision of its record.
-    pub revision: u64,
+    pub revision: Revision,
     /// Status according to its record.
     pub status: JobStatus,
     /// Since when it may run, on the leader's steady clock; may lie before the
--- a/src/coordination/model/machine.rs
+++ b/src/coordination/model/machine.rs
@@ -4,7 +4,10 @@
 
 use super::{AssignmentIndex, DirectCall, Millis, UnreapedExit};
 use crate::{
-    protocol::names::{MachineTypeIndex, ZoneIndex},
+    protocol::{
+        ids::{FencingToken, Incarnation, SequenceNumber},
+        names::{MachineTypeIndex, ZoneIndex},
+    },
     storage::job_cache::JobIndex,
 };
 
@@ -52,18 +55,18 @@
     /// Where it is between its rental and its return.
     pub lifecycle: MachineLifecycle,
     /// The latest incarnation of its worker, and the latest report in that incarnation.
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// Number of the latest report of the incarnation.
-    pub sequence: u64,
+    pub sequence: SequenceNumber,
     /// Heartbeats of incarnations up to this one are too old to mean anything.
-    pub expired_incarnation: u64,
+    pub expired_incarnation: Incarnation,
     /// The token that commands to it carry now.
-    pub token: u64,
+    pub token: FencingToken,
     /// A task's absence or end proves something only once the worker has shown
     /// at least this token.
-    pub fence_token: u64,
+    pub fence_token: FencingToken,
     /// The highest token that the worker has shown.
-    pub seen_token: u64,
+    pub seen_token: FencingToken,
     /// A heartbeat of it was answered since the fence was last raised.
     pub answered_since_fence: bool,
     /// Heartbeats since then that show no sign of an answer.
@@ -114,7 +117,7 @@
 
 impl Machine {
     /// A machine that was just rented, listed or heard of for the first time.
-    pub fn new(id: &str, zone: ZoneIndex, token: u64, now: Millis) -> Machine {
+    pub fn new(id: &str, zone: ZoneIndex, token: FencingToken, now: Millis) -> Machine {
         Machine {
             id: id.to_owned(),
             addr: None,
@@ -122,12 +125,12 @@
             zone,
             spot: false,
             lifecycle: MachineLifecycle::Booting,
-            incarnation: 0,
-            sequence: 0,
-            expired_incarnation: 0,
+            incarnation: Incarnation::NONE,
+            sequence: SequenceNumber::default(),
+            expired_incarnation: Incarnation::NONE,
             token,
             fence_token: token,
-            seen_token: 0,
+            seen_token: FencingToken::NONE,
             answered_since_fence: false,
             unacknowledged_heartbeats: 0,
             last_unacknowledged_at: 0,
@@ -177,6 +180,6 @@
 
     /// Raises the token above that of any command sent so far.
     pub fn raise_token(&mut self) {
-        self.token += 1;
+        self.token = self.token.next();
     }
 }
--- a/src/coordination/model/mod.rs
+++ b/src/coordination/model/mod.rs
@@ -3,6 +3,7 @@
 
 mod assignment;
 mod failures;
+mod ids;
 mod index;
 mod job;
 mod machine;
@@ -13,6 +14,7 @@
 pub use self::{
     assignment::{Assignment, AssignmentState, DirectCall, ExitRecord, Halt, LaunchId, UnreapedExit},
     failures::JobFailures,
+    ids::{CallId, Term},
     index::{AssignmentIndex, MachineIndex},
     job::{Chunk, Job, JobProgress, Slot},
     machine::{Machine, MachineLifecycle, TaskFailure},
--- a/src/coordination/tests/lease_renewal.rs
+++ b/src/coordination/tests/lease_renewal.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::protocol::ids::Revision;
 
 /// Guard: alone in being cut off, with workers that reach the others.
 #[test]
@@ -24,11 +25,11 @@
 
 fn ready(most: Millis) -> RenewalRight {
     let mut k = RenewalRight::new(most, most);
-    k.saw_key(0, 5, false);
+    k.saw_key(Revision(0), Revision(5), false);
     assert_eq!(k.tick(0), Some(Action::Grant));
     k.granted(20, Some(7));
-    assert_eq!(k.tick(20), Some(Action::Register { permit: 7, expect: 0 }));
-    k.registered(40, Some(9));
+    assert_eq!(k.tick(20), Some(Action::Register { permit: 7, expect: Revision(0) }));
+    k.registered(40, Some(Revision(9)));
     k.synced(1_000);
     k
 }
@@ -48,13 +49,13 @@
         assert_eq!(k.may_renew_without_leader(now), may, "at {now}");
     }
     let mut k = ready(18_000);
-    k.saw_key(0, 12, false);
+    k.saw_key(Revision(0), Revision(12), false);
     assert!(!k.may_renew_without_leader(5_000), "the key is gone: a leader no longer counts on us");
-    assert_eq!(k.tick(5_000), Some(Action::Register { permit: 7, expect: 0 }));
+    assert_eq!(k.tick(5_000), Some(Action::Register { permit: 7, expect: Revision(0) }));
     k.registered(5_010, None);
-    k.saw_key(13, 13, true);
+    k.saw_key(Revision(13), Revision(13), true);
     assert!(k.may_renew_without_leader(5_100), "the watch shows that it was written");
-    k.saw_key(8, 8, false);
+    k.saw_key(Revision(8), Revision(8), false);
     assert!(k.may_renew_without_leader(5_100), "an older sight changes nothing");
     assert_eq!(k.tick(6_100), Some(Action::Renew(7)));
     k.renewed(6_110, Some(false));
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -4,6 +4,7 @@
 
 pub mod cbor;
 pub mod cloud;
+pub mod ids;
 pub mod jobs;
 pub mod names;
 pub mod operator;
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -9,6 +9,8 @@
 
 use bitcode::{Decode, Encode};
 
+use crate::protocol::ids::Revision;
+
 /// The periodic state of one controller.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Gossip {
@@ -69,7 +71,7 @@
     /// Id of the job.
     pub job: String,
     /// Revision of the cancelled job's record.
-    pub revision: u64,
+    pub revision: Revision,
 }
 
 /// Cancellations that the sender confirmed lately. They are final, so delayed
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -4,6 +4,8 @@
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
+use crate::protocol::ids::Revision;
+
 /// A transaction is applied only if the key has this revision.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Condition {
@@ -11,7 +13,7 @@
     pub key: String,
     /// Revision of the last write of the key; 0: the key must not exist.
     #[serde(rename = "stamp")]
-    pub revision: u64,
+    pub revision: Revision,
 }
 
 /// One write of a transaction.
@@ -49,9 +51,10 @@
 
 /// The answer to a transaction: the revision of the store after it.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct Epoch {
+pub struct AppliedTransaction {
     /// Revision of the store; also the revision of each key that was written.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub store_revision: Revision,
 }
 
 /// The answer to a transaction whose conditions did not hold.
@@ -62,7 +65,8 @@
     pub failed: Vec<String>,
     /// Revision of the store at the attempt; 0 if it is not given.
     #[serde(default)]
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub store_revision: Revision,
 }
 
 /// A key with its value.
@@ -74,7 +78,7 @@
     pub v: Value,
     /// Revision of the key's last write.
     #[serde(rename = "stamp")]
-    pub revision: u64,
+    pub revision: Revision,
     /// The grant that the key is attached to; None: it is attached to none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub permit: Option<u64>,
@@ -89,7 +93,8 @@
     #[serde(default)]
     pub truncated: bool,
     /// Revision of the store that the listing shows.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub store_revision: Revision,
 }
 
 /// The answer to a request for a grant.
@@ -107,11 +112,12 @@
     pub ttl_ms: u64,
 }
 
-/// The changes under a prefix since a revision, up to `epoch`.
+/// The changes under a prefix since a revision, up to `store_revision`.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Changes {
     /// Revision of the store up to which the changes are complete.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub store_revision: Revision,
     /// The changes, not necessarily in the order of their revisions.
     #[serde(default)]
     pub events: Vec<Change>,
@@ -131,5 +137,5 @@
     pub v: Option<Value>,
     /// Revision of the change.
     #[serde(rename = "stamp")]
-    pub revision: u64,
+    pub revision: Revision,
 }
--- a/src/protocol/tests/peers.rs
+++ b/src/protocol/tests/peers.rs
@@ -1,4 +1,5 @@
 use super::{decode, encode, Cancelled, Count, Echo, Frame, FrameError, FrameOrder, Gossip, Notice};
+use crate::protocol::ids::Revision;
 
 fn gossip(nonce: u64, count: u64) -> Gossip {
     Gossip {
@@ -20,7 +21,7 @@
 
 #[test]
 fn frames_survive_the_way_and_garbage_is_refused() {
-    let notice = Notice { from: "a".into(), cancelled: vec![Cancelled { job: "j-1".into(), revision: 12 }] };
+    let notice = Notice { from: "a".into(), cancelled: vec![Cancelled { job: "j-1".into(), revision: Revision(12) }] };
     assert_eq!(decode(&[]), Err(FrameError::Empty));
     for frame in [Frame::Gossip(gossip(7, 1)), Frame::Notice(notice)] {
         let bytes = encode(&frame);
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -3,6 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::cbor::maybe_number;
+use crate::protocol::ids::{Attempt, FencingToken, Incarnation, SequenceNumber};
 
 /// What a worker says of itself and of its tasks.
 #[derive(Debug, Clone, Deserialize, Serialize, PartialEq)]
@@ -24,14 +25,14 @@
     pub spot: bool,
     /// Starts at 1 and increases whenever the worker's lease expires.
     #[serde(rename = "shift")]
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// Increases with every report and answer: of two messages the one with the
     /// larger incarnation and number is newer.
     #[serde(rename = "tick")]
-    pub sequence: u64,
+    pub sequence: SequenceNumber,
     /// The highest fencing token that the worker has seen; 0: none.
     #[serde(rename = "baton", default)]
-    pub token: u64,
+    pub token: FencingToken,
     /// For a spot machine that is being reclaimed: seconds until it is taken away.
     #[serde(rename = "warningS", default, deserialize_with = "maybe_number")]
     pub notice_s: Option<f64>,
@@ -48,7 +49,7 @@
     pub task: String,
     /// Number of the attempt. On the wire: `try`.
     #[serde(rename = "try")]
-    pub attempt: u64,
+    pub attempt: Attempt,
     /// State of the attempt. On the wire: `status`.
     #[serde(rename = "status")]
     pub state: TaskState,
@@ -127,7 +128,7 @@
         task: String,
         /// Number of the attempt. On the wire: `try`.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
     /// Stop the attempt after a grace period.
     #[serde(rename = "halt")]
@@ -137,7 +138,7 @@
         task: String,
         /// Number of the attempt. On the wire: `try`.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
         /// Seconds that the attempt gets to save its state. On the wire: `leewayS`.
         #[serde(rename = "leewayS")]
         grace_s: f64,
@@ -150,7 +151,7 @@
         task: String,
         /// Number of the attempt. On the wire: `try`.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
 }
 
@@ -172,7 +173,7 @@
 pub struct HeartbeatResponse {
     /// Fencing token that the worker is to hold from now on. On the wire: `baton`.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub token: FencingToken,
     /// What the worker is to do, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
@@ -183,10 +184,10 @@
 pub struct DirectCommandRequest {
     /// Fencing token of the leader. On the wire: `baton`.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub token: FencingToken,
     /// The worker's incarnation that the orders are meant for. On the wire: `shift`.
     #[serde(rename = "shift")]
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// What the worker is to do, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
--- a/src/storage/job_cache/mod.rs
+++ b/src/storage/job_cache/mod.rs
@@ -13,6 +13,7 @@
 use self::dependencies::Dependencies;
 use super::records::{job_key, to_value, JobRecord, JobStatus, JOBS};
 use crate::protocol::{
+    ids::Revision,
     jobs::{JobSpec, Kind},
     names::Tables,
     store::{Changes, Page},
@@ -37,7 +38,7 @@
     /// Status, derived cancellations included.
     pub status: JobStatus,
     /// Revision of its record.
-    pub revision: u64,
+    pub revision: Revision,
     /// Time of day at acceptance; once it is done, at its end, if that is known.
     pub at_ms: u64,
     /// Tasks per chunk record.
@@ -62,7 +63,7 @@
         JobEntry {
             id,
             status: JobStatus::Pending,
-            revision: 0,
+            revision: Revision::ABSENT,
             at_ms: record.at_ms,
             chunk: record.chunk.max(1),
             tasks: record.submission.tasks.unwrap_or(1.0) as u32,
@@ -81,7 +82,7 @@
 pub struct JobCache {
     jobs: Vec<JobEntry>,
     index: HashMap<Rc<str>, JobIndex>,
-    epoch: u64,
+    store_revision: Revision,
     loaded: bool,
     /// Jobs whose record changed since they were last taken.
     changed: Vec<JobIndex>,
@@ -96,8 +97,8 @@
     }
 
     /// The revision from which changes have to be read.
-    pub fn epoch(&self) -> u64 {
-        self.epoch
+    pub fn store_revision(&self) -> Revision {
+        self.store_revision
     }
 
     /// Looks a job up by its id.
@@ -164,7 +165,7 @@
     /// which does no harm.
     pub fn page(&mut self, page: &Page, first: bool, tables: &mut Tables) {
         if first {
-            self.epoch = page.epoch;
+            self.store_revision = page.store_revision;
         }
         for pair in &page.pairs {
             self.put(&pair.key, &pair.v, pair.revision, tables);
@@ -182,12 +183,12 @@
             }
         }
         // Two reads may be in flight; the older answer must not lower the revision.
-        self.epoch = self.epoch.max(changes.epoch);
+        self.store_revision = self.store_revision.max(changes.store_revision);
     }
 
     /// Another controller told a user that a job is cancelled: its record has
     /// this revision, whether it was read here yet or not.
-    pub fn cancelled_elsewhere(&mut self, id: &str, revision: u64, tables: &mut Tables) {
+    pub fn cancelled_elsewhere(&mut self, id: &str, revision: Revision, tables: &mut Tables) {
         let Some(entry) = self.find(id).map(|index| &self.jobs[index.at()]) else { return };
         let Some(record) = entry.record.clone().filter(|_| entry.status == JobStatus::Pending) else { return };
         let record = JobRecord { status: JobStatus::Cancelled, ..(*record).clone() };
@@ -200,7 +201,7 @@
     }
 
     /// Takes one record; keys that are no job's and older revisions are ignored.
-    pub fn put(&mut self, key: &str, v: &Value, revision: u64, tables: &mut Tables) -> Option<JobIndex> {
+    pub fn put(&mut self, key: &str, v: &Value, revision: Revision, tables: &mut Tables) -> Option<JobIndex> {
         let id = key.strip_prefix(JOBS)?;
         let known = self.find(id);
         if known.is_some_and(|index| self.get(index).revision >= revision) {
@@ -239,7 +240,7 @@
         index
     }
 
-    fn update(&mut self, index: JobIndex, record: JobRecord, revision: u64, tables: &mut Tables) {
+    fn update(&mut self, index: JobIndex, record: JobRecord, revision: Revision, tables: &mut Tables) {
         let entry = &mut self.jobs[index.at()];
         // Guard: done and cancelled are final, so no later record turns them
         // back; nor does a pending record of a job that needs a cancelled one.
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -12,7 +12,10 @@
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-use crate::protocol::jobs::Submission;
+use crate::protocol::{
+    ids::{Attempt, Incarnation},
+    jobs::Submission,
+};
 
 /// Key of the leader, and prefix of the renewal keys.
 pub const LEADER: &str = "leader";
@@ -92,9 +95,9 @@
     /// Machine.
     pub String,
     /// The worker's incarnation.
-    pub u64,
+    pub Incarnation,
     /// Attempt.
-    pub u64,
+    pub Attempt,
     /// Zone.
     pub String,
 );
--- a/src/storage/tests/job_cache.rs
+++ b/src/storage/tests/job_cache.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::protocol::{cbor, jobs::Submission, store::Change};
+use crate::protocol::{cbor, ids::Revision, jobs::Submission, store::Change};
 
 fn record(status: JobStatus) -> Value {
     let bytes = cbor::encode(&crate::protocol::jobs::tests::sample());
@@ -7,9 +7,9 @@
     to_value(&JobRecord { submission, status, at_ms: 5, chunk: 64 })
 }
 
-fn change(status: JobStatus, revision: u64) -> Changes {
+fn change(status: JobStatus, revision: Revision) -> Changes {
     let c = Change { write: Some(job_key("j-000412")), drop: None, v: Some(record(status)), revision };
-    Changes { epoch: revision, events: vec![c] }
+    Changes { store_revision: revision, events: vec![c] }
 }
 
 #[test]
@@ -27,11 +27,11 @@
         let mut t = Tables::default();
         let mut top = 0;
         for (status, revision, want) in *case {
-            m.apply(&change(*status, *revision), &mut t);
+            m.apply(&change(*status, Revision(*revision)), &mut t);
             top = top.max(*revision);
             let index = m.find("j-000412").expect("known");
             assert_eq!(m.get(index).status, *want, "case {n}");
-            assert_eq!(m.epoch(), top, "case {n}");
+            assert_eq!(m.store_revision(), Revision(top), "case {n}");
         }
     }
 }
@@ -54,12 +54,12 @@
         let (mut m, mut t) = (JobCache::default(), Tables::default());
         let read = |m: &mut JobCache, t: &mut Tables, r: Option<(JobStatus, u64)>| {
             if let Some((status, revision)) = r {
-                m.apply(&change(status, revision), t);
+                m.apply(&change(status, Revision(revision)), t);
             }
         };
         read(&mut m, &mut t, before);
         m.take_changed();
-        m.cancelled_elsewhere("j-000412", told_stamp, &mut t);
+        m.cancelled_elsewhere("j-000412", Revision(told_stamp), &mut t);
         let first = matches!(before, Some((Pending, _)));
         assert_eq!(m.take_changed().len(), usize::from(first), "case {n}: the leader is told once");
         read(&mut m, &mut t, after);
@@ -70,6 +70,6 @@
 #[test]
 fn a_record_that_cannot_be_read_is_left_out() {
     let mut m = JobCache::default();
-    assert_eq!(m.put("j/j-1", &Value::Text("?".into()), 3, &mut Tables::default()), None);
+    assert_eq!(m.put("j/j-1", &Value::Text("?".into()), Revision(3), &mut Tables::default()), None);
     assert!(m.is_empty());
 }
--- a/src/storage/tests/records.rs
+++ b/src/storage/tests/records.rs
@@ -3,6 +3,7 @@
 use super::{
     chunk_key, chunk_size, is_done, json_size, pack_done, split_chunk_key, to_value, AssignmentRecord, ChunkRecord,
 };
+use crate::protocol::ids::{Attempt, Incarnation};
 
 #[test]
 fn done_bits_and_chunks_survive() {
@@ -42,7 +43,15 @@
         let rec = ChunkRecord {
             done: pack_done((0..size).map(|_| true)),
             assignments: (0..size)
-                .map(|i| AssignmentRecord(99_000 + i, "i-0000000231".into(), 1 << 20, u64::MAX, "some-zone-1".into()))
+                .map(|i| {
+                    AssignmentRecord(
+                        99_000 + i,
+                        "i-0000000231".into(),
+                        Incarnation(1 << 20),
+                        Attempt(u64::MAX),
+                        "some-zone-1".into(),
+                    )
+                })
                 .collect(),
             tag: u64::MAX,
         };
--- a/src/storage/tests/versions.rs
+++ b/src/storage/tests/versions.rs
@@ -2,7 +2,10 @@
 
 use super::{Evidence, VersionRecord, VERSION};
 use crate::{
-    protocol::store::{Page, Pair},
+    protocol::{
+        ids::Revision,
+        store::{Page, Pair},
+    },
     storage::records::to_value,
 };
 
@@ -29,8 +32,8 @@
     for (i, (pages, want)) in cases.into_iter().enumerate() {
         let mut e = Evidence::new(["a", "b"].into_iter());
         for keys in pages {
-            let pair = |(k, v): (&str, Value)| Pair { key: k.into(), v, revision: 3, permit: None };
-            e.saw(&Page { pairs: keys.into_iter().map(pair).collect(), truncated: false, epoch: 9 });
+            let pair = |(k, v): (&str, Value)| Pair { key: k.into(), v, revision: Revision(3), permit: None };
+            e.saw(&Page { pairs: keys.into_iter().map(pair).collect(), truncated: false, store_revision: Revision(9) });
         }
         assert_eq!(e.is_complete(), want, "case {i}");
     }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -8,6 +8,7 @@
 use shedhook::{
     protocol::{
         cbor,
+        ids::{Attempt, Incarnation, Revision},
         jobs::Submission,
         names::Tables,
         peers::{self, Cancelled, Count, Echo, Frame, Gossip, Notice},
@@ -83,7 +84,7 @@
     {
         let mut m = JobCache::default();
         let v: Value = cbor::decode(&lines[name]).unwrap();
-        let index = m.put("j/j-000412", &v, 7, &mut Tables::default()).unwrap();
+        let index = m.put("j/j-000412", &v, Revision(7), &mut Tables::default()).unwrap();
         assert_eq!(
             (m.get(index).status, m.get(index).tasks, m.get(index).chunk, m.waits(index)),
             (want, 16, 128, false),
@@ -104,7 +105,13 @@
     let waiting = Submission { prereqs: Some(vec!["j-000398".into(), "j-000405".into()]), ..submission() };
     let chunk = ChunkRecord {
         done: "6".into(),
-        assignments: vec![AssignmentRecord(27, "i-000231".into(), 3, 434_896_896_001, "b".into())],
+        assignments: vec![AssignmentRecord(
+            27,
+            "i-000231".into(),
+            Incarnation(3),
+            Attempt(434_896_896_001),
+            "b".into(),
+        )],
         tag: 434_896_896_077,
     };
     let frame = Gossip {
@@ -167,8 +174,8 @@
 // ---- ddfa46b ---------------------------------------------------------------
 
 fn page_of(key: &str, bytes: &[u8]) -> Page {
-    let pair = Pair { key: key.to_owned(), v: cbor::decode(bytes).unwrap(), revision: 7, permit: None };
-    Page { pairs: vec![pair], truncated: false, epoch: 7 }
+    let pair = Pair { key: key.to_owned(), v: cbor::decode(bytes).unwrap(), revision: Revision(7), permit: None };
+    Page { pairs: vec![pair], truncated: false, store_revision: Revision(7) }
 }
 
 #[test]
@@ -191,7 +198,7 @@
     let done: JobRecord = record(&lines["job/done"]);
     assert_eq!((done.status, done.at_ms), (JobStatus::Done, 1_780_000_123_456));
     let chunk: ChunkRecord = record(&lines["chunk/000000"]);
-    let last = AssignmentRecord(5, "i-001007".into(), 12, 434_896_896_002, "brescia".into());
+    let last = AssignmentRecord(5, "i-001007".into(), Incarnation(12), Attempt(434_896_896_002), "brescia".into());
     assert_eq!((chunk.done.as_str(), chunk.assignments.last()), ("93", Some(&last)));
 }
 
@@ -208,7 +215,7 @@
     for (name, status, waits) in forms {
         let mut cache = JobCache::default();
         let v: Value = cbor::decode(&lines[name]).unwrap();
-        let index = cache.put("j/j-000731", &v, 7, &mut Tables::default()).unwrap();
+        let index = cache.put("j/j-000731", &v, Revision(7), &mut Tables::default()).unwrap();
         let job = cache.get(index);
         assert_eq!((job.status, job.tasks, job.chunk, cache.waits(index)), (status, 6, 128, waits), "{name}");
     }
@@ -224,7 +231,7 @@
     }
     let Ok(Frame::Notice(notice)) = peers::decode(&lines["frame/notice"]) else { panic!("no notice") };
     let cancelled = |job: &str, revision| Cancelled { job: job.into(), revision };
-    let all = vec![cancelled("j-000398", 412), cancelled("j-000731", 1 << 32)];
+    let all = vec![cancelled("j-000398", Revision(412)), cancelled("j-000731", Revision(1 << 32))];
     assert_eq!(notice, Notice { from: "n-2".into(), cancelled: all });
     // Its key is evidence that it takes prerequisites.
     let key = version_key("n-2");
@@ -239,7 +246,8 @@
     let waiting = Submission { prereqs: Some(vec!["j-000398".into(), "j-000405".into()]), ..submission() };
     let cancelled =
         JobRecord { submission: waiting, status: JobStatus::Cancelled, at_ms: 1_780_000_000_000, chunk: 28 };
-    let notice = Notice { from: "n-4".into(), cancelled: vec![Cancelled { job: "j-000412".into(), revision: 431 }] };
+    let notice =
+        Notice { from: "n-4".into(), cancelled: vec![Cancelled { job: "j-000412".into(), revision: Revision(431) }] };
     let mut all = ours();
     all.extend([
         ("job/waiting-cancelled", bytes_of(&cancelled)),
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -21,6 +21,7 @@
 };
 use shedhook::protocol::{
     cbor as body,
+    ids::{Attempt, FencingToken, Incarnation, Revision, SequenceNumber},
     store::{Condition, Op, Txn},
     workers::{Heartbeat, TaskState, TaskStatus},
 };
@@ -82,7 +83,7 @@
             }
         }
         let txn = Txn {
-            conditions: vec![Condition { key: key.into(), revision }],
+            conditions: vec![Condition { key: key.into(), revision: Revision(revision) }],
             writes: vec![Op::Put { key: key.into(), v, permit: None }],
         };
         assert_eq!(s.txn(txn).0, 200);
@@ -101,16 +102,22 @@
             machine_type,
             zone,
             spot: false,
-            incarnation: 1,
-            sequence: 1,
-            token,
+            incarnation: Incarnation(1),
+            sequence: SequenceNumber(1),
+            token: FencingToken(token),
             notice_s: None,
             tasks,
         };
         body::encode(&r)
     };
     let asks = |bytes: &[u8]| call(c.nodes[leader].client, "POST", "/checkin", bytes).map(|a| a.0);
-    let runs = TaskStatus { task: "j-100002/0".into(), attempt: 1, state: TaskState::Running, why: None, saved: None };
+    let runs = TaskStatus {
+        task: "j-100002/0".into(),
+        attempt: Attempt(1),
+        state: TaskState::Running,
+        why: None,
+        saved: None,
+    };
     assert_eq!(asks(&heartbeat(vec![runs], "i-000002")), Some(503), "it may hold what is cancelled");
     assert_eq!(asks(&heartbeat(vec![], "i-000003")), Some(200), "nothing runs there, and it still leads");
     thread::sleep(Duration::from_secs(2));
--- a/tests/loopback_cluster/state_service.rs
+++ b/tests/loopback_cluster/state_service.rs
@@ -14,6 +14,7 @@
 use ciborium::{cbor, Value};
 use shedhook::protocol::{
     cbor as body,
+    ids::Revision,
     store::{Change, Changes, GrantRequest, Op, Page, Pair, Txn},
 };
 
@@ -81,7 +82,7 @@
         for key in keys {
             self.epoch += 1;
             self.keys.remove(&key);
-            self.write_log(Change { write: None, drop: Some(key), v: None, revision: self.epoch });
+            self.write_log(Change { write: None, drop: Some(key), v: None, revision: Revision(self.epoch) });
         }
     }
 
@@ -107,8 +108,12 @@
             return (400, body::encode(&cbor!({"error" => "no such lease"}).unwrap()));
         }
         let expected_revision = |key: &str| self.keys.get(key).map_or(0, |k| k.1);
-        let failed: Vec<String> =
-            txn.conditions.iter().filter(|c| expected_revision(&c.key) != c.revision).map(|c| c.key.clone()).collect();
+        let failed: Vec<String> = txn
+            .conditions
+            .iter()
+            .filter(|c| expected_revision(&c.key) != c.revision.0)
+            .map(|c| c.key.clone())
+            .collect();
         if !failed.is_empty() {
             return (409, body::encode(&cbor!({"failed" => failed, "epoch" => self.epoch}).unwrap()));
         }
@@ -118,11 +123,11 @@
             let change = match op {
                 Op::Put { key, v, permit } => {
                     self.keys.insert(key.clone(), (v.clone(), revision, permit));
-                    Change { write: Some(key), drop: None, v: Some(v), revision }
+                    Change { write: Some(key), drop: None, v: Some(v), revision: Revision(revision) }
                 }
                 Op::Delete { key } => {
                     self.keys.remove(&key);
-                    Change { write: None, drop: Some(key), v: None, revision }
+                    Change { write: None, drop: Some(key), v: None, revision: Revision(revision) }
                 }
             };
             self.write_log(change);
@@ -202,9 +207,9 @@
         .keys
         .iter()
         .filter(|(k, _)| k.starts_with(prefix) && k.as_str() > from)
-        .map(|(k, v)| Pair { key: k.clone(), v: v.0.clone(), revision: v.1, permit: v.2 })
+        .map(|(k, v)| Pair { key: k.clone(), v: v.0.clone(), revision: Revision(v.1), permit: v.2 })
         .collect();
-    (200, body::encode(&Page { pairs, truncated: false, epoch: s.epoch }))
+    (200, body::encode(&Page { pairs, truncated: false, store_revision: Revision(s.epoch) }))
 }
 
 fn watch(store: &Mutex<Store>, gate: &AccessGate, path: &str, prefix: &str) -> HeartbeatOutcome {
@@ -216,12 +221,12 @@
         let mut s = store.lock().unwrap();
         s.expire();
         let changes = s.log.iter().map(|entry| &entry.change);
-        let events: Vec<Change> = changes.filter(|c| c.revision > from).filter(touches).cloned().collect();
+        let events: Vec<Change> = changes.filter(|c| c.revision > Revision(from)).filter(touches).cloned().collect();
         // In an outage open watches stay open.
         let blind = prefix == "j/" && gate.blind.load(Ordering::Relaxed);
         let held = blind || gate.shut.load(Ordering::Relaxed);
         if !held && (!events.is_empty() || Instant::now() >= until) {
-            return (200, body::encode(&Changes { epoch: s.epoch, events }));
+            return (200, body::encode(&Changes { store_revision: Revision(s.epoch), events }));
         }
         drop(s);
         thread::sleep(Duration::from_millis(10));
--- a/tests/loopback_cluster/worker.rs
+++ b/tests/loopback_cluster/worker.rs
@@ -14,6 +14,7 @@
 
 use shedhook::protocol::{
     cbor as body,
+    ids::{Attempt, FencingToken, Incarnation, SequenceNumber},
     workers::{DirectCommandRequest, ExitReason, Heartbeat, HeartbeatResponse, TaskState, TaskStatus, WorkerCommand},
 };
 
@@ -99,38 +100,39 @@
             machine_type: "m".into(),
             zone: "a".into(),
             spot: false,
-            incarnation: 1,
-            sequence: self.sequence,
-            token: self.token,
+            incarnation: Incarnation(1),
+            sequence: SequenceNumber(self.sequence),
+            token: FencingToken(self.token),
             notice_s: None,
             tasks: self.tasks.iter().map(|t| t.0.clone()).collect(),
         }
     }
 
     fn launch(&mut self, task: &str, attempt: u64) {
-        if self.tasks.iter().any(|(t, _)| t.task == task && t.attempt == attempt) {
+        if self.tasks.iter().any(|(t, _)| t.task == task && t.attempt == Attempt(attempt)) {
             return;
         }
         let at = Instant::now();
         let state = TaskState::Running;
-        self.tasks.push((TaskStatus { task: task.to_owned(), attempt, state, why: None, saved: None }, at));
+        self.tasks
+            .push((TaskStatus { task: task.to_owned(), attempt: Attempt(attempt), state, why: None, saved: None }, at));
         self.events.push(TaskEvent { task: task.to_owned(), attempt, change: TaskChange::Started, at });
     }
 
     fn obey(&mut self, token: u64, commands: &[WorkerCommand]) {
         self.token = token;
         for o in commands {
-            let same = |t: &TaskStatus, task: &str, attempt: u64| t.task == task && t.attempt == attempt;
+            let same = |t: &TaskStatus, task: &str, attempt: u64| t.task == task && t.attempt == Attempt(attempt);
             match o {
-                WorkerCommand::Launch { task, attempt } => self.launch(task, *attempt),
+                WorkerCommand::Launch { task, attempt } => self.launch(task, attempt.0),
                 WorkerCommand::Halt { task, attempt, .. } => {
                     for (t, _) in &mut self.tasks {
-                        if same(t, task, *attempt) && t.state == TaskState::Running {
+                        if same(t, task, attempt.0) && t.state == TaskState::Running {
                             end(t, ExitReason::Stopped, &mut self.events);
                         }
                     }
                 }
-                WorkerCommand::Reap { task, attempt } => self.tasks.retain(|(t, _)| !same(t, task, *attempt)),
+                WorkerCommand::Reap { task, attempt } => self.tasks.retain(|(t, _)| !same(t, task, attempt.0)),
             }
         }
     }
@@ -140,7 +142,7 @@
     t.state = TaskState::Exited;
     t.why = Some(why);
     let change = TaskChange::Ended(why);
-    events.push(TaskEvent { task: t.task.clone(), attempt: t.attempt, change, at: Instant::now() });
+    events.push(TaskEvent { task: t.task.clone(), attempt: t.attempt.0, change, at: Instant::now() });
 }
 
 /// Starts a worker that reports to the controllers in turn until `stop`.
@@ -151,10 +153,10 @@
         let mut w = shared.lock().unwrap();
         if path == "/do" {
             let req: DirectCommandRequest = body::decode(bytes).unwrap();
-            if req.token < w.token || req.incarnation != 1 {
+            if req.token < FencingToken(w.token) || req.incarnation != Incarnation(1) {
                 return (409, body::encode(&w.heartbeat()));
             }
-            w.obey(req.token, &req.commands);
+            w.obey(req.token.0, &req.commands);
         }
         (200, body::encode(&w.heartbeat()))
     });
@@ -178,9 +180,9 @@
             Some((200, bytes)) => {
                 let a: HeartbeatResponse = body::decode(&bytes).unwrap();
                 let mut w = worker.lock().unwrap();
-                if a.token >= w.token {
+                if a.token >= FencingToken(w.token) {
                     w.renewed = Some(sent);
-                    w.obey(a.token, &a.commands);
+                    w.obey(a.token.0, &a.commands);
                 }
             }
             _ => at += 1,
--- a/tests/pipelines/cancelled_shapes.rs
+++ b/tests/pipelines/cancelled_shapes.rs
@@ -11,18 +11,18 @@
 /// cancelled, now and by the next leader, and nothing but the one record is written.
 fn cancel_first_of(sim: &mut Simulation, dependents: &[String]) {
     sim.run(5_000);
-    let before = sim.store.epoch;
+    let before = sim.store.store_revision;
     assert!(sim.cancel("j-1"));
     sim.run(30_000);
-    assert_eq!(sim.store.epoch, before + 1, "one cancellation is one write");
+    assert_eq!(sim.store.store_revision, before.next(), "one cancellation is one write");
     let all_cancelled =
         |sim: &Simulation| dependents.iter().all(|id| sim.status_told_to_users(id) == Some(JobStatus::Cancelled));
     assert!(all_cancelled(sim), "under the same leader");
     sim.elect();
-    let elected = sim.store.epoch;
+    let elected = sim.store.store_revision;
     sim.run(30_000);
     assert!(all_cancelled(sim), "under the next leader");
-    assert_eq!(sim.store.epoch, elected, "nothing is written by the next leader");
+    assert_eq!(sim.store.store_revision, elected, "nothing is written by the next leader");
     assert!(dependents.iter().all(|id| !has_begun(sim, id)));
     // The case itself has to run something.
     sim.submit(submission("j-9000", "batch", 1), 1_000);
--- a/tests/pipelines/job_cache.rs
+++ b/tests/pipelines/job_cache.rs
@@ -5,6 +5,7 @@
 use ciborium::Value;
 use shedhook::{
     protocol::{
+        ids::Revision,
         jobs::{Priority, Submission},
         names::Tables,
         store::{Change, Changes},
@@ -23,7 +24,7 @@
 
 fn change(s: &Submission, status: JobStatus, at_ms: u64, revision: u64) -> Change {
     let id = s.name_id.as_deref().unwrap();
-    Change { write: Some(job_key(id)), drop: None, v: Some(record(s, status, at_ms)), revision }
+    Change { write: Some(job_key(id)), drop: None, v: Some(record(s, status, at_ms)), revision: Revision(revision) }
 }
 
 /// Guard: whatever the order in which records are seen, the outcome is the same.
@@ -48,7 +49,7 @@
     for round in 0..500 {
         let mut m = JobCache::default();
         for c in &all {
-            m.apply(&Changes { epoch: c.revision, events: vec![c.clone()] }, &mut Tables::default());
+            m.apply(&Changes { store_revision: c.revision, events: vec![c.clone()] }, &mut Tables::default());
         }
         let shown: Vec<JobStatus> = (1..=7).map(|n| m.get(m.find(&format!("j-{n}")).unwrap()).status).collect();
         assert_eq!(shown, [Cancelled, Cancelled, Cancelled, Cancelled, Cancelled, Done, Pending], "round {round}");
@@ -75,7 +76,7 @@
         (change(&two, JobStatus::Done, 1, 5), JobStatus::Cancelled),
     ];
     for (c, want) in steps {
-        m.apply(&Changes { epoch: c.revision, events: vec![c.clone()] }, &mut t);
+        m.apply(&Changes { store_revision: c.revision, events: vec![c.clone()] }, &mut t);
         if let Some(index) = m.find("j-2") {
             assert_eq!(m.get(index).status, want, "after {}", c.revision);
         }
@@ -101,7 +102,7 @@
         let mut m = JobCache::default();
         for n in order {
             let c = change(&jobs[n], JobStatus::Pending, 1_000, n as u64 + 1);
-            m.apply(&Changes { epoch: c.revision, events: vec![c] }, &mut t);
+            m.apply(&Changes { store_revision: c.revision, events: vec![c] }, &mut t);
         }
         let got: Vec<(Priority, Option<f64>, Option<f64>)> = (1..=4)
             .map(|n| m.effective_spec(m.find(&format!("j-{n}")).unwrap()).unwrap())
@@ -118,7 +119,7 @@
         // The deadline counts from the submission, however long it waited.
         for (n, end) in [(0, 31_000), (1, 41_000), (2, 36_000)] {
             let c = change(&jobs[n], JobStatus::Done, end, 10 + n as u64);
-            m.apply(&Changes { epoch: c.revision, events: vec![c] }, &mut t);
+            m.apply(&Changes { store_revision: c.revision, events: vec![c] }, &mut t);
         }
         let last = m.find("j-4").unwrap();
         let s = m.effective_spec(last).unwrap();
@@ -160,11 +161,11 @@
                 }
                 let (mut m, mut t) = (JobCache::default(), Tables::default());
                 let began = Instant::now();
-                m.apply(&Changes { epoch: 10_000, events }, &mut t);
+                m.apply(&Changes { store_revision: Revision(10_000), events }, &mut t);
                 let loaded = began.elapsed();
                 m.take_changed();
                 let c = change(&subs[0], end, 1, 20_000);
-                m.apply(&Changes { epoch: 20_000, events: vec![c] }, &mut t);
+                m.apply(&Changes { store_revision: Revision(20_000), events: vec![c] }, &mut t);
                 let took = began.elapsed();
                 let changed = m.take_changed().len();
                 eprintln!(
--- a/tests/safety_rules/heartbeats.rs
+++ b/tests/safety_rules/heartbeats.rs
@@ -1,7 +1,10 @@
 //! Heartbeats that come late, from an ended incarnation or for a lost record.
 
 use shedhook::{
-    protocol::workers::{TaskState, TaskStatus},
+    protocol::{
+        ids::{Attempt, SequenceNumber},
+        workers::{TaskState, TaskStatus},
+    },
     storage::records::JobStatus,
 };
 
@@ -41,9 +44,14 @@
     sim.run(10_000);
     let report_of_a_task_never_placed = |sim: &mut Simulation, sequence: u64| {
         let mut r = sim.report_of(0);
-        r.sequence = sequence;
-        r.tasks =
-            vec![TaskStatus { task: "j-1/0".into(), attempt: 1, state: TaskState::Running, why: None, saved: None }];
+        r.sequence = SequenceNumber(sequence);
+        r.tasks = vec![TaskStatus {
+            task: "j-1/0".into(),
+            attempt: Attempt(1),
+            state: TaskState::Running,
+            why: None,
+            saved: None,
+        }];
         Held::Heartbeat(r)
     };
     let placed = |sim: &Simulation| {
--- a/tests/safety_rules/large_jobs.rs
+++ b/tests/safety_rules/large_jobs.rs
@@ -3,6 +3,7 @@
 use shedhook::{
     protocol::{
         cbor,
+        ids::{Attempt, FencingToken},
         workers::{HeartbeatResponse, TaskState, WorkerCommand},
     },
     storage::records::JobStatus,
@@ -87,9 +88,15 @@
 /// Guard: orders for one worker may be more than an answer takes.
 pub fn answers_stay_under_their_limit(sim: &mut Simulation) {
     let commands: Vec<WorkerCommand> = (0..5_000)
-        .map(|n| WorkerCommand::Halt { task: format!("j-00000000000000{n}/100000"), attempt: u64::MAX, grace_s: 10.5 })
+        .map(|n| WorkerCommand::Halt {
+            task: format!("j-00000000000000{n}/100000"),
+            attempt: Attempt(u64::MAX),
+            grace_s: 10.5,
+        })
         .collect();
-    let one = |n: usize| cbor::encode(&HeartbeatResponse { token: u64::MAX, commands: commands[..n].to_vec() }).len();
+    let one = |n: usize| {
+        cbor::encode(&HeartbeatResponse { token: FencingToken(u64::MAX), commands: commands[..n].to_vec() }).len()
+    };
     assert!(one(500) * 3 / 2 < 64 * 1024 && one(5_000) > 64 * 1024, "{}", one(500));
     sim.workers.iter_mut().skip(1).for_each(|x| x.dead = true);
     let mut job = submission("j-1", "batch", 1_200);
--- a/tests/safety_rules/renting.rs
+++ b/tests/safety_rules/renting.rs
@@ -19,8 +19,7 @@
     sim.run_until("done", 200_000, |sim| sim.status("j-1") == JobStatus::Done);
     assert!(machines > 4, "what was rented unheard is used");
     for request in &sim.rental_requests {
-        let other_leader =
-            sim.rental_requests.iter().any(|r| r.name == request.name && r.leader_stamp != request.leader_stamp);
+        let other_leader = sim.rental_requests.iter().any(|r| r.name == request.name && r.term != request.term);
         assert!(!other_leader, "{} in two leaderships", request.name);
     }
     assert!(sim.rental_requests.len() > sim.rentals.len(), "some were repeated");
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -1,8 +1,11 @@
 //! The cloud: rents machines, and answers a repeated request as before.
 
 use shedhook::{
-    coordination::model::{MachineTypeSpec, Millis, Resources},
-    protocol::cloud::{HostList, HostState, ListedHost, RentRequest},
+    coordination::model::{MachineTypeSpec, Millis, Resources, Term},
+    protocol::{
+        cloud::{HostList, HostState, ListedHost, RentRequest},
+        ids::{FencingToken, Incarnation, SequenceNumber},
+    },
 };
 
 use super::{worker::Worker, Simulation};
@@ -16,7 +19,7 @@
 /// A rental as the cloud was asked for it; the name makes it idempotent.
 pub struct RentalRequest {
     pub at: Millis,
-    pub leader_stamp: u64,
+    pub term: Term,
     pub name: String,
     pub spot: bool,
 }
@@ -30,9 +33,9 @@
             machine_type: MACHINE_TYPE.into(),
             spot: false,
             up_at: 0,
-            incarnation: 1,
-            sequence: 0,
-            token: 0,
+            incarnation: Incarnation(1),
+            sequence: SequenceNumber::default(),
+            token: FencingToken::NONE,
             tasks: Vec::new(),
             lease_start: self.now,
             next_report: self.now + 100 * (self.workers.len() as Millis % 30),
@@ -97,13 +100,8 @@
     }
 
     pub(super) fn rent(&mut self, req: &RentRequest) -> Option<Vec<String>> {
-        let revision = self.leader.as_ref().map_or(0, |l| l.revision);
-        self.rental_requests.push(RentalRequest {
-            at: self.now,
-            leader_stamp: revision,
-            name: req.request.clone(),
-            spot: req.spot,
-        });
+        let term = self.leader.as_ref().map_or_else(Term::default, |l| l.term);
+        self.rental_requests.push(RentalRequest { at: self.now, term, name: req.request.clone(), spot: req.spot });
         if let Some(same) = self.rentals.get(&req.request) {
             return Some(same.clone());
         }
--- a/tests/simulation/controller.rs
+++ b/tests/simulation/controller.rs
@@ -8,7 +8,7 @@
         autoscaler::RentOutcome,
         leader::{CommitOutcome, Config, DirectCallOutcome, Effect, Leader},
         lease_renewal::TimeSpan,
-        model::TeamLimits,
+        model::{TeamLimits, Term},
     },
     protocol::store::Op,
     storage::{
@@ -34,8 +34,7 @@
     /// A new leader: the key changes hands, whatever the old one had under way.
     pub fn elect(&mut self) {
         self.leader = None;
-        self.store.epoch += 1;
-        let revision = self.store.epoch;
+        let revision = self.store.advance();
         self.store.keys.insert(records::LEADER.into(), (Value::Null, revision));
         let cfg = Config {
             lease_ms: LEASE,
@@ -54,7 +53,7 @@
             use_spot: true,
         };
         let nonce = self.rng.random();
-        let mut leader = Leader::new(cfg, revision, nonce, self.now, self.types());
+        let mut leader = Leader::new(cfg, Term(revision), nonce, self.now, self.types());
         self.job_cache = JobCache::default();
         self.job_cache.page(&self.store.page(records::JOBS), true, &mut self.tables);
         self.job_cache.take_changed();
@@ -98,23 +97,23 @@
     }
 
     pub(super) fn read_changes(&mut self) {
-        let (now, revision) = (self.now, self.leader.as_ref().map_or(0, |l| l.revision));
+        let (now, term) = (self.now, self.leader.as_ref().map_or_else(Term::default, |l| l.term));
         if self.refuse_leader || self.changes_unread {
             return;
         }
         if self.changes_ms == 0 {
             self.reading = None;
-            let changes = self.store.changes(records::JOBS, self.job_cache.epoch());
+            let changes = self.store.changes(records::JOBS, self.job_cache.store_revision());
             self.job_cache.apply(&changes, &mut self.tables);
             self.check_dependents_of_cancelled();
             return;
         }
-        if let Some((_, _, changes)) = self.reading.take_if(|r| r.1 == revision && r.0 <= now) {
+        if let Some((_, _, changes)) = self.reading.take_if(|r| r.1 == term && r.0 <= now) {
             self.job_cache.apply(&changes, &mut self.tables);
         }
-        if self.reading.as_ref().is_none_or(|r| r.1 != revision) {
+        if self.reading.as_ref().is_none_or(|r| r.1 != term) {
             let at = now + self.rng.random_range(0..self.changes_ms);
-            self.reading = Some((at, revision, self.store.changes(records::JOBS, self.job_cache.epoch())));
+            self.reading = Some((at, term, self.store.changes(records::JOBS, self.job_cache.store_revision())));
         }
     }
 
@@ -203,11 +202,11 @@
         }
         if self.txn_ms > 0 {
             let at = now + self.rng.random_range(0..self.txn_ms);
-            self.delayed.push((at, Held::SlowTxn { txn, revision }));
+            self.delayed.push((at, Held::SlowTxn { txn, term: Term(revision) }));
             return;
         }
         let outcome = match self.store.apply(&txn) {
-            Ok(epoch) => CommitOutcome::Done(epoch),
+            Ok(store_revision) => CommitOutcome::Done(store_revision),
             Err(failed) => CommitOutcome::Conflict(failed),
         };
         if std::mem::take(&mut self.die_after_txn) {
@@ -228,9 +227,9 @@
                 self.check_orders(&id, &req.commands);
                 let reached = self.workers[n].is_reached();
                 if reached && self.chance(self.faults.slow_command) {
-                    let revision = self.leader.as_ref().map_or(0, |l| l.revision);
+                    let term = self.leader.as_ref().map_or_else(Term::default, |l| l.term);
                     let at = now + self.rng.random_range(300..1_900);
-                    self.delayed.push((at, Held::SlowDo { worker: n, req, machine, call, revision }));
+                    self.delayed.push((at, Held::SlowDo { worker: n, req, machine, call, term }));
                     return;
                 }
                 let out = if !reached {
@@ -251,9 +250,9 @@
                     }
                     let out = self.execute_command(n, &req);
                     if self.chance(self.faults.slow_command_answer) {
-                        let revision = self.leader.as_ref().map_or(0, |l| l.revision);
+                        let term = self.leader.as_ref().map_or_else(Term::default, |l| l.term);
                         let at = now + self.rng.random_range(300..1_900);
-                        self.delayed.push((at, Held::DoAnswer { out, machine, call, revision }));
+                        self.delayed.push((at, Held::DoAnswer { out, machine, call, term }));
                         return;
                     }
                     out
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -5,7 +5,7 @@
 use shedhook::{
     coordination::{
         leader::{CommitOutcome, DirectCallOutcome},
-        model::{MachineIndex, Millis},
+        model::{CallId, MachineIndex, Millis, Term},
     },
     protocol::{
         store::Txn,
@@ -25,26 +25,26 @@
         worker: usize,
         req: DirectCommandRequest,
         machine: MachineIndex,
-        call: u64,
-        revision: u64,
+        call: CallId,
+        term: Term,
     },
     Heartbeat(Heartbeat),
     Txn(Txn),
     /// Carried out when it comes, and answered later still.
     SlowTxn {
         txn: Txn,
-        revision: u64,
+        term: Term,
     },
     TxnAnswer {
         outcome: CommitOutcome,
-        revision: u64,
+        term: Term,
     },
     /// The command was carried out; this is what the leader hears of it.
     DoAnswer {
         out: DirectCallOutcome,
         machine: MachineIndex,
-        call: u64,
-        revision: u64,
+        call: CallId,
+        term: Term,
     },
 }
 
@@ -101,9 +101,9 @@
                         self.execute_command(worker, &req);
                     }
                 }
-                Held::SlowDo { worker, req, machine, call, revision } => {
+                Held::SlowDo { worker, req, machine, call, term } => {
                     let out = self.execute_command(worker, &req);
-                    if let Some(l) = self.leader.as_mut().filter(|l| l.revision == revision) {
+                    if let Some(l) = self.leader.as_mut().filter(|l| l.term == term) {
                         l.direct_call_result(now, machine, call, out, &self.job_cache, &mut self.tables);
                     }
                 }
@@ -116,21 +116,21 @@
                 Held::Txn(txn) => {
                     let _ = self.store.apply(&txn);
                 }
-                Held::SlowTxn { txn, revision } => {
+                Held::SlowTxn { txn, term } => {
                     let outcome = match self.store.apply(&txn) {
-                        Ok(epoch) => CommitOutcome::Done(epoch),
+                        Ok(store_revision) => CommitOutcome::Done(store_revision),
                         Err(failed) => CommitOutcome::Conflict(failed),
                     };
                     let at = now + self.rng.random_range(0..self.txn_ms.max(1));
-                    self.delayed.push((at, Held::TxnAnswer { outcome, revision }));
+                    self.delayed.push((at, Held::TxnAnswer { outcome, term }));
                 }
-                Held::TxnAnswer { outcome, revision } => {
-                    if self.leader.as_mut().is_some_and(|l| l.revision == revision && !l.committed(now, outcome)) {
+                Held::TxnAnswer { outcome, term } => {
+                    if self.leader.as_mut().is_some_and(|l| l.term == term && !l.committed(now, outcome)) {
                         self.leader = None;
                     }
                 }
-                Held::DoAnswer { out, machine, call, revision } => {
-                    if let Some(l) = self.leader.as_mut().filter(|l| l.revision == revision) {
+                Held::DoAnswer { out, machine, call, term } => {
+                    if let Some(l) = self.leader.as_mut().filter(|l| l.term == term) {
                         l.direct_call_result(now, machine, call, out, &self.job_cache, &mut self.tables);
                     }
                 }
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -4,7 +4,10 @@
 use std::collections::HashMap;
 
 use shedhook::{
-    protocol::workers::{split_task, ExitReason, TaskState, WorkerCommand},
+    protocol::{
+        ids::Attempt,
+        workers::{split_task, ExitReason, TaskState, WorkerCommand},
+    },
     storage::records::{self, ChunkRecord, JobRecord, JobStatus},
 };
 
@@ -139,7 +142,7 @@
         }
     }
 
-    pub(super) fn is_written(&self, task: &str, worker: &str, attempt: u64) -> bool {
+    pub(super) fn is_written(&self, task: &str, worker: &str, attempt: Attempt) -> bool {
         let Some((job, n)) = split_task(task) else { return false };
         // As its record says, which may have been written anew.
         let rec = self.store.keys.get(&records::job_key(job));
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -18,16 +18,18 @@
 
 use std::collections::HashMap;
 
+use cloud::RentalRequest;
+pub use cloud::{CHEAP_MACHINE_TYPE, MACHINE_TYPE};
+pub use faults::{FaultRates, Held};
 use rand::{rngs::SmallRng, SeedableRng};
 use shedhook::{
-    coordination::{leader::Leader, model::Millis},
-    protocol::{names::Tables, store::Changes},
+    coordination::{
+        leader::Leader,
+        model::{Millis, Term},
+    },
+    protocol::{ids::Attempt, names::Tables, store::Changes},
     storage::job_cache::JobCache,
 };
-
-use cloud::RentalRequest;
-pub use cloud::{CHEAP_MACHINE_TYPE, MACHINE_TYPE};
-pub use faults::{FaultRates, Held};
 use state_service::Store;
 pub use users::submission;
 use users::JobFacts;
@@ -131,13 +133,13 @@
     pub changes_ms: Millis,
     pub txn_ms: Millis,
     /// The read under way: when it is answered, whose it is, what it says.
-    reading: Option<(Millis, u64, Changes)>,
+    reading: Option<(Millis, Term, Changes)>,
     /// Launches of tasks that had completed and were reaped.
     pub relaunches_of_completed: usize,
     /// Tasks of a gang wait for one another, and end when one of them is gone.
     pub gang_semantics: bool,
     /// Since when a gang's task misses another one.
-    peer_lost_since: HashMap<(String, u64), Millis>,
+    peer_lost_since: HashMap<(String, Attempt), Millis>,
     /// Starts of jobs whose cancellation was confirmed before.
     pub starts_cancelled: usize,
     /// Since when a job's tasks wait though there is room.
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -4,28 +4,36 @@
 use std::collections::BTreeMap;
 
 use ciborium::Value;
-use shedhook::protocol::store::{Change, Changes, Op, Page, Pair, Txn};
+use shedhook::protocol::{
+    ids::Revision,
+    store::{Change, Changes, Op, Page, Pair, Txn},
+};
 
 #[derive(Default)]
 pub struct Store {
-    pub keys: BTreeMap<String, (Value, u64)>,
-    pub epoch: u64,
+    pub keys: BTreeMap<String, (Value, Revision)>,
+    pub store_revision: Revision,
     log: Vec<Change>,
 }
 
 impl Store {
-    pub fn apply(&mut self, txn: &Txn) -> Result<u64, Vec<String>> {
+    /// Raises the revision of the store and returns it.
+    pub fn advance(&mut self) -> Revision {
+        self.store_revision = self.store_revision.next();
+        self.store_revision
+    }
+
+    pub fn apply(&mut self, txn: &Txn) -> Result<Revision, Vec<String>> {
         let failed: Vec<String> = txn
             .conditions
             .iter()
-            .filter(|c| self.keys.get(&c.key).map_or(0, |k| k.1) != c.revision)
+            .filter(|c| self.keys.get(&c.key).map_or(Revision::ABSENT, |k| k.1) != c.revision)
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
             return Err(failed);
         }
-        self.epoch += 1;
-        let revision = self.epoch;
+        let revision = self.advance();
         for w in &txn.writes {
             match w {
                 Op::Put { key, v, .. } => {
@@ -48,16 +56,16 @@
             .filter(|(k, _)| k.starts_with(prefix))
             .map(|(k, (v, revision))| Pair { key: k.clone(), v: v.clone(), revision: *revision, permit: None })
             .collect();
-        Page { pairs, truncated: false, epoch: self.epoch }
+        Page { pairs, truncated: false, store_revision: self.store_revision }
     }
 
-    pub(super) fn changes(&self, prefix: &str, from: u64) -> Changes {
+    pub(super) fn changes(&self, prefix: &str, from: Revision) -> Changes {
         let events = self
             .log
             .iter()
             .filter(|c| c.revision > from && c.write.as_deref().is_some_and(|k| k.starts_with(prefix)))
             .cloned()
             .collect();
-        Changes { epoch: self.epoch, events }
+        Changes { store_revision: self.store_revision, events }
     }
 }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -7,8 +7,9 @@
         leader::{DirectCallOutcome, HeartbeatOutcome},
         model::Millis,
     },
-    protocol::workers::{
-        split_task, DirectCommandRequest, ExitReason, Heartbeat, TaskState, TaskStatus, WorkerCommand,
+    protocol::{
+        ids::{Attempt, FencingToken, Incarnation, SequenceNumber},
+        workers::{split_task, DirectCommandRequest, ExitReason, Heartbeat, TaskState, TaskStatus, WorkerCommand},
     },
 };
 
@@ -21,7 +22,7 @@
 #[derive(Debug, Clone)]
 pub struct WorkerTask {
     pub name: String,
-    pub attempt: u64,
+    pub attempt: Attempt,
     pub state: TaskState,
     pub why: Option<ExitReason>,
     pub(super) since: Millis,
@@ -41,9 +42,9 @@
     pub spot: bool,
     /// It is booting until then.
     pub(super) up_at: Millis,
-    pub incarnation: u64,
-    pub sequence: u64,
-    pub token: u64,
+    pub incarnation: Incarnation,
+    pub sequence: SequenceNumber,
+    pub token: FencingToken,
     pub tasks: Vec<WorkerTask>,
     /// When the last answered report was sent, or the incarnation began.
     pub(super) lease_start: Millis,
@@ -82,13 +83,13 @@
     /// It comes back at once, with a new incarnation and nothing on it.
     pub fn restart(&mut self, now: Millis) {
         self.tasks.clear();
-        self.incarnation += 1;
+        self.incarnation = self.incarnation.next();
         self.lease_start = now;
         self.changed = true;
     }
 
     pub(super) fn heartbeat(&mut self) -> Heartbeat {
-        self.sequence += 1;
+        self.sequence = self.sequence.next();
         Heartbeat {
             machine: self.id.clone(),
             addr: "127.0.0.1:9".into(),
@@ -210,7 +211,7 @@
         let r = self.workers[n].heartbeat();
         if (self.workers[n].partitioned || self.workers[n].outbound_lost)
             && self.workers[n].lease_kept_by_peer
-            && r.token > 0
+            && r.token > FencingToken(0)
         {
             self.workers[n].lease_start = sent;
             self.last_peer_renewal = sent;
