--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -7,7 +7,7 @@
 };
 use crate::{
     coordination::{
-        leader::CommitOutcome,
+        effects::CommitOutcome,
         model::{Millis, Term},
     },
     protocol::{
@@ -62,7 +62,7 @@
     pub(super) fn committed(&mut self, net: &mut Net, now: Millis, term: Term, result: &Result<Reply, CallError>) {
         let outcome = self.commit_outcome(now, result);
         let is_conflict = matches!(outcome, CommitOutcome::Conflict(_));
-        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) else { return };
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term() == term) else { return };
         if !leader.committed(now, outcome) {
             tracing::warn!(%term, "another leader has written: leadership lost");
             self.step_down(net, now);
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -7,9 +7,9 @@
 };
 use crate::{
     coordination::{
-        autoscaler::RentOutcome,
-        leader::{DirectCallOutcome, Effect},
+        effects::{DirectCallOutcome, Effect},
         model::{CallId, MachineIndex, Millis, Term},
+        RentOutcome,
     },
     protocol::{
         cbor,
@@ -145,7 +145,7 @@
         result: &Result<Reply, CallError>,
     ) {
         let outcome = command_outcome(result);
-        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) else { return };
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term() == term) else { return };
         if !leader.direct_call_result(now, machine, call, outcome, &self.job_cache, &mut self.tables) {
             tracing::warn!("a worker has seen a higher token than this leader's");
         }
@@ -154,7 +154,7 @@
     /// The answer to a probe came.
     pub(super) fn probed(&mut self, now: Millis, term: Term, machine: MachineIndex, result: &Result<Reply, CallError>) {
         let heartbeat = body::<Heartbeat>(result);
-        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) {
+        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term() == term) {
             leader.probed(now, machine, heartbeat.as_ref(), &self.job_cache, &mut self.tables);
         }
     }
@@ -177,7 +177,7 @@
     /// A part of the list of hosts came.
     pub(super) fn hosts_listed(&mut self, now: Millis, term: Term, call: CallId, result: &Result<Reply, CallError>) {
         let list = body::<HostList>(result);
-        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) {
+        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term() == term) {
             leader.listed(now, call, list.as_ref(), &mut self.tables);
         }
     }
--- a/src/controller/leader_config.rs
+++ b/src/controller/leader_config.rs
@@ -3,7 +3,7 @@
 use super::wiring::Controller;
 use crate::{
     coordination::{
-        leader::{Config, ServiceObjective},
+        cluster::{Config, ServiceObjective},
         model::{Millis, TeamLimits},
     },
     protocol::settings::{Objective, ObjectiveKind, Team},
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -45,7 +45,7 @@
             self.begin_leadership(now, term);
         }
         self.sync_jobs_to_leader(now);
-        if self.leader.as_ref().is_some_and(|leader| !leader.loaded) {
+        if self.leader.as_ref().is_some_and(|leader| !leader.is_loaded()) {
             return self.load_tasks(net, now, term);
         }
         self.schedule(now);
@@ -59,8 +59,8 @@
 
     fn drop_lost_leadership(&mut self) {
         let Some(leader) = &self.leader else { return };
-        if self.election.holds_key() != Some(leader.term) {
-            tracing::warn!(term = %leader.term, "no longer leading");
+        if self.election.holds_key() != Some(leader.term()) {
+            tracing::warn!(term = %leader.term(), "no longer leading");
             self.leader = None;
         }
     }
@@ -90,11 +90,11 @@
     /// Advances leases, the autoscaler and the schedule.
     fn schedule(&mut self, now: Millis) {
         let Some(leader) = &mut self.leader else { return };
-        leader.may_reshard = self.versions.is_complete();
+        leader.set_may_reshard(self.versions.is_complete());
         // Leases that this controller renewed before it led count like its peers'.
         let mut no_peer_renewals = self.peers.inactivity.span();
         no_peer_renewals.from = no_peer_renewals.from.max(self.renewal_right.last as i64);
-        leader.no_peer_renewals = no_peer_renewals;
+        leader.set_no_peer_renewals(no_peer_renewals);
         leader.sweep(now);
         leader.autoscale(now, &self.tables);
 
@@ -102,7 +102,7 @@
         let scarce = commits.available(now, Urgency::Commit) < SCARCE_WRITES * commits.burst();
         let min_gap_ms = if scarce { SCARCE_CYCLE_GAP_MS } else { CYCLE_GAP_MS };
         if leader.is_cycle_due(now, min_gap_ms, MAX_CYCLE_GAP_MS) {
-            leader.pass(now);
+            leader.run_scheduling_cycle(now);
         }
     }
 
@@ -117,7 +117,7 @@
             tracing::info!("a worker's tokens are spent: a new leadership begins");
             return self.step_down(net, now);
         }
-        let unreached = now > leader.started + UNREACHED_MS && leader.is_unreached(now, UNREACHED_MS);
+        let unreached = now > leader.started() + UNREACHED_MS && leader.is_unreached(now, UNREACHED_MS);
         let reach_others = self.peers.list.iter().any(|peer| {
             peer.heard_within(now, PEER_HEARTBEATS_MS) && peer.rejected_heartbeats >= MIN_REJECTED_HEARTBEATS
         });
--- a/src/controller/replies.rs
+++ b/src/controller/replies.rs
@@ -54,7 +54,7 @@
 impl Controller {
     /// The leader, if it is still the one of this leadership.
     pub(super) fn leader_of(&mut self, term: Term) -> Option<&mut Leader> {
-        self.leader.as_mut().filter(|leader| leader.term == term)
+        self.leader.as_mut().filter(|leader| leader.term() == term)
     }
 
     /// Handles the outcome of a call.
--- a/src/controller/task_loading.rs
+++ b/src/controller/task_loading.rs
@@ -73,7 +73,7 @@
 
     /// A page of the task records came.
     pub(super) fn tasks_page(&mut self, now: Millis, term: Term, result: &Result<Reply, CallError>) {
-        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term && !leader.loaded) else {
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term() == term && !leader.is_loaded()) else {
             return;
         };
         self.task_loading.poll.in_flight = false;
@@ -103,7 +103,7 @@
     /// A record that was read again came.
     pub(super) fn resynced(&mut self, now: Millis, term: Term, key: &str, result: &Result<Reply, CallError>) {
         self.task_loading.resync.in_flight = false;
-        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) else { return };
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term() == term) else { return };
         match status(result) {
             OK => {
                 if let Some(pair) = body::<Pair>(result) {
--- a/src/controller/workers.rs
+++ b/src/controller/workers.rs
@@ -4,7 +4,8 @@
 use super::wiring::Controller;
 use crate::{
     coordination::{
-        leader::{halts_of_cancelled, HeartbeatOutcome},
+        effects::HeartbeatOutcome,
+        halts_of_cancelled,
         lease_renewal::{shares_the_cut, Other},
         model::Millis,
     },
@@ -56,7 +57,7 @@
     /// The leader's answer, if this controller leads.
     fn leader_answer(&mut self, now: Millis, heartbeat: &Heartbeat) -> Option<HeartbeatOutcome> {
         let term = self.election.leading(now)?;
-        let leader = self.leader.as_mut().filter(|leader| leader.term == term)?;
+        let leader = self.leader.as_mut().filter(|leader| leader.term() == term)?;
         Some(leader.heartbeat(now, heartbeat, &self.job_cache, &mut self.tables))
     }
 
--- a/src/coordination/autoscaler/listing.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -3,7 +3,8 @@
 use super::Call;
 use crate::{
     coordination::{
-        leader::{Effect, Leader},
+        effects::Effect,
+        leader::Leader,
         model::{CallId, MachineLifecycle, Millis},
     },
     protocol::{
@@ -20,11 +21,11 @@
     ///
     /// Guard: a page that failed is asked for again. Begun anew each time, a long
     /// list never came to its end while rentals used up the cloud's limit.
-    pub(super) fn list_machines(&mut self) {
-        let call = self.next_call();
+    pub fn list_machines(&mut self) {
+        let call = self.outbox.next_call();
         self.autoscaler.calls.insert(call, Call::List);
         let from = self.autoscaler.list_from.clone();
-        self.push_effect(Effect::List { call, from });
+        self.outbox.send(Effect::List { call, from });
     }
 
     /// How a listing ended. `None`: it failed.
@@ -45,9 +46,9 @@
 
     fn apply_listed_host(&mut self, now: Millis, host: &ListedHost, tables: &mut Tables) {
         let zone = tables.zones.intern(&host.zone);
-        let is_known = self.machine_index.contains_key(&host.id);
-        let index = self.machine_named(now, &host.id, zone);
-        let machine = &mut self.machines[index.at()];
+        let is_known = self.cluster.machine_index.contains_key(&host.id);
+        let index = self.cluster.machine_named(now, &host.id, zone);
+        let machine = &mut self.cluster.machines[index.at()];
         if machine.lifecycle == MachineLifecycle::Gone {
             return; // lists lag
         }
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -1,12 +1,12 @@
 //! The autoscaler: what is rented for work that waits, and what is handed back.
 
 mod consolidation;
-mod lateness;
-mod listing;
+mod inventory;
 mod offers;
 mod pending_capacity;
-mod renting;
-mod returns;
+mod scale_in;
+mod scale_out;
+mod slow_boots;
 mod zone_demand;
 
 use std::collections::{HashMap, HashSet};
@@ -16,12 +16,9 @@
     leader::Leader,
     model::{CallId, MachineIndex, MachineTypeSpec, Millis, Resources},
 };
-use crate::{
-    protocol::{
-        cloud::RentRequest,
-        names::{MachineTypeIndex, Tables, ZoneIndex},
-    },
-    storage::job_cache::JobIndex,
+use crate::protocol::{
+    cloud::RentRequest,
+    names::{MachineTypeIndex, Tables, ZoneIndex},
 };
 
 /// Interval of decisions on rentals.
@@ -32,8 +29,6 @@
 const RETURN_INTERVAL_MS: Millis = 400;
 /// Interval of decisions on consolidation.
 const CONSOLIDATION_INTERVAL_MS: Millis = 2_000;
-/// Machines are only vacated once no work has waited for room for this long.
-const UNCROWDED_MS: Millis = 12_000;
 
 /// A call to the cloud that is not answered yet.
 #[derive(Debug)]
@@ -59,21 +54,10 @@
     wait_ms: Millis,
 }
 
-/// Tasks of a job that found no room in the last scheduling cycle.
-#[derive(Debug, Clone, Copy)]
-pub struct UnmetDemand {
-    /// The job.
-    pub job: JobIndex,
-    /// How many of its tasks found no room.
-    pub tasks: u32,
-}
-
 /// What the leader keeps about renting and returning machines.
 #[derive(Debug)]
 pub struct Autoscaler {
     nonce: u64,
-    /// When the leadership began.
-    began: Millis,
     request_count: u64,
     calls: HashMap<CallId, Call>,
     /// Rental requests that went unanswered: sent again until it is known what
@@ -82,8 +66,6 @@
     backoffs: HashMap<Offer, Backoff>,
     /// Types whose machines come up late, as a rule, at present.
     late_types: HashSet<MachineTypeIndex>,
-    /// What found no room in the last scheduling cycle, in the order of the scheduling cycle.
-    pub unmet: Vec<UnmetDemand>,
     next_list: Millis,
     /// The machine after which the next page of the list begins; None: the list
     /// begins anew.
@@ -97,10 +79,6 @@
     zone_heard_since: HashMap<ZoneIndex, Millis>,
     /// When the cloud last answered.
     pub cloud_ok: Millis,
-    /// When work last waited for room.
-    pub crowded: Millis,
-    /// The same of work that could run on machines of a type.
-    crowded_types: HashMap<MachineTypeIndex, Millis>,
 }
 
 /// How a rental request ended.
@@ -121,13 +99,11 @@
     pub fn new(nonce: u64, now: Millis) -> Autoscaler {
         Autoscaler {
             nonce,
-            began: now,
             request_count: 0,
             calls: HashMap::new(),
             retries: Vec::new(),
             backoffs: HashMap::new(),
             late_types: HashSet::new(),
-            unmet: Vec::new(),
             next_list: now,
             list_from: None,
             next_rent: now,
@@ -136,18 +112,9 @@
             listed_once: false,
             zone_heard_since: HashMap::new(),
             cloud_ok: now,
-            crowded: now,
-            crowded_types: HashMap::new(),
         }
     }
 
-    /// Whether work that could run on machines of this type waited for room lately.
-    /// A new leader has not seen yet what waits.
-    fn is_crowded(&self, now: Millis, machine_type: MachineTypeIndex) -> bool {
-        let crowded_at = self.crowded_types.get(&machine_type).copied().unwrap_or(self.began);
-        now < crowded_at + UNCROWDED_MS
-    }
-
     /// Whether the cloud had no lack of this offer lately.
     fn is_available(&self, now: Millis, offer: &Offer) -> bool {
         self.backoffs.get(offer).is_none_or(|backoff| now >= backoff.until)
@@ -193,20 +160,15 @@
     /// so would work that can't run on such a machine at all.
     fn note_crowding(&mut self, now: Millis) {
         let mut crowded_types: Vec<MachineTypeIndex> = Vec::new();
-        for unmet in &self.autoscaler.unmet {
-            let Some(job) = self.job(unmet.job) else { continue };
-            if job.placed > 0 && self.is_best_effort(job.spec.team) {
+        for unmet in &self.cluster.backlog.unmet {
+            let Some(job) = self.cluster.job(unmet.job) else { continue };
+            if job.placed > 0 && self.cluster.is_best_effort(job.spec.team) {
                 continue;
             }
             let need = Resources::of(&job.spec);
             let usable = |known: &&MachineTypeSpec| job.spec.allows_type(known.index) && need.fits_in(&known.capacity);
-            crowded_types.extend(self.types.iter().filter(usable).map(|known| known.index));
-        }
-        if !crowded_types.is_empty() {
-            self.autoscaler.crowded = now;
-        }
-        for machine_type in crowded_types {
-            self.autoscaler.crowded_types.insert(machine_type, now);
+            crowded_types.extend(self.cluster.types.iter().filter(usable).map(|known| known.index));
         }
+        self.cluster.backlog.record_waiting(now, crowded_types);
     }
 }
--- a/src/coordination/autoscaler/offers.rs
+++ b/src/coordination/autoscaler/offers.rs
@@ -4,7 +4,7 @@
     coordination::{
         leader::Leader,
         model::{MachineTypeSpec, Millis, Resources},
-        trial::SLOWEST_FETCH_GB_PER_S,
+        scheduler::trial::SLOWEST_FETCH_GB_PER_S,
     },
     protocol::{
         jobs::{JobSpec, Priority},
@@ -25,7 +25,7 @@
 
 /// A kind of machine that can be rented.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) struct Offer {
+pub struct Offer {
     pub machine_type: MachineTypeIndex,
     pub zone: ZoneIndex,
     pub spot: bool,
@@ -34,7 +34,7 @@
 impl Offer {
     /// Whether the job's tasks may run on such machines. `zone_used`: its
     /// assignments by zone, if it restricts zones.
-    pub(super) fn allows(&self, spec: &JobSpec, zone_used: &[u32]) -> bool {
+    pub fn allows(&self, spec: &JobSpec, zone_used: &[u32]) -> bool {
         let is_other_zone = spec.zone.is_some_and(|zone| zone != self.zone);
         if !spec.allows_type(self.machine_type) || is_other_zone || (self.spot && !spec.spot) {
             return false;
@@ -47,7 +47,7 @@
 
 /// How much a team's guarantee lets its work pay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Guarantee {
+pub enum Guarantee {
     /// Something is guaranteed to the team, or nothing to any.
     Some,
     /// Nothing is, and the job has not begun.
@@ -57,7 +57,7 @@
 }
 
 /// Tasks for which machines are to be rented.
-pub(super) struct RentalDemand<'a> {
+pub struct RentalDemand<'a> {
     pub spec: &'a JobSpec,
     /// Only machines of this zone will do.
     pub zone: Option<ZoneIndex>,
@@ -73,7 +73,7 @@
 
 /// The offer chosen for some work.
 #[derive(Clone, Copy)]
-pub(super) struct ChosenOffer {
+pub struct ChosenOffer {
     pub offer: Offer,
     pub tasks_per_machine: u32,
     /// Cost of one task on it, weighted by how soon it would run.
@@ -82,10 +82,10 @@
 
 impl Leader {
     /// The cheapest offer for the work, and how many of its tasks one machine takes.
-    pub(super) fn choose_offer(&self, now: Millis, demand: &RentalDemand<'_>) -> Option<ChosenOffer> {
+    pub fn choose_offer(&self, now: Millis, demand: &RentalDemand<'_>) -> Option<ChosenOffer> {
         let mut cheapest = f64::INFINITY;
         let mut best: Option<ChosenOffer> = None;
-        for machine_type in &self.types {
+        for machine_type in &self.cluster.types {
             for &zone in machine_type.zones.iter().filter(|zone| demand.zone.is_none_or(|only| only == **zone)) {
                 for spot in [false, true] {
                     let Some(candidate) = self.rate_offer(machine_type, zone, spot, demand) else { continue };
@@ -113,7 +113,7 @@
         demand: &RentalDemand<'_>,
     ) -> Option<ChosenOffer> {
         let spec = demand.spec;
-        if spot && !(spec.spot && self.cfg.use_spot) {
+        if spot && !(spec.spot && self.cluster.config.use_spot) {
             return None;
         }
         let tasks_per_machine = Resources::of(spec).times_in(&machine_type.capacity);
--- a/src/coordination/autoscaler/pending_capacity.rs
+++ b/src/coordination/autoscaler/pending_capacity.rs
@@ -19,7 +19,7 @@
 
 /// Machines that are not up yet, by offer.
 #[derive(Default)]
-pub(super) struct PendingCapacity(Vec<PendingMachines>);
+pub struct PendingCapacity(Vec<PendingMachines>);
 
 impl PendingCapacity {
     pub fn add(&mut self, offer: Offer, capacity: Resources, count: u32) {
@@ -80,13 +80,13 @@
 
 impl Leader {
     /// All machines that are booting or asked for.
-    pub(super) fn pending_capacity(&self, now: Millis) -> PendingCapacity {
+    pub fn pending_capacity(&self, now: Millis) -> PendingCapacity {
         let mut pending_capacity = PendingCapacity::default();
-        for machine in &self.machines {
+        for machine in &self.cluster.machines {
             if machine.lifecycle != MachineLifecycle::Booting || !machine.assignments.is_empty() {
                 continue;
             }
-            let Some(machine_type) = self.type_of(machine) else { continue };
+            let Some(machine_type) = self.cluster.type_of(machine) else { continue };
             // A late machine is not counted on: it may never come.
             if !self.is_late(now, machine, machine_type) {
                 let offer = Offer { machine_type: machine_type.index, zone: machine.zone, spot: machine.spot };
@@ -99,7 +99,7 @@
         });
         let retried = self.autoscaler.retries.iter().map(|retry| (retry.offer, retry.req.count));
         for (offer, count) in requested.chain(retried) {
-            if let Some(machine_type) = self.types.iter().find(|known| known.index == offer.machine_type) {
+            if let Some(machine_type) = self.cluster.types.iter().find(|known| known.index == offer.machine_type) {
                 pending_capacity.add(offer, machine_type.capacity, count);
             }
         }
--- a/src/coordination/autoscaler/returns.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -5,9 +5,10 @@
 use super::Call;
 use crate::{
     coordination::{
-        leader::{Effect, Leader},
+        effects::Effect,
+        leader::Leader,
         model::{CallId, Machine, MachineIndex, MachineLifecycle, Millis, Resources},
-        trial::SLOWEST_FETCH_GB_PER_S,
+        scheduler::trial::SLOWEST_FETCH_GB_PER_S,
     },
     protocol::names::ZoneIndex,
 };
@@ -120,13 +121,14 @@
 }
 
 impl Leader {
-    pub(super) fn return_machines(&mut self, now: Millis) {
+    /// Releases the machines that are not needed, or are dead.
+    pub fn return_machines(&mut self, now: Millis) {
         let returns = self.machines_to_return(now);
         if returns.is_empty() {
             return;
         }
         for MachineReturn { machine: index, reason } in &returns {
-            let machine = &mut self.machines[index.at()];
+            let machine = &mut self.cluster.machines[index.at()];
             if machine.lifecycle != MachineLifecycle::Returning {
                 tracing::info!(
                     machine = &*machine.id,
@@ -137,24 +139,24 @@
             }
             machine.lifecycle = MachineLifecycle::Returning;
             machine.return_after = now + RETURN_RETRY_MS;
-            self.refresh(now, *index);
+            self.cluster.refresh(now, *index);
         }
-        let call = self.next_call();
+        let call = self.outbox.next_call();
         let machines: Vec<MachineIndex> = returns.into_iter().map(|returned| returned.machine).collect();
-        let ids = machines.iter().map(|index| self.machine(*index).id.clone()).collect();
+        let ids = machines.iter().map(|index| self.cluster.machine(*index).id.clone()).collect();
         self.autoscaler.calls.insert(call, Call::Return(machines));
-        self.push_effect(Effect::Return { call, ids });
+        self.outbox.send(Effect::Return { call, ids });
     }
 
     fn machines_to_return(&self, now: Millis) -> Vec<MachineReturn> {
         let heard_by_zone = self.heard_by_zone(now);
         let answers = self.response_uptake(now);
         let mut returns = Vec::new();
-        for index in (0..self.machines.len() as u32).map(MachineIndex) {
+        for index in (0..self.cluster.machines.len() as u32).map(MachineIndex) {
             if returns.len() >= RETURNS_PER_CALL {
                 break;
             }
-            if now < self.machine(index).return_after {
+            if now < self.cluster.machine(index).return_after {
                 continue;
             }
             if let Some(reason) = self.return_reason(now, index, &heard_by_zone, &answers) {
@@ -171,7 +173,7 @@
         heard_by_zone: &HeardByZone,
         answers: &ResponseUptake,
     ) -> Option<ReturnReason> {
-        let machine = self.machine(index);
+        let machine = self.cluster.machine(index);
         let cloud_answers = self.autoscaler.cloud_ok + CLOUD_ANSWER_MS > now;
         let is_dead = || self.is_silent(now, machine) && cloud_answers && self.is_dead(now, machine, heard_by_zone);
         match machine.lifecycle {
@@ -191,8 +193,8 @@
 
     /// Whether a machine's report is so late that it may be dead.
     fn is_silent(&self, now: Millis, machine: &Machine) -> bool {
-        let is_overdue =
-            now > self.heard_or_start(machine) + self.cfg.silent_ms || machine.failed_probes >= SILENT_PROBES;
+        let is_overdue = now > self.heard_or_start(machine) + self.cluster.config.silent_ms
+            || machine.failed_probes >= SILENT_PROBES;
         let expects_reports = match machine.lifecycle {
             MachineLifecycle::Gone => false,
             MachineLifecycle::Booting => machine.is_inherited_unheard(),
@@ -204,16 +206,16 @@
     /// When a machine was last heard; one that this leader never heard could
     /// have reported within an interval of its beginning.
     fn heard_or_start(&self, machine: &Machine) -> Millis {
-        machine.last_contact.unwrap_or(self.started + self.cfg.heartbeat_interval_ms)
+        machine.last_contact.unwrap_or(self.cluster.started + self.cluster.config.heartbeat_interval_ms)
     }
 
     /// When machines were last heard; empty if none is silent.
     fn heard_by_zone(&self, now: Millis) -> HeardByZone {
         let mut heard_by_zone = HeardByZone::default();
-        if !self.machines.iter().any(|machine| self.is_silent(now, machine)) {
+        if !self.cluster.machines.iter().any(|machine| self.is_silent(now, machine)) {
             return heard_by_zone;
         }
-        for machine in self.machines.iter().filter(|machine| expected_to_report(machine)) {
+        for machine in self.cluster.machines.iter().filter(|machine| expected_to_report(machine)) {
             for zone in [None, Some(machine.zone)] {
                 heard_by_zone.0.entry(zone).or_default().0.push(machine.last_contact.unwrap_or(0));
             }
@@ -231,13 +233,14 @@
     /// speak for it, after twice the time.
     fn is_dead(&self, now: Millis, suspect: &Machine, heard_by_zone: &HeardByZone) -> bool {
         let since = self.heard_or_start(suspect);
-        let due = since + self.cfg.heartbeat_interval_ms * 5 / 4 + HEARTBEAT_DUE_SLACK_MS;
+        let due = since + self.cluster.config.heartbeat_interval_ms * 5 / 4 + HEARTBEAT_DUE_SLACK_MS;
         let none = HeardTimes::default();
         let times_in = |zone: Option<ZoneIndex>| heard_by_zone.0.get(&zone).unwrap_or(&none);
         let in_zone = times_in(Some(suspect.zone));
         if in_zone.others() == 0 {
             let everywhere = times_in(None);
-            return everywhere.heard_after(due) * 3 > everywhere.others() && now > since + 2 * self.cfg.silent_ms;
+            return everywhere.heard_after(due) * 3 > everywhere.others()
+                && now > since + 2 * self.cluster.config.silent_ms;
         }
         in_zone.heard_after(due) * 3 >= in_zone.others() && self.is_zone_sound(now, suspect.zone)
     }
@@ -245,7 +248,7 @@
     /// Notes since when most machines of each zone have been heard from.
     pub fn note_zones(&mut self, now: Millis) {
         let mut zones: HashMap<ZoneIndex, ZoneHealth> = HashMap::new();
-        for machine in self.machines.iter().filter(|machine| expected_to_report(machine)) {
+        for machine in self.cluster.machines.iter().filter(|machine| expected_to_report(machine)) {
             let health = zones.entry(machine.zone).or_default();
             health.heard += u32::from(self.heard_lately(now, machine));
             health.all += 1;
@@ -260,13 +263,13 @@
     }
 
     fn heard_lately(&self, now: Millis, machine: &Machine) -> bool {
-        machine.last_contact.is_some_and(|heard| now < heard + 2 * self.cfg.heartbeat_interval_ms)
+        machine.last_contact.is_some_and(|heard| now < heard + 2 * self.cluster.config.heartbeat_interval_ms)
     }
 
     /// Guard: when a partition ends, or a leader is new, machines come back one
     /// by one; the last of them are not dead.
     fn is_zone_sound(&self, now: Millis, zone: ZoneIndex) -> bool {
-        self.autoscaler.zone_heard_since.get(&zone).is_some_and(|since| now > since + self.cfg.silent_ms)
+        self.autoscaler.zone_heard_since.get(&zone).is_some_and(|since| now > since + self.cluster.config.silent_ms)
     }
 
     /// How many of the machines that report take what they are told.
@@ -277,7 +280,7 @@
         let mut uptake = ResponseUptake::default();
         let is_heard =
             |machine: &&Machine| machine.lifecycle == MachineLifecycle::Up && self.heard_lately(now, machine);
-        for machine in self.machines.iter().filter(is_heard) {
+        for machine in self.cluster.machines.iter().filter(is_heard) {
             uptake.heard += 1;
             uptake.taking += usize::from(machine.unacknowledged_heartbeats == 0);
         }
@@ -285,8 +288,8 @@
     }
 
     fn is_past_boot_limit(&self, now: Millis, index: MachineIndex) -> bool {
-        let machine = self.machine(index);
-        let boot_s = self.type_of(machine).map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s);
+        let machine = self.cluster.machine(index);
+        let boot_s = self.cluster.type_of(machine).map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s);
         // Guard: when all machines were slow to come up, each was handed back
         // before it did, and none ever came. Some are waited for; the others go
         // back, since those ordered after the trouble come sooner.
@@ -294,7 +297,7 @@
         let is_waited_for = is_late_type && index.at().is_multiple_of(LATE_KEPT_DIVISOR);
         let factor = if is_waited_for { LATE_BOOT_LIMIT_FACTOR } else { BOOT_LIMIT_FACTOR };
         let limit_ms = (boot_s * factor + BOOT_LIMIT_SLACK_S) * 1000.0;
-        let since = machine.rented_at.max(self.started);
+        let since = machine.rented_at.max(self.cluster.started);
         (now - since) as f64 > limit_ms
     }
 
@@ -304,12 +307,12 @@
 
     /// How long an idle machine is kept: longer if it takes long to get again.
     fn keep_ms(&self, now: Millis, machine: &Machine) -> Millis {
-        let ready_s = self.type_of(machine).map_or(0.0, |machine_type| {
+        let ready_s = self.cluster.type_of(machine).map_or(0.0, |machine_type| {
             if machine_type.capacity.gpus <= 0.0 {
                 return machine_type.boot_s;
             }
             // With GPUs, the image counts too; but only while such work comes.
-            let expected = self.gpu_demand.shapes().iter().filter(|shape| {
+            let expected = self.scheduler.gpu_demand.shapes().iter().filter(|shape| {
                 shape.spec.allows_type(machine_type.index)
                     && Resources::of(&shape.spec).fits_in(&machine_type.capacity)
                     && now as i64 - shape.latest_arrival < GPU_WORK_EXPECTED_MS
@@ -317,7 +320,7 @@
             let fetch_rate = machine_type.fetch_gb_per_s.max(SLOWEST_FETCH_GB_PER_S);
             expected.map(|shape| machine_type.boot_s + shape.spec.image_gb / fetch_rate).fold(0.0, f64::max)
         });
-        self.cfg.idle_keep_ms.max((ready_s * KEEP_FACTOR * 1000.0) as Millis)
+        self.cluster.config.idle_keep_ms.max((ready_s * KEEP_FACTOR * 1000.0) as Millis)
     }
 
     /// How a return ended. After a 200, the machines and everything on them are gone.
@@ -325,16 +328,16 @@
         let Some(Call::Return(machines)) = self.autoscaler.calls.remove(&call) else { return };
         for index in machines {
             if ok {
-                self.free_machine(index, None);
-                let machine = &mut self.machines[index.at()];
+                self.cluster.free_machine(index, None);
+                let machine = &mut self.cluster.machines[index.at()];
                 machine.lifecycle = MachineLifecycle::Gone;
                 machine.direct_call = None;
-                self.refresh(now, index);
+                self.cluster.refresh(now, index);
             } else {
-                self.machines[index.at()].return_after = now + RETURN_FAILED_PAUSE_MS;
+                self.cluster.machines[index.at()].return_after = now + RETURN_FAILED_PAUSE_MS;
             }
         }
-        self.cycle_needed = true;
+        self.cluster.cycle_needed = true;
     }
 }
 
--- a/src/coordination/autoscaler/renting.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -9,8 +9,9 @@
 };
 use crate::{
     coordination::{
-        autoscaler::UnmetDemand,
-        leader::{Effect, Leader},
+        cluster::UnmetDemand,
+        effects::Effect,
+        leader::Leader,
         model::{CallId, MachineLifecycle, Millis, Resources},
     },
     protocol::{
@@ -69,13 +70,14 @@
 }
 
 impl Leader {
-    pub(super) fn rent(&mut self, now: Millis, tables: &Tables) {
+    /// Requests machines for work that waits.
+    pub fn rent(&mut self, now: Millis, tables: &Tables) {
         self.send_retries(now);
         // Without a list, what is already there isn't known; and where there
         // are machines, they get time to report first.
-        let settle_ms = if self.machines.is_empty() { 0 } else { SETTLE_MS };
+        let settle_ms = if self.cluster.machines.is_empty() { 0 } else { SETTLE_MS };
         let rentals = self.autoscaler.calls.values().filter(|call| matches!(call, Call::Rent { .. })).count();
-        if !self.autoscaler.listed_once || now < self.started + settle_ms || rentals >= CONCURRENT_RENTALS {
+        if !self.autoscaler.listed_once || now < self.cluster.started + settle_ms || rentals >= CONCURRENT_RENTALS {
             return;
         }
         let mut plan = RentalPlan {
@@ -84,7 +86,7 @@
             total_machines: self.machine_count() + self.requested_machines(),
             unmet_by_class: self.unmet_by_class(),
         };
-        for &unmet in self.autoscaler.unmet.iter().take(JOBS_PER_STEP) {
+        for &unmet in self.cluster.backlog.unmet.iter().take(JOBS_PER_STEP) {
             self.plan_for_job(now, unmet, &mut plan);
             if plan.is_full() {
                 break;
@@ -115,7 +117,7 @@
     /// Machines that are there or booting.
     fn machine_count(&self) -> usize {
         let is_kept = |lifecycle| !matches!(lifecycle, MachineLifecycle::Gone | MachineLifecycle::Returning);
-        self.machines.iter().filter(|machine| is_kept(machine.lifecycle)).count()
+        self.cluster.machines.iter().filter(|machine| is_kept(machine.lifecycle)).count()
     }
 
     /// Machines asked for in requests that are not answered yet.
@@ -132,8 +134,8 @@
     /// of them: what waits of a class is counted as a whole.
     fn unmet_by_class(&self) -> HashMap<ClassIndex, u32> {
         let mut unmet_by_class: HashMap<ClassIndex, u32> = HashMap::new();
-        for unmet in &self.autoscaler.unmet {
-            if let Some(job) = self.job(unmet.job) {
+        for unmet in &self.cluster.backlog.unmet {
+            if let Some(job) = self.cluster.job(unmet.job) {
                 *unmet_by_class.entry(job.spec.class).or_default() += unmet.tasks;
             }
         }
@@ -141,10 +143,10 @@
     }
 
     fn plan_for_job(&self, now: Millis, unmet: UnmetDemand, plan: &mut RentalPlan) {
-        let Some(job) = self.job(unmet.job) else { return };
+        let Some(job) = self.cluster.job(unmet.job) else { return };
         let (spec, zone_used) = (&*job.spec, &*job.zone_used);
         let need = Resources::of(spec);
-        let guarantee = match (self.is_best_effort(spec.team), job.placed > 0) {
+        let guarantee = match (self.cluster.is_best_effort(spec.team), job.placed > 0) {
             (false, _) => Guarantee::Some,
             (true, false) => Guarantee::NoneNotBegun,
             (true, true) => Guarantee::NoneBegun,
@@ -157,16 +159,16 @@
             });
             let mut left = zone_demand.tasks - allotted;
             for _ in 0..OFFERS_PER_JOB {
-                if left == 0 || plan.total_machines >= self.cfg.max_machines {
+                if left == 0 || plan.total_machines >= self.cluster.config.max_machines {
                     break;
                 }
                 let tasks = alike.max(left);
                 let waited_s = job.waited_ms(now) as f64 / 1000.0;
                 let demand = RentalDemand { spec, zone, zone_used, tasks, waited_s, guarantee };
                 let Some(chosen) = self.choose_offer(now, &demand) else { break };
-                let allowed = (self.cfg.max_machines - plan.total_machines) as u32;
+                let allowed = (self.cluster.config.max_machines - plan.total_machines) as u32;
                 let count = left.div_ceil(chosen.tasks_per_machine).min(MACHINES_PER_CALL).min(allowed);
-                let known_type = self.types.iter().find(|known| known.index == chosen.offer.machine_type);
+                let known_type = self.cluster.types.iter().find(|known| known.index == chosen.offer.machine_type);
                 let Some(machine_type) = known_type else { break };
                 plan.pending_capacity.add(chosen.offer, machine_type.capacity, count);
                 left -= plan.pending_capacity.allot(&need, left, |offer| *offer == chosen.offer);
@@ -179,7 +181,7 @@
     }
 
     fn send_rent(&mut self, offer: Offer, req: RentRequest) {
-        let call = self.next_call();
+        let call = self.outbox.next_call();
         tracing::info!(
             ask = &*req.request,
             machine_type = &*req.machine_type,
@@ -189,7 +191,7 @@
             "renting"
         );
         self.autoscaler.calls.insert(call, Call::Rent { offer, req: req.clone() });
-        self.push_effect(Effect::Rent { call, req });
+        self.outbox.send(Effect::Rent { call, req });
     }
 
     /// How a rental request ended.
@@ -225,8 +227,8 @@
     }
 
     fn add_rented_machine(&mut self, now: Millis, id: &str, offer: Offer) {
-        let index = self.machine_named(now, id, offer.zone);
-        let machine = &mut self.machines[index.at()];
+        let index = self.cluster.machine_named(now, id, offer.zone);
+        let machine = &mut self.cluster.machines[index.at()];
         machine.machine_type = machine.machine_type.or(Some(offer.machine_type));
         machine.spot = offer.spot;
         machine.zone = offer.zone;
--- a/src/coordination/autoscaler/lateness.rs
+++ b/src/coordination/autoscaler/slow_boots.rs
@@ -29,16 +29,16 @@
 
 impl Leader {
     /// Whether a machine should have come up by now.
-    pub(super) fn is_late(&self, now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
+    pub fn is_late(&self, now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
         let waited_ms = now.saturating_sub(machine.rented_at) as f64;
         waited_ms > machine_type.boot_s * LATE_MS_PER_BOOT_S + LATE_SLACK_MS
     }
 
     /// Notes the types of which more machines are late than came up lately.
-    pub(super) fn note_late_types(&mut self, now: Millis) {
+    pub fn note_late_types(&mut self, now: Millis) {
         let mut records: HashMap<MachineTypeIndex, BootRecord> = HashMap::new();
-        for machine in &self.machines {
-            let Some(machine_type) = self.type_of(machine) else { continue };
+        for machine in &self.cluster.machines {
+            let Some(machine_type) = self.cluster.type_of(machine) else { continue };
             let record = records.entry(machine_type.index).or_default();
             match machine.lifecycle {
                 MachineLifecycle::Booting if !machine.is_inherited_unheard() => {
--- a/src/coordination/autoscaler/zone_demand.rs
+++ b/src/coordination/autoscaler/zone_demand.rs
@@ -16,7 +16,7 @@
 const REPLICA_ROOM_FACTOR: u32 = 2;
 
 /// Tasks for which machines are wanted, in any zone or in this one.
-pub(super) struct ZoneDemand {
+pub struct ZoneDemand {
     pub zone: Option<ZoneIndex>,
     pub tasks: u32,
 }
@@ -37,7 +37,7 @@
     /// Guard: a gang that must be spread over two zones, or that must be in one,
     /// is not served by room in any zone: it would wait for ever, and more
     /// machines would come where there is room already.
-    pub(super) fn demand_by_zone(
+    pub fn demand_by_zone(
         &self,
         spec: &JobSpec,
         zone_used: &[u32],
@@ -57,7 +57,7 @@
     /// Zones of the machine types that the job may use, in the order of the types.
     fn zones_for(&self, spec: &JobSpec) -> Vec<ZoneIndex> {
         let mut zones: Vec<ZoneIndex> = Vec::new();
-        let allowed_types = self.types.iter().filter(|machine_type| spec.allows_type(machine_type.index));
+        let allowed_types = self.cluster.types.iter().filter(|machine_type| spec.allows_type(machine_type.index));
         for zone in allowed_types.flat_map(|machine_type| machine_type.zones.iter().copied()) {
             if !zones.contains(&zone) && spec.zone.is_none_or(|only| only == zone) {
                 zones.push(zone);
@@ -75,7 +75,7 @@
         }
         let need = Resources::of(spec);
         let mut room = 0;
-        self.snapshot.candidates(spec, Some(zone), RoomKind::FreeOrStopping, |_, host, _| {
+        self.cluster.snapshot.candidates(spec, Some(zone), RoomKind::FreeOrStopping, |_, host, _| {
             room = (room + need.times_in(&host.room(RoomKind::FreeOrStopping))).min(limit);
         });
         room
--- a/src/coordination/leader/assignment_table.rs
+++ b/src/coordination/cluster/assignment_table.rs
@@ -4,7 +4,7 @@
 
 /// All assignments, by a dense index.
 #[derive(Debug, Default)]
-pub(super) struct AssignmentTable {
+pub(in crate::coordination) struct AssignmentTable {
     entries: Vec<Option<Assignment>>,
     /// Free entries, the next to be used last.
     free: Vec<AssignmentIndex>,
--- a/src/coordination/leader/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -1,6 +1,6 @@
 //! Assignments are made, and released on proof that the task is gone.
 
-use super::Leader;
+use super::ClusterState;
 use crate::{
     coordination::model::{
         Assignment, AssignmentIndex, AssignmentState, Job, MachineIndex, Millis, Resources, Slot, START_COUNTS_MS,
@@ -40,7 +40,7 @@
     Unfinished,
 }
 
-impl Leader {
+impl ClusterState {
     /// Assigns a pending task to a machine. `None`: the task is not pending, or
     /// its job is being resharded.
     pub fn add_assignment(&mut self, now: Millis, new: NewAssignment) -> Option<AssignmentIndex> {
@@ -118,7 +118,8 @@
         let machine = assignment.machine.at();
         job.touch(task);
         job.placed -= 1;
-        let ran_long_enough = assignment.running_since.is_some_and(|since| self.clock >= since + START_COUNTS_MS);
+        let ran_long_enough =
+            assignment.running_since.is_some_and(|since| self.last_event_at >= since + START_COUNTS_MS);
         job.has_counted_start |= fate == TaskFate::Done || ran_long_enough;
         if let Some(used) = job.zone_used.get_mut(assignment.zone.at()) {
             *used -= 1;
@@ -192,7 +193,7 @@
     /// Guard: a launch is sent only after its record is written, a gang's only
     /// after the records of all its tasks are. A leader that takes over must
     /// find every task that may run.
-    pub(super) fn may_launch(&self, assignment: &Assignment) -> bool {
+    pub(in crate::coordination) fn may_launch(&self, assignment: &Assignment) -> bool {
         let Some(job) = self.job(assignment.job) else { return false };
         if assignment.halt.is_some() || job.status != JobStatus::Pending || !self.written(assignment) {
             return false;
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use super::{pipeline::ObsoleteRecord, Leader, TaskFate};
+use super::{records::ObsoleteRecord, ClusterState, TaskFate};
 use crate::{
     coordination::model::{
         AssignmentIndex, Chunk, ExitRecord, Halt, Job, JobFailures, JobProgress, Millis, Slot, UnreapedExit,
@@ -22,11 +22,10 @@
 /// user's answer may lag.
 const REPEATED_COUNTS: usize = 60;
 
-impl Leader {
+impl ClusterState {
     /// The job cache shows a job's record, new or changed.
     pub fn job_update(&mut self, now: Millis, wall_ms: u64, index: JobIndex, job_cache: &JobCache) {
         let entry = job_cache.get(index);
-        self.set_wall_clock(now, wall_ms);
         self.reserve_job_slot(index);
         match (&mut self.jobs[index.at()], entry.status) {
             // Guard: until the ends of all that it depends on are written, a job
@@ -61,11 +60,7 @@
         self.cycle_needed = true;
     }
 
-    pub(super) fn set_wall_clock(&mut self, now: Millis, wall_ms: u64) {
-        self.wall_clock_offset_ms = wall_ms as i64 - now as i64;
-    }
-
-    pub(super) fn reserve_job_slot(&mut self, index: JobIndex) {
+    pub(in crate::coordination) fn reserve_job_slot(&mut self, index: JobIndex) {
         if self.jobs.len() <= index.at() {
             self.jobs.resize_with(index.at() + 1, || None);
         }
@@ -91,7 +86,7 @@
         }
     }
 
-    pub(super) fn add_job(
+    pub(in crate::coordination) fn add_job(
         &mut self,
         now: Millis,
         wall_ms: u64,
@@ -101,7 +96,7 @@
     ) {
         let entry = job_cache.get(index);
         let tasks = spec.tasks;
-        let is_oversized = entry.chunk > self.cfg.chunk_fit && tasks > self.cfg.chunk_fit;
+        let is_oversized = entry.chunk > self.config.chunk_fit && tasks > self.config.chunk_fit;
         let age_ms = wall_ms.saturating_sub(job_cache.ready_ms(index)).min(OLDEST_MS) as i64;
         self.jobs[index.at()] = Some(Job {
             index,
@@ -173,14 +168,14 @@
     }
 
     /// Forgets a job that is over and has no assignments; its records are dropped.
-    pub(super) fn remove_if_finished(&mut self, index: JobIndex) {
+    pub(in crate::coordination) fn remove_if_finished(&mut self, index: JobIndex) {
         let Some(job) = self.job(index) else { return };
-        if job.status != JobStatus::Pending && job.placed == 0 && !self.transactions.is_writing(index) {
+        if job.status != JobStatus::Pending && job.placed == 0 && !self.records.is_in_flight(index) {
             self.forget(index);
         }
     }
 
-    pub(super) fn finish(&mut self, index: JobIndex) {
+    pub(in crate::coordination) fn finish(&mut self, index: JobIndex) {
         self.blame_machines_of(index);
         if let Some(job) = self.job_mut(index) {
             job.status = JobStatus::Done;
@@ -188,19 +183,28 @@
         self.remove_if_finished(index);
     }
 
+    /// A job that failed somewhere has completed: its machines were at fault.
+    pub(in crate::coordination) fn blame_machines_of(&mut self, index: JobIndex) {
+        let Some(job) = self.job(index) else { return };
+        for machine in job.failures.machines.clone() {
+            let failures = &mut self.machines[machine.at()].recent_failures;
+            failures.iter_mut().filter(|failure| failure.job == index).for_each(|failure| failure.job_is_sound = true);
+        }
+    }
+
     fn forget(&mut self, index: JobIndex) {
         let Some(job) = self.jobs[index.at()].take() else { return };
         self.active.retain(|&active| active != index);
         for (chunk_number, chunk) in job.chunks.iter().enumerate() {
             if !chunk.revision.is_absent() {
                 let key = records::chunk_key(&job.id, chunk_number as u32);
-                self.transactions.drop_later(ObsoleteRecord { key, revision: chunk.revision });
+                self.records.delete_later(ObsoleteRecord { key, revision: chunk.revision });
             }
         }
     }
 
     /// Whether an end is written, or its job is over: then it may be reaped.
-    pub(super) fn is_exit_recorded(&self, exit: &UnreapedExit) -> bool {
+    pub(in crate::coordination) fn is_exit_recorded(&self, exit: &UnreapedExit) -> bool {
         let Some(job) = self.job(exit.job) else { return true };
         match exit.record {
             ExitRecord::WrittenWith { chunk, version } => {
--- a/src/coordination/leader/machines.rs
+++ b/src/coordination/cluster/machines.rs
@@ -1,15 +1,17 @@
 //! Machines become known, and the snapshot is shown what they are.
 
-use super::Leader;
+use super::{ClusterState, UNCROWDED_MS};
 use crate::{
-    coordination::model::{Machine, MachineIndex, MachineLifecycle, Millis},
+    coordination::model::{Machine, MachineIndex, MachineLifecycle, MachineTypeSpec, Millis},
     protocol::{ids::Incarnation, names::ZoneIndex},
 };
 
+/// A machine with GPUs is expensive per CPU beyond this many times the cheapest.
+const GPU_PRICE_FACTOR: f64 = 2.0;
 /// How far past its second missed report a machine still takes new tasks.
 const HEARTBEAT_SLACK_MS: Millis = 500;
 
-impl Leader {
+impl ClusterState {
     /// The machine of this name, added if it isn't known yet.
     pub fn machine_named(&mut self, now: Millis, id: &str, zone: ZoneIndex) -> MachineIndex {
         if let Some(&index) = self.machine_index.get(id) {
@@ -47,7 +49,7 @@
     }
 
     fn takes_new_tasks(&self, now: Millis, machine: &Machine) -> bool {
-        let report_limit_ms = 2 * self.cfg.heartbeat_interval_ms + HEARTBEAT_SLACK_MS;
+        let report_limit_ms = 2 * self.config.heartbeat_interval_ms + HEARTBEAT_SLACK_MS;
         machine.lifecycle == MachineLifecycle::Up
             // Guard: a machine that reaches no controller answers calls, but its
             // lease is running out: what starts there would soon be lost.
@@ -61,4 +63,20 @@
             && !machine.cordoned
             && now >= machine.avoid_until
     }
+
+    /// An expensive machine whose GPUs have no use takes no other work once
+    /// nothing waits: it becomes empty and is handed back.
+    pub fn reserved_for_gpu_work(&self, now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
+        if machine_type.capacity.gpus <= 0.0
+            || machine_type.capacity.cpus <= 0.0
+            || self.backlog.is_recent_for(now, machine_type.index)
+        {
+            return false;
+        }
+        let price_per_cpu = |t: &MachineTypeSpec| t.price_of(machine.spot) / t.capacity.cpus;
+        let cheapest =
+            self.types.iter().filter(|t| t.capacity.cpus > 0.0).map(price_per_cpu).fold(f64::INFINITY, f64::min);
+        machine.gpu_idle_since.is_some_and(|since| now > since + UNCROWDED_MS)
+            && price_per_cpu(machine_type) > GPU_PRICE_FACTOR * cheapest
+    }
 }
--- /dev/null
+++ b/src/coordination/cluster/mod.rs
@@ -0,0 +1,193 @@
+//! The leader's picture of the cluster: jobs, machines, assignments and free
+//! capacity.
+//!
+//! Every change of which task is, or may be, on which machine goes through
+//! [`ClusterState`], which keeps the jobs, the machines, the use of each team and
+//! the free capacity in step.
+
+mod assignment_table;
+mod assignments;
+mod backlog;
+mod config;
+mod dispatch_queue;
+mod jobs;
+mod machines;
+mod records;
+mod run_times;
+mod sharding;
+
+use std::collections::{HashMap, HashSet};
+
+use self::{assignment_table::AssignmentTable, backlog::Backlog, dispatch_queue::DispatchQueue};
+pub use self::{
+    assignments::{NewAssignment, TaskFate},
+    backlog::UnmetDemand,
+    config::{Config, ServiceObjective},
+    run_times::RunTimeEstimates,
+};
+pub(in crate::coordination) use self::{
+    backlog::UNCROWDED_MS,
+    records::{ObsoleteRecord, RecordState},
+    sharding::{AppliedPlan, ReshardPlan},
+};
+use super::{
+    model::{
+        Assignment, AssignmentIndex, Job, Machine, MachineIndex, MachineTypeSpec, Millis, Resources, TeamLimits, Term,
+    },
+    snapshot::ClusterSnapshot,
+};
+use crate::{
+    protocol::{ids::Attempt, names::TeamIndex},
+    storage::job_cache::JobIndex,
+};
+
+/// What the leader knows of jobs and machines, and what it wants to run where.
+pub struct ClusterState {
+    /// Settings of this leadership.
+    pub(in crate::coordination) config: Config,
+    /// Identifies this leadership.
+    pub(in crate::coordination) term: Term,
+    /// Time of the latest event.
+    pub(in crate::coordination) last_event_at: Millis,
+    /// When this leadership began.
+    pub(in crate::coordination) started: Millis,
+    /// All records are read.
+    pub(in crate::coordination) loaded: bool,
+    /// Jobs by their index; None: not known, or over and released.
+    pub(in crate::coordination) jobs: Vec<Option<Job>>,
+    /// Jobs that are known and not over.
+    pub(in crate::coordination) active: Vec<JobIndex>,
+    /// Position in `active` from which progress is repeated next.
+    next_repeated: usize,
+    /// Jobs whose progress changed since it was last published.
+    pub(in crate::coordination) changed_progress: HashSet<JobIndex>,
+    /// All machines known so far, by their index.
+    pub(in crate::coordination) machines: Vec<Machine>,
+    /// Indices of the machines, by name.
+    pub(in crate::coordination) machine_index: HashMap<String, MachineIndex>,
+    /// When any worker last sent a heartbeat.
+    pub(in crate::coordination) last_heartbeat_from_any: Millis,
+    /// Machine types that may be rented.
+    pub(in crate::coordination) types: Vec<MachineTypeSpec>,
+    pub(in crate::coordination) assignments: AssignmentTable,
+    last_attempt: Attempt,
+    /// Free capacity of the machines, as trials see it.
+    pub(in crate::coordination) snapshot: ClusterSnapshot,
+    /// In use by each team, unproven assignments included.
+    pub(in crate::coordination) team_used: Vec<Resources>,
+    /// Observed run times against their owners' estimates.
+    pub(in crate::coordination) run_times: RunTimeEstimates,
+    /// Work that found no free capacity.
+    pub(in crate::coordination) backlog: Backlog,
+    /// Something changed that may let a waiting job be placed.
+    pub(in crate::coordination) cycle_needed: bool,
+    /// Machines that may have to be sent a command, and when to look.
+    pub(in crate::coordination) dispatch_queue: DispatchQueue,
+    /// What is known of the records in the state service.
+    pub(in crate::coordination) records: RecordState,
+}
+
+impl ClusterState {
+    /// The state of a leadership that has read no records yet. Its attempts are
+    /// numbered from above `last_attempt`.
+    pub(in crate::coordination) fn new(
+        config: Config,
+        term: Term,
+        last_attempt: Attempt,
+        now: Millis,
+        types: Vec<MachineTypeSpec>,
+    ) -> ClusterState {
+        ClusterState {
+            term,
+            last_event_at: now,
+            started: now,
+            loaded: false,
+            jobs: Vec::new(),
+            active: Vec::new(),
+            next_repeated: 0,
+            changed_progress: HashSet::new(),
+            machines: Vec::new(),
+            machine_index: HashMap::new(),
+            last_heartbeat_from_any: now,
+            types,
+            assignments: AssignmentTable::default(),
+            last_attempt,
+            snapshot: ClusterSnapshot::default(),
+            team_used: vec![Resources::default(); config.teams.len()],
+            run_times: RunTimeEstimates::default(),
+            backlog: Backlog::new(now),
+            cycle_needed: true,
+            dispatch_queue: DispatchQueue::default(),
+            records: RecordState::new(config.value_max),
+            config,
+        }
+    }
+
+    /// A job that is not over, or whose tasks are still somewhere.
+    pub fn job(&self, index: JobIndex) -> Option<&Job> {
+        self.jobs.get(index.at()).and_then(Option::as_ref)
+    }
+
+    /// As [`ClusterState::job`], to be changed.
+    pub fn job_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
+        self.jobs.get_mut(index.at()).and_then(Option::as_mut)
+    }
+
+    /// The active jobs, in the order in which they came.
+    pub fn active_jobs(&self) -> impl Iterator<Item = &Job> {
+        self.active.iter().filter_map(|&index| self.job(index))
+    }
+
+    /// An assignment that was not released yet.
+    pub fn assignment(&self, index: AssignmentIndex) -> Option<&Assignment> {
+        self.assignments.get(index)
+    }
+
+    /// Free capacity of the machines.
+    pub fn snapshot(&self) -> &ClusterSnapshot {
+        &self.snapshot
+    }
+
+    /// A machine; machines are never forgotten, only marked as gone.
+    pub fn machine(&self, index: MachineIndex) -> &Machine {
+        &self.machines[index.at()]
+    }
+
+    /// The description of a machine's type, if it is known.
+    pub fn type_of(&self, machine: &Machine) -> Option<&MachineTypeSpec> {
+        let machine_type = machine.machine_type?;
+        self.types.iter().find(|known| known.index == machine_type)
+    }
+
+    /// The latest attempt of any job.
+    pub(in crate::coordination) fn last_attempt(&self) -> Attempt {
+        self.last_attempt
+    }
+
+    /// A number for an attempt to run a task, higher than any before.
+    pub fn next_attempt(&mut self) -> Attempt {
+        self.last_attempt = self.last_attempt.next();
+        self.last_attempt
+    }
+
+    /// The cloud's machine types were read again: prices change.
+    pub fn set_types(&mut self, types: &[MachineTypeSpec]) {
+        self.types = types.to_vec();
+        self.snapshot.types_changed(types);
+    }
+
+    /// A team's guarantee and limit.
+    pub fn team_limits(&self, team: TeamIndex) -> TeamLimits {
+        self.config.teams.get(team.at()).copied().unwrap_or_default()
+    }
+
+    /// Whether nothing is guaranteed to a team, while something is to others.
+    pub fn is_best_effort(&self, team: TeamIndex) -> bool {
+        !self.team_limits(team).has_guarantee() && self.config.teams.iter().any(TeamLimits::has_guarantee)
+    }
+
+    /// What a team's assignments use.
+    pub(in crate::coordination) fn used_by_team(&self, team: TeamIndex) -> Resources {
+        self.team_used.get(team.at()).copied().unwrap_or_default()
+    }
+}
--- /dev/null
+++ b/src/coordination/cluster/records.rs
@@ -0,0 +1,60 @@
+//! What is known of the records in the state service, besides what each job keeps.
+
+use std::collections::{HashSet, VecDeque};
+
+use crate::{protocol::ids::Revision, storage::job_cache::JobIndex};
+
+/// A record that no job needs any more, at its last known revision.
+#[derive(Debug)]
+pub(in crate::coordination) struct ObsoleteRecord {
+    pub key: String,
+    pub revision: Revision,
+}
+
+/// The records as a whole.
+#[derive(Debug)]
+pub(in crate::coordination) struct RecordState {
+    /// Largest value, in bytes, that the state service is known to take.
+    pub value_limit: usize,
+    /// Jobs of which a transaction that is not settled writes records.
+    in_flight: HashSet<JobIndex>,
+    /// Records that wait to be deleted.
+    obsolete: VecDeque<ObsoleteRecord>,
+}
+
+impl RecordState {
+    /// No transaction is under way, and no record is obsolete.
+    pub fn new(value_limit: usize) -> RecordState {
+        RecordState { value_limit, in_flight: HashSet::new(), obsolete: VecDeque::new() }
+    }
+
+    /// A transaction is under way that writes records of these jobs.
+    pub fn set_in_flight(&mut self, jobs: HashSet<JobIndex>) {
+        self.in_flight = jobs;
+    }
+
+    /// No transaction is under way any more.
+    pub fn clear_in_flight(&mut self) {
+        self.in_flight.clear();
+    }
+
+    /// Whether the transaction under way writes records of this job.
+    pub fn is_in_flight(&self, job: JobIndex) -> bool {
+        self.in_flight.contains(&job)
+    }
+
+    /// Has a record deleted when there is budget to spare.
+    pub fn delete_later(&mut self, record: ObsoleteRecord) {
+        self.obsolete.push_back(record);
+    }
+
+    /// Whether any record waits to be deleted.
+    pub fn has_obsolete(&self) -> bool {
+        !self.obsolete.is_empty()
+    }
+
+    /// The record to be deleted next.
+    pub fn pop_obsolete(&mut self) -> Option<ObsoleteRecord> {
+        self.obsolete.pop_front()
+    }
+}
--- /dev/null
+++ b/src/coordination/cluster/sharding.rs
@@ -0,0 +1,98 @@
+//! How the tasks of a job are split into chunks, each with a record of its own.
+
+use super::ClusterState;
+use crate::{
+    coordination::model::{Chunk, ExitRecord, Slot},
+    protocol::{ids::Revision, workers::split_task},
+    storage::job_cache::JobIndex,
+};
+
+/// A resharding under way, and the job as it was when its transaction was built.
+#[derive(Debug)]
+pub(in crate::coordination) struct ReshardPlan {
+    pub job: JobIndex,
+    pub slots: Vec<Slot>,
+    /// Versions of the old chunks.
+    pub versions: Vec<u64>,
+    /// Those of the new chunks that have a record.
+    pub written_chunks: Vec<usize>,
+}
+
+/// What is written under new chunk sizes, and the revision that it has.
+pub(in crate::coordination) struct AppliedPlan<'a> {
+    pub plan: &'a ReshardPlan,
+    pub revision: Revision,
+}
+
+impl ClusterState {
+    /// Its record says another chunk size than ours: a write of ours that was
+    /// never answered. All chunks are written once more under that size.
+    pub(in crate::coordination) fn adopt_recorded_sharding(&mut self, index: JobIndex) {
+        let Some(job) = self.job(index) else { return };
+        if job.recorded_chunk_size != job.chunk_size && !job.resharding {
+            self.apply_sharding(index, job.recorded_chunk_size, None);
+        }
+    }
+
+    /// Splits a job's tasks into chunks of `size`. `applied`: what of it is
+    /// written; otherwise all of it counts as unwritten.
+    pub(in crate::coordination) fn apply_sharding(
+        &mut self,
+        index: JobIndex,
+        size: u32,
+        applied: Option<AppliedPlan<'_>>,
+    ) {
+        let Some(job) = self.jobs.get_mut(index.at()).and_then(Option::as_mut) else { return };
+        job.oversized_record = None;
+        job.resharding = false;
+        job.chunk_size = size.max(1);
+        let chunk_count = job.spec.tasks.div_ceil(job.chunk_size) as usize;
+        let version = u64::from(applied.is_some());
+        job.chunks = vec![Chunk { version, committed_version: version, ..Chunk::default() }; chunk_count];
+        if let Some(AppliedPlan { plan, revision }) = &applied {
+            for &chunk in &plan.written_chunks {
+                job.chunks[chunk].revision = *revision;
+            }
+        }
+        for task in 0..job.spec.tasks {
+            let slot = job.slots[task as usize];
+            match &applied {
+                // Guard: what changed while the transaction was under way isn't
+                // written yet.
+                Some(applied) if applied.plan.slots[task as usize] != slot => {
+                    job.touch(task);
+                }
+                Some(_) => {}
+                None if slot != Slot::Pending => {
+                    let chunk = job.chunk_of(task);
+                    job.chunks[chunk].version = 1;
+                    job.chunks[chunk].placement_version = 1;
+                }
+                None => {}
+            }
+            if let Slot::At(assignment_index) = slot {
+                if let Some(assignment) = self.assignments.get_mut(assignment_index) {
+                    assignment.chunk_version = 1;
+                }
+            }
+        }
+        self.renumber_unreaped_exits(index, applied.as_ref());
+    }
+
+    /// Guard: an end is not reaped before it is written, under the new chunks
+    /// either.
+    fn renumber_unreaped_exits(&mut self, index: JobIndex, applied: Option<&AppliedPlan<'_>>) {
+        let Some(job) = self.jobs.get(index.at()).and_then(Option::as_ref) else { return };
+        let exits = self.machines.iter_mut().flat_map(|machine| &mut machine.unreaped_exits);
+        for exit in exits.filter(|exit| exit.job == index) {
+            let ExitRecord::WrittenWith { chunk: old_chunk, version: old_version } = exit.record else { continue };
+            let Some((_, task)) = split_task(&exit.task) else { continue };
+            let is_written =
+                applied.is_some_and(|applied| applied.plan.versions.get(old_chunk).is_some_and(|v| old_version <= *v));
+            let chunk = job.chunk_of(task);
+            let current = job.chunks.get(chunk).map_or(0, |chunk| chunk.version);
+            let version = if is_written { current.min(1) } else { current };
+            exit.record = ExitRecord::WrittenWith { chunk, version };
+        }
+    }
+}
--- a/src/coordination/leader/commit_outcomes.rs
+++ b/src/coordination/commits/outcomes.rs
@@ -2,13 +2,14 @@
 
 use ciborium::Value;
 
-use super::{
-    effects::REFUSED_PAUSE_MS,
-    pipeline::{InFlightTxn, ObsoleteRecord, TxnState, WrittenChunk},
-    CommitOutcome, Leader,
-};
+use super::pipeline::{InFlightTxn, TxnState, WrittenChunk};
 use crate::{
-    coordination::model::{AssignmentState, MachineIndex, Millis},
+    coordination::{
+        cluster::ObsoleteRecord,
+        effects::{CommitOutcome, REFUSED_PAUSE_MS},
+        leader::Leader,
+        model::{AssignmentState, MachineIndex, Millis},
+    },
     protocol::{ids::Revision, jobs::Kind, store::Op},
     storage::{
         job_cache::JobIndex,
@@ -24,16 +25,16 @@
 impl Leader {
     /// How the transaction under way ended. False: the leadership is lost.
     pub fn committed(&mut self, now: Millis, outcome: CommitOutcome) -> bool {
-        let Some(mut in_flight) = self.transactions.in_flight.take() else { return true };
+        let Some(mut in_flight) = self.commits.take_in_flight(&mut self.cluster.records) else { return true };
         match outcome {
             CommitOutcome::Done(revision) => self.applied(now, in_flight, revision),
             CommitOutcome::Refused => {
-                self.transactions.paused_until = now + REFUSED_PAUSE_MS;
+                self.commits.paused_until = now + REFUSED_PAUSE_MS;
                 // Rebuilt from the wanted state as it is by then. But if an
                 // earlier copy went unanswered, that one must be settled first.
                 if in_flight.has_unanswered_copy {
                     in_flight.mark_returned();
-                    self.transactions.in_flight = Some(in_flight);
+                    self.commits.put_in_flight(&mut self.cluster.records, in_flight);
                 } else {
                     self.give_back(in_flight);
                 }
@@ -42,10 +43,10 @@
             CommitOutcome::Unknown => {
                 // Guard: it may yet be applied. The same transaction again, on
                 // the same conditions, can be applied only once in all.
-                self.transactions.paused_until = now + UNANSWERED_PAUSE_MS;
+                self.commits.paused_until = now + UNANSWERED_PAUSE_MS;
                 in_flight.mark_returned();
                 in_flight.has_unanswered_copy = true;
-                self.transactions.in_flight = Some(in_flight);
+                self.commits.put_in_flight(&mut self.cluster.records, in_flight);
             }
             CommitOutcome::Conflict(failed_keys) => return self.conflicted(in_flight, failed_keys),
         }
@@ -75,7 +76,7 @@
             self.give_back(in_flight);
         } else {
             in_flight.state = TxnState::Resync(resync);
-            self.transactions.in_flight = Some(in_flight);
+            self.commits.put_in_flight(&mut self.cluster.records, in_flight);
         }
         true
     }
@@ -84,26 +85,26 @@
     fn mark_stale(&mut self, id: &str, sent_revision: Revision) {
         for index in self.active_with_id(id) {
             // Unless the job cache has shown the change already.
-            if let Some(job) = self.job_mut(index).filter(|job| job.revision == sent_revision) {
+            if let Some(job) = self.cluster.job_mut(index).filter(|job| job.revision == sent_revision) {
                 job.stale = true;
             }
         }
     }
 
     fn active_with_id(&self, id: &str) -> Vec<JobIndex> {
-        self.active_jobs().filter(|job| &*job.id == id).map(|job| job.index).collect()
+        self.cluster.active_jobs().filter(|job| &*job.id == id).map(|job| job.index).collect()
     }
 
     /// The first 400 shows that the lower limits hold; what fits them and is
     /// refused all the same is cut smaller, and in the end set aside.
     fn too_large(&mut self, now: Millis, mut in_flight: InFlightTxn) {
-        if self.value_limit > self.cfg.value_fit {
-            tracing::warn!(bytes = self.cfg.value_fit, "values are kept smaller from now on");
-            self.value_limit = self.cfg.value_fit;
-            self.transactions.paused_until = now + REFUSED_PAUSE_MS;
+        if self.cluster.records.value_limit > self.cluster.config.value_fit {
+            tracing::warn!(bytes = self.cluster.config.value_fit, "values are kept smaller from now on");
+            self.cluster.records.value_limit = self.cluster.config.value_fit;
+            self.commits.paused_until = now + REFUSED_PAUSE_MS;
         } else {
-            self.transactions.paused_until = now + TOO_LARGE_PAUSE_MS;
-            self.transactions.ops_cap = (in_flight.txn.writes.len() / 2).max(1);
+            self.commits.paused_until = now + TOO_LARGE_PAUSE_MS;
+            self.commits.ops_cap = (in_flight.txn.writes.len() / 2).max(1);
             if in_flight.txn.writes.len() == 1 {
                 self.set_aside(now, &in_flight);
             }
@@ -118,7 +119,7 @@
             let keys: Vec<String> = in_flight.txn.writes.iter().filter_map(chunk_key).collect();
             if !keys.is_empty() {
                 in_flight.state = TxnState::Resync(keys);
-                self.transactions.in_flight = Some(in_flight);
+                self.commits.put_in_flight(&mut self.cluster.records, in_flight);
                 return;
             }
         }
@@ -133,7 +134,7 @@
         for job in &in_flight.contents.finished_jobs {
             tracing::error!(job = job.0, "the end of a job can't be written");
         }
-        if let Some(job) = in_flight.contents.reshard.as_ref().and_then(|plan| self.job_mut(plan.job)) {
+        if let Some(job) = in_flight.contents.reshard.as_ref().and_then(|plan| self.cluster.job_mut(plan.job)) {
             job.oversized_record = None;
         }
     }
@@ -142,15 +143,15 @@
     /// later, as it is by then.
     fn give_back(&mut self, in_flight: InFlightTxn) {
         if let Some(plan) = &in_flight.contents.reshard {
-            if let Some(job) = self.job_mut(plan.job) {
+            if let Some(job) = self.cluster.job_mut(plan.job) {
                 job.resharding = false;
             }
-            self.adopt_recorded_sharding(plan.job);
-            self.remove_if_finished(plan.job);
+            self.cluster.adopt_recorded_sharding(plan.job);
+            self.cluster.remove_if_finished(plan.job);
         }
         for key in &in_flight.contents.dropped_keys {
             let revision = expected_revision(&in_flight, key);
-            self.transactions.drop_later(ObsoleteRecord { key: key.clone(), revision });
+            self.cluster.records.delete_later(ObsoleteRecord { key: key.clone(), revision });
         }
         self.after_settled(&in_flight.contents.chunks);
     }
@@ -158,14 +159,14 @@
     /// A transaction is settled: jobs that were kept for it may be forgotten.
     fn after_settled(&mut self, chunks: &[WrittenChunk]) {
         for written in chunks {
-            self.remove_if_finished(written.job);
+            self.cluster.remove_if_finished(written.job);
         }
-        self.cycle_needed = true;
+        self.cluster.cycle_needed = true;
     }
 
     fn applied(&mut self, now: Millis, in_flight: InFlightTxn, revision: Revision) {
         let contents = &in_flight.contents;
-        let statistics = &mut self.transactions.statistics;
+        let statistics = &mut self.commits.statistics;
         statistics.txns += 1;
         statistics.finished_jobs += contents.finished_jobs.len() as u32;
         statistics.drops += contents.dropped_keys.len() as u32;
@@ -182,12 +183,12 @@
     }
 
     fn chunk_applied(&mut self, now: Millis, written: &WrittenChunk, revision: Revision) {
-        let Some(job) = self.jobs.get_mut(written.job.at()).and_then(Option::as_mut) else {
+        let Some(job) = self.cluster.jobs.get_mut(written.job.at()).and_then(Option::as_mut) else {
             tracing::debug!("records of a job that is over were written");
             return;
         };
         let chunk = &mut job.chunks[written.chunk];
-        let statistics = &mut self.transactions.statistics;
+        let statistics = &mut self.commits.statistics;
         if chunk.has_unwritten_placement() {
             statistics.placements += 1;
             statistics.waited_ms += now.saturating_sub(job.last_assigned);
@@ -202,17 +203,17 @@
             if job.spec.kind == Kind::Gang { job.assignments() } else { job.assignments_of_chunk(written.chunk) };
         let machines: Vec<MachineIndex> = launchable
             .into_iter()
-            .filter_map(|index| self.assignment(index))
+            .filter_map(|index| self.cluster.assignment(index))
             .filter(|assignment| assignment.state == AssignmentState::Wanted)
             .map(|assignment| assignment.machine)
             .collect();
         for machine in machines {
-            self.dispatch_queue.schedule(now, machine);
+            self.cluster.dispatch_queue.schedule(now, machine);
         }
     }
 
     fn end_applied(&mut self, now: Millis, index: JobIndex, revision: Revision) {
-        if let Some(job) = self.job_mut(index) {
+        if let Some(job) = self.cluster.job_mut(index) {
             job.revision = revision;
             let last_s = (job.last_assigned as i64 - job.since) as f64 / 1000.0;
             tracing::info!(
@@ -227,12 +228,12 @@
                 "done"
             );
         }
-        self.finish(index);
+        self.cluster.finish(index);
     }
 
     /// A key asked for by `resync_key` was read: its value and its revision.
     pub fn resynced(&mut self, now: Millis, key: &str, found: Option<(Value, Revision)>) {
-        let Some(mut in_flight) = self.transactions.in_flight.take() else { return };
+        let Some(mut in_flight) = self.commits.take_in_flight(&mut self.cluster.records) else { return };
         let mut current_revision = Revision::ABSENT;
         if let Some((value, revision)) = found {
             current_revision = revision;
@@ -247,18 +248,18 @@
         if let TxnState::Resync(keys) = &mut in_flight.state {
             keys.retain(|other| other != key);
             if !keys.is_empty() {
-                self.transactions.in_flight = Some(in_flight);
+                self.commits.put_in_flight(&mut self.cluster.records, in_flight);
                 return;
             }
         }
-        self.transactions.paused_until = now;
+        self.commits.paused_until = now;
         self.give_back(in_flight);
     }
 
     fn set_chunk_revision(&mut self, key: &str, revision: Revision) {
         let Some((id, chunk_number)) = records::split_chunk_key(key) else { return };
         for index in self.active_with_id(id) {
-            let chunk = self.job_mut(index).and_then(|job| job.chunks.get_mut(chunk_number as usize));
+            let chunk = self.cluster.job_mut(index).and_then(|job| job.chunks.get_mut(chunk_number as usize));
             if let Some(chunk) = chunk {
                 chunk.revision = revision;
             }
--- a/src/coordination/leader/pipeline.rs
+++ b/src/coordination/commits/pipeline.rs
@@ -1,33 +1,28 @@
 //! State of the one transaction that may be under way, and of records that
 //! wait to be dropped.
 
-use std::collections::VecDeque;
+use std::collections::HashSet;
 
-use super::resharding::ReshardPlan;
 use crate::{
-    coordination::model::Millis,
-    protocol::{ids::Revision, store::Txn},
+    coordination::{
+        cluster::{RecordState, ReshardPlan},
+        model::Millis,
+    },
+    protocol::store::Txn,
     storage::job_cache::JobIndex,
 };
 
 /// A chunk and the version of it that a transaction writes.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct WrittenChunk {
+pub struct WrittenChunk {
     pub job: JobIndex,
     pub chunk: usize,
     pub version: u64,
 }
 
-/// A record that no job needs any more, at its last known revision.
-#[derive(Debug)]
-pub(super) struct ObsoleteRecord {
-    pub key: String,
-    pub revision: Revision,
-}
-
 /// What of the wanted state a transaction carries.
 #[derive(Debug, Default)]
-pub(super) struct TxnContents {
+pub struct TxnContents {
     pub chunks: Vec<WrittenChunk>,
     /// Jobs whose end it writes.
     pub finished_jobs: Vec<JobIndex>,
@@ -37,9 +32,17 @@
     pub reshard: Option<ReshardPlan>,
 }
 
+impl TxnContents {
+    /// Jobs of which it writes chunks.
+    pub fn jobs(&self) -> HashSet<JobIndex> {
+        let written = self.chunks.iter().map(|written| written.job);
+        written.chain(self.reshard.iter().map(|plan| plan.job)).collect()
+    }
+}
+
 /// Where a transaction that was not settled yet stands.
 #[derive(Debug)]
-pub(super) enum TxnState {
+pub enum TxnState {
     /// Sent and unanswered.
     Sent,
     /// To be sent again as it was.
@@ -50,7 +53,7 @@
 
 /// A transaction that was not settled yet.
 #[derive(Debug)]
-pub(super) struct InFlightTxn {
+pub struct InFlightTxn {
     pub txn: Txn,
     pub contents: TxnContents,
     /// Written into each of its chunk records: tells whose they are.
@@ -71,7 +74,7 @@
 
 /// What was written since the last summary, for the logs.
 #[derive(Debug, Default)]
-pub(super) struct WriteStatistics {
+pub struct WriteStatistics {
     pub txns: u32,
     pub placements: u32,
     pub ends: u32,
@@ -83,12 +86,11 @@
 
 /// The leader's transactions: one at a time.
 #[derive(Debug)]
-pub(super) struct TransactionPipeline {
+pub struct CommitPipeline {
     pub in_flight: Option<InFlightTxn>,
     pub last_tag: u64,
     /// Most writes of a transaction that the state service is known to take.
     pub ops_cap: usize,
-    pub obsolete_records: VecDeque<ObsoleteRecord>,
     /// No transaction is sent before.
     pub paused_until: Millis,
     /// No obsolete records are dropped before.
@@ -96,40 +98,50 @@
     /// No job is resharded before.
     pub reshard_after: Millis,
     pub statistics: WriteStatistics,
+    /// All controllers run a version that can follow a resharded job.
+    pub may_reshard: bool,
+    /// The time of day minus the steady clock.
+    pub wall_clock_offset_ms: i64,
 }
 
-impl TransactionPipeline {
-    pub fn new(last_tag: u64) -> TransactionPipeline {
-        TransactionPipeline {
+impl CommitPipeline {
+    /// No transaction was sent yet; their tags begin above `last_tag`.
+    pub fn new(last_tag: u64) -> CommitPipeline {
+        CommitPipeline {
             in_flight: None,
             last_tag,
             ops_cap: usize::MAX,
-            obsolete_records: VecDeque::new(),
             paused_until: 0,
             drop_after: 0,
             reshard_after: 0,
             statistics: WriteStatistics::default(),
+            may_reshard: false,
+            wall_clock_offset_ms: 0,
         }
     }
 
-    /// Whether the transaction under way writes chunks of this job.
-    pub fn is_writing(&self, job: JobIndex) -> bool {
-        self.in_flight.as_ref().is_some_and(|in_flight| {
-            let contents = &in_flight.contents;
-            contents.chunks.iter().any(|written| written.job == job)
-                || contents.reshard.as_ref().is_some_and(|plan| plan.job == job)
-        })
+    /// Sets the time of day.
+    pub fn set_wall_clock(&mut self, now: Millis, wall_ms: u64) {
+        self.wall_clock_offset_ms = wall_ms as i64 - now as i64;
+    }
+
+    /// Removes the transaction under way, to settle it.
+    pub fn take_in_flight(&mut self, records: &mut RecordState) -> Option<InFlightTxn> {
+        records.clear_in_flight();
+        self.in_flight.take()
     }
 
-    /// Has a record dropped when there is budget to spare.
-    pub fn drop_later(&mut self, record: ObsoleteRecord) {
-        self.obsolete_records.push_back(record);
+    /// Puts back a transaction that is not settled yet.
+    pub fn put_in_flight(&mut self, records: &mut RecordState, in_flight: InFlightTxn) {
+        records.set_in_flight(in_flight.contents.jobs());
+        self.in_flight = Some(in_flight);
     }
 
     /// Notes a transaction as sent and returns the copy to send.
-    pub fn send(&mut self, txn: Txn, contents: TxnContents, tag: u64) -> Txn {
+    pub fn send(&mut self, records: &mut RecordState, txn: Txn, contents: TxnContents, tag: u64) -> Txn {
         let copy = txn.clone();
-        self.in_flight = Some(InFlightTxn { txn, contents, tag, has_unanswered_copy: false, state: TxnState::Sent });
+        let in_flight = InFlightTxn { txn, contents, tag, has_unanswered_copy: false, state: TxnState::Sent };
+        self.put_in_flight(records, in_flight);
         copy
     }
 }
--- a/src/coordination/leader/commits.rs
+++ b/src/coordination/commits/transactions.rs
@@ -5,10 +5,12 @@
 use super::{
     pipeline::{InFlightTxn, TxnContents, TxnState, WrittenChunk},
     resharding::RESHARD_GAP_MS,
-    Leader,
 };
 use crate::{
-    coordination::model::{Chunk, Job, Millis, Slot},
+    coordination::{
+        leader::Leader,
+        model::{Chunk, Job, Millis, Slot},
+    },
     protocol::{
         ids::Revision,
         jobs::{Priority, Submission},
@@ -27,7 +29,7 @@
 const EXITS_DELAY_SPARE_MS: Millis = 1_500;
 /// Bytes of values after which a transaction takes no more; well below the
 /// size of a request that the state service takes.
-pub(super) const TXN_BYTES_LIMIT: usize = 48 * 1024;
+pub const TXN_BYTES_LIMIT: usize = 48 * 1024;
 /// Bytes of a write besides its value: its key, its condition and the framing.
 const WRITE_OVERHEAD_BYTES: usize = 64;
 /// Obsolete records dropped in one transaction.
@@ -114,10 +116,10 @@
     }
 
     /// The record of the `size` tasks from number `from` on.
-    pub(super) fn chunk_value_of(&self, job: &Job, from: usize, size: usize, tag: u64, tables: &Tables) -> Value {
+    pub fn chunk_value_of(&self, job: &Job, from: usize, size: usize, tag: u64, tables: &Tables) -> Value {
         let to = (from + size).min(job.slots.len());
         let assigned = |slot: &Slot| match slot {
-            Slot::At(index) => self.assignment(*index),
+            Slot::At(index) => self.cluster.assignment(*index),
             Slot::Pending | Slot::Done => None,
         };
         let assignments = job.slots[from..to]
@@ -126,7 +128,7 @@
             .map(|assignment| {
                 AssignmentRecord(
                     assignment.task,
-                    self.machine(assignment.machine).id.clone(),
+                    self.cluster.machine(assignment.machine).id.clone(),
                     assignment.incarnation,
                     assignment.attempt,
                     tables.zones.name(assignment.zone.0).to_owned(),
@@ -141,12 +143,12 @@
     /// after one that failed.
     pub fn may_commit(&self, now: Millis) -> bool {
         let is_sent = |in_flight: &InFlightTxn| matches!(in_flight.state, TxnState::Sent);
-        now >= self.transactions.paused_until && !self.transactions.in_flight.as_ref().is_some_and(is_sent)
+        now >= self.commits.paused_until && !self.commits.in_flight.as_ref().is_some_and(is_sent)
     }
 
     /// A key to read before the next transaction.
     pub fn resync_key(&self) -> Option<&str> {
-        match &self.transactions.in_flight.as_ref()?.state {
+        match &self.commits.in_flight.as_ref()?.state {
             TxnState::Resync(keys) => keys.last().map(String::as_str),
             TxnState::Sent | TxnState::Resend => None,
         }
@@ -157,19 +159,19 @@
     pub fn has_writes(&mut self, now: Millis, spare: bool) -> bool {
         self.note_unwritten_changes(now);
         let reshards = self.reshard_candidate(now, spare).is_some();
-        if !reshards && now >= self.transactions.reshard_after {
+        if !reshards && now >= self.commits.reshard_after {
             // The search looks at every job: it is not made on every call.
-            self.transactions.reshard_after = now + RESHARD_GAP_MS;
+            self.commits.reshard_after = now + RESHARD_GAP_MS;
         }
         reshards
-            || self.transactions.in_flight.is_some()
-            || (spare && !self.transactions.obsolete_records.is_empty())
-            || self.active_jobs().any(|job| write_class(job, now, spare).is_some())
+            || self.commits.in_flight.is_some()
+            || (spare && self.cluster.records.has_obsolete())
+            || self.cluster.active_jobs().any(|job| write_class(job, now, spare).is_some())
     }
 
     fn note_unwritten_changes(&mut self, now: Millis) {
-        for &index in &self.active {
-            let Some(job) = self.jobs.get_mut(index.at()).and_then(Option::as_mut) else { continue };
+        for &index in &self.cluster.active {
+            let Some(job) = self.cluster.jobs.get_mut(index.at()).and_then(Option::as_mut) else { continue };
             if job.unwritten_since.is_none() && job.has_unwritten_changes() {
                 job.unwritten_since = Some(now);
             }
@@ -181,25 +183,25 @@
     /// whose chunks don't fit waits for the next one. An unanswered transaction
     /// is sent again as it was.
     pub fn commit(&mut self, now: Millis, max_ops: usize, spare: bool, tables: &Tables) -> Option<Txn> {
-        if let Some(in_flight) = &mut self.transactions.in_flight {
+        if let Some(in_flight) = &mut self.commits.in_flight {
             if !matches!(in_flight.state, TxnState::Resend) {
                 return None;
             }
             in_flight.state = TxnState::Sent;
             return Some(in_flight.txn.clone());
         }
-        let max_ops = max_ops.min(self.cfg.txn_ops).min(self.transactions.ops_cap);
+        let max_ops = max_ops.min(self.cluster.config.txn_ops).min(self.commits.ops_cap);
         if let Some(txn) = self.reshard(now, max_ops, spare, tables) {
             return Some(txn);
         }
-        self.transactions.last_tag += 1;
+        self.commits.last_tag += 1;
         let mut builder = TxnBuilder {
             txn: Txn::default(),
             contents: TxnContents::default(),
             oversized: Vec::new(),
             max_ops,
             bytes: 0,
-            tag: self.transactions.last_tag,
+            tag: self.commits.last_tag,
         };
         self.add_jobs(now, spare, tables, &mut builder);
         for oversized in std::mem::take(&mut builder.oversized) {
@@ -213,13 +215,13 @@
         }
         // Guard: whoever leads by the time it is applied, only this
         // leadership's writes count.
-        builder.require(records::LEADER.to_owned(), self.term.0);
-        Some(self.transactions.send(builder.txn, builder.contents, builder.tag))
+        builder.require(records::LEADER.to_owned(), self.cluster.term.0);
+        Some(self.commits.send(&mut self.cluster.records, builder.txn, builder.contents, builder.tag))
     }
 
     fn add_jobs(&self, now: Millis, spare: bool, tables: &Tables, builder: &mut TxnBuilder) {
         let mut order: Vec<(WriteClass, &Job)> =
-            self.active_jobs().filter_map(|job| Some((write_class(job, now, spare)?, job))).collect();
+            self.cluster.active_jobs().filter_map(|job| Some((write_class(job, now, spare)?, job))).collect();
         order.sort_unstable_by_key(|(class, job)| (*class, job.since, job.index));
         for (class, job) in order {
             if builder.is_full() {
@@ -241,7 +243,7 @@
     fn add_finished_job(&self, now: Millis, job: &Job, builder: &mut TxnBuilder) {
         let submission = Submission { tasks: Some(f64::from(job.spec.tasks)), ..Submission::default() };
         // The next leader counts from here how long its dependents have waited.
-        let at_ms = (now as i64 + self.wall_clock_offset_ms).max(0) as u64;
+        let at_ms = (now as i64 + self.commits.wall_clock_offset_ms).max(0) as u64;
         let record = JobRecord { submission, status: JobStatus::Done, at_ms, chunk: job.chunk_size };
         let value = records::to_value(&record);
         let bytes = records::json_size(&value);
@@ -270,7 +272,7 @@
             let bytes = records::json_size(&value);
             // Guard: what is too large is never sent again as it is; it would
             // be refused for ever.
-            if bytes > self.value_limit {
+            if bytes > self.cluster.records.value_limit {
                 builder.oversized.push(OversizedChunk { job: job.index, chunk });
                 continue;
             }
@@ -287,12 +289,12 @@
     /// Records of jobs that are over are dropped slowly: a large job's must not
     /// take the budget from anything that somebody waits for.
     fn add_drops(&mut self, now: Millis, builder: &mut TxnBuilder) {
-        if now < self.transactions.drop_after {
+        if now < self.commits.drop_after {
             return;
         }
         for _ in 0..builder.ops_left().min(DROPS_PER_TXN) {
-            let Some(record) = self.transactions.obsolete_records.pop_front() else { break };
-            self.transactions.drop_after = now + DROP_GAP_MS;
+            let Some(record) = self.cluster.records.pop_obsolete() else { break };
+            self.commits.drop_after = now + DROP_GAP_MS;
             builder.require(record.key.clone(), record.revision);
             builder.txn.writes.push(Op::Delete { key: record.key.clone() });
             builder.contents.dropped_keys.push(record.key);
--- a/src/coordination/leader/effects.rs
+++ b/src/coordination/effects.rs
@@ -95,4 +95,35 @@
 }
 
 /// Pause after a refusal, so that a busy service is not asked at once again.
-pub(super) const REFUSED_PAUSE_MS: Millis = 150;
+pub(in crate::coordination) const REFUSED_PAUSE_MS: Millis = 150;
+
+/// Effects that the leader has decided on, and the numbers of its calls.
+#[derive(Debug)]
+pub(in crate::coordination) struct Outbox {
+    effects: Vec<Effect>,
+    last_call: CallId,
+}
+
+impl Default for Outbox {
+    fn default() -> Self {
+        Outbox { effects: Vec::new(), last_call: CallId(1) }
+    }
+}
+
+impl Outbox {
+    /// A number for a call, unique within this leadership.
+    pub fn next_call(&mut self) -> CallId {
+        self.last_call = self.last_call.next();
+        self.last_call
+    }
+
+    /// Adds an effect.
+    pub fn send(&mut self, effect: Effect) {
+        self.effects.push(effect);
+    }
+
+    /// Removes and returns the effects, in order.
+    pub fn take(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
+    }
+}
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -2,9 +2,12 @@
 
 use ciborium::Value;
 
-use super::{pipeline::ObsoleteRecord, Leader, NewAssignment};
+use super::Leader;
 use crate::{
-    coordination::model::{Job, Millis, Slot},
+    coordination::{
+        cluster::{NewAssignment, ObsoleteRecord},
+        model::{Job, Millis, Slot},
+    },
     protocol::{ids::Revision, names::Tables},
     storage::{
         job_cache::{JobCache, JobIndex},
@@ -27,31 +30,31 @@
     ) {
         let Some((id, chunk_number)) = records::split_chunk_key(key) else { return };
         let Some(index) = job_cache.find(id) else { return };
-        self.reserve_job_slot(index);
+        self.cluster.reserve_job_slot(index);
         if job_cache.get(index).status == JobStatus::Done {
-            self.transactions.drop_later(ObsoleteRecord { key: key.to_owned(), revision });
+            self.cluster.records.delete_later(ObsoleteRecord { key: key.to_owned(), revision });
             return;
         }
-        if self.jobs[index.at()].is_none() {
+        if self.cluster.jobs[index.at()].is_none() {
             // Guard: nothing of a job that still waits for others can have been
             // assigned. Were it so all the same, its assignments must count.
             if job_cache.waits(index) {
                 tracing::error!(key, "a task record of a job that waits for others");
             }
             let Some(spec) = job_cache.effective_spec(index) else { return };
-            self.add_job(now, wall_ms, index, spec, job_cache);
+            self.cluster.add_job(now, wall_ms, index, spec, job_cache);
         }
         let Ok(record) = value.deserialized::<ChunkRecord>() else {
             tracing::error!(key, "a task record can't be read");
             return;
         };
-        let Some(job) = self.jobs[index.at()].as_mut() else { return };
+        let Some(job) = self.cluster.jobs[index.at()].as_mut() else { return };
         let Some(chunk) = job.chunks.get_mut(chunk_number as usize) else { return };
         chunk.revision = revision;
         load_done_tasks(job, chunk_number, &record.done);
         self.load_assignments(now, index, record.assignments, tables);
         // What was read is what is written.
-        if let Some(job) = self.jobs[index.at()].as_mut() {
+        if let Some(job) = self.cluster.jobs[index.at()].as_mut() {
             let chunk = &mut job.chunks[chunk_number as usize];
             chunk.version = chunk.version.max(1);
             chunk.committed_version = chunk.version;
@@ -67,12 +70,12 @@
     ) {
         for AssignmentRecord(task, machine_id, incarnation, attempt, zone_name) in assignments {
             let zone = tables.zones.intern(&zone_name);
-            let machine = self.machine_named(now, &machine_id, zone);
-            self.machines[machine.at()].lease_renewed = now;
+            let machine = self.cluster.machine_named(now, &machine_id, zone);
+            self.cluster.machines[machine.at()].lease_renewed = now;
             let new = NewAssignment { job, task, machine, incarnation, attempt, zone };
-            let Some(assignment_index) = self.add_assignment(now, new) else { continue };
+            let Some(assignment_index) = self.cluster.add_assignment(now, new) else { continue };
             // Its launch may have been sent by an earlier leader.
-            if let Some(assignment) = self.assignments.get_mut(assignment_index) {
+            if let Some(assignment) = self.cluster.assignments.get_mut(assignment_index) {
                 assignment.sent = Some(now);
                 assignment.inherited = true;
             }
@@ -81,21 +84,21 @@
 
     /// All records are read.
     pub fn loaded(&mut self, now: Millis, wall_ms: u64, job_cache: &JobCache) {
-        self.loaded = true;
-        self.set_wall_clock(now, wall_ms);
+        self.cluster.loaded = true;
+        self.commits.set_wall_clock(now, wall_ms);
         for index in job_cache.all() {
-            if job_cache.get(index).status == JobStatus::Pending && self.job(index).is_none() {
+            if job_cache.get(index).status == JobStatus::Pending && self.cluster.job(index).is_none() {
                 self.job_update(now, wall_ms, index, job_cache);
             }
         }
-        for index in self.active.clone() {
+        for index in self.cluster.active.clone() {
             if job_cache.get(index).status == JobStatus::Cancelled {
-                self.stop_job(now, index, 0.0);
+                self.cluster.stop_job(now, index, 0.0);
             }
         }
-        let placed: u32 = self.active_jobs().map(|job| job.placed).sum();
-        tracing::info!(jobs = self.active.len(), placed, "records read, leading");
-        self.cycle_needed = true;
+        let placed: u32 = self.cluster.active_jobs().map(|job| job.placed).sum();
+        tracing::info!(jobs = self.cluster.active.len(), placed, "records read, leading");
+        self.cluster.cycle_needed = true;
     }
 }
 
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,57 +1,30 @@
-//! The leader: takes in reports and records, keeps a wanted state, and works
-//! out the transactions, commands and rentals that lead to it.
+//! The leader: what a controller does while it holds the leader's lease.
 //!
-//! Safety rests on four rules, each guarded where it is marked below:
+//! [`Leader`] composes the components and hands them each event: the cluster
+//! state (what runs where), the commits (its records in the state service), the
+//! scheduler, the autoscaler, and the control of the workers.
+//!
+//! Safety rests on four rules, each guarded where it is marked in the components:
 //! an assignment is recorded before its launch is sent; it counts as occupied
 //! until something proves that the task is gone; a command that may still be
 //! on its way is fenced by a raised token; reaping follows the written end.
 
-mod assignment_table;
-mod assignments;
-mod commands;
-mod commit_outcomes;
-mod commits;
-mod config;
-mod direct_calls;
-mod dispatch_queue;
-mod effects;
-mod exits;
-mod failures;
-mod gpu_demand;
-mod heartbeats;
-mod jobs;
-mod leases;
 mod loading;
-mod machines;
-mod pipeline;
-mod reach;
-mod resharding;
-mod run_times;
 mod sweep;
-mod task_statuses;
-
-use std::collections::{HashMap, HashSet};
-
-pub(super) use self::heartbeats::SAVE_MARGIN_S;
-use self::{assignment_table::AssignmentTable, dispatch_queue::DispatchQueue, pipeline::TransactionPipeline};
-pub use self::{
-    assignments::{NewAssignment, TaskFate},
-    commands::halts_of_cancelled,
-    config::{Config, ServiceObjective},
-    effects::{CommitOutcome, DirectCallOutcome, Effect, HeartbeatOutcome},
-    gpu_demand::GpuDemand,
-    run_times::RunTimeEstimates,
-};
+
 use super::{
     autoscaler::Autoscaler,
+    cluster::{ClusterState, Config},
+    commits::CommitPipeline,
+    effects::{Effect, Outbox},
     lease_renewal::TimeSpan,
-    model::{Assignment, AssignmentIndex, Job, Machine, MachineIndex, MachineTypeSpec, Millis, Resources},
-    snapshot::ClusterSnapshot,
+    model::{MachineTypeSpec, Millis, Term},
+    scheduler::Scheduler,
+    workers::WorkerControl,
 };
 use crate::{
-    coordination::model::{CallId, Term},
-    protocol::ids::Attempt,
-    storage::job_cache::JobIndex,
+    protocol::{ids::Attempt, peers::Count},
+    storage::job_cache::{JobCache, JobIndex},
 };
 
 /// Raises of one worker's token after which the leadership is given up: well
@@ -63,174 +36,88 @@
 
 /// All that a controller keeps while it leads.
 pub struct Leader {
-    /// Settings of this leadership.
-    pub(in crate::coordination) cfg: Config,
-    /// Revision of the leader record: identifies this leadership.
-    pub term: Term,
-    /// The latest moment heard of.
-    pub(in crate::coordination) clock: Millis,
-    /// Largest value, in bytes, that the state service is known to take.
-    pub value_limit: usize,
-    /// All controllers run a version that can follow a resharded job.
-    pub may_reshard: bool,
-    /// The time of day minus the steady clock.
-    wall_clock_offset_ms: i64,
-    /// When this leadership began.
-    pub started: Millis,
-    /// All records are read.
-    pub loaded: bool,
-    /// Jobs by their index; None: not known, or over and released.
-    pub(in crate::coordination) jobs: Vec<Option<Job>>,
-    /// Jobs that are known and not over.
-    pub(in crate::coordination) active: Vec<JobIndex>,
-    /// Position in `active` from which progress is repeated next.
-    next_repeated: usize,
-    /// All machines known so far, by their index.
-    pub(in crate::coordination) machines: Vec<Machine>,
-    /// Indices of the machines, by name.
-    pub(in crate::coordination) machine_index: HashMap<String, MachineIndex>,
-    assignments: AssignmentTable,
-    /// Machine types that may be rented.
-    pub(in crate::coordination) types: Vec<MachineTypeSpec>,
-    /// Something changed that may let a waiting job be placed.
-    pub(in crate::coordination) cycle_needed: bool,
-    /// When the last scheduling cycle was made.
-    pub(in crate::coordination) last_cycle: Millis,
-    last_attempt: Attempt,
-    last_call: CallId,
-    transactions: TransactionPipeline,
-    /// State of renting and returning machines.
+    pub(in crate::coordination) cluster: ClusterState,
+    pub(in crate::coordination) commits: CommitPipeline,
+    pub(in crate::coordination) scheduler: Scheduler,
     pub(in crate::coordination) autoscaler: Autoscaler,
-    effects: Vec<Effect>,
-    /// Jobs whose progress changed since it was last published.
-    changed_progress: HashSet<JobIndex>,
-    /// When any worker was last heard.
-    pub(in crate::coordination) last_heartbeat_from_any: Millis,
-    /// The machines as trials see them.
-    pub snapshot: ClusterSnapshot,
-    /// In use by each team, unproven assignments included.
-    pub(in crate::coordination) team_used: Vec<Resources>,
-    /// Where the next sample of machines for preemption begins.
-    pub(in crate::coordination) preemption_cursor: u32,
-    /// Machines that may have to be sent something, and when to look.
-    dispatch_queue: DispatchQueue,
+    pub(in crate::coordination) workers: WorkerControl,
+    pub(in crate::coordination) outbox: Outbox,
     next_sweep: Millis,
-    /// The time in which no other controller renewed any lease.
-    pub no_peer_renewals: TimeSpan,
     next_summary: Millis,
-    /// Failed tasks are judged no earlier.
-    next_judgement: Millis,
-    /// GPU work seen lately.
-    pub(in crate::coordination) gpu_demand: GpuDemand,
-    /// Observed run times against their owners' estimates.
-    pub(in crate::coordination) run_times: RunTimeEstimates,
 }
 
 impl Leader {
     /// A new leadership that has read no records yet. `nonce` is a random number
     /// that no other leadership has.
-    pub fn new(cfg: Config, term: Term, nonce: u64, now: Millis, types: Vec<MachineTypeSpec>) -> Leader {
+    pub fn new(config: Config, term: Term, nonce: u64, now: Millis, types: Vec<MachineTypeSpec>) -> Leader {
         let first_in_sequence = term.0 .0 << SEQUENCE_BITS;
         Leader {
-            term,
-            clock: now,
-            value_limit: cfg.value_max,
-            may_reshard: false,
-            wall_clock_offset_ms: 0,
-            started: now,
-            loaded: false,
-            jobs: Vec::new(),
-            active: Vec::new(),
-            next_repeated: 0,
-            machines: Vec::new(),
-            machine_index: HashMap::new(),
-            assignments: AssignmentTable::default(),
-            types,
-            cycle_needed: true,
-            last_cycle: 0,
-            last_attempt: Attempt(first_in_sequence),
-            last_call: CallId(1),
-            transactions: TransactionPipeline::new(first_in_sequence),
+            cluster: ClusterState::new(config, term, Attempt(first_in_sequence), now, types),
+            commits: CommitPipeline::new(first_in_sequence),
+            scheduler: Scheduler::default(),
             autoscaler: Autoscaler::new(nonce, now),
-            effects: Vec::new(),
-            changed_progress: HashSet::new(),
-            last_heartbeat_from_any: now,
-            snapshot: ClusterSnapshot::default(),
-            team_used: vec![Resources::default(); cfg.teams.len()],
-            preemption_cursor: 0,
-            dispatch_queue: DispatchQueue::default(),
+            workers: WorkerControl::new(now),
+            outbox: Outbox::default(),
             next_sweep: now,
-            no_peer_renewals: TimeSpan::ALWAYS,
             next_summary: now + sweep::SUMMARY_MS,
-            next_judgement: now,
-            gpu_demand: GpuDemand::default(),
-            run_times: RunTimeEstimates::default(),
-            cfg,
         }
     }
 
-    /// A job that is not over, or whose tasks are still somewhere.
-    pub fn job(&self, index: JobIndex) -> Option<&Job> {
-        self.jobs.get(index.at()).and_then(Option::as_ref)
+    /// The leadership's term.
+    pub fn term(&self) -> Term {
+        self.cluster.term
     }
 
-    /// As [`Leader::job`], to be changed.
-    pub fn job_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
-        self.jobs.get_mut(index.at()).and_then(Option::as_mut)
+    /// When this leadership began.
+    pub fn started(&self) -> Millis {
+        self.cluster.started
     }
 
-    /// The active jobs, in the order in which they came.
-    pub fn active_jobs(&self) -> impl Iterator<Item = &Job> {
-        self.active.iter().filter_map(|&index| self.job(index))
+    /// Whether all records are read.
+    pub fn is_loaded(&self) -> bool {
+        self.cluster.loaded
     }
 
-    /// An assignment that was not released yet.
-    pub fn assignment(&self, index: AssignmentIndex) -> Option<&Assignment> {
-        self.assignments.get(index)
+    /// What the leader knows of jobs and machines.
+    pub fn cluster(&self) -> &ClusterState {
+        &self.cluster
     }
 
-    /// A machine; machines are never forgotten, only marked as gone.
-    pub fn machine(&self, index: MachineIndex) -> &Machine {
-        &self.machines[index.at()]
+    /// Whether all controllers run a version that can follow a resharded job.
+    pub fn set_may_reshard(&mut self, may_reshard: bool) {
+        self.commits.may_reshard = may_reshard;
     }
 
-    /// The description of a machine's type, if it is known.
-    pub fn type_of(&self, machine: &Machine) -> Option<&MachineTypeSpec> {
-        let machine_type = machine.machine_type?;
-        self.types.iter().find(|known| known.index == machine_type)
+    /// The time in which no other controller renewed any lease.
+    pub fn set_no_peer_renewals(&mut self, span: TimeSpan) {
+        self.workers.no_peer_renewals = span;
     }
 
     /// The cloud's machine types were read again: prices change.
     pub fn set_types(&mut self, types: &[MachineTypeSpec]) {
-        self.types = types.to_vec();
-        self.snapshot.types_changed(types);
+        self.cluster.set_types(types);
     }
 
-    /// A number for a call, unique within this leadership.
-    pub fn next_call(&mut self) -> CallId {
-        self.last_call = self.last_call.next();
-        self.last_call
+    /// The job cache shows a job's record, new or changed.
+    pub fn job_update(&mut self, now: Millis, wall_ms: u64, index: JobIndex, job_cache: &JobCache) {
+        self.commits.set_wall_clock(now, wall_ms);
+        self.cluster.job_update(now, wall_ms, index, job_cache);
     }
 
-    /// A number for an attempt to run a task, higher than any before.
-    pub fn next_attempt(&mut self) -> Attempt {
-        self.last_attempt = self.last_attempt.next();
-        self.last_attempt
+    /// Progress of at most `max` jobs, to be published.
+    pub fn take_progress(&mut self, max: usize) -> Vec<Count> {
+        self.cluster.take_progress(max)
     }
 
     /// What is to be done outside the leader, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
-        std::mem::take(&mut self.effects)
-    }
-
-    pub(super) fn push_effect(&mut self, effect: Effect) {
-        self.effects.push(effect);
+        self.outbox.take()
     }
 
     /// The count inside some worker's token is nearly used up: the next
     /// leadership begins a new one.
     pub fn tokens_exhausted(&self) -> bool {
-        let base = self.term.first_token();
-        self.machines.iter().any(|machine| machine.token.0 - base.0 > TOKEN_RAISE_LIMIT)
+        let base = self.cluster.term.first_token();
+        self.cluster.machines.iter().any(|machine| machine.token.0 - base.0 > TOKEN_RAISE_LIMIT)
     }
 }
--- a/src/coordination/leader/sweep.rs
+++ b/src/coordination/leader/sweep.rs
@@ -6,7 +6,7 @@
 /// Interval of the checks: short against leases and heartbeat interval.
 const SWEEP_MS: Millis = 250;
 /// Interval of the summary in the logs.
-pub(super) const SUMMARY_MS: Millis = 10_000;
+pub(in crate::coordination) const SUMMARY_MS: Millis = 10_000;
 
 impl Leader {
     /// Checks every machine for what only time tells: leases that ran out,
@@ -17,16 +17,16 @@
             return;
         }
         self.next_sweep = now + SWEEP_MS;
-        self.clock = now;
-        for n in 0..self.machines.len() {
+        self.cluster.last_event_at = now;
+        for n in 0..self.cluster.machines.len() {
             let index = MachineIndex(n as u32);
-            if self.machines[n].lifecycle == MachineLifecycle::Gone {
+            if self.cluster.machines[n].lifecycle == MachineLifecycle::Gone {
                 continue;
             }
             self.expire_lease(now, index);
             self.probe_if_overdue(now, index);
             self.note_idle(now, index);
-            self.refresh(now, index);
+            self.cluster.refresh(now, index);
         }
         self.judge_failures(now);
         if now >= self.next_summary {
@@ -39,24 +39,24 @@
     /// written since the last summary.
     fn log_summary(&mut self) {
         let (mut capacity, mut free, mut closed) = (Resources::default(), Resources::default(), 0);
-        for pool in &self.snapshot.pools {
+        for pool in &self.cluster.snapshot.pools {
             capacity += pool.capacity * pool.members.len() as f64;
-            for host in pool.members.iter().filter_map(|&n| self.snapshot.hosts.get(n as usize)) {
+            for host in pool.members.iter().filter_map(|&n| self.cluster.snapshot.hosts.get(n as usize)) {
                 free += host.free.max0();
                 closed += u32::from(!host.open);
             }
         }
-        let written = std::mem::take(&mut self.transactions.statistics);
+        let written = std::mem::take(&mut self.commits.statistics);
         let writing_ms = written.waited_ms / u64::from(written.placements.max(1));
         tracing::info!(
-            up = self.snapshot.pools.iter().map(|pool| pool.members.len()).sum::<usize>(),
+            up = self.cluster.snapshot.pools.iter().map(|pool| pool.members.len()).sum::<usize>(),
             closed,
             cpus = capacity.cpus.round(),
             cpus_free = free.cpus.round(),
             gpus = capacity.gpus.round(),
             gpus_free = free.gpus.round(),
-            jobs = self.active.len(),
-            waiting = self.autoscaler.unmet.len(),
+            jobs = self.cluster.active.len(),
+            waiting = self.cluster.backlog.unmet.len(),
             txns = written.txns,
             placements = written.placements,
             ends = written.ends,
@@ -68,7 +68,7 @@
     }
 
     fn note_idle(&mut self, now: Millis, index: MachineIndex) {
-        let machine = &mut self.machines[index.at()];
+        let machine = &mut self.cluster.machines[index.at()];
         if machine.lifecycle != MachineLifecycle::Up {
             return;
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,12 +1,16 @@
 //! Who leads, and what runs where. Everything here is pure: events and the
 //! present moment go in, effects come out.
 
-pub mod autoscaler;
+mod autoscaler;
+pub mod cluster;
+mod commits;
+pub mod effects;
 pub mod election;
 pub mod leader;
 pub mod lease_renewal;
 pub mod model;
-pub mod preemption;
-pub mod scheduler;
+mod scheduler;
 pub mod snapshot;
-pub mod trial;
+mod workers;
+
+pub use self::{autoscaler::RentOutcome, workers::halts_of_cancelled};
--- a/src/coordination/scheduler/best_effort.rs
+++ b/src/coordination/scheduler/best_effort.rs
@@ -29,8 +29,8 @@
 impl Leader {
     /// Whether a job gets only what others leave: an array of a team to which
     /// nothing is guaranteed.
-    pub(super) fn is_best_effort_array(&self, job: &Job) -> bool {
-        job.spec.kind == Kind::Array && self.is_best_effort(job.spec.team)
+    pub fn is_best_effort_array(&self, job: &Job) -> bool {
+        job.spec.kind == Kind::Array && self.cluster.is_best_effort(job.spec.team)
     }
 
     /// CPUs that jobs without a guarantee may take in this scheduling cycle.
@@ -38,7 +38,7 @@
     /// Guard: their tasks may run for minutes, and work of the same priority
     /// can't have them stopped: they took all free room as it came, and others
     /// waited until they ended.
-    pub(super) fn best_effort_cpus(&self, now: Millis) -> f64 {
+    pub fn best_effort_cpus(&self, now: Millis) -> f64 {
         let (mut free, mut capacity) = (0.0, 0.0);
         for pool in self.pools_for_arrays() {
             free += pool.room.cpus;
@@ -53,13 +53,13 @@
 
     /// CPUs that teams without a guarantee use.
     fn best_effort_use(&self) -> f64 {
-        let teams = (0..self.team_used.len() as u32).map(TeamIndex);
-        teams.filter(|&team| self.is_best_effort(team)).map(|team| self.used_by_team(team).cpus).sum()
+        let teams = (0..self.cluster.team_used.len() as u32).map(TeamIndex);
+        teams.filter(|&team| self.cluster.is_best_effort(team)).map(|team| self.cluster.used_by_team(team).cpus).sum()
     }
 
     /// Pools of machines without GPUs; all pools, where there are no such machines.
     fn pools_for_arrays(&self) -> Vec<&Pool> {
-        let pools = self.snapshot.pools.iter().filter(|pool| !pool.members.is_empty());
+        let pools = self.cluster.snapshot.pools.iter().filter(|pool| !pool.members.is_empty());
         let (with_gpus, without): (Vec<&Pool>, Vec<&Pool>) =
             pools.partition(|pool| pool.capacity.gpus > RESOURCE_TOLERANCE);
         if without.is_empty() {
@@ -72,17 +72,18 @@
     /// CPUs that arrays of teams with a guarantee may be expected to ask for.
     fn expected_cpus(&self, now: Millis) -> f64 {
         let arrived_lately = |job: &&Job| now as i64 - job.since < EXPECTED_AGAIN_MS;
-        self.active_jobs()
+        self.cluster
+            .active_jobs()
             .filter(|job| job.status == JobStatus::Pending && job.spec.kind == Kind::Array)
             .filter(arrived_lately)
-            .filter(|job| !self.is_best_effort(job.spec.team))
+            .filter(|job| !self.cluster.is_best_effort(job.spec.team))
             .map(|job| f64::from(job.spec.tasks) * job.spec.cpus)
             .sum()
     }
 
     /// How many tasks of a job without a guarantee may be placed now, out of so
     /// many CPUs.
-    pub(super) fn best_effort_tasks(&self, now: Millis, job: &Job, cpus: f64) -> usize {
+    pub fn best_effort_tasks(&self, now: Millis, job: &Job, cpus: f64) -> usize {
         let fitting = (cpus / job.spec.cpus.max(RESOURCE_TOLERANCE)) as usize;
         let has_waited = !job.ever_assigned || now >= job.last_assigned + LONGEST_WAIT_MS;
         if has_waited {
--- a/src/coordination/scheduler/demand.rs
+++ b/src/coordination/scheduler/demand.rs
@@ -12,16 +12,16 @@
     /// Marks the jobs that are within their team's guarantee: those that fit
     /// into it together with their team's earlier unfinished jobs. Where no
     /// amount is set for CPUs, only work that asks for GPUs can be within it.
-    pub(super) fn note_guarantees(&mut self) {
+    pub fn note_guarantees(&mut self) {
         let mut oldest_first: Vec<JobIndex> =
-            self.active_jobs().filter(|job| job.status == JobStatus::Pending).map(|job| job.index).collect();
-        oldest_first.sort_unstable_by_key(|&index| (self.job(index).map(|job| job.since), index));
-        let mut demand_by_team: Vec<Resources> = vec![Resources::default(); self.cfg.teams.len()];
+            self.cluster.active_jobs().filter(|job| job.status == JobStatus::Pending).map(|job| job.index).collect();
+        oldest_first.sort_unstable_by_key(|&index| (self.cluster.job(index).map(|job| job.since), index));
+        let mut demand_by_team: Vec<Resources> = vec![Resources::default(); self.cluster.config.teams.len()];
         for index in oldest_first {
-            let Some(job) = self.jobs[index.at()].as_mut() else { continue };
+            let Some(job) = self.cluster.jobs[index.at()].as_mut() else { continue };
             let team = job.spec.team.at();
             let Some(team_demand) = demand_by_team.get_mut(team) else { continue };
-            let limits = self.cfg.teams.get(team).copied().unwrap_or_default();
+            let limits = self.cluster.config.teams.get(team).copied().unwrap_or_default();
             let unfinished = f64::from(job.spec.tasks - job.done.min(job.spec.tasks));
             *team_demand += Resources::of(&job.spec) * unfinished;
             job.within_guarantee = is_within_guarantee(job, &limits, team_demand);
@@ -30,15 +30,16 @@
 
     /// Notes what GPU work of the last minutes asked for, and what of it each
     /// pool's machines could run.
-    pub(super) fn note_gpu_demand(&mut self, now: Millis) {
-        let jobs = self.active.iter().filter_map(|&index| self.jobs.get(index.at()).and_then(Option::as_ref));
-        self.gpu_demand.observe(now, jobs);
-        for pool in &mut self.snapshot.pools {
+    pub fn note_gpu_demand(&mut self, now: Millis) {
+        let jobs =
+            self.cluster.active.iter().filter_map(|&index| self.cluster.jobs.get(index.at()).and_then(Option::as_ref));
+        self.scheduler.gpu_demand.observe(now, jobs);
+        for pool in &mut self.cluster.snapshot.pools {
             pool.guard = None;
             if pool.capacity.gpus <= 0.0 {
                 continue;
             }
-            for shape in self.gpu_demand.shapes() {
+            for shape in self.scheduler.gpu_demand.shapes() {
                 let need = Resources::of(&shape.spec);
                 let may_use_pool = shape.spec.spot || !pool.spot;
                 if shape.spec.allows_type(pool.machine_type) && may_use_pool && need.fits_in(&pool.capacity) {
--- a/src/coordination/scheduler/headroom.rs
+++ b/src/coordination/scheduler/headroom.rs
@@ -6,7 +6,7 @@
     coordination::{
         leader::Leader,
         model::{Millis, Resources},
-        trial::TrialRequest,
+        scheduler::trial::TrialRequest,
     },
     protocol::jobs::{JobSpec, Kind, Priority},
     storage::records::JobStatus,
@@ -21,7 +21,7 @@
 const REPLICAS_MAX: usize = 4;
 
 /// Replicas of one shape that are expected soon.
-pub(super) struct ExpectedReplicas {
+pub struct ExpectedReplicas {
     spec: Rc<JobSpec>,
     replicas: usize,
 }
@@ -35,9 +35,9 @@
 impl Leader {
     /// Shapes of the unfinished production services, and how many replicas of
     /// each may be expected within the time a machine takes to come.
-    pub(super) fn expected_replicas(&self, now: Millis) -> Vec<ExpectedReplicas> {
+    pub fn expected_replicas(&self, now: Millis) -> Vec<ExpectedReplicas> {
         let mut pending_capacity: Vec<RecentArrivals> = Vec::new();
-        for job in self.active_jobs() {
+        for job in self.cluster.active_jobs() {
             let spec = &job.spec;
             let is_service = spec.kind == Kind::Service && spec.priority == Priority::Production;
             if !is_service || job.status != JobStatus::Pending {
@@ -53,12 +53,12 @@
     }
 
     /// Reserves room for replicas until the reservations are released.
-    pub(super) fn reserve_headroom(&mut self, expected: &ExpectedReplicas) {
+    pub fn reserve_headroom(&mut self, expected: &ExpectedReplicas) {
         let spec = &expected.spec;
         let tasks: Vec<u32> = (0..expected.replicas as u32).collect();
-        let outcome = self.snapshot.trial(&TrialRequest::later(spec, &tasks, 1, &[]));
+        let outcome = self.cluster.snapshot.trial(&TrialRequest::later(spec, &tasks, 1, &[]));
         for pick in &outcome.picks {
-            self.snapshot.reserve(pick.host, Resources::of(spec), Resources::default());
+            self.cluster.snapshot.reserve(pick.host, Resources::of(spec), Resources::default());
         }
     }
 
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -3,26 +3,31 @@
 
 mod best_effort;
 mod demand;
+mod gpu_demand;
 mod headroom;
 mod order;
+mod preemption;
 mod room;
+pub mod trial;
 
 use std::rc::Rc;
 
 pub use self::order::is_overdue;
-use self::{headroom::ExpectedReplicas, order::is_overdue_unplaced, room::InfeasibleShapes};
+use self::{
+    gpu_demand::GpuDemand,
+    headroom::ExpectedReplicas,
+    order::is_overdue_unplaced,
+    room::InfeasibleShapes,
+    trial::{HostFilter, Pick, TrialRequest, Verdict},
+};
 use super::{
-    autoscaler::UnmetDemand,
-    leader::{Leader, NewAssignment},
-    model::{Job, MachineIndex, MachineLifecycle, Millis, Resources, Slot, TeamLimits},
+    cluster::{NewAssignment, UnmetDemand},
+    leader::Leader,
+    model::{Job, MachineIndex, MachineLifecycle, Millis, Slot},
     snapshot::RoomKind,
-    trial::{HostFilter, Pick, TrialRequest, Verdict},
 };
 use crate::{
-    protocol::{
-        jobs::{JobSpec, Kind},
-        names::TeamIndex,
-    },
+    protocol::jobs::{JobSpec, Kind},
     storage::job_cache::JobIndex,
 };
 
@@ -37,6 +42,17 @@
 /// After failures on this many machines, they aren't the reason.
 const FAILED_MACHINES_MAX: usize = 4;
 
+/// State of the scheduler from one cycle to the next.
+#[derive(Debug, Default)]
+pub struct Scheduler {
+    /// When the last scheduling cycle was made.
+    pub last_cycle: Millis,
+    /// GPU work seen lately.
+    pub gpu_demand: GpuDemand,
+    /// Where the next sample of machines for preemption begins.
+    pub preemption_cursor: u32,
+}
+
 /// What a scheduling cycle keeps from one job to the next.
 struct CycleState {
     unmet: Vec<UnmetDemand>,
@@ -75,40 +91,25 @@
 }
 
 impl Leader {
-    /// A team's guarantee and limit.
-    pub fn team_limits(&self, team: TeamIndex) -> TeamLimits {
-        self.cfg.teams.get(team.at()).copied().unwrap_or_default()
-    }
-
-    /// Whether nothing is guaranteed to a team, while something is to others.
-    pub fn is_best_effort(&self, team: TeamIndex) -> bool {
-        !self.team_limits(team).has_guarantee() && self.cfg.teams.iter().any(TeamLimits::has_guarantee)
-    }
-
-    /// What a team's assignments use.
-    pub(super) fn used_by_team(&self, team: TeamIndex) -> Resources {
-        self.team_used.get(team.at()).copied().unwrap_or_default()
-    }
-
     /// Whether something changed since the last scheduling cycle that may let a job be placed.
     pub fn is_cycle_pending(&self) -> bool {
-        self.cycle_needed
+        self.cluster.cycle_needed
     }
 
     /// Whether a scheduling cycle is due: something changed, or the longest gap is over.
     pub fn is_cycle_due(&self, now: Millis, min_gap_ms: Millis, max_gap_ms: Millis) -> bool {
-        let gap_ms = now.saturating_sub(self.last_cycle);
-        (self.cycle_needed && gap_ms >= min_gap_ms) || gap_ms >= max_gap_ms
+        let gap_ms = now.saturating_sub(self.scheduler.last_cycle);
+        (self.cluster.cycle_needed && gap_ms >= min_gap_ms) || gap_ms >= max_gap_ms
     }
 
     /// Tries to place every waiting job.
-    pub fn pass(&mut self, now: Millis) {
-        self.cycle_needed = false;
-        self.last_cycle = now;
+    pub fn run_scheduling_cycle(&mut self, now: Millis) {
+        self.cluster.cycle_needed = false;
+        self.scheduler.last_cycle = now;
         self.note_guarantees();
         let order = self.scheduling_order(now);
         if order.is_empty() {
-            self.autoscaler.unmet = Vec::new();
+            self.cluster.backlog.unmet = Vec::new();
             return;
         }
         self.note_gpu_demand(now);
@@ -118,17 +119,17 @@
             infeasible: InfeasibleShapes::default(),
             best_effort_cpus: self.best_effort_cpus(now),
             reserving_gangs: 0,
-            reserving_gangs_max: self.snapshot.zone_count(),
+            reserving_gangs_max: self.cluster.snapshot.zone_count(),
         };
         for job in order {
             self.schedule_job(now, job, &mut state);
         }
-        self.snapshot.release(0);
-        self.autoscaler.unmet = state.unmet;
+        self.cluster.snapshot.release(0);
+        self.cluster.backlog.unmet = state.unmet;
     }
 
     fn schedule_job(&mut self, now: Millis, index: JobIndex, state: &mut CycleState) {
-        let Some(job) = self.job(index) else { return };
+        let Some(job) = self.cluster.job(index) else { return };
         if job.spec.kind != Kind::Service {
             // Services come first in the order; what follows leaves room for
             // the replicas that are expected next.
@@ -136,7 +137,7 @@
                 self.reserve_headroom(&expected);
             }
         }
-        let Some(job) = self.job(index) else { return };
+        let Some(job) = self.cluster.job(index) else { return };
         let is_overdue_unplaced = is_overdue_unplaced(now, job);
         let wanted = self.tasks_to_place(job, is_overdue_unplaced);
         let is_best_effort_array = self.is_best_effort_array(job);
@@ -159,21 +160,21 @@
             state.best_effort_cpus -= placed as f64 * placement.spec.cpus;
         }
         if placed == wanted.len() {
-            if let Some(job) = self.job_mut(index) {
+            if let Some(job) = self.cluster.job_mut(index) {
                 job.waiting_since = now;
             }
             return;
         }
-        let is_at_fault = self.job(index).is_some_and(|job| job.failures.job_is_at_fault());
+        let is_at_fault = self.cluster.job(index).is_some_and(|job| job.failures.job_is_at_fault());
         if !is_at_fault {
             state.unmet.push(UnmetDemand { job: index, tasks: (wanted.len() - placed) as u32 });
         }
-        let reservations = self.snapshot.reservations();
+        let reservations = self.cluster.snapshot.reservations();
         self.preempt_for(now, index, &placement.tasks[placed..], &mut state.infeasible);
         let may_reserve = placement.spec.kind == Kind::Gang
             && is_overdue_unplaced
             && state.reserving_gangs < state.reserving_gangs_max
-            && self.snapshot.reservations() == reservations;
+            && self.cluster.snapshot.reservations() == reservations;
         if may_reserve {
             state.reserving_gangs += usize::from(self.reserve_for_gang(&placement));
         }
@@ -182,7 +183,7 @@
     /// The tasks of a job that this scheduling cycle tries to place, in order.
     fn tasks_to_place(&self, job: &Job, is_overdue_unplaced: bool) -> Vec<u32> {
         let spec = &job.spec;
-        let room = self.team_limits(spec.team).room_for(spec, &self.used_by_team(spec.team));
+        let room = self.cluster.team_limits(spec.team).room_for(spec, &self.cluster.used_by_team(spec.team));
         let is_gang = spec.kind == Kind::Gang;
         let tasks_per_pass = if is_gang { TASKS_PER_CYCLE.max(job.pending.len()) } else { TASKS_PER_CYCLE };
         let mut limit = job.pending.len().min(room as usize).min(tasks_per_pass);
@@ -214,13 +215,15 @@
     /// assignments at a time as can be written under the present one. By chunk:
     /// how many more, and one. `None`: there is no such restriction.
     fn chunk_room(&self, job: &Job) -> Option<Vec<u32>> {
-        if self.value_limit > self.cfg.value_fit || job.chunk_size <= self.cfg.chunk_fit {
+        if self.cluster.records.value_limit > self.cluster.config.value_fit
+            || job.chunk_size <= self.cluster.config.chunk_fit
+        {
             return None;
         }
         if job.spec.kind == Kind::Gang {
             return None;
         }
-        let mut room = vec![self.cfg.chunk_fit + 1; job.chunks.len()];
+        let mut room = vec![self.cluster.config.chunk_fit + 1; job.chunks.len()];
         for (task, slot) in job.slots.iter().enumerate() {
             if matches!(slot, Slot::At(_)) {
                 let left = &mut room[job.chunk_of(task as u32)];
@@ -235,7 +238,7 @@
         if placement.tasks.is_empty() || state.infeasible.is_infeasible_now(&placement.spec) {
             return 0;
         }
-        let outcome = self.snapshot.trial(&TrialRequest {
+        let outcome = self.cluster.snapshot.trial(&TrialRequest {
             spec: &placement.spec,
             tasks: &placement.tasks,
             min: placement.min(),
@@ -257,10 +260,10 @@
     }
 
     fn assign_picks(&mut self, now: Millis, job: JobIndex, picks: &[Pick]) {
-        let attempt = self.next_attempt();
+        let attempt = self.cluster.next_attempt();
         for pick in picks {
             let machine_index = MachineIndex(pick.host as u32);
-            let machine = self.machine(machine_index);
+            let machine = self.cluster.machine(machine_index);
             let new = NewAssignment {
                 job,
                 task: pick.task,
@@ -269,7 +272,7 @@
                 attempt,
                 zone: machine.zone,
             };
-            self.add_assignment(now, new);
+            self.cluster.add_assignment(now, new);
         }
     }
 
@@ -280,7 +283,7 @@
         if failed_on.is_empty() {
             return Vec::new();
         }
-        let up = self.machines.iter().filter(|machine| machine.lifecycle == MachineLifecycle::Up).count();
+        let up = self.cluster.machines.iter().filter(|machine| machine.lifecycle == MachineLifecycle::Up).count();
         if failed_on.len() >= FAILED_MACHINES_MAX || failed_on.len() * 2 >= up {
             return Vec::new();
         }
--- a/src/coordination/scheduler/order.rs
+++ b/src/coordination/scheduler/order.rs
@@ -91,9 +91,10 @@
     /// Services first; then what has waited so long without a start that its
     /// beginning is overdue, the oldest first; then by priority, work within its
     /// team's guarantee before other work.
-    pub(super) fn scheduling_order(&self, now: Millis) -> Vec<JobIndex> {
+    pub fn scheduling_order(&self, now: Millis) -> Vec<JobIndex> {
         let largest = self.largest_by_class();
         let mut ranks: Vec<Rank> = self
+            .cluster
             .active_jobs()
             .filter(|job| is_ready(now, job))
             .map(|job| self.rank(now, job, largest.get(&job.spec.class).copied().unwrap_or(0)))
@@ -105,7 +106,7 @@
     /// The task count of the largest unfinished job of each class.
     fn largest_by_class(&self) -> HashMap<ClassIndex, u32> {
         let mut largest: HashMap<ClassIndex, u32> = HashMap::new();
-        for job in self.active_jobs() {
+        for job in self.cluster.active_jobs() {
             let tasks = largest.entry(job.spec.class).or_default();
             *tasks = (*tasks).max(job.spec.tasks);
         }
@@ -133,7 +134,7 @@
     fn standing(&self, job: &Job) -> Standing {
         if job.within_guarantee {
             Standing::Guaranteed
-        } else if self.is_best_effort(job.spec.team) {
+        } else if self.cluster.is_best_effort(job.spec.team) {
             Standing::BestEffort
         } else {
             Standing::Beyond
@@ -145,7 +146,7 @@
     /// there is too little for all. What missed every aim goes by age.
     fn turn(&self, now: Millis, job: &Job) -> Turn {
         let age_s = job.age_s(now);
-        let run_s = self.run_times.expected_s(&job.spec);
+        let run_s = self.cluster.run_times.expected_s(&job.spec);
         let fetch_s = (job.spec.image_gb / ASSUMED_FETCH_GB_PER_S).min(ASSUMED_FETCH_MAX_S);
         let hoped_end_s = age_s + HOPED_RUN_SHARE * run_s + fetch_s.min(HOPED_FETCH_MAX_S);
         for (position, aim) in self.targets_of(job).enumerate() {
@@ -166,7 +167,7 @@
     fn targets_of<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = TimeTarget> + 'a {
         let deadlines = [job.spec.deadline_s, job.spec.overdue_s].into_iter().flatten();
         let own = deadlines.map(|within_s| TimeTarget { is_start: false, within_s });
-        let objectives = self.cfg.objectives.iter().filter(|objective| objective.class == job.spec.class);
+        let objectives = self.cluster.config.objectives.iter().filter(|objective| objective.class == job.spec.class);
         own.chain(objectives.map(|objective| TimeTarget { is_start: objective.start, within_s: objective.within_s }))
     }
 }
@@ -187,6 +188,6 @@
 }
 
 /// It is overdue and none of its tasks is even assigned.
-pub(super) fn is_overdue_unplaced(now: Millis, job: &Job) -> bool {
+pub fn is_overdue_unplaced(now: Millis, job: &Job) -> bool {
     job.placed == 0 && is_overdue(now, job)
 }
--- a/src/coordination/preemption/mod.rs
+++ b/src/coordination/scheduler/preemption/mod.rs
@@ -4,11 +4,12 @@
 mod plan;
 mod victims;
 
-use super::{
-    leader::{Leader, SAVE_MARGIN_S},
-    model::{AssignmentIndex, Millis, Resources},
-};
 use crate::{
+    coordination::{
+        leader::Leader,
+        model::{AssignmentIndex, Millis, Resources},
+        workers::SAVE_MARGIN_S,
+    },
     protocol::{
         jobs::{JobSpec, Kind, Priority},
         names::ZoneIndex,
@@ -30,7 +31,7 @@
     /// cheapest machine, and waited when that had too few. Each zone is planned
     /// for by itself; the feasible plan that costs least wins.
     pub fn preempt(&mut self, now: Millis, index: JobIndex, tasks: &[u32]) -> bool {
-        let Some(job) = self.job(index) else { return false };
+        let Some(job) = self.cluster.job(index) else { return false };
         let spec = job.spec.clone();
         let has_zone = job.zone_used.iter().any(|&used| used > 0);
         let tasks = match spec.kind {
@@ -47,7 +48,7 @@
         let Some(plan) = best else { return false };
         let stopped = plan.halts.into_iter().filter(|&victim| self.stop_victim(now, victim, &spec)).count();
         for &host in &plan.picks {
-            self.snapshot.reserve(host, Resources::of(&spec), Resources::default());
+            self.cluster.snapshot.reserve(host, Resources::of(&spec), Resources::default());
         }
         if stopped > 0 {
             tracing::info!(job = index.0, stopped, tasks = plan.picks.len(), "made room");
@@ -56,12 +57,12 @@
     }
 
     fn advance_preemption_cursor(&mut self) {
-        let next = self.preemption_cursor.wrapping_mul(CURSOR_MULTIPLIER).wrapping_add(CURSOR_INCREMENT);
-        self.preemption_cursor = next % (self.machines.len().max(1) as u32);
+        let next = self.scheduler.preemption_cursor.wrapping_mul(CURSOR_MULTIPLIER).wrapping_add(CURSOR_INCREMENT);
+        self.scheduler.preemption_cursor = next % (self.cluster.machines.len().max(1) as u32);
     }
 
     fn each_zone(&self) -> Vec<Option<ZoneIndex>> {
-        let mut zones: Vec<ZoneIndex> = self.snapshot.pools.iter().map(|pool| pool.zone).collect();
+        let mut zones: Vec<ZoneIndex> = self.cluster.snapshot.pools.iter().map(|pool| pool.zone).collect();
         zones.sort_unstable();
         zones.dedup();
         zones.into_iter().map(Some).collect()
@@ -69,15 +70,15 @@
 
     /// Stops a task, or its whole gang. False: it is gone already.
     fn stop_victim(&mut self, now: Millis, victim: AssignmentIndex, preemptor: &JobSpec) -> bool {
-        let Some(assignment) = self.assignment(victim) else { return false };
+        let Some(assignment) = self.cluster.assignment(victim) else { return false };
         let job_index = assignment.job;
-        let Some(job) = self.job(job_index) else { return false };
+        let Some(job) = self.cluster.job(job_index) else { return false };
         let save_s = if job.spec.checkpoint_s > 0.0 { job.spec.save_s + SAVE_MARGIN_S } else { 0.0 };
         if job.spec.kind == Kind::Gang {
-            self.stop_job(now, job_index, save_s);
+            self.cluster.stop_job(now, job_index, save_s);
         } else {
             let is_urgent = preemptor.priority == Priority::Production;
-            self.halt(now, victim, if is_urgent { 0.0 } else { save_s });
+            self.cluster.halt(now, victim, if is_urgent { 0.0 } else { save_s });
         }
         true
     }
--- a/src/coordination/preemption/plan.rs
+++ b/src/coordination/scheduler/preemption/plan.rs
@@ -5,8 +5,8 @@
     coordination::{
         leader::Leader,
         model::{AssignmentIndex, Job, MachineIndex, Millis, Resources, RESOURCE_TOLERANCE},
+        scheduler::trial::{IDLE_GPU_PENALTY_S, SLOWEST_FETCH_GB_PER_S},
         snapshot::{Host, Pool, RoomKind},
-        trial::{IDLE_GPU_PENALTY_S, SLOWEST_FETCH_GB_PER_S},
     },
     protocol::{
         jobs::{JobSpec, Kind},
@@ -26,7 +26,7 @@
 
 /// Machines for so many tasks, and the assignments to be stopped there.
 #[derive(Default)]
-pub(super) struct PreemptionPlan {
+pub struct PreemptionPlan {
     pub cost: f64,
     pub picks: Vec<usize>,
     pub halts: Vec<AssignmentIndex>,
@@ -54,43 +54,43 @@
 impl Leader {
     /// What is stopped, and where, so that `tasks` get room; in `zone` only, if
     /// one is given. `None`: not enough may be stopped.
-    pub(super) fn plan_preemption(
+    pub fn plan_preemption(
         &mut self,
         now: Millis,
         index: JobIndex,
         tasks: &[u32],
         zone: Option<ZoneIndex>,
     ) -> Option<PreemptionPlan> {
-        let spec = self.job(index)?.spec.clone();
-        let mut zone_used = self.job(index)?.zone_used.clone();
+        let spec = self.cluster.job(index)?.spec.clone();
+        let mut zone_used = self.cluster.job(index)?.zone_used.clone();
         let mut plan = PreemptionPlan::default();
-        let reservations = self.snapshot.reservations();
-        let sample = self.snapshot.sample(&spec, zone, self.preemption_cursor, MACHINES_SAMPLED);
+        let reservations = self.cluster.snapshot.reservations();
+        let sample = self.cluster.snapshot.sample(&spec, zone, self.scheduler.preemption_cursor, MACHINES_SAMPLED);
         for _ in tasks {
-            let job = self.job(index)?;
+            let job = self.cluster.job(index)?;
             let search = Search { now, job, sample: &sample, zone_used: &zone_used, halts: &plan.halts };
             let best = self.cheapest_preemption(&search);
-            self.snapshot.looked += sample.len() as u64;
+            self.cluster.snapshot.looked += sample.len() as u64;
             let Some(preemption) = best else {
                 if spec.kind == Kind::Gang {
-                    self.snapshot.release(reservations);
+                    self.cluster.snapshot.release(reservations);
                     return None;
                 }
                 break;
             };
-            let zone = self.machine(MachineIndex(preemption.host as u32)).zone;
+            let zone = self.cluster.machine(MachineIndex(preemption.host as u32)).zone;
             if zone_used.len() <= zone.at() {
                 zone_used.resize(zone.at() + 1, 0);
             }
             zone_used[zone.at()] += 1;
-            self.snapshot.reserve(preemption.host, Resources::of(&spec), preemption.freed);
+            self.cluster.snapshot.reserve(preemption.host, Resources::of(&spec), preemption.freed);
             plan.cost += preemption.cost;
             plan.halts.extend(preemption.halts);
             plan.picks.push(preemption.host);
         }
         // What is stopped counts as such by itself; the room is reserved again
         // once a plan is chosen.
-        self.snapshot.release(reservations);
+        self.cluster.snapshot.release(reservations);
         (!plan.picks.is_empty()).then_some(plan)
     }
 
@@ -100,8 +100,8 @@
         let mut best: Option<HostPreemption> = None;
         let mut examined = 0;
         for &host_index in search.sample {
-            let host = &self.snapshot.hosts[host_index];
-            let Some(pool) = host.pool.map(|pool| &self.snapshot.pools[pool]) else { continue };
+            let host = &self.cluster.snapshot.hosts[host_index];
+            let Some(pool) = host.pool.map(|pool| &self.cluster.snapshot.pools[pool]) else { continue };
             if !zone_allows(spec, pool.zone, search.zone_used) || !may_free_enough(search.job, host) {
                 continue;
             }
@@ -126,7 +126,7 @@
         pool: &Pool,
     ) -> Option<HostPreemption> {
         let spec = &search.job.spec;
-        let assignments = &self.machine(MachineIndex(host_index as u32)).assignments;
+        let assignments = &self.cluster.machine(MachineIndex(host_index as u32)).assignments;
         let victims = self.victims_among(search.now, assignments, search.halts, search.job);
         let mut preemption =
             choose_victims(&Resources::of(spec), host.room(RoomKind::FreeOrStopping), victims, host_index)?;
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/scheduler/preemption/victims.rs
@@ -2,9 +2,10 @@
 
 use crate::{
     coordination::{
-        leader::{Leader, SAVE_MARGIN_S},
+        leader::Leader,
         model::{AssignmentIndex, AssignmentState, Job, Millis, Resources, RESOURCE_TOLERANCE, START_COUNTS_MS},
         scheduler::is_overdue,
+        workers::SAVE_MARGIN_S,
     },
     protocol::jobs::{Kind, Priority},
     storage::records::JobStatus,
@@ -20,7 +21,7 @@
 const FRESH_START_COST_S: f64 = 60.0;
 
 /// A task that may be stopped.
-pub(super) struct Victim {
+pub struct Victim {
     pub assignment: AssignmentIndex,
     /// What it would free.
     pub need: Resources,
@@ -29,12 +30,12 @@
 
 impl Leader {
     /// What stopping a task costs, or `None` when the preemptor may not stop it.
-    pub(super) fn victim(&self, now: Millis, index: AssignmentIndex, preemptor: &Job) -> Option<Victim> {
-        let assignment = self.assignment(index)?;
+    pub fn victim(&self, now: Millis, index: AssignmentIndex, preemptor: &Job) -> Option<Victim> {
+        let assignment = self.cluster.assignment(index)?;
         if assignment.halt.is_some() || matches!(assignment.state, AssignmentState::Ended(_)) {
             return None;
         }
-        let job = self.job(assignment.job)?;
+        let job = self.cluster.job(assignment.job)?;
         if job.status != JobStatus::Pending || assignment.job == preemptor.index {
             return None;
         }
@@ -59,8 +60,8 @@
         if !preemptor.within_guarantee || !has_waited || job.spec.team == preemptor.spec.team {
             return false;
         }
-        let limits = self.team_limits(job.spec.team);
-        let used = self.used_by_team(job.spec.team);
+        let limits = self.cluster.team_limits(job.spec.team);
+        let used = self.cluster.used_by_team(job.spec.team);
         let exceeds = |guarantee: Option<f64>, used: f64| used > guarantee.unwrap_or(0.0) + RESOURCE_TOLERANCE;
         let both_use_gpus = preemptor.spec.gpus > 0.0 && job.spec.gpus > 0.0;
         (both_use_gpus && exceeds(limits.gpus, used.gpus))
@@ -68,7 +69,7 @@
     }
 
     /// Victims on a machine that are not stopped yet, the cheapest first.
-    pub(super) fn victims_among(
+    pub fn victims_among(
         &self,
         now: Millis,
         assignments: &[AssignmentIndex],
--- a/src/coordination/scheduler/room.rs
+++ b/src/coordination/scheduler/room.rs
@@ -7,7 +7,7 @@
     coordination::{
         leader::Leader,
         model::{Job, Millis, Resources},
-        trial::{TrialRequest, Verdict},
+        scheduler::trial::{TrialRequest, Verdict},
     },
     protocol::jobs::{JobSpec, Kind, Priority},
     storage::job_cache::JobIndex,
@@ -22,7 +22,7 @@
 
 /// Shapes that a scheduling cycle found no room for at all: room only shrinks within a scheduling cycle.
 #[derive(Default)]
-pub(super) struct InfeasibleShapes {
+pub struct InfeasibleShapes {
     /// No room now.
     pub now: Vec<Rc<JobSpec>>,
     /// No room even once what is being stopped is gone.
@@ -47,23 +47,17 @@
     pub(super) fn reserve_for_gang(&mut self, placement: &Placement) -> bool {
         let spec = &placement.spec;
         let request = TrialRequest::later(spec, &placement.tasks, 1, &placement.zone_used);
-        let outcome = self.snapshot.trial(&request);
+        let outcome = self.cluster.snapshot.trial(&request);
         for pick in &outcome.picks {
-            self.snapshot.reserve(pick.host, Resources::of(spec), Resources::default());
+            self.cluster.snapshot.reserve(pick.host, Resources::of(spec), Resources::default());
         }
         !outcome.picks.is_empty()
     }
 
     /// Tasks found no room now: reserves what is being stopped for them, or
     /// stops other work.
-    pub(super) fn preempt_for(
-        &mut self,
-        now: Millis,
-        index: JobIndex,
-        tasks: &[u32],
-        infeasible: &mut InfeasibleShapes,
-    ) {
-        let Some(job) = self.job(index) else { return };
+    pub fn preempt_for(&mut self, now: Millis, index: JobIndex, tasks: &[u32], infeasible: &mut InfeasibleShapes) {
+        let Some(job) = self.cluster.job(index) else { return };
         if tasks.is_empty() || !may_preempt(now, job) {
             return;
         }
@@ -82,7 +76,7 @@
             made = preempted,
             "room asked for"
         );
-        if let Some(job) = self.job_mut(index) {
+        if let Some(job) = self.cluster.job_mut(index) {
             job.next_preemption = now + if preempted { PREEMPTED_PAUSE_MS } else { NOTHING_PREEMPTED_PAUSE_MS };
         }
     }
@@ -90,16 +84,16 @@
     /// Reserves room that tasks which are being stopped will leave, and returns
     /// for how many tasks there was some.
     fn reserve_stopping_room(&mut self, index: JobIndex, tasks: &[u32], infeasible: &mut InfeasibleShapes) -> usize {
-        let Some(job) = self.job(index) else { return 0 };
+        let Some(job) = self.cluster.job(index) else { return 0 };
         let spec = job.spec.clone();
         let zone_used = job.zone_used.clone();
-        if !self.snapshot.anything_stops() || infeasible.is_infeasible_later(&spec) {
+        if !self.cluster.snapshot.anything_stops() || infeasible.is_infeasible_later(&spec) {
             return 0;
         }
         let min = min_tasks(&spec, tasks.len());
-        let outcome = self.snapshot.trial(&TrialRequest::later(&spec, tasks, min, &zone_used));
+        let outcome = self.cluster.snapshot.trial(&TrialRequest::later(&spec, tasks, min, &zone_used));
         for pick in &outcome.picks {
-            self.snapshot.reserve(pick.host, Resources::of(&spec), Resources::default());
+            self.cluster.snapshot.reserve(pick.host, Resources::of(&spec), Resources::default());
         }
         if outcome.verdict != Verdict::Success && uses_no_zone(&zone_used) {
             infeasible.later.push(spec);
--- a/src/coordination/trial.rs
+++ b/src/coordination/scheduler/trial.rs
@@ -7,24 +7,26 @@
 
 use std::cmp::Reverse;
 
-use super::{
-    model::{MachineIndex, Resources},
-    snapshot::{ClusterSnapshot, Host, Pool, RoomKind},
-};
-use crate::protocol::{
-    jobs::{JobSpec, Kind},
-    names::ZoneIndex,
+use crate::{
+    coordination::{
+        model::{MachineIndex, Resources},
+        snapshot::{ClusterSnapshot, Host, Pool, RoomKind},
+    },
+    protocol::{
+        jobs::{JobSpec, Kind},
+        names::ZoneIndex,
+    },
 };
 
 /// Longest image fetch, in seconds, that counts against a machine: beyond it,
 /// how long the fetch takes makes no difference.
 const LONGEST_FETCH_S: f64 = 60.0;
 /// Slowest fetch rate assumed, so that a type without one divides by no zero.
-pub(super) const SLOWEST_FETCH_GB_PER_S: f64 = 0.01;
+pub const SLOWEST_FETCH_GB_PER_S: f64 = 0.01;
 /// Seconds that a machine whose image is there gains beyond the fetch it saves.
 const IMAGE_BONUS_S: f64 = 1.0;
 /// Seconds held against CPU work on a machine with GPUs: they would stand idle.
-pub(super) const IDLE_GPU_PENALTY_S: f64 = 90.0;
+pub const IDLE_GPU_PENALTY_S: f64 = 90.0;
 /// Seconds that an exact fit gains over an empty machine.
 const BEST_FIT_BONUS_S: f64 = 3.0;
 /// Seconds held against a replica per replica that is on the machine already.
@@ -331,5 +333,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/trial.rs"]
+#[path = "../tests/trial.rs"]
 mod tests;
--- a/src/coordination/snapshot/pool.rs
+++ b/src/coordination/snapshot/pool.rs
@@ -21,7 +21,7 @@
 
 /// A machine in an index, ordered by its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct IndexEntry {
+pub(in crate::coordination) struct IndexEntry {
     pub key: u32,
     pub host: u32,
 }
@@ -57,7 +57,7 @@
 }
 
 impl Pool {
-    pub(super) fn new(machine_type: &MachineTypeSpec, zone: ZoneIndex, spot: bool) -> Pool {
+    pub(in crate::coordination) fn new(machine_type: &MachineTypeSpec, zone: ZoneIndex, spot: bool) -> Pool {
         Pool {
             machine_type: machine_type.index,
             zone,
@@ -84,7 +84,7 @@
         (free.gpus.max(0.0) * GPU_STEPS + KEY_TOLERANCE) as u32
     }
 
-    pub(super) fn index(&mut self, host: u32, free: &Resources) {
+    pub(in crate::coordination) fn index(&mut self, host: u32, free: &Resources) {
         let room_key = self.room_key(free);
         let gpu_key = Pool::gpu_key(free);
         if room_key > 0 {
@@ -96,7 +96,7 @@
         self.room += free.max0();
     }
 
-    pub(super) fn unindex(&mut self, host: u32, free: &Resources) {
+    pub(in crate::coordination) fn unindex(&mut self, host: u32, free: &Resources) {
         let room_key = self.room_key(free);
         self.by_room.remove(&IndexEntry { key: room_key, host });
         self.by_gpus.remove(&IndexEntry { key: Pool::gpu_key(free), host });
@@ -104,7 +104,11 @@
     }
 
     /// Open machines that may have room for `need`, those with the least first.
-    pub(super) fn hosts_with_room(&self, need: &Resources, needs_gpus: bool) -> impl Iterator<Item = usize> + '_ {
+    pub(in crate::coordination) fn hosts_with_room(
+        &self,
+        need: &Resources,
+        needs_gpus: bool,
+    ) -> impl Iterator<Item = usize> + '_ {
         let (index, least_key) = if needs_gpus {
             (&self.by_gpus, Pool::gpu_key(need).saturating_sub(1))
         } else {
--- a/src/coordination/snapshot/reservations.rs
+++ b/src/coordination/snapshot/reservations.rs
@@ -5,7 +5,7 @@
 
 /// Room reserved on one machine, taken off what is free and off what will be.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Reservation {
+pub(in crate::coordination) struct Reservation {
     host: usize,
     free: Resources,
     soon: Resources,
--- a/src/coordination/leader/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -1,9 +1,9 @@
 //! What workers are told to launch, halt and reap.
 
-use super::Leader;
 use crate::{
-    coordination::model::{
-        Assignment, AssignmentIndex, AssignmentState, ExitRecord, Job, Machine, MachineIndex, Millis,
+    coordination::{
+        leader::Leader,
+        model::{Assignment, AssignmentIndex, AssignmentState, ExitRecord, Job, Machine, MachineIndex, Millis},
     },
     protocol::workers::{split_task, Heartbeat, TaskState, TaskStatus, WorkerCommand},
     storage::{job_cache::JobCache, records::JobStatus},
@@ -14,11 +14,11 @@
 /// Unreaped exits handled in one message, so that launches and halts fit too.
 const EXITS_PER_MESSAGE: usize = COMMANDS_PER_MESSAGE / 4;
 /// An order is sent again after this long without effect.
-pub(super) const RESEND_MS: Millis = 2_500;
+pub const RESEND_MS: Millis = 2_500;
 
 /// Which orders a message carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum CommandScope {
+pub enum CommandScope {
     /// Everything that isn't in effect yet: in the answer to a heartbeat.
     All,
     /// Only what was not sent lately: in a direct call.
@@ -50,17 +50,17 @@
     /// report, assigned by a record, or launched by a command that is under way.
     pub fn may_hold_tasks(&self, heartbeat: &Heartbeat) -> bool {
         let is_listed = heartbeat.tasks.iter().any(|task| task.state != TaskState::Exited);
-        if is_listed || !self.loaded {
+        if is_listed || !self.cluster.loaded {
             return true;
         }
-        let Some(&index) = self.machine_index.get(&heartbeat.machine) else { return false };
-        let machine = self.machine(index);
+        let Some(&index) = self.cluster.machine_index.get(&heartbeat.machine) else { return false };
+        let machine = self.cluster.machine(index);
         !machine.assignments.is_empty() || !machine.has_no_command_in_flight()
     }
 
     /// What the worker should be told; what is returned counts as sent.
-    pub(super) fn commands(&mut self, now: Millis, index: MachineIndex, scope: CommandScope) -> Vec<WorkerCommand> {
-        let machine = &self.machines[index.at()];
+    pub fn commands(&mut self, now: Millis, index: MachineIndex, scope: CommandScope) -> Vec<WorkerCommand> {
+        let machine = &self.cluster.machines[index.at()];
         let mut commands = match scope {
             CommandScope::All => self.exit_commands(machine),
             // Strays and exits wait for the heartbeat's answer.
@@ -68,8 +68,8 @@
         };
         let mut sent: Vec<AssignmentIndex> = Vec::new();
         for &assignment_index in &machine.assignments {
-            let Some(assignment) = self.assignment(assignment_index) else { continue };
-            let Some(job) = self.job(assignment.job) else { continue };
+            let Some(assignment) = self.cluster.assignment(assignment_index) else { continue };
+            let Some(job) = self.cluster.job(assignment.job) else { continue };
             if assignment.incarnation != machine.incarnation || matches!(assignment.state, AssignmentState::Ended(_)) {
                 continue;
             }
@@ -99,7 +99,7 @@
                 // Halt and reap together: whichever applies takes effect.
                 commands.push(WorkerCommand::Halt { task: task.clone(), attempt, grace_s: 0.0 });
                 commands.push(WorkerCommand::Reap { task: task.clone(), attempt });
-            } else if self.is_exit_recorded(exit) {
+            } else if self.cluster.is_exit_recorded(exit) {
                 commands.push(WorkerCommand::Reap { task: task.clone(), attempt });
             }
         }
@@ -118,11 +118,11 @@
             return is_overdue_unplaced(halt.sent).then_some(AssignmentCommand::Halt { grace_s: halt.grace_s });
         }
         let is_launch_due = assignment.state == AssignmentState::Wanted && is_overdue_unplaced(assignment.sent);
-        (is_launch_due && self.may_launch(assignment)).then_some(AssignmentCommand::Launch)
+        (is_launch_due && self.cluster.may_launch(assignment)).then_some(AssignmentCommand::Launch)
     }
 
     fn note_sent(&mut self, now: Millis, index: AssignmentIndex) {
-        let Some(assignment) = self.assignments.get_mut(index) else { return };
+        let Some(assignment) = self.cluster.assignments.get_mut(index) else { return };
         match &mut assignment.halt {
             Some(halt) => halt.sent = Some(now),
             None => assignment.sent = Some(now),
--- a/src/coordination/leader/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -1,11 +1,12 @@
 //! Commands sent straight to workers, and probes of silent ones.
 
-use super::{
-    commands::{CommandScope, RESEND_MS},
-    DirectCallOutcome, Effect, Leader,
-};
+use super::commands::{CommandScope, RESEND_MS};
 use crate::{
-    coordination::model::{CallId, DirectCall, LaunchId, MachineIndex, MachineLifecycle, Millis, Slot},
+    coordination::{
+        effects::{DirectCallOutcome, Effect},
+        leader::Leader,
+        model::{CallId, DirectCall, LaunchId, MachineIndex, MachineLifecycle, Millis, Slot},
+    },
     protocol::{
         names::Tables,
         workers::{split_task, DirectCommandRequest, Heartbeat, WorkerCommand},
@@ -30,25 +31,25 @@
 impl Leader {
     /// Sends what is new straight to the workers that may have to be told something.
     pub fn dispatch_commands(&mut self, now: Millis) {
-        while let Some(index) = self.dispatch_queue.pop_due(now) {
+        while let Some(index) = self.cluster.dispatch_queue.pop_due(now) {
             self.dispatch_commands_to(now, index);
         }
     }
 
     fn dispatch_commands_to(&mut self, now: Millis, index: MachineIndex) {
-        let machine = &self.machines[index.at()];
+        let machine = &self.cluster.machines[index.at()];
         if machine.assignments.is_empty() || machine.direct_call.is_some() || machine.lifecycle != MachineLifecycle::Up
         {
             return;
         }
         if now < machine.direct_call_after {
-            self.dispatch_queue.schedule(machine.direct_call_after, index);
+            self.cluster.dispatch_queue.schedule(machine.direct_call_after, index);
             return;
         }
         // A token that the worker has not shown yet is told by the answer to its
         // report first; a silent worker is sent nothing.
         let Some(addr) = machine.addr else { return };
-        let silent_ms = SILENT_HEARTBEATS * self.cfg.heartbeat_interval_ms;
+        let silent_ms = SILENT_HEARTBEATS * self.cluster.config.heartbeat_interval_ms;
         if !machine.fenced() || machine.last_contact.is_none_or(|heard| now > heard + silent_ms) {
             return;
         }
@@ -57,22 +58,23 @@
             return;
         }
         let launches = commands.iter().filter_map(|order| self.launch_of(index, order)).collect();
-        let call = self.next_call();
-        let machine = &mut self.machines[index.at()];
+        let call = self.outbox.next_call();
+        let machine = &mut self.cluster.machines[index.at()];
         machine.direct_call = Some(DirectCall { id: call, launches });
         let req = DirectCommandRequest { token: machine.token, incarnation: machine.incarnation, commands };
-        self.push_effect(Effect::Do { machine: index, call, addr, req });
-        self.dispatch_queue.schedule(now + RESEND_MS + RESEND_SLACK_MS, index);
+        self.outbox.send(Effect::Do { machine: index, call, addr, req });
+        self.cluster.dispatch_queue.schedule(now + RESEND_MS + RESEND_SLACK_MS, index);
     }
 
     /// The launch that an order to this machine carries, if it is one.
     fn launch_of(&self, index: MachineIndex, order: &WorkerCommand) -> Option<LaunchId> {
         let WorkerCommand::Launch { task, attempt } = order else { return None };
         let (_, task) = split_task(task)?;
-        self.machine(index)
+        self.cluster
+            .machine(index)
             .assignments
             .iter()
-            .filter_map(|&assignment_index| self.assignment(assignment_index))
+            .filter_map(|&assignment_index| self.cluster.assignment(assignment_index))
             .find(|assignment| assignment.task == task && assignment.attempt == *attempt)
             .map(|assignment| assignment.launch_id())
     }
@@ -88,9 +90,9 @@
         job_cache: &JobCache,
         tables: &mut Tables,
     ) -> bool {
-        let machine = &mut self.machines[index.at()];
+        let machine = &mut self.cluster.machines[index.at()];
         let Some(finished) = machine.direct_call.take_if(|pending| pending.id == call) else { return true };
-        self.dispatch_queue.schedule(now, index);
+        self.cluster.dispatch_queue.schedule(now, index);
         match outcome {
             DirectCallOutcome::Executed(heartbeat) => self.call_answered(now, index, &heartbeat, job_cache, tables),
             DirectCallOutcome::Refused(heartbeat) => {
@@ -124,7 +126,7 @@
         job_cache: &JobCache,
         tables: &mut Tables,
     ) -> bool {
-        let machine = &self.machines[index.at()];
+        let machine = &self.cluster.machines[index.at()];
         if heartbeat.token > machine.token {
             return false;
         }
@@ -136,9 +138,9 @@
 
     fn unmark_sent(&mut self, launches: &[LaunchId]) {
         for launch in launches {
-            let slot = self.job(launch.job).and_then(|job| job.slots.get(launch.task as usize).copied());
+            let slot = self.cluster.job(launch.job).and_then(|job| job.slots.get(launch.task as usize).copied());
             let Some(Slot::At(assignment_index)) = slot else { continue };
-            let assignment = self.assignments.get_mut(assignment_index);
+            let assignment = self.cluster.assignments.get_mut(assignment_index);
             if let Some(assignment) = assignment.filter(|assignment| assignment.attempt == launch.attempt) {
                 assignment.sent = None;
             }
@@ -148,19 +150,19 @@
     /// Guard: launches that went unanswered may arrive at any later time. The
     /// raised token fences them, once the worker has shown it.
     fn raise_fence(&mut self, now: Millis, index: MachineIndex) {
-        let machine = &mut self.machines[index.at()];
+        let machine = &mut self.cluster.machines[index.at()];
         machine.raise_token();
         machine.fence_token = machine.token;
         machine.answered_since_fence = false;
         tracing::debug!(machine = &*machine.id, token = %machine.token, "command unanswered, token raised");
-        self.refresh(now, index);
+        self.cluster.refresh(now, index);
     }
 
     /// Asks a worker whose report is overdue. That it doesn't answer proves
     /// nothing, but lets its machine be handed back sooner, which does.
-    pub(super) fn probe_if_overdue(&mut self, now: Millis, index: MachineIndex) {
-        let overdue_ms = self.cfg.heartbeat_interval_ms * 5 / 4 + PROBE_SLACK_MS;
-        let machine = &mut self.machines[index.at()];
+    pub fn probe_if_overdue(&mut self, now: Millis, index: MachineIndex) {
+        let overdue_ms = self.cluster.config.heartbeat_interval_ms * 5 / 4 + PROBE_SLACK_MS;
+        let machine = &mut self.cluster.machines[index.at()];
         let is_overdue = machine.last_contact.is_some_and(|heard| now > heard + overdue_ms);
         let may_probe = machine.lifecycle == MachineLifecycle::Up
             && !machine.probing
@@ -171,7 +173,7 @@
         }
         if let Some(addr) = machine.addr {
             machine.probing = true;
-            self.push_effect(Effect::Probe { machine: index, addr });
+            self.outbox.send(Effect::Probe { machine: index, addr });
         }
     }
 
@@ -184,7 +186,7 @@
         job_cache: &JobCache,
         tables: &mut Tables,
     ) {
-        let machine = &mut self.machines[index.at()];
+        let machine = &mut self.cluster.machines[index.at()];
         machine.probing = false;
         match heartbeat {
             Some(heartbeat)
--- a/src/coordination/leader/exits.rs
+++ b/src/coordination/workers/exits.rs
@@ -1,8 +1,11 @@
 //! Ends of tasks: settled once no earlier command can start the task again.
 
-use super::{Leader, TaskFate};
 use crate::{
-    coordination::model::{Assignment, AssignmentIndex, ExitRecord, Millis, UnreapedExit},
+    coordination::{
+        cluster::TaskFate,
+        leader::Leader,
+        model::{Assignment, AssignmentIndex, ExitRecord, Millis, UnreapedExit},
+    },
     protocol::workers::{ExitReason, TaskStatus},
 };
 
@@ -13,19 +16,19 @@
 impl Leader {
     /// A task has ended. Its assignment is released unless a command sent
     /// earlier could still start it again.
-    pub(super) fn settle_exit(&mut self, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
-        let Some(assignment) = self.assignment(index) else { return };
-        let machine = self.machine(assignment.machine);
+    pub fn settle_exit(&mut self, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
+        let Some(assignment) = self.cluster.assignment(index) else { return };
+        let machine = self.cluster.machine(assignment.machine);
         // Guard: a launch still under way could arrive after the reap and start
         // the task a second time.
-        if !machine.fenced() || self.in_flight_launch(assignment) || machine.launch_in_answer {
+        if !machine.fenced() || self.cluster.in_flight_launch(assignment) || machine.launch_in_answer {
             return;
         }
         let reason = status.why.unwrap_or(ExitReason::Other);
         let fate = if reason == ExitReason::Done { TaskFate::Done } else { TaskFate::Unfinished };
-        let Some(assignment) = self.release_assignment(index, fate) else { return };
+        let Some(assignment) = self.cluster.release_assignment(index, fate) else { return };
         let record = self.record_of_exit(&assignment);
-        let machine = &mut self.machines[assignment.machine.at()];
+        let machine = &mut self.cluster.machines[assignment.machine.at()];
         machine.unreaped_exits.push(UnreapedExit {
             task: status.task.clone(),
             attempt: status.attempt,
@@ -48,7 +51,7 @@
 
     /// The chunk version with which a released assignment's end is written.
     fn record_of_exit(&self, assignment: &Assignment) -> ExitRecord {
-        match self.job(assignment.job) {
+        match self.cluster.job(assignment.job) {
             Some(job) => {
                 let chunk = job.chunk_of(assignment.task);
                 ExitRecord::WrittenWith { chunk, version: job.chunks[chunk].version }
@@ -62,18 +65,18 @@
         let (machine_index, job_index) = (assignment.machine, assignment.job);
         match reason {
             ExitReason::NoRoom | ExitReason::Busy => {
-                let machine = &mut self.machines[machine_index.at()];
+                let machine = &mut self.cluster.machines[machine_index.at()];
                 tracing::info!(task, machine = &*machine.id, why = ?reason, "start refused");
                 machine.avoid_until = now + REFUSED_START_PAUSE_MS;
-                self.refresh(now, machine_index);
+                self.cluster.refresh(now, machine_index);
             }
             ExitReason::Unknown => {
-                if let Some(job) = self.job_mut(job_index) {
+                if let Some(job) = self.cluster.job_mut(job_index) {
                     job.not_before = now + REFUSED_START_PAUSE_MS;
                 }
             }
             ExitReason::Stopped => {
-                if let Some(job) = self.job_mut(job_index) {
+                if let Some(job) = self.cluster.job_mut(job_index) {
                     job.stop_count += 1;
                 }
             }
@@ -89,8 +92,8 @@
             return;
         }
         let ran_s = (now - running_since) as f64 / 1000.0;
-        if let Some(job) = self.jobs.get(assignment.job.at()).and_then(Option::as_ref) {
-            self.run_times.observe(&job.spec, ran_s);
+        if let Some(job) = self.cluster.jobs.get(assignment.job.at()).and_then(Option::as_ref) {
+            self.cluster.run_times.observe(&job.spec, ran_s);
         }
     }
 }
--- a/src/coordination/leader/failures.rs
+++ b/src/coordination/workers/failures.rs
@@ -4,9 +4,11 @@
 //! machine fails whatever runs there. Neither can be told from one failure
 //! alone, so each machine is judged by how its jobs fare on other machines.
 
-use super::Leader;
 use crate::{
-    coordination::model::{Assignment, Job, JobFailures, MachineIndex, Millis, TaskFailure},
+    coordination::{
+        leader::Leader,
+        model::{Assignment, Job, JobFailures, MachineIndex, Millis, TaskFailure},
+    },
     storage::job_cache::JobIndex,
 };
 
@@ -30,11 +32,11 @@
 
 impl Leader {
     /// A task failed: its job tries again, elsewhere at first.
-    pub(super) fn task_failed(&mut self, now: Millis, assignment: &Assignment, task: &str) {
+    pub fn task_failed(&mut self, now: Millis, assignment: &Assignment, task: &str) {
         let (machine_index, job_index) = (assignment.machine, assignment.job);
-        tracing::info!(task, machine = &*self.machine(machine_index).id, "failed");
-        let last_attempt = self.last_attempt;
-        let Some(job) = self.job_mut(job_index) else { return };
+        tracing::info!(task, machine = &*self.cluster.machine(machine_index).id, "failed");
+        let last_attempt = self.cluster.last_attempt();
+        let Some(job) = self.cluster.job_mut(job_index) else { return };
         let ran_ms = assignment.running_since.map_or(0, |since| now.saturating_sub(since));
         job.failures.record(machine_index, ran_ms, assignment.attempt, last_attempt);
         job.not_before = now + retry_pause_ms(&job.failures);
@@ -43,11 +45,11 @@
         if !job.failures.job_is_at_fault() {
             self.pause_machine(now, machine_index, job_index);
         }
-        self.refresh(now, machine_index);
+        self.cluster.refresh(now, machine_index);
     }
 
     fn pause_machine(&mut self, now: Millis, machine_index: MachineIndex, job: JobIndex) {
-        let machine = &mut self.machines[machine_index.at()];
+        let machine = &mut self.cluster.machines[machine_index.at()];
         machine.recent_failures.retain(|failure| failure.job != job);
         machine.recent_failures.push(TaskFailure { job, at: now, job_is_sound: false });
         let doublings = machine.recent_failures.len() as u32 - 1;
@@ -56,14 +58,14 @@
     }
 
     /// Retires machines on which several jobs failed that run well elsewhere.
-    pub(super) fn judge_failures(&mut self, now: Millis) {
-        if now < self.next_judgement {
+    pub fn judge_failures(&mut self, now: Millis) {
+        if now < self.workers.next_judgement {
             return;
         }
-        self.next_judgement = now + JUDGE_INTERVAL_MS;
+        self.workers.next_judgement = now + JUDGE_INTERVAL_MS;
         self.clear_jobs_that_run_well(now);
-        for n in 0..self.machines.len() {
-            if !self.machines[n].recent_failures.is_empty() {
+        for n in 0..self.cluster.machines.len() {
+            if !self.cluster.machines[n].recent_failures.is_empty() {
                 self.judge_machine(now, n);
             }
         }
@@ -71,23 +73,23 @@
 
     /// Clears the jobs of which a task has run for longer than any that failed.
     fn clear_jobs_that_run_well(&mut self, now: Millis) {
-        let slack_ms = 2 * self.cfg.heartbeat_interval_ms;
+        let slack_ms = 2 * self.cluster.config.heartbeat_interval_ms;
         let outlasts = |job: &Job| {
             let limit_ms = job.failures.longest_run_ms + slack_ms;
-            let assignments = job.assignments().into_iter().filter_map(|index| self.assignment(index));
+            let assignments = job.assignments().into_iter().filter_map(|index| self.cluster.assignment(index));
             assignments.filter_map(|assignment| assignment.running_since).any(|since| now > since + limit_ms)
         };
-        let suspects = self.active_jobs().filter(|job| job.failures.are_unexplained());
+        let suspects = self.cluster.active_jobs().filter(|job| job.failures.are_unexplained());
         let sound: Vec<JobIndex> = suspects.filter(|job| outlasts(job)).map(|job| job.index).collect();
         for index in sound {
-            if let Some(job) = self.job_mut(index) {
+            if let Some(job) = self.cluster.job_mut(index) {
                 job.failures.job_is_sound = true;
             }
         }
     }
 
     fn judge_machine(&mut self, now: Millis, n: usize) {
-        let (jobs, machine) = (&self.jobs, &mut self.machines[n]);
+        let (jobs, machine) = (&self.cluster.jobs, &mut self.cluster.machines[n]);
         machine.recent_failures.retain(|failure| now < failure.at + FAILURE_MEMORY_MS);
         for failure in &mut machine.recent_failures {
             let job = jobs.get(failure.job.at()).and_then(Option::as_ref);
@@ -99,15 +101,6 @@
             tracing::warn!(machine = &*machine.id, "jobs failed here that run elsewhere: retired");
         }
     }
-
-    /// A job that failed somewhere has completed: its machines were at fault.
-    pub(super) fn blame_machines_of(&mut self, index: JobIndex) {
-        let Some(job) = self.job(index) else { return };
-        for machine in job.failures.machines.clone() {
-            let failures = &mut self.machines[machine.at()].recent_failures;
-            failures.iter_mut().filter(|failure| failure.job == index).for_each(|failure| failure.job_is_sound = true);
-        }
-    }
 }
 
 /// How long a job waits after one of its tasks failed.
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -4,10 +4,14 @@
     commands::CommandScope,
     halts_of_cancelled,
     task_statuses::{ListedTasks, TaskAttempt},
-    HeartbeatOutcome, Leader, TaskFate,
 };
 use crate::{
-    coordination::model::{AssignmentIndex, AssignmentState, MachineIndex, MachineLifecycle, Millis},
+    coordination::{
+        cluster::TaskFate,
+        effects::HeartbeatOutcome,
+        leader::Leader,
+        model::{AssignmentIndex, AssignmentState, MachineIndex, MachineLifecycle, Millis},
+    },
     protocol::{
         ids::{FencingToken, Incarnation},
         jobs::Kind,
@@ -23,7 +27,7 @@
 /// at half their nominal time too, so saving begins while it lasts.
 const SAVE_SHARE: f64 = 0.8;
 /// Grace given to a task beyond the time it needs to save.
-pub(in crate::coordination) const SAVE_MARGIN_S: f64 = 2.0;
+pub const SAVE_MARGIN_S: f64 = 2.0;
 
 impl Leader {
     /// A heartbeat that a worker sent by itself.
@@ -35,8 +39,8 @@
         tables: &mut Tables,
     ) -> HeartbeatOutcome {
         let zone = tables.zones.intern(&heartbeat.zone);
-        let index = self.machine_named(now, &heartbeat.machine, zone);
-        let machine = &mut self.machines[index.at()];
+        let index = self.cluster.machine_named(now, &heartbeat.machine, zone);
+        let machine = &mut self.cluster.machines[index.at()];
         if heartbeat.token > machine.token {
             return HeartbeatOutcome::Superseded;
         }
@@ -46,11 +50,11 @@
         if machine.lifecycle == MachineLifecycle::Gone || heartbeat.incarnation <= machine.expired_incarnation {
             return HeartbeatOutcome::Stale;
         }
-        self.last_heartbeat_from_any = now;
-        self.clock = now;
+        self.cluster.last_heartbeat_from_any = now;
+        self.cluster.last_event_at = now;
         machine.lease_renewed = now;
         let is_newer = (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence);
-        if !self.loaded || !is_newer {
+        if !self.cluster.loaded || !is_newer {
             // Answering keeps the worker's lease. Until the records are read,
             // what it says is left to its next heartbeat.
             let commands = halts_of_cancelled(heartbeat, job_cache);
@@ -60,7 +64,7 @@
         self.apply_heartbeat(now, index, heartbeat, job_cache, tables);
         let mut commands = halts_of_cancelled(heartbeat, job_cache);
         self.add_commands(now, index, &mut commands);
-        let machine = &mut self.machines[index.at()];
+        let machine = &mut self.cluster.machines[index.at()];
         machine.launch_in_answer = commands.iter().any(|order| matches!(order, WorkerCommand::Launch { .. }));
         if commands.iter().any(|order| matches!(order, WorkerCommand::Reap { .. })) {
             // Guard: once reaped, an attempt is unknown to the worker, and a
@@ -73,7 +77,7 @@
 
     /// Notes what a heartbeat shows of our earlier answers.
     fn note_acknowledgement(&mut self, now: Millis, index: MachineIndex, shown_token: FencingToken) {
-        let machine = &mut self.machines[index.at()];
+        let machine = &mut self.cluster.machines[index.at()];
         machine.last_heartbeat = Some(now);
         // The worker took or dropped our last answer before it sent this.
         machine.launch_in_answer = false;
@@ -83,7 +87,7 @@
         if shown_token >= machine.fence_token {
             machine.unacknowledged_heartbeats = 0;
         } else if machine.answered_since_fence
-            && now >= machine.last_unacknowledged_at + self.cfg.heartbeat_interval_ms / 2
+            && now >= machine.last_unacknowledged_at + self.cluster.config.heartbeat_interval_ms / 2
         {
             machine.unacknowledged_heartbeats += 1;
             machine.last_unacknowledged_at = now;
@@ -105,13 +109,13 @@
     /// The answer that was made for a heartbeat is not sent after all: that the
     /// worker never shows what was in it means nothing.
     pub fn response_not_sent(&mut self, machine: &str) {
-        if let Some(&index) = self.machine_index.get(machine) {
-            self.machines[index.at()].answered_since_fence = false;
+        if let Some(&index) = self.cluster.machine_index.get(machine) {
+            self.cluster.machines[index.at()].answered_since_fence = false;
         }
     }
 
     /// A newer report, from a worker itself or as the answer to a command.
-    pub(super) fn apply_heartbeat(
+    pub fn apply_heartbeat(
         &mut self,
         now: Millis,
         index: MachineIndex,
@@ -119,32 +123,32 @@
         job_cache: &JobCache,
         tables: &mut Tables,
     ) {
-        let machine = &self.machines[index.at()];
+        let machine = &self.cluster.machines[index.at()];
         if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence) {
             return;
         }
         self.update_machine(now, index, heartbeat, tables);
-        if heartbeat.incarnation > self.machines[index.at()].incarnation {
+        if heartbeat.incarnation > self.cluster.machines[index.at()].incarnation {
             self.begin_incarnation(now, index, heartbeat.incarnation);
         }
         let mut listed = ListedTasks::default();
         for task in &heartbeat.tasks {
             self.reconcile_task(now, index, task, job_cache, &mut listed);
         }
-        self.machines[index.at()]
+        self.cluster.machines[index.at()]
             .unreaped_exits
             .retain(|exit| listed.exits.contains(&TaskAttempt { task: exit.task.clone(), attempt: exit.attempt }));
         self.reconcile_missing_tasks(index, &listed.assignments);
-        if self.machines[index.at()].spot_notice_until.is_some() {
+        if self.cluster.machines[index.at()].spot_notice_until.is_some() {
             self.drain(now, index);
         }
-        self.refresh(now, index);
+        self.cluster.refresh(now, index);
     }
 
     /// Takes in what a heartbeat says of the machine itself.
     fn update_machine(&mut self, now: Millis, index: MachineIndex, heartbeat: &Heartbeat, tables: &mut Tables) {
         let machine_type = tables.types.intern(&heartbeat.machine_type);
-        let machine = &mut self.machines[index.at()];
+        let machine = &mut self.cluster.machines[index.at()];
         machine.addr = heartbeat.addr.parse().ok().or(machine.addr);
         machine.machine_type = Some(machine_type);
         machine.spot = heartbeat.spot;
@@ -155,7 +159,7 @@
         if machine.lifecycle == MachineLifecycle::Booting {
             machine.lifecycle = MachineLifecycle::Up;
             machine.up_at = Some(now);
-            self.cycle_needed = true;
+            self.cluster.cycle_needed = true;
             let boot_s = (now - machine.rented_at) / 1000;
             tracing::info!(
                 machine = &*machine.id,
@@ -168,13 +172,13 @@
         if let Some(notice_s) = heartbeat.notice_s.filter(|_| machine.spot_notice_until.is_none()) {
             tracing::info!(machine = &*machine.id, notice_s, "spot notice");
             machine.spot_notice_until = Some(now + (notice_s.clamp(0.0, NOTICE_MAX_S) * 1000.0) as Millis);
-            self.cycle_needed = true;
+            self.cluster.cycle_needed = true;
         }
     }
 
     /// A new incarnation: the worker killed and forgot all of the former one.
     fn begin_incarnation(&mut self, now: Millis, index: MachineIndex, incarnation: Incarnation) {
-        let machine = &mut self.machines[index.at()];
+        let machine = &mut self.cluster.machines[index.at()];
         let previous = machine.incarnation;
         machine.incarnation = incarnation;
         // Guard: the new incarnation has a lease of its own, from its beginning on,
@@ -183,13 +187,13 @@
         if previous != Incarnation::NONE {
             tracing::info!(machine = &*machine.id, %incarnation, "new session");
         }
-        self.free_machine(index, Some(incarnation));
-        self.cycle_needed = true;
+        self.cluster.free_machine(index, Some(incarnation));
+        self.cluster.cycle_needed = true;
     }
 
     /// Handles tasks that are assigned to the machine but aren't listed.
     fn reconcile_missing_tasks(&mut self, index: MachineIndex, listed: &[AssignmentIndex]) {
-        let machine = &self.machines[index.at()];
+        let machine = &self.cluster.machines[index.at()];
         // Guard: absence proves nothing while an earlier command may still
         // arrive; only a raised token that came back rules that out. An answer
         // to a heartbeat that carries launches is under way as well, until the
@@ -203,17 +207,19 @@
             .copied()
             .filter(|assignment_index| !listed.contains(assignment_index))
             .filter(|&assignment_index| {
-                self.assignment(assignment_index).is_some_and(|assignment| {
+                self.cluster.assignment(assignment_index).is_some_and(|assignment| {
                     assignment.incarnation == machine.incarnation && assignment.halt.is_some()
                 })
             })
             .collect();
         for assignment_index in gone {
-            self.release_assignment(assignment_index, TaskFate::Unfinished);
+            self.cluster.release_assignment(assignment_index, TaskFate::Unfinished);
         }
         // Those still wanted are launched again under the same attempt.
-        for &assignment_index in self.machines[index.at()].assignments.iter().filter(|other| !listed.contains(other)) {
-            let Some(assignment) = self.assignments.get_mut(assignment_index) else { continue };
+        for &assignment_index in
+            self.cluster.machines[index.at()].assignments.iter().filter(|other| !listed.contains(other))
+        {
+            let Some(assignment) = self.cluster.assignments.get_mut(assignment_index) else { continue };
             if matches!(assignment.state, AssignmentState::Seen(_)) {
                 assignment.state = AssignmentState::Wanted;
             }
@@ -223,11 +229,11 @@
     /// Empties a machine that will be taken away: tasks that can save are
     /// stopped in time to do so.
     fn drain(&mut self, now: Millis, index: MachineIndex) {
-        let Some(until) = self.machine(index).spot_notice_until else { return };
+        let Some(until) = self.cluster.machine(index).spot_notice_until else { return };
         let left_s = until.saturating_sub(now) as f64 / 1000.0;
-        for assignment_index in self.machine(index).assignments.clone() {
-            let Some(assignment) = self.assignment(assignment_index) else { continue };
-            let Some(job) = self.job(assignment.job) else { continue };
+        for assignment_index in self.cluster.machine(index).assignments.clone() {
+            let Some(assignment) = self.cluster.assignment(assignment_index) else { continue };
+            let Some(job) = self.cluster.job(assignment.job) else { continue };
             let save_s = job.spec.save_s;
             let can_save = job.spec.checkpoint_s > 0.0 && left_s > save_s * SAVE_SHARE;
             if !can_save || assignment.halt.is_some() {
@@ -236,9 +242,9 @@
             let grace_s = save_s + SAVE_MARGIN_S;
             if job.spec.kind == Kind::Gang {
                 let job_index = assignment.job;
-                self.stop_job(now, job_index, grace_s);
+                self.cluster.stop_job(now, job_index, grace_s);
             } else {
-                self.halt(now, assignment_index, grace_s);
+                self.cluster.halt(now, assignment_index, grace_s);
             }
         }
     }
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/workers/leases.rs
@@ -1,8 +1,10 @@
 //! What the end of a worker's lease proves.
 
-use super::Leader;
 use crate::{
-    coordination::model::{MachineIndex, Millis},
+    coordination::{
+        leader::Leader,
+        model::{MachineIndex, Millis},
+    },
     protocol::ids::Incarnation,
 };
 
@@ -13,8 +15,8 @@
 
 impl Leader {
     /// Releases what the end of a worker's lease proves gone.
-    pub(super) fn expire_lease(&mut self, now: Millis, index: MachineIndex) {
-        let machine = &self.machines[index.at()];
+    pub fn expire_lease(&mut self, now: Millis, index: MachineIndex) {
+        let machine = &self.cluster.machines[index.at()];
         if machine.assignments.is_empty() && machine.unreaped_exits.is_empty() {
             return;
         }
@@ -23,16 +25,19 @@
         // Another controller may have renewed the lease: then from the last
         // moment at which one could have, and only once all of them have vouched
         // for the time since. Otherwise a task could still run.
-        let lease_ms = (self.cfg.lease_ms + self.cfg.lease_ms / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MS) as i64;
-        let end = (machine.lease_renewed as i64).max(self.no_peer_renewals.from) + lease_ms;
-        if (now as i64) < end || self.no_peer_renewals.to < end {
+        let lease_ms = (self.cluster.config.lease_ms
+            + self.cluster.config.lease_ms / CLOCK_DRIFT_DIVISOR
+            + LEASE_MARGIN_MS) as i64;
+        let end = (machine.lease_renewed as i64).max(self.workers.no_peer_renewals.from) + lease_ms;
+        if (now as i64) < end || self.workers.no_peer_renewals.to < end {
             return;
         }
         tracing::warn!(machine = &*machine.id, tasks = machine.assignments.len(), "lease ran out");
-        let incarnations = machine.assignments.iter().filter_map(|&assignment_index| self.assignment(assignment_index));
+        let incarnations =
+            machine.assignments.iter().filter_map(|&assignment_index| self.cluster.assignment(assignment_index));
         let last_incarnation = incarnations.map(|assignment| assignment.incarnation).max().unwrap_or(Incarnation::NONE);
-        let machine = &mut self.machines[index.at()];
+        let machine = &mut self.cluster.machines[index.at()];
         machine.expired_incarnation = machine.expired_incarnation.max(machine.incarnation).max(last_incarnation);
-        self.free_machine(index, None);
+        self.cluster.free_machine(index, None);
     }
 }
--- a/src/coordination/leader/reach.rs
+++ b/src/coordination/workers/reach.rs
@@ -1,7 +1,9 @@
 //! Whether workers reach this controller.
 
-use super::Leader;
-use crate::coordination::model::{Machine, MachineLifecycle, Millis};
+use crate::coordination::{
+    leader::Leader,
+    model::{Machine, MachineLifecycle, Millis},
+};
 
 /// A leader that is reached by less than one in this many of the workers that
 /// ought to report is cut off from them.
@@ -14,18 +16,18 @@
     /// Guard: only news of a worker counts. Delayed copies of old heartbeats kept a
     /// leader that no worker reached in office, until their leases had run out.
     pub fn is_unreached(&self, now: Millis, for_ms: Millis) -> bool {
-        let window_ms = for_ms.max(self.cfg.heartbeat_interval_ms * 3 / 2);
+        let window_ms = for_ms.max(self.cluster.config.heartbeat_interval_ms * 3 / 2);
         let reaches = |machine: &&Machine| machine.last_heartbeat.is_some_and(|heard| now <= heard + window_ms);
         let ought_to_report = |machine: &&Machine| match machine.lifecycle {
             MachineLifecycle::Up => true,
             MachineLifecycle::Booting => machine.is_inherited_unheard(),
             MachineLifecycle::Returning | MachineLifecycle::Gone => false,
         };
-        let expected = self.machines.iter().filter(ought_to_report).count();
+        let expected = self.cluster.machines.iter().filter(ought_to_report).count();
         if expected == 0 {
-            return now > self.last_heartbeat_from_any + for_ms;
+            return now > self.cluster.last_heartbeat_from_any + for_ms;
         }
-        let reached = self.machines.iter().filter(ought_to_report).filter(reaches).count();
-        reached * REACHED_DIVISOR < expected && now > self.started + window_ms
+        let reached = self.cluster.machines.iter().filter(ought_to_report).filter(reaches).count();
+        reached * REACHED_DIVISOR < expected && now > self.cluster.started + window_ms
     }
 }
--- a/src/coordination/leader/task_statuses.rs
+++ b/src/coordination/workers/task_statuses.rs
@@ -2,10 +2,11 @@
 
 use std::collections::HashSet;
 
-use super::{Leader, NewAssignment};
 use crate::{
-    coordination::model::{
-        AssignmentIndex, AssignmentState, ExitRecord, Job, MachineIndex, Millis, Slot, UnreapedExit,
+    coordination::{
+        cluster::NewAssignment,
+        leader::Leader,
+        model::{AssignmentIndex, AssignmentState, ExitRecord, Job, MachineIndex, Millis, Slot, UnreapedExit},
     },
     protocol::{
         ids::Attempt,
@@ -19,7 +20,7 @@
 
 /// One attempt to run a task, by the name that workers know.
 #[derive(Debug, PartialEq, Eq, Hash)]
-pub(super) struct TaskAttempt {
+pub struct TaskAttempt {
     pub task: String,
     pub attempt: Attempt,
 }
@@ -32,7 +33,7 @@
 
 /// What a heartbeat listed.
 #[derive(Debug, Default)]
-pub(super) struct ListedTasks {
+pub struct ListedTasks {
     pub assignments: Vec<AssignmentIndex>,
     /// Tasks without an assignment: their unreaped exits stay.
     pub exits: HashSet<TaskAttempt>,
@@ -49,7 +50,7 @@
 
 impl Leader {
     /// Takes in what a machine's report says of one task.
-    pub(super) fn reconcile_task(
+    pub fn reconcile_task(
         &mut self,
         now: Millis,
         machine: MachineIndex,
@@ -59,7 +60,7 @@
     ) {
         let Some((id, number)) = split_task(&status.task) else { return };
         let Some(job) = job_cache.find(id) else { return };
-        let slot = self.job(job).and_then(|job| job.slots.get(number as usize).copied());
+        let slot = self.cluster.job(job).and_then(|job| job.slots.get(number as usize).copied());
         let task = ListedTask { status, machine, job, number, slot };
         if let Some(assignment_index) = self.assignment_of(&task) {
             self.reconcile_assigned_task(now, &task, assignment_index, listed);
@@ -73,10 +74,10 @@
     /// The assignment that this very attempt belongs to.
     fn assignment_of(&self, task: &ListedTask<'_>) -> Option<AssignmentIndex> {
         let Some(Slot::At(assignment_index)) = task.slot else { return None };
-        let assignment = self.assignment(assignment_index)?;
+        let assignment = self.cluster.assignment(assignment_index)?;
         let is_same = assignment.machine == task.machine
             && assignment.attempt == task.status.attempt
-            && assignment.incarnation == self.machine(task.machine).incarnation;
+            && assignment.incarnation == self.cluster.machine(task.machine).incarnation;
         is_same.then_some(assignment_index)
     }
 
@@ -90,6 +91,7 @@
         listed.assignments.push(assignment_index);
         self.apply_task_state(now, assignment_index, task.status);
         let is_still_assigned = self
+            .cluster
             .assignment(assignment_index)
             .is_some_and(|assignment| assignment.job == task.job && assignment.attempt == task.status.attempt);
         if !is_still_assigned {
@@ -105,14 +107,14 @@
         if self.has_unreaped_exit(task) {
             return;
         }
-        let is_settled = self.machine(task.machine).has_no_command_in_flight();
+        let is_settled = self.cluster.machine(task.machine).has_no_command_in_flight();
         let mut record = ExitRecord::WrittenWith { chunk: 0, version: 0 };
         if task.slot == Some(Slot::Pending) && task.status.why == Some(ExitReason::Done) {
-            if let Some(job) = self.job_mut(task.job) {
+            if let Some(job) = self.cluster.job_mut(task.job) {
                 record = complete_pending_task(job, task.number);
             }
-            self.changed_progress.insert(task.job);
-            self.cycle_needed = true;
+            self.cluster.changed_progress.insert(task.job);
+            self.cluster.cycle_needed = true;
         }
         if is_settled {
             self.add_unreaped_exit(task, record);
@@ -122,12 +124,12 @@
     /// The task runs where no record says so. If it is wanted, it is adopted;
     /// otherwise it has to go. Either way it is accounted for meanwhile.
     fn adopt(&mut self, now: Millis, task: &ListedTask<'_>, listed: &mut ListedTasks) -> bool {
-        let is_wanted =
-            task.slot == Some(Slot::Pending) && self.job(task.job).is_some_and(|job| job.status == JobStatus::Pending);
+        let is_wanted = task.slot == Some(Slot::Pending)
+            && self.cluster.job(task.job).is_some_and(|job| job.status == JobStatus::Pending);
         if !is_wanted {
             return false;
         }
-        let machine = self.machine(task.machine);
+        let machine = self.cluster.machine(task.machine);
         let new = NewAssignment {
             job: task.job,
             task: task.number,
@@ -136,8 +138,8 @@
             attempt: task.status.attempt,
             zone: machine.zone,
         };
-        if let Some(assignment_index) = self.add_assignment(now, new) {
-            tracing::warn!(task = &*task.status.task, machine = &*self.machine(task.machine).id, "adopted");
+        if let Some(assignment_index) = self.cluster.add_assignment(now, new) {
+            tracing::warn!(task = &*task.status.task, machine = &*self.cluster.machine(task.machine).id, "adopted");
             listed.assignments.push(assignment_index);
             self.apply_task_state(now, assignment_index, task.status);
         }
@@ -149,7 +151,7 @@
         tracing::warn!(
             task = &*task.status.task,
             attempt = %task.status.attempt,
-            machine = &*self.machine(task.machine).id,
+            machine = &*self.cluster.machine(task.machine).id,
             "stray task, stopping it"
         );
         if !self.has_unreaped_exit(task) {
@@ -159,12 +161,12 @@
     }
 
     fn has_unreaped_exit(&self, task: &ListedTask<'_>) -> bool {
-        let exits = &self.machine(task.machine).unreaped_exits;
+        let exits = &self.cluster.machine(task.machine).unreaped_exits;
         exits.iter().any(|exit| exit.task == task.status.task && exit.attempt == task.status.attempt)
     }
 
     fn add_unreaped_exit(&mut self, task: &ListedTask<'_>, record: ExitRecord) {
-        self.machines[task.machine.at()].unreaped_exits.push(UnreapedExit {
+        self.cluster.machines[task.machine.at()].unreaped_exits.push(UnreapedExit {
             task: task.status.task.clone(),
             attempt: task.status.attempt,
             job: task.job,
@@ -177,7 +179,7 @@
             self.apply_task_exit(now, index, status);
             return;
         }
-        let Some(assignment) = self.assignments.get_mut(index) else { return };
+        let Some(assignment) = self.cluster.assignments.get_mut(index) else { return };
         let previous = std::mem::replace(&mut assignment.state, AssignmentState::Seen(status.state));
         if previous == assignment.state {
             return;
@@ -189,7 +191,7 @@
         let was_running = previous == AssignmentState::Seen(TaskState::Running);
         let (job_index, machine) = (assignment.job, assignment.machine);
         let (made, inherited) = (assignment.made, assignment.inherited);
-        let Some(job) = self.jobs[job_index.at()].as_mut() else { return };
+        let Some(job) = self.cluster.jobs[job_index.at()].as_mut() else { return };
         match (was_running, is_running) {
             (false, true) => {
                 job.running += 1;
@@ -200,17 +202,17 @@
             (true, false) => job.running = job.running.saturating_sub(1),
             _ => {}
         }
-        self.changed_progress.insert(job_index);
-        if let Some(host) = self.snapshot.hosts.get_mut(machine.at()) {
-            let cache_gb = host.pool.map_or(0.0, |pool| self.snapshot.pools[pool].cache_gb);
+        self.cluster.changed_progress.insert(job_index);
+        if let Some(host) = self.cluster.snapshot.hosts.get_mut(machine.at()) {
+            let cache_gb = host.pool.map_or(0.0, |pool| self.cluster.snapshot.pools[pool].cache_gb);
             host.note_image(job.spec.image, job.spec.image_gb, cache_gb);
         }
     }
 
     fn apply_task_exit(&mut self, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
-        let Some(assignment) = self.assignments.get_mut(index) else { return };
+        let Some(assignment) = self.cluster.assignments.get_mut(index) else { return };
         if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
-            if let Some(job) = self.jobs[assignment.job.at()].as_mut() {
+            if let Some(job) = self.cluster.jobs[assignment.job.at()].as_mut() {
                 job.running = job.running.saturating_sub(1);
             }
         }
--- a/tests/pipelines/starts.rs
+++ b/tests/pipelines/starts.rs
@@ -105,5 +105,5 @@
     sim.submit(gpus(submission("j-3", "batch", 1)), 2_000);
     sim.run_until("done", 30_000, is_done("j-3"));
     let l = sim.leader.as_ref().unwrap();
-    assert_eq!(l.active_jobs().count(), 1, "only what runs is looked at");
+    assert_eq!(l.cluster().active_jobs().count(), 1, "only what runs is looked at");
 }
--- a/tests/pipelines/urgency.rs
+++ b/tests/pipelines/urgency.rs
@@ -24,7 +24,7 @@
     assert!(rec.at_ms > 40_000 && rec.at_ms < sim.now, "{}", rec.at_ms);
     for _ in 0..2 {
         let l = sim.leader.as_ref().unwrap();
-        let job = l.active_jobs().find(|j| &*j.id == "j-2").unwrap();
+        let job = l.cluster().active_jobs().find(|j| &*j.id == "j-2").unwrap();
         assert_eq!(job.since, rec.at_ms as i64);
         sim.elect();
     }
@@ -40,12 +40,12 @@
     sim.submit(Submission { priority: Some("high".into()), ..after("j-2", "batch", 1, &["j-1"]) }, 1_000);
     sim.run(500);
     let l = sim.leader.as_ref().unwrap();
-    let job = l.active_jobs().find(|j| &*j.id == "j-1").unwrap();
+    let job = l.cluster().active_jobs().find(|j| &*j.id == "j-1").unwrap();
     assert_eq!(job.spec.priority, Priority::High);
     sim.run_until("done", 90_000, is_done("j-2"));
     // What was counted under one priority was taken back under the same.
     let l = sim.leader.as_ref().unwrap();
-    for h in &l.snapshot.hosts {
+    for h in &l.cluster().snapshot().hosts {
         assert!(h.low.iter().all(|r| !r.any()) && !h.soon.any(), "left over on a machine");
     }
     sim.check("raised");
--- a/tests/safety_rules/scale.rs
+++ b/tests/safety_rules/scale.rs
@@ -22,7 +22,7 @@
     (sim.chunk, sim.run_ms_step) = (64, 700);
     sim.elect();
     sim.run(8_000);
-    let looked = |sim: &Simulation| sim.leader.as_ref().unwrap().snapshot.looked;
+    let looked = |sim: &Simulation| sim.leader.as_ref().unwrap().cluster().snapshot().looked;
     let written = |sim: &Simulation| sim.writes.as_ref().unwrap().written;
     assert_eq!((looked(&sim), written(&sim)), (0, 0), "nobody asked for anything");
 
@@ -117,7 +117,7 @@
     sim.run(LEASE * 2);
     unharmed(&sim, "a zone was cut off");
 
-    let looked = |sim: &Simulation| sim.leader.as_ref().unwrap().snapshot.looked;
+    let looked = |sim: &Simulation| sim.leader.as_ref().unwrap().cluster().snapshot().looked;
     let before = looked(&sim);
     for n in 0..200 {
         sim.submit(submission(&format!("j-{}", 1_000 + n), "batch", 20), 5_000);
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -100,7 +100,7 @@
     }
 
     pub(super) fn rent(&mut self, req: &RentRequest) -> Option<Vec<String>> {
-        let term = self.leader.as_ref().map_or_else(Term::default, |l| l.term);
+        let term = self.leader.as_ref().map_or_else(Term::default, |l| l.term());
         self.rental_requests.push(RentalRequest { at: self.now, term, name: req.request.clone(), spot: req.spot });
         if let Some(same) = self.rentals.get(&req.request) {
             return Some(same.clone());
