--- a/tests/simulation/controller.rs
+++ b/tests/simulation/controller.rs
@@ -5,10 +5,12 @@
 use rand::RngExt;
 use shedhook::{
     coordination::{
-        autoscaler::RentOutcome,
-        leader::{CommitOutcome, Config, DirectCallOutcome, Effect, Leader},
+        cluster::Config,
+        effects::{CommitOutcome, DirectCallOutcome, Effect},
+        leader::Leader,
         lease_renewal::TimeSpan,
         model::{TeamLimits, Term},
+        RentOutcome,
     },
     protocol::store::Op,
     storage::{
@@ -76,18 +78,19 @@
             l.job_update(now, now, index, &self.job_cache);
         }
         // Once heard again, those behind the cut say when they last kept a lease.
-        l.no_peer_renewals =
+        let mut no_peer_renewals =
             TimeSpan { from: self.last_peer_renewal as i64, to: self.peers_silent_since.unwrap_or(now) as i64 };
         if let Some(since) = self.peers_silent_since {
-            l.no_peer_renewals.from = l.no_peer_renewals.from.min(since as i64);
+            no_peer_renewals.from = no_peer_renewals.from.min(since as i64);
         }
-        l.may_reshard = self.may_reshard;
+        l.set_no_peer_renewals(no_peer_renewals);
+        l.set_may_reshard(self.may_reshard);
         l.sweep(now);
         self.cloud |= self.capacity > 0;
         if self.cloud {
             l.autoscale(now, &self.tables);
         }
-        l.pass(now);
+        l.run_scheduling_cycle(now);
         self.commit();
         let Some(l) = &mut self.leader else { return };
         l.dispatch_commands(now);
@@ -97,7 +100,7 @@
     }
 
     pub(super) fn read_changes(&mut self) {
-        let (now, term) = (self.now, self.leader.as_ref().map_or_else(Term::default, |l| l.term));
+        let (now, term) = (self.now, self.leader.as_ref().map_or_else(Term::default, |l| l.term()));
         if self.refuse_leader || self.changes_unread {
             return;
         }
@@ -222,12 +225,12 @@
         let now = self.now;
         match e {
             Effect::Do { machine, call, req, .. } => {
-                let id = self.leader.as_ref().map(|l| l.machine(machine).id.clone()).unwrap_or_default();
+                let id = self.leader.as_ref().map(|l| l.cluster().machine(machine).id.clone()).unwrap_or_default();
                 let Some(n) = self.workers.iter().position(|w| w.id == id) else { return };
                 self.check_orders(&id, &req.commands);
                 let reached = self.workers[n].is_reached();
                 if reached && self.chance(self.faults.slow_command) {
-                    let term = self.leader.as_ref().map_or_else(Term::default, |l| l.term);
+                    let term = self.leader.as_ref().map_or_else(Term::default, |l| l.term());
                     let at = now + self.rng.random_range(300..1_900);
                     self.delayed.push((at, Held::SlowDo { worker: n, req, machine, call, term }));
                     return;
@@ -250,7 +253,7 @@
                     }
                     let out = self.execute_command(n, &req);
                     if self.chance(self.faults.slow_command_answer) {
-                        let term = self.leader.as_ref().map_or_else(Term::default, |l| l.term);
+                        let term = self.leader.as_ref().map_or_else(Term::default, |l| l.term());
                         let at = now + self.rng.random_range(300..1_900);
                         self.delayed.push((at, Held::DoAnswer { out, machine, call, term }));
                         return;
@@ -285,7 +288,7 @@
                 }
             }
             Effect::Probe { machine, .. } => {
-                let id = self.leader.as_ref().map(|l| l.machine(machine).id.clone()).unwrap_or_default();
+                let id = self.leader.as_ref().map(|l| l.cluster().machine(machine).id.clone()).unwrap_or_default();
                 let w = self.workers.iter_mut().find(|w| w.id == id && w.is_reached());
                 let heartbeat = w.map(Worker::heartbeat);
                 if let Some(l) = &mut self.leader {
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -4,7 +4,7 @@
 use rand::RngExt;
 use shedhook::{
     coordination::{
-        leader::{CommitOutcome, DirectCallOutcome},
+        effects::{CommitOutcome, DirectCallOutcome},
         model::{CallId, MachineIndex, Millis, Term},
     },
     protocol::{
@@ -103,7 +103,7 @@
                 }
                 Held::SlowDo { worker, req, machine, call, term } => {
                     let out = self.execute_command(worker, &req);
-                    if let Some(l) = self.leader.as_mut().filter(|l| l.term == term) {
+                    if let Some(l) = self.leader.as_mut().filter(|l| l.term() == term) {
                         l.direct_call_result(now, machine, call, out, &self.job_cache, &mut self.tables);
                     }
                 }
@@ -125,12 +125,12 @@
                     self.delayed.push((at, Held::TxnAnswer { outcome, term }));
                 }
                 Held::TxnAnswer { outcome, term } => {
-                    if self.leader.as_mut().is_some_and(|l| l.term == term && !l.committed(now, outcome)) {
+                    if self.leader.as_mut().is_some_and(|l| l.term() == term && !l.committed(now, outcome)) {
                         self.leader = None;
                     }
                 }
                 Held::DoAnswer { out, machine, call, term } => {
-                    if let Some(l) = self.leader.as_mut().filter(|l| l.term == term) {
+                    if let Some(l) = self.leader.as_mut().filter(|l| l.term() == term) {
                         l.direct_call_result(now, machine, call, out, &self.job_cache, &mut self.tables);
                     }
                 }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -4,7 +4,7 @@
 use rand::RngExt;
 use shedhook::{
     coordination::{
-        leader::{DirectCallOutcome, HeartbeatOutcome},
+        effects::{DirectCallOutcome, HeartbeatOutcome},
         model::Millis,
     },
     protocol::{
