--- a/src/coordination/autoscaler/consolidation.rs
+++ b/src/coordination/autoscaler/consolidation.rs
@@ -40,7 +40,7 @@
         if is_crowded || now < self.cluster.started + START_DELAY_FACTOR * UNCROWDED_MS {
             return;
         }
-        if self.cluster.machines.iter().any(|machine| machine.cordoned && !machine.assignments.is_empty()) {
+        if self.cluster.machines.iter().any(|machine| machine.cordoned && !machine.load.assignments.is_empty()) {
             return;
         }
         let candidates = self.consolidation_candidates(now);
@@ -70,9 +70,13 @@
             .collect();
         for index in drained {
             let machine = &mut self.cluster.machines[index.at()];
-            tracing::info!(machine = &*machine.id, tasks = machine.assignments.len(), "drained of unguaranteed work");
+            tracing::info!(
+                machine = &*machine.id,
+                tasks = machine.load.assignments.len(),
+                "drained of unguaranteed work"
+            );
             machine.cordoned = true;
-            for assignment_index in machine.assignments.clone() {
+            for assignment_index in machine.load.assignments.clone() {
                 let save_s = self.save_time_s(assignment_index);
                 self.cluster.halt(now, assignment_index, save_s);
             }
@@ -85,10 +89,10 @@
         let machine = self.cluster.machine(index);
         let takes_gpu_work_only = self.cluster.snapshot.hosts.get(index.at()).is_some_and(|host| host.gpu_only);
         let may_be_drained = machine.lifecycle == MachineLifecycle::Up && !machine.cordoned && machine.fenced();
-        if !takes_gpu_work_only || !may_be_drained || machine.assignments.is_empty() {
+        if !takes_gpu_work_only || !may_be_drained || machine.load.assignments.is_empty() {
             return false;
         }
-        let jobs = machine.assignments.iter().map(|&assignment_index| {
+        let jobs = machine.load.assignments.iter().map(|&assignment_index| {
             let assignment = self.cluster.assignment(assignment_index)?;
             self.cluster.job(assignment.job)
         });
@@ -110,15 +114,16 @@
         for (n, machine) in self.cluster.machines.iter().enumerate() {
             if machine.lifecycle != MachineLifecycle::Up
                 || machine.cordoned
-                || machine.assignments.is_empty()
+                || machine.load.assignments.is_empty()
                 || !machine.fenced()
                 || !self.is_settled(now, machine.up_at)
             {
                 continue;
             }
-            let all_movable = machine.assignments.iter().all(|&index| self.is_movable_replica(now, index));
+            let all_movable = machine.load.assignments.iter().all(|&index| self.is_movable_replica(now, index));
             let price = self.cluster.type_of(machine).map_or(0.0, |machine_type| machine_type.price_of(machine.spot));
             let fair_price: f64 = machine
+                .load
                 .assignments
                 .iter()
                 .filter_map(|&index| self.cluster.assignment(index))
@@ -149,7 +154,7 @@
     /// Whether everything on a machine finds room on machines that hold
     /// something; what is found stays reserved.
     fn find_room_for_all(&mut self, machine: MachineIndex) -> bool {
-        let assignments = self.cluster.machine(machine).assignments.clone();
+        let assignments = self.cluster.machine(machine).load.assignments.clone();
         assignments.into_iter().all(|assignment| self.find_room_elsewhere(machine, assignment))
     }
 
@@ -158,11 +163,11 @@
         tracing::info!(
             machine = &*machine.id,
             price = candidate.price,
-            replicas = machine.assignments.len(),
+            replicas = machine.load.assignments.len(),
             "its replicas move, it goes back"
         );
         machine.cordoned = true;
-        for assignment in machine.assignments.clone() {
+        for assignment in machine.load.assignments.clone() {
             self.cluster.halt(now, assignment, 0.0);
         }
         self.cluster.refresh(now, candidate.machine);
@@ -177,7 +182,7 @@
         let spec = job.spec.clone();
         let task = assignment.task;
         // Its other replicas keep their zones.
-        let mut zone_used = job.zone_used.clone();
+        let mut zone_used = job.tasks.zone_used.clone();
         if let Some(used) = zone_used.get_mut(assignment.zone.at()) {
             *used -= 1;
         }
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -162,7 +162,7 @@
         let mut crowded_types: Vec<MachineTypeIndex> = Vec::new();
         for unmet in &self.cluster.backlog.unmet {
             let Some(job) = self.cluster.job(unmet.job) else { continue };
-            if job.placed > 0 && self.cluster.is_best_effort(job.spec.team) {
+            if job.tasks.placed > 0 && self.cluster.is_best_effort(job.spec.team) {
                 continue;
             }
             let need = Resources::of(&job.spec);
--- a/src/coordination/autoscaler/pending_capacity.rs
+++ b/src/coordination/autoscaler/pending_capacity.rs
@@ -83,7 +83,7 @@
     pub fn pending_capacity(&self, now: Millis) -> PendingCapacity {
         let mut pending_capacity = PendingCapacity::default();
         for machine in &self.cluster.machines {
-            if machine.lifecycle != MachineLifecycle::Booting || !machine.assignments.is_empty() {
+            if machine.lifecycle != MachineLifecycle::Booting || !machine.load.assignments.is_empty() {
                 continue;
             }
             let Some(machine_type) = self.cluster.type_of(machine) else { continue };
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -133,7 +133,7 @@
                 tracing::info!(
                     machine = &*machine.id,
                     why = reason.as_str(),
-                    tasks = machine.assignments.len(),
+                    tasks = machine.load.assignments.len(),
                     "handing back"
                 );
             }
@@ -185,7 +185,7 @@
             MachineLifecycle::Up if machine.is_unreachable() && cloud_answers && answers.others_take_them() => {
                 Some(ReturnReason::Unreachable)
             }
-            MachineLifecycle::Up if !machine.assignments.is_empty() => None,
+            MachineLifecycle::Up if !machine.load.assignments.is_empty() => None,
             MachineLifecycle::Up if machine.cordoned => Some(ReturnReason::Cordoned),
             MachineLifecycle::Up => self.is_idle_long(now, machine).then_some(ReturnReason::Idle),
         }
@@ -194,7 +194,7 @@
     /// Whether a machine's report is so late that it may be dead.
     fn is_silent(&self, now: Millis, machine: &Machine) -> bool {
         let is_overdue = now > self.heard_or_start(machine) + self.cluster.config.silent_ms
-            || machine.failed_probes >= SILENT_PROBES;
+            || machine.heartbeats.failed_probes >= SILENT_PROBES;
         let expects_reports = match machine.lifecycle {
             MachineLifecycle::Gone => false,
             MachineLifecycle::Booting => machine.is_inherited_unheard(),
@@ -206,7 +206,7 @@
     /// When a machine was last heard; one that this leader never heard could
     /// have reported within an interval of its beginning.
     fn heard_or_start(&self, machine: &Machine) -> Millis {
-        machine.last_contact.unwrap_or(self.cluster.started + self.cluster.config.heartbeat_interval_ms)
+        machine.heartbeats.last_contact.unwrap_or(self.cluster.started + self.cluster.config.heartbeat_interval_ms)
     }
 
     /// When machines were last heard; empty if none is silent.
@@ -217,7 +217,7 @@
         }
         for machine in self.cluster.machines.iter().filter(|machine| expected_to_report(machine)) {
             for zone in [None, Some(machine.zone)] {
-                heard_by_zone.0.entry(zone).or_default().0.push(machine.last_contact.unwrap_or(0));
+                heard_by_zone.0.entry(zone).or_default().0.push(machine.heartbeats.last_contact.unwrap_or(0));
             }
         }
         for times in heard_by_zone.0.values_mut() {
@@ -263,7 +263,7 @@
     }
 
     fn heard_lately(&self, now: Millis, machine: &Machine) -> bool {
-        machine.last_contact.is_some_and(|heard| now < heard + 2 * self.cluster.config.heartbeat_interval_ms)
+        machine.heartbeats.last_contact.is_some_and(|heard| now < heard + 2 * self.cluster.config.heartbeat_interval_ms)
     }
 
     /// Guard: when a partition ends, or a leader is new, machines come back one
@@ -282,7 +282,7 @@
             |machine: &&Machine| machine.lifecycle == MachineLifecycle::Up && self.heard_lately(now, machine);
         for machine in self.cluster.machines.iter().filter(is_heard) {
             uptake.heard += 1;
-            uptake.taking += usize::from(machine.unacknowledged_heartbeats == 0);
+            uptake.taking += usize::from(machine.fence.unacknowledged_heartbeats == 0);
         }
         uptake
     }
@@ -302,7 +302,7 @@
     }
 
     fn is_idle_long(&self, now: Millis, machine: &Machine) -> bool {
-        machine.idle_since.is_some_and(|since| now > since + self.keep_ms(now, machine))
+        machine.load.idle_since.is_some_and(|since| now > since + self.keep_ms(now, machine))
     }
 
     /// How long an idle machine is kept: longer if it takes long to get again.
@@ -331,7 +331,7 @@
                 self.cluster.free_machine(index, None);
                 let machine = &mut self.cluster.machines[index.at()];
                 machine.lifecycle = MachineLifecycle::Gone;
-                machine.direct_call = None;
+                machine.commands.direct_call = None;
                 self.cluster.refresh(now, index);
             } else {
                 self.cluster.machines[index.at()].return_after = now + RETURN_FAILED_PAUSE_MS;
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -144,9 +144,9 @@
 
     fn plan_for_job(&self, now: Millis, unmet: UnmetDemand, plan: &mut RentalPlan) {
         let Some(job) = self.cluster.job(unmet.job) else { return };
-        let (spec, zone_used) = (&*job.spec, &*job.zone_used);
+        let (spec, zone_used) = (&*job.spec, &*job.tasks.zone_used);
         let need = Resources::of(spec);
-        let guarantee = match (self.cluster.is_best_effort(spec.team), job.placed > 0) {
+        let guarantee = match (self.cluster.is_best_effort(spec.team), job.tasks.placed > 0) {
             (false, _) => Guarantee::Some,
             (true, false) => Guarantee::NoneNotBegun,
             (true, true) => Guarantee::NoneBegun,
--- a/src/coordination/cluster/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -47,27 +47,27 @@
         let job = self.jobs.get_mut(new.job.at()).and_then(Option::as_mut)?;
         // Guard: its chunks are being resharded on the assumption that no task
         // is assigned meanwhile.
-        if job.resharding {
+        if job.records.resharding {
             return None;
         }
-        if job.slots.get(new.task as usize) != Some(&Slot::Pending) {
+        if job.tasks.slots.get(new.task as usize) != Some(&Slot::Pending) {
             return None;
         }
         let chunk_version = job.touch(new.task);
         let chunk = job.chunk_of(new.task);
-        job.chunks[chunk].placement_version = chunk_version;
-        job.placed += 1;
-        job.ever_assigned = true;
+        job.records.chunks[chunk].placement_version = chunk_version;
+        job.tasks.placed += 1;
+        job.wait.ever_assigned = true;
         count_in_zone(job, new.zone);
         if let Some(used) = self.team_used.get_mut(job.spec.team.at()) {
             *used += Resources::of(&job.spec);
         }
         self.snapshot.take(new.machine.at(), &job.spec);
-        job.last_assigned = now;
-        if job.pending.last() == Some(&new.task) {
-            job.pending.pop();
+        job.statistics.last_assigned = now;
+        if job.tasks.pending.last() == Some(&new.task) {
+            job.tasks.pending.pop();
         } else {
-            job.pending.retain(|&task| task != new.task);
+            job.tasks.pending.retain(|&task| task != new.task);
         }
         let index = self.assignments.insert(Assignment {
             job: new.job,
@@ -84,14 +84,14 @@
             made: now,
             inherited: false,
         });
-        job.slots[new.task as usize] = Slot::At(index);
+        job.tasks.slots[new.task as usize] = Slot::At(index);
         let uses_gpus = job.spec.gpus > 0.0;
         let machine = &mut self.machines[new.machine.at()];
-        machine.assignments.push(index);
-        machine.idle_since = None;
+        machine.load.assignments.push(index);
+        machine.load.idle_since = None;
         if uses_gpus {
-            machine.gpu_assignments += 1;
-            machine.gpu_idle_since = None;
+            machine.load.gpu_assignments += 1;
+            machine.load.gpu_idle_since = None;
         }
         Some(index)
     }
@@ -99,7 +99,7 @@
     /// The task is provably not on its machine (any more).
     pub fn release_assignment(&mut self, index: AssignmentIndex, fate: TaskFate) -> Option<Assignment> {
         let assignment = self.assignments.remove(index)?;
-        self.machines[assignment.machine.at()].assignments.retain(|&other| other != index);
+        self.machines[assignment.machine.at()].load.assignments.retain(|&other| other != index);
         self.cycle_needed = true;
         if self.job(assignment.job).is_some() {
             self.release_from_job(&assignment, fate);
@@ -117,11 +117,11 @@
         let task = assignment.task;
         let machine = assignment.machine.at();
         job.touch(task);
-        job.placed -= 1;
+        job.tasks.placed -= 1;
         let ran_long_enough =
             assignment.running_since.is_some_and(|since| self.last_event_at >= since + START_COUNTS_MS);
-        job.has_counted_start |= fate == TaskFate::Done || ran_long_enough;
-        if let Some(used) = job.zone_used.get_mut(assignment.zone.at()) {
+        job.wait.has_counted_start |= fate == TaskFate::Done || ran_long_enough;
+        if let Some(used) = job.tasks.zone_used.get_mut(assignment.zone.at()) {
             *used -= 1;
         }
         if let Some(used) = self.team_used.get_mut(job.spec.team.at()) {
@@ -129,22 +129,22 @@
         }
         self.snapshot.give(machine, &job.spec, assignment.halt.is_some());
         if job.spec.gpus > 0.0 {
-            self.machines[machine].gpu_assignments -= 1;
+            self.machines[machine].load.gpu_assignments -= 1;
         }
         if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
-            job.running = job.running.saturating_sub(1);
+            job.tasks.running = job.tasks.running.saturating_sub(1);
         }
         match fate {
             TaskFate::Done => {
-                job.slots[task as usize] = Slot::Done;
-                job.done += 1;
+                job.tasks.slots[task as usize] = Slot::Done;
+                job.tasks.done += 1;
                 job.failures.job_is_sound = true;
             }
             TaskFate::Unfinished => {
-                job.slots[task as usize] = Slot::Pending;
+                job.tasks.slots[task as usize] = Slot::Pending;
                 // Keep the lowest number next, so that replacements come first.
-                let position = job.pending.partition_point(|&pending| pending > task);
-                job.pending.insert(position, task);
+                let position = job.tasks.pending.partition_point(|&pending| pending > task);
+                job.tasks.pending.insert(position, task);
             }
         }
     }
@@ -153,7 +153,7 @@
     /// it starts again once all of them are gone.
     fn stop_rest_of_gang(&mut self, released: &Assignment) {
         let Some(job) = self.job(released.job) else { return };
-        if job.spec.kind != Kind::Gang || job.placed == 0 || job.status != JobStatus::Pending {
+        if job.spec.kind != Kind::Gang || job.tasks.placed == 0 || job.status != JobStatus::Pending {
             return;
         }
         for assignment_index in job.assignments() {
@@ -164,30 +164,31 @@
     /// Everything on a machine is provably gone; with `before_incarnation`, only
     /// what was assigned in an earlier incarnation.
     pub fn free_machine(&mut self, index: MachineIndex, before_incarnation: Option<Incarnation>) {
-        for assignment_index in self.machines[index.at()].assignments.clone() {
+        for assignment_index in self.machines[index.at()].load.assignments.clone() {
             let Some(assignment) = self.assignments.get(assignment_index) else { continue };
             if before_incarnation.is_some_and(|incarnation| assignment.incarnation >= incarnation) {
                 continue;
             }
             let job_index = assignment.job;
             if let Some(job) = self.job_mut(job_index) {
-                job.lost_count += 1;
+                job.statistics.lost_count += 1;
             }
             self.release_assignment(assignment_index, TaskFate::Unfinished);
         }
-        self.machines[index.at()].unreaped_exits.clear();
+        self.machines[index.at()].commands.unreaped_exits.clear();
     }
 
     /// Whether a command with the assignment's launch is unanswered.
     pub fn in_flight_launch(&self, assignment: &Assignment) -> bool {
-        let call = &self.machines[assignment.machine.at()].direct_call;
+        let call = &self.machines[assignment.machine.at()].commands.direct_call;
         call.as_ref().is_some_and(|call| call.launches.contains(&assignment.launch_id()))
     }
 
     /// Whether the assignment's record is written.
     pub fn written(&self, assignment: &Assignment) -> bool {
-        self.job(assignment.job)
-            .is_some_and(|job| job.chunks[job.chunk_of(assignment.task)].committed_version >= assignment.chunk_version)
+        self.job(assignment.job).is_some_and(|job| {
+            job.records.chunks[job.chunk_of(assignment.task)].committed_version >= assignment.chunk_version
+        })
     }
 
     /// Guard: a launch is sent only after its record is written, a gang's only
@@ -206,8 +207,8 @@
     if !(job.spec.one_zone || job.spec.spread) {
         return;
     }
-    if job.zone_used.len() <= zone.at() {
-        job.zone_used.resize(zone.at() + 1, 0);
+    if job.tasks.zone_used.len() <= zone.at() {
+        job.tasks.zone_used.resize(zone.at() + 1, 0);
     }
-    job.zone_used[zone.at()] += 1;
+    job.tasks.zone_used[zone.at()] += 1;
 }
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -5,7 +5,8 @@
 use super::{records::ObsoleteRecord, ClusterState, TaskFate};
 use crate::{
     coordination::model::{
-        AssignmentIndex, Chunk, ExitRecord, Halt, Job, JobFailures, JobProgress, Millis, Slot, UnreapedExit,
+        AssignmentIndex, Chunk, ExitRecord, Halt, Job, JobFailures, JobProgress, JobRecords, JobStatistics, Millis,
+        Slot, TaskTable, UnreapedExit, WaitState,
     },
     protocol::{jobs::JobSpec, peers::Count},
     storage::{
@@ -36,17 +37,17 @@
                 self.add_job(now, wall_ms, index, spec, job_cache);
             }
             (Some(job), JobStatus::Pending) => {
-                job.revision = entry.revision;
-                job.stale = false;
-                job.recorded_chunk_size = entry.chunk;
+                job.records.revision = entry.revision;
+                job.records.stale = false;
+                job.records.recorded_chunk_size = entry.chunk;
                 self.adopt_recorded_sharding(index);
                 if let Some(spec) = job_cache.effective_spec(index) {
                     self.change_spec(index, spec);
                 }
             }
             (Some(job), JobStatus::Cancelled) => {
-                job.revision = entry.revision;
-                job.stale = false;
+                job.records.revision = entry.revision;
+                job.records.stale = false;
                 if job.status != JobStatus::Cancelled {
                     job.status = JobStatus::Cancelled;
                     tracing::info!(job = &*job.id, "cancelled by its user");
@@ -102,33 +103,37 @@
             index,
             id: entry.id.clone(),
             spec,
-            revision: entry.revision,
+            records: JobRecords {
+                revision: entry.revision,
+                stale: false,
+                chunk_size: entry.chunk,
+                chunks: vec![Chunk::default(); tasks.div_ceil(entry.chunk) as usize],
+                recorded_chunk_size: entry.chunk,
+                resharding: false,
+                oversized_record: entry.record.clone().filter(|_| is_oversized),
+                unwritten_since: None,
+            },
             status: entry.status,
-            since: now as i64 - age_ms,
-            chunk_size: entry.chunk,
-            slots: vec![Slot::Pending; tasks as usize],
-            chunks: vec![Chunk::default(); tasks.div_ceil(entry.chunk) as usize],
-            pending: (0..tasks).rev().collect(),
-            done: 0,
-            placed: 0,
-            running: 0,
-            not_before: 0,
-            stale: false,
-            oversized_record: entry.record.clone().filter(|_| is_oversized),
-            resharding: false,
-            recorded_chunk_size: entry.chunk,
-            unwritten_since: None,
-            ever_assigned: false,
-            has_counted_start: false,
+            wait: WaitState {
+                since: now as i64 - age_ms,
+                waiting_since: now,
+                not_before: 0,
+                next_preemption: 0,
+                has_counted_start: false,
+                ever_assigned: false,
+            },
+            tasks: TaskTable {
+                slots: vec![Slot::Pending; tasks as usize],
+                pending: (0..tasks).rev().collect(),
+                done: 0,
+                placed: 0,
+                running: 0,
+                zone_used: Vec::new(),
+            },
             failures: JobFailures::default(),
             published: JobProgress::default(),
-            next_preemption: 0,
-            zone_used: Vec::new(),
             within_guarantee: false,
-            stop_count: 0,
-            lost_count: 0,
-            last_assigned: now,
-            waiting_since: now,
+            statistics: JobStatistics { stop_count: 0, lost_count: 0, last_assigned: now },
         });
         self.active.push(index);
     }
@@ -170,7 +175,7 @@
     /// Forgets a job that is over and has no assignments; its records are dropped.
     pub(in crate::coordination) fn remove_if_finished(&mut self, index: JobIndex) {
         let Some(job) = self.job(index) else { return };
-        if job.status != JobStatus::Pending && job.placed == 0 && !self.records.is_in_flight(index) {
+        if job.status != JobStatus::Pending && job.tasks.placed == 0 && !self.records.is_in_flight(index) {
             self.forget(index);
         }
     }
@@ -195,7 +200,7 @@
     fn forget(&mut self, index: JobIndex) {
         let Some(job) = self.jobs[index.at()].take() else { return };
         self.active.retain(|&active| active != index);
-        for (chunk_number, chunk) in job.chunks.iter().enumerate() {
+        for (chunk_number, chunk) in job.records.chunks.iter().enumerate() {
             if !chunk.revision.is_absent() {
                 let key = records::chunk_key(&job.id, chunk_number as u32);
                 self.records.delete_later(ObsoleteRecord { key, revision: chunk.revision });
@@ -208,7 +213,7 @@
         let Some(job) = self.job(exit.job) else { return true };
         match exit.record {
             ExitRecord::WrittenWith { chunk, version } => {
-                job.chunks.get(chunk).is_none_or(|chunk| chunk.committed_version >= version)
+                job.records.chunks.get(chunk).is_none_or(|chunk| chunk.committed_version >= version)
             }
             ExitRecord::Stray => false,
         }
@@ -231,7 +236,7 @@
         for index in changed {
             self.changed_progress.remove(&index);
             let Some(job) = self.job_mut(index) else { continue };
-            let progress = JobProgress { done: job.done, running: job.running };
+            let progress = JobProgress { done: job.tasks.done, running: job.tasks.running };
             if job.published != progress {
                 job.published = progress;
                 counts.push(count_of(job));
@@ -246,10 +251,10 @@
         let from = self.next_repeated;
         self.next_repeated = from.wrapping_add(looked_at);
         let jobs = (0..looked_at).filter_map(|n| self.job(self.active[from.wrapping_add(n) % self.active.len()]));
-        jobs.filter(|job| job.done + job.running > 0).map(count_of).collect()
+        jobs.filter(|job| job.tasks.done + job.tasks.running > 0).map(count_of).collect()
     }
 }
 
 fn count_of(job: &Job) -> Count {
-    Count { job: job.id.to_string(), done: job.done, running: job.running }
+    Count { job: job.id.to_string(), done: job.tasks.done, running: job.tasks.running }
 }
--- a/src/coordination/cluster/machines.rs
+++ b/src/coordination/cluster/machines.rs
@@ -27,7 +27,7 @@
     pub fn refresh(&mut self, now: Millis, index: MachineIndex) {
         let machine = &self.machines[index.at()];
         let is_present = matches!(machine.lifecycle, MachineLifecycle::Up | MachineLifecycle::Returning)
-            && machine.incarnation != Incarnation::NONE;
+            && machine.heartbeats.incarnation != Incarnation::NONE;
         let machine_type = if is_present { self.type_of(machine) } else { None };
         let open = self.takes_new_tasks(now, machine);
         let gpu_only = machine_type.is_some_and(|machine_type| self.reserved_for_gpu_work(now, machine, machine_type));
@@ -53,12 +53,12 @@
         machine.lifecycle == MachineLifecycle::Up
             // Guard: a machine that reaches no controller answers calls, but its
             // lease is running out: what starts there would soon be lost.
-            && machine.last_heartbeat.is_some_and(|reported| now < reported + report_limit_ms)
+            && machine.heartbeats.last_heartbeat.is_some_and(|reported| now < reported + report_limit_ms)
             // Guard: it has shown our token, so our answers reach it. A delayed
             // copy of an old heartbeat, of a machine that was handed back, say,
             // can't show it.
             && machine.fenced()
-            && machine.incarnation > machine.expired_incarnation
+            && machine.heartbeats.incarnation > machine.heartbeats.expired_incarnation
             && machine.spot_notice_until.is_none()
             && !machine.cordoned
             && now >= machine.avoid_until
@@ -76,7 +76,7 @@
         let price_per_cpu = |t: &MachineTypeSpec| t.price_of(machine.spot) / t.capacity.cpus;
         let cheapest =
             self.types.iter().filter(|t| t.capacity.cpus > 0.0).map(price_per_cpu).fold(f64::INFINITY, f64::min);
-        machine.gpu_idle_since.is_some_and(|since| now > since + UNCROWDED_MS)
+        machine.load.gpu_idle_since.is_some_and(|since| now > since + UNCROWDED_MS)
             && price_per_cpu(machine_type) > GPU_PRICE_FACTOR * cheapest
     }
 }
--- a/src/coordination/cluster/sharding.rs
+++ b/src/coordination/cluster/sharding.rs
@@ -29,8 +29,8 @@
     /// never answered. All chunks are written once more under that size.
     pub(in crate::coordination) fn adopt_recorded_sharding(&mut self, index: JobIndex) {
         let Some(job) = self.job(index) else { return };
-        if job.recorded_chunk_size != job.chunk_size && !job.resharding {
-            self.apply_sharding(index, job.recorded_chunk_size, None);
+        if job.records.recorded_chunk_size != job.records.chunk_size && !job.records.resharding {
+            self.apply_sharding(index, job.records.recorded_chunk_size, None);
         }
     }
 
@@ -43,19 +43,19 @@
         applied: Option<AppliedPlan<'_>>,
     ) {
         let Some(job) = self.jobs.get_mut(index.at()).and_then(Option::as_mut) else { return };
-        job.oversized_record = None;
-        job.resharding = false;
-        job.chunk_size = size.max(1);
-        let chunk_count = job.spec.tasks.div_ceil(job.chunk_size) as usize;
+        job.records.oversized_record = None;
+        job.records.resharding = false;
+        job.records.chunk_size = size.max(1);
+        let chunk_count = job.spec.tasks.div_ceil(job.records.chunk_size) as usize;
         let version = u64::from(applied.is_some());
-        job.chunks = vec![Chunk { version, committed_version: version, ..Chunk::default() }; chunk_count];
+        job.records.chunks = vec![Chunk { version, committed_version: version, ..Chunk::default() }; chunk_count];
         if let Some(AppliedPlan { plan, revision }) = &applied {
             for &chunk in &plan.written_chunks {
-                job.chunks[chunk].revision = *revision;
+                job.records.chunks[chunk].revision = *revision;
             }
         }
         for task in 0..job.spec.tasks {
-            let slot = job.slots[task as usize];
+            let slot = job.tasks.slots[task as usize];
             match &applied {
                 // Guard: what changed while the transaction was under way isn't
                 // written yet.
@@ -65,8 +65,8 @@
                 Some(_) => {}
                 None if slot != Slot::Pending => {
                     let chunk = job.chunk_of(task);
-                    job.chunks[chunk].version = 1;
-                    job.chunks[chunk].placement_version = 1;
+                    job.records.chunks[chunk].version = 1;
+                    job.records.chunks[chunk].placement_version = 1;
                 }
                 None => {}
             }
@@ -83,14 +83,14 @@
     /// either.
     fn renumber_unreaped_exits(&mut self, index: JobIndex, applied: Option<&AppliedPlan<'_>>) {
         let Some(job) = self.jobs.get(index.at()).and_then(Option::as_ref) else { return };
-        let exits = self.machines.iter_mut().flat_map(|machine| &mut machine.unreaped_exits);
+        let exits = self.machines.iter_mut().flat_map(|machine| &mut machine.commands.unreaped_exits);
         for exit in exits.filter(|exit| exit.job == index) {
             let ExitRecord::WrittenWith { chunk: old_chunk, version: old_version } = exit.record else { continue };
             let Some((_, task)) = split_task(&exit.task) else { continue };
             let is_written =
                 applied.is_some_and(|applied| applied.plan.versions.get(old_chunk).is_some_and(|v| old_version <= *v));
             let chunk = job.chunk_of(task);
-            let current = job.chunks.get(chunk).map_or(0, |chunk| chunk.version);
+            let current = job.records.chunks.get(chunk).map_or(0, |chunk| chunk.version);
             let version = if is_written { current.min(1) } else { current };
             exit.record = ExitRecord::WrittenWith { chunk, version };
         }
--- a/src/coordination/commits/outcomes.rs
+++ b/src/coordination/commits/outcomes.rs
@@ -85,8 +85,8 @@
     fn mark_stale(&mut self, id: &str, sent_revision: Revision) {
         for index in self.active_with_id(id) {
             // Unless the job cache has shown the change already.
-            if let Some(job) = self.cluster.job_mut(index).filter(|job| job.revision == sent_revision) {
-                job.stale = true;
+            if let Some(job) = self.cluster.job_mut(index).filter(|job| job.records.revision == sent_revision) {
+                job.records.stale = true;
             }
         }
     }
@@ -135,7 +135,7 @@
             tracing::error!(job = job.0, "the end of a job can't be written");
         }
         if let Some(job) = in_flight.contents.reshard.as_ref().and_then(|plan| self.cluster.job_mut(plan.job)) {
-            job.oversized_record = None;
+            job.records.oversized_record = None;
         }
     }
 
@@ -144,7 +144,7 @@
     fn give_back(&mut self, in_flight: InFlightTxn) {
         if let Some(plan) = &in_flight.contents.reshard {
             if let Some(job) = self.cluster.job_mut(plan.job) {
-                job.resharding = false;
+                job.records.resharding = false;
             }
             self.cluster.adopt_recorded_sharding(plan.job);
             self.cluster.remove_if_finished(plan.job);
@@ -187,17 +187,17 @@
             tracing::debug!("records of a job that is over were written");
             return;
         };
-        let chunk = &mut job.chunks[written.chunk];
+        let chunk = &mut job.records.chunks[written.chunk];
         let statistics = &mut self.commits.statistics;
         if chunk.has_unwritten_placement() {
             statistics.placements += 1;
-            statistics.waited_ms += now.saturating_sub(job.last_assigned);
+            statistics.waited_ms += now.saturating_sub(job.statistics.last_assigned);
         } else {
             statistics.ends += 1;
         }
         chunk.committed_version = chunk.committed_version.max(written.version);
         chunk.revision = revision;
-        job.unwritten_since = None;
+        job.records.unwritten_since = None;
         // A gang's launches wait for the last of its records.
         let launchable =
             if job.spec.kind == Kind::Gang { job.assignments() } else { job.assignments_of_chunk(written.chunk) };
@@ -214,8 +214,8 @@
 
     fn end_applied(&mut self, now: Millis, index: JobIndex, revision: Revision) {
         if let Some(job) = self.cluster.job_mut(index) {
-            job.revision = revision;
-            let last_s = (job.last_assigned as i64 - job.since) as f64 / 1000.0;
+            job.records.revision = revision;
+            let last_s = (job.statistics.last_assigned as i64 - job.wait.since) as f64 / 1000.0;
             tracing::info!(
                 job = &*job.id,
                 age_s = job.age_s(now),
@@ -223,8 +223,8 @@
                 tasks = job.spec.tasks,
                 est = job.spec.estimate_s,
                 rank = ?job.spec.priority,
-                stops = job.stop_count,
-                losses = job.lost_count,
+                stops = job.statistics.stop_count,
+                losses = job.statistics.lost_count,
                 "done"
             );
         }
@@ -259,7 +259,7 @@
     fn set_chunk_revision(&mut self, key: &str, revision: Revision) {
         let Some((id, chunk_number)) = records::split_chunk_key(key) else { return };
         for index in self.active_with_id(id) {
-            let chunk = self.cluster.job_mut(index).and_then(|job| job.chunks.get_mut(chunk_number as usize));
+            let chunk = self.cluster.job_mut(index).and_then(|job| job.records.chunks.get_mut(chunk_number as usize));
             if let Some(chunk) = chunk {
                 chunk.revision = revision;
             }
--- a/src/coordination/commits/resharding.rs
+++ b/src/coordination/commits/resharding.rs
@@ -38,9 +38,9 @@
     pub fn shrink_chunk(&mut self, now: Millis, index: JobIndex, chunk: usize) {
         let Some(job) = self.cluster.job_mut(index) else { return };
         let retry_at = now + OVERSIZED_PAUSE_MS;
-        job.chunks[chunk].retry_at = retry_at;
-        job.not_before = job.not_before.max(retry_at);
-        let committed_version = job.chunks[chunk].committed_version;
+        job.records.chunks[chunk].retry_at = retry_at;
+        job.wait.not_before = job.wait.not_before.max(retry_at);
+        let committed_version = job.records.chunks[chunk].committed_version;
         for assignment_index in job.assignments_of_chunk(chunk) {
             let is_unwritten = self
                 .cluster
@@ -68,9 +68,9 @@
         let values_per_txn = TXN_BYTES_LIMIT / self.cluster.config.value_fit.max(1);
         let max_writes = self.cluster.config.txn_ops.min(self.commits.ops_cap).min(values_per_txn).max(1);
         self.cluster.active_jobs().find(|job| {
-            job.oversized_record.is_some()
+            job.records.oversized_record.is_some()
                 && job.status == JobStatus::Pending
-                && !job.stale
+                && !job.records.stale
                 && !job.all_done()
                 && self.new_chunks(job).iter().filter(|chunk| **chunk != NewChunk::Nothing).count() < max_writes
         })
@@ -80,13 +80,13 @@
         let new_chunk = |(chunk_number, slots): (usize, &[Slot])| {
             if slots.iter().any(|slot| *slot != Slot::Pending) {
                 NewChunk::Put
-            } else if job.chunks.get(chunk_number).is_some_and(|chunk| !chunk.revision.is_absent()) {
+            } else if job.records.chunks.get(chunk_number).is_some_and(|chunk| !chunk.revision.is_absent()) {
                 NewChunk::Drop
             } else {
                 NewChunk::Nothing
             }
         };
-        job.slots.chunks(self.cluster.config.chunk_fit as usize).enumerate().map(new_chunk).collect()
+        job.tasks.slots.chunks(self.cluster.config.chunk_fit as usize).enumerate().map(new_chunk).collect()
     }
 
     /// A transaction that reshards a job, if one is to be resharded.
@@ -101,7 +101,7 @@
         self.commits.last_tag = tag;
         self.commits.reshard_after = now + RESHARD_GAP_MS;
         if let Some(job) = self.cluster.job_mut(job_index) {
-            job.resharding = true;
+            job.records.resharding = true;
         }
         let contents = TxnContents { reshard: Some(plan), ..TxnContents::default() };
         Some(self.commits.send(&mut self.cluster.records, txn, contents, tag))
@@ -109,10 +109,10 @@
 
     fn reshard_txn(&self, job: &Job, tag: u64, tables: &Tables) -> Option<(Txn, ReshardPlan)> {
         let size = self.cluster.config.chunk_fit;
-        let record = JobRecord { chunk: size, ..(**job.oversized_record.as_ref()?).clone() };
+        let record = JobRecord { chunk: size, ..(**job.records.oversized_record.as_ref()?).clone() };
         let job_key = records::job_key(&job.id);
         let mut txn = Txn::default();
-        txn.conditions.push(Condition { key: job_key.clone(), revision: job.revision });
+        txn.conditions.push(Condition { key: job_key.clone(), revision: job.records.revision });
         txn.writes.push(Op::Put { key: job_key, v: records::to_value(&record), permit: None });
         let mut written_chunks = Vec::new();
         for (chunk_number, new_chunk) in self.new_chunks(job).into_iter().enumerate() {
@@ -126,22 +126,22 @@
                     written_chunks.push(chunk_number);
                 }
             }
-            let revision = job.chunks.get(chunk_number).map_or(Revision::ABSENT, |chunk| chunk.revision);
+            let revision = job.records.chunks.get(chunk_number).map_or(Revision::ABSENT, |chunk| chunk.revision);
             txn.conditions.push(Condition { key, revision });
         }
         // Guard: as for every transaction, only this leadership's writes count.
         txn.conditions.push(Condition { key: records::LEADER.to_owned(), revision: self.cluster.term.0 });
-        let versions = job.chunks.iter().map(|chunk| chunk.version).collect();
-        Some((txn, ReshardPlan { job: job.index, slots: job.slots.clone(), versions, written_chunks }))
+        let versions = job.records.chunks.iter().map(|chunk| chunk.version).collect();
+        Some((txn, ReshardPlan { job: job.index, slots: job.tasks.slots.clone(), versions, written_chunks }))
     }
 
     /// The resharded records are written.
     pub(super) fn resharded(&mut self, now: Millis, plan: &ReshardPlan, revision: Revision) {
         let size = self.cluster.config.chunk_fit;
         let Some(job) = self.cluster.job_mut(plan.job) else { return };
-        job.revision = job.revision.max(revision);
-        job.recorded_chunk_size = size;
-        job.unwritten_since = None;
+        job.records.revision = job.records.revision.max(revision);
+        job.records.recorded_chunk_size = size;
+        job.records.unwritten_since = None;
         self.cluster.apply_sharding(plan.job, size, Some(AppliedPlan { plan, revision }));
         let Some(job) = self.cluster.job(plan.job) else { return };
         let machines: Vec<MachineIndex> = job
--- a/src/coordination/commits/transactions.rs
+++ b/src/coordination/commits/transactions.rs
@@ -87,7 +87,7 @@
 /// another: nothing but the reaping of what has ended depends on them, and a
 /// later leader learns them from the workers.
 fn write_class(job: &Job, now: Millis, spare: bool) -> Option<WriteClass> {
-    if job.stale || job.resharding {
+    if job.records.stale || job.records.resharding {
         return None;
     }
     if job.status != JobStatus::Pending {
@@ -104,25 +104,25 @@
             Priority::Low => WriteClass::LowPlacement,
         });
     }
-    let waited_ms = now.saturating_sub(job.unwritten_since?);
+    let waited_ms = now.saturating_sub(job.records.unwritten_since?);
     let delay_ms = if spare { EXITS_DELAY_SPARE_MS } else { EXITS_DELAY_MS };
     (waited_ms >= delay_ms).then_some(WriteClass::Ends)
 }
 
 impl Leader {
     fn chunk_value(&self, job: &Job, chunk: usize, tag: u64, tables: &Tables) -> Value {
-        let size = job.chunk_size as usize;
+        let size = job.records.chunk_size as usize;
         self.chunk_value_of(job, chunk * size, size, tag, tables)
     }
 
     /// The record of the `size` tasks from number `from` on.
     pub fn chunk_value_of(&self, job: &Job, from: usize, size: usize, tag: u64, tables: &Tables) -> Value {
-        let to = (from + size).min(job.slots.len());
+        let to = (from + size).min(job.tasks.slots.len());
         let assigned = |slot: &Slot| match slot {
             Slot::At(index) => self.cluster.assignment(*index),
             Slot::Pending | Slot::Done => None,
         };
-        let assignments = job.slots[from..to]
+        let assignments = job.tasks.slots[from..to]
             .iter()
             .filter_map(assigned)
             .map(|assignment| {
@@ -135,7 +135,7 @@
                 )
             })
             .collect();
-        let done = records::pack_done(job.slots[from..to].iter().map(|slot| *slot == Slot::Done));
+        let done = records::pack_done(job.tasks.slots[from..to].iter().map(|slot| *slot == Slot::Done));
         records::to_value(&ChunkRecord { done, assignments, tag })
     }
 
@@ -172,8 +172,8 @@
     fn note_unwritten_changes(&mut self, now: Millis) {
         for &index in &self.cluster.active {
             let Some(job) = self.cluster.jobs.get_mut(index.at()).and_then(Option::as_mut) else { continue };
-            if job.unwritten_since.is_none() && job.has_unwritten_changes() {
-                job.unwritten_since = Some(now);
+            if job.records.unwritten_since.is_none() && job.has_unwritten_changes() {
+                job.records.unwritten_since = Some(now);
             }
         }
     }
@@ -222,7 +222,7 @@
     fn add_jobs(&self, now: Millis, spare: bool, tables: &Tables, builder: &mut TxnBuilder) {
         let mut order: Vec<(WriteClass, &Job)> =
             self.cluster.active_jobs().filter_map(|job| Some((write_class(job, now, spare)?, job))).collect();
-        order.sort_unstable_by_key(|(class, job)| (*class, job.since, job.index));
+        order.sort_unstable_by_key(|(class, job)| (*class, job.wait.since, job.index));
         for (class, job) in order {
             if builder.is_full() {
                 break;
@@ -235,7 +235,7 @@
                 _ => self.add_chunks(now, job, class, tables, builder),
             };
             if is_written {
-                builder.require(records::job_key(&job.id), job.revision);
+                builder.require(records::job_key(&job.id), job.records.revision);
             }
         }
     }
@@ -244,7 +244,7 @@
         let submission = Submission { tasks: Some(f64::from(job.spec.tasks)), ..Submission::default() };
         // The next leader counts from here how long its dependents have waited.
         let at_ms = (now as i64 + self.commits.wall_clock_offset_ms).max(0) as u64;
-        let record = JobRecord { submission, status: JobStatus::Done, at_ms, chunk: job.chunk_size };
+        let record = JobRecord { submission, status: JobStatus::Done, at_ms, chunk: job.records.chunk_size };
         let value = records::to_value(&record);
         let bytes = records::json_size(&value);
         builder.put(records::job_key(&job.id), value, bytes);
@@ -253,11 +253,12 @@
 
     /// Adds the job's chunks that are due. False: none was added.
     fn add_chunks(&self, now: Millis, job: &Job, class: WriteClass, tables: &Tables, builder: &mut TxnBuilder) -> bool {
-        let is_overdue_unplaced = |chunk: &Chunk| {
+        let is_due = |chunk: &Chunk| {
             let is_wanted = chunk.has_unwritten_placement() || (class == WriteClass::Ends && chunk.is_dirty());
             now >= chunk.retry_at && is_wanted
         };
-        let due: Vec<usize> = (0..job.chunks.len()).filter(|&chunk| is_overdue_unplaced(&job.chunks[chunk])).collect();
+        let due: Vec<usize> =
+            (0..job.records.chunks.len()).filter(|&chunk| is_due(&job.records.chunks[chunk])).collect();
         let ops_left = builder.ops_left();
         // A job is split only if it alone is more than a transaction takes.
         if due.len() > ops_left && ops_left < builder.max_ops {
@@ -277,7 +278,7 @@
                 continue;
             }
             let key = records::chunk_key(&job.id, chunk as u32);
-            let state = &job.chunks[chunk];
+            let state = &job.records.chunks[chunk];
             builder.require(key.clone(), state.revision);
             builder.put(key, value, bytes);
             builder.contents.chunks.push(WrittenChunk { job: job.index, chunk, version: state.version });
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -49,13 +49,13 @@
             return;
         };
         let Some(job) = self.cluster.jobs[index.at()].as_mut() else { return };
-        let Some(chunk) = job.chunks.get_mut(chunk_number as usize) else { return };
+        let Some(chunk) = job.records.chunks.get_mut(chunk_number as usize) else { return };
         chunk.revision = revision;
         load_done_tasks(job, chunk_number, &record.done);
         self.load_assignments(now, index, record.assignments, tables);
         // What was read is what is written.
         if let Some(job) = self.cluster.jobs[index.at()].as_mut() {
-            let chunk = &mut job.chunks[chunk_number as usize];
+            let chunk = &mut job.records.chunks[chunk_number as usize];
             chunk.version = chunk.version.max(1);
             chunk.committed_version = chunk.version;
         }
@@ -71,7 +71,7 @@
         for AssignmentRecord(task, machine_id, incarnation, attempt, zone_name) in assignments {
             let zone = tables.zones.intern(&zone_name);
             let machine = self.cluster.machine_named(now, &machine_id, zone);
-            self.cluster.machines[machine.at()].lease_renewed = now;
+            self.cluster.machines[machine.at()].heartbeats.lease_renewed = now;
             let new = NewAssignment { job, task, machine, incarnation, attempt, zone };
             let Some(assignment_index) = self.cluster.add_assignment(now, new) else { continue };
             // Its launch may have been sent by an earlier leader.
@@ -96,17 +96,17 @@
                 self.cluster.stop_job(now, index, 0.0);
             }
         }
-        let placed: u32 = self.cluster.active_jobs().map(|job| job.placed).sum();
+        let placed: u32 = self.cluster.active_jobs().map(|job| job.tasks.placed).sum();
         tracing::info!(jobs = self.cluster.active.len(), placed, "records read, leading");
         self.cluster.cycle_needed = true;
     }
 }
 
 fn load_done_tasks(job: &mut Job, chunk_number: u32, packed_done: &str) {
-    let first = chunk_number * job.chunk_size;
+    let first = chunk_number * job.records.chunk_size;
     let mut newly_done = 0;
-    for offset in 0..job.chunk_size.min(job.spec.tasks.saturating_sub(first)) {
-        let slot = &mut job.slots[(first + offset) as usize];
+    for offset in 0..job.records.chunk_size.min(job.spec.tasks.saturating_sub(first)) {
+        let slot = &mut job.tasks.slots[(first + offset) as usize];
         if *slot == Slot::Pending && records::is_done(packed_done, offset as usize) {
             *slot = Slot::Done;
             newly_done += 1;
@@ -115,9 +115,9 @@
     if newly_done == 0 {
         return;
     }
-    job.done += newly_done;
-    job.ever_assigned = true;
-    job.has_counted_start = true;
-    let slots = &job.slots;
-    job.pending.retain(|&task| slots[task as usize] == Slot::Pending);
+    job.tasks.done += newly_done;
+    job.wait.ever_assigned = true;
+    job.wait.has_counted_start = true;
+    let slots = &job.tasks.slots;
+    job.tasks.pending.retain(|&task| slots[task as usize] == Slot::Pending);
 }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -118,6 +118,6 @@
     /// leadership begins a new one.
     pub fn tokens_exhausted(&self) -> bool {
         let base = self.cluster.term.first_token();
-        self.cluster.machines.iter().any(|machine| machine.token.0 - base.0 > TOKEN_RAISE_LIMIT)
+        self.cluster.machines.iter().any(|machine| machine.fence.token.0 - base.0 > TOKEN_RAISE_LIMIT)
     }
 }
--- a/src/coordination/leader/sweep.rs
+++ b/src/coordination/leader/sweep.rs
@@ -72,11 +72,11 @@
         if machine.lifecycle != MachineLifecycle::Up {
             return;
         }
-        if machine.gpu_assignments == 0 {
-            machine.gpu_idle_since.get_or_insert(now);
+        if machine.load.gpu_assignments == 0 {
+            machine.load.gpu_idle_since.get_or_insert(now);
         }
-        if machine.assignments.is_empty() {
-            machine.idle_since.get_or_insert(now);
+        if machine.load.assignments.is_empty() {
+            machine.load.idle_since.get_or_insert(now);
         }
     }
 }
--- a/src/coordination/model/job.rs
+++ b/src/coordination/model/job.rs
@@ -58,28 +58,33 @@
     pub running: u32,
 }
 
-/// A job that is not over, or whose tasks are still somewhere.
+/// How the records of a job in the state service compare with its wanted state.
 #[derive(Debug)]
-pub struct Job {
-    /// Index of the job.
-    pub index: JobIndex,
-    /// Id of the job, as users see it.
-    pub id: Rc<str>,
-    /// What was submitted.
-    pub spec: Rc<JobSpec>,
+pub struct JobRecords {
     /// Revision of its record.
     pub revision: Revision,
-    /// Status according to its record.
-    pub status: JobStatus,
-    /// Since when it may run, on the leader's steady clock; may lie before the
-    /// clock's start.
-    pub since: i64,
+    /// A transaction found the record changed; wait until the job cache shows it.
+    pub stale: bool,
     /// Tasks per chunk.
     pub chunk_size: u32,
-    /// Where each task stands, by task number.
-    pub slots: Vec<Slot>,
     /// State of its chunk records, by chunk number.
     pub chunks: Vec<Chunk>,
+    /// Tasks per chunk according to its record.
+    pub recorded_chunk_size: u32,
+    /// Its chunks are being resharded: none of its tasks may be assigned.
+    pub resharding: bool,
+    /// Its record, while that splits its tasks into chunks that are too large
+    /// for the state service's lower limit.
+    pub oversized_record: Option<Rc<JobRecord>>,
+    /// Since when changes wait to be written.
+    pub unwritten_since: Option<Millis>,
+}
+
+/// Where the tasks of a job stand.
+#[derive(Debug)]
+pub struct TaskTable {
+    /// Where each task stands, by task number.
+    pub slots: Vec<Slot>,
     /// Pending task numbers, the next one last.
     pub pending: Vec<u32>,
     /// Tasks that completed.
@@ -88,91 +93,114 @@
     pub placed: u32,
     /// Tasks that run now.
     pub running: u32,
+    /// Its assignments by zone, if it restricts zones.
+    pub zone_used: Vec<u32>,
+}
+
+/// How long a job has waited, and what holds it back.
+#[derive(Debug)]
+pub struct WaitState {
+    /// Since when it may run, on the leader's steady clock; may lie before the
+    /// clock's start.
+    pub since: i64,
+    /// Since when it waits without room, for preemption, rentals and the logs.
+    pub waiting_since: Millis,
     /// None of its tasks are to be assigned before.
     pub not_before: Millis,
-    /// A transaction found the record changed; wait until the job cache shows it.
-    pub stale: bool,
-    /// Its record, while that splits its tasks into chunks that are too large
-    /// for the state service's lower limit.
-    pub oversized_record: Option<Rc<JobRecord>>,
-    /// Its chunks are being resharded: none of its tasks may be assigned.
-    pub resharding: bool,
-    /// Tasks per chunk according to its record.
-    pub recorded_chunk_size: u32,
-    /// Since when changes wait to be written.
-    pub unwritten_since: Option<Millis>,
+    /// No tasks are stopped for it before.
+    pub next_preemption: Millis,
     /// A task completed, or ran long enough to count as a start.
     pub has_counted_start: bool,
     /// At least one of its tasks was assigned before.
     pub ever_assigned: bool,
-    /// Failures of its tasks so far.
-    pub failures: JobFailures,
-    /// The progress last published to the other controllers.
-    pub published: JobProgress,
-    /// No tasks are stopped for it before.
-    pub next_preemption: Millis,
-    /// Its assignments by zone, if it restricts zones.
-    pub zone_used: Vec<u32>,
-    /// Within its team's guarantee, as of the last scheduling cycle.
-    pub within_guarantee: bool,
+}
+
+/// Counts and times for the logs.
+#[derive(Debug)]
+pub struct JobStatistics {
     /// Tasks stopped by command, for the logs.
     pub stop_count: u32,
     /// Tasks lost with their machine, for the logs.
     pub lost_count: u32,
     /// When one of its tasks was last assigned, for the logs.
     pub last_assigned: Millis,
-    /// Since when it waits without room, for preemption, rentals and the logs.
-    pub waiting_since: Millis,
+}
+
+/// A job that is not over, or whose tasks are still somewhere.
+#[derive(Debug)]
+pub struct Job {
+    /// Index of the job.
+    pub index: JobIndex,
+    /// Id of the job, as users see it.
+    pub id: Rc<str>,
+    /// What was submitted.
+    pub spec: Rc<JobSpec>,
+    /// How the records of a job in the state service compare with its wanted state.
+    pub records: JobRecords,
+    /// Status according to its record.
+    pub status: JobStatus,
+    /// How long a job has waited, and what holds it back.
+    pub wait: WaitState,
+    /// Where the tasks of a job stand.
+    pub tasks: TaskTable,
+    /// Failures of its tasks so far.
+    pub failures: JobFailures,
+    /// The progress last published to the other controllers.
+    pub published: JobProgress,
+    /// Within its team's guarantee, as of the last scheduling cycle.
+    pub within_guarantee: bool,
+    /// Counts and times for the logs.
+    pub statistics: JobStatistics,
 }
 
 impl Job {
     /// Whether every task completed.
     pub fn all_done(&self) -> bool {
-        self.done as usize == self.slots.len()
+        self.tasks.done as usize == self.tasks.slots.len()
     }
 
     /// The chunk that holds a task.
     pub fn chunk_of(&self, task: u32) -> usize {
-        (task / self.chunk_size) as usize
+        (task / self.records.chunk_size) as usize
     }
 
     /// Marks a task's chunk as changed and returns its new version.
     pub fn touch(&mut self, task: u32) -> u64 {
         let chunk = self.chunk_of(task);
-        self.chunks[chunk].version += 1;
-        self.chunks[chunk].version
+        self.records.chunks[chunk].version += 1;
+        self.records.chunks[chunk].version
     }
 
     /// Whether any chunk differs from its written record.
     pub fn has_unwritten_changes(&self) -> bool {
-        self.chunks.iter().any(Chunk::is_dirty)
+        self.records.chunks.iter().any(Chunk::is_dirty)
     }
 
     /// Whether an assignment waits to be written.
     pub fn has_unwritten_placement(&self) -> bool {
-        self.chunks.iter().any(Chunk::has_unwritten_placement)
+        self.records.chunks.iter().any(Chunk::has_unwritten_placement)
     }
 
     /// Seconds since it became ready to run.
     pub fn age_s(&self, now: Millis) -> f64 {
-        (now as i64 - self.since) as f64 / 1000.0
+        (now as i64 - self.wait.since) as f64 / 1000.0
     }
 
     /// Milliseconds since it began to wait for room; negative if that lies ahead.
     pub fn waited_ms(&self, now: Millis) -> i64 {
-        now as i64 - self.waiting_since as i64
+        now as i64 - self.wait.waiting_since as i64
     }
 
     /// All of its assignments, in the order of its tasks.
     pub fn assignments(&self) -> Vec<AssignmentIndex> {
-        assignments_in(&self.slots)
+        assignments_in(&self.tasks.slots)
     }
 
     /// The assignments of one chunk's tasks.
     pub fn assignments_of_chunk(&self, chunk: usize) -> Vec<AssignmentIndex> {
-        let size = self.chunk_size as usize;
+        let size = self.records.chunk_size as usize;
         let start = chunk * size;
-        assignments_in(&self.slots[start..(start + size).min(self.slots.len())])
+        assignments_in(&self.tasks.slots[start..(start + size).min(self.tasks.slots.len())])
     }
 }
 
--- a/src/coordination/scheduler/best_effort.rs
+++ b/src/coordination/scheduler/best_effort.rs
@@ -71,7 +71,7 @@
 
     /// CPUs that arrays of teams with a guarantee may be expected to ask for.
     fn expected_cpus(&self, now: Millis) -> f64 {
-        let arrived_lately = |job: &&Job| now as i64 - job.since < EXPECTED_AGAIN_MS;
+        let arrived_lately = |job: &&Job| now as i64 - job.wait.since < EXPECTED_AGAIN_MS;
         self.cluster
             .active_jobs()
             .filter(|job| job.status == JobStatus::Pending && job.spec.kind == Kind::Array)
@@ -85,7 +85,7 @@
     /// many CPUs.
     pub fn best_effort_tasks(&self, now: Millis, job: &Job, cpus: f64) -> usize {
         let fitting = (cpus / job.spec.cpus.max(RESOURCE_TOLERANCE)) as usize;
-        let has_waited = !job.ever_assigned || now >= job.last_assigned + LONGEST_WAIT_MS;
+        let has_waited = !job.wait.ever_assigned || now >= job.statistics.last_assigned + LONGEST_WAIT_MS;
         if has_waited {
             fitting.max((job.spec.tasks / LONG_WAIT_DIVISOR).max(LONG_WAIT_TASKS_MIN) as usize)
         } else {
--- a/src/coordination/scheduler/demand.rs
+++ b/src/coordination/scheduler/demand.rs
@@ -15,14 +15,14 @@
     pub fn note_guarantees(&mut self) {
         let mut oldest_first: Vec<JobIndex> =
             self.cluster.active_jobs().filter(|job| job.status == JobStatus::Pending).map(|job| job.index).collect();
-        oldest_first.sort_unstable_by_key(|&index| (self.cluster.job(index).map(|job| job.since), index));
+        oldest_first.sort_unstable_by_key(|&index| (self.cluster.job(index).map(|job| job.wait.since), index));
         let mut demand_by_team: Vec<Resources> = vec![Resources::default(); self.cluster.config.teams.len()];
         for index in oldest_first {
             let Some(job) = self.cluster.jobs[index.at()].as_mut() else { continue };
             let team = job.spec.team.at();
             let Some(team_demand) = demand_by_team.get_mut(team) else { continue };
             let limits = self.cluster.config.teams.get(team).copied().unwrap_or_default();
-            let unfinished = f64::from(job.spec.tasks - job.done.min(job.spec.tasks));
+            let unfinished = f64::from(job.spec.tasks - job.tasks.done.min(job.spec.tasks));
             *team_demand += Resources::of(&job.spec) * unfinished;
             job.within_guarantee = is_within_guarantee(job, &limits, team_demand);
         }
--- a/src/coordination/scheduler/headroom.rs
+++ b/src/coordination/scheduler/headroom.rs
@@ -36,7 +36,7 @@
     /// Shapes of the unfinished production services, and how many replicas of
     /// each may be expected within the time a machine takes to come.
     pub fn expected_replicas(&self, now: Millis) -> Vec<ExpectedReplicas> {
-        let mut pending_capacity: Vec<RecentArrivals> = Vec::new();
+        let mut arrivals: Vec<RecentArrivals> = Vec::new();
         for job in self.cluster.active_jobs() {
             let spec = &job.spec;
             let is_service = spec.kind == Kind::Service && spec.priority == Priority::Production;
@@ -44,12 +44,12 @@
                 continue;
             }
             let recent = if job.age_s(now) < ARRIVAL_WINDOW_S { f64::from(spec.tasks) } else { 0.0 };
-            match pending_capacity.iter_mut().find(|known| known.spec.class == spec.class) {
+            match arrivals.iter_mut().find(|known| known.spec.class == spec.class) {
                 Some(known) => known.replicas += recent,
-                None => pending_capacity.push(RecentArrivals { spec: spec.clone(), replicas: recent }),
+                None => arrivals.push(RecentArrivals { spec: spec.clone(), replicas: recent }),
             }
         }
-        pending_capacity.into_iter().map(RecentArrivals::expected).collect()
+        arrivals.into_iter().map(RecentArrivals::expected).collect()
     }
 
     /// Reserves room for replicas until the reservations are released.
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -152,7 +152,7 @@
             job: index,
             spec: job.spec.clone(),
             tasks,
-            zone_used: job.zone_used.clone(),
+            zone_used: job.tasks.zone_used.clone(),
             avoid: self.avoided_machines(job),
         };
         let placed = self.try_place(now, &placement, state);
@@ -161,7 +161,7 @@
         }
         if placed == wanted.len() {
             if let Some(job) = self.cluster.job_mut(index) {
-                job.waiting_since = now;
+                job.wait.waiting_since = now;
             }
             return;
         }
@@ -185,19 +185,19 @@
         let spec = &job.spec;
         let room = self.cluster.team_limits(spec.team).room_for(spec, &self.cluster.used_by_team(spec.team));
         let is_gang = spec.kind == Kind::Gang;
-        let tasks_per_pass = if is_gang { TASKS_PER_CYCLE.max(job.pending.len()) } else { TASKS_PER_CYCLE };
-        let mut limit = job.pending.len().min(room as usize).min(tasks_per_pass);
+        let tasks_per_pass = if is_gang { TASKS_PER_CYCLE.max(job.tasks.pending.len()) } else { TASKS_PER_CYCLE };
+        let mut limit = job.tasks.pending.len().min(room as usize).min(tasks_per_pass);
         if is_overdue_unplaced && spec.kind == Kind::Array {
             limit = limit.min((spec.tasks / OVERDUE_ARRAY_DIVISOR).max(1) as usize);
         }
         if !is_gang && job.failures.job_is_at_fault() {
             limit = limit.min(TASKS_PER_RETRY);
         }
-        if limit == 0 || (is_gang && limit < job.pending.len()) {
+        if limit == 0 || (is_gang && limit < job.tasks.pending.len()) {
             tracing::debug!(job = &*job.id, room, "at its team's limit");
             return Vec::new();
         }
-        let next_tasks = job.pending.iter().rev().copied();
+        let next_tasks = job.tasks.pending.iter().rev().copied();
         match self.chunk_room(job) {
             None => next_tasks.take(limit).collect(),
             Some(mut chunk_room) => {
@@ -216,15 +216,15 @@
     /// how many more, and one. `None`: there is no such restriction.
     fn chunk_room(&self, job: &Job) -> Option<Vec<u32>> {
         if self.cluster.records.value_limit > self.cluster.config.value_fit
-            || job.chunk_size <= self.cluster.config.chunk_fit
+            || job.records.chunk_size <= self.cluster.config.chunk_fit
         {
             return None;
         }
         if job.spec.kind == Kind::Gang {
             return None;
         }
-        let mut room = vec![self.cluster.config.chunk_fit + 1; job.chunks.len()];
-        for (task, slot) in job.slots.iter().enumerate() {
+        let mut room = vec![self.cluster.config.chunk_fit + 1; job.records.chunks.len()];
+        for (task, slot) in job.tasks.slots.iter().enumerate() {
             if matches!(slot, Slot::At(_)) {
                 let left = &mut room[job.chunk_of(task as u32)];
                 *left = left.saturating_sub(1);
@@ -268,7 +268,7 @@
                 job,
                 task: pick.task,
                 machine: machine_index,
-                incarnation: machine.incarnation,
+                incarnation: machine.heartbeats.incarnation,
                 attempt,
                 zone: machine.zone,
             };
--- a/src/coordination/scheduler/order.rs
+++ b/src/coordination/scheduler/order.rs
@@ -150,13 +150,13 @@
         let fetch_s = (job.spec.image_gb / ASSUMED_FETCH_GB_PER_S).min(ASSUMED_FETCH_MAX_S);
         let hoped_end_s = age_s + HOPED_RUN_SHARE * run_s + fetch_s.min(HOPED_FETCH_MAX_S);
         for (position, aim) in self.targets_of(job).enumerate() {
-            if aim.is_start && job.ever_assigned {
+            if aim.is_start && job.wait.ever_assigned {
                 continue;
             }
             let reached_s = if aim.is_start { age_s } else { hoped_end_s };
             if reached_s <= aim.within_s {
                 let cpus = (job.spec.cpus + CPUS_PER_GPU * job.spec.gpus).max(CPUS_MIN);
-                let work = job.pending.len() as f64 * run_s * cpus;
+                let work = job.tasks.pending.len() as f64 * run_s * cpus;
                 return Turn { missed_targets: position as u32, cost: work };
             }
         }
@@ -174,20 +174,20 @@
 
 /// Whether the job has tasks that may be assigned now.
 fn is_ready(now: Millis, job: &Job) -> bool {
-    let has_work = job.status == JobStatus::Pending && !job.pending.is_empty();
-    let is_held_back = now < job.not_before || job.stale || job.resharding;
+    let has_work = job.status == JobStatus::Pending && !job.tasks.pending.is_empty();
+    let is_held_back = now < job.wait.not_before || job.records.stale || job.records.resharding;
     // A gang starts again only once all of its old attempt is gone.
-    let is_partly_placed_gang = job.spec.kind == Kind::Gang && job.placed > 0;
+    let is_partly_placed_gang = job.spec.kind == Kind::Gang && job.tasks.placed > 0;
     has_work && !is_held_back && !is_partly_placed_gang
 }
 
 /// Nothing of it has started for good, and by now it should have. Guard: a job
 /// that fails everywhere would go before all others for as long as it is wanted.
 pub fn is_overdue(now: Millis, job: &Job) -> bool {
-    !job.has_counted_start && job.age_s(now) >= OVERDUE_S && !job.failures.job_is_at_fault()
+    !job.wait.has_counted_start && job.age_s(now) >= OVERDUE_S && !job.failures.job_is_at_fault()
 }
 
 /// It is overdue and none of its tasks is even assigned.
 pub fn is_overdue_unplaced(now: Millis, job: &Job) -> bool {
-    job.placed == 0 && is_overdue(now, job)
+    job.tasks.placed == 0 && is_overdue(now, job)
 }
--- a/src/coordination/scheduler/preemption/mod.rs
+++ b/src/coordination/scheduler/preemption/mod.rs
@@ -33,7 +33,7 @@
     pub fn preempt(&mut self, now: Millis, index: JobIndex, tasks: &[u32]) -> bool {
         let Some(job) = self.cluster.job(index) else { return false };
         let spec = job.spec.clone();
-        let has_zone = job.zone_used.iter().any(|&used| used > 0);
+        let has_zone = job.tasks.zone_used.iter().any(|&used| used > 0);
         let tasks = match spec.kind {
             Kind::Array => &tasks[..tasks.len().min(ARRAY_TASKS_PER_CYCLE)],
             Kind::Gang | Kind::Service => tasks,
--- a/src/coordination/scheduler/preemption/plan.rs
+++ b/src/coordination/scheduler/preemption/plan.rs
@@ -62,7 +62,7 @@
         zone: Option<ZoneIndex>,
     ) -> Option<PreemptionPlan> {
         let spec = self.cluster.job(index)?.spec.clone();
-        let mut zone_used = self.cluster.job(index)?.zone_used.clone();
+        let mut zone_used = self.cluster.job(index)?.tasks.zone_used.clone();
         let mut plan = PreemptionPlan::default();
         let reservations = self.cluster.snapshot.reservations();
         let sample = self.cluster.snapshot.sample(&spec, zone, self.scheduler.preemption_cursor, MACHINES_SAMPLED);
@@ -126,7 +126,7 @@
         pool: &Pool,
     ) -> Option<HostPreemption> {
         let spec = &search.job.spec;
-        let assignments = &self.cluster.machine(MachineIndex(host_index as u32)).assignments;
+        let assignments = &self.cluster.machine(MachineIndex(host_index as u32)).load.assignments;
         let victims = self.victims_among(search.now, assignments, search.halts, search.job);
         let mut preemption =
             choose_victims(&Resources::of(spec), host.room(RoomKind::FreeOrStopping), victims, host_index)?;
--- a/src/coordination/scheduler/preemption/victims.rs
+++ b/src/coordination/scheduler/preemption/victims.rs
@@ -99,6 +99,6 @@
     };
     let fresh_cost_s = if is_fresh && spec.priority > Priority::Low { FRESH_START_COST_S } else { 0.0 };
     // A gang is stopped as a whole.
-    let stopped_tasks = if spec.kind == Kind::Gang { f64::from(job.placed) } else { 1.0 };
+    let stopped_tasks = if spec.kind == Kind::Gang { f64::from(job.tasks.placed) } else { 1.0 };
     (STOP_COST_S + priority_cost_s + lost_s + fresh_cost_s) * stopped_tasks
 }
--- a/src/coordination/scheduler/room.rs
+++ b/src/coordination/scheduler/room.rs
@@ -62,7 +62,7 @@
             return;
         }
         let id = job.id.clone();
-        let next_preemption = job.next_preemption;
+        let next_preemption = job.wait.next_preemption;
         let reserved = self.reserve_stopping_room(index, tasks, infeasible);
         let still_waiting = &tasks[reserved..];
         if still_waiting.is_empty() || now < next_preemption {
@@ -77,7 +77,7 @@
             "room asked for"
         );
         if let Some(job) = self.cluster.job_mut(index) {
-            job.next_preemption = now + if preempted { PREEMPTED_PAUSE_MS } else { NOTHING_PREEMPTED_PAUSE_MS };
+            job.wait.next_preemption = now + if preempted { PREEMPTED_PAUSE_MS } else { NOTHING_PREEMPTED_PAUSE_MS };
         }
     }
 
@@ -86,7 +86,7 @@
     fn reserve_stopping_room(&mut self, index: JobIndex, tasks: &[u32], infeasible: &mut InfeasibleShapes) -> usize {
         let Some(job) = self.cluster.job(index) else { return 0 };
         let spec = job.spec.clone();
-        let zone_used = job.zone_used.clone();
+        let zone_used = job.tasks.zone_used.clone();
         if !self.cluster.snapshot.anything_stops() || infeasible.is_infeasible_later(&spec) {
             return 0;
         }
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -55,7 +55,7 @@
         }
         let Some(&index) = self.cluster.machine_index.get(&heartbeat.machine) else { return false };
         let machine = self.cluster.machine(index);
-        !machine.assignments.is_empty() || !machine.has_no_command_in_flight()
+        !machine.load.assignments.is_empty() || !machine.has_no_command_in_flight()
     }
 
     /// What the worker should be told; what is returned counts as sent.
@@ -67,10 +67,12 @@
             CommandScope::Unsent => Vec::new(),
         };
         let mut sent: Vec<AssignmentIndex> = Vec::new();
-        for &assignment_index in &machine.assignments {
+        for &assignment_index in &machine.load.assignments {
             let Some(assignment) = self.cluster.assignment(assignment_index) else { continue };
             let Some(job) = self.cluster.job(assignment.job) else { continue };
-            if assignment.incarnation != machine.incarnation || matches!(assignment.state, AssignmentState::Ended(_)) {
+            if assignment.incarnation != machine.heartbeats.incarnation
+                || matches!(assignment.state, AssignmentState::Ended(_))
+            {
                 continue;
             }
             if commands.len() >= COMMANDS_PER_MESSAGE {
@@ -93,7 +95,7 @@
         if !machine.fenced() {
             return commands;
         }
-        for exit in machine.unreaped_exits.iter().take(EXITS_PER_MESSAGE) {
+        for exit in machine.commands.unreaped_exits.iter().take(EXITS_PER_MESSAGE) {
             let (task, attempt) = (&exit.task, exit.attempt);
             if exit.record == ExitRecord::Stray {
                 // Halt and reap together: whichever applies takes effect.
@@ -112,12 +114,12 @@
         assignment: &Assignment,
         scope: CommandScope,
     ) -> Option<AssignmentCommand> {
-        let is_overdue_unplaced =
+        let is_due =
             |sent: Option<Millis>| scope == CommandScope::All || sent.is_none_or(|sent| now >= sent + RESEND_MS);
         if let Some(halt) = assignment.halt {
-            return is_overdue_unplaced(halt.sent).then_some(AssignmentCommand::Halt { grace_s: halt.grace_s });
+            return is_due(halt.sent).then_some(AssignmentCommand::Halt { grace_s: halt.grace_s });
         }
-        let is_launch_due = assignment.state == AssignmentState::Wanted && is_overdue_unplaced(assignment.sent);
+        let is_launch_due = assignment.state == AssignmentState::Wanted && is_due(assignment.sent);
         (is_launch_due && self.cluster.may_launch(assignment)).then_some(AssignmentCommand::Launch)
     }
 
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -38,19 +38,21 @@
 
     fn dispatch_commands_to(&mut self, now: Millis, index: MachineIndex) {
         let machine = &self.cluster.machines[index.at()];
-        if machine.assignments.is_empty() || machine.direct_call.is_some() || machine.lifecycle != MachineLifecycle::Up
+        if machine.load.assignments.is_empty()
+            || machine.commands.direct_call.is_some()
+            || machine.lifecycle != MachineLifecycle::Up
         {
             return;
         }
-        if now < machine.direct_call_after {
-            self.cluster.dispatch_queue.schedule(machine.direct_call_after, index);
+        if now < machine.commands.direct_call_after {
+            self.cluster.dispatch_queue.schedule(machine.commands.direct_call_after, index);
             return;
         }
         // A token that the worker has not shown yet is told by the answer to its
         // report first; a silent worker is sent nothing.
         let Some(addr) = machine.addr else { return };
         let silent_ms = SILENT_HEARTBEATS * self.cluster.config.heartbeat_interval_ms;
-        if !machine.fenced() || machine.last_contact.is_none_or(|heard| now > heard + silent_ms) {
+        if !machine.fenced() || machine.heartbeats.last_contact.is_none_or(|heard| now > heard + silent_ms) {
             return;
         }
         let commands = self.commands(now, index, CommandScope::Unsent);
@@ -60,8 +62,9 @@
         let launches = commands.iter().filter_map(|order| self.launch_of(index, order)).collect();
         let call = self.outbox.next_call();
         let machine = &mut self.cluster.machines[index.at()];
-        machine.direct_call = Some(DirectCall { id: call, launches });
-        let req = DirectCommandRequest { token: machine.token, incarnation: machine.incarnation, commands };
+        machine.commands.direct_call = Some(DirectCall { id: call, launches });
+        let req =
+            DirectCommandRequest { token: machine.fence.token, incarnation: machine.heartbeats.incarnation, commands };
         self.outbox.send(Effect::Do { machine: index, call, addr, req });
         self.cluster.dispatch_queue.schedule(now + RESEND_MS + RESEND_SLACK_MS, index);
     }
@@ -72,6 +75,7 @@
         let (_, task) = split_task(task)?;
         self.cluster
             .machine(index)
+            .load
             .assignments
             .iter()
             .filter_map(|&assignment_index| self.cluster.assignment(assignment_index))
@@ -91,7 +95,7 @@
         tables: &mut Tables,
     ) -> bool {
         let machine = &mut self.cluster.machines[index.at()];
-        let Some(finished) = machine.direct_call.take_if(|pending| pending.id == call) else { return true };
+        let Some(finished) = machine.commands.direct_call.take_if(|pending| pending.id == call) else { return true };
         self.cluster.dispatch_queue.schedule(now, index);
         match outcome {
             DirectCallOutcome::Executed(heartbeat) => self.call_answered(now, index, &heartbeat, job_cache, tables),
@@ -104,11 +108,11 @@
                 still_leads
             }
             DirectCallOutcome::NotSent => {
-                machine.direct_call_after = now + NOT_SENT_PAUSE_MS;
+                machine.commands.direct_call_after = now + NOT_SENT_PAUSE_MS;
                 true
             }
             DirectCallOutcome::Unknown => {
-                machine.direct_call_after = now + UNANSWERED_PAUSE_MS;
+                machine.commands.direct_call_after = now + UNANSWERED_PAUSE_MS;
                 if !finished.launches.is_empty() {
                     self.raise_fence(now, index);
                 }
@@ -127,10 +131,11 @@
         tables: &mut Tables,
     ) -> bool {
         let machine = &self.cluster.machines[index.at()];
-        if heartbeat.token > machine.token {
+        if heartbeat.token > machine.fence.token {
             return false;
         }
-        if heartbeat.incarnation > machine.expired_incarnation && machine.lifecycle != MachineLifecycle::Gone {
+        if heartbeat.incarnation > machine.heartbeats.expired_incarnation && machine.lifecycle != MachineLifecycle::Gone
+        {
             self.apply_heartbeat(now, index, heartbeat, job_cache, tables);
         }
         true
@@ -138,7 +143,7 @@
 
     fn unmark_sent(&mut self, launches: &[LaunchId]) {
         for launch in launches {
-            let slot = self.cluster.job(launch.job).and_then(|job| job.slots.get(launch.task as usize).copied());
+            let slot = self.cluster.job(launch.job).and_then(|job| job.tasks.slots.get(launch.task as usize).copied());
             let Some(Slot::At(assignment_index)) = slot else { continue };
             let assignment = self.cluster.assignments.get_mut(assignment_index);
             if let Some(assignment) = assignment.filter(|assignment| assignment.attempt == launch.attempt) {
@@ -152,9 +157,9 @@
     fn raise_fence(&mut self, now: Millis, index: MachineIndex) {
         let machine = &mut self.cluster.machines[index.at()];
         machine.raise_token();
-        machine.fence_token = machine.token;
-        machine.answered_since_fence = false;
-        tracing::debug!(machine = &*machine.id, token = %machine.token, "command unanswered, token raised");
+        machine.fence.fence_token = machine.fence.token;
+        machine.fence.answered_since_fence = false;
+        tracing::debug!(machine = &*machine.id, token = %machine.fence.token, "command unanswered, token raised");
         self.cluster.refresh(now, index);
     }
 
@@ -163,16 +168,16 @@
     pub fn probe_if_overdue(&mut self, now: Millis, index: MachineIndex) {
         let overdue_ms = self.cluster.config.heartbeat_interval_ms * 5 / 4 + PROBE_SLACK_MS;
         let machine = &mut self.cluster.machines[index.at()];
-        let is_overdue = machine.last_contact.is_some_and(|heard| now > heard + overdue_ms);
+        let is_overdue = machine.heartbeats.last_contact.is_some_and(|heard| now > heard + overdue_ms);
         let may_probe = machine.lifecycle == MachineLifecycle::Up
-            && !machine.probing
-            && !machine.assignments.is_empty()
-            && machine.failed_probes < PROBE_LIMIT;
+            && !machine.heartbeats.probing
+            && !machine.load.assignments.is_empty()
+            && machine.heartbeats.failed_probes < PROBE_LIMIT;
         if !is_overdue || !may_probe {
             return;
         }
         if let Some(addr) = machine.addr {
-            machine.probing = true;
+            machine.heartbeats.probing = true;
             self.outbox.send(Effect::Probe { machine: index, addr });
         }
     }
@@ -187,15 +192,16 @@
         tables: &mut Tables,
     ) {
         let machine = &mut self.cluster.machines[index.at()];
-        machine.probing = false;
+        machine.heartbeats.probing = false;
         match heartbeat {
             Some(heartbeat)
-                if heartbeat.incarnation > machine.expired_incarnation && machine.lifecycle == MachineLifecycle::Up =>
+                if heartbeat.incarnation > machine.heartbeats.expired_incarnation
+                    && machine.lifecycle == MachineLifecycle::Up =>
             {
                 self.apply_heartbeat(now, index, heartbeat, job_cache, tables);
             }
             Some(_) => {}
-            None => machine.failed_probes += 1,
+            None => machine.heartbeats.failed_probes += 1,
         }
     }
 }
--- a/src/coordination/workers/exits.rs
+++ b/src/coordination/workers/exits.rs
@@ -21,7 +21,7 @@
         let machine = self.cluster.machine(assignment.machine);
         // Guard: a launch still under way could arrive after the reap and start
         // the task a second time.
-        if !machine.fenced() || self.cluster.in_flight_launch(assignment) || machine.launch_in_answer {
+        if !machine.fenced() || self.cluster.in_flight_launch(assignment) || machine.commands.launch_in_answer {
             return;
         }
         let reason = status.why.unwrap_or(ExitReason::Other);
@@ -29,7 +29,7 @@
         let Some(assignment) = self.cluster.release_assignment(index, fate) else { return };
         let record = self.record_of_exit(&assignment);
         let machine = &mut self.cluster.machines[assignment.machine.at()];
-        machine.unreaped_exits.push(UnreapedExit {
+        machine.commands.unreaped_exits.push(UnreapedExit {
             task: status.task.clone(),
             attempt: status.attempt,
             job: assignment.job,
@@ -54,7 +54,7 @@
         match self.cluster.job(assignment.job) {
             Some(job) => {
                 let chunk = job.chunk_of(assignment.task);
-                ExitRecord::WrittenWith { chunk, version: job.chunks[chunk].version }
+                ExitRecord::WrittenWith { chunk, version: job.records.chunks[chunk].version }
             }
             None => ExitRecord::WrittenWith { chunk: 0, version: 0 },
         }
@@ -72,12 +72,12 @@
             }
             ExitReason::Unknown => {
                 if let Some(job) = self.cluster.job_mut(job_index) {
-                    job.not_before = now + REFUSED_START_PAUSE_MS;
+                    job.wait.not_before = now + REFUSED_START_PAUSE_MS;
                 }
             }
             ExitReason::Stopped => {
                 if let Some(job) = self.cluster.job_mut(job_index) {
-                    job.stop_count += 1;
+                    job.statistics.stop_count += 1;
                 }
             }
             ExitReason::Error => self.task_failed(now, assignment, task),
--- a/src/coordination/workers/failures.rs
+++ b/src/coordination/workers/failures.rs
@@ -39,7 +39,7 @@
         let Some(job) = self.cluster.job_mut(job_index) else { return };
         let ran_ms = assignment.running_since.map_or(0, |since| now.saturating_sub(since));
         job.failures.record(machine_index, ran_ms, assignment.attempt, last_attempt);
-        job.not_before = now + retry_pause_ms(&job.failures);
+        job.wait.not_before = now + retry_pause_ms(&job.failures);
         // Guard: a job that fails everywhere would keep healthy machines from
         // taking any work.
         if !job.failures.job_is_at_fault() {
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -41,58 +41,61 @@
         let zone = tables.zones.intern(&heartbeat.zone);
         let index = self.cluster.machine_named(now, &heartbeat.machine, zone);
         let machine = &mut self.cluster.machines[index.at()];
-        if heartbeat.token > machine.token {
+        if heartbeat.token > machine.fence.token {
             return HeartbeatOutcome::Superseded;
         }
         // Guard: a heartbeat held up on its way, from a incarnation whose lease is
         // known to have ended, or from a machine that was handed back, says
         // nothing about what runs now.
-        if machine.lifecycle == MachineLifecycle::Gone || heartbeat.incarnation <= machine.expired_incarnation {
+        if machine.lifecycle == MachineLifecycle::Gone
+            || heartbeat.incarnation <= machine.heartbeats.expired_incarnation
+        {
             return HeartbeatOutcome::Stale;
         }
         self.cluster.last_heartbeat_from_any = now;
         self.cluster.last_event_at = now;
-        machine.lease_renewed = now;
-        let is_newer = (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence);
+        machine.heartbeats.lease_renewed = now;
+        let is_newer =
+            (heartbeat.incarnation, heartbeat.sequence) > (machine.heartbeats.incarnation, machine.heartbeats.sequence);
         if !self.cluster.loaded || !is_newer {
             // Answering keeps the worker's lease. Until the records are read,
             // what it says is left to its next heartbeat.
             let commands = halts_of_cancelled(heartbeat, job_cache);
-            return HeartbeatOutcome::Ok(HeartbeatResponse { token: machine.token, commands });
+            return HeartbeatOutcome::Ok(HeartbeatResponse { token: machine.fence.token, commands });
         }
         self.note_acknowledgement(now, index, heartbeat.token);
         self.apply_heartbeat(now, index, heartbeat, job_cache, tables);
         let mut commands = halts_of_cancelled(heartbeat, job_cache);
         self.add_commands(now, index, &mut commands);
         let machine = &mut self.cluster.machines[index.at()];
-        machine.launch_in_answer = commands.iter().any(|order| matches!(order, WorkerCommand::Launch { .. }));
+        machine.commands.launch_in_answer = commands.iter().any(|order| matches!(order, WorkerCommand::Launch { .. }));
         if commands.iter().any(|order| matches!(order, WorkerCommand::Reap { .. })) {
             // Guard: once reaped, an attempt is unknown to the worker, and a
             // repeat of the command that launched it would start it again. The
             // reap comes with a higher token than any such command.
             machine.raise_token();
         }
-        HeartbeatOutcome::Ok(HeartbeatResponse { token: machine.token, commands })
+        HeartbeatOutcome::Ok(HeartbeatResponse { token: machine.fence.token, commands })
     }
 
     /// Notes what a heartbeat shows of our earlier answers.
     fn note_acknowledgement(&mut self, now: Millis, index: MachineIndex, shown_token: FencingToken) {
         let machine = &mut self.cluster.machines[index.at()];
-        machine.last_heartbeat = Some(now);
+        machine.heartbeats.last_heartbeat = Some(now);
         // The worker took or dropped our last answer before it sent this.
-        machine.launch_in_answer = false;
+        machine.commands.launch_in_answer = false;
         // Guard: a worker that takes an answer shows its token in the next
         // report. One that never does can't be told anything. Heartbeats that a
         // network partition held back come together and count once.
-        if shown_token >= machine.fence_token {
-            machine.unacknowledged_heartbeats = 0;
-        } else if machine.answered_since_fence
-            && now >= machine.last_unacknowledged_at + self.cluster.config.heartbeat_interval_ms / 2
+        if shown_token >= machine.fence.fence_token {
+            machine.fence.unacknowledged_heartbeats = 0;
+        } else if machine.fence.answered_since_fence
+            && now >= machine.fence.last_unacknowledged_at + self.cluster.config.heartbeat_interval_ms / 2
         {
-            machine.unacknowledged_heartbeats += 1;
-            machine.last_unacknowledged_at = now;
+            machine.fence.unacknowledged_heartbeats += 1;
+            machine.fence.last_unacknowledged_at = now;
         }
-        machine.answered_since_fence = true;
+        machine.fence.answered_since_fence = true;
     }
 
     /// Adds all that isn't in effect yet, except for halts that are there already.
@@ -110,7 +113,7 @@
     /// worker never shows what was in it means nothing.
     pub fn response_not_sent(&mut self, machine: &str) {
         if let Some(&index) = self.cluster.machine_index.get(machine) {
-            self.cluster.machines[index.at()].answered_since_fence = false;
+            self.cluster.machines[index.at()].fence.answered_since_fence = false;
         }
     }
 
@@ -124,11 +127,12 @@
         tables: &mut Tables,
     ) {
         let machine = &self.cluster.machines[index.at()];
-        if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence) {
+        if (heartbeat.incarnation, heartbeat.sequence) <= (machine.heartbeats.incarnation, machine.heartbeats.sequence)
+        {
             return;
         }
         self.update_machine(now, index, heartbeat, tables);
-        if heartbeat.incarnation > self.cluster.machines[index.at()].incarnation {
+        if heartbeat.incarnation > self.cluster.machines[index.at()].heartbeats.incarnation {
             self.begin_incarnation(now, index, heartbeat.incarnation);
         }
         let mut listed = ListedTasks::default();
@@ -136,6 +140,7 @@
             self.reconcile_task(now, index, task, job_cache, &mut listed);
         }
         self.cluster.machines[index.at()]
+            .commands
             .unreaped_exits
             .retain(|exit| listed.exits.contains(&TaskAttempt { task: exit.task.clone(), attempt: exit.attempt }));
         self.reconcile_missing_tasks(index, &listed.assignments);
@@ -152,10 +157,10 @@
         machine.addr = heartbeat.addr.parse().ok().or(machine.addr);
         machine.machine_type = Some(machine_type);
         machine.spot = heartbeat.spot;
-        machine.sequence = heartbeat.sequence;
-        machine.last_contact = Some(now);
-        machine.failed_probes = 0;
-        machine.seen_token = machine.seen_token.max(heartbeat.token);
+        machine.heartbeats.sequence = heartbeat.sequence;
+        machine.heartbeats.last_contact = Some(now);
+        machine.heartbeats.failed_probes = 0;
+        machine.fence.seen_token = machine.fence.seen_token.max(heartbeat.token);
         if machine.lifecycle == MachineLifecycle::Booting {
             machine.lifecycle = MachineLifecycle::Up;
             machine.up_at = Some(now);
@@ -179,11 +184,11 @@
     /// A new incarnation: the worker killed and forgot all of the former one.
     fn begin_incarnation(&mut self, now: Millis, index: MachineIndex, incarnation: Incarnation) {
         let machine = &mut self.cluster.machines[index.at()];
-        let previous = machine.incarnation;
-        machine.incarnation = incarnation;
+        let previous = machine.heartbeats.incarnation;
+        machine.heartbeats.incarnation = incarnation;
         // Guard: the new incarnation has a lease of its own, from its beginning on,
         // also where only a probe or a command's answer tells of it.
-        machine.lease_renewed = machine.lease_renewed.max(now);
+        machine.heartbeats.lease_renewed = machine.heartbeats.lease_renewed.max(now);
         if previous != Incarnation::NONE {
             tracing::info!(machine = &*machine.id, %incarnation, "new session");
         }
@@ -202,13 +207,14 @@
             return;
         }
         let gone: Vec<AssignmentIndex> = machine
+            .load
             .assignments
             .iter()
             .copied()
             .filter(|assignment_index| !listed.contains(assignment_index))
             .filter(|&assignment_index| {
                 self.cluster.assignment(assignment_index).is_some_and(|assignment| {
-                    assignment.incarnation == machine.incarnation && assignment.halt.is_some()
+                    assignment.incarnation == machine.heartbeats.incarnation && assignment.halt.is_some()
                 })
             })
             .collect();
@@ -217,7 +223,7 @@
         }
         // Those still wanted are launched again under the same attempt.
         for &assignment_index in
-            self.cluster.machines[index.at()].assignments.iter().filter(|other| !listed.contains(other))
+            self.cluster.machines[index.at()].load.assignments.iter().filter(|other| !listed.contains(other))
         {
             let Some(assignment) = self.cluster.assignments.get_mut(assignment_index) else { continue };
             if matches!(assignment.state, AssignmentState::Seen(_)) {
@@ -231,7 +237,7 @@
     fn drain(&mut self, now: Millis, index: MachineIndex) {
         let Some(until) = self.cluster.machine(index).spot_notice_until else { return };
         let left_s = until.saturating_sub(now) as f64 / 1000.0;
-        for assignment_index in self.cluster.machine(index).assignments.clone() {
+        for assignment_index in self.cluster.machine(index).load.assignments.clone() {
             let Some(assignment) = self.cluster.assignment(assignment_index) else { continue };
             let Some(job) = self.cluster.job(assignment.job) else { continue };
             let save_s = job.spec.save_s;
--- a/src/coordination/workers/leases.rs
+++ b/src/coordination/workers/leases.rs
@@ -17,7 +17,7 @@
     /// Releases what the end of a worker's lease proves gone.
     pub fn expire_lease(&mut self, now: Millis, index: MachineIndex) {
         let machine = &self.cluster.machines[index.at()];
-        if machine.assignments.is_empty() && machine.unreaped_exits.is_empty() {
+        if machine.load.assignments.is_empty() && machine.commands.unreaped_exits.is_empty() {
             return;
         }
         // Guard: counted from the last 200 that any leader could have sent (a
@@ -28,16 +28,17 @@
         let lease_ms = (self.cluster.config.lease_ms
             + self.cluster.config.lease_ms / CLOCK_DRIFT_DIVISOR
             + LEASE_MARGIN_MS) as i64;
-        let end = (machine.lease_renewed as i64).max(self.workers.no_peer_renewals.from) + lease_ms;
+        let end = (machine.heartbeats.lease_renewed as i64).max(self.workers.no_peer_renewals.from) + lease_ms;
         if (now as i64) < end || self.workers.no_peer_renewals.to < end {
             return;
         }
-        tracing::warn!(machine = &*machine.id, tasks = machine.assignments.len(), "lease ran out");
+        tracing::warn!(machine = &*machine.id, tasks = machine.load.assignments.len(), "lease ran out");
         let incarnations =
-            machine.assignments.iter().filter_map(|&assignment_index| self.cluster.assignment(assignment_index));
+            machine.load.assignments.iter().filter_map(|&assignment_index| self.cluster.assignment(assignment_index));
         let last_incarnation = incarnations.map(|assignment| assignment.incarnation).max().unwrap_or(Incarnation::NONE);
         let machine = &mut self.cluster.machines[index.at()];
-        machine.expired_incarnation = machine.expired_incarnation.max(machine.incarnation).max(last_incarnation);
+        machine.heartbeats.expired_incarnation =
+            machine.heartbeats.expired_incarnation.max(machine.heartbeats.incarnation).max(last_incarnation);
         self.cluster.free_machine(index, None);
     }
 }
--- a/src/coordination/workers/reach.rs
+++ b/src/coordination/workers/reach.rs
@@ -17,7 +17,8 @@
     /// leader that no worker reached in office, until their leases had run out.
     pub fn is_unreached(&self, now: Millis, for_ms: Millis) -> bool {
         let window_ms = for_ms.max(self.cluster.config.heartbeat_interval_ms * 3 / 2);
-        let reaches = |machine: &&Machine| machine.last_heartbeat.is_some_and(|heard| now <= heard + window_ms);
+        let reaches =
+            |machine: &&Machine| machine.heartbeats.last_heartbeat.is_some_and(|heard| now <= heard + window_ms);
         let ought_to_report = |machine: &&Machine| match machine.lifecycle {
             MachineLifecycle::Up => true,
             MachineLifecycle::Booting => machine.is_inherited_unheard(),
--- a/src/coordination/workers/task_statuses.rs
+++ b/src/coordination/workers/task_statuses.rs
@@ -60,7 +60,7 @@
     ) {
         let Some((id, number)) = split_task(&status.task) else { return };
         let Some(job) = job_cache.find(id) else { return };
-        let slot = self.cluster.job(job).and_then(|job| job.slots.get(number as usize).copied());
+        let slot = self.cluster.job(job).and_then(|job| job.tasks.slots.get(number as usize).copied());
         let task = ListedTask { status, machine, job, number, slot };
         if let Some(assignment_index) = self.assignment_of(&task) {
             self.reconcile_assigned_task(now, &task, assignment_index, listed);
@@ -77,7 +77,7 @@
         let assignment = self.cluster.assignment(assignment_index)?;
         let is_same = assignment.machine == task.machine
             && assignment.attempt == task.status.attempt
-            && assignment.incarnation == self.cluster.machine(task.machine).incarnation;
+            && assignment.incarnation == self.cluster.machine(task.machine).heartbeats.incarnation;
         is_same.then_some(assignment_index)
     }
 
@@ -134,7 +134,7 @@
             job: task.job,
             task: task.number,
             machine: task.machine,
-            incarnation: machine.incarnation,
+            incarnation: machine.heartbeats.incarnation,
             attempt: task.status.attempt,
             zone: machine.zone,
         };
@@ -161,12 +161,12 @@
     }
 
     fn has_unreaped_exit(&self, task: &ListedTask<'_>) -> bool {
-        let exits = &self.cluster.machine(task.machine).unreaped_exits;
+        let exits = &self.cluster.machine(task.machine).commands.unreaped_exits;
         exits.iter().any(|exit| exit.task == task.status.task && exit.attempt == task.status.attempt)
     }
 
     fn add_unreaped_exit(&mut self, task: &ListedTask<'_>, record: ExitRecord) {
-        self.cluster.machines[task.machine.at()].unreaped_exits.push(UnreapedExit {
+        self.cluster.machines[task.machine.at()].commands.unreaped_exits.push(UnreapedExit {
             task: task.status.task.clone(),
             attempt: task.status.attempt,
             job: task.job,
@@ -194,12 +194,12 @@
         let Some(job) = self.cluster.jobs[job_index.at()].as_mut() else { return };
         match (was_running, is_running) {
             (false, true) => {
-                job.running += 1;
-                if job.running + job.done == 1 && !inherited {
+                job.tasks.running += 1;
+                if job.tasks.running + job.tasks.done == 1 && !inherited {
                     log_first_start(now, job, made);
                 }
             }
-            (true, false) => job.running = job.running.saturating_sub(1),
+            (true, false) => job.tasks.running = job.tasks.running.saturating_sub(1),
             _ => {}
         }
         self.cluster.changed_progress.insert(job_index);
@@ -213,7 +213,7 @@
         let Some(assignment) = self.cluster.assignments.get_mut(index) else { return };
         if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
             if let Some(job) = self.cluster.jobs[assignment.job.at()].as_mut() {
-                job.running = job.running.saturating_sub(1);
+                job.tasks.running = job.tasks.running.saturating_sub(1);
             }
         }
         assignment.state = AssignmentState::Ended(status.why.unwrap_or(ExitReason::Other));
@@ -223,9 +223,9 @@
 
 /// Marks a task as done that has no assignment.
 fn complete_pending_task(job: &mut Job, task: u32) -> ExitRecord {
-    job.slots[task as usize] = Slot::Done;
-    job.pending.retain(|&pending| pending != task);
-    job.done += 1;
+    job.tasks.slots[task as usize] = Slot::Done;
+    job.tasks.pending.retain(|&pending| pending != task);
+    job.tasks.done += 1;
     ExitRecord::WrittenWith { chunk: job.chunk_of(task), version: job.touch(task) }
 }
 
--- a/tests/combined_failures/heartbeats.rs
+++ b/tests/combined_failures/heartbeats.rs
@@ -32,7 +32,7 @@
         sim.run(100);
         let index = sim.job_cache.find("j-1").unwrap();
         assert_eq!(
-            sim.leader.as_ref().unwrap().cluster().job(index).unwrap().placed,
+            sim.leader.as_ref().unwrap().cluster().job(index).unwrap().tasks.placed,
             0,
             "an older report was believed"
         );
@@ -74,7 +74,11 @@
     deliver_reports_later(sim, &late, 0);
     sim.run(300);
     let index = sim.job_cache.find("j-1").unwrap();
-    assert_eq!(sim.leader.as_ref().unwrap().cluster().job(index).unwrap().placed, 0, "a dead session was believed");
+    assert_eq!(
+        sim.leader.as_ref().unwrap().cluster().job(index).unwrap().tasks.placed,
+        0,
+        "a dead session was believed"
+    );
     sim.add_worker("a");
     sim.run_until("runs elsewhere", 8_000, |sim| sim.all_running("j-1", 3));
     deliver_reports_later(sim, &late, 0);
--- a/tests/pipelines/urgency.rs
+++ b/tests/pipelines/urgency.rs
@@ -25,7 +25,7 @@
     for _ in 0..2 {
         let l = sim.leader.as_ref().unwrap();
         let job = l.cluster().active_jobs().find(|j| &*j.id == "j-2").unwrap();
-        assert_eq!(job.since, rec.at_ms as i64);
+        assert_eq!(job.wait.since, rec.at_ms as i64);
         sim.elect();
     }
 }
--- a/tests/safety_rules/heartbeats.rs
+++ b/tests/safety_rules/heartbeats.rs
@@ -56,7 +56,7 @@
     };
     let placed = |sim: &Simulation| {
         let index = sim.job_cache.find("j-1").unwrap();
-        sim.leader.as_ref().unwrap().cluster().job(index).unwrap().placed
+        sim.leader.as_ref().unwrap().cluster().job(index).unwrap().tasks.placed
     };
     let early = report_of_a_task_never_placed(sim, 1);
     sim.delayed.push((sim.now, early));
