--- a/src/coordination/autoscaler/consolidation.rs
+++ b/src/coordination/autoscaler/consolidation.rs
@@ -5,7 +5,10 @@
         cluster::UNCROWDED_MS,
         leader::Leader,
         model::{AssignmentIndex, Job, MachineIndex, MachineLifecycle, MachineTypeSpec, Millis, Resources},
-        scheduler::trial::{HostFilter, TrialRequest, Verdict},
+        scheduler::{
+            headroom,
+            trial::{HostFilter, TrialRequest, Verdict},
+        },
         snapshot::RoomKind,
         workers::SAVE_MARGIN_S,
     },
@@ -44,7 +47,7 @@
             return;
         }
         let candidates = self.consolidation_candidates(now);
-        self.reserve_all_headroom(now);
+        headroom::reserve_all_headroom(&mut self.cluster, now);
         let kept = self.cluster.snapshot.reservations();
         for candidate in candidates.into_iter().take(CANDIDATES_PER_STEP) {
             let is_movable = self.find_room_for_all(candidate.machine);
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -312,7 +312,7 @@
                 return machine_type.boot_s;
             }
             // With GPUs, the image counts too; but only while such work comes.
-            let expected = self.scheduler.gpu_demand.shapes().iter().filter(|shape| {
+            let expected = self.scheduler.gpu_demand().shapes().iter().filter(|shape| {
                 shape.spec.allows_type(machine_type.index)
                     && Resources::of(&shape.spec).fits_in(&machine_type.capacity)
                     && now as i64 - shape.latest_arrival < GPU_WORK_EXPECTED_MS
--- a/src/coordination/scheduler/headroom.rs
+++ b/src/coordination/scheduler/headroom.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     coordination::{
-        leader::Leader,
+        cluster::ClusterState,
         model::{Millis, Resources},
         scheduler::trial::TrialRequest,
     },
@@ -32,42 +32,40 @@
     replicas: f64,
 }
 
-impl Leader {
-    /// Shapes of the unfinished production services, and how many replicas of
-    /// each may be expected within the time a machine takes to come.
-    pub fn expected_replicas(&self, now: Millis) -> Vec<ExpectedReplicas> {
-        let mut arrivals: Vec<RecentArrivals> = Vec::new();
-        for job in self.cluster.active_jobs() {
-            let spec = &job.spec;
-            let is_service = spec.kind == Kind::Service && spec.priority == Priority::Production;
-            if !is_service || job.status != JobStatus::Pending {
-                continue;
-            }
-            let recent = if job.age_s(now) < ARRIVAL_WINDOW_S { f64::from(spec.tasks) } else { 0.0 };
-            match arrivals.iter_mut().find(|known| known.spec.class == spec.class) {
-                Some(known) => known.replicas += recent,
-                None => arrivals.push(RecentArrivals { spec: spec.clone(), replicas: recent }),
-            }
+/// Shapes of the unfinished production services, and how many replicas of
+/// each may be expected within the time a machine takes to come.
+pub fn expected_replicas(cluster: &ClusterState, now: Millis) -> Vec<ExpectedReplicas> {
+    let mut arrivals: Vec<RecentArrivals> = Vec::new();
+    for job in cluster.active_jobs() {
+        let spec = &job.spec;
+        let is_service = spec.kind == Kind::Service && spec.priority == Priority::Production;
+        if !is_service || job.status != JobStatus::Pending {
+            continue;
+        }
+        let recent = if job.age_s(now) < ARRIVAL_WINDOW_S { f64::from(spec.tasks) } else { 0.0 };
+        match arrivals.iter_mut().find(|known| known.spec.class == spec.class) {
+            Some(known) => known.replicas += recent,
+            None => arrivals.push(RecentArrivals { spec: spec.clone(), replicas: recent }),
         }
-        arrivals.into_iter().map(RecentArrivals::expected).collect()
     }
+    arrivals.into_iter().map(RecentArrivals::expected).collect()
+}
 
-    /// Reserves room for replicas until the reservations are released.
-    pub fn reserve_headroom(&mut self, expected: &ExpectedReplicas) {
-        let spec = &expected.spec;
-        let tasks: Vec<u32> = (0..expected.replicas as u32).collect();
-        let outcome = self.cluster.snapshot.trial(&TrialRequest::later(spec, &tasks, 1, &[]));
-        for pick in &outcome.picks {
-            self.cluster.snapshot.reserve(pick.host, Resources::of(spec), Resources::default());
-        }
+/// Reserves room for replicas until the reservations are released.
+pub fn reserve_headroom(cluster: &mut ClusterState, expected: &ExpectedReplicas) {
+    let spec = &expected.spec;
+    let tasks: Vec<u32> = (0..expected.replicas as u32).collect();
+    let outcome = cluster.snapshot.trial(&TrialRequest::later(spec, &tasks, 1, &[]));
+    for pick in &outcome.picks {
+        cluster.snapshot.reserve(pick.host, Resources::of(spec), Resources::default());
     }
+}
 
-    /// Reserves room for all replicas that are expected next, until the
-    /// reservations are released.
-    pub fn reserve_all_headroom(&mut self, now: Millis) {
-        for expected in self.expected_replicas(now) {
-            self.reserve_headroom(&expected);
-        }
+/// Reserves room for all replicas that are expected next, until the
+/// reservations are released.
+pub fn reserve_all_headroom(cluster: &mut ClusterState, now: Millis) {
+    for expected in expected_replicas(cluster, now) {
+        reserve_headroom(cluster, &expected);
     }
 }
 
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -4,7 +4,7 @@
 mod best_effort;
 mod demand;
 mod gpu_demand;
-mod headroom;
+pub mod headroom;
 mod order;
 mod preemption;
 mod room;
@@ -48,7 +48,7 @@
     /// When the last scheduling cycle was made.
     pub last_cycle: Millis,
     /// GPU work seen lately.
-    pub gpu_demand: GpuDemand,
+    gpu_demand: GpuDemand,
     /// Where the next sample of machines for preemption begins.
     pub preemption_cursor: u32,
 }
@@ -90,6 +90,13 @@
     }
 }
 
+impl Scheduler {
+    /// GPU work seen lately.
+    pub fn gpu_demand(&self) -> &GpuDemand {
+        &self.gpu_demand
+    }
+}
+
 impl Leader {
     /// Whether something changed since the last scheduling cycle that may let a job be placed.
     pub fn is_cycle_pending(&self) -> bool {
@@ -115,7 +122,7 @@
         self.note_gpu_demand(now);
         let mut state = CycleState {
             unmet: Vec::new(),
-            headroom: Some(self.expected_replicas(now)),
+            headroom: Some(headroom::expected_replicas(&self.cluster, now)),
             infeasible: InfeasibleShapes::default(),
             best_effort_cpus: self.best_effort_cpus(now),
             reserving_gangs: 0,
@@ -134,7 +141,7 @@
             // Services come first in the order; what follows leaves room for
             // the replicas that are expected next.
             for expected in state.headroom.take().into_iter().flatten() {
-                self.reserve_headroom(&expected);
+                headroom::reserve_headroom(&mut self.cluster, &expected);
             }
         }
         let Some(job) = self.cluster.job(index) else { return };
