--- /dev/null
+++ b/src/controller/cluster_limits.rs
@@ -0,0 +1,27 @@
+//! Limits that follow from the settings of the cluster.
+
+use crate::{
+    coordination::model::TeamLimits,
+    protocol::settings::{Cluster, Team},
+    storage::records,
+};
+
+/// Length that a zone's name is assumed to have when none is configured.
+const DEFAULT_ZONE_NAME_LENGTH: usize = 16;
+
+/// Tasks per chunk of a job that is recorded now.
+pub fn chunk_size(cluster: &Cluster) -> u32 {
+    let zone_len = cluster.zones.iter().map(String::len).max().unwrap_or(DEFAULT_ZONE_NAME_LENGTH);
+    records::chunk_size(cluster.state.fitting_value_kb(), zone_len)
+}
+
+/// The quota of a team: 0 in the settings means that an amount is not set.
+pub fn team_limits(team: &Team) -> TeamLimits {
+    let amount = |amount: f64| (amount > 0.0).then_some(amount);
+    TeamLimits {
+        cpus: amount(team.cpus),
+        gpus: amount(team.gpus),
+        cpus_max: amount(team.cpus_max),
+        gpus_max: amount(team.gpus_max),
+    }
+}
--- a/src/controller/workers.rs
+++ b/src/controller/instance/heartbeats.rs
@@ -1,11 +1,10 @@
-//! Workers' reports: answered by the leader, redirected or answered without a
+//! Workers' heartbeats: answered by the leader, redirected or answered without a
 //! leader by others.
 
-use super::wiring::Controller;
+use super::Controller;
 use crate::{
     coordination::{
         leader::{halts_of_cancelled, HeartbeatOutcome},
-        lease_renewal::{shares_the_cut, Other},
         model::Millis,
     },
     protocol::{
@@ -25,24 +24,25 @@
         let heartbeat: Heartbeat = match cbor::decode(bytes) {
             Ok(heartbeat) => heartbeat,
             Err(error) => {
-                tracing::warn!(%error, "a report that can't be read");
+                tracing::warn!(%error, "invalid heartbeat");
                 return net.respond(conn, BAD_REQUEST, None, b"");
             }
         };
         let now = net.now();
-        if heartbeat.zone != self.settings.domain {
-            self.last_foreign_heartbeat = Some(now);
+        if heartbeat.zone != self.identity.zone {
+            self.renewal_key.record_foreign_heartbeat(now);
         }
         // Guard: the answer must not launch what the job cache shows as cancelled.
-        self.sync_jobs_to_leader(now);
-        match self.leader_answer(now, &heartbeat) {
+        self.leadership.sync_jobs(now, &mut self.jobs);
+        let term = self.election.leading(now);
+        match self.leadership.answer_heartbeat(now, term, &heartbeat, &self.jobs, &mut self.names) {
             Some(HeartbeatOutcome::Ok(answer)) => self.send_leader_answer(net, conn, &heartbeat, &answer),
             Some(HeartbeatOutcome::Stale) => net.respond(conn, SERVICE_UNAVAILABLE, None, b""),
             Some(HeartbeatOutcome::Superseded) => {
                 tracing::warn!(
                     machine = &*heartbeat.machine,
                     token = %heartbeat.token,
-                    "a worker has seen a higher token"
+                    "worker has seen a higher fencing token"
                 );
                 self.redirect_heartbeat(net, conn, now);
             }
@@ -53,13 +53,6 @@
         }
     }
 
-    /// The leader's answer, if this controller leads.
-    fn leader_answer(&mut self, now: Millis, heartbeat: &Heartbeat) -> Option<HeartbeatOutcome> {
-        let term = self.election.leading(now)?;
-        let leader = self.leader.as_mut().filter(|leader| leader.term == term)?;
-        Some(leader.heartbeat(now, heartbeat, &self.job_cache, &mut self.tables))
-    }
-
     /// Sends the leader's answer, which renews the worker's lease.
     ///
     /// Guard: preparing the answer took time. It may be sent only while this
@@ -72,15 +65,15 @@
     fn send_leader_answer(&mut self, net: &mut Net, conn: ConnId, heartbeat: &Heartbeat, answer: &HeartbeatResponse) {
         let bytes = cbor::encode(answer);
         let now = net.now();
-        let fresh = self.renewal_right.may_renew(now);
-        let entitled = self.election.leading(now).is_some();
-        let Some(leader) = &mut self.leader else {
+        let cache_is_recent = self.renewal_key.may_renew(now);
+        let is_leading = self.election.leading(now).is_some();
+        let Some(leader) = self.leadership.leader_mut() else {
             return net.respond(conn, SERVICE_UNAVAILABLE, None, b"");
         };
-        if entitled && (fresh || !leader.may_hold_tasks(heartbeat)) {
+        if is_leading && (cache_is_recent || !leader.may_hold_tasks(heartbeat)) {
             return net.respond_heartbeat(conn, OK, &bytes);
         }
-        tracing::debug!(machine = &*heartbeat.machine, entitled, fresh, "a report is not answered");
+        tracing::debug!(machine = &*heartbeat.machine, is_leading, cache_is_recent, "heartbeat not answered");
         leader.response_not_sent(&heartbeat.machine);
         net.respond(conn, SERVICE_UNAVAILABLE, None, b"");
     }
@@ -88,22 +81,9 @@
     /// Whether a worker's lease may be renewed although no leader is in contact;
     /// see `coordination::lease_renewal`.
     fn may_renew_without_leader(&self, now: Millis, heartbeat: &Heartbeat) -> bool {
-        if heartbeat.token == FencingToken::NONE
-            || !self.renewal_right.may_renew_without_leader(now)
-            || self.leader_hint(now).is_some()
-        {
-            return false;
-        }
-        let seeds = self.settings.seeds.iter();
-        let others: Vec<Other> = seeds
-            .zip(&self.peers.list)
-            .map(|(seed, peer)| Other {
-                near: seed.domain == self.settings.domain,
-                heard: peer.heard,
-                state_age: peer.state_age,
-            })
-            .collect();
-        shares_the_cut(now, self.renewal_right.contact(), &others, self.last_foreign_heartbeat)
+        heartbeat.token != FencingToken::NONE
+            && self.leader_hint(now).is_none()
+            && self.renewal_key.may_renew_without_leader(now, &self.peers.contacts())
     }
 
     /// Renews a worker's lease. Tasks that are known as cancelled are stopped,
@@ -111,15 +91,15 @@
     fn renew_without_leader(&mut self, net: &mut Net, conn: ConnId, now: Millis, heartbeat: &Heartbeat) {
         // Guard: recorded before the answer is sent, so that no leader counts the
         // lease as expired.
-        self.renewal_right.last = now;
-        let commands = halts_of_cancelled(heartbeat, &self.job_cache);
+        self.renewal_key.record_renewal(now);
+        let commands = halts_of_cancelled(heartbeat, self.jobs.cache());
         let bytes = cbor::encode(&HeartbeatResponse { token: heartbeat.token, commands });
         net.respond_heartbeat(conn, OK, &bytes);
     }
 
     /// Redirects a worker to the leader, if it is known.
     fn redirect_heartbeat(&mut self, net: &mut Net, conn: ConnId, now: Millis) {
-        self.gossip.record_rejected_heartbeat(now);
+        self.peers.record_rejected_heartbeat(now);
         let redirect = Redirect { report_to: self.leader_hint(now) };
         net.respond(conn, MISDIRECTED_REQUEST, None, &cbor::encode(&redirect));
     }
--- /dev/null
+++ b/src/controller/instance/replies.rs
@@ -0,0 +1,94 @@
+//! Replies to calls, handed on to the components that wait for them.
+
+use super::{
+    super::{
+        leader_key_watch::KeyObservers,
+        service_client::{CallResult, JobsCall, PendingCall},
+    },
+    Controller,
+};
+use crate::{
+    coordination::model::{Millis, Term},
+    transport::{http::status::TOO_MANY_REQUESTS, Net},
+};
+
+impl Controller {
+    /// Handles the outcome of a call.
+    pub(super) fn handle_reply(&mut self, net: &mut Net, pending: PendingCall, result: &CallResult) {
+        let now = net.now();
+        if pending.shows_store_health() {
+            self.record_store_reply(now, result);
+        }
+        match pending {
+            PendingCall::Election(call) => self.election.handle_reply(now, &call, result),
+            PendingCall::RenewalKey(call) => self.renewal_key.handle_reply(now, &call, result),
+            PendingCall::LeaderKey(call) => {
+                let mut observers = KeyObservers {
+                    election: &mut self.election,
+                    renewal_key: &mut self.renewal_key,
+                    peers: &mut self.peers,
+                };
+                self.leader_key.handle_reply(now, &call, result, &mut observers);
+            }
+            PendingCall::Version(call) => self.versions.handle_reply(now, &call, result),
+            PendingCall::Jobs(call) => self.handle_jobs_reply(net, now, &call, result),
+            PendingCall::User(call) => {
+                let (users, mut context) = self.user_api(net);
+                users.handle_reply(&mut context, call, result);
+            }
+            PendingCall::Leader { term, call } => {
+                let (leadership, mut context) = self.leadership(net);
+                leadership.handle_reply(&mut context, now, term, call, result);
+            }
+            PendingCall::MachineTypes => {
+                if self.machine_types.update(now, result, &mut self.names) {
+                    self.leadership.set_machine_types(self.machine_types.types());
+                }
+            }
+        }
+    }
+
+    /// Takes note of whether the key-value store answered a request.
+    pub(super) fn record_store_reply(&mut self, now: Millis, result: &CallResult) {
+        if result.as_ref().is_ok_and(|reply| reply.status == TOO_MANY_REQUESTS) {
+            self.client.budgets().record_refused_read(now);
+            // The budgets keep below the current limits, so a refusal shows that
+            // they were lowered.
+            self.client.budgets().lower_limits();
+        }
+        self.store_health.record(now, result);
+    }
+
+    fn handle_jobs_reply(&mut self, net: &mut Net, now: Millis, call: &JobsCall, result: &CallResult) {
+        match *call {
+            JobsCall::Page { is_first } => self.jobs.page_received(now, is_first, result, &mut self.names),
+            JobsCall::Watch { sent } => {
+                let applied = self.apply_job_changes(sent, result);
+                self.jobs.watch_ended(now, applied, self.leadership.leader().is_some());
+            }
+            JobsCall::LeaderSync { term, sent } => self.leader_jobs_synced(now, term, sent, result),
+            JobsCall::ReadBarrier { sent } => {
+                let applied = self.apply_job_changes(sent, result);
+                let (users, mut context) = self.user_api(net);
+                users.read_barrier_ended(&mut context, now, applied);
+            }
+        }
+    }
+
+    fn leader_jobs_synced(&mut self, now: Millis, term: Term, sent: Millis, result: &CallResult) {
+        if self.leadership.leader_of(term).is_some() {
+            let synced = self.apply_job_changes(sent, result);
+            self.leadership.jobs_synced(now, synced);
+        }
+    }
+
+    /// Applies the result of a read of the jobs' changes that was sent at `sent`.
+    /// Returns whether the cache is now as recent as that.
+    pub(super) fn apply_job_changes(&mut self, sent: Millis, result: &CallResult) -> bool {
+        let applied = self.jobs.apply_changes(result, &mut self.names);
+        if applied {
+            self.renewal_key.record_job_read(sent);
+        }
+        applied
+    }
+}
--- a/src/controller/routes.rs
+++ b/src/controller/instance/routes.rs
@@ -1,6 +1,6 @@
 //! Routing of HTTP requests.
 
-use super::wiring::Controller;
+use super::Controller;
 use crate::transport::{
     http::status::{METHOD_NOT_ALLOWED, NOT_FOUND, OK, SERVICE_UNAVAILABLE},
     ConnId, Net, Request,
@@ -13,7 +13,7 @@
     Ready,
     SubmitJob,
     PollJob(&'a str),
-    AbortJob(&'a str),
+    CancelJob(&'a str),
     MethodNotAllowed,
 }
 
@@ -25,7 +25,7 @@
         _ => {
             let job_path = path.strip_prefix("/api/jobs/")?;
             match job_path.strip_suffix("/abort") {
-                Some(id) => (Route::AbortJob(id), method == "POST"),
+                Some(id) => (Route::CancelJob(id), method == "POST"),
                 None if job_path.contains('/') => return None,
                 None => (Route::PollJob(job_path), method == "GET"),
             }
@@ -49,9 +49,18 @@
                 let status = if self.is_ready(net.now()) { OK } else { SERVICE_UNAVAILABLE };
                 net.respond(conn, status, None, b"");
             }
-            Some(Route::SubmitJob) => self.submit(net, conn, &request.body),
-            Some(Route::PollJob(id)) => self.poll(net, conn, id),
-            Some(Route::AbortJob(id)) => self.abort(net, conn, id.to_owned(), 0),
+            Some(Route::SubmitJob) => {
+                let (users, mut context) = self.user_api(net);
+                users.submit(&mut context, conn, &request.body);
+            }
+            Some(Route::PollJob(id)) => {
+                let (users, mut context) = self.user_api(net);
+                users.poll(&mut context, conn, id);
+            }
+            Some(Route::CancelJob(id)) => {
+                let (users, mut context) = self.user_api(net);
+                users.cancel(&mut context, conn, id.to_owned(), 0);
+            }
             Some(Route::MethodNotAllowed) => net.respond(conn, METHOD_NOT_ALLOWED, None, b""),
             None => net.respond(conn, NOT_FOUND, None, b""),
         }
@@ -59,5 +68,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/routes.rs"]
+#[path = "../tests/routes.rs"]
 mod tests;
--- /dev/null
+++ b/src/controller/instance/tick.rs
@@ -0,0 +1,106 @@
+//! What a controller does by itself at every turn of the event loop.
+
+use super::{
+    super::{
+        leadership::{leader_config, PeerView},
+        peers::LocalState,
+    },
+    Controller,
+};
+use crate::{
+    coordination::{lease_renewal::TimeSpan, model::Millis},
+    transport::Net,
+};
+
+// Longest waits for events, in ms: a leader has more to do by itself, most of
+// all while a scheduling cycle is needed.
+const CYCLE_WAIT_MS: u64 = 10;
+const LEADER_WAIT_MS: u64 = 25;
+const FOLLOWER_WAIT_MS: u64 = 50;
+/// Most jobs per frame of gossip whose task counts are told, which bounds its size.
+const MAX_GOSSIP_COUNTS: usize = 500;
+
+impl Controller {
+    /// How long the event loop may wait for events before the next tick.
+    pub(in crate::controller) fn max_wait_ms(&self) -> u64 {
+        match self.leadership.leader() {
+            Some(leader) if leader.is_cycle_pending() => CYCLE_WAIT_MS,
+            Some(_) => LEADER_WAIT_MS,
+            None => FOLLOWER_WAIT_MS,
+        }
+    }
+
+    /// Does all that is due.
+    pub(in crate::controller) fn tick(&mut self, net: &mut Net) {
+        let now = net.now();
+        self.leader_key.refresh(net, now, &mut self.client);
+        self.jobs.refresh(net, now, &mut self.client, self.renewal_key.read_validity_ms());
+        self.machine_types.refresh(net, now, &mut self.client);
+        self.versions.refresh(net, now, &mut self.client);
+        self.election.tick(net, now, &mut self.client);
+        self.renewal_key.tick(net, now, &mut self.client);
+        self.lead(net);
+        let (users, mut context) = self.user_api(net);
+        users.flush_read_barrier(&mut context);
+        self.gossip(net, now);
+        self.users.log_statistics_if_due(now);
+    }
+
+    /// Does all that is due if this controller leads.
+    fn lead(&mut self, net: &mut Net) {
+        let now = net.now();
+        let leading = self.election.leading(now);
+        self.set_budget_shares(now, leading.is_some());
+        self.leadership.end_unless_held(self.election.holds_key());
+        let Some(term) = leading else { return };
+        if self.machine_types.is_empty() || !self.jobs.cache().loaded() {
+            return;
+        }
+        if self.leadership.leader().is_none() {
+            let config = leader_config(&self.cluster, &self.operator, &mut self.names);
+            self.leadership.begin(now, term, config, self.machine_types.types().to_vec());
+        }
+        let peers = self.peer_view(now);
+        let (leadership, mut context) = self.leadership(net);
+        leadership.tick(&mut context, now, term, &peers);
+    }
+
+    fn peer_view(&self, now: Millis) -> PeerView {
+        // Leases that this controller renewed before it led count like its peers'.
+        let peers = self.peers.inactive_span();
+        let no_renewals =
+            TimeSpan { from: peers.from.max(self.renewal_key.last_leaderless_renewal() as i64), to: peers.to };
+        PeerView {
+            all_upgraded: self.versions.is_complete(),
+            reached_by_workers: self.peers.are_reached_by_workers(now),
+            no_renewals,
+        }
+    }
+
+    /// Sets this controller's shares of the limits, unless they are up to date.
+    pub(super) fn set_budget_shares(&mut self, now: Millis, leading: bool) {
+        self.client.budgets().set_shares(now, leading, &self.peers.recent_usage(now));
+    }
+
+    /// Sends gossip when it is due, then sets the budgets anew.
+    fn gossip(&mut self, net: &mut Net, now: Millis) {
+        let leading = self.election.leading(now).is_some();
+        let local_state = || {
+            let counts = if leading { self.leadership.take_progress(MAX_GOSSIP_COUNTS) } else { Vec::new() };
+            for count in &counts {
+                self.jobs.cache_mut().show(&count.job, count.done, count.running);
+            }
+            LocalState {
+                store_age_ms: self.store_health.age(now),
+                leading,
+                usage: self.client.budgets().usage(now),
+                no_renewal_ms: now.saturating_sub(self.renewal_key.last_leaderless_renewal()),
+                counts,
+            }
+        };
+        if self.peers.gossip_if_due(net, now, local_state) {
+            self.client.budgets().invalidate_shares();
+            self.set_budget_shares(now, leading);
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/leadership/config.rs
@@ -0,0 +1,65 @@
+//! The leader's configuration, from the settings.
+
+use super::super::cluster_limits::{chunk_size, team_limits};
+use crate::{
+    coordination::{
+        leader::{Config, ServiceObjective},
+        model::Millis,
+    },
+    protocol::{
+        names::Tables,
+        operator::Operator,
+        settings::{Cluster, Objective, ObjectiveKind},
+    },
+};
+
+const BYTES_PER_KB: f64 = 1024.0;
+const MS_PER_S: f64 = 1000.0;
+/// Heartbeat intervals, and ms besides, after which a silent machine is returned
+/// to the cloud unless operators set another time.
+const SILENT_HEARTBEAT_INTERVALS: Millis = 2;
+const SILENT_GRACE_MS: Millis = 2_500;
+
+fn ms(seconds: f64) -> Millis {
+    (seconds * MS_PER_S) as Millis
+}
+
+/// The configuration of a leader that starts now.
+pub fn leader_config(cluster: &Cluster, operator: &Operator, names: &mut Tables) -> Config {
+    let heartbeat_interval_ms = ms(cluster.workers.report_s);
+    let default_silent_ms = heartbeat_interval_ms * SILENT_HEARTBEAT_INTERVALS + SILENT_GRACE_MS;
+    Config {
+        lease_ms: ms(cluster.workers.lease_s),
+        heartbeat_interval_ms,
+        gang_peer_s: cluster.workers.gang_peer_s,
+        txn_ops: cluster.state.fitting_txn_ops(),
+        value_max: (cluster.state.value_kb * BYTES_PER_KB) as usize,
+        value_fit: (cluster.state.fitting_value_kb() * BYTES_PER_KB) as usize,
+        chunk_fit: chunk_size(cluster),
+        list_lag_ms: ms(cluster.cloud.list_lag_s),
+        teams: cluster.teams.iter().map(team_limits).collect(),
+        objectives: service_objectives(cluster, names),
+        idle_keep_ms: ms(operator.idle_keep_s),
+        silent_ms: operator.silent_return_s.map_or(default_silent_ms, ms),
+        max_machines: operator.max_machines.unwrap_or(usize::MAX),
+        use_spot: operator.use_spot,
+    }
+}
+
+/// The objectives that scheduling can serve, the most urgent first.
+fn service_objectives(cluster: &Cluster, names: &mut Tables) -> Vec<ServiceObjective> {
+    let mut objectives: Vec<ServiceObjective> =
+        cluster.objectives.iter().filter_map(|objective| service_objective(objective, names)).collect();
+    objectives.sort_by(|one, other| one.within_s.total_cmp(&other.within_s));
+    objectives
+}
+
+fn service_objective(objective: &Objective, names: &mut Tables) -> Option<ServiceObjective> {
+    let start = match objective.kind {
+        ObjectiveKind::Wait => true,
+        ObjectiveKind::Finished => false,
+        ObjectiveKind::Other => return None,
+    };
+    let class = names.classes.intern(objective.class.as_ref()?);
+    Some(ServiceObjective { class, start, within_s: objective.within_s? })
+}
--- /dev/null
+++ b/src/controller/leadership/effects.rs
@@ -0,0 +1,219 @@
+//! The leader's requests to workers and to the cloud, and their results.
+
+use std::net::SocketAddr;
+
+use super::{
+    super::service_client::{body, status, CallResult, CloudRequest, LeaderCall, PendingCall, WorkerRequest},
+    LeaderContext, Leadership,
+};
+use crate::{
+    coordination::{
+        autoscaler::RentOutcome,
+        leader::{DirectCallOutcome, Effect},
+        model::{CallId, MachineIndex, Millis, Term},
+    },
+    protocol::{
+        cbor,
+        cloud::{HostList, HostNames, RentRequest},
+        workers::{DirectCommandRequest, Heartbeat},
+    },
+    storage::budget::Urgency,
+    transport::{
+        http::status::{BAD_REQUEST, CONFLICT, OK, SERVICE_UNAVAILABLE},
+        CallError, Method, Reply,
+    },
+};
+
+/// Timeout, in ms, of commands to a worker.
+const COMMANDS_TIMEOUT_MS: u64 = 2_000;
+/// Timeout, in ms, of a probe: a worker that works answers at once.
+const PROBE_TIMEOUT_MS: u64 = 700;
+/// Most hosts of one page of the cloud's list.
+const LIST_PAGE_HOSTS: u32 = 500;
+/// Word in the body of a 503 of the cloud that has no such machine to rent.
+const NO_CAPACITY: &[u8] = b"capacity";
+
+/// The leadership that effects are carried out for.
+#[derive(Debug, Clone, Copy)]
+struct Authority {
+    now: Millis,
+    term: Term,
+    /// It still holds.
+    valid: bool,
+}
+
+impl Leadership {
+    /// Carries out what the leader decided.
+    pub(super) fn carry_out_effects(&mut self, context: &mut LeaderContext, term: Term) {
+        let Some(leader) = &mut self.leader else { return };
+        for effect in leader.take_effects() {
+            let now = context.net.now();
+            // Guard: the leadership may end at any time, so it is checked again
+            // before each request.
+            let valid = context.election.leading(now) == Some(term);
+            self.carry_out(context, Authority { now, term, valid }, effect);
+        }
+    }
+
+    fn carry_out(&mut self, context: &mut LeaderContext, authority: Authority, effect: Effect) {
+        match effect {
+            Effect::Do { machine, call, addr, req } => {
+                self.send_commands(context, authority, machine, call, addr, &req);
+            }
+            Effect::Rent { call, req } => self.rent(context, authority, call, &req),
+            Effect::Return { call, ids } => self.return_hosts(context, authority, call, ids),
+            Effect::Probe { machine, addr } => {
+                let (path, body, timeout_ms) = ("/status", Vec::new(), PROBE_TIMEOUT_MS);
+                let request = WorkerRequest { addr, method: Method::Get, path, body, timeout_ms };
+                context.send_to_worker(authority.term, LeaderCall::Probe { machine }, request);
+            }
+            Effect::List { call, from } => self.list_hosts(context, authority, call, from.as_deref()),
+        }
+    }
+
+    fn send_commands(
+        &mut self,
+        context: &mut LeaderContext,
+        authority: Authority,
+        machine: MachineIndex,
+        call: CallId,
+        addr: SocketAddr,
+        commands: &DirectCommandRequest,
+    ) {
+        let Authority { now, term, valid } = authority;
+        if valid {
+            let (body, timeout_ms) = (cbor::encode(commands), COMMANDS_TIMEOUT_MS);
+            let request = WorkerRequest { addr, method: Method::Post, path: "/do", body, timeout_ms };
+            context.send_to_worker(term, LeaderCall::Commands { machine, call }, request);
+        } else if let Some(leader) = &mut self.leader {
+            let outcome = DirectCallOutcome::NotSent;
+            leader.direct_call_result(now, machine, call, outcome, context.jobs.cache(), context.names);
+        }
+    }
+
+    fn rent(&mut self, context: &mut LeaderContext, authority: Authority, call: CallId, rent: &RentRequest) {
+        let request = CloudRequest::post("/hosts", cbor::encode(rent));
+        let sent = send_to_cloud(context, authority, Urgency::Commit, LeaderCall::RentHosts { call }, request);
+        if let Some(leader) = self.leader.as_mut().filter(|_| !sent) {
+            leader.rented(authority.now, call, RentOutcome::Again);
+        }
+    }
+
+    fn return_hosts(&mut self, context: &mut LeaderContext, authority: Authority, call: CallId, hosts: Vec<String>) {
+        let request = CloudRequest::post("/hosts/return", cbor::encode(&HostNames { hosts }));
+        let sent = send_to_cloud(context, authority, Urgency::Cancel, LeaderCall::ReturnHosts { call }, request);
+        if let Some(leader) = self.leader.as_mut().filter(|_| !sent) {
+            leader.returned(authority.now, call, false);
+        }
+    }
+
+    fn list_hosts(&mut self, context: &mut LeaderContext, authority: Authority, call: CallId, from: Option<&str>) {
+        let from = from.map_or(String::new(), |from| format!("from={from}&"));
+        let request = CloudRequest::get(format!("/hosts?{from}most={LIST_PAGE_HOSTS}"));
+        let sent = send_to_cloud(context, authority, Urgency::Submit, LeaderCall::ListHosts { call }, request);
+        if let Some(leader) = self.leader.as_mut().filter(|_| !sent) {
+            leader.listed(authority.now, call, None, context.names);
+        }
+    }
+
+    /// The answer to commands came.
+    pub(super) fn commands_answered(
+        &mut self,
+        context: &mut LeaderContext,
+        now: Millis,
+        term: Term,
+        machine: MachineIndex,
+        call: CallId,
+        result: &CallResult,
+    ) {
+        let outcome = command_outcome(result);
+        let Some(leader) = self.leader_of(term) else { return };
+        if !leader.direct_call_result(now, machine, call, outcome, context.jobs.cache(), context.names) {
+            tracing::warn!(%term, "worker has seen a higher fencing token");
+        }
+    }
+
+    /// The answer to a probe came.
+    pub(super) fn probed(
+        &mut self,
+        context: &mut LeaderContext,
+        now: Millis,
+        term: Term,
+        machine: MachineIndex,
+        result: &CallResult,
+    ) {
+        let heartbeat = body::<Heartbeat>(result);
+        if let Some(leader) = self.leader_of(term) {
+            leader.probed(now, machine, heartbeat.as_ref(), context.jobs.cache(), context.names);
+        }
+    }
+
+    /// The answer to a scale-out came.
+    pub(super) fn rented(&mut self, now: Millis, term: Term, call: CallId, result: &CallResult) {
+        let outcome = rent_outcome(result);
+        if let Some(leader) = self.leader_of(term) {
+            leader.rented(now, call, outcome);
+        }
+    }
+
+    /// The answer to a scale-in came.
+    pub(super) fn returned(&mut self, now: Millis, term: Term, call: CallId, result: &CallResult) {
+        if let Some(leader) = self.leader_of(term) {
+            leader.returned(now, call, status(result) == OK);
+        }
+    }
+
+    /// A page of the list of hosts came.
+    pub(super) fn hosts_listed(
+        &mut self,
+        context: &mut LeaderContext,
+        now: Millis,
+        term: Term,
+        call: CallId,
+        result: &CallResult,
+    ) {
+        let list = body::<HostList>(result);
+        if let Some(leader) = self.leader_of(term) {
+            leader.listed(now, call, list.as_ref(), context.names);
+        }
+    }
+}
+
+/// Sends a request to the cloud if this controller still leads and the budget
+/// allows it. Returns whether it was sent.
+fn send_to_cloud(
+    context: &mut LeaderContext,
+    authority: Authority,
+    urgency: Urgency,
+    call: LeaderCall,
+    request: CloudRequest,
+) -> bool {
+    let allowed = authority.valid && context.client.budgets().take_cloud(authority.now, urgency);
+    if allowed {
+        let pending = PendingCall::Leader { term: authority.term, call };
+        context.client.send_to_cloud(context.net, pending, request);
+    }
+    allowed
+}
+
+fn command_outcome(result: &CallResult) -> DirectCallOutcome {
+    match result {
+        Ok(reply) if matches!(reply.status, OK | CONFLICT) => match cbor::decode::<Heartbeat>(&reply.body) {
+            Ok(heartbeat) if reply.status == OK => DirectCallOutcome::Executed(heartbeat),
+            Ok(heartbeat) => DirectCallOutcome::Refused(heartbeat),
+            Err(_) => DirectCallOutcome::Unknown,
+        },
+        Ok(_) | Err(CallError::Unknown) => DirectCallOutcome::Unknown,
+        Err(CallError::NotSent) => DirectCallOutcome::NotSent,
+    }
+}
+
+fn rent_outcome(result: &CallResult) -> RentOutcome {
+    let lacks_capacity = |reply: &Reply| reply.body.windows(NO_CAPACITY.len()).any(|window| window == NO_CAPACITY);
+    match status(result) {
+        OK => body::<HostNames>(result).map_or(RentOutcome::Again, |names| RentOutcome::Rented(names.hosts)),
+        BAD_REQUEST => RentOutcome::Malformed,
+        SERVICE_UNAVAILABLE if result.as_ref().is_ok_and(lacks_capacity) => RentOutcome::NoCapacity,
+        _ => RentOutcome::Again,
+    }
+}
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -1,15 +1,17 @@
-//! The machine types that the cloud offers.
+//! The catalog of machine types that the cloud offers.
 
 use super::{
-    calls::{CloudCall, Pending},
-    replies::body,
-    wiring::Controller,
+    poll_schedule::PollSchedule,
+    service_client::{body, CallResult, CloudRequest, PendingCall, ServiceClient},
 };
 use crate::{
     coordination::model::{MachineTypeSpec, Millis, Resources},
-    protocol::cloud::{MachineType, MachineTypeList},
+    protocol::{
+        cloud::{MachineType, MachineTypeList},
+        names::Tables,
+    },
     storage::budget::Urgency,
-    transport::{CallError, Net, Reply},
+    transport::Net,
 };
 
 /// Pause, in ms, after a request that failed; no job is accepted before one succeeds.
@@ -32,46 +34,60 @@
     amounts.iter().all(|amount| amount.is_finite() && *amount >= 0.0)
 }
 
-impl Controller {
+fn machine_type_spec(offered: &MachineType, names: &mut Tables) -> MachineTypeSpec {
+    MachineTypeSpec {
+        index: names.types.intern(&offered.name),
+        capacity: Resources { cpus: offered.cpus, gpus: offered.gpus, memory_gb: offered.memory_gb },
+        cache_gb: offered.cache_gb,
+        fetch_gb_per_s: offered.fetch_gb_per_s,
+        price: offered.price,
+        spot_price: offered.spot_price,
+        boot_s: offered.boot_s,
+        zones: offered.zones.iter().map(|zone| names.zones.intern(zone)).collect(),
+    }
+}
+
+/// The machine types as they were last read, and when they are read again.
+#[derive(Debug, Default)]
+pub struct MachineTypeCatalog {
+    types: Vec<MachineTypeSpec>,
+    schedule: PollSchedule,
+}
+
+impl MachineTypeCatalog {
+    /// The types that may be rented; none before they were first read.
+    pub fn types(&self) -> &[MachineTypeSpec] {
+        &self.types
+    }
+
+    /// Whether no type is known.
+    pub fn is_empty(&self) -> bool {
+        self.types.is_empty()
+    }
+
     /// Reads the machine types when that is due.
-    pub(super) fn refresh_machine_types(&mut self, net: &mut Net, now: Millis) {
-        if self.types_poll.due(now) && self.budgets.cloud.take(now, 1.0, Urgency::Commit).is_ok() {
-            self.types_poll.in_flight = true;
-            self.ask_cloud(net, Pending::MachineTypes, CloudCall::get("/flavors".into()));
+    pub fn refresh(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
+        if self.schedule.is_due(now) && client.budgets().take_cloud(now, Urgency::Commit) {
+            self.schedule.begin();
+            client.send_to_cloud(net, PendingCall::MachineTypes, CloudRequest::get("/flavors".into()));
         }
     }
 
-    /// The list of machine types came.
-    pub(super) fn machine_types_listed(&mut self, now: Millis, result: &Result<Reply, CallError>) {
+    /// The list of machine types came. Returns whether it was read.
+    pub fn update(&mut self, now: Millis, result: &CallResult, names: &mut Tables) -> bool {
         let Some(list) = body::<MachineTypeList>(result) else {
-            self.types_poll.finish(now + RETRY_MS);
-            return;
+            self.schedule.end_until(now + RETRY_MS);
+            return false;
         };
-        self.types_poll.finish(now + REFRESH_MS);
-        let mut types = Vec::new();
-        for offered in list.types {
-            if is_plausible(&offered) {
-                types.push(self.machine_type(&offered));
+        self.schedule.end_until(now + REFRESH_MS);
+        self.types.clear();
+        for offered in &list.types {
+            if is_plausible(offered) {
+                self.types.push(machine_type_spec(offered, names));
             } else {
-                tracing::warn!(name = &*offered.name, "a machine type with impossible numbers is left out");
+                tracing::warn!(machine_type = &*offered.name, "implausible machine type ignored");
             }
         }
-        if let Some(leader) = &mut self.leader {
-            leader.set_types(&types);
-        }
-        self.types = types;
-    }
-
-    fn machine_type(&mut self, offered: &MachineType) -> MachineTypeSpec {
-        MachineTypeSpec {
-            index: self.tables.types.intern(&offered.name),
-            capacity: Resources { cpus: offered.cpus, gpus: offered.gpus, memory_gb: offered.memory_gb },
-            cache_gb: offered.cache_gb,
-            fetch_gb_per_s: offered.fetch_gb_per_s,
-            price: offered.price,
-            spot_price: offered.spot_price,
-            boot_s: offered.boot_s,
-            zones: offered.zones.iter().map(|zone| self.tables.zones.intern(zone)).collect(),
-        }
+        true
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,31 +1,36 @@
 //! One controller: the other layers, connected around the event loop.
 //!
-//! `wiring::Controller` owns all state. Its components each have a module with the
-//! methods that work on them; [`run()`] feeds it events and ticks.
+//! [`run()`] feeds events and ticks to `instance::Controller`, which owns the
+//! components and hands each event on. A component is a module with private
+//! state and one job:
+//!
+//! - `service_client`: requests to the key-value store, the cloud and the workers,
+//!   their budgets, and what each pending reply is for.
+//! - `store_health`: whether the key-value store serves this controller.
+//! - `peers`: the other controllers, and gossip with them.
+//! - `election_driver`, `renewal_key`: the keys that this controller holds under
+//!   grants, to lead and to renew leases.
+//! - `leader_key_watch`, `job_watch`, `version_watch`, `machine_types`: what is read
+//!   again and again from the store and the cloud.
+//! - `users`: the API for users, and their requests that wait for the read barrier.
+//! - `leadership`: what a controller does while it leads.
 
-mod background;
-mod budgets;
-mod calls;
-mod commits;
-mod effects;
-mod gossip;
-mod grants;
-mod health;
-mod job_feed;
-mod leader_config;
-mod leader_key;
-mod leading;
+mod clock;
+mod cluster_limits;
+mod election_driver;
+mod identity;
+mod instance;
+mod job_watch;
+mod leader_key_watch;
+mod leadership;
 mod machine_types;
 mod peers;
-mod poll_loop;
-mod replies;
-mod routes;
+mod poll_schedule;
+mod renewal_key;
 mod run;
-mod task_loading;
-mod upgrade;
+mod service_client;
+mod store_health;
 mod users;
-mod waiters;
-mod wiring;
-mod workers;
+mod version_watch;
 
 pub use run::{run, ControllerError};
--- /dev/null
+++ b/src/controller/renewal_key.rs
@@ -0,0 +1,145 @@
+//! The key under which this controller may renew workers' leases without leading.
+//! The decisions are made in `coordination::lease_renewal`.
+
+use ciborium::Value;
+
+use super::{
+    election_driver::write_granted_key,
+    identity::Identity,
+    service_client::{
+        applied_revision, grant_id, grant_renewed, status, CallResult, PendingCall, RenewalKeyCall, ServiceClient,
+        StoreRequest, STORE_TIMEOUT_MS,
+    },
+};
+use crate::{
+    coordination::{
+        lease_renewal::{self, shares_the_cut, Action, Other, RenewalRight},
+        model::Millis,
+    },
+    protocol::{ids::Revision, settings::Settings},
+    storage::records::{self, LeaderRecord},
+    transport::{http::status::BAD_REQUEST, Net},
+};
+
+/// This controller's right to renew leases, and the key that shows it to others.
+#[derive(Debug)]
+pub struct RenewalKey {
+    identity: Identity,
+    right: RenewalRight,
+    /// When a worker of another zone last sent a heartbeat here.
+    last_foreign_heartbeat: Option<Millis>,
+}
+
+impl RenewalKey {
+    /// A controller that has read nothing and holds no key.
+    pub fn new(identity: Identity, settings: &Settings) -> RenewalKey {
+        let workers = &settings.cluster.workers;
+        // A single controller has no leader but itself to renew leases for.
+        let is_single = settings.seeds.is_empty();
+        let max_ms = if is_single { 0 } else { lease_renewal::most_ms(workers.cancel_s, workers.lease_s) };
+        let right = RenewalRight::new(lease_renewal::renewal_ms(workers.cancel_s, workers.lease_s), max_ms);
+        RenewalKey { identity, right, last_foreign_heartbeat: None }
+    }
+
+    /// Sends the next request if one is due.
+    pub fn tick(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
+        if let Some(action) = self.right.tick(now) {
+            self.perform(net, client, action);
+        }
+    }
+
+    fn perform(&self, net: &mut Net, client: &mut ServiceClient, action: Action) {
+        let now = net.now();
+        client.budgets().charge_read(now);
+        match action {
+            Action::Grant => {
+                let request = StoreRequest::create_grant(self.right.ttl_ms(), STORE_TIMEOUT_MS);
+                client.send_to_store(net, PendingCall::RenewalKey(RenewalKeyCall::CreateGrant), request);
+            }
+            Action::Renew(grant) => {
+                let request = StoreRequest::renew_grant(grant, STORE_TIMEOUT_MS);
+                client.send_to_store(net, PendingCall::RenewalKey(RenewalKeyCall::RenewGrant), request);
+            }
+            Action::Register { permit, expect } => {
+                let nonce = self.right.mark(self.identity.nonce).unwrap_or(self.identity.nonce);
+                let record = LeaderRecord { label: self.identity.label.clone(), nonce };
+                let request = write_granted_key(self.key(), &record, permit, expect);
+                client.budgets().charge_commits(now, 1);
+                client.send_to_store(net, PendingCall::RenewalKey(RenewalKeyCall::WriteKey), request);
+            }
+        }
+    }
+
+    /// A request for the key ended.
+    pub fn handle_reply(&mut self, now: Millis, call: &RenewalKeyCall, result: &CallResult) {
+        match call {
+            RenewalKeyCall::CreateGrant => self.right.granted(now, grant_id(result)),
+            RenewalKeyCall::RenewGrant => self.right.renewed(now, grant_renewed(result)),
+            RenewalKeyCall::WriteKey => self.written(now, result),
+        }
+    }
+
+    fn written(&mut self, now: Millis, result: &CallResult) {
+        // The store knows no such grant any more.
+        if status(result) == BAD_REQUEST {
+            self.right.lost();
+        }
+        self.right.registered(now, applied_revision(result));
+    }
+
+    /// The name of this controller's key.
+    pub fn key(&self) -> String {
+        records::renewal_key(&self.identity.label)
+    }
+
+    /// The key was seen at a revision of the store. `key_revision` is the revision
+    /// of its last write, or [`Revision::ABSENT`].
+    pub fn observe_key(&mut self, value: Option<&Value>, key_revision: Revision, store_revision: Revision) {
+        let is_ours = value.is_some_and(|value| self.is_own_record(value));
+        self.right.saw_key(key_revision, store_revision, is_ours);
+    }
+
+    /// Whether the value of the key belongs to the grant that this controller holds.
+    fn is_own_record(&self, value: &Value) -> bool {
+        value.deserialized::<LeaderRecord>().is_ok_and(|record| {
+            record.label == self.identity.label && Some(record.nonce) == self.right.mark(self.identity.nonce)
+        })
+    }
+
+    /// A read of the jobs' records that was sent at `sent` was applied.
+    pub fn record_job_read(&mut self, sent: Millis) {
+        self.right.synced(sent);
+    }
+
+    /// For how long, in ms, a read of the jobs' records allows leases to be renewed.
+    pub fn read_validity_ms(&self) -> Millis {
+        self.right.renewal_ms()
+    }
+
+    /// A worker of another zone sent a heartbeat here.
+    pub fn record_foreign_heartbeat(&mut self, now: Millis) {
+        self.last_foreign_heartbeat = Some(now);
+    }
+
+    /// Whether the last read of the jobs' records is recent enough to renew a
+    /// lease, by the leader too.
+    pub fn may_renew(&self, now: Millis) -> bool {
+        self.right.may_renew(now)
+    }
+
+    /// Whether leases may be renewed although no leader is in contact.
+    pub fn may_renew_without_leader(&self, now: Millis, peers: &[Other]) -> bool {
+        self.right.may_renew_without_leader(now)
+            && shares_the_cut(now, self.right.contact(), peers, self.last_foreign_heartbeat)
+    }
+
+    /// A lease is renewed now without leading.
+    pub fn record_renewal(&mut self, now: Millis) {
+        self.right.last = now;
+    }
+
+    /// When a lease was last renewed without leading; 0: never.
+    pub fn last_leaderless_renewal(&self) -> Millis {
+        self.right.last
+    }
+}
--- a/src/controller/run.rs
+++ b/src/controller/run.rs
@@ -4,7 +4,7 @@
 
 use calloop::EventLoop;
 
-use super::wiring::Controller;
+use super::instance::Controller;
 use crate::{
     coordination::model::Millis,
     protocol::{
@@ -18,15 +18,15 @@
 };
 
 /// After a halt of this long, in ms, all pending requests are dropped: nobody
-/// waits longer for an answer of ours, nor do we for one of a peer or the state
-/// service, a few watches aside.
+/// waits longer for an answer of ours, nor do we for one of a peer or the key-value
+/// store, a few watches aside.
 const HALT_MS: Millis = 5_000;
 /// A connection with no request is closed after this long, in ms: longer than
 /// load balancers and workers keep theirs idle.
 const IDLE_MS: u64 = 75_000;
 /// A request must be complete within this time, in ms.
 const HEAD_MS: u64 = 5_000;
-/// A worker's connection counts as stale after three heartbeat interval: this many
+/// A worker's connection counts as stale after three heartbeat intervals: this many
 /// ms per second of the interval, within the range below.
 const STALE_MS_PER_HEARTBEAT_S: f64 = 3_000.0;
 const MIN_STALE_MS: u64 = 10_000;
@@ -62,7 +62,7 @@
     let stale_ms = stale_ms(&cluster.workers);
     if let DescriptorLimit::TooLow(descriptors) = allow_descriptors(cluster.limits.sockets) {
         let sockets = cluster.limits.sockets;
-        tracing::warn!(descriptors, sockets, "the process may open fewer descriptors than sockets are allowed");
+        tracing::warn!(descriptors, sockets, "descriptor limit below socket limit");
     }
     let limits = Limits { sockets: cluster.limits.sockets, idle_ms: IDLE_MS, head_ms: HEAD_MS, stale_ms };
     let mut net = Net::new(&event_loop, limits);
@@ -71,7 +71,7 @@
         net.listen(addr, kind).map_err(|source| ControllerError::Listen { addr, source })?;
     }
     tracing::info!(label = &*settings.label, zone = &*settings.domain, "started");
-    let mut controller = Controller::new(settings, operator, &mut net);
+    let mut controller = Controller::new(&settings, operator, &mut net);
     let mut last_turn = net.now();
     loop {
         controller.tick(&mut net);
@@ -89,7 +89,7 @@
 fn drop_stale_io_after_halt(net: &mut Net, last_turn: Millis) {
     let now = net.now();
     if now > last_turn + HALT_MS {
-        tracing::warn!(ms = now - last_turn, "stood still: what was waiting is dropped");
+        tracing::warn!(halted_ms = now - last_turn, "process halted: pending input dropped");
         net.drop_stale_io();
     }
 }
--- /dev/null
+++ b/src/controller/service_client/mod.rs
@@ -0,0 +1,86 @@
+//! Requests to the outside services: the key-value store, the cloud and the workers.
+
+mod budgets;
+mod pending_call;
+mod replies;
+mod requests;
+
+use std::net::SocketAddr;
+
+pub use self::{
+    budgets::{Budgets, Usage},
+    pending_call::{
+        ElectionCall, JobWrite, JobsCall, LeaderCall, LeaderKeyCall, PendingCall, PendingCalls, RenewalKeyCall,
+        UserCall, VersionCall,
+    },
+    replies::{applied_revision, body, grant_id, grant_renewed, status, CallResult},
+    requests::{CloudRequest, StoreRequest, WorkerRequest},
+};
+use crate::{
+    protocol::settings::Settings,
+    transport::{Call, Net},
+};
+
+/// Timeout, in ms, of small requests to the key-value store whose result is
+/// needed soon: grants, the leader's transactions, reads for the read barrier.
+pub const STORE_TIMEOUT_MS: u64 = 1_500;
+/// Timeout, in ms, of requests to the key-value store that are not urgent.
+pub const SLOW_STORE_TIMEOUT_MS: u64 = 2_500;
+/// Timeout, in ms, of reads of a page of records, which may be large.
+pub const PAGE_TIMEOUT_MS: u64 = 3_000;
+/// Time, in ms, that a watch may take beyond the time it was asked to wait.
+pub const WATCH_GRACE_MS: u64 = 2_000;
+/// Timeout, in ms, of requests to the cloud, which is slower than all else.
+const CLOUD_TIMEOUT_MS: u64 = 4_000;
+
+/// Sends requests, remembers what each pending reply is for, and keeps the budgets.
+#[derive(Debug)]
+pub struct ServiceClient {
+    store_addr: SocketAddr,
+    cloud_addr: SocketAddr,
+    pending: PendingCalls,
+    budgets: Budgets,
+}
+
+impl ServiceClient {
+    /// A client that has sent nothing yet.
+    pub fn new(settings: &Settings) -> ServiceClient {
+        ServiceClient {
+            store_addr: settings.outside.state,
+            cloud_addr: settings.outside.cloud,
+            pending: PendingCalls::default(),
+            budgets: Budgets::new(&settings.cluster.state, &settings.cluster.cloud),
+        }
+    }
+
+    /// The budgets of the requests. Callers take from them before they send.
+    pub fn budgets(&mut self) -> &mut Budgets {
+        &mut self.budgets
+    }
+
+    /// What the reply with this tag is for; each reply is handed out once.
+    pub fn take_pending(&mut self, tag: u64) -> Option<PendingCall> {
+        self.pending.take(tag)
+    }
+
+    /// Sends a request to the key-value store.
+    pub fn send_to_store(&mut self, net: &mut Net, pending: PendingCall, request: StoreRequest) {
+        let StoreRequest { method, path, body, timeout_ms } = request;
+        let tag = self.pending.add(pending);
+        net.call(Call { dest: self.store_addr, method, path, body, timeout_ms, tag });
+    }
+
+    /// Sends a request to the cloud.
+    pub fn send_to_cloud(&mut self, net: &mut Net, pending: PendingCall, request: CloudRequest) {
+        let CloudRequest { method, path, body } = request;
+        let tag = self.pending.add(pending);
+        net.call(Call { dest: self.cloud_addr, method, path, body, timeout_ms: CLOUD_TIMEOUT_MS, tag });
+    }
+
+    /// Sends a request to a worker.
+    pub fn send_to_worker(&mut self, net: &mut Net, pending: PendingCall, request: WorkerRequest) {
+        let WorkerRequest { addr: dest, method, path, body, timeout_ms } = request;
+        let tag = self.pending.add(pending);
+        net.call(Call { dest, method, path: path.into(), body, timeout_ms, tag });
+    }
+}
--- /dev/null
+++ b/src/controller/service_client/replies.rs
@@ -0,0 +1,54 @@
+//! Reading of replies to calls.
+
+use serde::de::DeserializeOwned;
+
+use crate::{
+    protocol::{
+        cbor,
+        ids::Revision,
+        store::{AppliedTransaction, Permit},
+    },
+    transport::{
+        http::status::{NOT_FOUND, OK},
+        CallError, Reply,
+    },
+};
+
+/// How a call ended.
+pub type CallResult = Result<Reply, CallError>;
+
+/// The status of a reply; 0 when there is none.
+pub fn status(result: &CallResult) -> u16 {
+    result.as_ref().map_or(0, |reply| reply.status)
+}
+
+/// The body of a successful reply; None for a failure, or a body that can't be decoded.
+pub fn body<T: DeserializeOwned>(result: &CallResult) -> Option<T> {
+    let reply = result.as_ref().ok().filter(|reply| reply.status == OK)?;
+    match cbor::decode(&reply.body) {
+        Ok(value) => Some(value),
+        Err(error) => {
+            tracing::warn!(%error, "invalid reply body");
+            None
+        }
+    }
+}
+
+/// The number of the grant that a request created; None: it failed.
+pub fn grant_id(result: &CallResult) -> Option<u64> {
+    body::<Permit>(result).map(|permit| permit.permit)
+}
+
+/// The revision at which a transaction was applied; None: it failed, or that is not known.
+pub fn applied_revision(result: &CallResult) -> Option<Revision> {
+    body::<AppliedTransaction>(result).map(|applied| applied.store_revision)
+}
+
+/// Whether a grant was renewed; None: not known.
+pub fn grant_renewed(result: &CallResult) -> Option<bool> {
+    match status(result) {
+        OK => Some(true),
+        NOT_FOUND => Some(false),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/src/controller/service_client/requests.rs
@@ -0,0 +1,106 @@
+//! Requests to the outside services, before they are sent.
+
+use std::net::SocketAddr;
+
+use crate::{
+    protocol::{
+        cbor,
+        ids::Revision,
+        store::{GrantRequest, Txn},
+    },
+    transport::Method,
+};
+
+/// Most keys of one page of a listing.
+const PAGE_KEYS: u32 = 1_000;
+
+/// A request to the key-value store.
+#[derive(Debug)]
+pub struct StoreRequest {
+    pub(super) method: Method,
+    pub(super) path: String,
+    pub(super) body: Vec<u8>,
+    pub(super) timeout_ms: u64,
+}
+
+impl StoreRequest {
+    fn get(path: String, timeout_ms: u64) -> StoreRequest {
+        StoreRequest { method: Method::Get, path, body: Vec::new(), timeout_ms }
+    }
+
+    fn post(path: String, body: Vec<u8>, timeout_ms: u64) -> StoreRequest {
+        StoreRequest { method: Method::Post, path, body, timeout_ms }
+    }
+
+    /// Reads one key.
+    pub fn read_key(key: &str, timeout_ms: u64) -> StoreRequest {
+        StoreRequest::get(format!("/store/{key}"), timeout_ms)
+    }
+
+    /// Reads a page of the keys under a prefix, those after `from`; None: the first page.
+    pub fn read_page(prefix: &str, from: Option<&str>, timeout_ms: u64) -> StoreRequest {
+        let from = from.map_or(String::new(), |key| format!("&from={key}"));
+        StoreRequest::get(format!("/store?under={prefix}{from}&most={PAGE_KEYS}"), timeout_ms)
+    }
+
+    /// Reads the changes under a prefix since a revision. The store waits up to
+    /// `wait_ms` for one.
+    pub fn read_changes(prefix: &str, from: Revision, wait_ms: u64, timeout_ms: u64) -> StoreRequest {
+        StoreRequest::get(format!("/changes?under={prefix}&from={from}&waitMs={wait_ms}"), timeout_ms)
+    }
+
+    /// Applies a transaction.
+    pub fn transaction(transaction: &Txn, timeout_ms: u64) -> StoreRequest {
+        StoreRequest::post("/multi".into(), cbor::encode(transaction), timeout_ms)
+    }
+
+    /// Asks for a grant that lasts `ttl_ms` unless it is renewed.
+    pub fn create_grant(ttl_ms: u64, timeout_ms: u64) -> StoreRequest {
+        StoreRequest::post("/grants".into(), cbor::encode(&GrantRequest { ttl_ms }), timeout_ms)
+    }
+
+    /// Renews a grant.
+    pub fn renew_grant(grant: u64, timeout_ms: u64) -> StoreRequest {
+        StoreRequest::post(format!("/grants/{grant}/renew"), Vec::new(), timeout_ms)
+    }
+
+    /// Ends a grant, which removes the keys that are attached to it.
+    pub fn delete_grant(grant: u64, timeout_ms: u64) -> StoreRequest {
+        StoreRequest { method: Method::Delete, path: format!("/grants/{grant}"), body: Vec::new(), timeout_ms }
+    }
+}
+
+/// A request to the cloud.
+#[derive(Debug)]
+pub struct CloudRequest {
+    pub(super) method: Method,
+    pub(super) path: String,
+    pub(super) body: Vec<u8>,
+}
+
+impl CloudRequest {
+    /// Reads a list.
+    pub fn get(path: String) -> CloudRequest {
+        CloudRequest { method: Method::Get, path, body: Vec::new() }
+    }
+
+    /// Posts a request.
+    pub fn post(path: &str, body: Vec<u8>) -> CloudRequest {
+        CloudRequest { method: Method::Post, path: path.into(), body }
+    }
+}
+
+/// A request to a worker.
+#[derive(Debug)]
+pub struct WorkerRequest {
+    /// Address of the worker.
+    pub addr: SocketAddr,
+    /// Method of the request.
+    pub method: Method,
+    /// Path of the request.
+    pub path: &'static str,
+    /// Body of the request; empty if it has none.
+    pub body: Vec<u8>,
+    /// Timeout, in ms.
+    pub timeout_ms: u64,
+}
--- a/src/controller/tests/cancel.rs
+++ b/src/controller/tests/cancel.rs
@@ -1,13 +1,7 @@
-use calloop::EventLoop;
-
 use super::*;
-use crate::{
-    protocol::{
-        cbor,
-        operator::Operator,
-        settings::{tests::SAMPLE, Settings},
-    },
-    transport::Limits,
+use crate::protocol::{
+    cbor,
+    settings::{tests::SAMPLE, Settings},
 };
 
 /// Guard: the cancellation of a job that was recorded under a larger limit
@@ -15,10 +9,8 @@
 #[test]
 fn a_cancellation_fits_the_lowered_limit() {
     const LOWERED: &str = "[cluster.state.next]\nvalue_kb = 2.0\n[cluster.cloud]";
-    let event_loop = EventLoop::try_new().unwrap();
-    let mut net = Net::new(&event_loop, Limits { sockets: 100, idle_ms: 1_000, head_ms: 1_000, stale_ms: 1_000 });
     let settings = Settings::parse(&SAMPLE.replacen("[cluster.cloud]", LOWERED, 1), "x.toml").unwrap();
-    let controller = Controller::new(settings, Operator::default(), &mut net);
+    let users = UserApi::new(Rc::new(settings.cluster));
     let small: Submission = cbor::decode(&cbor::encode(&crate::protocol::jobs::tests::sample())).unwrap();
     let names = |count: usize, bytes: usize| Some(vec!["t".repeat(bytes); count]);
     // (machine types, prerequisites, whether both are kept)
@@ -31,8 +23,8 @@
     for (types, prereqs, kept) in cases {
         let submission = Submission { types, prereqs, ..small.clone() };
         let pending = JobRecord { submission, status: JobStatus::Pending, at_ms: 5, chunk: 64 };
-        let cancelled = controller.cancelled(&pending);
-        assert!(controller.fits_a_value(&cancelled), "{pending:?}");
+        let cancelled = users.cancelled_record(&pending);
+        assert!(users.fits_a_value(&cancelled), "{pending:?}");
         assert_eq!((cancelled.status, cancelled.at_ms, cancelled.chunk), (JobStatus::Cancelled, 5, 64));
         assert_eq!(cancelled.submission == pending.submission, kept, "{pending:?}");
         // What the tasks that are being stopped occupy stays known.
--- /dev/null
+++ b/src/controller/tests/statistics.rs
@@ -0,0 +1,16 @@
+use super::{RequestStatistics, LOG_INTERVAL_MS};
+
+/// The counts are reset once per interval, not before.
+#[test]
+fn counts_are_kept_until_the_next_log() {
+    let mut statistics = RequestStatistics::default();
+    statistics.log_if_due(0);
+    statistics.record_accepted();
+    statistics.record_unavailable();
+    statistics.record_over_budget();
+    statistics.log_if_due(LOG_INTERVAL_MS - 1);
+    assert_eq!((statistics.accepted, statistics.unavailable, statistics.over_budget), (1, 1, 1));
+    statistics.log_if_due(LOG_INTERVAL_MS);
+    assert_eq!((statistics.accepted, statistics.unavailable, statistics.over_budget), (0, 0, 0));
+    assert_eq!(statistics.next_log, 2 * LOG_INTERVAL_MS);
+}
--- a/src/controller/users/cancel.rs
+++ b/src/controller/users/cancel.rs
@@ -3,56 +3,48 @@
 
 use std::rc::Rc;
 
-use super::{RecordWrite, WriteOutcome};
+use super::{
+    CallResult, Condition, ConnId, JobRecord, JobStatus, JobWrite, Urgency, UserApi, UserCall, UserContext,
+    WaitingRequest, WriteOutcome, NOT_FOUND, OK,
+};
 use crate::{
-    controller::wiring::{Controller, Pending, Waiter},
     protocol::{
         jobs::{valid_id, Submission},
-        store::Condition,
-    },
-    storage::{
-        budget::Urgency,
-        records::{self, JobRecord, JobStatus},
+        peers::Cancelled,
     },
-    transport::{CallError, ConnId, Net, Reply},
+    storage::records,
 };
 
 /// How often a cancellation is tried again when the job's record changes.
-const ABORT_RETRIES: u32 = 3;
+const CANCEL_RETRIES: u32 = 3;
 
-impl Controller {
-    /// `POST /api/jobs/{id}/abort`
-    pub fn abort(&mut self, net: &mut Net, conn: ConnId, id: String, tries: u32) {
+impl UserApi {
+    /// `POST /api/jobs/{id}/abort`. `retries`: how often it was tried again so far.
+    pub fn cancel(&mut self, context: &mut UserContext, conn: ConnId, id: String, retries: u32) {
         if !valid_id(&id) {
-            return net.respond(conn, 404, None, b"");
+            return context.respond_empty(conn, NOT_FOUND);
         }
-        match self.job_cache.find(&id) {
-            Some(index) if self.is_over(index) => self.known_job_answer(net, conn, index),
+        match context.find(&id) {
+            Some(index) if context.is_over(index) => context.respond_known_job(conn, index),
             Some(index) => {
-                let entry = self.job_cache.get(index);
+                let entry = context.jobs.cache().get(index);
                 let (Some(pending), revision) = (entry.record.clone(), entry.revision) else {
-                    return self.unavailable(net, conn);
+                    return self.respond_unavailable(context, conn);
                 };
-                let record = Rc::new(self.cancelled(&pending));
+                let record = Rc::new(self.cancelled_record(&pending));
                 let conditions = vec![Condition { key: records::job_key(&id), revision }];
-                let write = RecordWrite {
-                    conn,
-                    urgency: Urgency::Cancel,
-                    conditions,
-                    id: id.clone(),
-                    record: (*record).clone(),
-                };
-                self.write_record(net, write, Pending::Abort { conn, id, record, tries });
+                let write = JobWrite { conn, id, record, retries };
+                self.write_record(context, Urgency::Cancel, conditions, write, UserCall::Cancel);
             }
-            None if !self.job_cache.loaded() => self.unavailable(net, conn),
-            None => self.read_barrier.join(net.now(), Waiter::Abort { conn, id, tries }),
+            None if !context.jobs.cache().loaded() => self.respond_unavailable(context, conn),
+            None => self.read_barrier.join(context.net.now(), WaitingRequest::Cancel { conn, id, retries }),
         }
     }
 
     /// The record of a job that is cancelled. Guard: a record that was written
     /// under a larger limit must still fit, or the cancellation would be refused
     /// for ever. What only matters for starts can go.
-    fn cancelled(&self, pending: &JobRecord) -> JobRecord {
+    fn cancelled_record(&self, pending: &JobRecord) -> JobRecord {
         let record = JobRecord { status: JobStatus::Cancelled, ..pending.clone() };
         if self.fits_a_value(&record) {
             return record;
@@ -62,27 +54,23 @@
     }
 
     /// The write of a cancelled job's record has ended.
-    pub fn aborted(
-        &mut self,
-        net: &mut Net,
-        conn: ConnId,
-        id: String,
-        record: &JobRecord,
-        tries: u32,
-        result: Result<Reply, CallError>,
-    ) {
-        match self.record_written(net, conn, &id, record, &result) {
+    pub(super) fn cancelled(&mut self, context: &mut UserContext, write: JobWrite, result: &CallResult) {
+        let outcome = self.record_written(context, &write, result);
+        let JobWrite { conn, id, retries, .. } = write;
+        match outcome {
             WriteOutcome::Applied => {
-                if let Some(revision) = self.job_cache.find(&id).map(|index| self.job_cache.get(index).revision) {
-                    self.tell_cancelled(net, net.now(), &id, revision);
+                if let Some(index) = context.find(&id) {
+                    let revision = context.jobs.cache().get(index).revision;
+                    let cancelled = Cancelled { job: id.clone(), revision };
+                    context.peers.announce_cancellation(context.net, context.net.now(), cancelled);
                 }
-                self.job_answer(net, conn, 200, &id, "cancelled");
+                context.respond_job(conn, OK, &id, "cancelled");
             }
             // Done or cancelled in the meantime: read, then decide again.
-            WriteOutcome::Conflict if tries < ABORT_RETRIES => {
-                self.read_barrier.join(net.now(), Waiter::Abort { conn, id, tries: tries + 1 });
+            WriteOutcome::Conflict if retries < CANCEL_RETRIES => {
+                self.read_barrier.join(context.net.now(), WaitingRequest::Cancel { conn, id, retries: retries + 1 });
             }
-            WriteOutcome::Conflict => self.unavailable(net, conn),
+            WriteOutcome::Conflict => self.respond_unavailable(context, conn),
             WriteOutcome::Answered => {}
         }
     }
--- a/src/controller/users/submit.rs
+++ b/src/controller/users/submit.rs
@@ -2,26 +2,29 @@
 
 use std::rc::Rc;
 
-use super::{status_word, RecordWrite, WriteOutcome};
+use super::{
+    status_word, CallResult, Condition, ConnId, JobRecord, JobStatus, JobWrite, Urgency, UserApi, UserCall,
+    UserContext, WaitingRequest, WriteOutcome, BAD_REQUEST, CREATED, UNPROCESSABLE_CONTENT,
+};
 use crate::{
-    controller::wiring::{wall_ms, Controller, Pending, Waiter},
-    coordination::model::{fits_some_type, TeamLimits},
+    controller::{
+        clock::wall_clock_ms,
+        cluster_limits::{chunk_size, team_limits},
+    },
+    coordination::model::{fits_some_type, MachineTypeSpec, TeamLimits},
     protocol::{
         cbor,
         ids::Revision,
         jobs::{JobSpec, Refusal, Submission},
         names::TeamIndex,
-        store::Condition,
     },
-    storage::{
-        budget::Urgency,
-        records::{self, JobRecord, JobStatus},
-    },
-    transport::{CallError, ConnId, Net, Reply},
+    storage::records,
 };
 
 /// How often a submission is tried again when a job that it needs changes.
 const CREATE_RETRIES: u32 = 3;
+/// Conditions that a transaction may have for each of its writes.
+const CONDITIONS_PER_WRITE: usize = 4;
 
 /// The jobs that a submission names, as far as they are known here.
 #[derive(Debug)]
@@ -34,89 +37,82 @@
     Service,
 }
 
-impl Controller {
+impl UserApi {
     /// `POST /api/jobs`
-    pub fn submit(&mut self, net: &mut Net, conn: ConnId, body: &[u8]) {
+    pub fn submit(&mut self, context: &mut UserContext, conn: ConnId, body: &[u8]) {
         let Ok(mut submission) = cbor::decode::<Submission>(body) else {
-            return net.respond(conn, 400, None, b"");
+            return context.respond_empty(conn, BAD_REQUEST);
         };
-        let checked = submission.check(&mut self.tables, false);
+        let checked = submission.check(context.names, false);
         if let Err(Refusal::Malformed(field)) = checked {
             tracing::debug!(field, "malformed submission");
-            return net.respond(conn, 400, None, b"");
+            return context.respond_empty(conn, BAD_REQUEST);
         }
         // Whether a well-formed job can run depends on what isn't known yet.
-        if !self.job_cache.loaded() || self.types.is_empty() {
-            return self.unavailable(net, conn);
+        if !context.jobs.cache().loaded() || context.machine_types.is_empty() {
+            return self.respond_unavailable(context, conn);
         }
         submission.fold_prereqs();
         let Some(id) = submission.name_id.clone() else {
-            return net.respond(conn, 400, None, b"");
+            return context.respond_empty(conn, BAD_REQUEST);
         };
-        if let Some(index) = self.job_cache.find(&id) {
-            if self.is_over(index) {
-                return self.known_job_answer(net, conn, index);
+        if let Some(index) = context.find(&id) {
+            if context.is_over(index) {
+                return context.respond_known_job(conn, index);
             }
-            return self.read_barrier.join(net.now(), Waiter::Known { conn, id });
+            return self.read_barrier.join(context.net.now(), WaitingRequest::Known { conn, id });
         }
-        if let Some(why) = self.never_runs(&checked) {
-            return self.refuse(net, conn, id, 422, why);
+        if let Some(reason) = self.infeasibility(&checked, context.machine_types) {
+            return self.refuse(context, conn, id, UNPROCESSABLE_CONTENT, reason);
         }
-        let chunk = self.chunk_size();
-        let record = JobRecord { submission, status: JobStatus::Pending, at_ms: wall_ms(), chunk };
+        self.create_feasible(context, conn, id, submission);
+    }
+
+    /// Creates the record of a job that can run, if it is not too large.
+    fn create_feasible(&mut self, context: &mut UserContext, conn: ConnId, id: String, submission: Submission) {
+        let chunk = chunk_size(&self.cluster);
+        let record = JobRecord { submission, status: JobStatus::Pending, at_ms: wall_clock_ms(), chunk };
         if !self.fits_a_value(&record) {
-            return self.refuse(net, conn, id, 400, "too long for a record");
+            return self.refuse(context, conn, id, BAD_REQUEST, "too long for a record");
         }
         // Guard: a controller that doesn't know prerequisites would start the
         // job too early, or drop them from its record.
-        if !record.submission.prereqs().is_empty() && !self.versions.is_complete() {
-            return self.unavailable(net, conn);
+        if !record.submission.prereqs().is_empty() && !context.all_upgraded {
+            return self.respond_unavailable(context, conn);
         }
-        self.create(net, conn, id, Rc::new(record), 0);
+        self.create(context, JobWrite { conn, id, record: Rc::new(record), retries: 0 });
     }
 
     /// Refuses a submission for good. Guard: never one of a job that was
     /// accepted, so a read comes first.
-    fn refuse(&mut self, net: &Net, conn: ConnId, id: String, status: u16, why: &'static str) {
-        self.read_barrier.join(net.now(), Waiter::Refuse { conn, id, status, why });
+    fn refuse(&mut self, context: &UserContext, conn: ConnId, id: String, status: u16, reason: &'static str) {
+        self.read_barrier.join(context.net.now(), WaitingRequest::Refuse { conn, id, status, reason });
     }
 
-    /// Why a well-formed job can never run.
-    fn never_runs(&self, checked: &Result<JobSpec, Refusal>) -> Option<&'static str> {
+    /// Why a well-formed job can never run; None: it can.
+    fn infeasibility(&self, checked: &Result<JobSpec, Refusal>, types: &[MachineTypeSpec]) -> Option<&'static str> {
         match checked {
-            Err(Refusal::NeverRuns(why) | Refusal::Malformed(why)) => Some(why),
-            Ok(spec) if !fits_some_type(spec, &self.types) => Some("fits no machine type"),
+            Err(Refusal::NeverRuns(reason) | Refusal::Malformed(reason)) => Some(reason),
+            Ok(spec) if !fits_some_type(spec, types) => Some("fits no machine type"),
             Ok(spec) if !self.team_limits(spec.team).ever_allows(spec) => Some("over the team's limit"),
             Ok(_) => None,
         }
     }
 
-    /// The limits of a team; its guarantee doesn't matter here.
+    /// The quota of a team; none for a team that the settings don't name.
     fn team_limits(&self, team: TeamIndex) -> TeamLimits {
-        let set = |amount: f64| (amount > 0.0).then_some(amount);
-        let team = self.settings.cluster.teams.get(team.at());
-        team.map_or_else(TeamLimits::default, |team| TeamLimits {
-            cpus_max: set(team.cpus_max),
-            gpus_max: set(team.gpus_max),
-            ..TeamLimits::default()
-        })
-    }
-
-    /// Whether a record fits the smaller of the present and the later limit.
-    pub(super) fn fits_a_value(&self, record: &JobRecord) -> bool {
-        let bytes = records::json_size(&records::to_value(record));
-        bytes as f64 <= self.settings.cluster.state.fitting_value_kb() * 1024.0
+        self.cluster.teams.get(team.at()).map(team_limits).unwrap_or_default()
     }
 
     /// Writes the record of a new job if all its prerequisites are known here;
     /// otherwise a read comes first.
-    fn create(&mut self, net: &mut Net, conn: ConnId, id: String, record: Rc<JobRecord>, tries: u32) {
-        match self.prereqs(&record) {
-            Prereqs::Accepted(conditions) => self.write_new_job(net, conn, id, record, tries, conditions),
+    fn create(&mut self, context: &mut UserContext, write: JobWrite) {
+        match self.prereqs(context, &write.record) {
+            Prereqs::Accepted(conditions) => self.write_new_job(context, write, conditions),
             Prereqs::Unknown | Prereqs::Service => {
                 // The jobs of a pipeline are submitted one after another, to any controller.
-                self.read_barrier.expedite(net.now());
-                self.read_barrier.join(net.now(), Waiter::Dependent { conn, id, record, tries });
+                self.read_barrier.expedite(context.net.now());
+                self.read_barrier.join(context.net.now(), WaitingRequest::Dependent(write));
             }
         }
     }
@@ -124,62 +120,47 @@
     /// Like `create`, after a read that was sent after the submission arrived.
     /// Guard: a prerequisite that is unknown now was not accepted when the user
     /// named it.
-    pub(super) fn create_or_refuse(
-        &mut self,
-        net: &mut Net,
-        conn: ConnId,
-        id: String,
-        record: Rc<JobRecord>,
-        tries: u32,
-    ) {
-        match self.prereqs(&record) {
-            Prereqs::Accepted(conditions) => self.write_new_job(net, conn, id, record, tries, conditions),
-            no @ (Prereqs::Unknown | Prereqs::Service) => {
-                tracing::info!(job = &*id, ?no, "names a job that it can't wait for");
-                net.respond(conn, 422, None, b"");
+    pub(super) fn create_or_refuse(&mut self, context: &mut UserContext, write: JobWrite) {
+        match self.prereqs(context, &write.record) {
+            Prereqs::Accepted(conditions) => self.write_new_job(context, write, conditions),
+            prereqs @ (Prereqs::Unknown | Prereqs::Service) => {
+                tracing::info!(job = &*write.id, ?prereqs, "submission rejected for its prerequisites");
+                context.respond_empty(write.conn, UNPROCESSABLE_CONTENT);
             }
         }
     }
 
-    fn write_new_job(
-        &mut self,
-        net: &mut Net,
-        conn: ConnId,
-        id: String,
-        record: Rc<JobRecord>,
-        tries: u32,
-        prereqs_unchanged: Vec<Condition>,
-    ) {
-        let mut conditions = vec![Condition { key: records::job_key(&id), revision: Revision::ABSENT }];
+    fn write_new_job(&mut self, context: &mut UserContext, write: JobWrite, prereqs_unchanged: Vec<Condition>) {
+        let mut conditions = vec![Condition { key: records::job_key(&write.id), revision: Revision::ABSENT }];
         conditions.extend(prereqs_unchanged);
-        let urgency = self.submission_urgency(&record);
-        let write = RecordWrite { conn, urgency, conditions, id: id.clone(), record: (*record).clone() };
-        self.write_record(net, write, Pending::Submit { conn, id, record, tries });
+        let urgency = self.submission_urgency(&write.record);
+        self.write_record(context, urgency, conditions, write, UserCall::Submit);
     }
 
     /// Guard: a team to which nothing is guaranteed must not push out the
     /// submissions of the others.
     fn submission_urgency(&self, record: &JobRecord) -> Urgency {
         let team = record.submission.team.as_deref().unwrap_or_default();
-        if self.settings.cluster.is_best_effort(team) {
+        if self.cluster.is_best_effort(team) {
             Urgency::BestEffortSubmit
         } else {
             Urgency::Submit
         }
     }
 
-    fn prereqs(&self, record: &JobRecord) -> Prereqs {
+    fn prereqs(&self, context: &UserContext, record: &JobRecord) -> Prereqs {
         // One condition is for the job's own key. Records of jobs are never
         // removed, so those beyond the limit need none.
-        let most = 4 * self.settings.cluster.state.fitting_txn_ops() - 1;
+        let max_conditions = CONDITIONS_PER_WRITE * self.cluster.state.fitting_txn_ops() - 1;
+        let cache = context.jobs.cache();
         let mut conditions = Vec::new();
         let mut has_service = false;
         for prereq in record.submission.prereqs() {
-            let Some(index) = self.job_cache.find(prereq) else { return Prereqs::Unknown };
-            has_service |= self.job_cache.is_service(index);
+            let Some(index) = cache.find(prereq) else { return Prereqs::Unknown };
+            has_service |= cache.is_service(index);
             // A job that is over doesn't change any more.
-            if !self.is_over(index) && conditions.len() < most {
-                let revision = self.job_cache.get(index).revision;
+            if !context.is_over(index) && conditions.len() < max_conditions {
+                let revision = cache.get(index).revision;
                 conditions.push(Condition { key: records::job_key(prereq), revision });
             }
         }
@@ -190,30 +171,27 @@
     }
 
     /// The write of a new job's record has ended.
-    pub fn submitted(
-        &mut self,
-        net: &mut Net,
-        conn: ConnId,
-        id: String,
-        record: Rc<JobRecord>,
-        tries: u32,
-        result: Result<Reply, CallError>,
-    ) {
-        match self.record_written(net, conn, &id, &record, &result) {
+    pub(super) fn submitted(&mut self, context: &mut UserContext, write: JobWrite, result: &CallResult) {
+        let outcome = self.record_written(context, &write, result);
+        let JobWrite { conn, id, record, retries } = write;
+        let now = context.net.now();
+        match outcome {
             WriteOutcome::Applied => {
-                self.user_responses.accepted += 1;
+                self.statistics.record_accepted();
                 // It is cancelled at once if it needs a cancelled job.
-                let word = self.job_cache.find(&id).map_or("pending", |index| status_word(self.job_cache.get(index)));
-                self.job_answer(net, conn, 201, &id, word);
+                let cache = context.jobs.cache();
+                let status = cache.find(&id).map_or("pending", |index| status_word(cache.get(index)));
+                context.respond_job(conn, CREATED, &id, status);
             }
             WriteOutcome::Conflict if record.submission.prereqs().is_empty() => {
-                self.read_barrier.join(net.now(), Waiter::Known { conn, id });
+                self.read_barrier.join(now, WaitingRequest::Known { conn, id });
             }
             // The job exists, or one that it needs has changed.
-            WriteOutcome::Conflict if tries < CREATE_RETRIES => {
-                self.read_barrier.join(net.now(), Waiter::Dependent { conn, id, record, tries: tries + 1 });
+            WriteOutcome::Conflict if retries < CREATE_RETRIES => {
+                let write = JobWrite { conn, id, record, retries: retries + 1 };
+                self.read_barrier.join(now, WaitingRequest::Dependent(write));
             }
-            WriteOutcome::Conflict => self.unavailable(net, conn),
+            WriteOutcome::Conflict => self.respond_unavailable(context, conn),
             WriteOutcome::Answered => {}
         }
     }
--- /dev/null
+++ b/src/controller/version_watch.rs
@@ -0,0 +1,116 @@
+//! Rolling upgrades: whether every controller is known to run this version.
+
+use super::{
+    identity::Identity,
+    poll_schedule::PollSchedule,
+    service_client::{
+        body, status, CallResult, PendingCall, ServiceClient, StoreRequest, VersionCall, SLOW_STORE_TIMEOUT_MS,
+    },
+};
+use crate::{
+    coordination::model::Millis,
+    protocol::{
+        settings::Seed,
+        store::{Op, Page, Txn},
+    },
+    storage::{
+        budget::Urgency,
+        records,
+        versions::{version_key, Evidence, VersionRecord, VERSION, VERSIONS},
+    },
+    transport::{http::status::OK, Net},
+};
+
+/// Interval, in ms, at which the version keys are read while some are missing.
+const POLL_MS: Millis = 1_000;
+/// The same once none is missing: an operator who rolls a controller back
+/// removes its key first.
+const COMPLETE_POLL_MS: Millis = 10_000;
+
+/// What is known of the versions that the controllers run.
+#[derive(Debug)]
+pub struct VersionWatch {
+    identity: Identity,
+    evidence: Evidence,
+    /// This controller's own key was written.
+    own_key_written: bool,
+    write: PollSchedule,
+    listing: PollSchedule,
+}
+
+impl VersionWatch {
+    /// Nothing is known yet of the controllers.
+    pub fn new(identity: Identity, seeds: &[Seed]) -> VersionWatch {
+        let peers = seeds.iter().map(|seed| &*seed.label);
+        VersionWatch {
+            evidence: Evidence::new(peers.chain([&*identity.label])),
+            identity,
+            own_key_written: false,
+            write: PollSchedule::default(),
+            listing: PollSchedule::default(),
+        }
+    }
+
+    /// Whether all controllers are known to run this version.
+    pub fn is_complete(&self) -> bool {
+        self.evidence.is_complete()
+    }
+
+    /// Writes this controller's key once, then reads those of all controllers.
+    pub fn refresh(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
+        if self.own_key_written {
+            self.read_keys(net, now, client);
+        } else {
+            self.write_own_key(net, now, client);
+        }
+    }
+
+    fn write_own_key(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
+        if !self.write.is_due(now) || !client.budgets().take_own_write(now, Urgency::Submit) {
+            return;
+        }
+        self.write.begin();
+        let record = VersionRecord { version: VERSION, nonce: self.identity.nonce };
+        // Attached to no grant, so that it outlives the process. The write is
+        // unconditional, as it may be applied at any later time.
+        let key = version_key(&self.identity.label);
+        let write = Op::Put { key, v: records::to_value(&record), permit: None };
+        let transaction = Txn { conditions: Vec::new(), writes: vec![write] };
+        let request = StoreRequest::transaction(&transaction, SLOW_STORE_TIMEOUT_MS);
+        client.send_to_store(net, PendingCall::Version(VersionCall::Write), request);
+    }
+
+    fn read_keys(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
+        if !self.listing.is_due(now) || !client.budgets().take_read(now, Urgency::Submit) {
+            return;
+        }
+        self.listing.begin();
+        let request = StoreRequest::read_page(VERSIONS, None, SLOW_STORE_TIMEOUT_MS);
+        client.send_to_store(net, PendingCall::Version(VersionCall::Listing), request);
+    }
+
+    /// A request for the version keys ended.
+    pub fn handle_reply(&mut self, now: Millis, call: &VersionCall, result: &CallResult) {
+        match call {
+            VersionCall::Write => {
+                self.own_key_written = status(result) == OK;
+                self.write.end_until(now + POLL_MS);
+            }
+            VersionCall::Listing => self.listing_received(now, result),
+        }
+    }
+
+    fn listing_received(&mut self, now: Millis, result: &CallResult) {
+        self.listing.end_until(now + POLL_MS);
+        let Some(page) = body::<Page>(result).filter(|page| !page.truncated) else { return };
+        let missing_before = self.evidence.missing();
+        self.evidence.saw(&page);
+        if self.evidence.is_complete() {
+            self.listing.set_not_before(now + COMPLETE_POLL_MS);
+        }
+        let missing = self.evidence.missing();
+        if missing != missing_before {
+            tracing::info!(missing, "controllers not known to run this version");
+        }
+    }
+}
