--- a/src/controller/election_driver.rs
+++ b/src/controller/election_driver.rs
@@ -119,3 +119,7 @@
         self.election.leader()
     }
 }
+
+#[cfg(test)]
+#[path = "tests/election_driver.rs"]
+mod tests;
--- a/src/controller/instance/replies.rs
+++ b/src/controller/instance/replies.rs
@@ -1,13 +1,11 @@
 //! Replies to calls, handed on to the components that wait for them.
 
-use super::{
-    super::{
+use super::Controller;
+use crate::{
+    controller::{
         leader_key_watch::KeyObservers,
         service_client::{CallResult, JobsCall, PendingCall},
     },
-    Controller,
-};
-use crate::{
     coordination::model::{Millis, Term},
     transport::{http::status::TOO_MANY_REQUESTS, Net},
 };
--- a/src/controller/instance/tick.rs
+++ b/src/controller/instance/tick.rs
@@ -1,13 +1,11 @@
 //! What a controller does by itself at every turn of the event loop.
 
-use super::{
-    super::{
+use super::Controller;
+use crate::{
+    controller::{
         leadership::{leader_config, PeerView},
         peers::LocalState,
     },
-    Controller,
-};
-use crate::{
     coordination::{lease_renewal::TimeSpan, model::Millis},
     transport::Net,
 };
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -133,3 +133,7 @@
         true
     }
 }
+
+#[cfg(test)]
+#[path = "tests/job_watch.rs"]
+mod tests;
--- a/src/controller/leader_key_watch.rs
+++ b/src/controller/leader_key_watch.rs
@@ -149,3 +149,7 @@
         self.store_revision = self.store_revision.max(changes.store_revision);
     }
 }
+
+#[cfg(test)]
+#[path = "tests/leader_key_watch.rs"]
+mod tests;
--- a/src/controller/leadership/commits.rs
+++ b/src/controller/leadership/commits.rs
@@ -1,10 +1,8 @@
 //! The leader's transactions.
 
-use super::{
-    super::service_client::{applied_revision, Budgets, CallResult, LeaderCall, StoreRequest, STORE_TIMEOUT_MS},
-    LeaderContext, Leadership,
-};
+use super::{LeaderContext, Leadership};
 use crate::{
+    controller::service_client::{applied_revision, Budgets, CallResult, LeaderCall, StoreRequest, STORE_TIMEOUT_MS},
     coordination::{
         leader::CommitOutcome,
         model::{Millis, Term},
@@ -26,7 +24,7 @@
         }
         if let Some(key) = leader.resync_key() {
             let key = key.to_owned();
-            return self.resync_record(context, now, term, key);
+            return self.record_resync.refresh(context, now, term, key);
         }
         let budgets = context.client.budgets();
         let available = budgets.available_commits(now);
--- a/src/controller/leadership/config.rs
+++ b/src/controller/leadership/config.rs
@@ -1,7 +1,7 @@
 //! The leader's configuration, from the settings.
 
-use super::super::cluster_limits::{chunk_size, team_limits};
 use crate::{
+    controller::cluster_limits::{chunk_size, team_limits},
     coordination::{
         leader::{Config, ServiceObjective},
         model::Millis,
--- a/src/controller/leadership/effects.rs
+++ b/src/controller/leadership/effects.rs
@@ -2,11 +2,9 @@
 
 use std::net::SocketAddr;
 
-use super::{
-    super::service_client::{body, status, CallResult, CloudRequest, LeaderCall, PendingCall, WorkerRequest},
-    LeaderContext, Leadership,
-};
+use super::{LeaderContext, Leadership};
 use crate::{
+    controller::service_client::{body, status, CallResult, CloudRequest, LeaderCall, WorkerRequest},
     coordination::{
         autoscaler::RentOutcome,
         leader::{DirectCallOutcome, Effect},
@@ -93,7 +91,8 @@
 
     fn rent(&mut self, context: &mut LeaderContext, authority: Authority, call: CallId, rent: &RentRequest) {
         let request = CloudRequest::post("/hosts", cbor::encode(rent));
-        let sent = send_to_cloud(context, authority, Urgency::Commit, LeaderCall::RentHosts { call }, request);
+        let sent =
+            send_to_cloud_if_leading(context, authority, Urgency::Commit, LeaderCall::RentHosts { call }, request);
         if let Some(leader) = self.leader.as_mut().filter(|_| !sent) {
             leader.rented(authority.now, call, RentOutcome::Again);
         }
@@ -101,7 +100,8 @@
 
     fn return_hosts(&mut self, context: &mut LeaderContext, authority: Authority, call: CallId, hosts: Vec<String>) {
         let request = CloudRequest::post("/hosts/return", cbor::encode(&HostNames { hosts }));
-        let sent = send_to_cloud(context, authority, Urgency::Cancel, LeaderCall::ReturnHosts { call }, request);
+        let sent =
+            send_to_cloud_if_leading(context, authority, Urgency::Cancel, LeaderCall::ReturnHosts { call }, request);
         if let Some(leader) = self.leader.as_mut().filter(|_| !sent) {
             leader.returned(authority.now, call, false);
         }
@@ -110,7 +110,8 @@
     fn list_hosts(&mut self, context: &mut LeaderContext, authority: Authority, call: CallId, from: Option<&str>) {
         let from = from.map_or(String::new(), |from| format!("from={from}&"));
         let request = CloudRequest::get(format!("/hosts?{from}most={LIST_PAGE_HOSTS}"));
-        let sent = send_to_cloud(context, authority, Urgency::Submit, LeaderCall::ListHosts { call }, request);
+        let sent =
+            send_to_cloud_if_leading(context, authority, Urgency::Submit, LeaderCall::ListHosts { call }, request);
         if let Some(leader) = self.leader.as_mut().filter(|_| !sent) {
             leader.listed(authority.now, call, None, context.names);
         }
@@ -181,7 +182,7 @@
 
 /// Sends a request to the cloud if this controller still leads and the budget
 /// allows it. Returns whether it was sent.
-fn send_to_cloud(
+fn send_to_cloud_if_leading(
     context: &mut LeaderContext,
     authority: Authority,
     urgency: Urgency,
@@ -190,8 +191,7 @@
 ) -> bool {
     let allowed = authority.valid && context.client.budgets().take_cloud(authority.now, urgency);
     if allowed {
-        let pending = PendingCall::Leader { term: authority.term, call };
-        context.client.send_to_cloud(context.net, pending, request);
+        context.send_to_cloud(authority.term, call, request);
     }
     allowed
 }
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -3,27 +3,29 @@
 
 mod commits;
 mod config;
+mod context;
 mod effects;
+mod record_resync;
 mod task_loading;
 
 use std::collections::HashSet;
 
-pub use self::config::leader_config;
-use self::task_loading::TaskLoading;
+pub use self::{
+    config::leader_config,
+    context::{LeaderContext, PeerView},
+};
+use self::{record_resync::RecordResync, task_loading::TaskLoading};
 use super::{
     clock::wall_clock_ms,
-    election_driver::ElectionDriver,
     job_watch::JobWatch,
-    service_client::{CallResult, LeaderCall, PendingCall, ServiceClient, StoreRequest, WorkerRequest},
+    service_client::{CallResult, LeaderCall},
 };
 use crate::{
     coordination::{
         leader::{Config, HeartbeatOutcome, Leader},
-        lease_renewal::TimeSpan,
         model::{MachineTypeSpec, Millis, Term},
     },
     protocol::{names::Tables, peers::Count, workers::Heartbeat},
-    transport::Net,
 };
 
 /// Pause, in ms, between two scheduling cycles that are needed.
@@ -38,41 +40,12 @@
 /// Interval, in ms, of the checks whether to step down: they look at all machines.
 const STEP_DOWN_CHECK_MS: Millis = 500;
 
-/// The components that a leader works with.
-pub struct LeaderContext<'a> {
-    pub net: &'a mut Net,
-    pub client: &'a mut ServiceClient,
-    pub election: &'a mut ElectionDriver,
-    pub jobs: &'a mut JobWatch,
-    pub names: &'a mut Tables,
-}
-
-impl LeaderContext<'_> {
-    fn send_to_store(&mut self, term: Term, call: LeaderCall, request: StoreRequest) {
-        self.client.send_to_store(self.net, PendingCall::Leader { term, call }, request);
-    }
-
-    fn send_to_worker(&mut self, term: Term, call: LeaderCall, request: WorkerRequest) {
-        self.client.send_to_worker(self.net, PendingCall::Leader { term, call }, request);
-    }
-}
-
-/// What a leader must know of the other controllers.
-#[derive(Debug, Clone, Copy)]
-pub struct PeerView {
-    /// All controllers are known to run this version.
-    pub all_upgraded: bool,
-    /// Workers reach other controllers.
-    pub reached_by_workers: bool,
-    /// The time in which no controller renewed a lease without leading.
-    pub no_renewals: TimeSpan,
-}
-
 /// The leader, while this controller leads, and the loading of its records.
 #[derive(Default)]
 pub struct Leadership {
     leader: Option<Leader>,
-    loading: TaskLoading,
+    task_loading: TaskLoading,
+    record_resync: RecordResync,
     /// Whether to step down is checked no earlier.
     next_step_down_check: Millis,
 }
@@ -105,14 +78,15 @@
         // never repeat.
         let nonce = rand::random();
         self.leader = Some(Leader::new(config, term, nonce, now, types));
-        self.loading.restart(now);
+        self.task_loading.restart(now);
+        self.record_resync.restart();
     }
 
     /// Does all that is due under a leadership that has begun.
     pub fn tick(&mut self, context: &mut LeaderContext, now: Millis, term: Term, peers: &PeerView) {
         self.sync_jobs(now, context.jobs);
         if self.leader.as_ref().is_some_and(|leader| !leader.loaded) {
-            return self.load_tasks(context, now, term);
+            return self.task_loading.refresh(context, now, term);
         }
         self.schedule(context, now, peers);
         self.commit(context, term);
@@ -204,6 +178,12 @@
         self.leader.as_mut().map_or_else(Vec::new, |leader| leader.take_progress(max))
     }
 
+    /// The read of the changes that the job cache may have missed, which precedes
+    /// the loading of the task records, ended; `synced`: they were applied.
+    pub fn jobs_synced(&mut self, now: Millis, synced: bool) {
+        self.task_loading.jobs_synced(now, synced);
+    }
+
     /// A request of the leader ended.
     pub fn handle_reply(
         &mut self,
@@ -214,9 +194,17 @@
         result: &CallResult,
     ) {
         match call {
-            LeaderCall::TasksPage => self.tasks_page_received(context, now, term, result),
+            LeaderCall::TasksPage => {
+                let leader = self.leader.as_mut().filter(|leader| leader.term == term && !leader.loaded);
+                if let Some(leader) = leader {
+                    self.task_loading.page_received(context, now, leader, result);
+                }
+            }
             LeaderCall::Commit => self.committed(context, now, term, result),
-            LeaderCall::Resync { key } => self.resynced(now, term, &key, result),
+            LeaderCall::Resync { key } => {
+                let leader = self.leader.as_mut().filter(|leader| leader.term == term);
+                self.record_resync.received(now, leader, &key, result);
+            }
             LeaderCall::Commands { machine, call } => {
                 self.commands_answered(context, now, term, machine, call, result);
             }
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -91,3 +91,7 @@
         true
     }
 }
+
+#[cfg(test)]
+#[path = "tests/machine_types.rs"]
+mod tests;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -30,6 +30,9 @@
 mod run;
 mod service_client;
 mod store_health;
+#[cfg(test)]
+#[path = "tests/support.rs"]
+mod test_support;
 mod users;
 mod version_watch;
 
--- a/src/controller/peers/peer.rs
+++ b/src/controller/peers/peer.rs
@@ -1,7 +1,7 @@
 //! One other controller, as its gossip shows it.
 
-use super::super::{identity::Identity, service_client::Usage};
 use crate::{
+    controller::{identity::Identity, service_client::Usage},
     coordination::{lease_renewal::Other, model::Millis},
     protocol::{
         peers::{Echo, FrameOrder, Gossip},
--- a/src/controller/poll_schedule.rs
+++ b/src/controller/poll_schedule.rs
@@ -37,3 +37,7 @@
         self.not_before = not_before;
     }
 }
+
+#[cfg(test)]
+#[path = "tests/poll_schedule.rs"]
+mod tests;
--- a/src/controller/renewal_key.rs
+++ b/src/controller/renewal_key.rs
@@ -143,3 +143,7 @@
         self.right.last
     }
 }
+
+#[cfg(test)]
+#[path = "tests/renewal_key.rs"]
+mod tests;
--- a/src/controller/service_client/requests.rs
+++ b/src/controller/service_client/requests.rs
@@ -104,3 +104,7 @@
     /// Timeout, in ms.
     pub timeout_ms: u64,
 }
+
+#[cfg(test)]
+#[path = "../tests/requests.rs"]
+mod tests;
--- a/src/controller/store_health.rs
+++ b/src/controller/store_health.rs
@@ -43,3 +43,7 @@
         self.failing_since.is_none() && now < self.last_answer + within_ms
     }
 }
+
+#[cfg(test)]
+#[path = "tests/store_health.rs"]
+mod tests;
--- a/src/controller/tests/instance.rs
+++ b/src/controller/tests/instance.rs
@@ -1,11 +1,10 @@
-use calloop::EventLoop;
-
 use super::Controller;
 use crate::{
     controller::{
         leadership::leader_config,
-        service_client::{CallResult, LeaderCall, PendingCall, VersionCall},
+        service_client::{LeaderCall, PendingCall, VersionCall},
         store_health::StoreHealth,
+        test_support::{answered, new_net},
     },
     coordination::model::{CallId, MachineIndex, Millis, Term},
     protocol::{
@@ -17,32 +16,23 @@
         store::{Changes, Page},
     },
     storage::records::LeaderRecord,
-    transport::{CallError, Limits, Net, Reply},
+    transport::{CallError, Net, Reply},
 };
 
 const SEED: &str = "[[seeds]]\nlabel = \"n-1\"\nendpoint = \"127.0.0.1:3\"\n[outside]";
 
-fn new_net(event_loop: &EventLoop<'static, Net>) -> Net {
-    Net::new(event_loop, Limits { sockets: 100, idle_ms: 1_000, head_ms: 1_000, stale_ms: 1_000 })
-}
-
 fn new_controller(settings: &str, net: &mut Net) -> Controller {
     Controller::new(&Settings::parse(settings, "x.toml").unwrap(), Operator::default(), net)
 }
 
-fn answered(status: u16) -> CallResult {
-    Ok(Reply { status, body: Vec::new(), close: false })
-}
-
 /// The rates follow the first refusal, and stay; sizes fit from the start.
 #[test]
 fn limits_are_lowered_once_they_show() {
-    let event_loop = EventLoop::try_new().unwrap();
     const NEXT: &str = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 20.0\n[cluster.cloud]";
     // (next limits, answer, bursts of the leader's writes before and after)
     let cases = [(true, 429, 15.0, 10.0), (true, 503, 15.0, 15.0), (true, 200, 15.0, 15.0), (false, 429, 15.0, 15.0)];
     for (has_next, status, before, after) in cases {
-        let mut net = new_net(&event_loop);
+        let mut net = new_net();
         let text = if has_next { SAMPLE.replacen("[cluster.cloud]", NEXT, 1) } else { SAMPLE.to_owned() };
         let mut controller = new_controller(&text, &mut net);
         let config = leader_config(&controller.cluster, &controller.operator, &mut controller.names);
@@ -57,19 +47,18 @@
     }
 }
 
-/// Guard: a worker that answered a probe, or didn't, counted as the state service.
+/// Guard: a worker that answered a probe, or didn't, counted as the key-value store.
 /// In an outage a leader that probes then seemed to be served, and its peers, who
 /// weren't, took themselves for cut off alone and became unready.
 #[test]
-fn only_the_state_service_tells_of_its_health() {
-    let event_loop = EventLoop::try_new().unwrap();
-    let mut net = new_net(&event_loop);
+fn only_the_key_value_store_tells_of_its_health() {
+    let mut net = new_net();
     let mut controller = new_controller(SAMPLE, &mut net);
     let leader = |call| PendingCall::Leader { term: Term(Revision(1)), call };
     let probe = || leader(LeaderCall::Probe { machine: MachineIndex(0) });
     let list = || leader(LeaderCall::ListHosts { call: CallId(1) });
     let version = || PendingCall::Version(VersionCall::Listing);
-    // (what the reply is for, the reply, whether it tells of the state service)
+    // (what the reply is for, the reply, whether it tells of the key-value store)
     let cases = [
         (probe(), answered(200), false),
         (probe(), answered(503), false),
@@ -114,15 +103,14 @@
     }
 }
 
-/// Guard: a controller that had lost state service and peers sent its
+/// Guard: a controller that had lost key-value store and peers sent its
 /// workers to a leader that was long gone.
 #[test]
 fn workers_are_sent_only_to_a_leader_that_is_there() {
-    let event_loop = EventLoop::try_new().unwrap();
-    let mut net = new_net(&event_loop);
+    let mut net = new_net();
     let settings = SAMPLE.replacen("[outside]", SEED, 1);
     const NOW: Millis = 100_000;
-    // (who holds the key, peer last heard, says it leads, state service
+    // (who holds the key, peer last heard, says it leads, key-value store
     // last answered, has been failing, whom workers are sent to)
     let cases = [
         (Some("n-1"), Some(300), true, 300, false, Some("n-1")),
@@ -156,8 +144,7 @@
 /// a read for users.
 #[test]
 fn a_read_in_the_middle_of_reading_all_proves_nothing() {
-    let event_loop = EventLoop::try_new().unwrap();
-    let mut net = new_net(&event_loop);
+    let mut net = new_net();
     let mut controller = new_controller(SAMPLE, &mut net);
     let page = |truncated| Page { pairs: Vec::new(), truncated, store_revision: Revision(7) };
     let changes = |status| {
--- /dev/null
+++ b/src/controller/tests/leader_key_watch.rs
@@ -0,0 +1,97 @@
+use super::*;
+use crate::{
+    controller::test_support::{answered, answered_with, identity, new_net, settings_with_peers, SentCalls, NONCE},
+    protocol::store::Pair,
+};
+
+struct Observed {
+    election: ElectionDriver,
+    renewal_key: RenewalKey,
+    peers: Peers,
+}
+
+impl Observed {
+    fn new(net: &mut Net) -> Observed {
+        let settings = settings_with_peers();
+        Observed {
+            election: ElectionDriver::new(&identity(), 9_000),
+            renewal_key: RenewalKey::new(identity(), &settings),
+            peers: Peers::new(identity(), &settings.seeds, net),
+        }
+    }
+
+    fn observers(&mut self) -> KeyObservers<'_> {
+        KeyObservers { election: &mut self.election, renewal_key: &mut self.renewal_key, peers: &mut self.peers }
+    }
+}
+
+fn record(label: &str) -> ciborium::Value {
+    records::to_value(&LeaderRecord { label: label.to_owned(), nonce: NONCE })
+}
+
+fn written(key: &str, label: &str, revision: u64) -> Change {
+    Change { write: Some(key.to_owned()), drop: None, v: Some(record(label)), revision: Revision(revision) }
+}
+
+fn removed(key: &str, revision: u64) -> Change {
+    Change { write: None, drop: Some(key.to_owned()), v: None, revision: Revision(revision) }
+}
+
+/// A listing comes first, then watches from its revision on, and a listing again
+/// once the changes since are no longer known.
+#[test]
+fn changes_are_watched_after_a_listing() {
+    let mut net = new_net();
+    let mut client = ServiceClient::new(&settings_with_peers());
+    let mut sent = SentCalls::default();
+    let mut observed = Observed::new(&mut net);
+    let mut watch = LeaderKeyWatch::default();
+
+    watch.refresh(&mut net, 0, &mut client);
+    watch.refresh(&mut net, 0, &mut client);
+    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Listing)"));
+    assert_eq!(sent.next_debug(&mut client), None, "one request at a time");
+    let pair = Pair { key: records::LEADER.to_owned(), v: record("n-1"), revision: Revision(3), permit: None };
+    let page = Page { pairs: vec![pair], truncated: false, store_revision: Revision(7) };
+    watch.handle_reply(10, &LeaderKeyCall::Listing, &answered_with(&page), &mut observed.observers());
+    assert_eq!(observed.election.leader(), Some("n-1"));
+
+    watch.refresh(&mut net, 10, &mut client);
+    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Watch { sent: 10 })"));
+    let events = vec![removed(records::LEADER, 8), written(records::LEADER, "n-2", 9)];
+    let changes = Changes { store_revision: Revision(9), events };
+    watch.handle_reply(20, &LeaderKeyCall::Watch { sent: 10 }, &answered_with(&changes), &mut observed.observers());
+    assert_eq!((observed.election.leader(), watch.store_revision), (Some("n-2"), Revision(9)));
+
+    watch.refresh(&mut net, 20, &mut client);
+    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Watch { sent: 20 })"));
+    watch.handle_reply(30, &LeaderKeyCall::Watch { sent: 20 }, &answered(GONE), &mut observed.observers());
+    watch.refresh(&mut net, 30 + RETRY_MS - 1, &mut client);
+    assert_eq!(sent.next_debug(&mut client), None, "after a failure comes a pause");
+    watch.refresh(&mut net, 30 + RETRY_MS, &mut client);
+    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Listing)"));
+}
+
+/// Guard: peers count as inactive only while their renewal keys are known to be away,
+/// and only up to the sending of the watch that shows it.
+#[test]
+fn peers_without_keys_are_inactive_until_the_watch_was_sent() {
+    let mut net = new_net();
+    let mut observed = Observed::new(&mut net);
+    let mut watch = LeaderKeyWatch::default();
+    let page = Page { pairs: Vec::new(), truncated: false, store_revision: Revision(7) };
+    watch.handle_reply(100, &LeaderKeyCall::Listing, &answered_with(&page), &mut observed.observers());
+    let mut end_watch = |observed: &mut Observed, sent: Millis, now: Millis, events: Vec<Change>| {
+        let changes = Changes { store_revision: Revision(now), events };
+        watch.handle_reply(now, &LeaderKeyCall::Watch { sent }, &answered_with(&changes), &mut observed.observers());
+        let span = observed.peers.inactive_span();
+        (span.from, span.to)
+    };
+    assert_eq!(end_watch(&mut observed, 200, 250, Vec::new()), (100, 200));
+    let n2 = records::renewal_key("n-2");
+    assert_eq!(end_watch(&mut observed, 300, 350, vec![written(&n2, "n-2", 9)]), (100, 200), "n-2 may renew");
+    let own = records::renewal_key("n-0");
+    assert_eq!(end_watch(&mut observed, 400, 450, vec![written(&own, "n-0", 10)]), (100, 200), "our own key");
+    assert_eq!(end_watch(&mut observed, 500, 550, vec![removed(&n2, 11)]), (100, 200), "away since 550 only");
+    assert_eq!(end_watch(&mut observed, 600, 650, Vec::new()), (550, 600));
+}
--- /dev/null
+++ b/src/controller/tests/machine_types.rs
@@ -0,0 +1,40 @@
+use ciborium::{cbor, Value};
+
+use super::*;
+use crate::controller::test_support::{answered, answered_with, new_net, settings_with_peers, SentCalls};
+
+fn offered(name: &str, price: f64) -> Value {
+    cbor!({
+        "name" => name,
+        "cpus" => 8.0,
+        "memoryGb" => 32.0,
+        "price" => price,
+        "spotPrice" => 0.5,
+        "readyS" => 60.0,
+        "yards" => ["a"],
+    })
+    .unwrap()
+}
+
+/// Implausible types are left out, and a failed read changes nothing.
+#[test]
+fn only_plausible_types_are_offered() {
+    let mut net = new_net();
+    let mut client = ServiceClient::new(&settings_with_peers());
+    let mut names = Tables::default();
+    let mut catalog = MachineTypeCatalog::default();
+    catalog.refresh(&mut net, 0, &mut client);
+    assert_eq!(SentCalls::default().next_debug(&mut client).as_deref(), Some("MachineTypes"));
+    assert!(!catalog.update(10, &answered(503), &mut names) && catalog.is_empty());
+    assert!(!catalog.schedule.is_due(10 + RETRY_MS - 1) && catalog.schedule.is_due(10 + RETRY_MS));
+
+    let types = vec![offered("small", 1.0), offered("nan", f64::NAN), offered("negative", -1.0), offered("large", 4.0)];
+    assert!(catalog.update(1_000, &answered_with(&cbor!({ "breeds" => types }).unwrap()), &mut names));
+    let prices = |catalog: &MachineTypeCatalog| catalog.types().iter().map(|spec| spec.price).collect::<Vec<f64>>();
+    assert_eq!(prices(&catalog), [1.0, 4.0]);
+    assert!(catalog.types().iter().all(|spec| spec.zones == [names.zones.find("a").unwrap()]));
+    assert!(!catalog.schedule.is_due(1_000 + REFRESH_MS - 1) && catalog.schedule.is_due(1_000 + REFRESH_MS));
+
+    assert!(!catalog.update(40_000, &answered(503), &mut names));
+    assert_eq!(prices(&catalog), [1.0, 4.0], "a failed read changes nothing");
+}
--- a/src/controller/tests/peers.rs
+++ b/src/controller/tests/peers.rs
@@ -1,19 +1,9 @@
-use calloop::EventLoop;
-
 use super::*;
-use crate::{
-    protocol::settings::{tests::SAMPLE, Settings},
-    transport::Limits,
-};
-
-const SEEDS: &str = "[[seeds]]\nlabel = \"n-1\"\ndomain = \"a\"\nendpoint = \"127.0.0.1:3\"\n\
-                     [[seeds]]\nlabel = \"n-2\"\ndomain = \"b\"\nendpoint = \"127.0.0.1:4\"\n[outside]";
-const NONCE: u64 = 77;
+use crate::controller::test_support::{new_net, settings_with_peers, NONCE};
 
 fn peers() -> Peers {
-    let event_loop = EventLoop::try_new().unwrap();
-    let mut net = Net::new(&event_loop, Limits { sockets: 100, idle_ms: 1_000, head_ms: 1_000, stale_ms: 1_000 });
-    let settings = Settings::parse(&SAMPLE.replacen("[outside]", SEEDS, 1), "x.toml").unwrap();
+    let mut net = new_net();
+    let settings = settings_with_peers();
     let identity = Identity { label: settings.label, zone: settings.domain, nonce: NONCE };
     Peers::new(identity, &settings.seeds, &mut net)
 }
--- /dev/null
+++ b/src/controller/tests/support.rs
@@ -0,0 +1,63 @@
+//! What the tests of several components need.
+
+use calloop::EventLoop;
+
+use super::{
+    identity::Identity,
+    service_client::{CallResult, PendingCall, ServiceClient},
+};
+use crate::{
+    protocol::{
+        cbor,
+        settings::{tests::SAMPLE, Settings},
+    },
+    transport::{Limits, Net, Reply},
+};
+
+/// Two peers of the sample's controller `n-0`, which is in the zone `a`.
+const SEEDS: &str = "[[seeds]]\nlabel = \"n-1\"\ndomain = \"a\"\nendpoint = \"127.0.0.1:3\"\n\
+                     [[seeds]]\nlabel = \"n-2\"\ndomain = \"b\"\nendpoint = \"127.0.0.1:4\"\n[outside]";
+
+/// Nonce of this start of the process.
+pub(super) const NONCE: u64 = 77;
+
+pub(super) fn new_net() -> Net {
+    let event_loop = EventLoop::try_new().unwrap();
+    Net::new(&event_loop, Limits { sockets: 100, idle_ms: 1_000, head_ms: 1_000, stale_ms: 1_000 })
+}
+
+pub(super) fn settings_with_peers() -> Settings {
+    Settings::parse(&SAMPLE.replacen("[outside]", SEEDS, 1), "x.toml").unwrap()
+}
+
+pub(super) fn identity() -> Identity {
+    Identity { label: "n-0".to_owned(), zone: "a".to_owned(), nonce: NONCE }
+}
+
+/// A reply without a body.
+pub(super) fn answered(status: u16) -> CallResult {
+    Ok(Reply { status, body: Vec::new(), close: false })
+}
+
+/// A successful reply.
+pub(super) fn answered_with<T: serde::Serialize>(body: &T) -> CallResult {
+    Ok(Reply { status: 200, body: cbor::encode(body), close: false })
+}
+
+/// Takes the calls that were sent, in their order, as their `Debug` form.
+#[derive(Default)]
+pub(super) struct SentCalls {
+    taken: u64,
+}
+
+impl SentCalls {
+    pub(super) fn next(&mut self, client: &mut ServiceClient) -> Option<PendingCall> {
+        let pending = client.take_pending(self.taken + 1)?;
+        self.taken += 1;
+        Some(pending)
+    }
+
+    pub(super) fn next_debug(&mut self, client: &mut ServiceClient) -> Option<String> {
+        self.next(client).map(|pending| format!("{pending:?}"))
+    }
+}
--- /dev/null
+++ b/src/controller/tests/version_watch.rs
@@ -0,0 +1,52 @@
+use super::*;
+use crate::{
+    controller::test_support::{answered, answered_with, identity, new_net, settings_with_peers, SentCalls},
+    protocol::{ids::Revision, store::Pair},
+};
+
+fn listing(labels: &[&str], truncated: bool) -> CallResult {
+    let pair = |label: &&str| Pair {
+        key: version_key(label),
+        v: records::to_value(&VersionRecord { version: VERSION, nonce: 1 }),
+        revision: Revision(2),
+        permit: None,
+    };
+    answered_with(&Page { pairs: labels.iter().map(pair).collect(), truncated, store_revision: Revision(7) })
+}
+
+/// The own key is written before those of all are read; only a whole listing counts.
+#[test]
+fn all_keys_must_be_read() {
+    let mut net = new_net();
+    let settings = settings_with_peers();
+    let mut client = ServiceClient::new(&settings);
+    let mut sent = SentCalls::default();
+    let mut versions = VersionWatch::new(identity(), &settings.seeds);
+    let mut refresh = |versions: &mut VersionWatch, now: Millis| {
+        versions.refresh(&mut net, now, &mut client);
+        sent.next_debug(&mut client)
+    };
+    assert_eq!(refresh(&mut versions, 0).as_deref(), Some("Version(Write)"));
+    versions.handle_reply(10, &VersionCall::Write, &answered(503));
+    assert_eq!(refresh(&mut versions, 10 + POLL_MS - 1), None);
+    assert_eq!(refresh(&mut versions, 10 + POLL_MS).as_deref(), Some("Version(Write)"));
+    versions.handle_reply(2_000, &VersionCall::Write, &answered(200));
+
+    // (listing, whether it is complete, pause)
+    let cases = [
+        (listing(&["n-0", "n-1"], false), false, POLL_MS),
+        (listing(&["n-0", "n-1", "n-2"], true), false, POLL_MS),
+        (answered(503), false, POLL_MS),
+        (listing(&["n-0", "n-1", "n-2", "n-9"], false), true, COMPLETE_POLL_MS),
+        // An operator who rolls a controller back removes its key.
+        (listing(&["n-0", "n-2"], false), false, POLL_MS),
+    ];
+    let mut now = 2_000;
+    for (i, (result, complete, pause_ms)) in cases.into_iter().enumerate() {
+        assert_eq!(refresh(&mut versions, now).as_deref(), Some("Version(Listing)"), "case {i}");
+        versions.handle_reply(now, &VersionCall::Listing, &result);
+        assert_eq!(versions.is_complete(), complete, "case {i}");
+        assert_eq!(refresh(&mut versions, now + pause_ms - 1), None, "case {i}");
+        now += pause_ms;
+    }
+}
--- a/src/controller/users/cancel.rs
+++ b/src/controller/users/cancel.rs
@@ -3,16 +3,22 @@
 
 use std::rc::Rc;
 
-use super::{
-    CallResult, Condition, ConnId, JobRecord, JobStatus, JobWrite, Urgency, UserApi, UserCall, UserContext,
-    WaitingRequest, WriteOutcome, NOT_FOUND, OK,
-};
+use super::{context::UserContext, waiting_request::WaitingRequest, UserApi, WriteOutcome};
 use crate::{
+    controller::service_client::{CallResult, JobWrite, UserCall},
     protocol::{
         jobs::{valid_id, Submission},
         peers::Cancelled,
+        store::Condition,
+    },
+    storage::{
+        budget::Urgency,
+        records::{self, JobRecord, JobStatus},
+    },
+    transport::{
+        http::status::{NOT_FOUND, OK},
+        ConnId,
     },
-    storage::records,
 };
 
 /// How often a cancellation is tried again when the job's record changes.
--- a/src/controller/users/mod.rs
+++ b/src/controller/users/mod.rs
@@ -2,43 +2,34 @@
 //! store: conditional writes before anything is confirmed, and a read barrier
 //! before anything is said of a job that isn't over.
 
+mod barrier;
 mod cancel;
+mod context;
 mod statistics;
 mod submit;
 mod waiting_request;
 
 use std::rc::Rc;
 
+pub use self::context::UserContext;
 use self::{statistics::RequestStatistics, waiting_request::WaitingRequest};
-use super::{
-    job_watch::JobWatch,
-    peers::Peers,
-    service_client::{
-        CallResult, JobWrite, JobsCall, PendingCall, ServiceClient, StoreRequest, UserCall, SLOW_STORE_TIMEOUT_MS,
-        STORE_TIMEOUT_MS,
-    },
-};
+use super::service_client::{CallResult, JobWrite, PendingCall, StoreRequest, UserCall, SLOW_STORE_TIMEOUT_MS};
 use crate::{
-    coordination::model::{MachineTypeSpec, Millis},
+    coordination::model::Millis,
     protocol::{
         cbor,
-        jobs::{valid_id, JobAnswer, PollAnswer},
-        names::Tables,
+        jobs::valid_id,
         settings::Cluster,
         store::{AppliedTransaction, Condition, Op, Txn},
     },
     storage::{
         budget::Urgency,
-        job_cache::{JobEntry, JobIndex},
         read_barrier::ReadBarrier,
-        records::{self, JobRecord, JobStatus},
+        records::{self, JobRecord},
     },
     transport::{
-        http::status::{
-            BAD_REQUEST, CONFLICT, CREATED, NOT_FOUND, OK, SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS,
-            UNPROCESSABLE_CONTENT,
-        },
-        ConnId, Net,
+        http::status::{CONFLICT, NOT_FOUND, OK, SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS},
+        ConnId,
     },
 };
 
@@ -46,60 +37,9 @@
 const RETRY_AFTER_S: u32 = 1;
 /// Longest `Retry-After` that is told to a user over budget, in seconds.
 const MAX_RETRY_AFTER_S: u64 = 30;
-/// Gap, in ms, between two reads for the read barrier, times the number of controllers.
-const BARRIER_GAP_MS: Millis = 40;
-/// Longest time, in ms, that a user's request waits for the read barrier.
-const MAX_BARRIER_WAIT_MS: Millis = 1_600;
 const BYTES_PER_KB: f64 = 1024.0;
 const MS_PER_S: u64 = 1_000;
 
-/// The components that users' requests are served with.
-pub struct UserContext<'a> {
-    pub net: &'a mut Net,
-    pub client: &'a mut ServiceClient,
-    pub jobs: &'a mut JobWatch,
-    pub names: &'a mut Tables,
-    pub peers: &'a mut Peers,
-    /// The machine types that the cloud offers; none before they were read.
-    pub machine_types: &'a [MachineTypeSpec],
-    /// All controllers are known to run this version.
-    pub all_upgraded: bool,
-}
-
-impl UserContext<'_> {
-    /// Answers with no body.
-    fn respond_empty(&mut self, conn: ConnId, status: u16) {
-        self.net.respond(conn, status, None, b"");
-    }
-
-    fn respond_job(&mut self, conn: ConnId, code: u16, id: &str, status: &str) {
-        self.net.respond(conn, code, None, &cbor::encode(&JobAnswer { name_id: id, status }));
-    }
-
-    /// Answers 200 with the state of a known job.
-    fn respond_known_job(&mut self, conn: ConnId, index: JobIndex) {
-        let entry = self.jobs.cache().get(index);
-        let answer = JobAnswer { name_id: &entry.id, status: status_word(entry) };
-        self.net.respond(conn, OK, None, &cbor::encode(&answer));
-    }
-
-    /// Answers 200 with the state and the task counts of a known job.
-    fn respond_poll(&mut self, conn: ConnId, index: JobIndex) {
-        let entry = self.jobs.cache().get(index);
-        let answer =
-            PollAnswer { name_id: &entry.id, status: status_word(entry), done: entry.done, running: entry.running };
-        self.net.respond(conn, OK, None, &cbor::encode(&answer));
-    }
-
-    fn find(&self, id: &str) -> Option<JobIndex> {
-        self.jobs.cache().find(id)
-    }
-
-    fn is_over(&self, index: JobIndex) -> bool {
-        self.jobs.cache().get(index).status != JobStatus::Pending
-    }
-}
-
 /// How the write of a job's record ended.
 enum WriteOutcome {
     Applied,
@@ -109,15 +49,6 @@
     Answered,
 }
 
-fn status_word(entry: &JobEntry) -> &'static str {
-    match entry.status {
-        JobStatus::Done => "done",
-        JobStatus::Cancelled => "cancelled",
-        JobStatus::Pending if entry.running > 0 => "running",
-        JobStatus::Pending => "pending",
-    }
-}
-
 /// Serves users' requests.
 pub struct UserApi {
     cluster: Rc<Cluster>,
@@ -217,79 +148,4 @@
             _ => self.read_barrier.join(context.net.now(), WaitingRequest::Poll { conn, id: id.to_owned() }),
         }
     }
-
-    /// Sends a read for the requests that wait for the read barrier, and refuses those
-    /// that have waited too long.
-    pub fn flush_read_barrier(&mut self, context: &mut UserContext) {
-        let now = context.net.now();
-        if self.read_barrier.due(now) {
-            self.read_barrier.sent(now, BARRIER_GAP_MS * context.peers.controller_count() as Millis);
-            if !context.client.budgets().take_read(now, Urgency::Cancel) {
-                let waiting = self.read_barrier.ended();
-                return self.refuse_all(context, waiting);
-            }
-            let request = context.jobs.read_changes(0, STORE_TIMEOUT_MS);
-            let pending = PendingCall::Jobs(JobsCall::ReadBarrier { sent: now });
-            context.client.send_to_store(context.net, pending, request);
-        }
-        if !self.read_barrier.is_empty() {
-            self.refuse_overdue(context, now);
-        }
-    }
-
-    /// The read for the read barrier ended; `applied`: its changes are in the job
-    /// cache. The requests that it was sent for are answered.
-    pub fn read_barrier_ended(&mut self, context: &mut UserContext, now: Millis, applied: bool) {
-        // Guard: after the process was halted, the read is as old as the requests
-        // themselves, and must not answer them.
-        self.refuse_overdue(context, now);
-        let waiting = self.read_barrier.ended();
-        if !applied {
-            return self.refuse_all(context, waiting);
-        }
-        for request in waiting {
-            self.serve(context, request);
-        }
-    }
-
-    fn refuse_overdue(&mut self, context: &mut UserContext, now: Millis) {
-        let overdue = self.read_barrier.overdue(now, MAX_BARRIER_WAIT_MS);
-        self.refuse_all(context, overdue);
-    }
-
-    /// Without a read, the requests that waited for it get no answer but 503.
-    fn refuse_all(&mut self, context: &mut UserContext, waiting: Vec<WaitingRequest>) {
-        for request in waiting {
-            self.respond_unavailable(context, request.conn());
-        }
-    }
-
-    /// Answers a request that waited for a read of changes, which has been applied.
-    fn serve(&mut self, context: &mut UserContext, request: WaitingRequest) {
-        match request {
-            WaitingRequest::Poll { conn, id } => match context.find(&id) {
-                Some(index) => context.respond_poll(conn, index),
-                None => context.respond_empty(conn, NOT_FOUND),
-            },
-            WaitingRequest::Known { conn, id } => match context.find(&id) {
-                Some(index) => context.respond_known_job(conn, index),
-                None => self.respond_unavailable(context, conn),
-            },
-            WaitingRequest::Refuse { conn, id, status, reason } => match context.find(&id) {
-                Some(index) => context.respond_known_job(conn, index),
-                None => {
-                    tracing::info!(job = &*id, reason, "submission rejected as infeasible");
-                    context.respond_empty(conn, status);
-                }
-            },
-            WaitingRequest::Dependent(write) => match context.find(&write.id) {
-                Some(index) => context.respond_known_job(write.conn, index),
-                None => self.create_or_refuse(context, write),
-            },
-            WaitingRequest::Cancel { conn, id, retries } => match context.find(&id) {
-                Some(_) => self.cancel(context, conn, id, retries),
-                None => context.respond_empty(conn, NOT_FOUND),
-            },
-        }
-    }
 }
--- a/src/controller/users/submit.rs
+++ b/src/controller/users/submit.rs
@@ -3,13 +3,15 @@
 use std::rc::Rc;
 
 use super::{
-    status_word, CallResult, Condition, ConnId, JobRecord, JobStatus, JobWrite, Urgency, UserApi, UserCall,
-    UserContext, WaitingRequest, WriteOutcome, BAD_REQUEST, CREATED, UNPROCESSABLE_CONTENT,
+    context::{status_word, UserContext},
+    waiting_request::WaitingRequest,
+    UserApi, WriteOutcome,
 };
 use crate::{
     controller::{
         clock::wall_clock_ms,
         cluster_limits::{chunk_size, team_limits},
+        service_client::{CallResult, JobWrite, UserCall},
     },
     coordination::model::{fits_some_type, MachineTypeSpec, TeamLimits},
     protocol::{
@@ -17,8 +19,16 @@
         ids::Revision,
         jobs::{JobSpec, Refusal, Submission},
         names::TeamIndex,
+        store::Condition,
+    },
+    storage::{
+        budget::Urgency,
+        records::{self, JobRecord, JobStatus},
+    },
+    transport::{
+        http::status::{BAD_REQUEST, CREATED, UNPROCESSABLE_CONTENT},
+        ConnId,
     },
-    storage::records,
 };
 
 /// How often a submission is tried again when a job that it needs changes.
--- a/src/controller/users/waiting_request.rs
+++ b/src/controller/users/waiting_request.rs
@@ -1,7 +1,6 @@
 //! Users' requests that wait for the read barrier.
 
-use super::super::service_client::JobWrite;
-use crate::transport::ConnId;
+use crate::{controller::service_client::JobWrite, transport::ConnId};
 
 /// A user's request, to be answered after the next read of the jobs' changes.
 #[derive(Debug)]
--- a/src/controller/version_watch.rs
+++ b/src/controller/version_watch.rs
@@ -114,3 +114,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "tests/version_watch.rs"]
+mod tests;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`protocol`]: typed messages of all interfaces, and the settings.
 //! - [`storage`]: records, the cache of them, and request budgets.
 //! - [`coordination`]: all decisions, without any I/O.
-//! - [`node`]: one controller, made of the other layers.
+//! - [`controller`]: one controller, made of the other layers.
 
 #![deny(missing_docs)]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -82,7 +82,7 @@
     match controller::run(settings, operator) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!("{error}");
+            tracing::error!(%error, "controller failed");
             ExitCode::FAILURE
         }
     }
