--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod autoscaler;
 pub mod election;
+pub mod ephemeral_key;
 pub mod leader;
 pub mod lease_renewal;
 pub mod model;
--- a/src/protocol/ids.rs
+++ b/src/protocol/ids.rs
@@ -51,6 +51,12 @@
     SequenceNumber
 );
 
+number_type!(
+    /// A grant of the key-value store: a lease with a time to live. Keys that
+    /// are attached to a grant are removed when it expires or is revoked.
+    GrantId
+);
+
 impl Revision {
     /// Revision of a key that does not exist.
     pub const ABSENT: Revision = Revision(0);
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -4,7 +4,7 @@
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-use crate::protocol::ids::Revision;
+use crate::protocol::ids::{GrantId, Revision};
 
 /// A transaction is applied only if the key has this revision.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
@@ -29,7 +29,7 @@
         v: Value,
         /// The grant that the key is attached to: it is removed when the grant ends.
         #[serde(skip_serializing_if = "Option::is_none", default)]
-        permit: Option<u64>,
+        permit: Option<GrantId>,
     },
     /// Removes a key. On the wire an operation with `drop`.
     Delete {
@@ -81,7 +81,7 @@
     pub revision: Revision,
     /// The grant that the key is attached to; None: it is attached to none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub permit: Option<u64>,
+    pub permit: Option<GrantId>,
 }
 
 /// A part of a listing, in the order of the keys.
@@ -101,7 +101,7 @@
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Permit {
     /// Number of the grant.
-    pub permit: u64,
+    pub permit: GrantId,
 }
 
 /// Asks for a grant, which ends unless it is renewed within its time to live.
