--- a/src/controller/gossip.rs
+++ b/src/controller/gossip.rs
@@ -145,7 +145,7 @@
             commits_used: self.budgets.commits.used(now),
             clock_ms: now,
             echoes: self.echoes(),
-            no_renewal_ms: now.saturating_sub(self.renewal_right.last),
+            no_renewal_ms: now.saturating_sub(self.renewal_right.last_leaderless_renewal()),
             counts,
         }
     }
--- a/src/controller/job_feed.rs
+++ b/src/controller/job_feed.rs
@@ -165,7 +165,7 @@
             return false;
         };
         self.job_cache.apply(&changes, &mut self.tables);
-        self.renewal_right.synced(sent);
+        self.renewal_right.record_sync(sent);
         true
     }
 }
--- a/src/controller/leader_key.rs
+++ b/src/controller/leader_key.rs
@@ -137,7 +137,7 @@
     /// that it holds.
     fn is_own_renewal_key(&self, value: &Value) -> bool {
         value.deserialized::<LeaderRecord>().is_ok_and(|record| {
-            record.label == self.settings.label && Some(record.nonce) == self.renewal_right.mark(self.nonce)
+            record.label == self.settings.label && Some(record.nonce) == self.renewal_right.key_nonce(self.nonce)
         })
     }
 }
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -93,7 +93,7 @@
         leader.may_reshard = self.versions.is_complete();
         // Leases that this controller renewed before it led count like its peers'.
         let mut no_peer_renewals = self.peers.inactivity.span();
-        no_peer_renewals.from = no_peer_renewals.from.max(self.renewal_right.last as i64);
+        no_peer_renewals.from = no_peer_renewals.from.max(self.renewal_right.last_leaderless_renewal() as i64);
         leader.no_peer_renewals = no_peer_renewals;
         leader.sweep(now);
         leader.autoscale(now, &self.tables);
--- a/src/controller/replies.rs
+++ b/src/controller/replies.rs
@@ -3,12 +3,13 @@
 use super::{calls::Pending, wiring::Controller};
 use crate::{
     coordination::{
+        ephemeral_key::RenewalOutcome,
         leader::Leader,
         model::{Millis, Term},
     },
     protocol::{
         cbor,
-        ids::Revision,
+        ids::{GrantId, Revision},
         store::{AppliedTransaction, Permit},
     },
     transport::{
@@ -34,7 +35,7 @@
     }
 }
 
-fn permit(result: &Result<Reply, CallError>) -> Option<u64> {
+fn grant(result: &Result<Reply, CallError>) -> Option<GrantId> {
     body::<Permit>(result).map(|permit| permit.permit)
 }
 
@@ -42,12 +43,11 @@
     body::<AppliedTransaction>(result).map(|applied| applied.store_revision)
 }
 
-/// Whether a grant was renewed; None: not known.
-fn renewed(result: &Result<Reply, CallError>) -> Option<bool> {
+fn renewal_outcome(result: &Result<Reply, CallError>) -> RenewalOutcome {
     match status(result) {
-        OK => Some(true),
-        NOT_FOUND => Some(false),
-        _ => None,
+        OK => RenewalOutcome::Renewed,
+        NOT_FOUND => RenewalOutcome::Expired,
+        _ => RenewalOutcome::Unknown,
     }
 }
 
@@ -64,12 +64,12 @@
             self.state_answered(now, &result);
         }
         match pending {
-            Pending::LeaderGrant => self.election.granted(now, permit(&result)),
-            Pending::LeaderGrantRenewal => self.election.renewed(now, renewed(&result)),
+            Pending::LeaderGrant => self.election.granted(now, grant(&result)),
+            Pending::LeaderGrantRenewal => self.election.renewed(now, renewal_outcome(&result)),
             Pending::LeaderClaim => self.claimed(now, &result),
             Pending::LeaderStepDown => {}
-            Pending::RenewalKeyGrant => self.renewal_right.granted(now, permit(&result)),
-            Pending::RenewalKeyGrantRenewal => self.renewal_right.renewed(now, renewed(&result)),
+            Pending::RenewalKeyGrant => self.renewal_right.granted(now, grant(&result)),
+            Pending::RenewalKeyGrantRenewal => self.renewal_right.renewed(now, renewal_outcome(&result)),
             Pending::RenewalKeyClaim => self.renewal_right_registered(now, &result),
             Pending::VersionWrite => self.version_written(now, &result),
             Pending::VersionRead => self.version_page(now, &result),
@@ -103,7 +103,7 @@
 
     fn renewal_right_registered(&mut self, now: Millis, result: &Result<Reply, CallError>) {
         if status(result) == BAD_REQUEST {
-            self.renewal_right.lost();
+            self.renewal_right.grant_lost();
         }
         self.renewal_right.registered(now, store_revision(result));
     }
--- a/src/controller/workers.rs
+++ b/src/controller/workers.rs
@@ -5,7 +5,7 @@
 use crate::{
     coordination::{
         leader::{halts_of_cancelled, HeartbeatOutcome},
-        lease_renewal::{shares_the_cut, Other},
+        lease_renewal::{shares_the_cut, PeerContact},
         model::Millis,
     },
     protocol::{
@@ -95,15 +95,15 @@
             return false;
         }
         let seeds = self.settings.seeds.iter();
-        let others: Vec<Other> = seeds
+        let others: Vec<PeerContact> = seeds
             .zip(&self.peers.list)
-            .map(|(seed, peer)| Other {
-                near: seed.domain == self.settings.domain,
-                heard: peer.heard,
-                state_age: peer.state_age,
+            .map(|(seed, peer)| PeerContact {
+                same_zone: seed.domain == self.settings.domain,
+                last_heard: peer.heard,
+                store_age_ms: peer.state_age,
             })
             .collect();
-        shares_the_cut(now, self.renewal_right.contact(), &others, self.last_foreign_heartbeat)
+        shares_the_cut(now, self.renewal_right.last_contact(), &others, self.last_foreign_heartbeat)
     }
 
     /// Renews a worker's lease. Tasks that are known as cancelled are stopped,
@@ -111,7 +111,7 @@
     fn renew_without_leader(&mut self, net: &mut Net, conn: ConnId, now: Millis, heartbeat: &Heartbeat) {
         // Guard: recorded before the answer is sent, so that no leader counts the
         // lease as expired.
-        self.renewal_right.last = now;
+        self.renewal_right.record_leaderless_renewal(now);
         let commands = halts_of_cancelled(heartbeat, &self.job_cache);
         let bytes = cbor::encode(&HeartbeatResponse { token: heartbeat.token, commands });
         net.respond_heartbeat(conn, OK, &bytes);
--- a/tests/loopback_cluster/state_service.rs
+++ b/tests/loopback_cluster/state_service.rs
@@ -14,7 +14,7 @@
 use ciborium::{cbor, Value};
 use shedhook::protocol::{
     cbor as body,
-    ids::Revision,
+    ids::{GrantId, Revision},
     store::{Change, Changes, GrantRequest, Op, Page, Pair, Txn},
 };
 
@@ -103,7 +103,7 @@
             self.too_large += 1;
             return (400, body::encode(&cbor!({"error" => "too large"}).unwrap()));
         }
-        let lost = |op: &Op| matches!(op, Op::Put { permit: Some(p), .. } if !self.grants.contains_key(p));
+        let lost = |op: &Op| matches!(op, Op::Put { permit: Some(p), .. } if !self.grants.contains_key(&p.0));
         if txn.writes.iter().any(lost) {
             return (400, body::encode(&cbor!({"error" => "no such lease"}).unwrap()));
         }
@@ -122,7 +122,7 @@
         for op in txn.writes {
             let change = match op {
                 Op::Put { key, v, permit } => {
-                    self.keys.insert(key.clone(), (v.clone(), revision, permit));
+                    self.keys.insert(key.clone(), (v.clone(), revision, permit.map(|grant| grant.0)));
                     Change { write: Some(key), drop: None, v: Some(v), revision: Revision(revision) }
                 }
                 Op::Delete { key } => {
@@ -207,7 +207,7 @@
         .keys
         .iter()
         .filter(|(k, _)| k.starts_with(prefix) && k.as_str() > from)
-        .map(|(k, v)| Pair { key: k.clone(), v: v.0.clone(), revision: Revision(v.1), permit: v.2 })
+        .map(|(k, v)| Pair { key: k.clone(), v: v.0.clone(), revision: Revision(v.1), permit: v.2.map(GrantId) })
         .collect();
     (200, body::encode(&Page { pairs, truncated: false, store_revision: Revision(s.epoch) }))
 }
