--- /dev/null
+++ b/src/protocol/jobs/spec.rs
@@ -0,0 +1,111 @@
+//! A validated job, as the rest of the program uses it.
+
+use crate::protocol::names::{ClassIndex, ImageIndex, MachineTypeIndex, TeamIndex, ZoneIndex};
+
+/// How the tasks of a job belong together.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Kind {
+    /// Independent tasks, each of which runs to completion. On the wire: `batch`.
+    Array,
+    /// All tasks run at the same time, or none does. On the wire: `ensemble`.
+    Gang,
+    /// Replicas that run until the job is cancelled. On the wire: `service`.
+    Service,
+}
+
+impl Kind {
+    pub(super) fn parse(name: &str) -> Option<Kind> {
+        match name {
+            "batch" => Some(Kind::Array),
+            "ensemble" => Some(Kind::Gang),
+            "service" => Some(Kind::Service),
+            _ => None,
+        }
+    }
+}
+
+/// Scheduling priority; the greater one is scheduled first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Priority {
+    /// On the wire: `low`.
+    Low,
+    /// On the wire: `normal`.
+    Normal,
+    /// On the wire: `high`.
+    High,
+    /// On the wire: `prod`.
+    Production,
+}
+
+impl Priority {
+    pub(super) fn parse(name: &str) -> Option<Priority> {
+        match name {
+            "prod" => Some(Priority::Production),
+            "high" => Some(Priority::High),
+            "normal" => Some(Priority::Normal),
+            "low" => Some(Priority::Low),
+            _ => None,
+        }
+    }
+}
+
+/// A validated job, with names interned to dense indices.
+#[derive(Debug, Clone, PartialEq)]
+pub struct JobSpec {
+    /// Class, which the objectives in the settings refer to.
+    pub class: ClassIndex,
+    /// Team whose quota applies.
+    pub team: TeamIndex,
+    /// Array, gang or service.
+    pub kind: Kind,
+    /// Priority; for a prerequisite, the highest of all jobs that need it.
+    pub priority: Priority,
+    /// Number of tasks.
+    pub tasks: u32,
+    /// CPUs of each task.
+    pub cpus: f64,
+    /// GPUs of each task.
+    pub gpus: f64,
+    /// Memory of each task, in GB.
+    pub memory_gb: f64,
+    /// Image that a machine needs before a task can start.
+    pub image: ImageIndex,
+    /// Size of the image, in GB.
+    pub image_gb: f64,
+    /// Allowed machine types; `None`: any.
+    pub types: Option<Vec<MachineTypeIndex>>,
+    /// The only allowed zone; `None`: any.
+    pub zone: Option<ZoneIndex>,
+    /// All tasks must be in the same zone.
+    pub one_zone: bool,
+    /// At most half of the tasks, rounded up, may be in one zone.
+    pub spread: bool,
+    /// Spot machines are allowed.
+    pub spot: bool,
+    /// The owner's estimate of a task's run time, in seconds; 0 for services.
+    pub estimate_s: f64,
+    /// Run time between two checkpoints, in seconds; 0: the task never saves.
+    pub checkpoint_s: f64,
+    /// Time that a task needs to save when it is stopped, in seconds.
+    pub save_s: f64,
+    /// Deadline, in seconds from when the job became ready to start.
+    pub deadline_s: Option<f64>,
+    /// When the job is long overdue, in seconds counted like the deadline.
+    pub overdue_s: Option<f64>,
+}
+
+impl JobSpec {
+    /// The largest number of this job's tasks that one zone may hold.
+    pub fn zone_cap(&self) -> u32 {
+        if self.spread {
+            self.tasks.div_ceil(2)
+        } else {
+            self.tasks
+        }
+    }
+
+    /// Whether tasks may run on this machine type.
+    pub fn allows_type(&self, machine_type: MachineTypeIndex) -> bool {
+        self.types.as_ref().is_none_or(|allowed| allowed.contains(&machine_type))
+    }
+}
--- /dev/null
+++ b/src/protocol/jobs/submission.rs
@@ -0,0 +1,104 @@
+//! A job as its user submits it.
+
+use std::collections::HashSet;
+
+use serde::{Deserialize, Serialize};
+
+use crate::protocol::cbor::maybe_number;
+
+/// The body of `POST /api/jobs` as it was received. It is also stored in the
+/// job's record, so the serialized names are part of the stored format.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
+#[serde(rename_all = "camelCase", default)]
+pub struct Submission {
+    /// Unique job id, chosen by the user; a retry uses the same id.
+    pub name_id: Option<String>,
+    /// Class of jobs that the job belongs to; objectives refer to it.
+    #[serde(rename = "lane")]
+    pub class: Option<String>,
+    /// Team whose quota applies.
+    #[serde(rename = "owner")]
+    pub team: Option<String>,
+    /// How the tasks belong together: `batch`, `ensemble` or `service`.
+    #[serde(rename = "shape")]
+    pub kind: Option<String>,
+    /// Scheduling priority: `low`, `normal`, `high` or `prod`.
+    #[serde(rename = "rank")]
+    pub priority: Option<String>,
+    /// Number of tasks.
+    #[serde(rename = "pieces")]
+    #[serde(deserialize_with = "maybe_number")]
+    pub tasks: Option<f64>,
+    /// CPUs of each task.
+    #[serde(deserialize_with = "maybe_number")]
+    pub cpus: Option<f64>,
+    /// GPUs of each task.
+    #[serde(rename = "cards")]
+    #[serde(deserialize_with = "maybe_number")]
+    pub gpus: Option<f64>,
+    /// Memory of each task, in GB.
+    #[serde(deserialize_with = "maybe_number")]
+    pub memory_gb: Option<f64>,
+    /// Image that a machine needs before a task can start.
+    #[serde(rename = "bundle")]
+    pub image: Option<String>,
+    /// Size of the image, in GB.
+    #[serde(deserialize_with = "maybe_number")]
+    pub image_gb: Option<f64>,
+    /// Allowed machine types; absent: any.
+    #[serde(rename = "breeds", skip_serializing_if = "Option::is_none")]
+    pub types: Option<Vec<String>>,
+    /// The only allowed zone; absent: any.
+    #[serde(rename = "yard", skip_serializing_if = "Option::is_none")]
+    pub zone: Option<String>,
+    /// All tasks must be in the same zone.
+    #[serde(rename = "samePlace")]
+    pub one_zone: Option<bool>,
+    /// At most half of the tasks, rounded up, may be in one zone.
+    #[serde(rename = "scatter")]
+    pub spread: Option<bool>,
+    /// Spot machines are allowed.
+    #[serde(rename = "loaners")]
+    pub spot: Option<bool>,
+    /// The owner's estimate of a task's run time, in seconds; 0 for services.
+    #[serde(rename = "guessS")]
+    #[serde(deserialize_with = "maybe_number")]
+    pub estimate_s: Option<f64>,
+    /// Run time between two checkpoints, in seconds; 0: the task never saves.
+    #[serde(rename = "bookmarkS")]
+    #[serde(deserialize_with = "maybe_number")]
+    pub checkpoint_s: Option<f64>,
+    /// Time that a task needs to save when it is stopped, in seconds.
+    #[serde(rename = "stashS")]
+    #[serde(deserialize_with = "maybe_number")]
+    pub save_s: Option<f64>,
+    /// Deadline, in seconds from the submission.
+    #[serde(rename = "dueS", skip_serializing_if = "Option::is_none")]
+    #[serde(deserialize_with = "maybe_number")]
+    pub deadline_s: Option<f64>,
+    /// Jobs that have to be done before any task of this one starts. Versions
+    /// without pipelines never meet a record that contains it.
+    #[serde(skip_serializing_if = "has_no_prereqs")]
+    pub prereqs: Option<Vec<String>>,
+}
+
+fn has_no_prereqs(prereqs: &Option<Vec<String>>) -> bool {
+    prereqs.as_ref().is_none_or(Vec::is_empty)
+}
+
+impl Submission {
+    /// The jobs that have to be done before this one may start.
+    pub fn prereqs(&self) -> &[String] {
+        self.prereqs.as_deref().unwrap_or_default()
+    }
+
+    /// Removes repeated prerequisites, keeping their order; an empty list
+    /// becomes none.
+    pub fn fold_prereqs(&mut self) {
+        let mut seen = HashSet::new();
+        if let Some(prereqs) = &mut self.prereqs {
+            prereqs.retain(|id| seen.insert(id.clone()));
+        }
+        self.prereqs = self.prereqs.take().filter(|prereqs| !prereqs.is_empty());
+    }
+}
--- a/src/protocol/tests/jobs.rs
+++ b/src/protocol/tests/jobs.rs
@@ -1,7 +1,8 @@
-use super::*;
-use crate::protocol::cbor;
 use ciborium::{cbor, Value};
 
+use super::*;
+use crate::protocol::{cbor, names::Tables};
+
 /// A valid submission of a gang that needs GPUs.
 pub fn sample() -> Value {
     cbor!({"nameId" => "j-000412", "lane" => "train", "owner" => "vision", "shape" => "ensemble",
@@ -78,7 +79,7 @@
         tables.types.intern("g8");
         let got = match cbor::decode::<Submission>(&with(field, v)) {
             Err(_) => Want::Bad,
-            Ok(s) => match s.check(&mut tables, false) {
+            Ok(s) => match s.validate(&mut tables, SubmissionSource::User) {
                 Ok(_) => Want::Fine,
                 Err(Refusal::Malformed(_)) => Want::Bad,
                 Err(Refusal::NeverRuns(_)) => Want::Never,
@@ -88,6 +89,6 @@
     }
     for bytes in [&b""[..], b"\xff\xff", b"\x01", b"\x80"] {
         let s = cbor::decode::<Submission>(bytes);
-        assert!(!s.is_ok_and(|s| s.check(&mut Tables::default(), false).is_ok()), "{bytes:?}");
+        assert!(!s.is_ok_and(|s| s.validate(&mut Tables::default(), SubmissionSource::User).is_ok()), "{bytes:?}");
     }
 }
--- a/src/storage/job_cache/mod.rs
+++ b/src/storage/job_cache/mod.rs
@@ -14,7 +14,7 @@
 use super::records::{job_key, to_value, JobRecord, JobStatus, JOBS};
 use crate::protocol::{
     ids::Revision,
-    jobs::{JobSpec, Kind},
+    jobs::{JobSpec, Kind, SubmissionSource},
     names::Tables,
     store::{Changes, Page},
 };
@@ -251,7 +251,7 @@
         // A leader may have resharded its tasks.
         entry.chunk = record.chunk.max(1);
         if entry.status != JobStatus::Done && entry.spec.is_none() {
-            match record.submission.check(tables, true) {
+            match record.submission.validate(tables, SubmissionSource::Record) {
                 Ok(spec) => entry.spec = Some(Rc::new(spec)),
                 Err(why) if entry.status == JobStatus::Pending => {
                     tracing::error!(job = &*entry.id, %why, "an accepted job's record is not valid");
