--- a/src/controller/users/submit.rs
+++ b/src/controller/users/submit.rs
@@ -9,7 +9,7 @@
     protocol::{
         cbor,
         ids::Revision,
-        jobs::{JobSpec, Refusal, Submission},
+        jobs::{JobSpec, Refusal, Submission, SubmissionSource},
         names::TeamIndex,
         store::Condition,
     },
@@ -40,7 +40,7 @@
         let Ok(mut submission) = cbor::decode::<Submission>(body) else {
             return net.respond(conn, 400, None, b"");
         };
-        let checked = submission.check(&mut self.tables, false);
+        let checked = submission.validate(&mut self.tables, SubmissionSource::User);
         if let Err(Refusal::Malformed(field)) = checked {
             tracing::debug!(field, "malformed submission");
             return net.respond(conn, 400, None, b"");
