--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -1,5 +1,5 @@
-//! Operators' own settings, in protobuf text format. The schema is
-//! `deploy/operator.proto`; each field has a default that needs no file.
+//! Operators' own settings, in the text format of protocol buffers. The schema is
+//! `deploy/operator.proto`; every field has a default, so the file is optional.
 
 use std::{fs, io, ops::RangeInclusive, path::Path};
 
@@ -14,13 +14,14 @@
 /// What operators may set.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Operator {
-    /// Time to live of the leader's grant.
+    /// Time to live of the leader's grant, in ms.
     pub leader_ttl_ms: u64,
-    /// How long a machine without tasks is kept.
+    /// How long a machine without tasks is kept, in seconds.
     pub idle_keep_s: f64,
-    /// Silence after which a machine is returned to the cloud.
+    /// Silence, in seconds, after which a machine is returned to the cloud; `None`:
+    /// the controller chooses.
     pub silent_return_s: Option<f64>,
-    /// Most machines held at once.
+    /// Most machines rented at once; `None`: no limit.
     pub max_machines: Option<usize>,
     /// Whether spot machines may be rented.
     pub use_spot: bool,
@@ -66,8 +67,8 @@
     #[error("{0}")]
     Syntax(String),
     /// `leader_ttl_ms` lies outside the allowed range.
-    #[error("leader_ttl_ms: must lie between 1000 and 60000")]
-    LeaderTtl,
+    #[error("leader_ttl_ms = {0}: must lie between {min} and {max}", min = LEADER_TTL_MS.start(), max = LEADER_TTL_MS.end())]
+    LeaderTtl(u32),
 }
 
 impl Operator {
@@ -88,7 +89,7 @@
         let mut operator = Operator::default();
         if let Some(ttl_ms) = number("leader_ttl_ms") {
             if !LEADER_TTL_MS.contains(&ttl_ms) {
-                return Err(InvalidOperator::LeaderTtl);
+                return Err(InvalidOperator::LeaderTtl(ttl_ms));
             }
             operator.leader_ttl_ms = u64::from(ttl_ms);
         }
--- /dev/null
+++ b/src/protocol/settings/limits.rs
@@ -0,0 +1,102 @@
+//! Limits of the outside services and of this process.
+
+use serde::Deserialize;
+
+/// Limits of the key-value store.
+#[derive(Debug, Clone, Deserialize)]
+pub struct StateLimits {
+    /// Requests per second.
+    pub rps: f64,
+    /// Writes per second.
+    pub write_rps: f64,
+    /// Largest value, in KiB.
+    pub value_kb: f64,
+    /// Most writes of a transaction.
+    pub txn_ops: usize,
+    /// Limits that take effect at some later moment, without notice.
+    #[serde(default)]
+    pub next: Option<NextLimits>,
+}
+
+/// Limits that will replace those of [`StateLimits`]; None: unchanged.
+#[derive(Debug, Clone, Default, Deserialize)]
+pub struct NextLimits {
+    /// Requests per second.
+    pub rps: Option<f64>,
+    /// Writes per second.
+    pub write_rps: Option<f64>,
+    /// Largest value, in KiB.
+    pub value_kb: Option<f64>,
+    /// Most writes of a transaction.
+    pub txn_ops: Option<usize>,
+}
+
+/// Which of the key-value store's limits hold.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LimitPhase {
+    /// Those in force at the start.
+    Current,
+    /// Those of [`StateLimits::next`], as far as they are lower.
+    Lowered,
+}
+
+/// The key-value store's limits per second.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct StateRates {
+    /// Requests of any kind.
+    pub requests: f64,
+    /// Writes.
+    pub writes: f64,
+}
+
+impl StateLimits {
+    fn lower(&self, next: fn(&NextLimits) -> Option<f64>, current: f64) -> f64 {
+        self.next.as_ref().and_then(next).map_or(current, |next| next.min(current))
+    }
+
+    /// Size of a value that fits now and later.
+    pub fn fitting_value_kb(&self) -> f64 {
+        self.lower(|next| next.value_kb, self.value_kb)
+    }
+
+    /// Writes of a transaction that fit now and later, and into a burst of
+    /// one second.
+    pub fn fitting_txn_ops(&self) -> usize {
+        let next = self.next.as_ref().and_then(|next| next.txn_ops);
+        let ops = next.map_or(self.txn_ops, |next| next.min(self.txn_ops));
+        ops.min(self.rates(LimitPhase::Lowered).writes as usize).max(1)
+    }
+
+    /// The rates that are allowed in a phase.
+    pub fn rates(&self, phase: LimitPhase) -> StateRates {
+        match phase {
+            LimitPhase::Current => StateRates { requests: self.rps, writes: self.write_rps },
+            LimitPhase::Lowered => StateRates {
+                requests: self.lower(|next| next.rps, self.rps),
+                writes: self.lower(|next| next.write_rps, self.write_rps),
+            },
+        }
+    }
+}
+
+/// Limits of the cloud.
+#[derive(Debug, Clone, Deserialize)]
+pub struct CloudLimits {
+    /// Requests per second.
+    pub rps: f64,
+    /// The list of hosts may be this old, in seconds.
+    pub list_lag_s: f64,
+}
+
+/// Limits of this process.
+#[derive(Debug, Clone, Deserialize)]
+pub struct ProcessLimits {
+    /// CPU time that the process may use, in CPUs; 0 if the file names none.
+    #[serde(default)]
+    pub cpu: f64,
+    /// Memory that the process may use, in MB; 0 if the file names none.
+    #[serde(default)]
+    pub ram_mb: f64,
+    /// Most sockets open at once.
+    pub sockets: usize,
+}
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -1,5 +1,7 @@
 //! Checks of values that the form of the file allows.
 
+use std::fmt;
+
 use super::{Cluster, NextLimits, Settings, Team};
 
 /// Seconds by which `cancel_s` must exceed `lease_s`. With less, no lease could
@@ -10,21 +12,52 @@
 /// Fewest writes of a transaction: the leader commits with one besides its own.
 const MIN_TXN_OPS: usize = 2;
 
+/// What is required of the value of a setting.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Requirement {
+    /// A text with at least one character.
+    NotEmpty,
+    /// A finite number above 0.
+    Positive,
+    /// A finite number of at least 0.
+    NotNegative,
+    /// A number of at least this.
+    AtLeast(f64),
+}
+
+impl fmt::Display for Requirement {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Requirement::NotEmpty => formatter.write_str("must not be empty"),
+            Requirement::Positive => formatter.write_str("must be above 0"),
+            Requirement::NotNegative => formatter.write_str("must be 0 or more"),
+            Requirement::AtLeast(least) => write!(formatter, "must be {least} or more"),
+        }
+    }
+}
+
 /// A setting with a value that is not allowed.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("{field}: {message}")]
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+#[error("{setting} = {value}: {requirement}")]
 pub struct InvalidValue {
     /// Full name of the setting, such as `cluster.state.rps`.
-    pub field: &'static str,
-    /// What is required of it.
-    pub message: &'static str,
+    pub setting: &'static str,
+    /// The value that was given.
+    pub value: String,
+    /// What is required of the value.
+    pub requirement: Requirement,
 }
 
-fn require(holds: bool, field: &'static str, message: &'static str) -> Result<(), InvalidValue> {
+fn require(
+    holds: bool,
+    setting: &'static str,
+    value: impl ToString,
+    requirement: Requirement,
+) -> Result<(), InvalidValue> {
     if holds {
         Ok(())
     } else {
-        Err(InvalidValue { field, message })
+        Err(InvalidValue { setting, value: value.to_string(), requirement })
     }
 }
 
@@ -32,13 +65,25 @@
     amount.is_finite() && amount > 0.0
 }
 
-fn require_positive(amount: f64, field: &'static str) -> Result<(), InvalidValue> {
-    require(is_positive(amount), field, "must be above 0")
+fn require_positive(setting: &'static str, amount: f64) -> Result<(), InvalidValue> {
+    require(is_positive(amount), setting, amount, Requirement::Positive)
+}
+
+fn require_not_negative(setting: &'static str, amount: f64) -> Result<(), InvalidValue> {
+    require(amount.is_finite() && amount >= 0.0, setting, amount, Requirement::NotNegative)
+}
+
+fn require_at_least(setting: &'static str, count: usize, least: usize) -> Result<(), InvalidValue> {
+    require(count >= least, setting, count, Requirement::AtLeast(least as f64))
+}
+
+fn require_not_empty(setting: &'static str, text: &str) -> Result<(), InvalidValue> {
+    require(!text.is_empty(), setting, "\"\"", Requirement::NotEmpty)
 }
 
 impl Settings {
     pub(super) fn validate(&self) -> Result<(), InvalidValue> {
-        require(!self.label.is_empty(), "label", "must not be empty")?;
+        require_not_empty("label", &self.label)?;
         self.cluster.validate()
     }
 }
@@ -46,39 +91,49 @@
 impl Cluster {
     fn validate(&self) -> Result<(), InvalidValue> {
         let workers = &self.workers;
-        require_positive(workers.report_s, "cluster.workers.report_s")?;
-        require_positive(workers.lease_s, "cluster.workers.lease_s")?;
-        require_positive(workers.gang_wait_s, "cluster.workers.gang_wait_s")?;
-        require_positive(workers.gang_peer_s, "cluster.workers.gang_peer_s")?;
-        require_positive(workers.cancel_s, "cluster.workers.cancel_s")?;
-        let enough = workers.cancel_s >= workers.lease_s + MIN_CANCEL_MARGIN_S;
-        require(enough, "cluster.workers.cancel_s", "must be 4 s above lease_s")?;
-        require_positive(self.state.rps, "cluster.state.rps")?;
-        require_positive(self.state.write_rps, "cluster.state.write_rps")?;
-        require_positive(self.state.value_kb, "cluster.state.value_kb")?;
-        require(self.state.txn_ops >= MIN_TXN_OPS, "cluster.state.txn_ops", "must be 2 or more")?;
-        require_positive(self.cloud.rps, "cluster.cloud.rps")?;
-        require(self.limits.sockets >= MIN_SOCKETS, "cluster.limits.sockets", "must be 32 or more")?;
+        require_positive("cluster.workers.report_s", workers.report_s)?;
+        require_positive("cluster.workers.lease_s", workers.lease_s)?;
+        require_positive("cluster.workers.gang_wait_s", workers.gang_wait_s)?;
+        require_positive("cluster.workers.gang_peer_s", workers.gang_peer_s)?;
+        require_positive("cluster.workers.cancel_s", workers.cancel_s)?;
+        let least_cancel_s = workers.lease_s + MIN_CANCEL_MARGIN_S;
+        let is_cancel_late_enough = workers.cancel_s >= least_cancel_s;
+        let requirement = Requirement::AtLeast(least_cancel_s);
+        require(is_cancel_late_enough, "cluster.workers.cancel_s", workers.cancel_s, requirement)?;
+        require_positive("cluster.state.rps", self.state.rps)?;
+        require_positive("cluster.state.write_rps", self.state.write_rps)?;
+        require_positive("cluster.state.value_kb", self.state.value_kb)?;
+        require_at_least("cluster.state.txn_ops", self.state.txn_ops, MIN_TXN_OPS)?;
+        require_positive("cluster.cloud.rps", self.cloud.rps)?;
+        require_at_least("cluster.limits.sockets", self.limits.sockets, MIN_SOCKETS)?;
         if let Some(next) = &self.state.next {
-            require(next.is_valid(), "cluster.state.next", "must be above 0")?;
-        }
-        for team in &self.teams {
-            require(team.is_valid(), "cluster.teams", "a name and amounts of 0 or more are needed")?;
+            next.validate()?;
         }
-        Ok(())
+        self.teams.iter().try_for_each(Team::validate)
     }
 }
 
 impl NextLimits {
-    fn is_valid(&self) -> bool {
-        let amounts = [self.rps, self.write_rps, self.value_kb];
-        amounts.into_iter().flatten().all(is_positive) && self.txn_ops != Some(0)
+    fn validate(&self) -> Result<(), InvalidValue> {
+        let amounts = [
+            ("cluster.state.next.rps", self.rps),
+            ("cluster.state.next.write_rps", self.write_rps),
+            ("cluster.state.next.value_kb", self.value_kb),
+        ];
+        for (setting, amount) in amounts {
+            amount.map_or(Ok(()), |amount| require_positive(setting, amount))?;
+        }
+        let txn_ops = self.txn_ops;
+        txn_ops.map_or(Ok(()), |count| require_at_least("cluster.state.next.txn_ops", count, 1))
     }
 }
 
 impl Team {
-    fn is_valid(&self) -> bool {
-        let amounts = [self.cpus, self.cpus_max, self.gpus, self.gpus_max];
-        !self.name.is_empty() && amounts.iter().all(|amount| amount.is_finite() && *amount >= 0.0)
+    fn validate(&self) -> Result<(), InvalidValue> {
+        require_not_empty("cluster.teams.name", &self.name)?;
+        require_not_negative("cluster.teams.cpus", self.cpus)?;
+        require_not_negative("cluster.teams.cpus_max", self.cpus_max)?;
+        require_not_negative("cluster.teams.gpus", self.gpus)?;
+        require_not_negative("cluster.teams.gpus_max", self.gpus_max)
     }
 }
