--- /dev/null
+++ b/src/transport/http/framing.rs
@@ -0,0 +1,107 @@
+//! Where the body of a message ends, and whether the connection is closed then.
+
+use super::parse::HttpError;
+
+/// Longest line with the size of a chunk, in bytes.
+const MAX_CHUNK_SIZE_LINE: usize = 32;
+/// Line end after the data of each chunk.
+const CRLF: &[u8] = b"\r\n";
+/// What the header fields say about the body and the connection.
+pub(super) struct Framing {
+    /// Value of `Content-Length`, in bytes.
+    length: Option<usize>,
+    /// Whether the body comes in chunks.
+    chunked: bool,
+    /// Whether the connection is to be closed after the message.
+    pub close: bool,
+}
+
+/// A body, and the position in the buffer after it.
+pub(super) struct Body {
+    pub bytes: Vec<u8>,
+    pub end: usize,
+}
+
+/// HTTP/1.0, where connections are closed by default, as `httparse` numbers it.
+const HTTP_1_0: u8 = 0;
+/// HTTP/1.1, as `httparse` numbers it.
+pub(super) const HTTP_1_1: u8 = 1;
+
+impl Framing {
+    pub fn parse(headers: &[httparse::Header<'_>], version: u8) -> Result<Framing, HttpError> {
+        let mut framing = Framing { length: None, chunked: false, close: version == HTTP_1_0 };
+        for header in headers {
+            framing.apply(header)?;
+        }
+        // Guard: request smuggling. A message with both framings could be taken
+        // for two different messages by two servers.
+        if framing.chunked && framing.length.is_some() {
+            return Err(HttpError::Malformed);
+        }
+        Ok(framing)
+    }
+
+    fn apply(&mut self, header: &httparse::Header<'_>) -> Result<(), HttpError> {
+        let text = || std::str::from_utf8(header.value).map_err(|_| HttpError::Malformed);
+        if header.name.eq_ignore_ascii_case("content-length") {
+            let length: usize = text()?.trim().parse().map_err(|_| HttpError::Malformed)?;
+            if self.length.is_some_and(|earlier| earlier != length) {
+                return Err(HttpError::Malformed);
+            }
+            self.length = Some(length);
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+            if !text()?.trim().eq_ignore_ascii_case("chunked") {
+                return Err(HttpError::Malformed);
+            }
+            self.chunked = true;
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            let value = text()?;
+            if value.eq_ignore_ascii_case("close") {
+                self.close = true;
+            } else if value.eq_ignore_ascii_case("keep-alive") {
+                self.close = false;
+            }
+        }
+        Ok(())
+    }
+
+    /// Takes the body that starts at `at`, or None when more bytes are needed.
+    pub fn take_body(&self, buffer: &[u8], at: usize, max: usize) -> Result<Option<Body>, HttpError> {
+        if self.chunked {
+            return take_chunked(buffer, at, max);
+        }
+        let length = self.length.unwrap_or(0);
+        if length > max {
+            return Err(HttpError::BodyTooLong);
+        }
+        let bytes = buffer.get(at..at.saturating_add(length));
+        Ok(bytes.map(|bytes| Body { bytes: bytes.to_vec(), end: at + length }))
+    }
+}
+
+fn take_chunked(buffer: &[u8], mut at: usize, max: usize) -> Result<Option<Body>, HttpError> {
+    let mut bytes = Vec::new();
+    loop {
+        let rest = buffer.get(at..).unwrap_or(&[]);
+        let (skip, size) = match httparse::parse_chunk_size(rest) {
+            Ok(httparse::Status::Complete(chunk)) => chunk,
+            Ok(httparse::Status::Partial) if rest.len() < MAX_CHUNK_SIZE_LINE => return Ok(None),
+            _ => return Err(HttpError::Malformed),
+        };
+        let size = usize::try_from(size).map_err(|_| HttpError::BodyTooLong)?;
+        if size > max || bytes.len() + size > max {
+            return Err(HttpError::BodyTooLong);
+        }
+        let start = at + skip;
+        let end = start + size + CRLF.len();
+        let Some(chunk) = buffer.get(start..end) else { return Ok(None) };
+        if &chunk[size..] != CRLF {
+            return Err(HttpError::Malformed);
+        }
+        bytes.extend_from_slice(&chunk[..size]);
+        at = end;
+        if size == 0 {
+            return Ok(Some(Body { bytes, end }));
+        }
+    }
+}
--- /dev/null
+++ b/src/transport/http/status.rs
@@ -0,0 +1,47 @@
+//! Status codes that are sent or acted on.
+
+/// Success.
+pub const OK: u16 = 200;
+/// A new resource exists.
+pub const CREATED: u16 = 201;
+/// The request is malformed.
+pub const BAD_REQUEST: u16 = 400;
+/// There is no such resource.
+pub const NOT_FOUND: u16 = 404;
+/// The path doesn't support the method.
+pub const METHOD_NOT_ALLOWED: u16 = 405;
+/// The request contradicts the present state.
+pub const CONFLICT: u16 = 409;
+/// What was asked for is no longer available.
+pub const GONE: u16 = 410;
+/// The body is too long.
+pub const CONTENT_TOO_LARGE: u16 = 413;
+/// Another controller has to serve the request.
+pub const MISDIRECTED_REQUEST: u16 = 421;
+/// The request is well-formed, but can't be carried out.
+pub const UNPROCESSABLE_CONTENT: u16 = 422;
+/// The client is to send fewer requests.
+pub const TOO_MANY_REQUESTS: u16 = 429;
+/// The head of the request is too long.
+pub const HEADERS_TOO_LARGE: u16 = 431;
+/// The service can't answer at present.
+pub const SERVICE_UNAVAILABLE: u16 = 503;
+
+/// The reason phrase of a status.
+pub fn reason(code: u16) -> &'static str {
+    match code {
+        OK => "OK",
+        CREATED => "Created",
+        BAD_REQUEST => "Bad Request",
+        NOT_FOUND => "Not Found",
+        METHOD_NOT_ALLOWED => "Method Not Allowed",
+        CONFLICT => "Conflict",
+        CONTENT_TOO_LARGE => "Content Too Large",
+        MISDIRECTED_REQUEST => "Misdirected Request",
+        UNPROCESSABLE_CONTENT => "Unprocessable Content",
+        TOO_MANY_REQUESTS => "Too Many Requests",
+        HEADERS_TOO_LARGE => "Request Header Fields Too Large",
+        SERVICE_UNAVAILABLE => "Service Unavailable",
+        _ => "Status",
+    }
+}
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -2,67 +2,42 @@
 //!
 //! Callbacks only move bytes and queue events; the owner of [`Net`] takes them
 //! out after each turn of the loop. Every connection has a deadline, every
-//! buffer a bound.
+//! buffer a bound. Times are in ms of [`Net::now`].
 
 mod connection;
+mod event;
+mod lifecycle;
 mod limits;
 mod outgoing;
 mod peer_links;
 mod server;
 
 use std::{
-    cell::Cell,
     collections::{HashMap, VecDeque},
     io,
-    net::TcpStream,
-    rc::Rc,
     time::{Duration, Instant},
 };
 
-use calloop::{generic::Generic, EventLoop, Interest, LoopHandle, Mode, PostAction};
+use calloop::{EventLoop, LoopHandle};
 
 pub use self::{
     connection::ConnId,
+    event::Event,
     limits::Limits,
     outgoing::{Call, CallError},
     server::ListenerKind,
 };
 use self::{
-    connection::{Connection, Disposition, ReadOutcome, Role},
+    connection::{Connection, Role},
     outgoing::ConnectionPool,
     peer_links::PeerLink,
 };
-use super::http::{Reply, Request};
 
 /// Bytes read from a socket at a time.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Time between two looks for connections past their deadline, in ms.
 const SWEEP_INTERVAL_MS: u64 = 100;
 
-/// What happened on the sockets.
-#[derive(Debug)]
-pub enum Event {
-    /// A client's request, to be answered by [`Net::respond`].
-    Request {
-        /// The client's connection.
-        conn: ConnId,
-        /// The request.
-        req: Request,
-    },
-    /// The outcome of a [`Call`].
-    Reply {
-        /// The call's tag.
-        tag: u64,
-        /// The reply, or why there is none.
-        result: Result<Reply, CallError>,
-    },
-    /// A frame of a peer.
-    Frame {
-        /// The frame, without its length.
-        bytes: Vec<u8>,
-    },
-}
-
 /// All sockets of the process.
 pub struct Net {
     handle: LoopHandle<'static, Net>,
@@ -70,9 +45,13 @@
     limits: Limits,
     connections: HashMap<ConnId, Connection>,
     next_id: ConnId,
+    /// Idle connections to services.
     pool: ConnectionPool,
+    /// Links to peers, by number.
     links: Vec<PeerLink>,
+    /// Events that the owner has not taken yet.
     events: VecDeque<Event>,
+    /// Scratch space for reads.
     read_buffer: Vec<u8>,
     next_sweep: u64,
     /// No sockets can be freed before this time.
@@ -87,7 +66,7 @@
             start: Instant::now(),
             limits,
             connections: HashMap::new(),
-            next_id: 1,
+            next_id: ConnId::FIRST,
             pool: ConnectionPool::default(),
             links: Vec::new(),
             events: VecDeque::new(),
@@ -145,106 +124,6 @@
         });
     }
 
-    /// Adds a connection to the event loop, registered once for its whole life.
-    fn register(&mut self, stream: TcpStream, role: Role, connecting: bool, deadline: u64) -> Option<ConnId> {
-        let id = self.next_id;
-        self.next_id += 1;
-        let stream = Rc::new(stream);
-        let closed = Cell::new(false);
-        let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-        let token = self
-            .handle
-            .insert_source(source, move |readiness, _, net: &mut Net| {
-                if !closed.get() {
-                    net.ready(id, readiness.readable || readiness.error, readiness.writable);
-                    closed.set(!net.connections.contains_key(&id));
-                }
-                Ok(PostAction::Continue)
-            })
-            .ok()?;
-        let (input, output) = (Vec::new(), Vec::new());
-        let connection = Connection { stream, token, role, connecting, input, output, written: 0, deadline };
-        self.connections.insert(id, connection);
-        Some(id)
-    }
-
-    /// Handles readiness of a connection's socket.
-    fn ready(&mut self, id: ConnId, readable: bool, writable: bool) {
-        if let Some(connection) = self.connections.get_mut(&id).filter(|connection| connection.connecting) {
-            if !(writable || readable) {
-                return;
-            }
-            match connection.stream.take_error() {
-                Ok(None) if connection.stream.peer_addr().is_ok() => connection.connecting = false,
-                Ok(None) => return,
-                _ => return self.close(id),
-            }
-        }
-        if writable && self.flush(id) == Disposition::Close {
-            return self.close(id);
-        }
-        if readable && self.read(id) == Disposition::Close {
-            self.close(id);
-        }
-    }
-
-    fn flush(&mut self, id: ConnId) -> Disposition {
-        self.connections.get_mut(&id).map_or(Disposition::Keep, Connection::flush)
-    }
-
-    fn read(&mut self, id: ConnId) -> Disposition {
-        loop {
-            let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
-            if Net::floods_while_busy(connection) {
-                return Disposition::Close;
-            }
-            let count = match connection.read_into(&mut self.read_buffer) {
-                ReadOutcome::Bytes(count) => count,
-                ReadOutcome::WouldBlock => return Disposition::Keep,
-                ReadOutcome::Closed => return Disposition::Close,
-            };
-            if connection.is_idle_served() {
-                connection.deadline = self.start.elapsed().as_millis() as u64 + self.limits.head_ms;
-            }
-            connection.input.extend_from_slice(&self.read_buffer[..count]);
-            if self.parse(id) == Disposition::Close {
-                return Disposition::Close;
-            }
-        }
-    }
-
-    /// Takes complete messages out of a connection's input.
-    fn parse(&mut self, id: ConnId) -> Disposition {
-        let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
-        match connection.role {
-            Role::Served { busy: true, .. } => Disposition::Keep,
-            Role::Served { busy: false, .. } => self.parse_request(id),
-            Role::Calling { .. } => self.parse_reply(id),
-            Role::FramesIn => self.parse_frames(id),
-            Role::FramesOut { .. } => {
-                // Peers send nothing on a link of ours.
-                connection.input.clear();
-                Disposition::Keep
-            }
-        }
-    }
-
-    fn close(&mut self, id: ConnId) {
-        let Some(connection) = self.connections.remove(&id) else { return };
-        self.handle.remove(connection.token);
-        match connection.role {
-            Role::Calling { dest, tag, sent } => {
-                self.pool.remove(dest, id);
-                if let Some(tag) = tag {
-                    let error = if sent { CallError::Unknown } else { CallError::NotSent };
-                    self.events.push_back(Event::Reply { tag, result: Err(error) });
-                }
-            }
-            Role::FramesOut { link } => self.link_closed(link),
-            Role::Served { .. } | Role::FramesIn => {}
-        }
-    }
-
     /// Closes connections past their deadline.
     fn sweep(&mut self) {
         let now = self.now();
@@ -256,7 +135,7 @@
             .connections
             .iter()
             .filter(|(_, connection)| match connection.role {
-                Role::FramesOut { .. } => peer_links::is_broken(connection, now),
+                Role::PeerOutbound { .. } => peer_links::is_broken(connection, now),
                 _ => now >= connection.deadline,
             })
             .map(|(&id, _)| id)
--- a/src/transport/net/connection.rs
+++ b/src/transport/net/connection.rs
@@ -9,20 +9,38 @@
 use calloop::RegistrationToken;
 
 /// Identifies a connection for the life of the process; never reused.
-pub type ConnId = u64;
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct ConnId(u64);
+
+impl ConnId {
+    pub(super) const FIRST: ConnId = ConnId(1);
+
+    pub(super) fn next(self) -> ConnId {
+        ConnId(self.0 + 1)
+    }
+}
 
 /// What a connection is used for.
 pub(super) enum Role {
-    /// A client's connection: `busy` while a request is being answered, `close`
-    /// when it must be closed after the answer.
-    Served { busy: bool, close: bool },
-    /// Our connection to a service: the tag of the call in flight, if any, and
-    /// whether any of its bytes were sent.
-    Calling { dest: SocketAddr, tag: Option<u64>, sent: bool },
-    /// Frames of a peer come in.
-    FramesIn,
-    /// Our frames go out to peer `link`.
-    FramesOut { link: usize },
+    /// This process is the server of an HTTP client.
+    Server {
+        /// A request is being answered.
+        answering: bool,
+        /// The connection must be closed after the reply.
+        close_after_reply: bool,
+    },
+    /// This process is the HTTP client of a service.
+    Client {
+        service: SocketAddr,
+        /// Tag of the call in flight, if any.
+        tag: Option<u64>,
+        /// Whether any byte of that call was written.
+        sent: bool,
+    },
+    /// A peer sends frames.
+    PeerInbound,
+    /// This process sends frames to the peer with this number.
+    PeerOutbound { link: usize },
 }
 
 /// What to do with a connection after an operation on it.
@@ -64,8 +82,8 @@
     }
 
     /// Whether it serves a client that has no request under way.
-    pub fn is_idle_served(&self) -> bool {
-        matches!(self.role, Role::Served { busy: false, .. }) && self.input.is_empty()
+    pub fn awaits_request(&self) -> bool {
+        matches!(self.role, Role::Server { answering: false, .. }) && self.input.is_empty()
     }
 
     /// Writes as much of the output as the socket takes.
@@ -74,7 +92,7 @@
             return Disposition::Keep;
         }
         while self.written < self.output.len() {
-            if let Role::Calling { sent, .. } = &mut self.role {
+            if let Role::Client { sent, .. } = &mut self.role {
                 *sent = true;
             }
             match (&*self.stream).write(&self.output[self.written..]) {
@@ -88,7 +106,7 @@
         self.output.clear();
         self.written = 0;
         match self.role {
-            Role::Served { busy: false, close: true } => Disposition::Close,
+            Role::Server { answering: false, close_after_reply: true } => Disposition::Close,
             _ => Disposition::Keep,
         }
     }
--- /dev/null
+++ b/src/transport/net/event.rs
@@ -0,0 +1,28 @@
+//! What the sockets report to the owner of [`Net`](super::Net).
+
+use super::{CallError, ConnId};
+use crate::transport::http::{Reply, Request};
+
+/// What happened on the sockets.
+#[derive(Debug)]
+pub enum Event {
+    /// A client's request, to be answered by [`Net::respond`](super::Net::respond).
+    Request {
+        /// The client's connection.
+        conn: ConnId,
+        /// The request.
+        req: Request,
+    },
+    /// The outcome of a [`Call`](super::Call).
+    Reply {
+        /// The call's tag.
+        tag: u64,
+        /// The reply, or why there is none.
+        result: Result<Reply, CallError>,
+    },
+    /// A frame of a peer.
+    Frame {
+        /// The frame, without its length.
+        bytes: Vec<u8>,
+    },
+}
--- /dev/null
+++ b/src/transport/net/lifecycle.rs
@@ -0,0 +1,119 @@
+//! The life of a connection: registered with the event loop, read and written
+//! when its socket is ready, and closed.
+
+use std::{cell::Cell, net::TcpStream, rc::Rc};
+
+use calloop::{generic::Generic, Interest, Mode, PostAction};
+
+use super::{
+    connection::{ConnId, Connection, Disposition, ReadOutcome, Role},
+    CallError, Event, Net,
+};
+
+impl Net {
+    /// Adds a connection to the event loop, registered once for its whole life.
+    pub(super) fn register(
+        &mut self,
+        stream: TcpStream,
+        role: Role,
+        connecting: bool,
+        deadline: u64,
+    ) -> Option<ConnId> {
+        let id = self.next_id;
+        self.next_id = id.next();
+        let stream = Rc::new(stream);
+        let closed = Cell::new(false);
+        let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
+        let token = self
+            .handle
+            .insert_source(source, move |readiness, _, net: &mut Net| {
+                if !closed.get() {
+                    net.ready(id, readiness.readable || readiness.error, readiness.writable);
+                    closed.set(!net.connections.contains_key(&id));
+                }
+                Ok(PostAction::Continue)
+            })
+            .ok()?;
+        let (input, output) = (Vec::new(), Vec::new());
+        let connection = Connection { stream, token, role, connecting, input, output, written: 0, deadline };
+        self.connections.insert(id, connection);
+        Some(id)
+    }
+
+    /// Handles readiness of a connection's socket.
+    pub(super) fn ready(&mut self, id: ConnId, readable: bool, writable: bool) {
+        if let Some(connection) = self.connections.get_mut(&id).filter(|connection| connection.connecting) {
+            if !(writable || readable) {
+                return;
+            }
+            match connection.stream.take_error() {
+                Ok(None) if connection.stream.peer_addr().is_ok() => connection.connecting = false,
+                Ok(None) => return,
+                _ => return self.close(id),
+            }
+        }
+        if writable && self.flush(id) == Disposition::Close {
+            return self.close(id);
+        }
+        if readable && self.read(id) == Disposition::Close {
+            self.close(id);
+        }
+    }
+
+    fn flush(&mut self, id: ConnId) -> Disposition {
+        self.connections.get_mut(&id).map_or(Disposition::Keep, Connection::flush)
+    }
+
+    fn read(&mut self, id: ConnId) -> Disposition {
+        loop {
+            let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
+            if Net::floods_while_busy(connection) {
+                return Disposition::Close;
+            }
+            let count = match connection.read_into(&mut self.read_buffer) {
+                ReadOutcome::Bytes(count) => count,
+                ReadOutcome::WouldBlock => return Disposition::Keep,
+                ReadOutcome::Closed => return Disposition::Close,
+            };
+            if connection.awaits_request() {
+                connection.deadline = self.start.elapsed().as_millis() as u64 + self.limits.head_ms;
+            }
+            connection.input.extend_from_slice(&self.read_buffer[..count]);
+            if self.parse(id) == Disposition::Close {
+                return Disposition::Close;
+            }
+        }
+    }
+
+    /// Takes complete messages out of a connection's input.
+    pub(super) fn parse(&mut self, id: ConnId) -> Disposition {
+        let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
+        match connection.role {
+            Role::Server { answering: true, .. } => Disposition::Keep,
+            Role::Server { answering: false, .. } => self.parse_request(id),
+            Role::Client { .. } => self.parse_reply(id),
+            Role::PeerInbound => self.parse_frames(id),
+            Role::PeerOutbound { .. } => {
+                // Peers send nothing on a link of ours.
+                connection.input.clear();
+                Disposition::Keep
+            }
+        }
+    }
+
+    pub(super) fn close(&mut self, id: ConnId) {
+        let Some(connection) = self.connections.remove(&id) else { return };
+        self.handle.remove(connection.token);
+        match connection.role {
+            Role::Client { service, tag, sent } => {
+                self.pool.remove(service, id);
+                if let Some(tag) = tag {
+                    let error = if sent { CallError::Unknown } else { CallError::NotSent };
+                    self.events.push_back(Event::Reply { tag, result: Err(error) });
+                }
+            }
+            Role::PeerOutbound { link } => self.link_closed(link),
+            Role::Server { .. } | Role::PeerInbound => {}
+        }
+    }
+}
--- a/src/transport/net/outgoing.rs
+++ b/src/transport/net/outgoing.rs
@@ -62,13 +62,13 @@
 }
 
 impl ConnectionPool {
-    fn take(&mut self, dest: SocketAddr) -> Option<ConnId> {
-        self.by_service.get_mut(&dest).and_then(Vec::pop)
+    fn take(&mut self, service: SocketAddr) -> Option<ConnId> {
+        self.by_service.get_mut(&service).and_then(Vec::pop)
     }
 
     /// Adds an idle connection, unless the service has enough of them.
-    fn add(&mut self, dest: SocketAddr, idle: IdleConnection) -> bool {
-        let connections = self.by_service.entry(dest).or_default();
+    fn add(&mut self, service: SocketAddr, idle: IdleConnection) -> bool {
+        let connections = self.by_service.entry(service).or_default();
         if connections.len() >= MAX_IDLE_PER_SERVICE {
             return false;
         }
@@ -78,8 +78,8 @@
     }
 
     /// Forgets a connection that was closed.
-    pub fn remove(&mut self, dest: SocketAddr, id: ConnId) {
-        if let Some(connections) = self.by_service.get_mut(&dest) {
+    pub fn remove(&mut self, service: SocketAddr, id: ConnId) {
+        if let Some(connections) = self.by_service.get_mut(&service) {
             connections.retain(|&other| other != id);
         }
     }
@@ -106,14 +106,14 @@
         let deadline = self.now() + call.timeout_ms;
         let connection_id = match self.pool.take(call.dest) {
             Some(id) => Some(id),
-            None => self.open_call_connection(call.dest, deadline),
+            None => self.open_client_connection(call.dest, deadline),
         };
         let Some(id) = connection_id else {
             self.events.push_back(Event::Reply { tag: call.tag, result: Err(CallError::NotSent) });
             return;
         };
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        if let Role::Calling { tag, .. } = &mut connection.role {
+        if let Role::Client { tag, .. } = &mut connection.role {
             *tag = Some(call.tag);
         }
         connection.deadline = deadline;
@@ -124,12 +124,12 @@
         }
     }
 
-    fn open_call_connection(&mut self, dest: SocketAddr, deadline: u64) -> Option<ConnId> {
+    fn open_client_connection(&mut self, service: SocketAddr, deadline: u64) -> Option<ConnId> {
         if self.connections.len() >= self.limits.sockets {
             self.free_sockets();
         }
-        let role = Role::Calling { dest, tag: None, sent: false };
-        let stream = dial(dest).ok()?;
+        let role = Role::Client { service, tag: None, sent: false };
+        let stream = dial(service).ok()?;
         self.register(stream, role, true, deadline)
     }
 
@@ -138,7 +138,7 @@
     pub(super) fn parse_reply(&mut self, id: ConnId) -> Disposition {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
-        let Role::Calling { dest, tag, sent } = &mut connection.role else { return Disposition::Keep };
+        let Role::Client { service, tag, sent } = &mut connection.role else { return Disposition::Keep };
         let (reply, used) = match http::parse_reply(&connection.input) {
             Ok(Parsed::Partial) => return Disposition::Keep,
             Ok(Parsed::Whole(reply, used)) => (reply, used),
@@ -149,9 +149,9 @@
         connection.input.clear();
         *sent = false;
         connection.deadline = now + POOL_IDLE_MS;
-        let dest = *dest;
+        let service = *service;
         self.events.push_back(Event::Reply { tag, result: Ok(reply) });
-        if !reusable || !self.pool.add(dest, IdleConnection { id, since: now }) {
+        if !reusable || !self.pool.add(service, IdleConnection { id, since: now }) {
             return Disposition::Close;
         }
         if self.pool.oldest_first.len() > self.limits.max_idle_calls() {
@@ -164,7 +164,7 @@
     pub(super) fn close_oldest_idle_call(&mut self) -> bool {
         while let Some(oldest) = self.pool.oldest_first.pop_front() {
             let still_idle = self.connections.get(&oldest.id).is_some_and(|connection| {
-                matches!(connection.role, Role::Calling { tag: None, .. })
+                matches!(connection.role, Role::Client { tag: None, .. })
                     && connection.deadline == oldest.since + POOL_IDLE_MS
             });
             if still_idle {
--- a/src/transport/net/peer_links.rs
+++ b/src/transport/net/peer_links.rs
@@ -68,7 +68,7 @@
         }
         peer_link.retry_at = now + LINK_RETRY_MS;
         let stream = dial(peer_link.dest).ok()?;
-        let id = self.register(stream, Role::FramesOut { link }, true, now + CONNECT_MS)?;
+        let id = self.register(stream, Role::PeerOutbound { link }, true, now + CONNECT_MS)?;
         self.links[link].connection = Some(id);
         Some(id)
     }
--- a/src/transport/net/server.rs
+++ b/src/transport/net/server.rs
@@ -70,8 +70,8 @@
         }
         let _ = stream.set_nodelay(true);
         let role = match kind {
-            ListenerKind::Frames => Role::FramesIn,
-            ListenerKind::Http => Role::Served { busy: false, close: false },
+            ListenerKind::Frames => Role::PeerInbound,
+            ListenerKind::Http => Role::Server { answering: false, close_after_reply: false },
         };
         let deadline = self.now() + self.limits.idle_ms;
         if let Some(id) = self.register(stream, role, false, deadline) {
@@ -95,20 +95,20 @@
         if self.connections.len() < self.limits.max_for_accepting() {
             return true;
         }
-        let closed = self.close_stale_served(now);
+        let closed = self.close_stale_server_connections(now);
         if !closed {
             self.full_until = now + FULL_RETRY_MS;
         }
         closed
     }
 
-    fn close_stale_served(&mut self, now: u64) -> bool {
+    fn close_stale_server_connections(&mut self, now: u64) -> bool {
         // A served connection's deadline is `idle_ms` after its last request.
         let stale_deadline = now + self.limits.idle_ms.saturating_sub(self.limits.stale_ms);
         let mut stale: Vec<(u64, ConnId)> = self
             .connections
             .iter()
-            .filter(|(_, connection)| connection.is_idle_served() && connection.deadline <= stale_deadline)
+            .filter(|(_, connection)| connection.awaits_request() && connection.deadline <= stale_deadline)
             .map(|(&id, connection)| (connection.deadline, id))
             .collect();
         stale.sort_unstable();
@@ -119,26 +119,26 @@
     }
 
     pub(super) fn floods_while_busy(connection: &Connection) -> bool {
-        matches!(connection.role, Role::Served { busy: true, .. }) && connection.input.len() > MAX_PENDING_INPUT
+        matches!(connection.role, Role::Server { answering: true, .. }) && connection.input.len() > MAX_PENDING_INPUT
     }
 
     /// Parses the request of a served connection that is not busy.
     pub(super) fn parse_request(&mut self, id: ConnId) -> Disposition {
         let deadline = self.now() + self.limits.idle_ms;
         let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
-        let Role::Served { busy, close } = &mut connection.role else { return Disposition::Keep };
+        let Role::Server { answering, close_after_reply } = &mut connection.role else { return Disposition::Keep };
         match http::parse_request(&connection.input) {
             Ok(Parsed::Partial) => Disposition::Keep,
             Ok(Parsed::Whole(request, used)) => {
                 connection.input.drain(..used);
-                *busy = true;
-                *close = request.close;
+                *answering = true;
+                *close_after_reply = request.close;
                 connection.deadline = deadline;
                 self.events.push_back(Event::Request { conn: id, req: request });
                 Disposition::Keep
             }
             Err(error) => {
-                *close = true;
+                *close_after_reply = true;
                 connection.input.clear();
                 http::write_reply(&mut connection.output, error.status(), None, b"", true);
                 connection.flush();
@@ -151,11 +151,11 @@
     pub fn respond(&mut self, conn: ConnId, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
         let deadline = self.now() + self.limits.idle_ms;
         let Some(connection) = self.connections.get_mut(&conn) else { return };
-        let Role::Served { busy, close } = &mut connection.role else { return };
-        if !std::mem::replace(busy, false) {
+        let Role::Server { answering, close_after_reply } = &mut connection.role else { return };
+        if !std::mem::replace(answering, false) {
             return;
         }
-        http::write_reply(&mut connection.output, status, retry_after_s, body, *close);
+        http::write_reply(&mut connection.output, status, retry_after_s, body, *close_after_reply);
         connection.deadline = deadline;
         if connection.flush() == Disposition::Close {
             return self.close(conn);
@@ -174,8 +174,10 @@
     /// it connects again for its next heartbeat.
     pub fn respond_heartbeat(&mut self, conn: ConnId, status: u16, body: &[u8]) {
         if self.connections.len() > self.limits.crowded() {
-            if let Some(Connection { role: Role::Served { close, .. }, .. }) = self.connections.get_mut(&conn) {
-                *close = true;
+            if let Some(Connection { role: Role::Server { close_after_reply, .. }, .. }) =
+                self.connections.get_mut(&conn)
+            {
+                *close_after_reply = true;
             }
         }
         self.respond(conn, status, None, body);
