--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -21,7 +21,7 @@
 /// before it expires.
 const RENEWALS_PER_TTL: u64 = 4;
 /// Delays after calls that failed or went unanswered.
-const RETRY_DELAYS: RetryDelays = RetryDelays { renewal_ms: 250, write_ms: 300 };
+const RETRY_DELAYS: RetryDelays = RetryDelays { after_renewal_ms: 250, after_write_ms: 300 };
 
 /// The leader's key as last seen.
 #[derive(Debug)]
--- a/src/coordination/ephemeral_key.rs
+++ b/src/coordination/ephemeral_key.rs
@@ -54,9 +54,9 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RetryDelays {
     /// After a renewal.
-    pub renewal_ms: Millis,
+    pub after_renewal_ms: Millis,
     /// After a request for a grant, or a write of the key.
-    pub write_ms: Millis,
+    pub after_write_ms: Millis,
 }
 
 /// The call that is in flight, if any.
@@ -165,7 +165,7 @@
                 self.grant_valid_until = self.earliest_expiry(sent);
                 self.last_renewal = sent;
             }
-            None => self.retry_at = now + self.retry_delays.write_ms,
+            None => self.retry_at = now + self.retry_delays.after_write_ms,
         }
     }
 
@@ -181,7 +181,7 @@
             RenewalOutcome::Expired => self.forget_grant(),
             RenewalOutcome::Unknown => {
                 self.last_renewal = 0;
-                self.retry_at = now + self.retry_delays.renewal_ms;
+                self.retry_at = now + self.retry_delays.after_renewal_ms;
             }
         }
         Some(sent)
@@ -196,7 +196,7 @@
         }
         self.pending = PendingCall::None;
         if revision.is_none() {
-            self.retry_at = now + self.retry_delays.write_ms;
+            self.retry_at = now + self.retry_delays.after_write_ms;
         }
         revision
     }
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -42,7 +42,7 @@
 /// Interval of the grant's renewals, in ms.
 const GRANT_RENEWAL_INTERVAL_MS: Millis = 3_000;
 /// Delays after calls that failed or went unanswered.
-const RETRY_DELAYS: RetryDelays = RetryDelays { renewal_ms: 1_000, write_ms: 1_000 };
+const RETRY_DELAYS: RetryDelays = RetryDelays { after_renewal_ms: 1_000, after_write_ms: 1_000 };
 
 /// How long, in ms, after the sending of its last read of the jobs' records a
 /// controller may answer a worker 200: a lease renewed then expires before a
--- a/src/coordination/tests/ephemeral_key.rs
+++ b/src/coordination/tests/ephemeral_key.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 const TTL_MS: Millis = 4_000;
-const RETRY_DELAYS: RetryDelays = RetryDelays { renewal_ms: 250, write_ms: 300 };
+const RETRY_DELAYS: RetryDelays = RetryDelays { after_renewal_ms: 250, after_write_ms: 300 };
 
 fn key_with_grant() -> EphemeralKey {
     let mut key = EphemeralKey::new(TTL_MS, RETRY_DELAYS);
--- a/src/protocol/cbor.rs
+++ b/src/protocol/cbor.rs
@@ -69,6 +69,6 @@
 }
 
 /// For `deserialize_with`: an integer or decimal number, or null.
-pub fn maybe_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<f64>, D::Error> {
+pub fn optional_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<f64>, D::Error> {
     Option::<Amount>::deserialize(deserializer).map(|option| option.map(|amount| amount.0))
 }
--- a/src/protocol/jobs/submission.rs
+++ b/src/protocol/jobs/submission.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::protocol::cbor::maybe_number;
+use crate::protocol::cbor::optional_number;
 
 /// The body of `POST /api/jobs` as it was received. It is also stored in the
 /// job's record, so the serialized names are part of the stored format.
@@ -27,23 +27,23 @@
     pub priority: Option<String>,
     /// Number of tasks.
     #[serde(rename = "pieces")]
-    #[serde(deserialize_with = "maybe_number")]
+    #[serde(deserialize_with = "optional_number")]
     pub tasks: Option<f64>,
     /// CPUs of each task.
-    #[serde(deserialize_with = "maybe_number")]
+    #[serde(deserialize_with = "optional_number")]
     pub cpus: Option<f64>,
     /// GPUs of each task.
     #[serde(rename = "cards")]
-    #[serde(deserialize_with = "maybe_number")]
+    #[serde(deserialize_with = "optional_number")]
     pub gpus: Option<f64>,
     /// Memory of each task, in GB.
-    #[serde(deserialize_with = "maybe_number")]
+    #[serde(deserialize_with = "optional_number")]
     pub memory_gb: Option<f64>,
     /// Image that a machine needs before a task can start.
     #[serde(rename = "bundle")]
     pub image: Option<String>,
     /// Size of the image, in GB.
-    #[serde(deserialize_with = "maybe_number")]
+    #[serde(deserialize_with = "optional_number")]
     pub image_gb: Option<f64>,
     /// Allowed machine types; absent: any.
     #[serde(rename = "breeds", skip_serializing_if = "Option::is_none")]
@@ -62,19 +62,19 @@
     pub spot: Option<bool>,
     /// The owner's estimate of a task's run time, in seconds; 0 for services.
     #[serde(rename = "guessS")]
-    #[serde(deserialize_with = "maybe_number")]
+    #[serde(deserialize_with = "optional_number")]
     pub estimate_s: Option<f64>,
     /// Run time between two checkpoints, in seconds; 0: the task never saves.
     #[serde(rename = "bookmarkS")]
-    #[serde(deserialize_with = "maybe_number")]
+    #[serde(deserialize_with = "optional_number")]
     pub checkpoint_s: Option<f64>,
     /// Time that a task needs to save when it is stopped, in seconds.
     #[serde(rename = "stashS")]
-    #[serde(deserialize_with = "maybe_number")]
+    #[serde(deserialize_with = "optional_number")]
     pub save_s: Option<f64>,
     /// Deadline, in seconds from the submission.
     #[serde(rename = "dueS", skip_serializing_if = "Option::is_none")]
-    #[serde(deserialize_with = "maybe_number")]
+    #[serde(deserialize_with = "optional_number")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts. Versions
     /// without pipelines never meet a record that contains it.
--- a/src/protocol/names.rs
+++ b/src/protocol/names.rs
@@ -1,4 +1,4 @@
-//! Interned names: messages carry names, the rest of the program dense indices.
+//! Interned names: messages carry names, the rest of the program uses dense indices.
 
 use std::{collections::HashMap, marker::PhantomData};
 
@@ -16,9 +16,11 @@
     }
 }
 
+/// Defines a dense index of one kind, so that indices of different kinds can't be
+/// mixed up.
 macro_rules! index_type {
-    ($name:ident, $doc:literal) => {
-        #[doc = $doc]
+    ($(#[$doc:meta])* $name:ident) => {
+        $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
         pub struct $name(pub u32);
 
@@ -37,11 +39,28 @@
     };
 }
 
-index_type!(TeamIndex, "Index of a team.");
-index_type!(ClassIndex, "Index of a class of jobs.");
-index_type!(ZoneIndex, "Index of a zone.");
-index_type!(MachineTypeIndex, "Index of a machine type.");
-index_type!(ImageIndex, "Index of an image.");
+index_type!(
+    /// Index of a team.
+    TeamIndex
+);
+index_type!(
+    /// Index of a class of jobs.
+    ClassIndex
+);
+index_type!(
+    /// Index of a zone.
+    ZoneIndex
+);
+index_type!(
+    /// Index of a machine type.
+    MachineTypeIndex
+);
+index_type!(
+    /// Index of an image.
+    ImageIndex
+);
+
+pub(crate) use index_type;
 
 impl<K: From<u32>> Names<K> {
     /// The index of a name, which is added if it is new.
@@ -60,7 +79,7 @@
         self.indices.get(name).copied().map(K::from)
     }
 
-    /// The name of an index; `?` for one that was never given out.
+    /// The name of an index; `?` for one that was never assigned.
     pub fn name(&self, index: u32) -> &str {
         self.names.get(index as usize).map_or("?", String::as_str)
     }
@@ -76,7 +95,7 @@
     }
 }
 
-/// All interned names of one process.
+/// The interners of one process, one for each kind of names.
 #[derive(Debug, Default, Clone)]
 pub struct Tables {
     /// Teams.
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -60,7 +60,7 @@
     /// The built-in schema can't be decoded.
     #[error(transparent)]
     Schema(#[from] prost_reflect::DescriptorError),
-    /// The built-in schema lacks the message `Operator`.
+    /// The built-in schema lacks the message of the operators' settings.
     #[error("schema without Operator")]
     SchemaWithoutOperator,
     /// The text doesn't follow the schema; the parser's message.
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -20,13 +20,13 @@
     pub nonce: u64,
     /// Number of the frame within that start.
     pub count: u64,
-    /// Milliseconds since the state service last answered the sender.
+    /// Milliseconds since the key-value store last answered the sender.
     pub state_age_ms: u64,
     /// Workers' heartbeats that the sender rejected in the last seconds.
     pub rejected_heartbeats: u32,
     /// Whether the sender leads.
     pub leading: bool,
-    /// Reads per second that the sender uses of the state service's limit.
+    /// Reads per second that the sender uses of the key-value store's limit.
     pub reads_used: f64,
     /// Writes per second for users' requests.
     pub writes_used: f64,
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -98,6 +98,7 @@
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
     /// Interval of a worker's heartbeats.
+    #[serde(rename = "report_s")]
     pub report_s: f64,
     /// Duration of a worker's lease: without an answer for this long, it stops its tasks.
     pub lease_s: f64,
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,12 +1,13 @@
-//! The interface of the state service: a key-value store with transactions,
-//! watches and expiring grants.
+//! The interface of the key-value store: conditional transactions (compare and
+//! swap), listings and watches of prefixes, and grants, which are leases with a
+//! time to live that keys can be attached to.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
 use crate::protocol::ids::{GrantId, Revision};
 
-/// A transaction is applied only if the key has this revision.
+/// A condition of a transaction: the key has this revision.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Condition {
     /// The key that is compared.
@@ -26,9 +27,11 @@
         #[serde(rename = "write")]
         key: String,
         /// The new value.
+        #[serde(rename = "v")]
         v: Value,
-        /// The grant that the key is attached to: it is removed when the grant ends.
-        #[serde(skip_serializing_if = "Option::is_none", default)]
+        /// The grant that the key is attached to, if any: the key is removed when
+        /// the grant expires or is revoked.
+        #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
         permit: Option<GrantId>,
     },
     /// Removes a key. On the wire an operation with `drop`.
@@ -75,12 +78,13 @@
     /// The key.
     pub key: String,
     /// Its value.
+    #[serde(rename = "v")]
     pub v: Value,
     /// Revision of the key's last write.
     #[serde(rename = "stamp")]
     pub revision: Revision,
-    /// The grant that the key is attached to; None: it is attached to none.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
+    /// The grant that the key is attached to; `None`: it is attached to none.
+    #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
     pub permit: Option<GrantId>,
 }
 
@@ -89,7 +93,7 @@
 pub struct Page {
     /// The keys with their values.
     pub pairs: Vec<Pair>,
-    /// More keys follow after the last one.
+    /// Whether more keys follow after the last one.
     #[serde(default)]
     pub truncated: bool,
     /// Revision of the store that the listing shows.
@@ -100,11 +104,12 @@
 /// The answer to a request for a grant.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Permit {
-    /// Number of the grant.
+    /// The new grant.
+    #[serde(rename = "permit")]
     pub permit: GrantId,
 }
 
-/// Asks for a grant, which ends unless it is renewed within its time to live.
+/// Asks for a grant, which expires unless it is renewed within its time to live.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct GrantRequest {
@@ -132,8 +137,8 @@
     /// The key, if it was removed; otherwise None.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drop: Option<String>,
-    /// The value that was written; None for a removal.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
+    /// The value that was written; `None` for a removal.
+    #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
     pub v: Option<Value>,
     /// Revision of the change.
     #[serde(rename = "stamp")]
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,8 +1,8 @@
-//! The interface with workers: their reports, the answers, and direct commands.
+//! The interface with workers: their heartbeats, the answers, and direct commands.
 
 use serde::{Deserialize, Serialize};
 
-use super::cbor::maybe_number;
+use super::cbor::optional_number;
 use crate::protocol::ids::{Attempt, FencingToken, Incarnation, SequenceNumber};
 
 /// What a worker says of itself and of its tasks.
@@ -26,7 +26,7 @@
     /// Starts at 1 and increases whenever the worker's lease expires.
     #[serde(rename = "shift")]
     pub incarnation: Incarnation,
-    /// Increases with every report and answer: of two messages the one with the
+    /// Increases with every heartbeat and answer: of two messages the one with the
     /// larger incarnation and number is newer.
     #[serde(rename = "tick")]
     pub sequence: SequenceNumber,
@@ -34,7 +34,7 @@
     #[serde(rename = "baton", default)]
     pub token: FencingToken,
     /// For a spot machine that is being reclaimed: seconds until it is taken away.
-    #[serde(rename = "warningS", default, deserialize_with = "maybe_number")]
+    #[serde(rename = "warningS", default, deserialize_with = "optional_number")]
     pub notice_s: Option<f64>,
     /// Attempts on the machine, also ended ones that are not reaped yet. On the wire: `pieces`.
     #[serde(rename = "pieces", default)]
--- a/src/storage/job_cache/dependencies.rs
+++ b/src/storage/job_cache/dependencies.rs
@@ -38,16 +38,17 @@
 
 impl Urgency {
     fn of(accepted_ms: u64, spec: Option<&JobSpec>) -> Urgency {
-        let time_of_day = |after_s: Option<f64>| after_s.map_or(f64::INFINITY, |s| accepted_ms as f64 + s * 1000.0);
+        let time_of_day =
+            |after_s: Option<f64>| after_s.map_or(f64::INFINITY, |seconds| accepted_ms as f64 + seconds * 1000.0);
         Urgency {
-            priority: spec.map_or(Priority::Low, |s| s.priority),
-            due_ms: time_of_day(spec.and_then(|s| s.deadline_s)),
-            overdue_ms: time_of_day(spec.and_then(|s| s.overdue_s)),
+            priority: spec.map_or(Priority::Low, |spec| spec.priority),
+            due_ms: time_of_day(spec.and_then(|spec| spec.deadline_s)),
+            overdue_ms: time_of_day(spec.and_then(|spec| spec.overdue_s)),
         }
     }
 
     /// The urgency of a prerequisite of a job that runs for this long.
-    fn before(self, run_ms: f64) -> Urgency {
+    fn of_prerequisite(self, run_ms: f64) -> Urgency {
         Urgency { due_ms: (self.due_ms - run_ms).max(0.0), overdue_ms: (self.overdue_ms - run_ms).max(0.0), ..self }
     }
 
@@ -78,14 +79,15 @@
     /// Guard: true until the ends of all its prerequisites are recorded.
     pub fn waits(&self, index: JobIndex) -> bool {
         let entry = self.get(index);
-        entry.status == JobStatus::Pending && entry.dependencies.as_ref().is_some_and(|d| d.unfinished > 0)
+        entry.status == JobStatus::Pending
+            && entry.dependencies.as_ref().is_some_and(|dependencies| dependencies.unfinished > 0)
     }
 
     /// Time of day from which its waiting counts: its acceptance, or the end
     /// of its last prerequisite.
     pub fn ready_ms(&self, index: JobIndex) -> u64 {
         let entry = self.get(index);
-        entry.dependencies.as_ref().map_or(entry.at_ms, |d| d.ready_ms)
+        entry.dependencies.as_ref().map_or(entry.at_ms, |dependencies| dependencies.ready_ms)
     }
 
     /// The job with the urgency inherited from its dependents: their priority,
@@ -173,18 +175,18 @@
     fn propagate_urgency(&mut self, from: JobIndex) {
         let mut queue = VecDeque::from([from]);
         while let Some(index) = queue.pop_front() {
-            let run_ms = self.get(index).spec.as_ref().map_or(0.0, |s| s.estimate_s * 1000.0);
+            let run_ms = self.get(index).spec.as_ref().map_or(0.0, |spec| spec.estimate_s * 1000.0);
             let dependencies = self.dependencies_mut(index);
             dependencies.is_queued = false;
-            let asked = dependencies.urgency.before(run_ms);
+            let required = dependencies.urgency.of_prerequisite(run_ms);
             let mut prereqs = std::mem::take(&mut dependencies.prereqs);
             prereqs.retain(|&prereq| self.is_pending(prereq));
             for &prereq in &prereqs {
-                let above = self.dependencies_mut(prereq);
-                if !above.urgency.raise(asked) {
+                let prereq_dependencies = self.dependencies_mut(prereq);
+                if !prereq_dependencies.urgency.raise(required) {
                     continue;
                 }
-                if !std::mem::replace(&mut above.is_queued, true) {
+                if !std::mem::replace(&mut prereq_dependencies.is_queued, true) {
                     queue.push_back(prereq);
                 }
                 self.note_changed(prereq);
--- a/src/storage/job_cache/mod.rs
+++ b/src/storage/job_cache/mod.rs
@@ -15,20 +15,14 @@
 use crate::protocol::{
     ids::Revision,
     jobs::{JobSpec, Kind, SubmissionSource},
-    names::Tables,
+    names::{index_type, Tables},
     store::{Changes, Page},
 };
 
-/// Dense index of a job in this process.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct JobIndex(pub u32);
-
-impl JobIndex {
-    /// The index as a position in a list.
-    pub fn at(self) -> usize {
-        self.0 as usize
-    }
-}
+index_type!(
+    /// Dense index of a job in this process.
+    JobIndex
+);
 
 /// What is known of one job.
 #[derive(Debug, Clone)]
@@ -137,7 +131,7 @@
 
     /// Whether the job is a service, as far as its specification is known.
     pub fn is_service(&self, index: JobIndex) -> bool {
-        self.get(index).spec.as_ref().is_some_and(|s| s.kind == Kind::Service)
+        self.get(index).spec.as_ref().is_some_and(|spec| spec.kind == Kind::Service)
     }
 
     fn is_pending(&self, index: JobIndex) -> bool {
@@ -178,8 +172,8 @@
     /// Takes the answer to a read of changes.
     pub fn apply(&mut self, changes: &Changes, tables: &mut Tables) {
         for change in &changes.events {
-            if let (Some(key), Some(v)) = (&change.write, &change.v) {
-                self.put(key, v, change.revision, tables);
+            if let (Some(key), Some(value)) = (&change.write, &change.v) {
+                self.put(key, value, change.revision, tables);
             }
         }
         // Two reads may be in flight; the older answer must not lower the revision.
@@ -201,16 +195,16 @@
     }
 
     /// Takes one record; keys that are no job's and older revisions are ignored.
-    pub fn put(&mut self, key: &str, v: &Value, revision: Revision, tables: &mut Tables) -> Option<JobIndex> {
+    pub fn put(&mut self, key: &str, value: &Value, revision: Revision, tables: &mut Tables) -> Option<JobIndex> {
         let id = key.strip_prefix(JOBS)?;
         let known = self.find(id);
         if known.is_some_and(|index| self.get(index).revision >= revision) {
             return known;
         }
-        let record: JobRecord = match v.deserialized() {
+        let record: JobRecord = match value.deserialized() {
             Ok(record) => record,
-            Err(e) => {
-                tracing::error!(job = id, error = %e, "a job's record can't be read");
+            Err(error) => {
+                tracing::error!(job = id, %error, "a job's record can't be read");
                 return None;
             }
         };
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,8 +1,10 @@
-//! The records in the state service, a local cache of the jobs' records, the read
-//! read barrier in front of it, and the request budgets of the outside services.
+//! The records in the key-value store, a local cache of the jobs' records, the
+//! read barrier in front of it, and the rate limits of the outside services.
 
-pub mod budget;
 pub mod job_cache;
+pub mod rate_limit;
 pub mod read_barrier;
 pub mod records;
 pub mod versions;
+
+pub use self::rate_limit as budget;
--- /dev/null
+++ b/src/storage/rate_limit.rs
@@ -0,0 +1,16 @@
+//! Client-side rate limits, which keep this controller below the limits of the
+//! outside services.
+//!
+//! A request that exceeds the rate is refused at once; nothing is queued here.
+
+mod allotment;
+mod token_bucket;
+
+pub use self::{
+    allotment::{share, BudgetRole},
+    token_bucket::{Budget, RateLimited, Urgency},
+};
+
+#[cfg(test)]
+#[path = "tests/rate_limit.rs"]
+mod tests;
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,4 +1,4 @@
-//! Keys and values in the state service.
+//! Keys and values in the key-value store.
 //!
 //! | Key | Value |
 //! |---|---|
@@ -164,7 +164,7 @@
     digit.is_some_and(|digit| digit >> (position % TASKS_PER_DIGIT) & 1 == 1)
 }
 
-/// A record as a value of the state service.
+/// A record as a value of the key-value store.
 pub fn to_value<T: Serialize>(record: &T) -> Value {
     Value::serialized(record).unwrap_or(Value::Null)
 }
--- a/src/storage/tests/budget.rs
+++ b/src/storage/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-use super::{share, Budget, BudgetRole, Urgency};
+use super::{share, Budget, BudgetRole, RateLimited, Urgency};
 
 #[test]
 fn budget_table() {
@@ -16,19 +16,19 @@
         (100_000, 50.0, Urgency::Commit, true), // more than the bucket: from a full one
         (100_000, 1.0, Urgency::Cancel, false),
     ];
-    let mut b = Budget::new(10.0, 10.0);
-    for (i, (at, n, u, want)) in cases.into_iter().enumerate() {
-        assert_eq!(b.take(at, n, u).is_ok(), want, "case {i}");
+    let mut bucket = Budget::new(10.0, 10.0);
+    for (number, (at, amount, urgency, want)) in cases.into_iter().enumerate() {
+        assert_eq!(bucket.take(at, amount, urgency).is_ok(), want, "case {number}");
     }
     // Guard: a swarm of submissions of a team without a guarantee had those of
     // the other teams refused.
-    let mut b = Budget::new(10.0, 10.0);
-    let taken = (0..20).filter(|_| b.take(0, 1.0, Urgency::BestEffortSubmit).is_ok()).count();
+    let mut bucket = Budget::new(10.0, 10.0);
+    let taken = (0..20).filter(|_| bucket.take(0, 1.0, Urgency::BestEffortSubmit).is_ok()).count();
     assert_eq!(taken, 7);
-    assert!((0..1).all(|_| b.take(0, 1.0, Urgency::Submit).is_ok()), "the rest is left to the others");
-    let mut b = Budget::new(10.0, 10.0);
-    b.refused(0);
-    assert_eq!(b.take(0, 1.0, Urgency::Cancel), Err(100));
+    assert!((0..1).all(|_| bucket.take(0, 1.0, Urgency::Submit).is_ok()), "the rest is left to the others");
+    let mut bucket = Budget::new(10.0, 10.0);
+    bucket.refused(0);
+    assert_eq!(bucket.take(0, 1.0, Urgency::Cancel), Err(RateLimited { retry_after_ms: 100 }));
 }
 
 /// Guard: fixed shares left half of the limit unused while submissions were
@@ -50,10 +50,10 @@
         let got = share(100.0, part, others);
         assert!((least..=most).contains(&got), "{part:?} {others:?}: {got}");
     }
-    let mut b = Budget::new(100.0, 100.0);
+    let mut bucket = Budget::new(100.0, 100.0);
     for ms in 0..50 {
-        let _ = b.take(ms * 100, 2.0, Urgency::Submit);
-        b.used(ms * 100);
+        let _ = bucket.take(ms * 100, 2.0, Urgency::Submit);
+        bucket.used(ms * 100);
     }
-    assert!((19.0..21.0).contains(&b.used(4_900)), "{}", b.used(4_900));
+    assert!((19.0..21.0).contains(&bucket.used(4_900)), "{}", bucket.used(4_900));
 }
--- a/src/transport/net/limits.rs
+++ b/src/transport/net/limits.rs
@@ -6,7 +6,7 @@
 /// Sockets kept back at least, however small the limit.
 const MIN_RESERVED_SOCKETS: usize = 16;
 /// One of this many sockets for served connections is left to users and health
-/// probes; connections that carry only reports don't keep it occupied.
+/// probes; connections that carry only heartbeats don't keep it occupied.
 const USER_FRACTION: usize = 8;
 /// One socket in this many may be an idle connection that waits for the next call.
 const IDLE_CALL_FRACTION: usize = 16;
@@ -35,7 +35,7 @@
         self.sockets.saturating_sub(reserved)
     }
 
-    /// Above this many sockets, connections that carry only reports are closed
+    /// Above this many sockets, connections that carry only heartbeats are closed
     /// after the answer: users and health probes must always find a socket.
     pub(super) fn crowded(&self) -> usize {
         let max = self.max_for_accepting();
