--- a/src/controller/users/mod.rs
+++ b/src/controller/users/mod.rs
@@ -16,7 +16,7 @@
         store::{AppliedTransaction, Condition, Op, Txn},
     },
     storage::{
-        budget::Urgency,
+        budget::{RateLimited, Urgency},
         job_cache::{JobEntry, JobIndex},
         records::{self, JobRecord, JobStatus},
     },
@@ -121,7 +121,7 @@
         // Writes are the scarcer: where they refuse, no request is taken either.
         let taken =
             budgets.writes.take(now, 1.0, write.urgency).and_then(|()| budgets.reads.take(now, 1.0, write.urgency));
-        if let Err(wait_ms) = taken {
+        if let Err(RateLimited { retry_after_ms: wait_ms }) = taken {
             return self.over_budget(net, write.conn, wait_ms);
         }
         let put = Op::Put { key: records::job_key(&write.id), v: records::to_value(&write.record), permit: None };
