--- a/src/controller/election_driver.rs
+++ b/src/controller/election_driver.rs
@@ -9,11 +9,12 @@
 };
 use crate::{
     coordination::{
-        election::{Action, Election},
+        election::Election,
+        ephemeral_key::Action,
         model::{Millis, Term},
     },
     protocol::{
-        ids::Revision,
+        ids::{GrantId, Revision},
         store::{Condition, Op, Txn},
     },
     storage::records::{self, LeaderRecord},
@@ -21,7 +22,12 @@
 };
 
 /// Writes a key that is attached to a grant, if its revision is as expected.
-pub fn write_granted_key(key: String, record: &LeaderRecord, grant: u64, expected_revision: Revision) -> StoreRequest {
+pub fn write_granted_key(
+    key: String,
+    record: &LeaderRecord,
+    grant: GrantId,
+    expected_revision: Revision,
+) -> StoreRequest {
     let transaction = Txn {
         conditions: vec![Condition { key: key.clone(), revision: expected_revision }],
         writes: vec![Op::Put { key, v: records::to_value(record), permit: Some(grant) }],
@@ -50,8 +56,10 @@
 
     /// Gives up leading, if this controller does, so that another can be elected.
     pub fn step_down(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
-        if let Some(action) = self.election.step_down(now) {
-            self.perform(net, client, action);
+        if let Some(grant) = self.election.step_down(now) {
+            client.budgets().charge_read(net.now());
+            let request = StoreRequest::delete_grant(grant, STORE_TIMEOUT_MS);
+            client.send_to_store(net, PendingCall::Election(ElectionCall::DeleteGrant), request);
         }
     }
 
@@ -59,24 +67,20 @@
         let now = net.now();
         client.budgets().charge_read(now);
         match action {
-            Action::Grant => {
+            Action::RequestGrant => {
                 let request = StoreRequest::create_grant(self.election.ttl_ms(), STORE_TIMEOUT_MS);
                 client.send_to_store(net, PendingCall::Election(ElectionCall::CreateGrant), request);
             }
-            Action::Renew(grant) => {
+            Action::RenewGrant(grant) => {
                 let request = StoreRequest::renew_grant(grant, self.election.patience_ms());
                 client.send_to_store(net, PendingCall::Election(ElectionCall::RenewGrant), request);
             }
-            Action::Claim { permit, expect } => {
-                let record = self.election.record(permit);
-                let request = write_granted_key(records::LEADER.into(), &record, permit, expect);
+            Action::WriteKey { grant, expected_revision } => {
+                let record = self.election.record(grant);
+                let request = write_granted_key(records::LEADER.into(), &record, grant, expected_revision);
                 client.budgets().charge_commits(now, 1);
                 client.send_to_store(net, PendingCall::Election(ElectionCall::ClaimKey), request);
             }
-            Action::StepDown(grant) => {
-                let request = StoreRequest::delete_grant(grant, STORE_TIMEOUT_MS);
-                client.send_to_store(net, PendingCall::Election(ElectionCall::DeleteGrant), request);
-            }
         }
     }
 
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -10,7 +10,7 @@
 use super::{identity::Identity, service_client::Usage};
 use crate::{
     coordination::{
-        lease_renewal::{Other, PeerInactivity, TimeSpan},
+        lease_renewal::{PeerContact, PeerInactivity, TimeSpan},
         model::Millis,
     },
     protocol::{
@@ -188,7 +188,7 @@
     }
 
     /// What decides whether leases may be renewed without a leader.
-    pub fn contacts(&self) -> Vec<Other> {
+    pub fn contacts(&self) -> Vec<PeerContact> {
         self.list.iter().map(Peer::contact).collect()
     }
 
--- a/src/controller/peers/peer.rs
+++ b/src/controller/peers/peer.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     controller::{identity::Identity, service_client::Usage},
-    coordination::{lease_renewal::Other, model::Millis},
+    coordination::{lease_renewal::PeerContact, model::Millis},
     protocol::{
         peers::{Echo, FrameOrder, Gossip},
         settings::Seed,
@@ -96,8 +96,8 @@
     }
 
     /// What decides whether leases may be renewed without a leader.
-    pub(super) fn contact(&self) -> Other {
-        Other { near: self.same_zone, heard: self.last_heard, state_age: self.store_age }
+    pub(super) fn contact(&self) -> PeerContact {
+        PeerContact { same_zone: self.same_zone, last_heard: self.last_heard, store_age_ms: self.store_age }
     }
 }
 
--- a/src/controller/renewal_key.rs
+++ b/src/controller/renewal_key.rs
@@ -13,7 +13,8 @@
 };
 use crate::{
     coordination::{
-        lease_renewal::{self, shares_the_cut, Action, Other, RenewalRight},
+        ephemeral_key::Action,
+        lease_renewal::{self, shares_the_cut, PeerContact, RenewalRight},
         model::Millis,
     },
     protocol::{ids::Revision, settings::Settings},
@@ -52,18 +53,18 @@
         let now = net.now();
         client.budgets().charge_read(now);
         match action {
-            Action::Grant => {
+            Action::RequestGrant => {
                 let request = StoreRequest::create_grant(self.right.ttl_ms(), STORE_TIMEOUT_MS);
                 client.send_to_store(net, PendingCall::RenewalKey(RenewalKeyCall::CreateGrant), request);
             }
-            Action::Renew(grant) => {
+            Action::RenewGrant(grant) => {
                 let request = StoreRequest::renew_grant(grant, STORE_TIMEOUT_MS);
                 client.send_to_store(net, PendingCall::RenewalKey(RenewalKeyCall::RenewGrant), request);
             }
-            Action::Register { permit, expect } => {
-                let nonce = self.right.mark(self.identity.nonce).unwrap_or(self.identity.nonce);
+            Action::WriteKey { grant, expected_revision } => {
+                let nonce = self.right.key_nonce(self.identity.nonce).unwrap_or(self.identity.nonce);
                 let record = LeaderRecord { label: self.identity.label.clone(), nonce };
-                let request = write_granted_key(self.key(), &record, permit, expect);
+                let request = write_granted_key(self.key(), &record, grant, expected_revision);
                 client.budgets().charge_commits(now, 1);
                 client.send_to_store(net, PendingCall::RenewalKey(RenewalKeyCall::WriteKey), request);
             }
@@ -82,7 +83,7 @@
     fn written(&mut self, now: Millis, result: &CallResult) {
         // The store knows no such grant any more.
         if status(result) == BAD_REQUEST {
-            self.right.lost();
+            self.right.grant_lost();
         }
         self.right.registered(now, applied_revision(result));
     }
@@ -102,13 +103,13 @@
     /// Whether the value of the key belongs to the grant that this controller holds.
     fn is_own_record(&self, value: &Value) -> bool {
         value.deserialized::<LeaderRecord>().is_ok_and(|record| {
-            record.label == self.identity.label && Some(record.nonce) == self.right.mark(self.identity.nonce)
+            record.label == self.identity.label && Some(record.nonce) == self.right.key_nonce(self.identity.nonce)
         })
     }
 
     /// A read of the jobs' records that was sent at `sent` was applied.
     pub fn record_job_read(&mut self, sent: Millis) {
-        self.right.synced(sent);
+        self.right.record_sync(sent);
     }
 
     /// For how long, in ms, a read of the jobs' records allows leases to be renewed.
@@ -128,19 +129,19 @@
     }
 
     /// Whether leases may be renewed although no leader is in contact.
-    pub fn may_renew_without_leader(&self, now: Millis, peers: &[Other]) -> bool {
+    pub fn may_renew_without_leader(&self, now: Millis, peers: &[PeerContact]) -> bool {
         self.right.may_renew_without_leader(now)
-            && shares_the_cut(now, self.right.contact(), peers, self.last_foreign_heartbeat)
+            && shares_the_cut(now, self.right.last_contact(), peers, self.last_foreign_heartbeat)
     }
 
     /// A lease is renewed now without leading.
     pub fn record_renewal(&mut self, now: Millis) {
-        self.right.last = now;
+        self.right.record_leaderless_renewal(now);
     }
 
     /// When a lease was last renewed without leading; 0: never.
     pub fn last_leaderless_renewal(&self) -> Millis {
-        self.right.last
+        self.right.last_leaderless_renewal()
     }
 }
 
--- a/src/controller/service_client/budgets.rs
+++ b/src/controller/service_client/budgets.rs
@@ -3,7 +3,10 @@
 use crate::{
     coordination::model::Millis,
     protocol::settings::{CloudLimits, LimitPhase, StateLimits, StateRates},
-    storage::budget::{share, Budget, BudgetRole, Urgency},
+    storage::{
+        budget::{share, Budget, BudgetRole, Urgency},
+        rate_limit::RateLimited,
+    },
 };
 
 // Shares of the limits at the start, before anything is known of what the
@@ -91,7 +94,7 @@
 
     /// Takes one request with one write for a user, or returns after how many ms
     /// to try again.
-    pub fn take_user_write(&mut self, now: Millis, urgency: Urgency) -> Result<(), u64> {
+    pub fn take_user_write(&mut self, now: Millis, urgency: Urgency) -> Result<(), RateLimited> {
         // Writes are the scarcer: where they refuse, no request is taken either.
         self.writes.take(now, 1.0, urgency)?;
         self.reads.take(now, 1.0, urgency)
--- a/src/controller/service_client/replies.rs
+++ b/src/controller/service_client/replies.rs
@@ -3,9 +3,10 @@
 use serde::de::DeserializeOwned;
 
 use crate::{
+    coordination::ephemeral_key::RenewalOutcome,
     protocol::{
         cbor,
-        ids::Revision,
+        ids::{GrantId, Revision},
         store::{AppliedTransaction, Permit},
     },
     transport::{
@@ -35,7 +36,7 @@
 }
 
 /// The number of the grant that a request created; None: it failed.
-pub fn grant_id(result: &CallResult) -> Option<u64> {
+pub fn grant_id(result: &CallResult) -> Option<GrantId> {
     body::<Permit>(result).map(|permit| permit.permit)
 }
 
@@ -44,11 +45,11 @@
     body::<AppliedTransaction>(result).map(|applied| applied.store_revision)
 }
 
-/// Whether a grant was renewed; None: not known.
-pub fn grant_renewed(result: &CallResult) -> Option<bool> {
+/// How the renewal of a grant ended.
+pub fn grant_renewed(result: &CallResult) -> RenewalOutcome {
     match status(result) {
-        OK => Some(true),
-        NOT_FOUND => Some(false),
-        _ => None,
+        OK => RenewalOutcome::Renewed,
+        NOT_FOUND => RenewalOutcome::Expired,
+        _ => RenewalOutcome::Unknown,
     }
 }
--- a/src/controller/service_client/requests.rs
+++ b/src/controller/service_client/requests.rs
@@ -5,7 +5,7 @@
 use crate::{
     protocol::{
         cbor,
-        ids::Revision,
+        ids::{GrantId, Revision},
         store::{GrantRequest, Txn},
     },
     transport::Method,
@@ -60,12 +60,12 @@
     }
 
     /// Renews a grant.
-    pub fn renew_grant(grant: u64, timeout_ms: u64) -> StoreRequest {
+    pub fn renew_grant(grant: GrantId, timeout_ms: u64) -> StoreRequest {
         StoreRequest::post(format!("/grants/{grant}/renew"), Vec::new(), timeout_ms)
     }
 
     /// Ends a grant, which removes the keys that are attached to it.
-    pub fn delete_grant(grant: u64, timeout_ms: u64) -> StoreRequest {
+    pub fn delete_grant(grant: GrantId, timeout_ms: u64) -> StoreRequest {
         StoreRequest { method: Method::Delete, path: format!("/grants/{grant}"), body: Vec::new(), timeout_ms }
     }
 }
--- a/src/controller/tests/election_driver.rs
+++ b/src/controller/tests/election_driver.rs
@@ -1,7 +1,10 @@
 use super::*;
 use crate::{
     controller::test_support::{answered, answered_with, identity, new_net, settings_with_peers, SentCalls},
-    protocol::store::{AppliedTransaction, Permit},
+    protocol::{
+        ids::GrantId,
+        store::{AppliedTransaction, Permit},
+    },
 };
 
 const TTL_MS: u64 = 9_000;
@@ -19,7 +22,7 @@
     driver.observe_key(0, None, Revision(3));
     driver.tick(&mut net, 0, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateGrant)"));
-    driver.handle_reply(10, &ElectionCall::CreateGrant, &answered_with(&Permit { permit: 4 }));
+    driver.handle_reply(10, &ElectionCall::CreateGrant, &answered_with(&Permit { permit: GrantId(4) }));
     driver.tick(&mut net, 10, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(ClaimKey)"));
     assert_eq!(driver.leading(10), None, "the claim is pending");
@@ -49,7 +52,7 @@
     for grant in [4, 5] {
         driver.tick(&mut net, now, &mut client);
         assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateGrant)"));
-        driver.handle_reply(now, &ElectionCall::CreateGrant, &answered_with(&Permit { permit: grant }));
+        driver.handle_reply(now, &ElectionCall::CreateGrant, &answered_with(&Permit { permit: GrantId(grant) }));
         driver.tick(&mut net, now, &mut client);
         assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(ClaimKey)"));
         driver.handle_reply(now, &ElectionCall::ClaimKey, &answered(400));
--- a/src/controller/tests/renewal_key.rs
+++ b/src/controller/tests/renewal_key.rs
@@ -1,7 +1,10 @@
 use super::*;
 use crate::{
     controller::test_support::{answered_with, identity, new_net, settings_with_peers, SentCalls, NONCE},
-    protocol::store::{AppliedTransaction, Permit},
+    protocol::{
+        ids::GrantId,
+        store::{AppliedTransaction, Permit},
+    },
 };
 
 const GRANT: u64 = 4;
@@ -18,7 +21,7 @@
     key.observe_key(None, Revision::ABSENT, Revision(3));
     key.tick(&mut net, at, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(CreateGrant)"));
-    key.handle_reply(at, &RenewalKeyCall::CreateGrant, &answered_with(&Permit { permit: GRANT }));
+    key.handle_reply(at, &RenewalKeyCall::CreateGrant, &answered_with(&Permit { permit: GrantId(GRANT) }));
     key.tick(&mut net, at, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(WriteKey)"));
     let applied = answered_with(&AppliedTransaction { store_revision: Revision(5) });
@@ -27,8 +30,8 @@
     key
 }
 
-fn silent_peer() -> Other {
-    Other { near: false, heard: None, state_age: 0 }
+fn silent_peer() -> PeerContact {
+    PeerContact { same_zone: false, last_heard: None, store_age_ms: 0 }
 }
 
 /// Leases are renewed without a leader only while the key is there, out of contact,
@@ -40,7 +43,7 @@
     let key = registered(READ);
     assert!(!key.may_renew_without_leader(READ + 100, &[silent_peer()]), "in contact");
     assert!(key.may_renew_without_leader(LATER, &[silent_peer()]));
-    let served = Other { heard: Some(LATER), ..silent_peer() };
+    let served = PeerContact { last_heard: Some(LATER), ..silent_peer() };
     assert!(!key.may_renew_without_leader(LATER, &[served]), "a peer is served");
 
     let mut key = registered(READ);
--- a/src/controller/tests/requests.rs
+++ b/src/controller/tests/requests.rs
@@ -1,5 +1,5 @@
 use super::{Method, StoreRequest};
-use crate::protocol::ids::Revision;
+use crate::protocol::ids::{GrantId, Revision};
 
 /// The store's paths are fixed by its interface.
 #[test]
@@ -19,8 +19,8 @@
         ),
         (StoreRequest::transaction(&Default::default(), 5), Method::Post, "/multi"),
         (StoreRequest::create_grant(9_000, 5), Method::Post, "/grants"),
-        (StoreRequest::renew_grant(12, 5), Method::Post, "/grants/12/renew"),
-        (StoreRequest::delete_grant(12, 5), Method::Delete, "/grants/12"),
+        (StoreRequest::renew_grant(GrantId(12), 5), Method::Post, "/grants/12/renew"),
+        (StoreRequest::delete_grant(GrantId(12), 5), Method::Delete, "/grants/12"),
     ];
     for (request, method, path) in cases {
         assert_eq!((request.method as u8, &*request.path, request.timeout_ms), (method as u8, path, 5));
--- a/src/controller/users/mod.rs
+++ b/src/controller/users/mod.rs
@@ -24,6 +24,7 @@
     },
     storage::{
         budget::Urgency,
+        rate_limit::RateLimited,
         read_barrier::ReadBarrier,
         records::{self, JobRecord},
     },
@@ -74,9 +75,9 @@
         context.net.respond(conn, SERVICE_UNAVAILABLE, Some(RETRY_AFTER_S), b"");
     }
 
-    fn respond_over_budget(&mut self, context: &mut UserContext, conn: ConnId, wait_ms: u64) {
+    fn respond_over_budget(&mut self, context: &mut UserContext, conn: ConnId, retry_after_ms: u64) {
         self.statistics.record_over_budget();
-        let wait_s = wait_ms.div_ceil(MS_PER_S).clamp(1, MAX_RETRY_AFTER_S) as u32;
+        let wait_s = retry_after_ms.div_ceil(MS_PER_S).clamp(1, MAX_RETRY_AFTER_S) as u32;
         context.net.respond(conn, TOO_MANY_REQUESTS, Some(wait_s), b"");
     }
 
@@ -97,8 +98,8 @@
         call: fn(JobWrite) -> UserCall,
     ) {
         let now = context.net.now();
-        if let Err(wait_ms) = context.client.budgets().take_user_write(now, urgency) {
-            return self.respond_over_budget(context, write.conn, wait_ms);
+        if let Err(RateLimited { retry_after_ms }) = context.client.budgets().take_user_write(now, urgency) {
+            return self.respond_over_budget(context, write.conn, retry_after_ms);
         }
         let put = Op::Put { key: records::job_key(&write.id), v: records::to_value(&*write.record), permit: None };
         let transaction = Txn { conditions, writes: vec![put] };
--- a/src/controller/users/submit.rs
+++ b/src/controller/users/submit.rs
@@ -17,7 +17,7 @@
     protocol::{
         cbor,
         ids::Revision,
-        jobs::{JobSpec, Refusal, Submission},
+        jobs::{JobSpec, Refusal, Submission, SubmissionSource},
         names::TeamIndex,
         store::Condition,
     },
@@ -53,7 +53,7 @@
         let Ok(mut submission) = cbor::decode::<Submission>(body) else {
             return context.respond_empty(conn, BAD_REQUEST);
         };
-        let checked = submission.check(context.names, false);
+        let checked = submission.validate(context.names, SubmissionSource::User);
         if let Err(Refusal::Malformed(field)) = checked {
             tracing::debug!(field, "malformed submission");
             return context.respond_empty(conn, BAD_REQUEST);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -6,6 +6,7 @@
 mod commits;
 pub mod effects;
 pub mod election;
+pub mod ephemeral_key;
 pub mod leader;
 pub mod lease_renewal;
 pub mod model;
