--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -83,6 +83,21 @@
         &self.cluster
     }
 
+    /// Whether something changed since the last scheduling cycle that may let a job be placed.
+    pub fn is_cycle_pending(&self) -> bool {
+        self.cluster.cycle_needed
+    }
+
+    /// Whether a scheduling cycle is due: something changed, or the longest gap is over.
+    pub fn is_cycle_due(&self, now: Millis, min_gap_ms: Millis, max_gap_ms: Millis) -> bool {
+        self.scheduler.is_cycle_due(now, self.cluster.cycle_needed, min_gap_ms, max_gap_ms)
+    }
+
+    /// Tries to place every waiting job.
+    pub fn run_scheduling_cycle(&mut self, now: Millis) {
+        self.scheduler.run_cycle(&mut self.cluster, now);
+    }
+
     /// Whether all controllers run a version that can follow a resharded job.
     pub fn set_may_reshard(&mut self, may_reshard: bool) {
         self.commits.may_reshard = may_reshard;
--- /dev/null
+++ b/src/coordination/scheduler/cycle.rs
@@ -0,0 +1,288 @@
+//! One scheduling cycle: places the waiting jobs one after the other.
+
+use std::rc::Rc;
+
+use super::{
+    best_effort::{is_best_effort_array, BestEffortBudget},
+    headroom::{self, ExpectedReplicas},
+    infeasible::InfeasibleShapes,
+    preemption::{self, SampleCursor},
+    queue::is_overdue_unplaced,
+    task_selection,
+    trial::{HostFilter, Pick, TrialRequest, Verdict},
+};
+use crate::{
+    coordination::{
+        cluster::{ClusterState, NewAssignment, UnmetDemand},
+        model::{MachineIndex, Millis, Resources},
+        snapshot::RoomKind,
+    },
+    protocol::jobs::{JobSpec, Kind},
+    storage::job_cache::JobIndex,
+};
+
+/// Pause after tasks were preempted for a job before more are.
+const PREEMPTED_PAUSE_MS: Millis = 1_000;
+/// Pause after nothing could be preempted for a job.
+const NOTHING_PREEMPTED_PAUSE_MS: Millis = 2_000;
+
+/// A scheduling cycle in progress, and what it keeps from one job to the next.
+pub struct SchedulingCycle<'a> {
+    cluster: &'a mut ClusterState,
+    preemption_samples: &'a mut SampleCursor,
+    now: Millis,
+    /// Tasks that found no free capacity so far, in queue order.
+    unmet: Vec<UnmetDemand>,
+    /// Replicas that are expected next; `None` once capacity is reserved for them.
+    headroom: Option<Vec<ExpectedReplicas>>,
+    infeasible: InfeasibleShapes,
+    best_effort: BestEffortBudget,
+    gang_reservations: GangReservations,
+}
+
+/// Counts the gangs that collect machines: at most one for each zone at a time.
+struct GangReservations {
+    count: usize,
+    max: usize,
+}
+
+/// What one job asks of the cycle.
+struct PlacementRequest {
+    job: JobIndex,
+    spec: Rc<JobSpec>,
+    /// How many tasks the job would place if it were not best-effort work.
+    wanted: usize,
+    /// The tasks to place, in order.
+    tasks: Vec<u32>,
+    zone_used: Vec<u32>,
+    /// Machines on which its tasks failed.
+    avoid: Vec<MachineIndex>,
+    is_best_effort: bool,
+    /// Overdue, with no task assigned.
+    is_overdue: bool,
+}
+
+impl<'a> SchedulingCycle<'a> {
+    /// A cycle that has placed nothing yet.
+    pub fn new(cluster: &'a mut ClusterState, preemption_samples: &'a mut SampleCursor, now: Millis) -> Self {
+        SchedulingCycle {
+            now,
+            preemption_samples,
+            unmet: Vec::new(),
+            headroom: Some(headroom::expected_replicas(cluster, now)),
+            infeasible: InfeasibleShapes::default(),
+            best_effort: BestEffortBudget::new(cluster, now),
+            gang_reservations: GangReservations { count: 0, max: cluster.snapshot.zone_count() },
+            cluster,
+        }
+    }
+
+    /// Ends the cycle: releases what it reserved and publishes the unmet demand.
+    pub fn finish(self) {
+        self.cluster.snapshot.release(0);
+        self.cluster.backlog.unmet = self.unmet;
+    }
+
+    /// Places a job's waiting tasks, or makes or reserves capacity for them.
+    pub fn schedule_job(&mut self, index: JobIndex) {
+        let Some(job) = self.cluster.job(index) else { return };
+        if job.spec.kind != Kind::Service {
+            // Services come first in the queue; what follows leaves capacity
+            // for the replicas that are expected next.
+            self.reserve_headroom();
+        }
+        let Some(request) = self.placement_request(index) else { return };
+        let placed = self.place(&request);
+        if request.is_best_effort {
+            self.best_effort.charge(placed, &request.spec);
+        }
+        if placed == request.wanted {
+            if let Some(job) = self.cluster.job_mut(index) {
+                job.wait.waiting_since = self.now;
+            }
+            return;
+        }
+        self.record_unmet(index, request.wanted - placed);
+        let reservations = self.cluster.snapshot.reservations();
+        self.make_room(index, &request.tasks[placed..]);
+        let reserved_nothing = self.cluster.snapshot.reservations() == reservations;
+        let is_overdue_gang = request.spec.kind == Kind::Gang && request.is_overdue;
+        if is_overdue_gang && reserved_nothing && self.gang_reservations.may_reserve() {
+            self.reserve_for_gang(&request);
+        }
+    }
+
+    /// Reserves capacity for the expected replicas, once in a cycle.
+    fn reserve_headroom(&mut self) {
+        for expected in self.headroom.take().into_iter().flatten() {
+            headroom::reserve_headroom(self.cluster, &expected);
+        }
+    }
+
+    /// What a job asks for; `None` if none of its tasks may be placed.
+    fn placement_request(&self, index: JobIndex) -> Option<PlacementRequest> {
+        let job = self.cluster.job(index)?;
+        let is_overdue = is_overdue_unplaced(self.now, job);
+        let mut tasks = task_selection::tasks_to_place(self.cluster, job, is_overdue);
+        let wanted = tasks.len();
+        if wanted == 0 {
+            return None;
+        }
+        let is_best_effort = is_best_effort_array(self.cluster, job);
+        if is_best_effort {
+            tasks.truncate(self.best_effort.task_limit(self.now, job));
+        }
+        Some(PlacementRequest {
+            job: index,
+            spec: job.spec.clone(),
+            wanted,
+            tasks,
+            zone_used: job.tasks.zone_used.clone(),
+            avoid: task_selection::avoided_machines(job, &self.cluster.machines),
+            is_best_effort,
+            is_overdue,
+        })
+    }
+
+    /// Assigns the tasks that fit now and returns their number.
+    fn place(&mut self, request: &PlacementRequest) -> usize {
+        if request.tasks.is_empty() || self.infeasible.is_infeasible_now(&request.spec) {
+            return 0;
+        }
+        let outcome = self.cluster.snapshot.trial(&TrialRequest {
+            spec: &request.spec,
+            tasks: &request.tasks,
+            min: min_tasks(&request.spec, request.tasks.len()),
+            zone_used: &request.zone_used,
+            avoid: &request.avoid,
+            room: RoomKind::Free,
+            hosts: HostFilter::Any,
+        });
+        if outcome.verdict != Verdict::Success {
+            if request.is_unrestricted() {
+                self.infeasible.add_now(request.spec.clone());
+            }
+            return 0;
+        }
+        self.assign(request.job, &outcome.picks);
+        let placed = outcome.picks.len();
+        tracing::debug!(job_index = request.job.0, placed, requested = request.tasks.len(), "tasks placed");
+        placed
+    }
+
+    fn assign(&mut self, job: JobIndex, picks: &[Pick]) {
+        let attempt = self.cluster.next_attempt();
+        for pick in picks {
+            let machine_index = MachineIndex(pick.host as u32);
+            let machine = self.cluster.machine(machine_index);
+            let new = NewAssignment {
+                job,
+                task: pick.task,
+                machine: machine_index,
+                incarnation: machine.heartbeats.incarnation,
+                attempt,
+                zone: machine.zone,
+            };
+            self.cluster.add_assignment(self.now, new);
+        }
+    }
+
+    /// Records tasks that found no free capacity. Those of a job that fails
+    /// everywhere don't count as demand.
+    fn record_unmet(&mut self, index: JobIndex, tasks: usize) {
+        let is_at_fault = self.cluster.job(index).is_some_and(|job| job.failures.job_is_at_fault());
+        if !is_at_fault {
+            self.unmet.push(UnmetDemand { job: index, tasks: tasks as u32 });
+        }
+    }
+
+    /// Reserves the capacity that tasks being stopped will leave for tasks that
+    /// don't fit now, or preempts others for them.
+    fn make_room(&mut self, index: JobIndex, tasks: &[u32]) {
+        let Some(job) = self.cluster.job(index) else { return };
+        if tasks.is_empty() || !preemption::may_preempt(self.now, job) {
+            return;
+        }
+        let id = job.id.clone();
+        let next_preemption = job.wait.next_preemption;
+        let reserved = self.reserve_stopping_capacity(index, tasks);
+        let remaining = &tasks[reserved..];
+        if remaining.is_empty() || self.now < next_preemption {
+            return;
+        }
+        let preempted = preemption::preempt(self.cluster, self.preemption_samples, self.now, index, remaining);
+        tracing::debug!(
+            job = &*id,
+            remaining_tasks = remaining.len(),
+            tasks = tasks.len(),
+            preempted,
+            "preemption attempted"
+        );
+        if let Some(job) = self.cluster.job_mut(index) {
+            let pause_ms = if preempted { PREEMPTED_PAUSE_MS } else { NOTHING_PREEMPTED_PAUSE_MS };
+            job.wait.next_preemption = self.now + pause_ms;
+        }
+    }
+
+    /// Reserves capacity that tasks being stopped will leave, and returns for
+    /// how many of `tasks` there was some.
+    fn reserve_stopping_capacity(&mut self, index: JobIndex, tasks: &[u32]) -> usize {
+        let Some(job) = self.cluster.job(index) else { return 0 };
+        let spec = job.spec.clone();
+        let zone_used = job.tasks.zone_used.clone();
+        if !self.cluster.snapshot.anything_stops() || self.infeasible.is_infeasible_later(&spec) {
+            return 0;
+        }
+        let min = min_tasks(&spec, tasks.len());
+        let outcome = self.cluster.snapshot.trial(&TrialRequest::later(&spec, tasks, min, &zone_used));
+        self.reserve(&spec, &outcome.picks);
+        if outcome.verdict != Verdict::Success && uses_no_zone(&zone_used) {
+            self.infeasible.add_later(spec);
+        }
+        outcome.picks.len()
+    }
+
+    /// Guard: smaller work takes every machine that a large gang could begin to
+    /// collect. The capacity that there is for a gang that is overdue is reserved
+    /// against all jobs after it, cycle by cycle, until there is enough.
+    fn reserve_for_gang(&mut self, request: &PlacementRequest) {
+        let spec = &request.spec;
+        let trial = TrialRequest::later(spec, &request.tasks, 1, &request.zone_used);
+        let outcome = self.cluster.snapshot.trial(&trial);
+        self.reserve(spec, &outcome.picks);
+        if !outcome.picks.is_empty() {
+            self.gang_reservations.count += 1;
+        }
+    }
+
+    fn reserve(&mut self, spec: &JobSpec, picks: &[Pick]) {
+        for pick in picks {
+            self.cluster.snapshot.reserve(pick.host, Resources::of(spec), Resources::default());
+        }
+    }
+}
+
+impl GangReservations {
+    fn may_reserve(&self) -> bool {
+        self.count < self.max
+    }
+}
+
+impl PlacementRequest {
+    /// Whether nothing but the job's shape restricts where its tasks may go.
+    fn is_unrestricted(&self) -> bool {
+        self.avoid.is_empty() && uses_no_zone(&self.zone_used)
+    }
+}
+
+/// How many of a job's tasks must be placed together.
+fn min_tasks(spec: &JobSpec, tasks: usize) -> usize {
+    match spec.kind {
+        Kind::Gang => tasks,
+        Kind::Array | Kind::Service => 1,
+    }
+}
+
+fn uses_no_zone(zone_used: &[u32]) -> bool {
+    zone_used.iter().all(|&tasks| tasks == 0)
+}
--- a/src/coordination/scheduler/gpu_demand.rs
+++ b/src/coordination/scheduler/gpu_demand.rs
@@ -1,47 +1,69 @@
-//! What GPU work of the last minutes asked for.
+//! GPU demand: which shapes of GPU work were seen in the last minutes.
 
 use std::rc::Rc;
 
 use crate::{
-    coordination::model::{Job, Millis, Resources},
+    coordination::{
+        model::{Job, Millis, Resources},
+        snapshot::Pool,
+    },
     protocol::jobs::JobSpec,
 };
 
-/// GPU work is expected again for this long after it was last there.
-const REMEMBERED_MS: Millis = 900_000;
-/// Most shapes remembered, so that odd jobs can't grow the list without bound.
+/// GPU work is expected again for this long after it was last seen.
+const RETENTION_MS: Millis = 900_000;
+/// Most shapes kept, so that unusual jobs can't grow the list without bound.
 const SHAPE_LIMIT: usize = 32;
 
-/// One shape of GPU work.
+/// GPU work that asks for the same resources and machine types.
 #[derive(Debug)]
 pub struct GpuShape {
+    /// One job of this shape.
     pub spec: Rc<JobSpec>,
-    /// When an unfinished job of this shape was last there.
+    /// When there last was an unfinished job of this shape.
     last_seen: Millis,
     /// When the latest job of this shape became ready.
     pub latest_arrival: i64,
 }
 
-/// Each shape of GPU work seen lately, once.
+/// The shapes of GPU work seen recently.
 #[derive(Debug, Default)]
 pub struct GpuDemand {
     shapes: Vec<GpuShape>,
 }
 
 impl GpuDemand {
-    /// The shapes seen lately.
+    /// The shapes seen recently, each once.
     pub fn shapes(&self) -> &[GpuShape] {
         &self.shapes
     }
 
-    /// Takes in the unfinished jobs of this moment.
+    /// Adds the shapes of the unfinished jobs, and drops those not seen for long.
     pub fn observe<'a>(&mut self, now: Millis, jobs: impl Iterator<Item = &'a Job>) {
-        self.shapes.retain(|shape| now < shape.last_seen + REMEMBERED_MS);
+        self.shapes.retain(|shape| now < shape.last_seen + RETENTION_MS);
         for job in jobs.filter(|job| job.spec.gpus > 0.0) {
             self.observe_job(now, job);
         }
     }
 
+    /// Sets on each pool of GPU machines how much of a machine's capacity the
+    /// GPU work seen recently may need.
+    pub fn protect_gpu_capacity(&self, pools: &mut [Pool]) {
+        for pool in pools {
+            pool.guard = if pool.capacity.gpus <= 0.0 { None } else { self.largest_need_in(pool) };
+        }
+    }
+
+    /// The largest need, by resource, of the GPU work that can run in the pool.
+    fn largest_need_in(&self, pool: &Pool) -> Option<Resources> {
+        let may_use_pool = |shape: &&GpuShape| {
+            shape.spec.allows_type(pool.machine_type)
+                && (shape.spec.spot || !pool.spot)
+                && Resources::of(&shape.spec).fits_in(&pool.capacity)
+        };
+        self.shapes.iter().filter(may_use_pool).map(|shape| Resources::of(&shape.spec)).reduce(Resources::max)
+    }
+
     fn observe_job(&mut self, now: Millis, job: &Job) {
         let is_same = |shape: &&mut GpuShape| {
             Resources::of(&shape.spec) == Resources::of(&job.spec) && shape.spec.types == job.spec.types
--- a/src/coordination/scheduler/headroom.rs
+++ b/src/coordination/scheduler/headroom.rs
@@ -1,4 +1,4 @@
-//! Headroom: room reserved for the service replicas that are expected next.
+//! Headroom: capacity reserved for the service replicas that are expected next.
 
 use std::rc::Rc;
 
@@ -12,15 +12,15 @@
     storage::records::JobStatus,
 };
 
-/// Replicas are expected at the rate of this long before.
+/// Window over which the arrival rate of replicas is measured.
 const ARRIVAL_WINDOW_S: f64 = 120.0;
-/// Room is reserved for as many as arrive in this time: about what a machine
-/// takes to come.
+/// Capacity is reserved for as many as arrive in this time: about what a new
+/// machine takes to boot.
 const LEAD_TIME_S: f64 = 30.0;
-/// Most replicas of one shape that room is reserved for.
+/// Most replicas of one class that capacity is reserved for.
 const REPLICAS_MAX: usize = 4;
 
-/// Replicas of one shape that are expected soon.
+/// Replicas of one class that are expected soon.
 pub struct ExpectedReplicas {
     spec: Rc<JobSpec>,
     replicas: usize,
@@ -32,8 +32,8 @@
     replicas: f64,
 }
 
-/// Shapes of the unfinished production services, and how many replicas of
-/// each may be expected within the time a machine takes to come.
+/// Classes of the unfinished production services, and how many replicas of each
+/// may be expected within the time that a new machine takes to boot.
 pub fn expected_replicas(cluster: &ClusterState, now: Millis) -> Vec<ExpectedReplicas> {
     let mut arrivals: Vec<RecentArrivals> = Vec::new();
     for job in cluster.active_jobs() {
@@ -51,7 +51,7 @@
     arrivals.into_iter().map(RecentArrivals::expected).collect()
 }
 
-/// Reserves room for replicas until the reservations are released.
+/// Reserves capacity for replicas until the reservations are released.
 pub fn reserve_headroom(cluster: &mut ClusterState, expected: &ExpectedReplicas) {
     let spec = &expected.spec;
     let tasks: Vec<u32> = (0..expected.replicas as u32).collect();
@@ -61,7 +61,7 @@
     }
 }
 
-/// Reserves room for all replicas that are expected next, until the
+/// Reserves capacity for all replicas that are expected next, until the
 /// reservations are released.
 pub fn reserve_all_headroom(cluster: &mut ClusterState, now: Millis) {
     for expected in expected_replicas(cluster, now) {
--- /dev/null
+++ b/src/coordination/scheduler/infeasible.rs
@@ -0,0 +1,52 @@
+//! Shapes of work that a scheduling cycle found infeasible.
+
+use std::rc::Rc;
+
+use crate::protocol::jobs::{JobSpec, Kind};
+
+/// Shapes for which a scheduling cycle found no capacity at all. What is free
+/// only shrinks within a cycle, so work that is at least as hard to place isn't
+/// tried again.
+#[derive(Default)]
+pub struct InfeasibleShapes {
+    /// They don't fit now.
+    now: Vec<Rc<JobSpec>>,
+    /// They don't fit even once the tasks being stopped are gone.
+    later: Vec<Rc<JobSpec>>,
+}
+
+impl InfeasibleShapes {
+    /// Whether tasks of this shape can't fit now.
+    pub fn is_infeasible_now(&self, spec: &JobSpec) -> bool {
+        self.now.iter().any(|failed| is_at_least_as_hard(spec, failed))
+    }
+
+    /// Whether tasks of this shape can't fit even once the tasks being stopped are gone.
+    pub fn is_infeasible_later(&self, spec: &JobSpec) -> bool {
+        self.later.iter().any(|failed| is_at_least_as_hard(spec, failed))
+    }
+
+    /// A shape that doesn't fit now.
+    pub fn add_now(&mut self, spec: Rc<JobSpec>) {
+        self.now.push(spec);
+    }
+
+    /// A shape that doesn't fit even once the tasks being stopped are gone.
+    pub fn add_later(&mut self, spec: Rc<JobSpec>) {
+        self.later.push(spec);
+    }
+}
+
+/// Whether `spec` can't fit where `failed` didn't.
+fn is_at_least_as_hard(spec: &JobSpec, failed: &JobSpec) -> bool {
+    let needs_as_many_at_once = failed.kind != Kind::Gang || (spec.kind == Kind::Gang && spec.tasks >= failed.tasks);
+    needs_as_many_at_once
+        && spec.cpus >= failed.cpus
+        && spec.gpus >= failed.gpus
+        && spec.memory_gb >= failed.memory_gb
+        && spec.types == failed.types
+        && spec.zone == failed.zone
+        && (failed.spot || !spec.spot)
+        && spec.one_zone >= failed.one_zone
+        && spec.spread == failed.spread
+}
--- a/src/coordination/scheduler/preemption/mod.rs
+++ b/src/coordination/scheduler/preemption/mod.rs
@@ -1,13 +1,15 @@
 //! Preemption: tasks are stopped so that a job of higher priority, or one
-//! within its team's guarantee, gets room.
+//! within its team's guarantee, gets capacity.
 
-mod plan;
+mod planner;
 mod victims;
 
+use self::planner::{PreemptionPlan, PreemptionPlanner};
 use crate::{
     coordination::{
-        leader::Leader,
-        model::{AssignmentIndex, Millis, Resources},
+        cluster::ClusterState,
+        model::{AssignmentIndex, Job, Millis, Resources},
+        snapshot::ClusterSnapshot,
         workers::SAVE_MARGIN_S,
     },
     protocol::{
@@ -17,69 +19,110 @@
     storage::job_cache::JobIndex,
 };
 
-/// Tasks of one array for which room is made in one scheduling cycle.
+/// How long work of normal priority waits before others' work is preempted for it.
+const PREEMPTION_PATIENCE_MS: i64 = 10_000;
+/// Tasks of one array for which others are preempted in one scheduling cycle.
 const ARRAY_TASKS_PER_CYCLE: usize = 4;
 /// The next sample of machines begins at the last start times this...
 const CURSOR_MULTIPLIER: u32 = 5;
 /// ...plus this, modulo the number of machines: so that samples differ.
 const CURSOR_INCREMENT: u32 = 101;
 
-impl Leader {
-    /// Stops other work so that `tasks` get room. True if something was stopped.
-    ///
-    /// Guard: a gang that must be in one zone went to that of its first task's
-    /// cheapest machine, and waited when that had too few. Each zone is planned
-    /// for by itself; the feasible plan that costs least wins.
-    pub fn preempt(&mut self, now: Millis, index: JobIndex, tasks: &[u32]) -> bool {
-        let Some(job) = self.cluster.job(index) else { return false };
-        let spec = job.spec.clone();
-        let has_zone = job.tasks.zone_used.iter().any(|&used| used > 0);
-        let tasks = match spec.kind {
-            Kind::Array => &tasks[..tasks.len().min(ARRAY_TASKS_PER_CYCLE)],
-            Kind::Gang | Kind::Service => tasks,
-        };
-        self.advance_preemption_cursor();
-        let zones = if spec.one_zone && !has_zone && tasks.len() > 1 { self.each_zone() } else { vec![None] };
-        let mut plans = Vec::new();
-        for zone in zones {
-            plans.extend(self.plan_preemption(now, index, tasks, zone));
-        }
-        let best = plans.into_iter().min_by(|a, b| b.picks.len().cmp(&a.picks.len()).then(a.cost.total_cmp(&b.cost)));
-        let Some(plan) = best else { return false };
-        let stopped = plan.halts.into_iter().filter(|&victim| self.stop_victim(now, victim, &spec)).count();
-        for &host in &plan.picks {
-            self.cluster.snapshot.reserve(host, Resources::of(&spec), Resources::default());
-        }
-        if stopped > 0 {
-            tracing::info!(job = index.0, stopped, tasks = plan.picks.len(), "made room");
-        }
-        stopped > 0
+/// Where the samples of machines that preemption looks at begin.
+#[derive(Debug, Default)]
+pub struct SampleCursor {
+    start: u32,
+}
+
+impl SampleCursor {
+    /// Moves to the start of the next sample and returns it.
+    fn advance(&mut self, machine_count: usize) -> u32 {
+        let next = self.start.wrapping_mul(CURSOR_MULTIPLIER).wrapping_add(CURSOR_INCREMENT);
+        self.start = next % (machine_count.max(1) as u32);
+        self.start
     }
+}
 
-    fn advance_preemption_cursor(&mut self) {
-        let next = self.scheduler.preemption_cursor.wrapping_mul(CURSOR_MULTIPLIER).wrapping_add(CURSOR_INCREMENT);
-        self.scheduler.preemption_cursor = next % (self.cluster.machines.len().max(1) as u32);
+/// Whether other work may be preempted for this job by now.
+pub fn may_preempt(now: Millis, job: &Job) -> bool {
+    // Guard: what fails everywhere would have others stopped again and again.
+    if job.failures.job_is_at_fault() {
+        return false;
     }
+    if job.within_guarantee {
+        return true;
+    }
+    match job.spec.priority {
+        Priority::Production | Priority::High => true,
+        Priority::Normal => job.waited_ms(now) >= PREEMPTION_PATIENCE_MS,
+        Priority::Low => false,
+    }
+}
 
-    fn each_zone(&self) -> Vec<Option<ZoneIndex>> {
-        let mut zones: Vec<ZoneIndex> = self.cluster.snapshot.pools.iter().map(|pool| pool.zone).collect();
-        zones.sort_unstable();
-        zones.dedup();
-        zones.into_iter().map(Some).collect()
+/// Preempts other work so that `tasks` of a job get capacity, and reserves what
+/// is freed for them. True if something was stopped.
+pub fn preempt(
+    cluster: &mut ClusterState,
+    samples: &mut SampleCursor,
+    now: Millis,
+    index: JobIndex,
+    tasks: &[u32],
+) -> bool {
+    let Some(job) = cluster.job(index) else { return false };
+    let spec = job.spec.clone();
+    let has_zone = job.tasks.zone_used.iter().any(|&used| used > 0);
+    let task_count = match spec.kind {
+        Kind::Array => tasks.len().min(ARRAY_TASKS_PER_CYCLE),
+        Kind::Gang | Kind::Service => tasks.len(),
+    };
+    let sample_start = samples.advance(cluster.machines.len());
+    let plans_by_zone = spec.one_zone && !has_zone && task_count > 1;
+    let zones = if plans_by_zone { each_zone(&cluster.snapshot) } else { vec![None] };
+    let planner = PreemptionPlanner { now, job: index, sample_start };
+    let Some(plan) = best_plan(cluster, &planner, task_count, zones) else { return false };
+    let stopped = plan.victims.into_iter().filter(|&victim| stop_victim(cluster, now, victim, &spec)).count();
+    for &host in &plan.hosts {
+        cluster.snapshot.reserve(host, Resources::of(&spec), Resources::default());
     }
+    if stopped > 0 {
+        tracing::info!(job_index = index.0, preempted_tasks = stopped, tasks = plan.hosts.len(), "tasks preempted");
+    }
+    stopped > 0
+}
+
+/// The plan for the most tasks and, among those, the one that costs least.
+///
+/// Guard: a gang that must be in one zone went to that of its first task's
+/// cheapest machine, and waited when that had too few. Each zone is planned
+/// for by itself; the feasible plan that costs least wins.
+fn best_plan(
+    cluster: &mut ClusterState,
+    planner: &PreemptionPlanner,
+    task_count: usize,
+    zones: Vec<Option<ZoneIndex>>,
+) -> Option<PreemptionPlan> {
+    let plans = zones.into_iter().filter_map(|zone| planner.plan(cluster, task_count, zone));
+    plans.min_by(|a, b| b.hosts.len().cmp(&a.hosts.len()).then(a.cost.total_cmp(&b.cost)))
+}
+
+fn each_zone(snapshot: &ClusterSnapshot) -> Vec<Option<ZoneIndex>> {
+    let mut zones: Vec<ZoneIndex> = snapshot.pools.iter().map(|pool| pool.zone).collect();
+    zones.sort_unstable();
+    zones.dedup();
+    zones.into_iter().map(Some).collect()
+}
 
-    /// Stops a task, or its whole gang. False: it is gone already.
-    fn stop_victim(&mut self, now: Millis, victim: AssignmentIndex, preemptor: &JobSpec) -> bool {
-        let Some(assignment) = self.cluster.assignment(victim) else { return false };
-        let job_index = assignment.job;
-        let Some(job) = self.cluster.job(job_index) else { return false };
-        let save_s = if job.spec.checkpoint_s > 0.0 { job.spec.save_s + SAVE_MARGIN_S } else { 0.0 };
-        if job.spec.kind == Kind::Gang {
-            self.cluster.stop_job(now, job_index, save_s);
-        } else {
-            let is_urgent = preemptor.priority == Priority::Production;
-            self.cluster.halt(now, victim, if is_urgent { 0.0 } else { save_s });
-        }
-        true
+/// Stops a task, or its whole gang. False: it is gone already.
+fn stop_victim(cluster: &mut ClusterState, now: Millis, victim: AssignmentIndex, preemptor: &JobSpec) -> bool {
+    let Some(assignment) = cluster.assignment(victim) else { return false };
+    let job_index = assignment.job;
+    let Some(job) = cluster.job(job_index) else { return false };
+    let save_s = if job.spec.checkpoint_s > 0.0 { job.spec.save_s + SAVE_MARGIN_S } else { 0.0 };
+    if job.spec.kind == Kind::Gang {
+        cluster.stop_job(now, job_index, save_s);
+    } else {
+        let is_urgent = preemptor.priority == Priority::Production;
+        cluster.halt(now, victim, if is_urgent { 0.0 } else { save_s });
     }
+    true
 }
--- /dev/null
+++ b/src/coordination/scheduler/preemption/planner.rs
@@ -0,0 +1,221 @@
+//! Plans which tasks are preempted, and on which machines.
+
+use super::victims::{Victim, VictimSelector};
+use crate::{
+    coordination::{
+        cluster::ClusterState,
+        model::{AssignmentIndex, Job, MachineIndex, Millis, Resources, RESOURCE_TOLERANCE},
+        scheduler::trial::{IDLE_GPU_PENALTY_S, SLOWEST_FETCH_GB_PER_S},
+        snapshot::{Host, Pool, RoomKind},
+    },
+    protocol::{
+        jobs::{JobSpec, Kind},
+        names::ZoneIndex,
+    },
+    storage::job_cache::JobIndex,
+};
+
+/// Machines of each pool sampled for one plan.
+const MACHINES_SAMPLED: usize = 256;
+/// Those of them whose tasks are examined for one task.
+const MACHINES_EXAMINED: usize = 64;
+/// Priorities by which a machine's use is counted.
+const PRIORITY_COUNT: usize = 4;
+/// A fetch on a machine without the image costs this many times its seconds.
+const FETCH_COST_FACTOR: f64 = 2.0;
+
+/// The machines for a job's tasks, and what is preempted there.
+#[derive(Default)]
+pub struct PreemptionPlan {
+    /// Cost of all that is preempted, in seconds.
+    pub cost: f64,
+    /// The machines, one entry for each task.
+    pub hosts: Vec<usize>,
+    /// The assignments to be stopped.
+    pub victims: Vec<AssignmentIndex>,
+}
+
+/// What is preempted on one machine so that one task fits there.
+struct HostPreemption {
+    host: usize,
+    cost: f64,
+    victims: Vec<AssignmentIndex>,
+    freed: Resources,
+}
+
+/// The search for the cheapest preemption for one more task.
+struct HostSearch<'a> {
+    cluster: &'a ClusterState,
+    now: Millis,
+    preemptor: &'a Job,
+    /// The machines to search, by their index.
+    sample: &'a [usize],
+    /// The job's assignments by zone, those planned included.
+    zone_used: &'a [u32],
+    /// Assignments that the plan stops already.
+    planned_victims: &'a [AssignmentIndex],
+}
+
+/// Plans preemptions for one job.
+pub struct PreemptionPlanner {
+    pub now: Millis,
+    /// The job that gets the capacity.
+    pub job: JobIndex,
+    /// The machine at which the sample begins.
+    pub sample_start: u32,
+}
+
+impl PreemptionPlanner {
+    /// What is preempted, and where, so that `task_count` tasks fit; in `zone`
+    /// only, if one is given. `None`: not enough may be preempted.
+    pub fn plan(
+        &self,
+        cluster: &mut ClusterState,
+        task_count: usize,
+        zone: Option<ZoneIndex>,
+    ) -> Option<PreemptionPlan> {
+        let reservations = cluster.snapshot.reservations();
+        let plan = self.plan_with_reservations(cluster, task_count, zone);
+        // What is stopped counts as such by itself; the capacity is reserved
+        // again once a plan is chosen.
+        cluster.snapshot.release(reservations);
+        plan.filter(|plan| !plan.hosts.is_empty())
+    }
+
+    /// As [`PreemptionPlanner::plan`], but what is planned stays reserved.
+    fn plan_with_reservations(
+        &self,
+        cluster: &mut ClusterState,
+        task_count: usize,
+        zone: Option<ZoneIndex>,
+    ) -> Option<PreemptionPlan> {
+        let job = cluster.job(self.job)?;
+        let spec = job.spec.clone();
+        let mut zone_used = job.tasks.zone_used.clone();
+        let sample = cluster.snapshot.sample(&spec, zone, self.sample_start, MACHINES_SAMPLED);
+        let mut plan = PreemptionPlan::default();
+        for _ in 0..task_count {
+            let search = HostSearch {
+                cluster,
+                now: self.now,
+                preemptor: cluster.job(self.job)?,
+                sample: &sample,
+                zone_used: &zone_used,
+                planned_victims: &plan.victims,
+            };
+            let cheapest = search.cheapest();
+            cluster.snapshot.looked += sample.len() as u64;
+            let Some(preemption) = cheapest else {
+                if spec.kind == Kind::Gang {
+                    return None;
+                }
+                break;
+            };
+            count_in_zone(&mut zone_used, cluster.machine(MachineIndex(preemption.host as u32)).zone);
+            cluster.snapshot.reserve(preemption.host, Resources::of(&spec), preemption.freed);
+            plan.add(preemption);
+        }
+        Some(plan)
+    }
+}
+
+impl PreemptionPlan {
+    fn add(&mut self, preemption: HostPreemption) {
+        self.cost += preemption.cost;
+        self.victims.extend(preemption.victims);
+        self.hosts.push(preemption.host);
+    }
+}
+
+impl HostSearch<'_> {
+    /// The preemption that costs least on the machines of the sample.
+    fn cheapest(&self) -> Option<HostPreemption> {
+        let snapshot = &self.cluster.snapshot;
+        let mut cheapest: Option<HostPreemption> = None;
+        let feasible = self.sample.iter().filter_map(|&host_index| {
+            let host = &snapshot.hosts[host_index];
+            let pool = &snapshot.pools[host.pool?];
+            self.may_fit(host, pool).then_some((host_index, host, pool))
+        });
+        for (host_index, host, pool) in feasible.take(MACHINES_EXAMINED) {
+            let Some(preemption) = self.preemption_on(host_index, host, pool) else { continue };
+            if cheapest.as_ref().is_none_or(|cheapest| preemption.cost < cheapest.cost) {
+                cheapest = Some(preemption);
+            }
+        }
+        cheapest
+    }
+
+    /// Whether a task would be allowed on the machine, and would fit if all were
+    /// stopped that may be at best.
+    fn may_fit(&self, host: &Host, pool: &Pool) -> bool {
+        zone_allows(&self.preemptor.spec, pool.zone, self.zone_used) && may_free_enough(self.preemptor, host)
+    }
+
+    /// What is stopped on one machine so that a task fits there.
+    fn preemption_on(&self, host_index: usize, host: &Host, pool: &Pool) -> Option<HostPreemption> {
+        let spec = &self.preemptor.spec;
+        let assignments = &self.cluster.machine(MachineIndex(host_index as u32)).load.assignments;
+        let selector = VictimSelector { cluster: self.cluster, now: self.now, preemptor: self.preemptor };
+        let victims = selector.victims_among(assignments, self.planned_victims);
+        let available = host.room(RoomKind::FreeOrStopping);
+        let mut preemption = choose_victims(&Resources::of(spec), available, victims, host_index)?;
+        if !host.has_image(spec.image) {
+            let fetch_s = spec.image_gb / pool.fetch_gb_per_s.max(SLOWEST_FETCH_GB_PER_S);
+            preemption.cost += fetch_s * FETCH_COST_FACTOR;
+        }
+        if spec.gpus <= 0.0 && pool.capacity.gpus > 0.0 {
+            preemption.cost += IDLE_GPU_PENALTY_S;
+        }
+        Some(preemption)
+    }
+}
+
+/// Takes victims in order until the task fits. `None`: it doesn't fit even then.
+fn choose_victims(need: &Resources, available: Resources, victims: Vec<Victim>, host: usize) -> Option<HostPreemption> {
+    let mut available = available;
+    let mut preemption = HostPreemption { host, cost: 0.0, victims: Vec::new(), freed: Resources::default() };
+    for victim in victims {
+        if need.fits_in(&available) {
+            break;
+        }
+        if !frees_what_is_missing(&victim.freed, need, &available) {
+            continue;
+        }
+        available += victim.freed;
+        preemption.freed += victim.freed;
+        preemption.cost += victim.cost;
+        preemption.victims.push(victim.assignment);
+    }
+    need.fits_in(&available).then_some(preemption)
+}
+
+/// Whether a victim uses some resource of which too little is available.
+fn frees_what_is_missing(freed: &Resources, need: &Resources, available: &Resources) -> bool {
+    (freed.gpus > 0.0 && available.gpus < need.gpus)
+        || (freed.cpus > 0.0 && available.cpus + RESOURCE_TOLERANCE < need.cpus)
+        || (freed.memory_gb > 0.0 && available.memory_gb + RESOURCE_TOLERANCE < need.memory_gb)
+}
+
+fn count_in_zone(zone_used: &mut Vec<u32>, zone: ZoneIndex) {
+    if zone_used.len() <= zone.at() {
+        zone_used.resize(zone.at() + 1, 0);
+    }
+    zone_used[zone.at()] += 1;
+}
+
+/// Whether one more task of the job may be in this zone.
+fn zone_allows(spec: &JobSpec, zone: ZoneIndex, zone_used: &[u32]) -> bool {
+    let here = zone_used.get(zone.at()).copied().unwrap_or(0);
+    let elsewhere = zone_used.iter().sum::<u32>() - here;
+    let is_other_zone = spec.one_zone && elsewhere > 0;
+    let is_full = spec.spread && here >= spec.zone_cap();
+    !is_other_zone && !is_full
+}
+
+/// Whether a task would fit if all were stopped that may be at best.
+fn may_free_enough(job: &Job, host: &Host) -> bool {
+    let stoppable = if job.within_guarantee { PRIORITY_COUNT } else { job.spec.priority as usize };
+    let at_best = host.low[..stoppable].iter().fold(host.room(RoomKind::FreeOrStopping), |sum, used| sum + *used);
+    Resources::of(&job.spec).fits_in(&at_best)
+}
--- a/src/coordination/scheduler/preemption/victims.rs
+++ b/src/coordination/scheduler/preemption/victims.rs
@@ -1,62 +1,92 @@
-//! Which tasks may be stopped for a job, and what that costs.
+//! Which tasks may be preempted for a job, and what that costs.
 
 use crate::{
     coordination::{
-        leader::Leader,
-        model::{AssignmentIndex, AssignmentState, Job, Millis, Resources, RESOURCE_TOLERANCE, START_COUNTS_MS},
-        scheduler::is_overdue,
+        cluster::ClusterState,
+        model::{
+            Assignment, AssignmentIndex, AssignmentState, Job, Millis, Resources, RESOURCE_TOLERANCE, START_COUNTS_MS,
+        },
+        scheduler::queue::is_overdue,
         workers::SAVE_MARGIN_S,
     },
     protocol::jobs::{Kind, Priority},
     storage::records::JobStatus,
 };
 
-/// How long a job within its team's guarantee waits before borrowed room is
-/// asked back: some may come back by itself.
-const BORROW_PATIENCE_MS: i64 = 12_000;
+/// How long a job within its team's guarantee waits before capacity that others
+/// borrowed is reclaimed: some may come back by itself.
+const RECLAIM_PATIENCE_MS: i64 = 12_000;
 /// Seconds that stopping any task costs.
 const STOP_COST_S: f64 = 5.0;
 /// Seconds that stopping a task soon after its start costs in addition: such a
-/// start was none, and its users waited for nothing.
+/// start doesn't count, and its users waited for nothing.
 const FRESH_START_COST_S: f64 = 60.0;
 
-/// A task that may be stopped.
+/// A task that may be preempted.
 pub struct Victim {
     pub assignment: AssignmentIndex,
     /// What it would free.
-    pub need: Resources,
+    pub freed: Resources,
+    /// What stopping it costs, in seconds.
     pub cost: f64,
 }
 
-impl Leader {
-    /// What stopping a task costs, or `None` when the preemptor may not stop it.
-    pub fn victim(&self, now: Millis, index: AssignmentIndex, preemptor: &Job) -> Option<Victim> {
+/// Finds the tasks that may be preempted for a job.
+pub struct VictimSelector<'a> {
+    pub cluster: &'a ClusterState,
+    pub now: Millis,
+    /// The job that gets the capacity.
+    pub preemptor: &'a Job,
+}
+
+impl VictimSelector<'_> {
+    /// The tasks among `assignments` that may be preempted and aren't yet, the
+    /// cheapest first.
+    pub fn victims_among(&self, assignments: &[AssignmentIndex], already_chosen: &[AssignmentIndex]) -> Vec<Victim> {
+        let mut victims: Vec<Victim> = assignments
+            .iter()
+            .filter(|index| !already_chosen.contains(index))
+            .filter_map(|&index| self.victim(index))
+            .collect();
+        victims.sort_by(|a, b| a.cost.total_cmp(&b.cost));
+        victims
+    }
+
+    /// A task as a victim, or `None` when the preemptor may not stop it.
+    fn victim(&self, index: AssignmentIndex) -> Option<Victim> {
         let assignment = self.cluster.assignment(index)?;
         if assignment.halt.is_some() || matches!(assignment.state, AssignmentState::Ended(_)) {
             return None;
         }
         let job = self.cluster.job(assignment.job)?;
-        if job.status != JobStatus::Pending || assignment.job == preemptor.index {
+        if job.status != JobStatus::Pending || assignment.job == self.preemptor.index {
             return None;
         }
-        let is_lower = job.spec.priority < preemptor.spec.priority;
-        if !is_lower && !self.is_borrowed_from(now, job, preemptor) {
+        let is_lower = job.spec.priority < self.preemptor.spec.priority;
+        if !is_lower && !self.may_reclaim_from(job) {
             return None;
         }
-        let ran_s = assignment.running_since.map_or(0.0, |since| (now - since) as f64 / 1000.0);
+        let ran_s = self.ran_s(assignment);
         // Guard: an overdue job that was let start at last is not stopped before
-        // it has started for good; otherwise it might never.
+        // its start counts; otherwise it might never.
         let is_fresh = ran_s * 1000.0 < START_COUNTS_MS as f64;
-        if preemptor.spec.priority < Priority::Production && is_overdue(now, job) && is_fresh {
+        if self.preemptor.spec.priority < Priority::Production && is_overdue(self.now, job) && is_fresh {
             return None;
         }
-        Some(Victim { assignment: index, need: Resources::of(&job.spec), cost: cost_of_stop(job, ran_s, is_fresh) })
+        let cost = stop_cost_s(job, ran_s, is_fresh);
+        Some(Victim { assignment: index, freed: Resources::of(&job.spec), cost })
+    }
+
+    /// Seconds that the task has been running.
+    fn ran_s(&self, assignment: &Assignment) -> f64 {
+        assignment.running_since.map_or(0.0, |since| (self.now - since) as f64 / 1000.0)
     }
 
     /// Whether a job's team uses more than its guarantee, of what the preemptor
     /// is guaranteed.
-    fn is_borrowed_from(&self, now: Millis, job: &Job, preemptor: &Job) -> bool {
-        let has_waited = preemptor.waited_ms(now) >= BORROW_PATIENCE_MS;
+    fn may_reclaim_from(&self, job: &Job) -> bool {
+        let preemptor = self.preemptor;
+        let has_waited = preemptor.waited_ms(self.now) >= RECLAIM_PATIENCE_MS;
         if !preemptor.within_guarantee || !has_waited || job.spec.team == preemptor.spec.team {
             return false;
         }
@@ -67,38 +97,25 @@
         (both_use_gpus && exceeds(limits.gpus, used.gpus))
             || (preemptor.spec.cpus > 0.0 && limits.cpus.is_some() && exceeds(limits.cpus, used.cpus))
     }
-
-    /// Victims on a machine that are not stopped yet, the cheapest first.
-    pub fn victims_among(
-        &self,
-        now: Millis,
-        assignments: &[AssignmentIndex],
-        already_chosen: &[AssignmentIndex],
-        preemptor: &Job,
-    ) -> Vec<Victim> {
-        let mut victims: Vec<Victim> = assignments
-            .iter()
-            .filter(|index| !already_chosen.contains(index))
-            .filter_map(|&index| self.victim(now, index, preemptor))
-            .collect();
-        victims.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-        victims
-    }
 }
 
 /// What stopping a task that ran for `ran_s` costs, in seconds.
-fn cost_of_stop(job: &Job, ran_s: f64, is_fresh: bool) -> f64 {
+fn stop_cost_s(job: &Job, ran_s: f64, is_fresh: bool) -> f64 {
     let spec = &job.spec;
     let lost_s =
         if spec.checkpoint_s > 0.0 { ran_s.min(spec.checkpoint_s).min(spec.save_s + SAVE_MARGIN_S) } else { ran_s };
-    let priority_cost_s = match spec.priority {
+    let fresh_cost_s = if is_fresh && spec.priority > Priority::Low { FRESH_START_COST_S } else { 0.0 };
+    // A gang is stopped as a whole.
+    let stopped_tasks = if spec.kind == Kind::Gang { f64::from(job.tasks.placed) } else { 1.0 };
+    (STOP_COST_S + priority_cost_s(spec.priority) + lost_s + fresh_cost_s) * stopped_tasks
+}
+
+/// What stopping a task costs for its priority, in seconds.
+fn priority_cost_s(priority: Priority) -> f64 {
+    match priority {
         Priority::Low => 0.0,
         Priority::Normal => 20.0,
         Priority::High => 200.0,
         Priority::Production => 2_000.0,
-    };
-    let fresh_cost_s = if is_fresh && spec.priority > Priority::Low { FRESH_START_COST_S } else { 0.0 };
-    // A gang is stopped as a whole.
-    let stopped_tasks = if spec.kind == Kind::Gang { f64::from(job.tasks.placed) } else { 1.0 };
-    (STOP_COST_S + priority_cost_s + lost_s + fresh_cost_s) * stopped_tasks
+    }
 }
