--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -3,7 +3,7 @@
 
 mod best_effort;
 mod demand;
-mod gpu_demand;
+pub mod gpu_demand;
 pub mod headroom;
 mod order;
 mod preemption;
