--- a/src/coordination/autoscaler/consolidation.rs
+++ b/src/coordination/autoscaler/consolidation.rs
@@ -1,222 +1,177 @@
-//! Expensive machines with little on them are vacated and handed back.
+//! Consolidation: service replicas on expensive machines move to other machines.
 
+use super::drain::drain_machine;
 use crate::{
     coordination::{
-        cluster::UNCROWDED_MS,
-        leader::Leader,
-        model::{AssignmentIndex, Job, MachineIndex, MachineLifecycle, MachineTypeSpec, Millis, Resources},
+        cluster::{ClusterState, UNCROWDED_MS},
+        model::{
+            Assignment, AssignmentIndex, Machine, MachineIndex, MachineLifecycle, MachineTypeSpec, Millis, Resources,
+        },
         scheduler::{
             headroom,
             trial::{HostFilter, TrialRequest, Verdict},
         },
         snapshot::RoomKind,
-        workers::SAVE_MARGIN_S,
     },
     protocol::jobs::Kind,
     storage::{job_cache::JobIndex, records::JobStatus},
 };
 
-/// A machine is vacated only if it costs more than this many times what its
-/// replicas would cost on fitting ones: a move interrupts each of them.
+/// A machine is drained only if it costs more than this many times what its
+/// replicas would cost on the cheapest machines for them: a move interrupts each
+/// of them.
 const PRICE_FACTOR: f64 = 3.0;
-/// A new leader vacates nothing for this many times [`UNCROWDED_MS`].
+/// A new leader consolidates nothing for this many times [`UNCROWDED_MS`].
 const START_DELAY_FACTOR: Millis = 4;
-/// Machines tried in one step, the most expensive first.
+/// Most machines tried in one step.
 const CANDIDATES_PER_STEP: usize = 4;
 
-/// Machines drained of best-effort work in one step: their ends have to be written.
-const DRAINS_PER_STEP: usize = 8;
-
-/// A machine that may be vacated.
+/// A machine that may be drained.
 struct Candidate {
-    price: f64,
     machine: MachineIndex,
+    price_per_hour: f64,
 }
 
-impl Leader {
-    /// When nothing waits, replicas on the most expensive machine that holds nothing
-    /// else move to where there is room among others, and it goes back. A move
-    /// costs a replica the moment between its stop and its start.
-    pub fn consolidate(&mut self, now: Millis) {
-        self.drain_best_effort_work(now);
-        let is_crowded = self.cluster.backlog.is_recent(now);
-        if is_crowded || now < self.cluster.started + START_DELAY_FACTOR * UNCROWDED_MS {
-            return;
-        }
-        if self.cluster.machines.iter().any(|machine| machine.cordoned && !machine.load.assignments.is_empty()) {
-            return;
-        }
-        let candidates = self.consolidation_candidates(now);
-        headroom::reserve_all_headroom(&mut self.cluster, now);
-        let kept = self.cluster.snapshot.reservations();
-        for candidate in candidates.into_iter().take(CANDIDATES_PER_STEP) {
-            let is_movable = self.find_room_for_all(candidate.machine);
-            self.cluster.snapshot.release(kept);
-            if is_movable {
-                self.vacate(now, &candidate);
-                break;
-            }
-        }
-        self.cluster.snapshot.release(0);
+/// While there is no unmet demand, drains the most expensive machine that holds
+/// only service replicas for which others have free capacity. The move of a
+/// replica costs the time between its stop and its start.
+pub fn consolidate(now: Millis, cluster: &mut ClusterState) {
+    if !may_consolidate(now, cluster) {
+        return;
     }
-
-    /// Expensive machines on which nothing runs but tasks of teams without a
-    /// guarantee, which can save what they did, are drained and handed back.
-    ///
-    /// Guard: such tasks may run for minutes, one after another: what they hold
-    /// is as good as rented for them.
-    fn drain_best_effort_work(&mut self, now: Millis) {
-        let drained: Vec<MachineIndex> = (0..self.cluster.machines.len() as u32)
-            .map(MachineIndex)
-            .filter(|&index| self.holds_only_best_effort_work(index))
-            .take(DRAINS_PER_STEP)
-            .collect();
-        for index in drained {
-            let machine = &mut self.cluster.machines[index.at()];
-            tracing::info!(
-                machine = &*machine.id,
-                tasks = machine.load.assignments.len(),
-                "drained of unguaranteed work"
-            );
-            machine.cordoned = true;
-            for assignment_index in machine.load.assignments.clone() {
-                let save_s = self.save_time_s(assignment_index);
-                self.cluster.halt(now, assignment_index, save_s);
-            }
-            self.cluster.refresh(now, index);
-            self.cluster.cycle_needed = true;
+    let candidates = candidates(now, cluster);
+    headroom::reserve_all_headroom(cluster, now);
+    let headroom_only = cluster.snapshot.reservations();
+    for candidate in candidates.into_iter().take(CANDIDATES_PER_STEP) {
+        let is_movable = reserve_for_replicas_of(cluster, candidate.machine);
+        cluster.snapshot.release(headroom_only);
+        if is_movable {
+            drain(now, cluster, &candidate);
+            break;
         }
     }
+    cluster.snapshot.release(0);
+}
 
-    fn holds_only_best_effort_work(&self, index: MachineIndex) -> bool {
-        let machine = self.cluster.machine(index);
-        let takes_gpu_work_only = self.cluster.snapshot.hosts.get(index.at()).is_some_and(|host| host.gpu_only);
-        let may_be_drained = machine.lifecycle == MachineLifecycle::Up && !machine.cordoned && machine.fenced();
-        if !takes_gpu_work_only || !may_be_drained || machine.load.assignments.is_empty() {
-            return false;
-        }
-        let jobs = machine.load.assignments.iter().map(|&assignment_index| {
-            let assignment = self.cluster.assignment(assignment_index)?;
-            self.cluster.job(assignment.job)
-        });
-        let is_drainable = |job: &Job| {
-            job.spec.checkpoint_s > 0.0 && job.spec.kind == Kind::Array && self.cluster.is_best_effort(job.spec.team)
-        };
-        jobs.into_iter().all(|job| job.is_some_and(is_drainable))
-    }
+/// Whether there was no unmet demand lately, and no machine is being drained.
+fn may_consolidate(now: Millis, cluster: &ClusterState) -> bool {
+    let is_starting = now < cluster.started + START_DELAY_FACTOR * UNCROWDED_MS;
+    let is_draining = |machine: &Machine| machine.cordoned && !machine.load.assignments.is_empty();
+    !cluster.backlog.is_recent(now) && !is_starting && !cluster.machines.iter().any(is_draining)
+}
 
-    /// The grace in which a task saves what it did.
-    fn save_time_s(&self, index: AssignmentIndex) -> f64 {
-        let job = self.cluster.assignment(index).and_then(|assignment| self.cluster.job(assignment.job));
-        job.map_or(0.0, |job| job.spec.save_s + SAVE_MARGIN_S)
-    }
+/// Machines that may be drained, the most expensive first.
+fn candidates(now: Millis, cluster: &ClusterState) -> Vec<Candidate> {
+    let rated = cluster.machines.iter().enumerate().filter(|(_, machine)| may_be_drained(now, cluster, machine));
+    let mut candidates: Vec<Candidate> = rated
+        .map(|(n, machine)| Candidate {
+            machine: MachineIndex(n as u32),
+            price_per_hour: price_per_hour(cluster, machine),
+        })
+        .collect();
+    candidates.sort_by(|a, b| b.price_per_hour.total_cmp(&a.price_per_hour));
+    candidates
+}
 
-    /// Machines that may be vacated, the most expensive first.
-    fn consolidation_candidates(&self, now: Millis) -> Vec<Candidate> {
-        let mut candidates: Vec<Candidate> = Vec::new();
-        for (n, machine) in self.cluster.machines.iter().enumerate() {
-            if machine.lifecycle != MachineLifecycle::Up
-                || machine.cordoned
-                || machine.load.assignments.is_empty()
-                || !machine.fenced()
-                || !self.is_settled(now, machine.up_at)
-            {
-                continue;
-            }
-            let all_movable = machine.load.assignments.iter().all(|&index| self.is_movable_replica(now, index));
-            let price = self.cluster.type_of(machine).map_or(0.0, |machine_type| machine_type.price_of(machine.spot));
-            let fair_price: f64 = machine
-                .load
-                .assignments
-                .iter()
-                .filter_map(|&index| self.cluster.assignment(index))
-                .map(|assignment| self.fair_price(assignment.job))
-                .sum();
-            if all_movable && price > PRICE_FACTOR * fair_price {
-                candidates.push(Candidate { price, machine: MachineIndex(n as u32) });
-            }
-        }
-        candidates.sort_by(|a, b| b.price.total_cmp(&a.price));
-        candidates
-    }
+/// Whether a machine holds only movable replicas and is expensive for them.
+fn may_be_drained(now: Millis, cluster: &ClusterState, machine: &Machine) -> bool {
+    let is_in_use = machine.lifecycle == MachineLifecycle::Up
+        && !machine.cordoned
+        && !machine.load.assignments.is_empty()
+        && machine.fenced()
+        && has_settled(now, cluster, machine.up_at);
+    is_in_use
+        && machine.load.assignments.iter().all(|&index| is_movable_replica(now, cluster, index))
+        && price_per_hour(cluster, machine) > PRICE_FACTOR * cheapest_price_of_load(cluster, machine)
+}
 
-    /// Whether something has lasted long enough to be left alone no longer.
-    fn is_settled(&self, now: Millis, since: Option<Millis>) -> bool {
-        since.is_some_and(|since| now > since + self.cluster.config.idle_keep_ms)
-    }
+fn price_per_hour(cluster: &ClusterState, machine: &Machine) -> f64 {
+    cluster.type_of(machine).map_or(0.0, |machine_type| machine_type.price_of(machine.spot))
+}
 
-    /// A service replica without GPUs that has been running for a while.
-    fn is_movable_replica(&self, now: Millis, index: AssignmentIndex) -> bool {
-        let Some(assignment) = self.cluster.assignment(index) else { return false };
-        let is_replica = self.cluster.job(assignment.job).is_some_and(|job| {
-            job.spec.kind == Kind::Service && job.status == JobStatus::Pending && job.spec.gpus <= 0.0
-        });
-        is_replica && self.is_settled(now, assignment.running_since) && assignment.halt.is_none()
-    }
+/// Whether something has lasted long enough to be changed again.
+fn has_settled(now: Millis, cluster: &ClusterState, since: Option<Millis>) -> bool {
+    since.is_some_and(|since| now > since + cluster.config.idle_keep_ms)
+}
 
-    /// Whether everything on a machine finds room on machines that hold
-    /// something; what is found stays reserved.
-    fn find_room_for_all(&mut self, machine: MachineIndex) -> bool {
-        let assignments = self.cluster.machine(machine).load.assignments.clone();
-        assignments.into_iter().all(|assignment| self.find_room_elsewhere(machine, assignment))
-    }
+/// Whether an assignment is a service replica without GPUs that has been running
+/// for a while.
+fn is_movable_replica(now: Millis, cluster: &ClusterState, index: AssignmentIndex) -> bool {
+    let Some(assignment) = cluster.assignment(index) else { return false };
+    let is_replica = cluster
+        .job(assignment.job)
+        .is_some_and(|job| job.spec.kind == Kind::Service && job.status == JobStatus::Pending && job.spec.gpus <= 0.0);
+    is_replica && has_settled(now, cluster, assignment.running_since) && assignment.halt.is_none()
+}
 
-    fn vacate(&mut self, now: Millis, candidate: &Candidate) {
-        let machine = &mut self.cluster.machines[candidate.machine.at()];
-        tracing::info!(
-            machine = &*machine.id,
-            price = candidate.price,
-            replicas = machine.load.assignments.len(),
-            "its replicas move, it goes back"
-        );
-        machine.cordoned = true;
-        for assignment in machine.load.assignments.clone() {
-            self.cluster.halt(now, assignment, 0.0);
-        }
-        self.cluster.refresh(now, candidate.machine);
-        self.cluster.cycle_needed = true;
-    }
+/// What the tasks on a machine would cost per hour on the cheapest machines for them.
+fn cheapest_price_of_load(cluster: &ClusterState, machine: &Machine) -> f64 {
+    let assignments = machine.load.assignments.iter().filter_map(|&index| cluster.assignment(index));
+    assignments.map(|assignment| cheapest_price_per_task(cluster, assignment.job)).sum()
+}
 
-    /// Reserves room elsewhere for a replica on `from`, on a machine that has
-    /// its image.
-    fn find_room_elsewhere(&mut self, from: MachineIndex, index: AssignmentIndex) -> bool {
-        let Some(assignment) = self.cluster.assignment(index) else { return false };
-        let Some(job) = self.cluster.job(assignment.job) else { return false };
-        let spec = job.spec.clone();
-        let task = assignment.task;
-        // Its other replicas keep their zones.
-        let mut zone_used = job.tasks.zone_used.clone();
-        if let Some(used) = zone_used.get_mut(assignment.zone.at()) {
-            *used -= 1;
-        }
-        let outcome = self.cluster.snapshot.trial(&TrialRequest {
-            spec: &spec,
-            tasks: &[task],
-            min: 1,
-            zone_used: &zone_used,
-            avoid: &[from],
-            room: RoomKind::Free,
-            hosts: HostFilter::BusyOnly,
-        });
-        for pick in &outcome.picks {
-            self.cluster.snapshot.reserve(pick.host, Resources::of(&spec), Resources::default());
-        }
-        outcome.verdict == Verdict::Success
-            && outcome.picks.iter().all(|pick| self.cluster.snapshot.hosts[pick.host].has_image(spec.image))
+/// What a task of this job costs per hour on the cheapest machine type for it.
+fn cheapest_price_per_task(cluster: &ClusterState, job: JobIndex) -> f64 {
+    let Some(job) = cluster.job(job) else { return 0.0 };
+    let request = Resources::of(&job.spec);
+    let price_per_task = |machine_type: &MachineTypeSpec| {
+        machine_type.price_of(job.spec.spot) / f64::from(request.times_in(&machine_type.capacity).max(1))
+    };
+    cluster
+        .types
+        .iter()
+        .filter(|machine_type| request.fits_in(&machine_type.capacity) && job.spec.allows_type(machine_type.index))
+        .map(price_per_task)
+        .fold(f64::INFINITY, f64::min)
+}
+
+fn drain(now: Millis, cluster: &mut ClusterState, candidate: &Candidate) {
+    let machine = cluster.machine(candidate.machine);
+    tracing::info!(
+        machine = &*machine.id,
+        price_per_hour = candidate.price_per_hour,
+        replicas = machine.load.assignments.len(),
+        "machine drained for consolidation"
+    );
+    drain_machine(now, cluster, candidate.machine, |_, _| 0.0);
+}
+
+/// Reserves capacity on other machines for all replicas on one. False: there is
+/// not enough for one of them.
+fn reserve_for_replicas_of(cluster: &mut ClusterState, machine: MachineIndex) -> bool {
+    let assignments = cluster.machine(machine).load.assignments.clone();
+    assignments.into_iter().all(|assignment| reserve_elsewhere(cluster, machine, assignment))
+}
+
+/// Reserves capacity for a replica on another machine that holds its image and is
+/// not idle. False: there is none.
+fn reserve_elsewhere(cluster: &mut ClusterState, from: MachineIndex, index: AssignmentIndex) -> bool {
+    let Some(assignment) = cluster.assignment(index) else { return false };
+    let Some(job) = cluster.job(assignment.job) else { return false };
+    let spec = job.spec.clone();
+    let task = assignment.task;
+    let zone_used = zone_used_by_others(&job.tasks.zone_used, assignment);
+    let outcome = cluster.snapshot.trial(&TrialRequest {
+        spec: &spec,
+        tasks: &[task],
+        min: 1,
+        zone_used: &zone_used,
+        avoid: &[from],
+        room: RoomKind::Free,
+        hosts: HostFilter::BusyOnly,
+    });
+    for pick in &outcome.picks {
+        cluster.snapshot.reserve(pick.host, Resources::of(&spec), Resources::default());
     }
+    outcome.verdict == Verdict::Success
+        && outcome.picks.iter().all(|pick| cluster.snapshot.hosts[pick.host].has_image(spec.image))
+}
 
-    /// What a task of this job costs an hour on the machine type that suits it best.
-    fn fair_price(&self, job: JobIndex) -> f64 {
-        let Some(job) = self.cluster.job(job) else { return 0.0 };
-        let need = Resources::of(&job.spec);
-        let price_per_task = |machine_type: &MachineTypeSpec| {
-            machine_type.price_of(job.spec.spot) / f64::from(need.times_in(&machine_type.capacity).max(1))
-        };
-        self.cluster
-            .types
-            .iter()
-            .filter(|machine_type| need.fits_in(&machine_type.capacity) && job.spec.allows_type(machine_type.index))
-            .map(price_per_task)
-            .fold(f64::INFINITY, f64::min)
+/// Number of the job's other assignments by zone: they stay where they are.
+fn zone_used_by_others(zone_used: &[u32], assignment: &Assignment) -> Vec<u32> {
+    let mut zone_used = zone_used.to_vec();
+    if let Some(used) = zone_used.get_mut(assignment.zone.at()) {
+        *used -= 1;
     }
+    zone_used
 }
--- /dev/null
+++ b/src/coordination/autoscaler/gpu_reclaim.rs
@@ -0,0 +1,62 @@
+//! Reclaims GPU machines from best-effort work that doesn't need them.
+
+use super::drain::drain_machine;
+use crate::{
+    coordination::{
+        cluster::ClusterState,
+        model::{AssignmentIndex, Job, MachineIndex, MachineLifecycle, Millis},
+        workers::SAVE_MARGIN_S,
+    },
+    protocol::jobs::Kind,
+};
+
+/// Most machines drained in one step: the end of each of their tasks has to be committed.
+const DRAINS_PER_STEP: usize = 8;
+
+/// Drains machines reserved for GPU work on which only best-effort tasks run,
+/// all of which can save a checkpoint.
+///
+/// Guard: such tasks may run for minutes, one after another: the machine they
+/// keep up costs as much as if it were provisioned for them.
+pub fn drain_best_effort_machines(now: Millis, cluster: &mut ClusterState) {
+    let drained: Vec<MachineIndex> = (0..cluster.machines.len() as u32)
+        .map(MachineIndex)
+        .filter(|&index| holds_only_best_effort_work(cluster, index))
+        .take(DRAINS_PER_STEP)
+        .collect();
+    for index in drained {
+        let machine = cluster.machine(index);
+        tracing::info!(
+            machine = &*machine.id,
+            tasks = machine.load.assignments.len(),
+            "machine drained of best-effort work"
+        );
+        drain_machine(now, cluster, index, checkpoint_grace_s);
+    }
+}
+
+fn holds_only_best_effort_work(cluster: &ClusterState, index: MachineIndex) -> bool {
+    let machine = cluster.machine(index);
+    let is_reserved_for_gpu_work = cluster.snapshot.hosts.get(index.at()).is_some_and(|host| host.gpu_only);
+    let may_be_drained = machine.lifecycle == MachineLifecycle::Up && !machine.cordoned && machine.fenced();
+    if !is_reserved_for_gpu_work || !may_be_drained || machine.load.assignments.is_empty() {
+        return false;
+    }
+    machine.load.assignments.iter().all(|&assignment| {
+        let job = job_of(cluster, assignment);
+        job.is_some_and(|job| is_preemptible_best_effort(cluster, job))
+    })
+}
+
+fn is_preemptible_best_effort(cluster: &ClusterState, job: &Job) -> bool {
+    job.spec.checkpoint_s > 0.0 && job.spec.kind == Kind::Array && cluster.is_best_effort(job.spec.team)
+}
+
+/// Seconds that a task is given to save a checkpoint.
+fn checkpoint_grace_s(cluster: &ClusterState, assignment: AssignmentIndex) -> f64 {
+    job_of(cluster, assignment).map_or(0.0, |job| job.spec.save_s + SAVE_MARGIN_S)
+}
+
+fn job_of(cluster: &ClusterState, assignment: AssignmentIndex) -> Option<&Job> {
+    cluster.assignment(assignment).and_then(|assignment| cluster.job(assignment.job))
+}
--- /dev/null
+++ b/src/coordination/autoscaler/idle_timeout.rs
@@ -0,0 +1,40 @@
+//! How long idle machines are kept.
+
+use crate::coordination::{
+    cluster::ClusterState,
+    model::{Machine, MachineTypeSpec, Millis, Resources},
+    scheduler::{gpu_demand::GpuDemand, trial::SLOWEST_FETCH_GB_PER_S},
+};
+
+/// Idle machines are kept for this many times what provisioning them again takes.
+const IDLE_TIMEOUT_FACTOR: f64 = 1.4;
+/// GPU work is expected again for this long after it last arrived.
+const GPU_WORK_EXPECTED_MS: i64 = 90_000;
+
+/// Whether a machine has been idle for longer than it is kept.
+pub fn has_idle_timed_out(now: Millis, cluster: &ClusterState, gpu_demand: &GpuDemand, machine: &Machine) -> bool {
+    machine.load.idle_since.is_some_and(|since| now > since + idle_timeout_ms(now, cluster, gpu_demand, machine))
+}
+
+/// How long an idle machine is kept: the longer, the longer provisioning it again takes.
+fn idle_timeout_ms(now: Millis, cluster: &ClusterState, gpu_demand: &GpuDemand, machine: &Machine) -> Millis {
+    let startup_s =
+        cluster.type_of(machine).map_or(0.0, |machine_type| expected_startup_s(now, machine_type, gpu_demand));
+    cluster.config.idle_keep_ms.max((startup_s * IDLE_TIMEOUT_FACTOR * 1000.0) as Millis)
+}
+
+/// Seconds until a new machine of this type could run the work that is expected
+/// on it. On machines with GPUs, images take long to fetch, which counts while
+/// GPU work is expected.
+fn expected_startup_s(now: Millis, machine_type: &MachineTypeSpec, gpu_demand: &GpuDemand) -> f64 {
+    if machine_type.capacity.gpus <= 0.0 {
+        return machine_type.boot_s;
+    }
+    let expected = gpu_demand.shapes().iter().filter(|shape| {
+        shape.spec.allows_type(machine_type.index)
+            && Resources::of(&shape.spec).fits_in(&machine_type.capacity)
+            && now as i64 - shape.latest_arrival < GPU_WORK_EXPECTED_MS
+    });
+    let fetch_gb_per_s = machine_type.fetch_gb_per_s.max(SLOWEST_FETCH_GB_PER_S);
+    expected.map(|shape| machine_type.boot_s + shape.spec.image_gb / fetch_gb_per_s).fold(0.0, f64::max)
+}
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -1,10 +1,9 @@
-//! Machines become known by the cloud's list.
+//! The inventory: machines are discovered through the cloud's list.
 
-use super::Call;
 use crate::{
     coordination::{
-        effects::Effect,
-        leader::Leader,
+        cluster::ClusterState,
+        effects::{Effect, Outbox},
         model::{CallId, MachineLifecycle, Millis},
     },
     protocol::{
@@ -13,61 +12,109 @@
     },
 };
 
-/// Greatest age of a machine that is believed, in seconds.
-const AGE_MAX_S: f64 = 1e9;
+/// Largest plausible age of a machine, in seconds; larger values are clamped.
+const MACHINE_AGE_MAX_S: f64 = 1e9;
+/// The cloud counts as reachable for this long after its last answer.
+const REACHABLE_AFTER_ANSWER_MS: Millis = 5_000;
 
-impl Leader {
-    /// Asks for the next page of the list.
+/// Progress of the listing of all machines at the cloud, page by page.
+#[derive(Debug)]
+pub struct Inventory {
+    /// The call for a page that is not answered yet.
+    in_flight: Option<CallId>,
+    /// Name of the machine after which the next page begins; None: the first page.
+    next_page_after: Option<String>,
+    /// At least one page was received.
+    has_received_page: bool,
+    /// When the cloud last answered a listing.
+    last_answer_at: Millis,
+}
+
+impl Inventory {
+    /// The inventory of a new leadership, which has listed nothing yet.
+    pub fn new(now: Millis) -> Inventory {
+        Inventory { in_flight: None, next_page_after: None, has_received_page: false, last_answer_at: now }
+    }
+
+    /// Whether a page was requested and not answered yet.
+    pub fn is_listing(&self) -> bool {
+        self.in_flight.is_some()
+    }
+
+    /// Whether any of the machines held for us are known.
+    pub fn has_received_page(&self) -> bool {
+        self.has_received_page
+    }
+
+    /// Whether the cloud answered lately. If it did not, this controller may be
+    /// the one that is partitioned.
+    pub fn is_cloud_reachable(&self, now: Millis) -> bool {
+        self.last_answer_at + REACHABLE_AFTER_ANSWER_MS > now
+    }
+
+    /// Requests the next page of the list.
     ///
-    /// Guard: a page that failed is asked for again. Begun anew each time, a long
-    /// list never came to its end while rentals used up the cloud's limit.
-    pub fn list_machines(&mut self) {
-        let call = self.outbox.next_call();
-        self.autoscaler.calls.insert(call, Call::List);
-        let from = self.autoscaler.list_from.clone();
-        self.outbox.send(Effect::List { call, from });
+    /// Guard: a page that failed is requested again. When the list was restarted
+    /// from its beginning instead, a long one was never read to its end while
+    /// scale-out requests used up the cloud's rate limit.
+    pub fn request_page(&mut self, outbox: &mut Outbox) {
+        let call = outbox.next_call();
+        self.in_flight = Some(call);
+        outbox.send(Effect::List { call, from: self.next_page_after.clone() });
     }
 
-    /// How a listing ended. `None`: it failed.
-    pub fn listed(&mut self, now: Millis, call: CallId, list: Option<&HostList>, tables: &mut Tables) {
-        self.autoscaler.calls.remove(&call);
+    /// Takes in a page and requests the one after it, if any. `None`: the call failed.
+    pub fn page_received(
+        &mut self,
+        now: Millis,
+        call: CallId,
+        list: Option<&HostList>,
+        cluster: &mut ClusterState,
+        outbox: &mut Outbox,
+        tables: &mut Tables,
+    ) {
+        self.in_flight.take_if(|in_flight| *in_flight == call);
         let Some(list) = list else { return };
-        self.autoscaler.listed_once = true;
-        self.autoscaler.cloud_ok = now;
+        self.has_received_page = true;
+        self.last_answer_at = now;
         for host in &list.hosts {
-            self.apply_listed_host(now, host, tables);
+            reconcile_host(now, host, cluster, tables);
         }
         let last = list.hosts.last().filter(|_| list.truncated);
-        self.autoscaler.list_from = last.map(|host| host.id.clone());
-        if self.autoscaler.list_from.is_some() {
-            self.list_machines();
+        self.next_page_after = last.map(|host| host.id.clone());
+        if self.next_page_after.is_some() {
+            self.request_page(outbox);
         }
     }
+}
 
-    fn apply_listed_host(&mut self, now: Millis, host: &ListedHost, tables: &mut Tables) {
-        let zone = tables.zones.intern(&host.zone);
-        let is_known = self.cluster.machine_index.contains_key(&host.id);
-        let index = self.cluster.machine_named(now, &host.id, zone);
-        let machine = &mut self.cluster.machines[index.at()];
-        if machine.lifecycle == MachineLifecycle::Gone {
-            return; // lists lag
-        }
-        machine.zone = zone;
-        let listed_type = tables.types.intern(&host.machine_type);
-        machine.machine_type = machine.machine_type.or(Some(listed_type));
-        machine.spot = host.spot;
-        if let Some(addr) = &host.addr {
-            machine.addr = machine.addr.or(addr.parse().ok());
-        }
-        if !is_known {
-            let age_ms = (host.age_s.clamp(0.0, AGE_MAX_S) * 1000.0) as Millis;
-            machine.rented_at = now.saturating_sub(age_ms);
-            tracing::info!(machine = &*machine.id, state = ?host.state, "adopted from the list");
-        }
-        if host.state == HostState::Failed && machine.lifecycle != MachineLifecycle::Returning {
-            tracing::info!(machine = &*machine.id, "failed");
-            machine.lifecycle = MachineLifecycle::Returning;
-            machine.return_after = now;
-        }
+/// Updates the cluster state with what the cloud says of one machine.
+fn reconcile_host(now: Millis, host: &ListedHost, cluster: &mut ClusterState, tables: &mut Tables) {
+    let zone = tables.zones.intern(&host.zone);
+    let is_known = cluster.machine_index.contains_key(&host.id);
+    let index = cluster.machine_named(now, &host.id, zone);
+    let machine = &mut cluster.machines[index.at()];
+    if machine.lifecycle == MachineLifecycle::Gone {
+        return; // The list is older than the confirmed release.
     }
+    machine.zone = zone;
+    let listed_type = tables.types.intern(&host.machine_type);
+    machine.machine_type = machine.machine_type.or(Some(listed_type));
+    machine.spot = host.spot;
+    if let Some(addr) = &host.addr {
+        machine.addr = machine.addr.or(addr.parse().ok());
+    }
+    if !is_known {
+        machine.rented_at = now.saturating_sub(age_ms(host));
+        tracing::info!(machine = &*machine.id, state = ?host.state, "machine discovered");
+    }
+    if host.state == HostState::Failed && machine.lifecycle != MachineLifecycle::Returning {
+        tracing::info!(machine = &*machine.id, "machine failed");
+        machine.lifecycle = MachineLifecycle::Returning;
+        machine.return_after = now;
+    }
+}
+
+fn age_ms(host: &ListedHost) -> Millis {
+    (host.age_s.clamp(0.0, MACHINE_AGE_MAX_S) * 1000.0) as Millis
 }
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -1,174 +1,145 @@
-//! The autoscaler: what is rented for work that waits, and what is handed back.
+//! The autoscaler: provisions machines for unmet demand and releases those that
+//! are idle, failed or too expensive for what runs on them.
+//!
+//! [`Autoscaler`] runs its components at their intervals and routes the answers
+//! of the cloud to them:
+//!
+//! * `inventory`: lists the machines that the cloud holds for us;
+//! * `scale_out` (with `scale_out_plan`, `zone_demand`, `offer_selection`,
+//!   `offer_backoff` and `pending_capacity`): requests machines for unmet demand;
+//! * `scale_in` (with `release_policy`, `failure_detector`, `zone_health`,
+//!   `boot_delays` and `idle_timeout`): releases machines;
+//! * `consolidation` and `gpu_reclaim`: drain expensive machines, which scale-in
+//!   then releases.
 
+mod boot_delays;
 mod consolidation;
+mod drain;
+mod failure_detector;
+mod gpu_reclaim;
+mod idle_timeout;
+mod interval;
 mod inventory;
-mod offers;
+mod offer;
+mod offer_backoff;
+mod offer_selection;
 mod pending_capacity;
+mod release_policy;
 mod scale_in;
 mod scale_out;
-mod slow_boots;
+mod scale_out_plan;
+mod unmet_demand;
 mod zone_demand;
+mod zone_health;
 
-use std::collections::{HashMap, HashSet};
-
-use self::offers::Offer;
-use super::{
-    leader::Leader,
-    model::{CallId, MachineIndex, MachineTypeSpec, Millis, Resources},
+pub use self::scale_out::RentOutcome;
+use self::{
+    boot_delays::BootDelays, interval::Interval, inventory::Inventory, release_policy::ReleasePolicy,
+    scale_in::ScaleIn, scale_out::ScaleOut, zone_health::ZoneHealth,
 };
-use crate::protocol::{
-    cloud::RentRequest,
-    names::{MachineTypeIndex, Tables, ZoneIndex},
+use super::{
+    cluster::ClusterState,
+    effects::Outbox,
+    model::{CallId, Millis},
+    scheduler::gpu_demand::GpuDemand,
 };
+use crate::protocol::{cloud::HostList, names::Tables};
 
-/// Interval of decisions on rentals.
-const RENT_INTERVAL_MS: Millis = 250;
-/// Interval of listings of all machines at the cloud.
-const LIST_INTERVAL_MS: Millis = 2_500;
-/// Interval of decisions on returns.
-const RETURN_INTERVAL_MS: Millis = 400;
-/// Interval of decisions on consolidation.
+/// Interval of scale-out decisions.
+const SCALE_OUT_INTERVAL_MS: Millis = 250;
+/// Interval at which all machines are listed.
+const LISTING_INTERVAL_MS: Millis = 2_500;
+/// Interval of scale-in decisions.
+const SCALE_IN_INTERVAL_MS: Millis = 400;
+/// Interval of consolidation decisions.
 const CONSOLIDATION_INTERVAL_MS: Millis = 2_000;
 
-/// A call to the cloud that is not answered yet.
-#[derive(Debug)]
-enum Call {
-    Rent { offer: Offer, req: RentRequest },
-    Return(Vec<MachineIndex>),
-    List,
-}
-
-/// A rental request to be sent again.
-#[derive(Debug)]
-struct RentRetry {
-    offer: Offer,
-    req: RentRequest,
-    at: Millis,
-}
-
-/// An offer that the cloud had no capacity for.
-#[derive(Debug, Clone, Copy)]
-struct Backoff {
-    until: Millis,
-    /// How long the last wait was.
-    wait_ms: Millis,
-}
-
-/// What the leader keeps about renting and returning machines.
+/// Keeps the number and kinds of machines in line with demand.
 #[derive(Debug)]
 pub struct Autoscaler {
-    nonce: u64,
-    request_count: u64,
-    calls: HashMap<CallId, Call>,
-    /// Rental requests that went unanswered: sent again until it is known what
-    /// became of them.
-    retries: Vec<RentRetry>,
-    backoffs: HashMap<Offer, Backoff>,
-    /// Types whose machines come up late, as a rule, at present.
-    late_types: HashSet<MachineTypeIndex>,
-    next_list: Millis,
-    /// The machine after which the next page of the list begins; None: the list
-    /// begins anew.
-    list_from: Option<String>,
-    next_rent: Millis,
-    next_return: Millis,
-    next_consolidation: Millis,
-    /// All machines were listed at least once.
-    pub listed_once: bool,
-    /// Since when most machines of a zone have been heard from.
-    zone_heard_since: HashMap<ZoneIndex, Millis>,
-    /// When the cloud last answered.
-    pub cloud_ok: Millis,
-}
-
-/// How a rental request ended.
-#[derive(Debug)]
-pub enum RentOutcome {
-    /// Done; the names of the machines, which may be fewer than asked for.
-    Rented(Vec<String>),
-    /// The cloud has no machine of this type, zone and billing kind.
-    NoCapacity,
-    /// Not executed, or not known: the same request again.
-    Again,
-    /// The cloud rejects the request as malformed.
-    Malformed,
+    inventory: Inventory,
+    scale_out: ScaleOut,
+    scale_in: ScaleIn,
+    zone_health: ZoneHealth,
+    boot_delays: BootDelays,
+    listing_interval: Interval,
+    scale_out_interval: Interval,
+    scale_in_interval: Interval,
+    consolidation_interval: Interval,
 }
 
 impl Autoscaler {
-    /// The autoscaler of a leadership that has listed no machines yet.
+    /// The autoscaler of a new leadership, which has listed no machines yet.
+    /// `nonce` is a random number that no other leadership has.
     pub fn new(nonce: u64, now: Millis) -> Autoscaler {
         Autoscaler {
-            nonce,
-            request_count: 0,
-            calls: HashMap::new(),
-            retries: Vec::new(),
-            backoffs: HashMap::new(),
-            late_types: HashSet::new(),
-            next_list: now,
-            list_from: None,
-            next_rent: now,
-            next_return: now,
-            next_consolidation: now,
-            listed_once: false,
-            zone_heard_since: HashMap::new(),
-            cloud_ok: now,
+            inventory: Inventory::new(now),
+            scale_out: ScaleOut::new(nonce),
+            scale_in: ScaleIn::default(),
+            zone_health: ZoneHealth::default(),
+            boot_delays: BootDelays::default(),
+            listing_interval: Interval::starting_at(now, LISTING_INTERVAL_MS),
+            scale_out_interval: Interval::starting_at(now, SCALE_OUT_INTERVAL_MS),
+            scale_in_interval: Interval::starting_at(now, SCALE_IN_INTERVAL_MS),
+            consolidation_interval: Interval::starting_at(now, CONSOLIDATION_INTERVAL_MS),
         }
     }
 
-    /// Whether the cloud had no lack of this offer lately.
-    fn is_available(&self, now: Millis, offer: &Offer) -> bool {
-        self.backoffs.get(offer).is_none_or(|backoff| now >= backoff.until)
-    }
-
-    /// A name for a rental request. Names carry this leadership's random number:
-    /// no controller ever uses one twice.
-    fn next_request_name(&mut self) -> String {
-        self.request_count += 1;
-        format!("r-{:016x}-{}", self.nonce, self.request_count)
-    }
-}
-
-impl Leader {
-    /// Lists, returns, consolidates and rents machines, each at its interval.
-    pub fn autoscale(&mut self, now: Millis, tables: &Tables) {
-        let is_listing = self.autoscaler.calls.values().any(|call| matches!(call, Call::List));
-        if now >= self.autoscaler.next_list && !is_listing {
-            self.autoscaler.next_list = now + LIST_INTERVAL_MS;
-            self.list_machines();
+    /// Lists, releases, consolidates and provisions machines, each at its interval.
+    pub fn step(
+        &mut self,
+        now: Millis,
+        cluster: &mut ClusterState,
+        gpu_demand: &GpuDemand,
+        outbox: &mut Outbox,
+        tables: &Tables,
+    ) {
+        if !self.inventory.is_listing() && self.listing_interval.is_due(now) {
+            self.inventory.request_page(outbox);
         }
-        if now >= self.autoscaler.next_return {
-            self.autoscaler.next_return = now + RETURN_INTERVAL_MS;
-            self.note_zones(now);
-            self.note_late_types(now);
-            self.return_machines(now);
+        if self.scale_in_interval.is_due(now) {
+            self.scale_in(now, cluster, gpu_demand, outbox);
         }
-        self.note_crowding(now);
-        if now >= self.autoscaler.next_consolidation {
-            self.autoscaler.next_consolidation = now + CONSOLIDATION_INTERVAL_MS;
-            self.consolidate(now);
+        unmet_demand::record_unmet_demand(now, cluster);
+        if self.consolidation_interval.is_due(now) {
+            gpu_reclaim::drain_best_effort_machines(now, cluster);
+            consolidation::consolidate(now, cluster);
         }
-        if now >= self.autoscaler.next_rent {
-            self.autoscaler.next_rent = now + RENT_INTERVAL_MS;
-            self.rent(now, tables);
+        if self.scale_out_interval.is_due(now) {
+            self.scale_out.step(now, cluster, &self.inventory, outbox, tables);
         }
     }
-    /// Notes for which types work waits that keeps their machines from being
-    /// vacated.
-    ///
-    /// Guard: a team without a guarantee may have work waiting at all times. Once
-    /// it has begun, it would keep each machine from going back, however expensive; and
-    /// so would work that can't run on such a machine at all.
-    fn note_crowding(&mut self, now: Millis) {
-        let mut crowded_types: Vec<MachineTypeIndex> = Vec::new();
-        for unmet in &self.cluster.backlog.unmet {
-            let Some(job) = self.cluster.job(unmet.job) else { continue };
-            if job.tasks.placed > 0 && self.cluster.is_best_effort(job.spec.team) {
-                continue;
-            }
-            let need = Resources::of(&job.spec);
-            let usable = |known: &&MachineTypeSpec| job.spec.allows_type(known.index) && need.fits_in(&known.capacity);
-            crowded_types.extend(self.cluster.types.iter().filter(usable).map(|known| known.index));
-        }
-        self.cluster.backlog.record_waiting(now, crowded_types);
+
+    fn scale_in(&mut self, now: Millis, cluster: &mut ClusterState, gpu_demand: &GpuDemand, outbox: &mut Outbox) {
+        self.zone_health.update(now, cluster);
+        self.boot_delays.update(now, cluster);
+        let policy =
+            ReleasePolicy::new(now, cluster, &self.inventory, &self.zone_health, &self.boot_delays, gpu_demand);
+        let releases = policy.machines_to_release();
+        self.scale_in.release(now, releases, cluster, outbox);
+    }
+
+    /// A scale-out request ended.
+    pub fn scale_out_finished(&mut self, now: Millis, call: CallId, outcome: RentOutcome, cluster: &mut ClusterState) {
+        self.scale_out.finished(now, call, outcome, cluster);
+    }
+
+    /// A scale-in request ended. `is_released`: the cloud confirmed the release,
+    /// so the machines and everything on them are gone.
+    pub fn scale_in_finished(&mut self, now: Millis, call: CallId, is_released: bool, cluster: &mut ClusterState) {
+        self.scale_in.finished(now, call, is_released, cluster);
+    }
+
+    /// A page of the machine list arrived. `None`: the call failed.
+    pub fn listed(
+        &mut self,
+        now: Millis,
+        call: CallId,
+        list: Option<&HostList>,
+        cluster: &mut ClusterState,
+        outbox: &mut Outbox,
+        tables: &mut Tables,
+    ) {
+        self.inventory.page_received(now, call, list, cluster, outbox, tables);
     }
 }
--- a/src/coordination/autoscaler/pending_capacity.rs
+++ b/src/coordination/autoscaler/pending_capacity.rs
@@ -1,8 +1,11 @@
-//! Room on machines that are rented but not up yet.
+//! Capacity of machines that are requested or booting.
 
-use super::{Call, Offer};
+use super::{
+    boot_delays::is_boot_overdue,
+    offer::{Offer, OfferQuantity},
+};
 use crate::coordination::{
-    leader::Leader,
+    cluster::ClusterState,
     model::{MachineLifecycle, Millis, Resources, RESOURCE_TOLERANCE},
 };
 
@@ -11,9 +14,9 @@
     offer: Offer,
     /// Capacity of one of them.
     capacity: Resources,
-    /// Those of which nothing is allotted yet.
-    untouched: u32,
-    /// What is left of those on which tasks are counted.
+    /// Number of those of which nothing is allotted yet.
+    unallotted: u32,
+    /// Remaining capacity of those of which something is allotted.
     remainders: Vec<Resources>,
 }
 
@@ -22,20 +25,44 @@
 pub struct PendingCapacity(Vec<PendingMachines>);
 
 impl PendingCapacity {
-    pub fn add(&mut self, offer: Offer, capacity: Resources, count: u32) {
-        match self.0.iter_mut().find(|arriving| arriving.offer == offer) {
-            Some(arriving) => arriving.untouched += count,
-            None => self.0.push(PendingMachines { offer, capacity, untouched: count, remainders: Vec::new() }),
+    /// The capacity of all machines that are booting or `requested`.
+    pub fn new(now: Millis, cluster: &ClusterState, requested: &[OfferQuantity]) -> PendingCapacity {
+        let mut pending_capacity = PendingCapacity::default();
+        for machine in &cluster.machines {
+            if machine.lifecycle != MachineLifecycle::Booting || !machine.load.assignments.is_empty() {
+                continue;
+            }
+            let Some(machine_type) = cluster.type_of(machine) else { continue };
+            // A machine whose boot is overdue may never come up.
+            if !is_boot_overdue(now, machine, machine_type) {
+                let offer = Offer { machine_type: machine_type.index, zone: machine.zone, spot: machine.spot };
+                pending_capacity.add(offer, machine_type.capacity, 1);
+            }
+        }
+        for request in requested {
+            if let Some(machine_type) = request.offer.type_spec(&cluster.types) {
+                pending_capacity.add(request.offer, machine_type.capacity, request.machines);
+            }
+        }
+        pending_capacity
+    }
+
+    /// Adds machines of an offer, each of this capacity.
+    pub fn add(&mut self, offer: Offer, capacity: Resources, machines: u32) {
+        match self.0.iter_mut().find(|pending| pending.offer == offer) {
+            Some(pending) => pending.unallotted += machines,
+            None => self.0.push(PendingMachines { offer, capacity, unallotted: machines, remainders: Vec::new() }),
         }
     }
 
-    /// Room on them for tasks of this shape, counted up to `limit`.
-    pub fn room(&self, need: &Resources, limit: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
+    /// How many tasks of this shape fit on machines of the allowed offers,
+    /// counted up to `limit`.
+    pub fn count_fitting(&self, request: &Resources, limit: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
         let mut tasks = 0;
-        for arriving in self.0.iter().filter(|arriving| allows(&arriving.offer)) {
-            tasks += arriving.remainders.iter().map(|remainder| need.times_in(remainder)).sum::<u32>();
-            let on_untouched = need.times_in(&arriving.capacity).saturating_mul(arriving.untouched);
-            tasks = tasks.saturating_add(on_untouched).min(limit);
+        for pending in self.0.iter().filter(|pending| allows(&pending.offer)) {
+            tasks += pending.remainders.iter().map(|remainder| request.times_in(remainder)).sum::<u32>();
+            let on_unallotted = request.times_in(&pending.capacity).saturating_mul(pending.unallotted);
+            tasks = tasks.saturating_add(on_unallotted).min(limit);
             if tasks == limit {
                 break;
             }
@@ -43,66 +70,48 @@
         tasks
     }
 
-    /// Allots room to up to `tasks` tasks and returns how many found some.
-    pub fn allot(&mut self, need: &Resources, tasks: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
-        let mut left = tasks;
-        for arriving in self.0.iter_mut().filter(|arriving| allows(&arriving.offer)) {
-            left -= arriving.allot(need, left);
-            if left == 0 {
+    /// Allots capacity of the allowed offers to up to `tasks` tasks and returns
+    /// for how many there was enough.
+    pub fn allot(&mut self, request: &Resources, tasks: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
+        let mut unallotted_tasks = tasks;
+        for pending in self.0.iter_mut().filter(|pending| allows(&pending.offer)) {
+            unallotted_tasks -= pending.allot(request, unallotted_tasks);
+            if unallotted_tasks == 0 {
                 break;
             }
         }
-        tasks - left
+        tasks - unallotted_tasks
     }
 }
 
 impl PendingMachines {
-    fn allot(&mut self, need: &Resources, tasks: u32) -> u32 {
-        let mut left = tasks;
+    fn allot(&mut self, request: &Resources, tasks: u32) -> u32 {
+        let on_remainders = self.allot_remainders(request, tasks);
+        on_remainders + self.allot_whole_machines(request, tasks - on_remainders)
+    }
+
+    fn allot_remainders(&mut self, request: &Resources, tasks: u32) -> u32 {
+        let mut unallotted_tasks = tasks;
         for remainder in &mut self.remainders {
-            let count = need.times_in(remainder).min(left);
-            *remainder -= *need * f64::from(count);
-            left -= count;
+            let count = request.times_in(remainder).min(unallotted_tasks);
+            *remainder -= *request * f64::from(count);
+            unallotted_tasks -= count;
         }
-        let per_machine = need.times_in(&self.capacity);
-        while left > 0 && self.untouched > 0 && per_machine > 0 {
-            let count = per_machine.min(left);
-            self.untouched -= 1;
-            left -= count;
-            let remainder = self.capacity - *need * f64::from(count);
-            if remainder.cpus > RESOURCE_TOLERANCE {
-                self.remainders.push(remainder);
-            }
-        }
-        tasks - left
+        tasks - unallotted_tasks
     }
-}
 
-impl Leader {
-    /// All machines that are booting or asked for.
-    pub fn pending_capacity(&self, now: Millis) -> PendingCapacity {
-        let mut pending_capacity = PendingCapacity::default();
-        for machine in &self.cluster.machines {
-            if machine.lifecycle != MachineLifecycle::Booting || !machine.load.assignments.is_empty() {
-                continue;
-            }
-            let Some(machine_type) = self.cluster.type_of(machine) else { continue };
-            // A late machine is not counted on: it may never come.
-            if !self.is_late(now, machine, machine_type) {
-                let offer = Offer { machine_type: machine_type.index, zone: machine.zone, spot: machine.spot };
-                pending_capacity.add(offer, machine_type.capacity, 1);
-            }
-        }
-        let requested = self.autoscaler.calls.values().filter_map(|call| match call {
-            Call::Rent { offer, req } => Some((*offer, req.count)),
-            Call::Return(_) | Call::List => None,
-        });
-        let retried = self.autoscaler.retries.iter().map(|retry| (retry.offer, retry.req.count));
-        for (offer, count) in requested.chain(retried) {
-            if let Some(machine_type) = self.cluster.types.iter().find(|known| known.index == offer.machine_type) {
-                pending_capacity.add(offer, machine_type.capacity, count);
+    fn allot_whole_machines(&mut self, request: &Resources, tasks: u32) -> u32 {
+        let mut unallotted_tasks = tasks;
+        let per_machine = request.times_in(&self.capacity);
+        while unallotted_tasks > 0 && self.unallotted > 0 && per_machine > 0 {
+            let count = per_machine.min(unallotted_tasks);
+            self.unallotted -= 1;
+            unallotted_tasks -= count;
+            let remainder = self.capacity - *request * f64::from(count);
+            if remainder.cpus > RESOURCE_TOLERANCE {
+                self.remainders.push(remainder);
             }
         }
-        pending_capacity
+        tasks - unallotted_tasks
     }
 }
--- a/src/coordination/autoscaler/zone_demand.rs
+++ b/src/coordination/autoscaler/zone_demand.rs
@@ -1,61 +1,85 @@
-//! For how many tasks machines are wanted, zone by zone where it matters.
+//! Divides a job's unmet tasks among zones, where its zone rules demand it.
 
 use std::cmp::Reverse;
 
-use super::pending_capacity::PendingCapacity;
+use super::{offer::Offer, pending_capacity::PendingCapacity};
 use crate::{
-    coordination::{leader::Leader, model::Resources, snapshot::RoomKind},
+    coordination::{cluster::ClusterState, model::Resources, snapshot::RoomKind},
     protocol::{
         jobs::{JobSpec, Kind},
         names::ZoneIndex,
     },
 };
 
-/// Boot times vary widely: for replicas this many times the room that they need
-/// is ordered, so that the machines that come up first hold them all.
-const REPLICA_ROOM_FACTOR: u32 = 2;
+/// Boot times vary widely: for service replicas this many times the capacity
+/// that they need is requested, so that the machines that come up first hold
+/// them all.
+const SERVICE_OVERPROVISIONING: u32 = 2;
 
-/// Tasks for which machines are wanted, in any zone or in this one.
+/// Number of tasks for which machines are needed, in one zone or in any.
 pub struct ZoneDemand {
+    /// The zone; None: any.
     pub zone: Option<ZoneIndex>,
+    /// Number of tasks.
     pub tasks: u32,
 }
 
-/// What a zone has for a job that must be spread.
+/// The zones of a job.
+pub struct JobZones<'a> {
+    /// The cluster.
+    pub cluster: &'a ClusterState,
+    /// The job's specification.
+    pub spec: &'a JobSpec,
+    /// Number of the job's assignments by zone, if it restricts zones.
+    pub zone_used: &'a [u32],
+}
+
+/// Capacity of a zone for a job whose tasks must be spread over zones.
 struct SpreadZone {
     zone: ZoneIndex,
-    /// Tasks that the spread rule still allows there.
+    /// Number of tasks that the spread rule still allows there.
     limit: u32,
-    /// Tasks for which there is room, now or soon.
-    room: u32,
+    /// Number of tasks for which there is free capacity, now or soon.
+    free: u32,
+}
+
+/// Capacity of a zone for a job whose tasks must be in one zone.
+struct SingleZone {
+    zone: ZoneIndex,
+    /// Number of tasks for which there is free capacity, now or soon.
+    free: u32,
+    /// Number of tasks that fit on machines that are not up yet.
+    pending: u32,
+}
+
+impl SingleZone {
+    fn total(&self) -> u32 {
+        self.free + self.pending
+    }
 }
 
-impl Leader {
-    /// For how many tasks machines are wanted, zone by zone where it matters.
-    /// What is ordered beyond the job's need is left to other work.
+impl JobZones<'_> {
+    /// For how many of `tasks` unmet tasks machines are needed, zone by zone if
+    /// the job restricts zones. Capacity beyond the job's need is left to other jobs.
     ///
     /// Guard: a gang that must be spread over two zones, or that must be in one,
-    /// is not served by room in any zone: it would wait for ever, and more
-    /// machines would come where there is room already.
-    pub fn demand_by_zone(
-        &self,
-        spec: &JobSpec,
-        zone_used: &[u32],
-        tasks: u32,
-        pending_capacity: &PendingCapacity,
-    ) -> Vec<ZoneDemand> {
+    /// can't use free capacity of arbitrary zones: it would wait for ever, and
+    /// more machines would be requested where capacity is free already.
+    pub fn demand(&self, tasks: u32, pending_capacity: &PendingCapacity) -> Vec<ZoneDemand> {
+        let spec = self.spec;
         let is_one_zone_gang = spec.one_zone && spec.kind == Kind::Gang && tasks > 1;
         if spec.spread && !spec.one_zone {
-            self.spread_demand(spec, zone_used, tasks)
+            self.spread_demand(tasks)
         } else if spec.one_zone && (spec.spread || is_one_zone_gang) {
-            vec![self.one_zone_demand(spec, zone_used, tasks, pending_capacity)]
+            vec![self.single_zone_demand(tasks, pending_capacity)]
         } else {
-            vec![ZoneDemand { zone: None, tasks: tasks * room_factor(spec) }]
+            vec![ZoneDemand { zone: None, tasks: tasks * overprovisioning(spec) }]
         }
     }
 
     /// Zones of the machine types that the job may use, in the order of the types.
-    fn zones_for(&self, spec: &JobSpec) -> Vec<ZoneIndex> {
+    fn allowed_zones(&self) -> Vec<ZoneIndex> {
+        let spec = self.spec;
         let mut zones: Vec<ZoneIndex> = Vec::new();
         let allowed_types = self.cluster.types.iter().filter(|machine_type| spec.allows_type(machine_type.index));
         for zone in allowed_types.flat_map(|machine_type| machine_type.zones.iter().copied()) {
@@ -66,75 +90,77 @@
         zones
     }
 
-    /// Tasks for which a zone has room, counted up to `limit`: now, or once what
-    /// is being stopped is gone. What a started array or service could place
-    /// there now, it has placed.
-    fn room_in_zone(&self, spec: &JobSpec, zone: ZoneIndex, limit: u32) -> u32 {
-        if spec.kind != Kind::Gang {
+    /// Number of tasks, up to `limit`, for which a zone has free capacity: now, or
+    /// once the tasks that are being stopped are gone. Only gangs wait although
+    /// there is some: what an array or service could place there, it has placed.
+    fn free_in_zone(&self, zone: ZoneIndex, limit: u32) -> u32 {
+        if self.spec.kind != Kind::Gang {
             return 0;
         }
-        let need = Resources::of(spec);
-        let mut room = 0;
-        self.cluster.snapshot.candidates(spec, Some(zone), RoomKind::FreeOrStopping, |_, host, _| {
-            room = (room + need.times_in(&host.room(RoomKind::FreeOrStopping))).min(limit);
+        let request = Resources::of(self.spec);
+        let mut free = 0;
+        self.cluster.snapshot.candidates(self.spec, Some(zone), RoomKind::FreeOrStopping, |_, host, _| {
+            free = (free + request.times_in(&host.room(RoomKind::FreeOrStopping))).min(limit);
         });
-        room
+        free
     }
 
-    /// Everything goes to the zone that has, or will have, the most room.
-    fn one_zone_demand(
-        &self,
-        spec: &JobSpec,
-        zone_used: &[u32],
-        tasks: u32,
-        pending_capacity: &PendingCapacity,
-    ) -> ZoneDemand {
-        let need = Resources::of(spec);
-        let zones = self.zones_for(spec).into_iter().map(|zone| {
-            let room = self.room_in_zone(spec, zone, tasks);
-            let arriving =
-                pending_capacity.room(&need, tasks - room, |offer| offer.zone == zone && offer.allows(spec, zone_used));
-            (zone, room, arriving)
-        });
-        match zones.max_by_key(|(_, room, arriving)| room + arriving) {
-            Some((zone, room, arriving)) if room + arriving > 0 => ZoneDemand { zone: Some(zone), tasks: tasks - room },
+    /// All tasks go to the zone that has, or will have, the most capacity.
+    fn single_zone_demand(&self, tasks: u32, pending_capacity: &PendingCapacity) -> ZoneDemand {
+        let zones = self.allowed_zones().into_iter().map(|zone| self.single_zone(zone, tasks, pending_capacity));
+        match zones.max_by_key(SingleZone::total) {
+            Some(best) if best.total() > 0 => ZoneDemand { zone: Some(best.zone), tasks: tasks - best.free },
             _ => ZoneDemand { zone: None, tasks },
         }
     }
 
-    /// Each zone takes its part of what the spread rule allows; the emptier one
-    /// gets more.
-    fn spread_demand(&self, spec: &JobSpec, zone_used: &[u32], tasks: u32) -> Vec<ZoneDemand> {
-        let mut zones: Vec<SpreadZone> = self
-            .zones_for(spec)
-            .into_iter()
-            .map(|zone| {
-                let used = zone_used.get(zone.at()).copied().unwrap_or(0);
-                let limit = spec.zone_cap().saturating_sub(used);
-                SpreadZone { zone, limit, room: self.room_in_zone(spec, zone, tasks) }
-            })
-            .collect();
-        zones.sort_by_key(|zone| (Reverse(zone.room.min(zone.limit)), zone.zone));
-        let mut left = tasks;
+    fn single_zone(&self, zone: ZoneIndex, tasks: u32, pending_capacity: &PendingCapacity) -> SingleZone {
+        let free = self.free_in_zone(zone, tasks);
+        let allows = |offer: &Offer| offer.zone == zone && offer.allows(self.spec, self.zone_used);
+        let pending = pending_capacity.count_fitting(&Resources::of(self.spec), tasks - free, allows);
+        SingleZone { zone, free, pending }
+    }
+
+    /// Each zone gets its share within what the spread rule allows; those with
+    /// less free capacity get more machines.
+    fn spread_demand(&self, tasks: u32) -> Vec<ZoneDemand> {
+        let zones = self.spread_zones(tasks);
+        let mut undivided = tasks;
         let mut demands = Vec::new();
         for (position, zone) in zones.iter().enumerate() {
             // As even as the limits of the zones after it allow.
             let later_limits: u32 = zones[position + 1..].iter().map(|later| later.limit).sum();
-            let even = left.div_ceil((zones.len() - position) as u32);
-            let part = even.max(left.saturating_sub(later_limits)).max(zone.room.min(left)).min(zone.limit);
-            left -= part.min(left);
-            let missing = part.saturating_sub(zone.room) * room_factor(spec);
+            let even_share = undivided.div_ceil((zones.len() - position) as u32);
+            let share =
+                even_share.max(undivided.saturating_sub(later_limits)).max(zone.free.min(undivided)).min(zone.limit);
+            undivided -= share.min(undivided);
+            let missing = share.saturating_sub(zone.free) * overprovisioning(self.spec);
             if missing > 0 {
                 demands.push(ZoneDemand { zone: Some(zone.zone), tasks: missing });
             }
         }
         demands
     }
+
+    /// The allowed zones, those with the most usable free capacity first.
+    fn spread_zones(&self, tasks: u32) -> Vec<SpreadZone> {
+        let mut zones: Vec<SpreadZone> =
+            self.allowed_zones().into_iter().map(|zone| self.spread_zone(zone, tasks)).collect();
+        zones.sort_by_key(|zone| (Reverse(zone.free.min(zone.limit)), zone.zone));
+        zones
+    }
+
+    fn spread_zone(&self, zone: ZoneIndex, tasks: u32) -> SpreadZone {
+        let used = self.zone_used.get(zone.at()).copied().unwrap_or(0);
+        let limit = self.spec.zone_cap().saturating_sub(used);
+        SpreadZone { zone, limit, free: self.free_in_zone(zone, tasks) }
+    }
 }
 
-fn room_factor(spec: &JobSpec) -> u32 {
+/// How many times the capacity that the job needs is requested.
+fn overprovisioning(spec: &JobSpec) -> u32 {
     match spec.kind {
-        Kind::Service => REPLICA_ROOM_FACTOR,
+        Kind::Service => SERVICE_OVERPROVISIONING,
         Kind::Array | Kind::Gang => 1,
     }
 }
--- /dev/null
+++ b/src/coordination/autoscaler/zone_health.rs
@@ -0,0 +1,56 @@
+//! Which zones are reachable: most of their machines send heartbeats.
+
+use std::collections::HashMap;
+
+use super::failure_detector::{has_recent_contact, is_heartbeat_expected};
+use crate::{
+    coordination::{cluster::ClusterState, model::Millis},
+    protocol::names::ZoneIndex,
+};
+
+/// How many machines of a zone were in contact lately.
+#[derive(Default)]
+struct ContactCount {
+    recent: u32,
+    expected: u32,
+}
+
+impl ContactCount {
+    fn is_healthy(&self) -> bool {
+        self.recent * 2 >= self.expected
+    }
+}
+
+/// Since when each healthy zone has been so.
+#[derive(Debug, Default)]
+pub struct ZoneHealth {
+    healthy_since: HashMap<ZoneIndex, Millis>,
+}
+
+impl ZoneHealth {
+    /// Determines which zones are healthy: at least half of their machines that
+    /// should send heartbeats were in contact lately.
+    pub fn update(&mut self, now: Millis, cluster: &ClusterState) {
+        let mut zones: HashMap<ZoneIndex, ContactCount> = HashMap::new();
+        for machine in cluster.machines.iter().filter(|machine| is_heartbeat_expected(machine)) {
+            let count = zones.entry(machine.zone).or_default();
+            count.recent += u32::from(has_recent_contact(now, cluster, machine));
+            count.expected += 1;
+        }
+        for (zone, count) in zones {
+            if count.is_healthy() {
+                self.healthy_since.entry(zone).or_insert(now);
+            } else {
+                self.healthy_since.remove(&zone);
+            }
+        }
+    }
+
+    /// Whether a zone has been healthy for longer than the failure timeout.
+    ///
+    /// Guard: when a partition ends, or a leader is new, the machines are in
+    /// contact again one by one; the last of them have not failed.
+    pub fn is_stable(&self, now: Millis, zone: ZoneIndex, failure_timeout_ms: Millis) -> bool {
+        self.healthy_since.get(&zone).is_some_and(|since| now > since + failure_timeout_ms)
+    }
+}
--- a/src/coordination/cluster/backlog.rs
+++ b/src/coordination/cluster/backlog.rs
@@ -1,10 +1,11 @@
-//! Work that found no free capacity, and since when there has been none.
+//! Unmet demand: tasks without free capacity, and when there last were any.
 
 use std::collections::HashMap;
 
 use crate::{coordination::model::Millis, protocol::names::MachineTypeIndex, storage::job_cache::JobIndex};
 
-/// Machines are only vacated once no work has waited for capacity for this long.
+/// Unmet demand counts as recent for this long. Machines are only drained, or
+/// reserved for GPU work, without recent unmet demand.
 pub(in crate::coordination) const UNCROWDED_MS: Millis = 12_000;
 
 /// Tasks of a job that found no free capacity in the last scheduling cycle.
@@ -16,43 +17,44 @@
     pub tasks: u32,
 }
 
-/// Work that waits for capacity.
+/// Unmet demand of the last scheduling cycle, and when there last was any.
 #[derive(Debug)]
 pub(in crate::coordination) struct Backlog {
     /// When the leadership began.
-    began: Millis,
-    /// What found no free capacity in the last scheduling cycle, in the order of the cycle.
+    leader_since: Millis,
+    /// The unmet demand, in the order of the last scheduling cycle.
     pub unmet: Vec<UnmetDemand>,
-    /// When work last waited for capacity.
-    last_waiting: Millis,
-    /// The same of work that could run on machines of a type.
-    last_waiting_by_type: HashMap<MachineTypeIndex, Millis>,
+    /// When there last was demand that some machine type could have met.
+    last_unmet: Millis,
+    /// The same for each machine type that could have met it.
+    last_unmet_by_type: HashMap<MachineTypeIndex, Millis>,
 }
 
 impl Backlog {
-    /// Nothing has waited yet; a new leader has not seen what waits.
+    /// The backlog of a leadership that begins now. Since it doesn't know of
+    /// earlier demand, it assumes that there was some for all types.
     pub fn new(now: Millis) -> Backlog {
-        Backlog { began: now, unmet: Vec::new(), last_waiting: now, last_waiting_by_type: HashMap::new() }
+        Backlog { leader_since: now, unmet: Vec::new(), last_unmet: now, last_unmet_by_type: HashMap::new() }
     }
 
-    /// Work waits that could run on machines of these types.
-    pub fn record_waiting(&mut self, now: Millis, types: Vec<MachineTypeIndex>) {
+    /// There is unmet demand that machines of these types could meet.
+    pub fn record_unmet_for(&mut self, now: Millis, types: Vec<MachineTypeIndex>) {
         if !types.is_empty() {
-            self.last_waiting = now;
+            self.last_unmet = now;
         }
         for machine_type in types {
-            self.last_waiting_by_type.insert(machine_type, now);
+            self.last_unmet_by_type.insert(machine_type, now);
         }
     }
 
-    /// Whether any work waited for capacity lately.
+    /// Whether there was unmet demand lately that some machine type could meet.
     pub fn is_recent(&self, now: Millis) -> bool {
-        now < self.last_waiting + UNCROWDED_MS
+        now < self.last_unmet + UNCROWDED_MS
     }
 
-    /// Whether work that could run on machines of this type waited for capacity lately.
+    /// Whether there was unmet demand lately that machines of this type could meet.
     pub fn is_recent_for(&self, now: Millis, machine_type: MachineTypeIndex) -> bool {
-        let last_waiting = self.last_waiting_by_type.get(&machine_type).copied().unwrap_or(self.began);
-        now < last_waiting + UNCROWDED_MS
+        let last_unmet = self.last_unmet_by_type.get(&machine_type).copied().unwrap_or(self.leader_since);
+        now < last_unmet + UNCROWDED_MS
     }
 }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -9,6 +9,7 @@
 //! until something proves that the task is gone; a command that may still be
 //! on its way is fenced by a raised token; reaping follows the written end.
 
+mod cloud;
 mod loading;
 mod sweep;
 
