--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -7,7 +7,7 @@
 
 mod best_effort;
 mod cycle;
-mod gpu_demand;
+pub mod gpu_demand;
 pub mod headroom;
 mod infeasible;
 mod preemption;
