--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -12,6 +12,7 @@
 mod cloud;
 mod loading;
 mod sweep;
+mod worker_events;
 
 use super::{
     autoscaler::Autoscaler,
@@ -106,7 +107,7 @@
 
     /// The time in which no other controller renewed any lease.
     pub fn set_no_peer_renewals(&mut self, span: TimeSpan) {
-        self.workers.no_peer_renewals = span;
+        self.workers.set_no_peer_renewals(span);
     }
 
     /// The cloud's machine types were read again: prices change.
