--- a/src/controller/election_driver.rs
+++ b/src/controller/election_driver.rs
@@ -12,23 +12,11 @@
         election::{Action, Election},
         model::{Millis, Term},
     },
-    protocol::{
-        ids::Revision,
-        store::{Condition, Op, Txn},
-    },
+    protocol::ids::Revision,
     storage::records::{self, LeaderRecord},
     transport::{http::status::BAD_REQUEST, Net},
 };
 
-/// Writes a key that is attached to a grant, if its revision is as expected.
-pub fn write_granted_key(key: String, record: &LeaderRecord, grant: u64, expected_revision: Revision) -> StoreRequest {
-    let transaction = Txn {
-        conditions: vec![Condition { key: key.clone(), revision: expected_revision }],
-        writes: vec![Op::Put { key, v: records::to_value(record), permit: Some(grant) }],
-    };
-    StoreRequest::transaction(&transaction, STORE_TIMEOUT_MS)
-}
-
 /// This controller's part in the election, and its grant for the leader's key.
 #[derive(Debug)]
 pub struct ElectionDriver {
@@ -69,7 +57,8 @@
             }
             Action::Claim { permit, expect } => {
                 let record = self.election.record(permit);
-                let request = write_granted_key(records::LEADER.into(), &record, permit, expect);
+                let request =
+                    StoreRequest::write_granted_key(records::LEADER.into(), &record, permit, expect, STORE_TIMEOUT_MS);
                 client.budgets().charge_commits(now, 1);
                 client.send_to_store(net, PendingCall::Election(ElectionCall::ClaimKey), request);
             }
--- a/src/controller/instance/replies.rs
+++ b/src/controller/instance/replies.rs
@@ -4,6 +4,7 @@
 use crate::{
     controller::{
         leader_key_watch::KeyObservers,
+        role::Role,
         service_client::{CallResult, JobsCall, PendingCall},
     },
     coordination::model::{Millis, Term},
@@ -62,7 +63,8 @@
             JobsCall::Page { is_first } => self.jobs.page_received(now, is_first, result, &mut self.names),
             JobsCall::Watch { sent } => {
                 let applied = self.apply_job_changes(sent, result);
-                self.jobs.watch_ended(now, applied, self.leadership.leader().is_some());
+                let role = Role::from_leading(self.leadership.leader().is_some());
+                self.jobs.watch_ended(now, applied, role);
             }
             JobsCall::LeaderSync { term, sent } => self.leader_jobs_synced(now, term, sent, result),
             JobsCall::ReadBarrier { sent } => {
--- a/src/controller/instance/tick.rs
+++ b/src/controller/instance/tick.rs
@@ -5,6 +5,7 @@
     controller::{
         leadership::{leader_config, PeerView},
         peers::LocalState,
+        role::Role,
     },
     coordination::{lease_renewal::TimeSpan, model::Millis},
     transport::Net,
@@ -48,7 +49,7 @@
     fn lead(&mut self, net: &mut Net) {
         let now = net.now();
         let leading = self.election.leading(now);
-        self.set_budget_shares(now, leading.is_some());
+        self.set_budget_shares(now, Role::from_leading(leading.is_some()));
         self.leadership.end_unless_held(self.election.holds_key());
         let Some(term) = leading else { return };
         if self.machine_types.is_empty() || !self.jobs.cache().loaded() {
@@ -76,8 +77,8 @@
     }
 
     /// Sets this controller's shares of the limits, unless they are up to date.
-    pub(super) fn set_budget_shares(&mut self, now: Millis, leading: bool) {
-        self.client.budgets().set_shares(now, leading, &self.peers.recent_usage(now));
+    pub(super) fn set_budget_shares(&mut self, now: Millis, role: Role) {
+        self.client.budgets().set_shares(now, role, &self.peers.recent_usage(now));
     }
 
     /// Sends gossip when it is due, then sets the budgets anew.
@@ -98,7 +99,7 @@
         };
         if self.peers.gossip_if_due(net, now, local_state) {
             self.client.budgets().invalidate_shares();
-            self.set_budget_shares(now, leading);
+            self.set_budget_shares(now, Role::from_leading(leading));
         }
     }
 }
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -2,6 +2,7 @@
 
 use super::{
     poll_schedule::PollSchedule,
+    role::Role,
     service_client::{
         body, status, CallResult, JobsCall, PendingCall, ServiceClient, StoreRequest, PAGE_TIMEOUT_MS, WATCH_GRACE_MS,
     },
@@ -105,11 +106,11 @@
     }
 
     /// The watch of the changes ended; `applied`: its changes are in the cache.
-    pub fn watch_ended(&mut self, now: Millis, applied: bool, is_leader: bool) {
-        let gap_ms = match (applied, is_leader) {
-            (false, _) => RETRY_MS,
-            (true, true) => LEADER_WATCH_GAP_MS,
-            (true, false) => FOLLOWER_WATCH_GAP_MS,
+    pub fn watch_ended(&mut self, now: Millis, applied: bool, role: Role) {
+        let gap_ms = match role {
+            _ if !applied => RETRY_MS,
+            Role::Leader => LEADER_WATCH_GAP_MS,
+            Role::Follower => FOLLOWER_WATCH_GAP_MS,
         };
         self.watch.end_until(now + gap_ms);
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -27,6 +27,7 @@
 mod peers;
 mod poll_schedule;
 mod renewal_key;
+mod role;
 mod run;
 mod service_client;
 mod store_health;
--- a/src/controller/renewal_key.rs
+++ b/src/controller/renewal_key.rs
@@ -4,7 +4,6 @@
 use ciborium::Value;
 
 use super::{
-    election_driver::write_granted_key,
     identity::Identity,
     service_client::{
         applied_revision, grant_id, grant_renewed, status, CallResult, PendingCall, RenewalKeyCall, ServiceClient,
@@ -63,7 +62,7 @@
             Action::Register { permit, expect } => {
                 let nonce = self.right.mark(self.identity.nonce).unwrap_or(self.identity.nonce);
                 let record = LeaderRecord { label: self.identity.label.clone(), nonce };
-                let request = write_granted_key(self.key(), &record, permit, expect);
+                let request = StoreRequest::write_granted_key(self.key(), &record, permit, expect, STORE_TIMEOUT_MS);
                 client.budgets().charge_commits(now, 1);
                 client.send_to_store(net, PendingCall::RenewalKey(RenewalKeyCall::WriteKey), request);
             }
--- a/src/controller/service_client/budgets.rs
+++ b/src/controller/service_client/budgets.rs
@@ -1,6 +1,7 @@
 //! This controller's shares of the outside services' rate limits.
 
 use crate::{
+    controller::role::Role,
     coordination::model::Millis,
     protocol::settings::{CloudLimits, LimitPhase, StateLimits, StateRates},
     storage::budget::{share, Budget, BudgetRole, Urgency},
@@ -60,9 +61,8 @@
     limits: StateLimits,
     /// Which of these limits hold, as far as the store's answers show.
     phase: LimitPhase,
-    /// Whether this controller was leading when the shares were set; None: they
-    /// must be set anew.
-    set_while_leading: Option<bool>,
+    /// This controller's role when the shares were set; None: they must be set anew.
+    set_for_role: Option<Role>,
 }
 
 impl Budgets {
@@ -75,7 +75,7 @@
             cloud: Budget::new(cloud.rps * CLOUD_SHARE, cloud.rps * CLOUD_BURST_S),
             limits: limits.clone(),
             phase: LimitPhase::Current,
-            set_while_leading: None,
+            set_for_role: None,
         }
     }
 
@@ -160,7 +160,7 @@
 
     /// The shares are to be set anew, as what others use may have changed.
     pub fn invalidate_shares(&mut self) {
-        self.set_while_leading = None;
+        self.set_for_role = None;
     }
 
     /// An answer showed that the limits which were announced have taken effect.
@@ -175,16 +175,19 @@
 
     /// Sets the shares by need, unless they are up to date: what the peers say they
     /// use is left to them. None: a peer was not heard lately.
-    pub fn set_shares(&mut self, now: Millis, leading: bool, peers: &[Option<Usage>]) {
-        if self.set_while_leading == Some(leading) {
+    pub fn set_shares(&mut self, now: Millis, role: Role, peers: &[Option<Usage>]) {
+        if self.set_for_role == Some(role) {
             return;
         }
-        self.set_while_leading = Some(leading);
+        self.set_for_role = Some(role);
         let rates = self.limits.rates(self.phase);
         let users = BudgetRole::Users(peers.len() + 1);
         let used = |of: fn(Usage) -> f64| -> Vec<Option<f64>> { peers.iter().map(|peer| peer.map(of)).collect() };
 
-        let reader = if leading { BudgetRole::Leader } else { users };
+        let (reader, read_burst_s) = match role {
+            Role::Leader => (BudgetRole::Leader, LEADER_READ_BURST_S),
+            Role::Follower => (users, FOLLOWER_READ_BURST_S),
+        };
         let reads = share(rates.requests, reader, &used(|peer| peer.reads));
 
         let mut others = used(|peer| peer.writes + peer.commits);
@@ -195,7 +198,6 @@
         others.push(Some(self.writes.used(now)));
         let commits = share(rates.writes, BudgetRole::Leader, &others);
 
-        let read_burst_s = if leading { LEADER_READ_BURST_S } else { FOLLOWER_READ_BURST_S };
         self.reads.set(reads, rates.requests * read_burst_s);
         self.writes.set(writes, (rates.writes * WRITE_BURST_S).max(MIN_WRITE_BURST));
         self.commits.set(commits, (rates.writes * COMMIT_BURST_S).max(MIN_WRITE_BURST));
--- a/src/controller/service_client/requests.rs
+++ b/src/controller/service_client/requests.rs
@@ -6,8 +6,9 @@
     protocol::{
         cbor,
         ids::Revision,
-        store::{GrantRequest, Txn},
+        store::{Condition, GrantRequest, Op, Txn},
     },
+    storage::records::{self, LeaderRecord},
     transport::Method,
 };
 
@@ -54,6 +55,21 @@
         StoreRequest::post("/multi".into(), cbor::encode(transaction), timeout_ms)
     }
 
+    /// Writes a key that is attached to a grant, if its revision is as expected.
+    pub fn write_granted_key(
+        key: String,
+        record: &LeaderRecord,
+        grant: u64,
+        expected_revision: Revision,
+        timeout_ms: u64,
+    ) -> StoreRequest {
+        let transaction = Txn {
+            conditions: vec![Condition { key: key.clone(), revision: expected_revision }],
+            writes: vec![Op::Put { key, v: records::to_value(record), permit: Some(grant) }],
+        };
+        StoreRequest::transaction(&transaction, timeout_ms)
+    }
+
     /// Asks for a grant that lasts `ttl_ms` unless it is renewed.
     pub fn create_grant(ttl_ms: u64, timeout_ms: u64) -> StoreRequest {
         StoreRequest::post("/grants".into(), cbor::encode(&GrantRequest { ttl_ms }), timeout_ms)
--- a/src/controller/tests/budgets.rs
+++ b/src/controller/tests/budgets.rs
@@ -1,5 +1,9 @@
 use super::{Budgets, Usage};
-use crate::protocol::settings::{tests::SAMPLE, Settings};
+use crate::{
+    controller::role::Role,
+    protocol::settings::{tests::SAMPLE, Settings},
+    storage::budget::Urgency,
+};
 
 fn budgets() -> Budgets {
     let settings = Settings::parse(SAMPLE, "x.toml").unwrap();
@@ -10,15 +14,15 @@
 #[test]
 fn shares_are_set_anew_when_leading_or_use_changes() {
     let mut budgets = budgets();
-    budgets.set_shares(1_000, false, &[]);
+    budgets.set_shares(1_000, Role::Follower, &[]);
     assert_eq!(budgets.reads.burst(), 20.0, "a follower's burst");
-    budgets.set_shares(1_000, true, &[]);
+    budgets.set_shares(1_000, Role::Leader, &[]);
     assert_eq!(budgets.reads.burst(), 50.0, "a leader's burst");
     budgets.reads.set(1.0, 1.0);
-    budgets.set_shares(1_000, true, &[]);
+    budgets.set_shares(1_000, Role::Leader, &[]);
     assert_eq!(budgets.reads.burst(), 1.0, "up to date");
     budgets.invalidate_shares();
-    budgets.set_shares(1_000, true, &[]);
+    budgets.set_shares(1_000, Role::Leader, &[]);
     assert_eq!(budgets.reads.burst(), 50.0, "invalidated");
 }
 
@@ -27,10 +31,10 @@
 fn peers_that_use_more_leave_less() {
     let reads_after_a_second = |peers: &[Option<Usage>]| {
         let mut budgets = budgets();
-        budgets.set_shares(0, true, peers);
+        budgets.set_shares(0, Role::Leader, peers);
         // The bucket is emptied, so that only the rate fills it again.
         budgets.record_refused_read(0);
-        budgets.reads.available(500, crate::storage::budget::Urgency::Cancel)
+        budgets.reads.available(500, Urgency::Cancel)
     };
     let idle = Usage::default();
     let busy = Usage { reads: 40.0, ..Usage::default() };
@@ -42,9 +46,8 @@
 /// A user's write takes a request only if there is a write too.
 #[test]
 fn a_refused_write_takes_no_request() {
-    use crate::storage::budget::Urgency;
     let mut budgets = budgets();
-    budgets.set_shares(0, false, &[]);
+    budgets.set_shares(0, Role::Follower, &[]);
     budgets.record_refused_write(0);
     let before = budgets.reads.available(0, Urgency::Cancel);
     assert!(budgets.take_user_write(0, Urgency::Cancel).is_err());
--- a/src/controller/tests/instance.rs
+++ b/src/controller/tests/instance.rs
@@ -2,6 +2,7 @@
 use crate::{
     controller::{
         leadership::leader_config,
+        role::Role,
         service_client::{LeaderCall, PendingCall, VersionCall},
         store_health::StoreHealth,
         test_support::{answered, new_net},
@@ -37,11 +38,11 @@
         let mut controller = new_controller(&text, &mut net);
         let config = leader_config(&controller.cluster, &controller.operator, &mut controller.names);
         assert_eq!((config.txn_ops, config.value_fit), if has_next { (4, 2_048) } else { (24, 16_384) });
-        controller.set_budget_shares(1_000, true);
+        controller.set_budget_shares(1_000, Role::Leader);
         assert_eq!(controller.client.budgets().commit_burst(), before);
         for _ in 0..2 {
             controller.record_store_reply(1_000, &answered(status));
-            controller.set_budget_shares(1_000, true);
+            controller.set_budget_shares(1_000, Role::Leader);
             assert_eq!(controller.client.budgets().commit_burst(), after, "{has_next} {status}");
         }
     }
--- a/src/controller/tests/job_watch.rs
+++ b/src/controller/tests/job_watch.rs
@@ -35,25 +35,25 @@
 
     assert_eq!(refresh(&mut jobs, 300).as_deref(), Some("Jobs(Watch { sent: 300 })"));
     assert!(!jobs.apply_changes(&answered(GONE), &mut names) && !jobs.cache().loaded());
-    jobs.watch_ended(400, false, false);
+    jobs.watch_ended(400, false, Role::Follower);
     assert_eq!(refresh(&mut jobs, 400).as_deref(), Some("Jobs(Page { is_first: true })"));
 }
 
 /// The pause after a watch depends on who watches and on its success.
 #[test]
 fn leaders_watch_again_at_once() {
-    // (applied, leading, pause)
+    // (applied, role, pause)
     let cases = [
-        (true, true, LEADER_WATCH_GAP_MS),
-        (true, false, FOLLOWER_WATCH_GAP_MS),
-        (false, true, RETRY_MS),
-        (false, false, RETRY_MS),
+        (true, Role::Leader, LEADER_WATCH_GAP_MS),
+        (true, Role::Follower, FOLLOWER_WATCH_GAP_MS),
+        (false, Role::Leader, RETRY_MS),
+        (false, Role::Follower, RETRY_MS),
     ];
-    for (applied, leading, pause_ms) in cases {
+    for (applied, role, pause_ms) in cases {
         let mut jobs = JobWatch::default();
         jobs.watch.begin();
-        jobs.watch_ended(1_000, applied, leading);
-        assert!(!jobs.watch.is_due(1_000 + pause_ms - 1) && jobs.watch.is_due(1_000 + pause_ms), "{applied} {leading}");
+        jobs.watch_ended(1_000, applied, role);
+        assert!(!jobs.watch.is_due(1_000 + pause_ms - 1) && jobs.watch.is_due(1_000 + pause_ms), "{applied} {role:?}");
         jobs.watch_now(1_000);
         assert!(jobs.watch.is_due(1_000));
     }
--- a/src/controller/tests/support.rs
+++ b/src/controller/tests/support.rs
@@ -4,7 +4,7 @@
 
 use super::{
     identity::Identity,
-    service_client::{CallResult, PendingCall, ServiceClient},
+    service_client::{CallResult, ServiceClient},
 };
 use crate::{
     protocol::{
@@ -44,20 +44,17 @@
     Ok(Reply { status: 200, body: cbor::encode(body), close: false })
 }
 
-/// Takes the calls that were sent, in their order, as their `Debug` form.
+/// Takes the calls that a client sent, in their order.
 #[derive(Default)]
 pub(super) struct SentCalls {
     taken: u64,
 }
 
 impl SentCalls {
-    pub(super) fn next(&mut self, client: &mut ServiceClient) -> Option<PendingCall> {
+    /// The `Debug` form of the next call; None: no more were sent.
+    pub(super) fn next_debug(&mut self, client: &mut ServiceClient) -> Option<String> {
         let pending = client.take_pending(self.taken + 1)?;
         self.taken += 1;
-        Some(pending)
-    }
-
-    pub(super) fn next_debug(&mut self, client: &mut ServiceClient) -> Option<String> {
-        self.next(client).map(|pending| format!("{pending:?}"))
+        Some(format!("{pending:?}"))
     }
 }
