--- a/src/coordination/autoscaler/consolidation.rs
+++ b/src/coordination/autoscaler/consolidation.rs
@@ -21,8 +21,8 @@
 /// replicas would cost on the cheapest machines for them: a move interrupts each
 /// of them.
 const PRICE_FACTOR: f64 = 3.0;
-/// A new leader consolidates nothing for this many times [`UNCROWDED_MS`].
-const START_DELAY_FACTOR: Millis = 4;
+/// A new leader consolidates nothing for this long.
+const START_DELAY_MS: Millis = 4 * UNCROWDED_MS;
 /// Most machines tried in one step.
 const CANDIDATES_PER_STEP: usize = 4;
 
@@ -55,15 +55,15 @@
 
 /// Whether there was no unmet demand lately, and no machine is being drained.
 fn may_consolidate(now: Millis, cluster: &ClusterState) -> bool {
-    let is_starting = now < cluster.started + START_DELAY_FACTOR * UNCROWDED_MS;
+    let is_starting = now < cluster.started + START_DELAY_MS;
     let is_draining = |machine: &Machine| machine.cordoned && !machine.load.assignments.is_empty();
     !cluster.backlog.is_recent(now) && !is_starting && !cluster.machines.iter().any(is_draining)
 }
 
 /// Machines that may be drained, the most expensive first.
 fn candidates(now: Millis, cluster: &ClusterState) -> Vec<Candidate> {
-    let rated = cluster.machines.iter().enumerate().filter(|(_, machine)| may_be_drained(now, cluster, machine));
-    let mut candidates: Vec<Candidate> = rated
+    let drainable = cluster.machines.iter().enumerate().filter(|(_, machine)| may_be_drained(now, cluster, machine));
+    let mut candidates: Vec<Candidate> = drainable
         .map(|(n, machine)| Candidate {
             machine: MachineIndex(n as u32),
             price_per_hour: price_per_hour(cluster, machine),
--- a/src/coordination/autoscaler/failure_detector.rs
+++ b/src/coordination/autoscaler/failure_detector.rs
@@ -6,7 +6,10 @@
 
 use std::collections::HashMap;
 
-use super::zone_health::ZoneHealth;
+use super::{
+    contact::{has_recent_contact, is_heartbeat_expected, is_suspected, last_contact_or_start},
+    zone_health::ZoneHealth,
+};
 use crate::{
     coordination::{
         cluster::ClusterState,
@@ -15,8 +18,6 @@
     protocol::names::ZoneIndex,
 };
 
-/// Unanswered probes in a row after which a machine is suspected.
-const FAILED_PROBES_LIMIT: u32 = 2;
 /// Slack, besides a quarter of the interval, after which a heartbeat was due.
 const HEARTBEAT_DUE_SLACK_MS: Millis = 100;
 /// A machine without others in its zone is suspected for this many times as long
@@ -162,33 +163,6 @@
     }
 }
 
-/// Whether a machine's worker should send heartbeats: it did, or it holds tasks
-/// that an earlier leader assigned.
-pub fn is_heartbeat_expected(machine: &Machine) -> bool {
-    machine.lifecycle == MachineLifecycle::Up || machine.is_inherited_unheard()
-}
-
-/// Whether a machine was in contact within two heartbeat intervals.
-pub fn has_recent_contact(now: Millis, cluster: &ClusterState, machine: &Machine) -> bool {
-    let last_contact = machine.heartbeats.last_contact;
-    last_contact.is_some_and(|contact| now < contact + 2 * cluster.config.heartbeat_interval_ms)
-}
-
-/// Whether a machine is suspected of having failed: its heartbeat is overdue for
-/// longer than the failure timeout, or its probes went unanswered.
-fn is_suspected(now: Millis, cluster: &ClusterState, machine: &Machine) -> bool {
-    let is_overdue = now > last_contact_or_start(cluster, machine) + cluster.config.silent_ms
-        || machine.heartbeats.failed_probes >= FAILED_PROBES_LIMIT;
-    let sends_heartbeats = match machine.lifecycle {
-        MachineLifecycle::Gone => false,
-        MachineLifecycle::Booting => machine.is_inherited_unheard(),
-        MachineLifecycle::Up | MachineLifecycle::Returning => true,
-    };
-    is_overdue && sends_heartbeats
-}
-
-/// When a machine was last in contact. One that this leader had no contact with
-/// yet could have sent a heartbeat within an interval of the leader's start.
-fn last_contact_or_start(cluster: &ClusterState, machine: &Machine) -> Millis {
-    machine.heartbeats.last_contact.unwrap_or(cluster.started + cluster.config.heartbeat_interval_ms)
-}
+#[cfg(test)]
+#[path = "tests/failure_detector.rs"]
+mod tests;
--- a/src/coordination/autoscaler/interval.rs
+++ b/src/coordination/autoscaler/interval.rs
@@ -24,3 +24,7 @@
         true
     }
 }
+
+#[cfg(test)]
+#[path = "tests/interval.rs"]
+mod tests;
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -7,13 +7,14 @@
 //! * `inventory`: lists the machines that the cloud holds for us;
 //! * `scale_out` (with `scale_out_plan`, `zone_demand`, `offer_selection`,
 //!   `offer_backoff` and `pending_capacity`): requests machines for unmet demand;
-//! * `scale_in` (with `release_policy`, `failure_detector`, `zone_health`,
+//! * `scale_in` (with `scale_in_policy`, `failure_detector`, `contact`, `zone_health`,
 //!   `boot_delays` and `idle_timeout`): releases machines;
 //! * `consolidation` and `gpu_reclaim`: drain expensive machines, which scale-in
 //!   then releases.
 
 mod boot_delays;
 mod consolidation;
+mod contact;
 mod drain;
 mod failure_detector;
 mod gpu_reclaim;
@@ -24,8 +25,8 @@
 mod offer_backoff;
 mod offer_selection;
 mod pending_capacity;
-mod release_policy;
 mod scale_in;
+mod scale_in_policy;
 mod scale_out;
 mod scale_out_plan;
 mod unmet_demand;
@@ -34,8 +35,8 @@
 
 pub use self::scale_out::RentOutcome;
 use self::{
-    boot_delays::BootDelays, interval::Interval, inventory::Inventory, release_policy::ReleasePolicy,
-    scale_in::ScaleIn, scale_out::ScaleOut, zone_health::ZoneHealth,
+    boot_delays::BootDelays, interval::Interval, inventory::Inventory, scale_in::ScaleIn,
+    scale_in_policy::ScaleInPolicy, scale_out::ScaleOut, zone_health::ZoneHealth,
 };
 use super::{
     cluster::ClusterState,
@@ -114,9 +115,9 @@
         self.zone_health.update(now, cluster);
         self.boot_delays.update(now, cluster);
         let policy =
-            ReleasePolicy::new(now, cluster, &self.inventory, &self.zone_health, &self.boot_delays, gpu_demand);
-        let releases = policy.machines_to_release();
-        self.scale_in.release(now, releases, cluster, outbox);
+            ScaleInPolicy::new(now, cluster, &self.inventory, &self.zone_health, &self.boot_delays, gpu_demand);
+        let decisions = policy.machines_to_release();
+        self.scale_in.release(now, decisions, cluster, outbox);
     }
 
     /// A scale-out request ended.
--- a/src/coordination/autoscaler/offer_backoff.rs
+++ b/src/coordination/autoscaler/offer_backoff.rs
@@ -54,3 +54,7 @@
         self.0.insert(offer, Backoff { until: now + wait_ms, wait_ms });
     }
 }
+
+#[cfg(test)]
+#[path = "tests/offer_backoff.rs"]
+mod tests;
--- a/src/coordination/autoscaler/pending_capacity.rs
+++ b/src/coordination/autoscaler/pending_capacity.rs
@@ -115,3 +115,7 @@
         tasks - unallotted_tasks
     }
 }
+
+#[cfg(test)]
+#[path = "tests/pending_capacity.rs"]
+mod tests;
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use super::release_policy::Release;
+use super::scale_in_policy::ScaleInDecision;
 use crate::coordination::{
     cluster::ClusterState,
     effects::{Effect, Outbox},
@@ -22,16 +22,22 @@
 }
 
 impl ScaleIn {
-    /// Requests the release of these machines, in one call.
-    pub fn release(&mut self, now: Millis, releases: Vec<Release>, cluster: &mut ClusterState, outbox: &mut Outbox) {
-        if releases.is_empty() {
+    /// Requests the release of the machines decided on, in one call.
+    pub fn release(
+        &mut self,
+        now: Millis,
+        decisions: Vec<ScaleInDecision>,
+        cluster: &mut ClusterState,
+        outbox: &mut Outbox,
+    ) {
+        if decisions.is_empty() {
             return;
         }
-        for release in &releases {
-            mark_releasing(now, release, cluster);
+        for decision in &decisions {
+            mark_releasing(now, decision, cluster);
         }
         let call = outbox.next_call();
-        let machines: Vec<MachineIndex> = releases.into_iter().map(|release| release.machine).collect();
+        let machines: Vec<MachineIndex> = decisions.into_iter().map(|decision| decision.machine).collect();
         let ids = machines.iter().map(|&index| cluster.machine(index).id.clone()).collect();
         self.in_flight.insert(call, machines);
         outbox.send(Effect::Return { call, ids });
@@ -51,19 +57,19 @@
     }
 }
 
-fn mark_releasing(now: Millis, release: &Release, cluster: &mut ClusterState) {
-    let machine = &mut cluster.machines[release.machine.at()];
+fn mark_releasing(now: Millis, decision: &ScaleInDecision, cluster: &mut ClusterState) {
+    let machine = &mut cluster.machines[decision.machine.at()];
     if machine.lifecycle != MachineLifecycle::Returning {
         tracing::info!(
             machine = &*machine.id,
-            reason = %release.reason,
+            reason = %decision.reason,
             tasks = machine.load.assignments.len(),
             "scale-in requested"
         );
     }
     machine.lifecycle = MachineLifecycle::Returning;
     machine.return_after = now + UNCONFIRMED_RETRY_DELAY_MS;
-    cluster.refresh(now, release.machine);
+    cluster.refresh(now, decision.machine);
 }
 
 /// A released machine and everything on it are gone.
--- a/src/coordination/autoscaler/release_policy.rs
+++ b/src/coordination/autoscaler/scale_in_policy.rs
@@ -17,7 +17,7 @@
 
 /// Why a machine is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReleaseReason {
+pub enum ScaleInReason {
     /// Its release was requested before, and is not confirmed.
     Unconfirmed,
     /// It sends no heartbeats any more.
@@ -32,29 +32,29 @@
     Idle,
 }
 
-impl fmt::Display for ReleaseReason {
+impl fmt::Display for ScaleInReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ReleaseReason::Unconfirmed => "unconfirmed",
-            ReleaseReason::Failed => "failed",
-            ReleaseReason::BootTimeout => "boot_timeout",
-            ReleaseReason::Unreachable => "unreachable",
-            ReleaseReason::Cordoned => "cordoned",
-            ReleaseReason::Idle => "idle",
+            ScaleInReason::Unconfirmed => "unconfirmed",
+            ScaleInReason::Failed => "failed",
+            ScaleInReason::BootTimeout => "boot_timeout",
+            ScaleInReason::Unreachable => "unreachable",
+            ScaleInReason::Cordoned => "cordoned",
+            ScaleInReason::Idle => "idle",
         })
     }
 }
 
-/// A machine to be released.
-pub struct Release {
+/// A machine to be released, and why.
+pub struct ScaleInDecision {
     /// The machine.
     pub machine: MachineIndex,
     /// Why it is released.
-    pub reason: ReleaseReason,
+    pub reason: ScaleInReason,
 }
 
 /// Decides at one moment which machines are released.
-pub struct ReleasePolicy<'a> {
+pub struct ScaleInPolicy<'a> {
     now: Millis,
     cluster: &'a ClusterState,
     failure_detector: FailureDetector<'a>,
@@ -62,7 +62,7 @@
     gpu_demand: &'a GpuDemand,
 }
 
-impl<'a> ReleasePolicy<'a> {
+impl<'a> ScaleInPolicy<'a> {
     /// The policy in view of what is known at present.
     pub fn new(
         now: Millis,
@@ -71,53 +71,53 @@
         zone_health: &'a ZoneHealth,
         boot_delays: &'a BootDelays,
         gpu_demand: &'a GpuDemand,
-    ) -> ReleasePolicy<'a> {
+    ) -> ScaleInPolicy<'a> {
         let is_cloud_reachable = inventory.is_cloud_reachable(now);
         let failure_detector = FailureDetector::new(now, cluster, zone_health, is_cloud_reachable);
-        ReleasePolicy { now, cluster, failure_detector, boot_delays, gpu_demand }
+        ScaleInPolicy { now, cluster, failure_detector, boot_delays, gpu_demand }
     }
 
     /// The machines to be released now, at most as many as one call may release.
-    pub fn machines_to_release(&self) -> Vec<Release> {
+    pub fn machines_to_release(&self) -> Vec<ScaleInDecision> {
         let indices = (0..self.cluster.machines.len() as u32).map(MachineIndex);
-        let releases = indices.filter_map(|machine| {
+        let decisions = indices.filter_map(|machine| {
             let reason = self.reason_to_release(machine)?;
-            Some(Release { machine, reason })
+            Some(ScaleInDecision { machine, reason })
         });
-        releases.take(MACHINES_RELEASED_PER_CALL).collect()
+        decisions.take(MACHINES_RELEASED_PER_CALL).collect()
     }
 
-    fn reason_to_release(&self, index: MachineIndex) -> Option<ReleaseReason> {
+    fn reason_to_release(&self, index: MachineIndex) -> Option<ScaleInReason> {
         let machine = self.cluster.machine(index);
         if self.now < machine.return_after {
             return None;
         }
         match machine.lifecycle {
             MachineLifecycle::Gone => None,
-            MachineLifecycle::Returning => Some(ReleaseReason::Unconfirmed),
+            MachineLifecycle::Returning => Some(ScaleInReason::Unconfirmed),
             MachineLifecycle::Booting if machine.is_inherited_unheard() => {
-                self.failure_detector.has_failed(machine).then_some(ReleaseReason::Failed)
+                self.failure_detector.has_failed(machine).then_some(ScaleInReason::Failed)
             }
             MachineLifecycle::Booting => {
                 let has_timed_out = self.boot_delays.has_boot_timed_out(self.now, self.cluster, index);
-                has_timed_out.then_some(ReleaseReason::BootTimeout)
+                has_timed_out.then_some(ScaleInReason::BootTimeout)
             }
             MachineLifecycle::Up => self.reason_to_release_running(machine),
         }
     }
 
-    fn reason_to_release_running(&self, machine: &Machine) -> Option<ReleaseReason> {
+    fn reason_to_release_running(&self, machine: &Machine) -> Option<ScaleInReason> {
         if self.failure_detector.has_failed(machine) {
-            Some(ReleaseReason::Failed)
+            Some(ScaleInReason::Failed)
         } else if self.failure_detector.is_unreachable(machine) {
-            Some(ReleaseReason::Unreachable)
+            Some(ScaleInReason::Unreachable)
         } else if !machine.load.assignments.is_empty() {
             None
         } else if machine.cordoned {
-            Some(ReleaseReason::Cordoned)
+            Some(ScaleInReason::Cordoned)
         } else {
             let has_timed_out = has_idle_timed_out(self.now, self.cluster, self.gpu_demand, machine);
-            has_timed_out.then_some(ReleaseReason::Idle)
+            has_timed_out.then_some(ScaleInReason::Idle)
         }
     }
 }
--- /dev/null
+++ b/src/coordination/autoscaler/tests/interval.rs
@@ -0,0 +1,12 @@
+use super::*;
+
+#[test]
+fn is_due_once_per_interval() {
+    let mut interval = Interval::starting_at(1_000, 250);
+    assert!(!interval.is_due(999));
+    assert!(interval.is_due(1_000));
+    assert!(!interval.is_due(1_249));
+    assert!(interval.is_due(1_300), "late");
+    assert!(!interval.is_due(1_549), "the next one counts from the late one");
+    assert!(interval.is_due(1_550));
+}
--- a/src/coordination/autoscaler/zone_health.rs
+++ b/src/coordination/autoscaler/zone_health.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use super::failure_detector::{has_recent_contact, is_heartbeat_expected};
+use super::contact::{has_recent_contact, is_heartbeat_expected};
 use crate::{
     coordination::{cluster::ClusterState, model::Millis},
     protocol::names::ZoneIndex,
