--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -11,6 +11,7 @@
 
 mod loading;
 mod sweep;
+mod worker_events;
 
 use super::{
     autoscaler::Autoscaler,
@@ -90,7 +91,7 @@
 
     /// The time in which no other controller renewed any lease.
     pub fn set_no_peer_renewals(&mut self, span: TimeSpan) {
-        self.workers.no_peer_renewals = span;
+        self.workers.set_no_peer_renewals(span);
     }
 
     /// The cloud's machine types were read again: prices change.
--- a/src/coordination/leader/sweep.rs
+++ b/src/coordination/leader/sweep.rs
@@ -1,7 +1,10 @@
 //! Regular checks for what only time tells, and the summary for the logs.
 
 use super::Leader;
-use crate::coordination::model::{MachineIndex, MachineLifecycle, Millis, Resources};
+use crate::coordination::{
+    model::{MachineIndex, MachineLifecycle, Millis, Resources},
+    workers::probes,
+};
 
 /// Interval of the checks: short against leases and heartbeat interval.
 const SWEEP_MS: Millis = 250;
@@ -23,12 +26,12 @@
             if self.cluster.machines[n].lifecycle == MachineLifecycle::Gone {
                 continue;
             }
-            self.expire_lease(now, index);
-            self.probe_if_overdue(now, index);
+            self.workers.expire_lease(&mut self.cluster, now, index);
+            probes::probe_if_overdue(&mut self.cluster, &mut self.outbox, now, index);
             self.note_idle(now, index);
             self.cluster.refresh(now, index);
         }
-        self.judge_failures(now);
+        self.workers.attribute_failures(&mut self.cluster, now);
         if now >= self.next_summary {
             self.next_summary = now + SUMMARY_MS;
             self.log_summary();
--- /dev/null
+++ b/src/coordination/leader/worker_events.rs
@@ -0,0 +1,80 @@
+//! Events of workers, handed to the components that control them.
+
+use super::Leader;
+use crate::{
+    coordination::{
+        effects::{DirectCallOutcome, HeartbeatOutcome},
+        model::{CallId, MachineIndex, Millis},
+        workers::{
+            direct_calls,
+            heartbeats::{self, HeartbeatContext},
+            probes,
+        },
+    },
+    protocol::{names::Tables, workers::Heartbeat},
+    storage::job_cache::JobCache,
+};
+
+impl Leader {
+    /// Processes a heartbeat that a worker sent periodically.
+    pub fn heartbeat(
+        &mut self,
+        now: Millis,
+        heartbeat: &Heartbeat,
+        job_cache: &JobCache,
+        tables: &mut Tables,
+    ) -> HeartbeatOutcome {
+        let mut context = HeartbeatContext { now, job_cache, tables };
+        self.workers.heartbeat(&mut self.cluster, &mut context, heartbeat)
+    }
+
+    /// Records that the response made for a machine's latest heartbeat is not sent
+    /// after all.
+    pub fn response_not_sent(&mut self, machine: &str) {
+        heartbeats::response_not_sent(&mut self.cluster, machine);
+    }
+
+    /// Whether a task may be on the machine, or on its way there.
+    pub fn may_hold_tasks(&self, heartbeat: &Heartbeat) -> bool {
+        heartbeats::may_hold_tasks(&self.cluster, heartbeat)
+    }
+
+    /// Sends new commands directly to the workers that may need some.
+    pub fn dispatch_commands(&mut self, now: Millis) {
+        direct_calls::dispatch(&mut self.cluster, &mut self.outbox, now);
+    }
+
+    /// Processes the outcome of a direct call. False: a worker showed a higher token
+    /// than ours; another controller leads.
+    pub fn direct_call_result(
+        &mut self,
+        now: Millis,
+        index: MachineIndex,
+        call: CallId,
+        outcome: DirectCallOutcome,
+        job_cache: &JobCache,
+        tables: &mut Tables,
+    ) -> bool {
+        let mut context = HeartbeatContext { now, job_cache, tables };
+        direct_calls::complete(&mut self.cluster, &mut context, index, call, outcome).is_ok()
+    }
+
+    /// Processes the outcome of a probe. `None`: it went unanswered.
+    pub fn probed(
+        &mut self,
+        now: Millis,
+        index: MachineIndex,
+        heartbeat: Option<&Heartbeat>,
+        job_cache: &JobCache,
+        tables: &mut Tables,
+    ) {
+        let mut context = HeartbeatContext { now, job_cache, tables };
+        probes::complete(&mut self.cluster, &mut context, index, heartbeat);
+    }
+
+    /// Whether hardly any of the workers that should send heartbeats have reached
+    /// this controller in the last `for_ms`.
+    pub fn is_unreached(&self, now: Millis, for_ms: Millis) -> bool {
+        self.workers.is_unreached(&self.cluster, now, for_ms)
+    }
+}
--- a/src/coordination/model/machine.rs
+++ b/src/coordination/model/machine.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use super::{AssignmentIndex, DirectCall, Millis, UnreapedExit};
+use super::{AssignmentIndex, CallId, DirectCall, Millis, UnreapedExit};
 use crate::{
     protocol::{
-        ids::{FencingToken, Incarnation, SequenceNumber},
+        ids::{Attempt, FencingToken, Incarnation, SequenceNumber},
         names::{MachineTypeIndex, ZoneIndex},
     },
     storage::job_cache::JobIndex,
@@ -14,81 +14,249 @@
 /// Where a machine is between its rental and its return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineLifecycle {
-    /// Rented or listed; its worker has not reported yet.
+    /// Rented or listed; its worker has sent no heartbeat yet.
     Booting,
-    /// Its worker has reported.
+    /// Its worker has sent a heartbeat.
     Up,
-    /// Being handed back.
+    /// Its release was requested from the cloud.
     Returning,
-    /// The cloud said that it is gone.
+    /// The cloud confirmed that it no longer exists.
     Gone,
 }
 
-/// After this many reports in a row that show no sign of our answers, a
+/// After this many heartbeats in a row that do not acknowledge our responses, a
 /// machine counts as unable to receive them.
 const UNACKNOWLEDGED_HEARTBEAT_LIMIT: u32 = 3;
 
-/// A failed task, noted at the machine on which it failed.
+/// A failed task, recorded at the machine on which it failed.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskFailure {
     /// The job of the task.
     pub job: JobIndex,
-    /// When the leader heard of the failure.
+    /// When the leader learned of the failure.
     pub at: Millis,
-    /// The job ran well elsewhere, so the machine is to blame.
+    /// The job runs well on other machines, so this machine is at fault.
     pub job_is_sound: bool,
 }
 
-/// Fencing token of a machine, and what its worker has shown of it.
+/// Fencing token of a machine, and which tokens its worker has acknowledged.
 #[derive(Debug)]
 pub struct Fence {
-    /// The token that commands to it carry now.
+    /// The token that commands to the machine carry now.
     pub token: FencingToken,
-    /// A task's absence or end proves something only once the worker has shown
-    /// at least this token.
-    pub fence_token: FencingToken,
-    /// The highest token that the worker has shown.
-    pub seen_token: FencingToken,
-    /// A heartbeat of it was answered since the fence was last raised.
-    pub answered_since_fence: bool,
-    /// Heartbeats since then that show no sign of an answer.
+    /// Consecutive heartbeats that do not acknowledge the fence, though a response
+    /// that carried it was sent.
     pub unacknowledged_heartbeats: u32,
-    /// When the last such report was counted; 0: never.
-    pub last_unacknowledged_at: Millis,
+    /// The absence or the end of a task proves something only once the worker has
+    /// acknowledged at least this token.
+    required_token: FencingToken,
+    /// The highest token that the worker has acknowledged.
+    acknowledged_token: FencingToken,
+    /// A heartbeat was answered since the fence was last raised.
+    answered_since_raised: bool,
+    /// When the last unacknowledged heartbeat was counted; 0: never.
+    last_unacknowledged_at: Millis,
 }
 
-/// Which heartbeats of a machine were heard, and its lease.
+impl Fence {
+    fn new(token: FencingToken) -> Fence {
+        Fence {
+            token,
+            unacknowledged_heartbeats: 0,
+            required_token: token,
+            acknowledged_token: FencingToken::NONE,
+            answered_since_raised: false,
+            last_unacknowledged_at: 0,
+        }
+    }
+
+    /// Raises the token above that of any command sent so far.
+    pub fn raise_token(&mut self) {
+        self.token = self.token.next();
+    }
+
+    /// Raises the token and requires the worker to acknowledge it, so that no
+    /// command sent so far can take effect afterwards.
+    pub fn raise(&mut self) {
+        self.raise_token();
+        self.required_token = self.token;
+        self.answered_since_raised = false;
+    }
+
+    /// Records the token that a heartbeat, a command's response or a probe's
+    /// response carries.
+    pub fn record_acknowledged_token(&mut self, token: FencingToken) {
+        self.acknowledged_token = self.acknowledged_token.max(token);
+    }
+
+    /// Counts a heartbeat as acknowledging our earlier responses or not, before it
+    /// is answered. `min_gap_ms`: heartbeats that follow a counted one within this
+    /// time are not counted.
+    ///
+    /// Guard: a worker that receives a response shows its token in the next
+    /// heartbeat. One that never does can't be sent any command. Heartbeats that a
+    /// network partition held back come together and count once.
+    pub fn count_acknowledgement(&mut self, now: Millis, token: FencingToken, min_gap_ms: Millis) {
+        if token >= self.required_token {
+            self.unacknowledged_heartbeats = 0;
+        } else if self.answered_since_raised && now >= self.last_unacknowledged_at + min_gap_ms {
+            self.unacknowledged_heartbeats += 1;
+            self.last_unacknowledged_at = now;
+        }
+        self.answered_since_raised = true;
+    }
+
+    /// The response to the last heartbeat is not sent after all: that the worker
+    /// never acknowledges it means nothing.
+    pub fn response_not_sent(&mut self) {
+        self.answered_since_raised = false;
+    }
+
+    fn is_acknowledged(&self) -> bool {
+        self.acknowledged_token >= self.required_token
+    }
+}
+
+/// Which heartbeats of a machine were received, its lease, and its probes.
 #[derive(Debug)]
 pub struct HeartbeatState {
-    /// The latest incarnation of its worker, and the latest report in that incarnation.
+    /// The latest incarnation of its worker.
     pub incarnation: Incarnation,
-    /// Number of the latest report of the incarnation.
-    pub sequence: SequenceNumber,
-    /// Heartbeats of incarnations up to this one are too old to mean anything.
+    /// Heartbeats of incarnations up to this one are stale: their lease expired.
     pub expired_incarnation: Incarnation,
-    /// When its last heartbeat came, sent by itself or as the answer to a call.
+    /// When its last heartbeat came, sent periodically or in response to a call.
     pub last_contact: Option<Millis>,
-    /// When the last heartbeat that it sent by itself came.
+    /// When its last periodic heartbeat came.
     pub last_heartbeat: Option<Millis>,
     /// When the last 200 was sent to one of its heartbeats, by any leader.
     pub lease_renewed: Millis,
-    /// A probe is in flight.
-    pub probing: bool,
-    /// Probes in a row that went unanswered.
+    /// Consecutive probes that went unanswered.
     pub failed_probes: u32,
+    /// Number of the latest heartbeat within the incarnation.
+    sequence: SequenceNumber,
+    /// A probe is in flight.
+    probe_in_flight: bool,
 }
 
-/// Commands to a machine that may still be on their way, and exits to be reaped.
+impl HeartbeatState {
+    fn new(now: Millis) -> HeartbeatState {
+        HeartbeatState {
+            incarnation: Incarnation::NONE,
+            expired_incarnation: Incarnation::NONE,
+            last_contact: None,
+            last_heartbeat: None,
+            lease_renewed: now,
+            failed_probes: 0,
+            sequence: SequenceNumber::default(),
+            probe_in_flight: false,
+        }
+    }
+
+    /// Whether a heartbeat with these numbers is newer than the latest one.
+    pub fn is_outdated_by(&self, incarnation: Incarnation, sequence: SequenceNumber) -> bool {
+        (incarnation, sequence) > (self.incarnation, self.sequence)
+    }
+
+    /// Whether the lease of this incarnation is known to have expired.
+    pub fn is_expired(&self, incarnation: Incarnation) -> bool {
+        incarnation <= self.expired_incarnation
+    }
+
+    /// Records a heartbeat, periodic or in response to a call.
+    pub fn record_contact(&mut self, now: Millis, sequence: SequenceNumber) {
+        self.sequence = sequence;
+        self.last_contact = Some(now);
+        self.failed_probes = 0;
+    }
+
+    /// Begins a new incarnation and returns the previous one.
+    ///
+    /// Guard: the new incarnation has a lease of its own, from its beginning on,
+    /// also where only the response to a probe or a command tells of it.
+    pub fn begin_incarnation(&mut self, now: Millis, incarnation: Incarnation) -> Incarnation {
+        self.lease_renewed = self.lease_renewed.max(now);
+        std::mem::replace(&mut self.incarnation, incarnation)
+    }
+
+    /// Records that the lease of the worker expired in its latest incarnation, and
+    /// in `last_assigned`, the latest one that tasks were assigned to.
+    pub fn expire(&mut self, last_assigned: Incarnation) {
+        self.expired_incarnation = self.expired_incarnation.max(self.incarnation).max(last_assigned);
+    }
+
+    /// Whether the last heartbeat of any kind came at most `max_age_ms` ago.
+    pub fn contacted_within(&self, now: Millis, max_age_ms: Millis) -> bool {
+        self.last_contact.is_some_and(|contact| now <= contact + max_age_ms)
+    }
+
+    /// Whether the last periodic heartbeat came at most `max_age_ms` ago.
+    pub fn heartbeat_within(&self, now: Millis, max_age_ms: Millis) -> bool {
+        self.last_heartbeat.is_some_and(|heartbeat| now <= heartbeat + max_age_ms)
+    }
+
+    /// Whether a probe is in flight.
+    pub fn is_probing(&self) -> bool {
+        self.probe_in_flight
+    }
+
+    /// A probe is sent.
+    pub fn begin_probe(&mut self) {
+        self.probe_in_flight = true;
+    }
+
+    /// The probe in flight was answered, or timed out.
+    pub fn end_probe(&mut self) {
+        self.probe_in_flight = false;
+    }
+}
+
+/// Commands to a machine that may still be in flight, and exits to be reaped.
 #[derive(Debug)]
 pub struct CommandState {
-    /// Ended tasks that its worker still lists.
+    /// Exited tasks that its worker still lists.
     pub unreaped_exits: Vec<UnreapedExit>,
-    /// The direct command that is not answered yet, if any.
+    /// The direct call in flight, if any.
     pub direct_call: Option<DirectCall>,
     /// No direct call is made before.
-    pub direct_call_after: Millis,
-    /// The answer to its last heartbeat carried launches, and no report came since.
-    pub launch_in_answer: bool,
+    direct_call_after: Millis,
+    /// The response to its last heartbeat carried launches, and no heartbeat came since.
+    launch_in_response: bool,
+}
+
+impl CommandState {
+    fn new() -> CommandState {
+        CommandState { unreaped_exits: Vec::new(), direct_call: None, direct_call_after: 0, launch_in_response: false }
+    }
+
+    /// Until when direct calls are paused; in the past: they are not.
+    pub fn direct_call_after(&self) -> Millis {
+        self.direct_call_after
+    }
+
+    /// Makes no direct call before `until`.
+    pub fn pause_direct_calls(&mut self, until: Millis) {
+        self.direct_call_after = until;
+    }
+
+    /// Ends the direct call in flight if it has this number.
+    pub fn end_direct_call(&mut self, id: CallId) -> Option<DirectCall> {
+        self.direct_call.take_if(|call| call.id == id)
+    }
+
+    /// Records whether the response to the last heartbeat may still deliver launches.
+    pub fn set_launch_in_response(&mut self, launch_in_response: bool) {
+        self.launch_in_response = launch_in_response;
+    }
+
+    /// Whether the response to the last heartbeat may still deliver launches.
+    pub fn has_launch_in_response(&self) -> bool {
+        self.launch_in_response
+    }
+
+    /// Whether this attempt is among the exits to be reaped.
+    pub fn is_unreaped(&self, task: &str, attempt: Attempt) -> bool {
+        self.unreaped_exits.iter().any(|exit| exit.task == task && exit.attempt == attempt)
+    }
 }
 
 /// What is, or may be, on a machine.
@@ -104,6 +272,12 @@
     pub gpu_idle_since: Option<Millis>,
 }
 
+impl MachineLoad {
+    fn new() -> MachineLoad {
+        MachineLoad { assignments: Vec::new(), gpu_assignments: 0, idle_since: None, gpu_idle_since: None }
+    }
+}
+
 /// One machine, rented or inherited from an earlier leader.
 #[derive(Debug)]
 pub struct Machine {
@@ -119,25 +293,26 @@
     pub spot: bool,
     /// Where it is between its rental and its return.
     pub lifecycle: MachineLifecycle,
-    /// Which heartbeats of a machine were heard, and its lease.
+    /// Which of its heartbeats were received, its lease, and its probes.
     pub heartbeats: HeartbeatState,
-    /// Fencing token of a machine, and what its worker has shown of it.
+    /// Its fencing token, and which tokens its worker has acknowledged.
     pub fence: Fence,
-    /// When a spot machine with a notice will be taken away; None: no notice.
+    /// When a spot machine with an interruption notice will be taken away; None:
+    /// no notice.
     pub spot_notice_until: Option<Millis>,
-    /// What is, or may be, on a machine.
+    /// What is, or may be, on it.
     pub load: MachineLoad,
-    /// Commands to a machine that may still be on their way, and exits to be reaped.
+    /// Commands to it that may still be in flight, and exits to be reaped.
     pub commands: CommandState,
     /// When it was rented, or first listed or heard of.
     pub rented_at: Millis,
-    /// When its worker first reported to this leader; None: it has not.
+    /// When its worker first sent this leader a heartbeat; None: it has not.
     pub up_at: Option<Millis>,
     /// No new tasks are assigned to it before.
     pub avoid_until: Millis,
     /// Tasks that failed here lately, one entry per job.
     pub recent_failures: Vec<TaskFailure>,
-    /// To be emptied and handed back.
+    /// It gets no new tasks and is released once it is empty.
     pub cordoned: bool,
     /// Its return is not requested before.
     pub return_after: Millis,
@@ -153,32 +328,11 @@
             zone,
             spot: false,
             lifecycle: MachineLifecycle::Booting,
-            heartbeats: HeartbeatState {
-                incarnation: Incarnation::NONE,
-                sequence: SequenceNumber::default(),
-                expired_incarnation: Incarnation::NONE,
-                last_contact: None,
-                last_heartbeat: None,
-                lease_renewed: now,
-                probing: false,
-                failed_probes: 0,
-            },
-            fence: Fence {
-                token,
-                fence_token: token,
-                seen_token: FencingToken::NONE,
-                answered_since_fence: false,
-                unacknowledged_heartbeats: 0,
-                last_unacknowledged_at: 0,
-            },
+            heartbeats: HeartbeatState::new(now),
+            fence: Fence::new(token),
             spot_notice_until: None,
-            load: MachineLoad { assignments: Vec::new(), gpu_assignments: 0, idle_since: None, gpu_idle_since: None },
-            commands: CommandState {
-                unreaped_exits: Vec::new(),
-                direct_call: None,
-                direct_call_after: 0,
-                launch_in_answer: false,
-            },
+            load: MachineLoad::new(),
+            commands: CommandState::new(),
             rented_at: now,
             up_at: None,
             avoid_until: 0,
@@ -188,29 +342,24 @@
         }
     }
 
-    /// Its reports arrive, but our answers don't reach it.
+    /// Its heartbeats arrive, but our responses don't reach it.
     pub fn is_unreachable(&self) -> bool {
         self.fence.unacknowledged_heartbeats >= UNACKNOWLEDGED_HEARTBEAT_LIMIT
     }
 
     /// No command sent before the fence was raised can still take effect.
     pub fn fenced(&self) -> bool {
-        self.fence.seen_token >= self.fence.fence_token
+        self.fence.is_acknowledged()
     }
 
-    /// No command with a launch can still be on its way: what its worker lists,
-    /// or doesn't, is final.
-    pub fn has_no_command_in_flight(&self) -> bool {
-        self.fenced() && self.commands.direct_call.is_none() && !self.commands.launch_in_answer
+    /// No command with a launch can still be in flight: what its worker lists, or
+    /// doesn't, is final.
+    pub fn has_no_launch_in_flight(&self) -> bool {
+        self.fenced() && self.commands.direct_call.is_none() && !self.commands.launch_in_response
     }
 
-    /// Taken over with tasks on it, and not heard since this leader began.
+    /// Inherited with tasks on it, and without a heartbeat since this leader began.
     pub fn is_inherited_unheard(&self) -> bool {
         self.lifecycle == MachineLifecycle::Booting && !self.load.assignments.is_empty()
     }
-
-    /// Raises the token above that of any command sent so far.
-    pub fn raise_token(&mut self) {
-        self.fence.token = self.fence.token.next();
-    }
 }
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -1,36 +1,32 @@
-//! What workers are told to launch, halt and reap.
+//! Which tasks workers are told to launch, halt and reap.
 
 use crate::{
     coordination::{
-        leader::Leader,
-        model::{Assignment, AssignmentIndex, AssignmentState, ExitRecord, Job, Machine, MachineIndex, Millis},
+        cluster::ClusterState,
+        model::{
+            Assignment, AssignmentIndex, AssignmentState, ExitRecord, Machine, MachineIndex, Millis, UnreapedExit,
+        },
     },
     protocol::workers::{split_task, Heartbeat, TaskState, TaskStatus, WorkerCommand},
     storage::{job_cache::JobCache, records::JobStatus},
 };
 
-/// Orders in one message: it must stay well below the 64 KiB that workers take.
+/// Commands in one message: it must stay well below the 64 KiB that workers accept.
 const COMMANDS_PER_MESSAGE: usize = 400;
-/// Unreaped exits handled in one message, so that launches and halts fit too.
+/// Exits reaped in one message, so that launches and halts fit too.
 const EXITS_PER_MESSAGE: usize = COMMANDS_PER_MESSAGE / 4;
-/// An order is sent again after this long without effect.
+/// A command is sent again after this long without effect.
 pub const RESEND_MS: Millis = 2_500;
 
-/// Which orders a message carries.
+/// Which commands a message carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandScope {
-    /// Everything that isn't in effect yet: in the answer to a heartbeat.
+    /// Everything that isn't in effect yet: in the response to a heartbeat.
     All,
     /// Only what was not sent lately: in a direct call.
     Unsent,
 }
 
-/// What an assignment's worker has to be told.
-enum AssignmentCommand {
-    Launch,
-    Halt { grace_s: f64 },
-}
-
 /// Halts for tasks that run though their jobs are known as cancelled.
 ///
 /// Guard: every 200 to a heartbeat renews a lease, so each carries these halts,
@@ -45,98 +41,100 @@
     heartbeat.tasks.iter().filter(is_cancelled).map(halt).take(COMMANDS_PER_MESSAGE).collect()
 }
 
-impl Leader {
-    /// Whether a task may be on the machine, or on its way there: listed by its
-    /// report, assigned by a record, or launched by a command that is under way.
-    pub fn may_hold_tasks(&self, heartbeat: &Heartbeat) -> bool {
-        let is_listed = heartbeat.tasks.iter().any(|task| task.state != TaskState::Exited);
-        if is_listed || !self.cluster.loaded {
-            return true;
-        }
-        let Some(&index) = self.cluster.machine_index.get(&heartbeat.machine) else { return false };
-        let machine = self.cluster.machine(index);
-        !machine.load.assignments.is_empty() || !machine.has_no_command_in_flight()
+/// Selects the commands of one message to a worker and marks them as sent.
+pub fn take_unsent(
+    cluster: &mut ClusterState,
+    now: Millis,
+    index: MachineIndex,
+    scope: CommandScope,
+) -> Vec<WorkerCommand> {
+    let selector = CommandSelector { cluster, machine: cluster.machine(index), now, scope };
+    let mut commands = match scope {
+        CommandScope::All => selector.exit_commands(),
+        // Orphaned tasks and exits wait for the response to a heartbeat.
+        CommandScope::Unsent => Vec::new(),
+    };
+    let limit = COMMANDS_PER_MESSAGE.saturating_sub(commands.len());
+    let selected = selector.assignment_commands(limit);
+    for SelectedCommand { command, assignment } in selected {
+        commands.push(command);
+        mark_sent(cluster, now, assignment);
     }
+    commands
+}
 
-    /// What the worker should be told; what is returned counts as sent.
-    pub fn commands(&mut self, now: Millis, index: MachineIndex, scope: CommandScope) -> Vec<WorkerCommand> {
-        let machine = &self.cluster.machines[index.at()];
-        let mut commands = match scope {
-            CommandScope::All => self.exit_commands(machine),
-            // Strays and exits wait for the heartbeat's answer.
-            CommandScope::Unsent => Vec::new(),
-        };
-        let mut sent: Vec<AssignmentIndex> = Vec::new();
-        for &assignment_index in &machine.load.assignments {
-            let Some(assignment) = self.cluster.assignment(assignment_index) else { continue };
-            let Some(job) = self.cluster.job(assignment.job) else { continue };
-            if assignment.incarnation != machine.heartbeats.incarnation
-                || matches!(assignment.state, AssignmentState::Ended(_))
-            {
-                continue;
-            }
-            if commands.len() >= COMMANDS_PER_MESSAGE {
-                break; // the rest comes with the next answer
-            }
-            if let Some(order) = self.assignment_command(now, assignment, scope) {
-                commands.push(command_for(job, assignment, &order));
-                sent.push(assignment_index);
-            }
-        }
-        for assignment_index in sent {
-            self.note_sent(now, assignment_index);
+/// A command for an assigned task.
+struct SelectedCommand {
+    command: WorkerCommand,
+    assignment: AssignmentIndex,
+}
+
+/// Selects the commands of one message to a worker.
+struct CommandSelector<'a> {
+    cluster: &'a ClusterState,
+    machine: &'a Machine,
+    now: Millis,
+    scope: CommandScope,
+}
+
+impl CommandSelector<'_> {
+    /// Commands for tasks that the worker lists without an assignment.
+    fn exit_commands(&self) -> Vec<WorkerCommand> {
+        if !self.machine.fenced() {
+            return Vec::new();
         }
-        commands
+        let exits = self.machine.commands.unreaped_exits.iter().take(EXITS_PER_MESSAGE);
+        exits.flat_map(|exit| self.commands_for_exit(exit)).collect()
     }
 
-    /// Orders for tasks that the worker lists without an assignment.
-    fn exit_commands(&self, machine: &Machine) -> Vec<WorkerCommand> {
-        let mut commands = Vec::new();
-        if !machine.fenced() {
-            return commands;
+    fn commands_for_exit(&self, exit: &UnreapedExit) -> Vec<WorkerCommand> {
+        let (task, attempt) = (&exit.task, exit.attempt);
+        let reap = WorkerCommand::Reap { task: task.clone(), attempt };
+        if exit.record == ExitRecord::Stray {
+            // Halt and reap together: whichever applies takes effect.
+            vec![WorkerCommand::Halt { task: task.clone(), attempt, grace_s: 0.0 }, reap]
+        } else if self.cluster.is_exit_recorded(exit) {
+            vec![reap]
+        } else {
+            Vec::new()
         }
-        for exit in machine.commands.unreaped_exits.iter().take(EXITS_PER_MESSAGE) {
-            let (task, attempt) = (&exit.task, exit.attempt);
-            if exit.record == ExitRecord::Stray {
-                // Halt and reap together: whichever applies takes effect.
-                commands.push(WorkerCommand::Halt { task: task.clone(), attempt, grace_s: 0.0 });
-                commands.push(WorkerCommand::Reap { task: task.clone(), attempt });
-            } else if self.cluster.is_exit_recorded(exit) {
-                commands.push(WorkerCommand::Reap { task: task.clone(), attempt });
-            }
-        }
-        commands
     }
 
-    fn assignment_command(
-        &self,
-        now: Millis,
-        assignment: &Assignment,
-        scope: CommandScope,
-    ) -> Option<AssignmentCommand> {
-        let is_due =
-            |sent: Option<Millis>| scope == CommandScope::All || sent.is_none_or(|sent| now >= sent + RESEND_MS);
+    /// At most `limit` commands for assigned tasks; the rest comes with the next message.
+    fn assignment_commands(&self, limit: usize) -> Vec<SelectedCommand> {
+        let select = |&index: &AssignmentIndex| {
+            let command = self.assignment_command(self.cluster.assignment(index)?)?;
+            Some(SelectedCommand { command, assignment: index })
+        };
+        self.machine.load.assignments.iter().filter_map(select).take(limit).collect()
+    }
+
+    fn assignment_command(&self, assignment: &Assignment) -> Option<WorkerCommand> {
+        let job = self.cluster.job(assignment.job)?;
+        let is_current = assignment.incarnation == self.machine.heartbeats.incarnation;
+        if !is_current || matches!(assignment.state, AssignmentState::Ended(_)) {
+            return None;
+        }
+        let task = || format!("{}/{}", job.id, assignment.task);
+        let attempt = assignment.attempt;
         if let Some(halt) = assignment.halt {
-            return is_due(halt.sent).then_some(AssignmentCommand::Halt { grace_s: halt.grace_s });
+            let is_due = self.is_due_to_be_sent(halt.sent);
+            return is_due.then(|| WorkerCommand::Halt { task: task(), attempt, grace_s: halt.grace_s });
         }
-        let is_launch_due = assignment.state == AssignmentState::Wanted && is_due(assignment.sent);
-        (is_launch_due && self.cluster.may_launch(assignment)).then_some(AssignmentCommand::Launch)
+        let is_launch_due = assignment.state == AssignmentState::Wanted && self.is_due_to_be_sent(assignment.sent);
+        let may_launch = is_launch_due && self.cluster.may_launch(assignment);
+        may_launch.then(|| WorkerCommand::Launch { task: task(), attempt })
     }
 
-    fn note_sent(&mut self, now: Millis, index: AssignmentIndex) {
-        let Some(assignment) = self.cluster.assignments.get_mut(index) else { return };
-        match &mut assignment.halt {
-            Some(halt) => halt.sent = Some(now),
-            None => assignment.sent = Some(now),
-        }
+    fn is_due_to_be_sent(&self, last_sent: Option<Millis>) -> bool {
+        self.scope == CommandScope::All || last_sent.is_none_or(|sent| self.now >= sent + RESEND_MS)
     }
 }
 
-fn command_for(job: &Job, assignment: &Assignment, order: &AssignmentCommand) -> WorkerCommand {
-    let task = format!("{}/{}", job.id, assignment.task);
-    let attempt = assignment.attempt;
-    match order {
-        AssignmentCommand::Launch => WorkerCommand::Launch { task, attempt },
-        AssignmentCommand::Halt { grace_s } => WorkerCommand::Halt { task, attempt, grace_s: *grace_s },
+fn mark_sent(cluster: &mut ClusterState, now: Millis, index: AssignmentIndex) {
+    let Some(assignment) = cluster.assignments.get_mut(index) else { return };
+    match &mut assignment.halt {
+        Some(halt) => halt.sent = Some(now),
+        None => assignment.sent = Some(now),
     }
 }
--- /dev/null
+++ b/src/coordination/workers/exited_tasks.rs
@@ -0,0 +1,106 @@
+//! Exited tasks: their assignments are released once no earlier command can start
+//! the task again.
+
+use super::failure_attribution;
+use crate::{
+    coordination::{
+        cluster::{ClusterState, TaskFate},
+        model::{Assignment, AssignmentIndex, ExitRecord, Millis, UnreapedExit},
+    },
+    protocol::workers::{ExitReason, TaskStatus},
+};
+
+/// How long a machine that refused to start a task gets no new ones, and a job
+/// whose task its worker did not know.
+const REFUSED_START_PAUSE_MS: Millis = 3_000;
+
+/// Releases the assignment of an exited task, unless a command sent earlier could
+/// still start it again.
+pub fn release(cluster: &mut ClusterState, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
+    if !is_exit_final(cluster, index) {
+        return;
+    }
+    let reason = status.why.unwrap_or(ExitReason::Other);
+    let fate = if reason == ExitReason::Done { TaskFate::Done } else { TaskFate::Unfinished };
+    let Some(assignment) = cluster.release_assignment(index, fate) else { return };
+    let record = record_of_exit(cluster, &assignment);
+    let machine = &mut cluster.machines[assignment.machine.at()];
+    machine.commands.unreaped_exits.push(UnreapedExit {
+        task: status.task.clone(),
+        attempt: status.attempt,
+        job: assignment.job,
+        record,
+    });
+    if fate == TaskFate::Done {
+        observe_run_time(cluster, now, &assignment);
+    } else {
+        tracing::debug!(
+            task = &*status.task,
+            machine = &*machine.id,
+            ?reason,
+            saved = ?status.saved,
+            "task exited unfinished"
+        );
+        handle_unfinished_exit(cluster, now, &assignment, reason, &status.task);
+    }
+}
+
+/// Guard: a launch still in flight could arrive after the reap and start the task a
+/// second time.
+fn is_exit_final(cluster: &ClusterState, index: AssignmentIndex) -> bool {
+    let Some(assignment) = cluster.assignment(index) else { return false };
+    let machine = cluster.machine(assignment.machine);
+    machine.fenced() && !cluster.in_flight_launch(assignment) && !machine.commands.has_launch_in_response()
+}
+
+/// The chunk version with which the exit of a released assignment is written.
+fn record_of_exit(cluster: &ClusterState, assignment: &Assignment) -> ExitRecord {
+    match cluster.job(assignment.job) {
+        Some(job) => {
+            let chunk = job.chunk_of(assignment.task);
+            ExitRecord::WrittenWith { chunk, version: job.records.chunks[chunk].version }
+        }
+        None => ExitRecord::WrittenWith { chunk: 0, version: 0 },
+    }
+}
+
+fn handle_unfinished_exit(
+    cluster: &mut ClusterState,
+    now: Millis,
+    assignment: &Assignment,
+    reason: ExitReason,
+    task: &str,
+) {
+    match reason {
+        ExitReason::NoRoom | ExitReason::Busy => {
+            let machine = &mut cluster.machines[assignment.machine.at()];
+            tracing::info!(task, machine = &*machine.id, ?reason, "task start refused");
+            machine.avoid_until = now + REFUSED_START_PAUSE_MS;
+            cluster.refresh(now, assignment.machine);
+        }
+        ExitReason::Unknown => {
+            if let Some(job) = cluster.job_mut(assignment.job) {
+                job.wait.not_before = now + REFUSED_START_PAUSE_MS;
+            }
+        }
+        ExitReason::Stopped => {
+            if let Some(job) = cluster.job_mut(assignment.job) {
+                job.statistics.stop_count += 1;
+            }
+        }
+        ExitReason::Error => failure_attribution::record_failure(cluster, now, assignment, task),
+        ExitReason::Done | ExitReason::Peers | ExitReason::Alone | ExitReason::Other => {}
+    }
+}
+
+/// Corrects the run time estimates by a completed task that was not halted.
+fn observe_run_time(cluster: &mut ClusterState, now: Millis, assignment: &Assignment) {
+    let Some(running_since) = assignment.running_since else { return };
+    if assignment.halt.is_some() {
+        return;
+    }
+    let ran_s = (now - running_since) as f64 / 1000.0;
+    if let Some(job) = cluster.jobs.get(assignment.job.at()).and_then(Option::as_ref) {
+        cluster.run_times.observe(&job.spec, ran_s);
+    }
+}
--- /dev/null
+++ b/src/coordination/workers/failure_attribution.rs
@@ -0,0 +1,124 @@
+//! Attribution of task failures: to a faulty machine, or to the job itself.
+//!
+//! A job that was submitted with a mistake fails wherever it runs; a faulty
+//! machine fails whatever runs there. Neither can be told from one failure
+//! alone, so each machine is evaluated by how its jobs fare on other machines.
+
+use crate::{
+    coordination::{
+        cluster::ClusterState,
+        model::{Assignment, Job, JobFailures, MachineIndex, Millis, TaskFailure},
+    },
+    storage::job_cache::JobIndex,
+};
+
+/// How long a machine on which a task failed gets no new tasks; doubled with
+/// each further job that failed there lately.
+const MACHINE_PAUSE_MS: Millis = 5_000;
+/// Longest pause of such a machine.
+const MACHINE_PAUSE_MAX_MS: Millis = 60_000;
+/// How long a failure is remembered at its machine.
+const FAILURE_MEMORY_MS: Millis = 120_000;
+/// Sound jobs that failed on one machine lately after which it counts as faulty.
+const FAULTY_MACHINE_JOBS: usize = 2;
+/// Pause of a job after a failure that is not attributed to it.
+const RETRY_PAUSE_MS: Millis = 300;
+/// First pause of a job that is at fault itself; doubled with each round...
+const BACKOFF_MS: Millis = 2_000;
+/// ...up to this many times: it is retried for as long as it is wanted.
+const BACKOFF_DOUBLINGS: u32 = 5;
+/// Interval at which failures are evaluated.
+const EVALUATION_INTERVAL_MS: Millis = 2_000;
+
+/// Records a failed task: its job is retried, on other machines at first.
+pub fn record_failure(cluster: &mut ClusterState, now: Millis, assignment: &Assignment, task: &str) {
+    let (machine_index, job_index) = (assignment.machine, assignment.job);
+    tracing::info!(task, machine = &*cluster.machine(machine_index).id, "task failed");
+    let last_attempt = cluster.last_attempt();
+    let Some(job) = cluster.job_mut(job_index) else { return };
+    let ran_ms = assignment.running_since.map_or(0, |since| now.saturating_sub(since));
+    job.failures.record(machine_index, ran_ms, assignment.attempt, last_attempt);
+    job.wait.not_before = now + retry_pause_ms(&job.failures);
+    // Guard: a job that fails everywhere would keep healthy machines from
+    // taking any work.
+    if !job.failures.job_is_at_fault() {
+        pause_machine(cluster, now, machine_index, job_index);
+    }
+    cluster.refresh(now, machine_index);
+}
+
+fn pause_machine(cluster: &mut ClusterState, now: Millis, machine_index: MachineIndex, job: JobIndex) {
+    let machine = &mut cluster.machines[machine_index.at()];
+    machine.recent_failures.retain(|failure| failure.job != job);
+    machine.recent_failures.push(TaskFailure { job, at: now, job_is_sound: false });
+    let doublings = machine.recent_failures.len() as u32 - 1;
+    let pause_ms = MACHINE_PAUSE_MS.checked_shl(doublings).unwrap_or(MACHINE_PAUSE_MAX_MS);
+    machine.avoid_until = machine.avoid_until.max(now + pause_ms.min(MACHINE_PAUSE_MAX_MS));
+}
+
+/// Evaluates recent failures at regular intervals.
+#[derive(Debug)]
+pub struct FailureAttribution {
+    next_evaluation: Millis,
+}
+
+impl FailureAttribution {
+    /// The first evaluation is due now.
+    pub fn new(now: Millis) -> FailureAttribution {
+        FailureAttribution { next_evaluation: now }
+    }
+
+    /// Cordons machines on which several jobs failed that run well elsewhere, if
+    /// the interval has passed.
+    pub fn evaluate(&mut self, cluster: &mut ClusterState, now: Millis) {
+        if now < self.next_evaluation {
+            return;
+        }
+        self.next_evaluation = now + EVALUATION_INTERVAL_MS;
+        mark_sound_jobs(cluster, now);
+        for n in 0..cluster.machines.len() {
+            if !cluster.machines[n].recent_failures.is_empty() {
+                cordon_if_faulty(cluster, now, n);
+            }
+        }
+    }
+}
+
+/// Marks jobs as sound of which a task has run for longer than any that failed.
+fn mark_sound_jobs(cluster: &mut ClusterState, now: Millis) {
+    let slack_ms = 2 * cluster.config.heartbeat_interval_ms;
+    let outlasts = |job: &Job| {
+        let limit_ms = job.failures.longest_run_ms + slack_ms;
+        let assignments = job.assignments().into_iter().filter_map(|index| cluster.assignment(index));
+        assignments.filter_map(|assignment| assignment.running_since).any(|since| now > since + limit_ms)
+    };
+    let suspects = cluster.active_jobs().filter(|job| job.failures.are_unexplained());
+    let sound: Vec<JobIndex> = suspects.filter(|job| outlasts(job)).map(|job| job.index).collect();
+    for index in sound {
+        if let Some(job) = cluster.job_mut(index) {
+            job.failures.job_is_sound = true;
+        }
+    }
+}
+
+fn cordon_if_faulty(cluster: &mut ClusterState, now: Millis, n: usize) {
+    let (jobs, machine) = (&cluster.jobs, &mut cluster.machines[n]);
+    machine.recent_failures.retain(|failure| now < failure.at + FAILURE_MEMORY_MS);
+    for failure in &mut machine.recent_failures {
+        let job = jobs.get(failure.job.at()).and_then(Option::as_ref);
+        failure.job_is_sound |= job.is_some_and(|job| job.failures.job_is_sound);
+    }
+    let sound_jobs = machine.recent_failures.iter().filter(|failure| failure.job_is_sound).count();
+    if sound_jobs >= FAULTY_MACHINE_JOBS && !machine.cordoned {
+        machine.cordoned = true;
+        tracing::warn!(machine = &*machine.id, failed_jobs = sound_jobs, "faulty machine cordoned");
+    }
+}
+
+/// How long a job waits after one of its tasks failed.
+fn retry_pause_ms(failures: &JobFailures) -> Millis {
+    if !failures.job_is_at_fault() {
+        return RETRY_PAUSE_MS;
+    }
+    BACKOFF_MS << failures.rounds.saturating_sub(1).min(BACKOFF_DOUBLINGS)
+}
--- /dev/null
+++ b/src/coordination/workers/machine_status.rs
@@ -0,0 +1,61 @@
+//! What a heartbeat says of the machine itself.
+
+use crate::{
+    coordination::{
+        cluster::ClusterState,
+        model::{Machine, MachineIndex, MachineLifecycle, Millis},
+    },
+    protocol::{ids::Incarnation, names::Tables, workers::Heartbeat},
+};
+
+/// Longest interruption notice of a spot machine that is believed, in seconds.
+const NOTICE_MAX_S: f64 = 3600.0;
+
+/// Updates the machine from a newer heartbeat.
+pub fn update(
+    cluster: &mut ClusterState,
+    now: Millis,
+    index: MachineIndex,
+    heartbeat: &Heartbeat,
+    tables: &mut Tables,
+) {
+    let machine_type = tables.types.intern(&heartbeat.machine_type);
+    let machine = &mut cluster.machines[index.at()];
+    machine.addr = heartbeat.addr.parse().ok().or(machine.addr);
+    machine.machine_type = Some(machine_type);
+    machine.spot = heartbeat.spot;
+    machine.heartbeats.record_contact(now, heartbeat.sequence);
+    machine.fence.record_acknowledged_token(heartbeat.token);
+    if machine.lifecycle == MachineLifecycle::Booting {
+        mark_up(machine, now, heartbeat);
+        cluster.cycle_needed = true;
+    }
+    if let Some(notice_s) = heartbeat.notice_s.filter(|_| machine.spot_notice_until.is_none()) {
+        tracing::info!(machine = &*machine.id, notice_s, "spot interruption notice received");
+        machine.spot_notice_until = Some(now + (notice_s.clamp(0.0, NOTICE_MAX_S) * 1000.0) as Millis);
+        cluster.cycle_needed = true;
+    }
+}
+
+fn mark_up(machine: &mut Machine, now: Millis, heartbeat: &Heartbeat) {
+    machine.lifecycle = MachineLifecycle::Up;
+    machine.up_at = Some(now);
+    tracing::info!(
+        machine = &*machine.id,
+        machine_type = &*heartbeat.machine_type,
+        spot = heartbeat.spot,
+        boot_s = (now - machine.rented_at) / 1000,
+        "machine up"
+    );
+}
+
+/// Begins a new incarnation: the worker killed and forgot all tasks of the former one.
+pub fn begin_incarnation(cluster: &mut ClusterState, now: Millis, index: MachineIndex, incarnation: Incarnation) {
+    let machine = &mut cluster.machines[index.at()];
+    let previous = machine.heartbeats.begin_incarnation(now, incarnation);
+    if previous != Incarnation::NONE {
+        tracing::info!(machine = &*machine.id, %incarnation, "new worker incarnation");
+    }
+    cluster.free_machine(index, Some(incarnation));
+    cluster.cycle_needed = true;
+}
--- /dev/null
+++ b/src/coordination/workers/probes.rs
@@ -0,0 +1,54 @@
+//! Probes of workers whose heartbeats are overdue.
+
+use super::heartbeats::{self, HeartbeatContext};
+use crate::{
+    coordination::{
+        cluster::ClusterState,
+        effects::{Effect, Outbox},
+        model::{MachineIndex, MachineLifecycle, Millis},
+    },
+    protocol::workers::Heartbeat,
+};
+
+/// How late a heartbeat must be, besides a quarter of the interval, for a probe.
+const OVERDUE_SLACK_MS: Millis = 400;
+/// Consecutive unanswered probes after which a worker is not probed again.
+const FAILED_PROBE_LIMIT: u32 = 3;
+
+/// Probes a worker whose heartbeat is overdue. A missing answer proves nothing, but
+/// lets the machine be released sooner, which does.
+pub fn probe_if_overdue(cluster: &mut ClusterState, outbox: &mut Outbox, now: Millis, index: MachineIndex) {
+    let overdue_ms = cluster.config.heartbeat_interval_ms * 5 / 4 + OVERDUE_SLACK_MS;
+    let machine = &mut cluster.machines[index.at()];
+    let heartbeats = &mut machine.heartbeats;
+    let is_overdue = heartbeats.last_contact.is_some() && !heartbeats.contacted_within(now, overdue_ms);
+    let may_probe = machine.lifecycle == MachineLifecycle::Up
+        && !heartbeats.is_probing()
+        && !machine.load.assignments.is_empty()
+        && heartbeats.failed_probes < FAILED_PROBE_LIMIT;
+    if !is_overdue || !may_probe {
+        return;
+    }
+    if let Some(addr) = machine.addr {
+        heartbeats.begin_probe();
+        outbox.send(Effect::Probe { machine: index, addr });
+    }
+}
+
+/// Processes the outcome of a probe. `None`: it went unanswered.
+pub fn complete(
+    cluster: &mut ClusterState,
+    context: &mut HeartbeatContext<'_>,
+    index: MachineIndex,
+    heartbeat: Option<&Heartbeat>,
+) {
+    let machine = &mut cluster.machines[index.at()];
+    machine.heartbeats.end_probe();
+    let Some(heartbeat) = heartbeat else {
+        machine.heartbeats.failed_probes += 1;
+        return;
+    };
+    if machine.lifecycle == MachineLifecycle::Up && !machine.heartbeats.is_expired(heartbeat.incarnation) {
+        heartbeats::apply(cluster, context, index, heartbeat);
+    }
+}
--- /dev/null
+++ b/src/coordination/workers/reconciliation.rs
@@ -0,0 +1,240 @@
+//! Tasks that a worker lists are reconciled with the assignments to its machine.
+
+use std::collections::HashSet;
+
+use super::task_progress;
+use crate::{
+    coordination::{
+        cluster::{ClusterState, NewAssignment, TaskFate},
+        model::{
+            Assignment, AssignmentIndex, AssignmentState, ExitRecord, Job, MachineIndex, Millis, Slot, UnreapedExit,
+        },
+    },
+    protocol::{
+        ids::Attempt,
+        workers::{split_task, ExitReason, TaskState, TaskStatus},
+    },
+    storage::{
+        job_cache::{JobCache, JobIndex},
+        records::JobStatus,
+    },
+};
+
+/// One attempt to run a task, by the name that workers know.
+#[derive(Debug, PartialEq, Eq, Hash)]
+struct TaskAttempt<'a> {
+    task: &'a str,
+    attempt: Attempt,
+}
+
+impl<'a> From<&'a TaskStatus> for TaskAttempt<'a> {
+    fn from(status: &'a TaskStatus) -> TaskAttempt<'a> {
+        TaskAttempt { task: &status.task, attempt: status.attempt }
+    }
+}
+
+impl<'a> From<&'a UnreapedExit> for TaskAttempt<'a> {
+    fn from(exit: &'a UnreapedExit) -> TaskAttempt<'a> {
+        TaskAttempt { task: &exit.task, attempt: exit.attempt }
+    }
+}
+
+/// A task that a heartbeat lists.
+struct ListedTask<'a> {
+    status: &'a TaskStatus,
+    job: JobIndex,
+    number: u32,
+    slot: Option<Slot>,
+}
+
+/// Reconciles the tasks listed by one heartbeat.
+pub struct Reconciliation<'a> {
+    cluster: &'a mut ClusterState,
+    now: Millis,
+    machine: MachineIndex,
+    listed_assignments: Vec<AssignmentIndex>,
+    /// Listed attempts without an assignment, which the worker has still to reap.
+    listed_exits: HashSet<TaskAttempt<'a>>,
+}
+
+impl<'a> Reconciliation<'a> {
+    /// Prepares to reconcile a heartbeat of this machine.
+    pub fn new(cluster: &'a mut ClusterState, now: Millis, machine: MachineIndex) -> Reconciliation<'a> {
+        Reconciliation { cluster, now, machine, listed_assignments: Vec::new(), listed_exits: HashSet::new() }
+    }
+
+    /// Reconciles all listed tasks, and the assignments that are not listed.
+    pub fn run(mut self, statuses: &'a [TaskStatus], job_cache: &JobCache) {
+        for status in statuses {
+            self.reconcile_task(status, job_cache);
+        }
+        self.forget_reaped_exits();
+        self.reconcile_missing_tasks();
+    }
+
+    fn reconcile_task(&mut self, status: &'a TaskStatus, job_cache: &JobCache) {
+        let Some((id, number)) = split_task(&status.task) else { return };
+        let Some(job) = job_cache.find(id) else { return };
+        let slot = self.cluster.job(job).and_then(|job| job.tasks.slots.get(number as usize).copied());
+        let task = ListedTask { status, job, number, slot };
+        if let Some(assignment_index) = self.assignment_of(&task) {
+            self.reconcile_assigned_task(&task, assignment_index);
+        } else if status.state == TaskState::Exited {
+            self.reconcile_unassigned_exit(&task);
+        } else if self.is_wanted(&task) {
+            self.assign_unrecorded_task(&task);
+        } else {
+            self.stop_orphaned_task(&task);
+        }
+    }
+
+    /// The assignment that this very attempt belongs to.
+    fn assignment_of(&self, task: &ListedTask<'_>) -> Option<AssignmentIndex> {
+        let Some(Slot::At(assignment_index)) = task.slot else { return None };
+        let assignment = self.cluster.assignment(assignment_index)?;
+        let is_same = assignment.machine == self.machine
+            && assignment.attempt == task.status.attempt
+            && assignment.incarnation == self.cluster.machine(self.machine).heartbeats.incarnation;
+        is_same.then_some(assignment_index)
+    }
+
+    fn reconcile_assigned_task(&mut self, task: &ListedTask<'a>, assignment_index: AssignmentIndex) {
+        self.listed_assignments.push(assignment_index);
+        task_progress::apply(self.cluster, self.now, assignment_index, task.status);
+        let is_still_assigned = self
+            .cluster
+            .assignment(assignment_index)
+            .is_some_and(|assignment| assignment.job == task.job && assignment.attempt == task.status.attempt);
+        if !is_still_assigned {
+            // Released just now: its exit is to be reaped.
+            self.listed_exits.insert(task.status.into());
+        }
+    }
+
+    /// Reconciles an exited task without an assignment. If the task completed, it
+    /// counts as done all the same.
+    fn reconcile_unassigned_exit(&mut self, task: &ListedTask<'a>) {
+        self.listed_exits.insert(task.status.into());
+        if self.is_unreaped(task) {
+            return;
+        }
+        let is_exit_final = self.cluster.machine(self.machine).has_no_launch_in_flight();
+        let mut record = ExitRecord::WrittenWith { chunk: 0, version: 0 };
+        if task.slot == Some(Slot::Pending) && task.status.why == Some(ExitReason::Done) {
+            if let Some(job) = self.cluster.job_mut(task.job) {
+                record = complete_pending_task(job, task.number);
+            }
+            self.cluster.changed_progress.insert(task.job);
+            self.cluster.cycle_needed = true;
+        }
+        if is_exit_final {
+            self.add_unreaped_exit(task, record);
+        }
+    }
+
+    /// Whether a running task without an assignment may go on.
+    fn is_wanted(&self, task: &ListedTask<'_>) -> bool {
+        task.slot == Some(Slot::Pending)
+            && self.cluster.job(task.job).is_some_and(|job| job.status == JobStatus::Pending)
+    }
+
+    /// Assigns a wanted task to the machine on which it runs, though no record says so.
+    fn assign_unrecorded_task(&mut self, task: &ListedTask<'_>) {
+        let machine = self.cluster.machine(self.machine);
+        let new = NewAssignment {
+            job: task.job,
+            task: task.number,
+            machine: self.machine,
+            incarnation: machine.heartbeats.incarnation,
+            attempt: task.status.attempt,
+            zone: machine.zone,
+        };
+        if let Some(assignment_index) = self.cluster.add_assignment(self.now, new) {
+            tracing::warn!(
+                task = &*task.status.task,
+                machine = &*self.cluster.machine(self.machine).id,
+                "unrecorded task assigned"
+            );
+            self.listed_assignments.push(assignment_index);
+            task_progress::apply(self.cluster, self.now, assignment_index, task.status);
+        }
+    }
+
+    /// Has a running task that is not wanted halted until it exits, then reaped.
+    fn stop_orphaned_task(&mut self, task: &ListedTask<'a>) {
+        tracing::warn!(
+            task = &*task.status.task,
+            attempt = %task.status.attempt,
+            machine = &*self.cluster.machine(self.machine).id,
+            "stopping orphaned task"
+        );
+        if !self.is_unreaped(task) {
+            self.add_unreaped_exit(task, ExitRecord::Stray);
+        }
+        self.listed_exits.insert(task.status.into());
+    }
+
+    fn is_unreaped(&self, task: &ListedTask<'_>) -> bool {
+        self.cluster.machine(self.machine).commands.is_unreaped(&task.status.task, task.status.attempt)
+    }
+
+    fn add_unreaped_exit(&mut self, task: &ListedTask<'_>, record: ExitRecord) {
+        self.cluster.machines[self.machine.at()].commands.unreaped_exits.push(UnreapedExit {
+            task: task.status.task.clone(),
+            attempt: task.status.attempt,
+            job: task.job,
+            record,
+        });
+    }
+
+    /// Exits that are no longer listed were reaped.
+    fn forget_reaped_exits(&mut self) {
+        let listed = &self.listed_exits;
+        let exits = &mut self.cluster.machines[self.machine.at()].commands.unreaped_exits;
+        exits.retain(|exit| listed.contains(&TaskAttempt::from(exit)));
+    }
+
+    /// Handles tasks that are assigned to the machine but aren't listed.
+    fn reconcile_missing_tasks(&mut self) {
+        // Guard: absence proves nothing while an earlier command may still arrive;
+        // only a raised token that was acknowledged rules that out. A response to a
+        // heartbeat that carries launches is in flight as well, until the next
+        // heartbeat: the body of a command's response may be older.
+        if !self.cluster.machine(self.machine).has_no_launch_in_flight() {
+            return;
+        }
+        for assignment_index in self.missing_halted_assignments() {
+            self.cluster.release_assignment(assignment_index, TaskFate::Unfinished);
+        }
+        self.relaunch_missing_tasks();
+    }
+
+    /// Assignments to be halted of which nothing runs any more.
+    fn missing_halted_assignments(&self) -> Vec<AssignmentIndex> {
+        let machine = self.cluster.machine(self.machine);
+        let is_halted = |assignment: &Assignment| {
+            assignment.incarnation == machine.heartbeats.incarnation && assignment.halt.is_some()
+        };
+        let missing = machine.load.assignments.iter().copied().filter(|index| !self.listed_assignments.contains(index));
+        missing.filter(|&index| self.cluster.assignment(index).is_some_and(is_halted)).collect()
+    }
+
+    /// Tasks that were lost though still wanted are launched again, as the same attempt.
+    fn relaunch_missing_tasks(&mut self) {
+        let assigned = self.cluster.machines[self.machine.at()].load.assignments.iter();
+        for &assignment_index in assigned.filter(|index| !self.listed_assignments.contains(index)) {
+            let Some(assignment) = self.cluster.assignments.get_mut(assignment_index) else { continue };
+            if matches!(assignment.state, AssignmentState::Seen(_)) {
+                assignment.state = AssignmentState::Wanted;
+            }
+        }
+    }
+}
+
+/// Marks a task as done that has no assignment.
+fn complete_pending_task(job: &mut Job, task: u32) -> ExitRecord {
+    job.tasks.slots[task as usize] = Slot::Done;
+    job.tasks.pending.retain(|&pending| pending != task);
+    job.tasks.done += 1;
+    ExitRecord::WrittenWith { chunk: job.chunk_of(task), version: job.touch(task) }
+}
--- /dev/null
+++ b/src/coordination/workers/spot_interruption.rs
@@ -0,0 +1,38 @@
+//! Spot machines that will be taken away are drained in time.
+
+use crate::{
+    coordination::{
+        cluster::ClusterState,
+        model::{MachineIndex, Millis},
+    },
+    protocol::jobs::Kind,
+};
+
+/// Share of a task's saving time that a notice must leave for it: notices come
+/// at half their nominal time too, so saving begins while it lasts.
+const SAVE_SHARE: f64 = 0.8;
+/// Grace period given to a task beyond the time it needs to save, in seconds.
+pub const SAVE_MARGIN_S: f64 = 2.0;
+
+/// Halts the tasks on a machine with an interruption notice that can save a
+/// checkpoint in the time left.
+pub fn drain(cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
+    let Some(until) = cluster.machine(index).spot_notice_until else { return };
+    let left_s = until.saturating_sub(now) as f64 / 1000.0;
+    for assignment_index in cluster.machine(index).load.assignments.clone() {
+        let Some(assignment) = cluster.assignment(assignment_index) else { continue };
+        let Some(job) = cluster.job(assignment.job) else { continue };
+        let save_s = job.spec.save_s;
+        let can_save = job.spec.checkpoint_s > 0.0 && left_s > save_s * SAVE_SHARE;
+        if !can_save || assignment.halt.is_some() {
+            continue;
+        }
+        let grace_s = save_s + SAVE_MARGIN_S;
+        if job.spec.kind == Kind::Gang {
+            let job_index = assignment.job;
+            cluster.stop_job(now, job_index, grace_s);
+        } else {
+            cluster.halt(now, assignment_index, grace_s);
+        }
+    }
+}
