--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -65,8 +65,6 @@
     pub(in crate::coordination) machines: Vec<Machine>,
     /// Indices of the machines, by name.
     pub(in crate::coordination) machine_index: HashMap<String, MachineIndex>,
-    /// When any worker last sent a heartbeat.
-    pub(in crate::coordination) last_heartbeat_from_any: Millis,
     /// Machine types that may be rented.
     pub(in crate::coordination) types: Vec<MachineTypeSpec>,
     pub(in crate::coordination) assignments: AssignmentTable,
@@ -108,7 +106,6 @@
             changed_progress: HashSet::new(),
             machines: Vec::new(),
             machine_index: HashMap::new(),
-            last_heartbeat_from_any: now,
             types,
             assignments: AssignmentTable::default(),
             last_attempt,
