--- a/src/coordination/model/machine.rs
+++ b/src/coordination/model/machine.rs
@@ -2,11 +2,12 @@
 
 use std::net::SocketAddr;
 
-use super::{AssignmentIndex, CallId, DirectCall, Millis, UnreapedExit};
+use super::{AssignmentIndex, CallId, DirectCall, ExitRecord, Millis, UnreapedExit};
 use crate::{
     protocol::{
         ids::{Attempt, FencingToken, Incarnation, SequenceNumber},
         names::{MachineTypeIndex, ZoneIndex},
+        workers::TaskStatus,
     },
     storage::job_cache::JobIndex,
 };
@@ -253,6 +254,12 @@
         self.launch_in_response
     }
 
+    /// Has an attempt reaped that its worker lists without an assignment.
+    pub fn add_unreaped_exit(&mut self, status: &TaskStatus, job: JobIndex, record: ExitRecord) {
+        let (task, attempt) = (status.task.clone(), status.attempt);
+        self.unreaped_exits.push(UnreapedExit { task, attempt, job, record });
+    }
+
     /// Whether this attempt is among the exits to be reaped.
     pub fn is_unreaped(&self, task: &str, attempt: Attempt) -> bool {
         self.unreaped_exits.iter().any(|exit| exit.task == task && exit.attempt == attempt)
@@ -304,13 +311,13 @@
     pub load: MachineLoad,
     /// Commands to it that may still be in flight, and exits to be reaped.
     pub commands: CommandState,
-    /// When it was rented, or first listed or heard of.
+    /// When it was rented, or first listed or known from a heartbeat or a record.
     pub rented_at: Millis,
     /// When its worker first sent this leader a heartbeat; None: it has not.
     pub up_at: Option<Millis>,
     /// No new tasks are assigned to it before.
     pub avoid_until: Millis,
-    /// Tasks that failed here lately, one entry per job.
+    /// Tasks that failed here recently, one entry per job.
     pub recent_failures: Vec<TaskFailure>,
     /// It gets no new tasks and is released once it is empty.
     pub cordoned: bool,
@@ -319,7 +326,7 @@
 }
 
 impl Machine {
-    /// A machine that was just rented, listed or heard of for the first time.
+    /// A machine that was just rented, listed, or became known from a heartbeat or a record.
     pub fn new(id: &str, zone: ZoneIndex, token: FencingToken, now: Millis) -> Machine {
         Machine {
             id: id.to_owned(),
@@ -363,3 +370,7 @@
         self.lifecycle == MachineLifecycle::Booting && !self.load.assignments.is_empty()
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/machine.rs"]
+mod tests;
--- /dev/null
+++ b/src/coordination/tests/machine.rs
@@ -0,0 +1,90 @@
+//! Tests of what a machine keeps of its worker's heartbeats and acknowledgements.
+
+use super::{Machine, Millis};
+use crate::{
+    coordination::model::{CallId, DirectCall},
+    protocol::{
+        ids::{FencingToken, Incarnation, SequenceNumber},
+        names::ZoneIndex,
+    },
+};
+
+const MIN_GAP_MS: Millis = 500;
+
+fn machine() -> Machine {
+    Machine::new("m-1", ZoneIndex(0), FencingToken(10), 0)
+}
+
+/// The worker acknowledges a token in a heartbeat, which is answered.
+fn heartbeat(machine: &mut Machine, now: Millis, token: FencingToken) {
+    machine.fence.count_acknowledgement(now, token, MIN_GAP_MS);
+    machine.fence.record_acknowledged_token(token);
+}
+
+#[test]
+fn fence_holds_once_the_raised_token_is_acknowledged() {
+    let mut machine = machine();
+    assert!(!machine.fenced(), "no token was acknowledged yet");
+    heartbeat(&mut machine, 1_000, FencingToken(10));
+    assert!(machine.fenced());
+    machine.fence.raise_token();
+    assert!(machine.fenced(), "a token raised for a reap need not be acknowledged");
+    machine.fence.raise();
+    assert_eq!(machine.fence.token, FencingToken(12));
+    heartbeat(&mut machine, 2_000, FencingToken(11));
+    assert!(!machine.fenced(), "commands with the former token may be in flight");
+    heartbeat(&mut machine, 3_000, FencingToken(12));
+    assert!(machine.fenced());
+}
+
+#[test]
+fn machine_is_unreachable_after_three_unacknowledged_responses() {
+    let mut machine = machine();
+    heartbeat(&mut machine, 1_000, FencingToken::NONE);
+    assert_eq!(machine.fence.unacknowledged_heartbeats, 0, "nothing was answered before");
+    for now in [2_000, 2_100, 2_200, 2_300] {
+        heartbeat(&mut machine, now, FencingToken::NONE);
+    }
+    assert_eq!(machine.fence.unacknowledged_heartbeats, 1, "delayed heartbeats that come together count once");
+    heartbeat(&mut machine, 3_000, FencingToken::NONE);
+    assert!(!machine.is_unreachable());
+    machine.fence.response_not_sent();
+    heartbeat(&mut machine, 4_000, FencingToken::NONE);
+    assert!(!machine.is_unreachable(), "the last heartbeat was not answered");
+    heartbeat(&mut machine, 5_000, FencingToken::NONE);
+    assert!(machine.is_unreachable());
+    heartbeat(&mut machine, 6_000, FencingToken(10));
+    assert!(!machine.is_unreachable());
+}
+
+#[test]
+fn heartbeats_are_ordered_by_incarnation_then_by_sequence() {
+    let mut heartbeats = machine().heartbeats;
+    assert_eq!(heartbeats.begin_incarnation(1_000, Incarnation(2)), Incarnation::NONE);
+    assert_eq!(heartbeats.lease_renewed, 1_000);
+    heartbeats.record_contact(1_000, SequenceNumber(7));
+    assert!(heartbeats.is_outdated_by(Incarnation(2), SequenceNumber(8)));
+    assert!(heartbeats.is_outdated_by(Incarnation(3), SequenceNumber(1)));
+    assert!(!heartbeats.is_outdated_by(Incarnation(2), SequenceNumber(7)));
+    assert!(!heartbeats.is_outdated_by(Incarnation(1), SequenceNumber(9)));
+    heartbeats.expire(Incarnation::NONE);
+    assert!(heartbeats.is_expired(Incarnation(2)));
+    assert!(!heartbeats.is_expired(Incarnation(3)));
+    heartbeats.expire(Incarnation(4));
+    assert!(heartbeats.is_expired(Incarnation(4)), "tasks were assigned to a later incarnation than was seen");
+}
+
+#[test]
+fn launches_are_in_flight_until_the_call_and_the_response_end() {
+    let mut machine = machine();
+    heartbeat(&mut machine, 1_000, FencingToken(10));
+    assert!(machine.has_no_launch_in_flight());
+    let call = CallId::default();
+    machine.commands.direct_call = Some(DirectCall { id: call, launches: Vec::new() });
+    assert!(!machine.has_no_launch_in_flight());
+    assert!(machine.commands.end_direct_call(call.next()).is_none(), "another call");
+    assert!(machine.commands.end_direct_call(call).is_some());
+    assert!(machine.has_no_launch_in_flight());
+    machine.commands.set_launch_in_response(true);
+    assert!(!machine.has_no_launch_in_flight());
+}
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -1,4 +1,4 @@
-//! Which tasks workers are told to launch, halt and reap.
+//! The commands that workers are sent: launch, halt and reap.
 
 use crate::{
     coordination::{
@@ -18,13 +18,13 @@
 /// A command is sent again after this long without effect.
 pub const RESEND_MS: Millis = 2_500;
 
-/// Which commands a message carries.
+/// The messages that carry commands to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CommandScope {
-    /// Everything that isn't in effect yet: in the response to a heartbeat.
-    All,
-    /// Only what was not sent lately: in a direct call.
-    Unsent,
+pub enum CommandMessage {
+    /// The response to a heartbeat carries everything that isn't in effect yet.
+    HeartbeatResponse,
+    /// A direct call carries only what was not sent within [`RESEND_MS`].
+    DirectCall,
 }
 
 /// Halts for tasks that run though their jobs are known as cancelled.
@@ -42,17 +42,17 @@
 }
 
 /// Selects the commands of one message to a worker and marks them as sent.
-pub fn take_unsent(
+pub fn select_and_mark_sent(
     cluster: &mut ClusterState,
     now: Millis,
     index: MachineIndex,
-    scope: CommandScope,
+    message: CommandMessage,
 ) -> Vec<WorkerCommand> {
-    let selector = CommandSelector { cluster, machine: cluster.machine(index), now, scope };
-    let mut commands = match scope {
-        CommandScope::All => selector.exit_commands(),
+    let selector = CommandSelector { cluster, machine: cluster.machine(index), now, message };
+    let mut commands = match message {
+        CommandMessage::HeartbeatResponse => selector.exit_commands(),
         // Orphaned tasks and exits wait for the response to a heartbeat.
-        CommandScope::Unsent => Vec::new(),
+        CommandMessage::DirectCall => Vec::new(),
     };
     let limit = COMMANDS_PER_MESSAGE.saturating_sub(commands.len());
     let selected = selector.assignment_commands(limit);
@@ -74,7 +74,7 @@
     cluster: &'a ClusterState,
     machine: &'a Machine,
     now: Millis,
-    scope: CommandScope,
+    message: CommandMessage,
 }
 
 impl CommandSelector<'_> {
@@ -127,7 +127,7 @@
     }
 
     fn is_due_to_be_sent(&self, last_sent: Option<Millis>) -> bool {
-        self.scope == CommandScope::All || last_sent.is_none_or(|sent| self.now >= sent + RESEND_MS)
+        self.message == CommandMessage::HeartbeatResponse || last_sent.is_none_or(|sent| self.now >= sent + RESEND_MS)
     }
 }
 
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -1,7 +1,7 @@
 //! Commands sent directly to workers, between their heartbeats.
 
 use super::{
-    commands::{self, CommandScope, RESEND_MS},
+    commands::{self, CommandMessage, RESEND_MS},
     heartbeats::{self, HeartbeatContext},
     Superseded,
 };
@@ -48,7 +48,7 @@
     if !machine.fenced() || !machine.heartbeats.contacted_within(now, contact_limit_ms) {
         return;
     }
-    let commands = commands::take_unsent(cluster, now, index, CommandScope::Unsent);
+    let commands = commands::select_and_mark_sent(cluster, now, index, CommandMessage::DirectCall);
     if commands.is_empty() {
         return;
     }
--- a/src/coordination/workers/exited_tasks.rs
+++ b/src/coordination/workers/exited_tasks.rs
@@ -5,7 +5,7 @@
 use crate::{
     coordination::{
         cluster::{ClusterState, TaskFate},
-        model::{Assignment, AssignmentIndex, ExitRecord, Millis, UnreapedExit},
+        model::{Assignment, AssignmentIndex, ExitRecord, Millis},
     },
     protocol::workers::{ExitReason, TaskStatus},
 };
@@ -25,12 +25,7 @@
     let Some(assignment) = cluster.release_assignment(index, fate) else { return };
     let record = record_of_exit(cluster, &assignment);
     let machine = &mut cluster.machines[assignment.machine.at()];
-    machine.commands.unreaped_exits.push(UnreapedExit {
-        task: status.task.clone(),
-        attempt: status.attempt,
-        job: assignment.job,
-        record,
-    });
+    machine.commands.add_unreaped_exit(status, assignment.job, record);
     if fate == TaskFate::Done {
         observe_run_time(cluster, now, &assignment);
     } else {
--- a/src/coordination/workers/failure_attribution.rs
+++ b/src/coordination/workers/failure_attribution.rs
@@ -7,19 +7,19 @@
 use crate::{
     coordination::{
         cluster::ClusterState,
-        model::{Assignment, Job, JobFailures, MachineIndex, Millis, TaskFailure},
+        model::{Assignment, Job, JobFailures, Machine, MachineIndex, Millis, TaskFailure},
     },
     storage::job_cache::JobIndex,
 };
 
 /// How long a machine on which a task failed gets no new tasks; doubled with
-/// each further job that failed there lately.
+/// each further job that failed there recently.
 const MACHINE_PAUSE_MS: Millis = 5_000;
 /// Longest pause of such a machine.
 const MACHINE_PAUSE_MAX_MS: Millis = 60_000;
 /// How long a failure is remembered at its machine.
 const FAILURE_MEMORY_MS: Millis = 120_000;
-/// Sound jobs that failed on one machine lately after which it counts as faulty.
+/// Sound jobs that failed on one machine recently after which it counts as faulty.
 const FAULTY_MACHINE_JOBS: usize = 2;
 /// Pause of a job after a failure that is not attributed to it.
 const RETRY_PAUSE_MS: Millis = 300;
@@ -76,10 +76,8 @@
         }
         self.next_evaluation = now + EVALUATION_INTERVAL_MS;
         mark_sound_jobs(cluster, now);
-        for n in 0..cluster.machines.len() {
-            if !cluster.machines[n].recent_failures.is_empty() {
-                cordon_if_faulty(cluster, now, n);
-            }
+        for machine in cluster.machines.iter_mut().filter(|machine| !machine.recent_failures.is_empty()) {
+            cordon_if_faulty(&cluster.jobs, machine, now);
         }
     }
 }
@@ -101,8 +99,7 @@
     }
 }
 
-fn cordon_if_faulty(cluster: &mut ClusterState, now: Millis, n: usize) {
-    let (jobs, machine) = (&cluster.jobs, &mut cluster.machines[n]);
+fn cordon_if_faulty(jobs: &[Option<Job>], machine: &mut Machine, now: Millis) {
     machine.recent_failures.retain(|failure| now < failure.at + FAILURE_MEMORY_MS);
     for failure in &mut machine.recent_failures {
         let job = jobs.get(failure.job.at()).and_then(Option::as_ref);
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of workers: processed, acknowledged and answered.
 
 use super::{
-    commands::{self, halts_of_cancelled, CommandScope},
+    commands::{self, halts_of_cancelled, CommandMessage},
     machine_status,
     reconciliation::Reconciliation,
     spot_interruption, Superseded,
@@ -146,7 +146,7 @@
     heartbeat: &Heartbeat,
 ) -> Vec<WorkerCommand> {
     let mut response = halts_of_cancelled(heartbeat, context.job_cache);
-    let mut others = commands::take_unsent(cluster, context.now, index, CommandScope::All);
+    let mut others = commands::select_and_mark_sent(cluster, context.now, index, CommandMessage::HeartbeatResponse);
     others.retain(|command| !response.iter().any(|halt| halt.same_halt(command)));
     response.append(&mut others);
 
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -179,12 +179,8 @@
     }
 
     fn add_unreaped_exit(&mut self, task: &ListedTask<'_>, record: ExitRecord) {
-        self.cluster.machines[self.machine.at()].commands.unreaped_exits.push(UnreapedExit {
-            task: task.status.task.clone(),
-            attempt: task.status.attempt,
-            job: task.job,
-            record,
-        });
+        let commands = &mut self.cluster.machines[self.machine.at()].commands;
+        commands.add_unreaped_exit(task.status, task.job, record);
     }
 
     /// Exits that are no longer listed were reaped.
