--- a/src/storage/job_cache/mod.rs
+++ b/src/storage/job_cache/mod.rs
@@ -204,7 +204,7 @@
         let record: JobRecord = match value.deserialized() {
             Ok(record) => record,
             Err(error) => {
-                tracing::error!(job = id, %error, "a job's record can't be read");
+                tracing::error!(job = id, %error, "cannot decode job record");
                 return None;
             }
         };
@@ -247,8 +247,8 @@
         if entry.status != JobStatus::Done && entry.spec.is_none() {
             match record.submission.validate(tables, SubmissionSource::Record) {
                 Ok(spec) => entry.spec = Some(Rc::new(spec)),
-                Err(why) if entry.status == JobStatus::Pending => {
-                    tracing::error!(job = &*entry.id, %why, "an accepted job's record is not valid");
+                Err(error) if entry.status == JobStatus::Pending => {
+                    tracing::error!(job = &*entry.id, %error, "invalid job record");
                 }
                 Err(_) => {}
             }
--- a/src/storage/read_barrier.rs
+++ b/src/storage/read_barrier.rs
@@ -1,11 +1,13 @@
-//! The read barrier, which makes reads from the local cache linearizable: a
-//! request about a job is answered only after a read of the changes that was
-//! *sent* after the request arrived. One read serves all requests that were
-//! queued when it was sent.
+//! The read barrier, which makes reads from the local cache linearizable.
+//!
+//! A request about a job is answered only after a read of the changes from the
+//! key-value store that was *sent* after the request arrived. One read serves all
+//! requests that were queued when it was sent.
 
 /// A request that waits for the read barrier.
 #[derive(Debug)]
 struct Queued<W> {
+    /// When the request was queued.
     since: u64,
     waiter: W,
 }
@@ -13,8 +15,11 @@
 /// Requests that wait for a read. Times are in ms on the steady clock.
 #[derive(Debug)]
 pub struct ReadBarrier<W> {
+    /// Requests that the next read will serve.
     queued_waiters: Vec<Queued<W>>,
+    /// Requests that the read in flight serves.
     in_flight_waiters: Vec<Queued<W>>,
+    /// Whether a read is in flight.
     in_flight: bool,
     /// Earliest time of the next read, which limits their rate.
     not_before: u64,
--- a/src/storage/tests/versions.rs
+++ b/src/storage/tests/versions.rs
@@ -29,12 +29,16 @@
         (vec![vec![("version/a", new()), ("leader/b", new())]], false),
         (vec![vec![("version/a", new()), ("version/b/x", new())]], false),
     ];
-    for (i, (pages, want)) in cases.into_iter().enumerate() {
-        let mut e = Evidence::new(["a", "b"].into_iter());
+    for (number, (pages, want)) in cases.into_iter().enumerate() {
+        let mut evidence = Evidence::new(["a", "b"].into_iter());
         for keys in pages {
             let pair = |(k, v): (&str, Value)| Pair { key: k.into(), v, revision: Revision(3), permit: None };
-            e.saw(&Page { pairs: keys.into_iter().map(pair).collect(), truncated: false, store_revision: Revision(9) });
+            evidence.saw(&Page {
+                pairs: keys.into_iter().map(pair).collect(),
+                truncated: false,
+                store_revision: Revision(9),
+            });
         }
-        assert_eq!(e.is_complete(), want, "case {i}");
+        assert_eq!(evidence.is_complete(), want, "case {number}");
     }
 }
--- a/src/storage/versions.rs
+++ b/src/storage/versions.rs
@@ -1,4 +1,5 @@
-//! Which controllers run this version, for features that need all of them to.
+//! Which controllers run this version: a feature that older versions can't handle
+//! is used only once all of them do.
 //!
 //! A controller of this version writes the key `version/LABEL`, attached to no
 //! grant, when it starts. Older versions write no such key. It is removed only by
@@ -12,7 +13,7 @@
 
 /// Prefix of the version keys.
 pub const VERSIONS: &str = "version/";
-/// This version. 2 is the first with prerequisites; older ones write no key.
+/// This version. 2 is the first with job dependencies; older ones write no key.
 pub const VERSION: u64 = 2;
 
 /// The version key of a controller.
@@ -31,11 +32,13 @@
     pub nonce: u64,
 }
 
-/// Evidence that no controller runs an older version: one whose key was read has
-/// been upgraded, and is not rolled back while the key exists.
+/// Evidence that no controller runs an older version: a controller whose key was
+/// read has been upgraded, and is not rolled back while the key exists.
 #[derive(Debug, Default)]
 pub struct Evidence {
+    /// Labels of all controllers.
     labels: BTreeSet<String>,
+    /// Labels of those not known to run this version.
     missing: BTreeSet<String>,
 }
 
