--- a/src/controller/leadership/task_loading.rs
+++ b/src/controller/leadership/task_loading.rs
@@ -81,7 +81,7 @@
         let wall_ms = wall_clock_ms();
         let job_cache = context.jobs.cache();
         for pair in &page.pairs {
-            leader.load(now, wall_ms, &pair.key, &pair.v, pair.revision, job_cache, context.names);
+            leader.load(now, wall_ms, pair, job_cache, context.names);
         }
         match page.pairs.last() {
             Some(last) if page.truncated => self.next_page_from = Some(last.key.clone()),
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -91,7 +91,7 @@
 /// Updates the cluster state with what the cloud says of one machine.
 fn reconcile_host(now: Millis, host: &ListedHost, cluster: &mut ClusterState, tables: &mut Tables) {
     let zone = tables.zones.intern(&host.zone);
-    let is_known = cluster.machine_index.contains_key(&host.id);
+    let is_known = cluster.machines.find(&host.id).is_some();
     let index = cluster.machine_named(now, &host.id, zone);
     let machine = &mut cluster.machines[index.at()];
     if machine.lifecycle == MachineLifecycle::Gone {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -10,6 +10,7 @@
 //! on its way is fenced by a raised token; reaping follows the written end.
 
 mod cloud;
+mod commits;
 mod loading;
 mod sweep;
 mod worker_events;
@@ -29,17 +30,14 @@
     storage::job_cache::{JobCache, JobIndex},
 };
 
-/// Raises of one worker's token after which the leadership is given up: well
-/// below what a token's count can hold.
+/// Raises of one worker's fencing token after which the leader steps down: well
+/// below what the count in a token can hold.
 const TOKEN_RAISE_LIMIT: u64 = 60_000;
-/// Bits of an attempt number or a transaction's tag that count those of one
-/// leadership.
-const SEQUENCE_BITS: u32 = 20;
 
 /// All that a controller keeps while it leads.
 pub struct Leader {
     pub(in crate::coordination) cluster: ClusterState,
-    pub(in crate::coordination) commits: CommitPipeline,
+    commits: CommitPipeline,
     pub(in crate::coordination) scheduler: Scheduler,
     pub(in crate::coordination) autoscaler: Autoscaler,
     pub(in crate::coordination) workers: WorkerControl,
@@ -52,10 +50,9 @@
     /// A new leadership that has read no records yet. `nonce` is a random number
     /// that no other leadership has.
     pub fn new(config: Config, term: Term, nonce: u64, now: Millis, types: Vec<MachineTypeSpec>) -> Leader {
-        let first_in_sequence = term.0 .0 << SEQUENCE_BITS;
         Leader {
-            cluster: ClusterState::new(config, term, Attempt(first_in_sequence), now, types),
-            commits: CommitPipeline::new(first_in_sequence),
+            cluster: ClusterState::new(config, term, Attempt(term.first_sequence_number()), now, types),
+            commits: CommitPipeline::new(term.first_sequence_number()),
             scheduler: Scheduler::default(),
             autoscaler: Autoscaler::new(nonce, now),
             workers: WorkerControl::new(now),
@@ -100,22 +97,18 @@
         self.scheduler.run_cycle(&mut self.cluster, now);
     }
 
-    /// Whether all controllers run a version that can follow a resharded job.
-    pub fn set_may_reshard(&mut self, may_reshard: bool) {
-        self.commits.may_reshard = may_reshard;
-    }
-
     /// The time in which no other controller renewed any lease.
     pub fn set_no_peer_renewals(&mut self, span: TimeSpan) {
         self.workers.set_no_peer_renewals(span);
     }
 
-    /// The cloud's machine types were read again: prices change.
+    /// Takes the cloud's machine types and their prices, which may have changed.
     pub fn set_types(&mut self, types: &[MachineTypeSpec]) {
         self.cluster.set_types(types);
     }
 
-    /// The job cache shows a job's record, new or changed.
+    /// Takes a job's record from the job cache, new or changed. `wall_ms`: time of
+    /// day, in ms since the Unix epoch.
     pub fn job_update(&mut self, now: Millis, wall_ms: u64, index: JobIndex, job_cache: &JobCache) {
         self.commits.set_wall_clock(now, wall_ms);
         self.cluster.job_update(now, wall_ms, index, job_cache);
@@ -131,10 +124,10 @@
         self.outbox.take()
     }
 
-    /// The count inside some worker's token is nearly used up: the next
-    /// leadership begins a new one.
+    /// Whether the count in some worker's fencing token is nearly used up: the
+    /// next leadership begins a new one.
     pub fn tokens_exhausted(&self) -> bool {
-        let base = self.cluster.term.first_token();
-        self.cluster.machines.iter().any(|machine| machine.fence.token.0 - base.0 > TOKEN_RAISE_LIMIT)
+        let term = self.cluster.term;
+        self.cluster.machines.iter().any(|machine| term.raise_count(machine.fence.token) > TOKEN_RAISE_LIMIT)
     }
 }
--- a/src/coordination/workers/failure_attribution.rs
+++ b/src/coordination/workers/failure_attribution.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     coordination::{
-        cluster::ClusterState,
+        cluster::{ClusterState, JobTable},
         model::{Assignment, Job, JobFailures, Machine, MachineIndex, Millis, TaskFailure},
     },
     storage::job_cache::JobIndex,
@@ -99,10 +99,10 @@
     }
 }
 
-fn cordon_if_faulty(jobs: &[Option<Job>], machine: &mut Machine, now: Millis) {
+fn cordon_if_faulty(jobs: &JobTable, machine: &mut Machine, now: Millis) {
     machine.recent_failures.retain(|failure| now < failure.at + FAILURE_MEMORY_MS);
     for failure in &mut machine.recent_failures {
-        let job = jobs.get(failure.job.at()).and_then(Option::as_ref);
+        let job = jobs.get(failure.job);
         failure.job_is_sound |= job.is_some_and(|job| job.failures.job_is_sound);
     }
     let sound_jobs = machine.recent_failures.iter().filter(|failure| failure.job_is_sound).count();
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -104,7 +104,7 @@
 /// Records that the response made for a machine's latest heartbeat is not sent
 /// after all.
 pub fn response_not_sent(cluster: &mut ClusterState, machine: &str) {
-    if let Some(&index) = cluster.machine_index.get(machine) {
+    if let Some(index) = cluster.machines.find(machine) {
         cluster.machines[index.at()].fence.response_not_sent();
     }
 }
@@ -116,7 +116,7 @@
     if is_listed || !cluster.loaded {
         return true;
     }
-    let Some(&index) = cluster.machine_index.get(&heartbeat.machine) else { return false };
+    let Some(index) = cluster.machines.find(&heartbeat.machine) else { return false };
     let machine = cluster.machine(index);
     !machine.load.assignments.is_empty() || !machine.has_no_launch_in_flight()
 }
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -124,7 +124,7 @@
             if let Some(job) = self.cluster.job_mut(task.job) {
                 record = complete_pending_task(job, task.number);
             }
-            self.cluster.changed_progress.insert(task.job);
+            self.cluster.progress_feed.mark_changed(task.job);
             self.cluster.cycle_needed = true;
         }
         if is_exit_final {
--- a/src/coordination/workers/task_progress.rs
+++ b/src/coordination/workers/task_progress.rs
@@ -31,13 +31,13 @@
     }
     let was_running = previous == AssignmentState::Seen(TaskState::Running);
     let (job_index, machine) = (assignment.job, assignment.machine);
-    let Some(job) = cluster.jobs[job_index.at()].as_mut() else { return };
+    let Some(job) = cluster.jobs.get_mut(job_index) else { return };
     match (was_running, is_running) {
         (false, true) => count_running_task(now, job, assignment),
         (true, false) => job.tasks.running = job.tasks.running.saturating_sub(1),
         _ => {}
     }
-    cluster.changed_progress.insert(job_index);
+    cluster.progress_feed.mark_changed(job_index);
     record_cached_image(cluster, machine, job_index);
 }
 
@@ -50,7 +50,7 @@
 
 /// The machine has fetched, or is fetching, the image of the job.
 fn record_cached_image(cluster: &mut ClusterState, machine: MachineIndex, job: JobIndex) {
-    let Some(job) = cluster.jobs[job.at()].as_ref() else { return };
+    let Some(job) = cluster.jobs.get(job) else { return };
     if let Some(host) = cluster.snapshot.hosts.get_mut(machine.at()) {
         let cache_gb = host.pool.map_or(0.0, |pool| cluster.snapshot.pools[pool].cache_gb);
         host.note_image(job.spec.image, job.spec.image_gb, cache_gb);
@@ -60,7 +60,7 @@
 fn apply_exit(cluster: &mut ClusterState, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
     let Some(assignment) = cluster.assignments.get_mut(index) else { return };
     if assignment.state == AssignmentState::Seen(TaskState::Running) {
-        if let Some(job) = cluster.jobs[assignment.job.at()].as_mut() {
+        if let Some(job) = cluster.jobs.get_mut(assignment.job) {
             job.tasks.running = job.tasks.running.saturating_sub(1);
         }
     }
