--- a/tests/combined_failures/cancellations.rs
+++ b/tests/combined_failures/cancellations.rs
@@ -2,29 +2,31 @@
 
 use shedhook::{protocol::workers::TaskState, storage::records::JobStatus};
 
-use crate::simulation::{submission, Simulation, CANCEL, LEASE};
+use crate::simulation::{submission, Simulation, CANCEL_MS, LEASE_MS};
 
 /// Guard: leases are kept by a controller that can't read the records only for
 /// `cancel_s - lease_s` less a margin after its last read was sent. Here the
 /// leader alone is refused, a cancellation is confirmed by another controller
-/// at that moment, and a second later the state service is away for everybody.
+/// at that moment, and a second later the key-value store is away for everybody.
 pub fn cancelled_as_the_leader_alone_is_refused(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 4), 500_000);
     sim.submit(submission("j-2", "service", 4), 0);
-    sim.run_until("all run", 20_000, |sim| sim.starts == 8);
+    sim.run_until("all run", 20_000, |sim| sim.starts() == 8);
     let longest_renewal = Simulation::longest_renewal_by_peer();
-    sim.refuse_leader = true;
-    let read = sim.now;
+    sim.store.conditions.refuses_leader = true;
+    let read = sim.now();
     sim.run(100);
     assert!(sim.cancel("j-1"));
     sim.run(1_000);
     // Its lease ends: from now on it may only keep what runs.
     sim.run(3_000);
-    sim.leader = None;
-    sim.workers.iter_mut().for_each(|x| (x.outbound_lost, x.lease_kept_by_peer) = (true, true));
-    sim.run(read + longest_renewal - sim.now);
-    sim.workers.iter_mut().for_each(|x| x.lease_kept_by_peer = false);
-    sim.run(read + CANCEL + 2_000 - sim.now);
+    sim.stop_leader();
+    sim.workers
+        .iter_mut()
+        .for_each(|worker| (worker.faults.outbound_lost, worker.faults.lease_kept_by_peer) = (true, true));
+    sim.run(read + longest_renewal - sim.now());
+    sim.workers.iter_mut().for_each(|worker| worker.faults.lease_kept_by_peer = false);
+    sim.run(read + CANCEL_MS + 2_000 - sim.now());
     assert!(sim.none_running("j-1", 4), "cancelled, and nobody told the workers");
     sim.run(20_000);
 }
@@ -32,18 +34,18 @@
 /// Guard: a worker that reaches no controller is asked, and what it answers
 /// counts as heard, so that direct commands go on reaching it: a cancellation
 /// doesn't wait for the end of its lease.
-pub fn workers_reach_nobody_but_commands_reach_them(sim: &mut Simulation) {
+pub fn workers_reach_no_controller_but_commands_reach_them(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 6), 500_000);
     sim.submit(submission("j-2", "service", 6), 0);
-    sim.run_until("all run", 20_000, |sim| sim.starts == 12);
+    sim.run_until("all run", 20_000, |sim| sim.starts() == 12);
     sim.run(5_000);
-    sim.workers.iter_mut().for_each(|x| x.outbound_lost = true);
+    sim.workers.iter_mut().for_each(|worker| worker.faults.outbound_lost = true);
     sim.run(8_000);
     assert!(sim.cancel("j-1"));
     sim.run_until("stopped by direct commands", 14_000, |sim| sim.none_running("j-1", 6));
     sim.elect();
     sim.submit(submission("j-3", "batch", 2), 3_000);
-    sim.run(LEASE * 2);
+    sim.run(LEASE_MS * 2);
 }
 
 /// Guard: "done" is written only on the job's own revision, so that it never
@@ -51,12 +53,13 @@
 /// cancellation falls into each of the moments around the end of the last task.
 pub fn cancelled_at_the_very_end(sim: &mut Simulation) {
     sim.run(4_000);
-    (sim.txn_ms, sim.changes_ms) = (400, 600);
+    sim.store.conditions.transaction_latency_max_ms = 400;
+    sim.store.conditions.read_latency_max_ms = 600;
     let (mut done, mut cancelled) = (0, 0);
     for n in 0..30u64 {
         let id = format!("j-{n}");
         sim.submit(submission(&id, "batch", 2), 1_500);
-        let both = |sim: &Simulation| (0..2).all(|t| sim.completed.contains(&format!("{id}/{t}")));
+        let both = |sim: &Simulation| (0..2).all(|t| sim.workers.has_completed(&format!("{id}/{t}")));
         sim.run_until("both end", 60_000, both);
         sim.run(n % 15 * 100);
         let was = sim.status(&id);
@@ -73,8 +76,8 @@
     assert!(done > 3 && cancelled > 3, "{done} done, {cancelled} cancelled");
     sim.run(20_000);
     for n in 0..30 {
-        let f = &sim.jobs[&format!("j-{n}")];
-        let want = if f.cancelled_at.is_some() { JobStatus::Cancelled } else { JobStatus::Done };
+        let job = sim.job(&format!("j-{n}"));
+        let want = if job.cancelled_at.is_some() { JobStatus::Cancelled } else { JobStatus::Done };
         assert_eq!(sim.status(&format!("j-{n}")), want);
     }
 }
@@ -84,18 +87,18 @@
 /// seconds, machines hang with commands queued, and all of it is cancelled.
 pub fn cancelled_unseen_with_commands_queued(sim: &mut Simulation) {
     sim.run(4_000);
-    sim.changes_ms = 4_000;
+    sim.store.conditions.read_latency_max_ms = 4_000;
     sim.submit(submission("j-1", "batch", 12), 300_000);
-    sim.run_until("known", 6_000, |sim| !sim.workers.iter().all(|x| x.tasks.is_empty()));
-    sim.workers.iter_mut().step_by(2).for_each(|x| x.hung = true);
+    sim.run_until("known", 6_000, |sim| !sim.workers.iter().all(|worker| worker.tasks.is_empty()));
+    sim.workers.iter_mut().step_by(2).for_each(|worker| worker.faults.hung = true);
     assert!(sim.cancel("j-1"));
     sim.run(9_000);
-    sim.workers.iter_mut().for_each(|x| x.hung = false);
+    sim.workers.iter_mut().for_each(|worker| worker.faults.hung = false);
     // What was queued begins when the machine goes on, and ends at once.
     sim.run(6_000);
-    sim.run_until("all gone", CANCEL - 16_000, |sim| sim.none_running("j-1", 12));
-    let starts = sim.starts_cancelled;
-    sim.run(LEASE);
-    assert_eq!(sim.starts_cancelled, starts, "starts once the cancellation was known");
-    assert!(sim.workers.iter().all(|x| x.tasks.iter().all(|t| t.state == TaskState::Exited)));
+    sim.run_until("all gone", CANCEL_MS - 16_000, |sim| sim.none_running("j-1", 12));
+    let starts = sim.starts_of_cancelled();
+    sim.run(LEASE_MS);
+    assert_eq!(sim.starts_of_cancelled(), starts, "starts once the cancellation was known");
+    assert!(sim.workers.iter().all(|worker| worker.tasks.iter().all(|task| task.state == TaskState::Exited)));
 }
--- a/tests/combined_failures/leader_changes.rs
+++ b/tests/combined_failures/leader_changes.rs
@@ -2,28 +2,32 @@
 
 use shedhook::coordination::model::Millis;
 
-use crate::simulation::{submission, FaultRates, Held, Simulation, LEASE, REPORT};
+use crate::{
+    helpers::deliver_heartbeats_later,
+    simulation::{submission, FaultRates, Simulation, SubmissionBuilder, HEARTBEAT_INTERVAL_MS, LEASE_MS},
+};
 
 /// Guard: to a new leader, a place it read from the records is taken for a
 /// whole lease from its own start, heard or not. One machine can't be reached,
 /// one hears no answer; there is room elsewhere.
-pub fn the_leader_ends_while_machines_are_unreachable(sim: &mut Simulation) {
-    sim.run(LEASE * 2);
+pub fn failover_while_machines_are_unreachable(sim: &mut Simulation) {
+    sim.run(LEASE_MS * 2);
     sim.submit(submission("j-1", "batch", 6), 90_000);
     sim.submit(submission("j-2", "service", 4), 0);
-    sim.run_until("all run", 20_000, |sim| sim.starts == 10);
-    (sim.workers[0].partitioned, sim.workers[1].inbound_lost) = (true, true);
+    sim.run_until("all run", 20_000, |sim| sim.starts() == 10);
+    sim.workers[0].faults.partitioned = true;
+    sim.workers[1].faults.inbound_lost = true;
     sim.run(2_000);
     sim.elect();
-    sim.run(LEASE - 6_000);
-    assert_eq!(sim.starts, 10, "nothing starts anew within the lease");
-    let names = |sim: &Simulation| sim.workers[0].tasks.iter().map(|t| t.name.clone()).collect::<Vec<_>>();
+    sim.run(LEASE_MS - 6_000);
+    assert_eq!(sim.starts(), 10, "nothing starts anew within the lease");
+    let names = |sim: &Simulation| sim.workers[0].tasks.iter().map(|task| task.name.clone()).collect::<Vec<_>>();
     let before = names(sim);
-    sim.workers[0].partitioned = false;
+    sim.workers[0].faults.partitioned = false;
     sim.run(4_000);
     assert!(!before.is_empty() && names(sim) == before, "what is heard again in time goes on");
-    sim.workers[0].partitioned = true;
-    sim.run(LEASE + 10_000);
+    sim.workers[0].faults.partitioned = true;
+    sim.run(LEASE_MS + 10_000);
 }
 
 /// Guard: a transaction counts only under the leadership that sent it; tokens
@@ -31,18 +35,18 @@
 /// two minutes, with transactions and commands of the earlier ones under way;
 /// three of them can't write at all.
 pub fn ten_leaders_in_two_minutes(sim: &mut Simulation) {
-    sim.faults = FaultRates {
-        late_txn: 40,
+    sim.network.rates = FaultRates {
+        late_transaction: 40,
         late_command: 30,
-        lost_report_answer: 20,
-        very_late_report: 15,
+        lost_heartbeat_answer: 20,
+        very_late_heartbeat: 15,
         slow_command_answer: 20,
         ..FaultRates::default()
     };
     sim.submit(submission("j-1", "service", 5), 0);
     for n in 0..10u32 {
         sim.elect();
-        sim.refuse_leader = n % 4 == 2;
+        sim.store.conditions.refuses_leader = n % 4 == 2;
         sim.submit(submission(&format!("j-{}", 10 + n), "batch", 1 + n % 4), 4_000);
         if n % 3 == 1 {
             let id = format!("j-{}", 9 + n);
@@ -52,37 +56,36 @@
     }
     sim.heal_faults();
     sim.run_until_settled("ten leaders", 120_000);
-    let starts = sim.starts;
-    sim.run(LEASE * 2);
-    assert_eq!(sim.starts, starts, "nothing moves once they stop changing");
+    let starts = sim.starts();
+    sim.run(LEASE_MS * 2);
+    assert_eq!(sim.starts(), starts, "nothing moves once they stop changing");
 }
 
 /// Guard: a place that the leader before wrote counts as launched, whether it
-/// was or not; only an end, a incarnation or the lease frees it. The second leader
+/// was or not; only an end, an incarnation or the lease frees it. The second leader
 /// ends within a fraction of a second, all are away, and one returns.
-pub fn handed_over_and_back_and_all_end(sim: &mut Simulation) {
-    sim.fetch = 0;
-    sim.workers.iter_mut().skip(2).for_each(|x| x.dead = true);
-    sim.run(LEASE + 5_000);
+pub fn repeated_failover_with_launches_in_flight(sim: &mut Simulation) {
+    sim.workers.settings.image_fetch_ms = 0;
+    sim.workers.iter_mut().skip(2).for_each(|worker| worker.dead = true);
+    sim.run(LEASE_MS + 5_000);
     sim.submit_gang_with_launches_in_flight(14_000);
-    sim.workers[0].outbound_lost = true;
+    sim.workers[0].faults.outbound_lost = true;
     sim.elect();
     sim.run(400);
     sim.elect();
     sim.run(300);
-    sim.leader = None;
+    sim.stop_leader();
     sim.run(700);
     sim.elect();
     sim.run(300);
     // The gang loses its other task: it starts anew, once all of it is gone.
-    let now = sim.now;
-    sim.workers[1].restart(now);
+    sim.restart_worker(1);
     sim.add_worker("a");
     sim.add_worker("b");
     sim.run(16_000);
-    sim.workers[0].outbound_lost = false;
+    sim.workers[0].faults.outbound_lost = false;
     sim.run_until("runs", 60_000, |sim| sim.all_running("j-1", 2));
-    sim.run(LEASE);
+    sim.run(LEASE_MS);
 }
 
 /// Guard: an end is reaped only once it is written, so that the next leader
@@ -90,49 +93,45 @@
 /// apart, and the leader changes just after each end.
 pub fn tasks_end_far_apart_across_leaders(sim: &mut Simulation) {
     sim.run(4_000);
-    sim.run_ms_step = 9_000;
+    sim.workers.settings.run_step_ms = 9_000;
     sim.submit(submission("j-1", "batch", 3), 4_000);
     sim.submit(submission("j-2", "batch", 2), 7_000);
     for n in 0..5usize {
-        sim.run_until("the next one ends", 60_000, |sim| sim.completed.len() > n);
-        sim.faults = FaultRates { lost_txn: 30, ..FaultRates::default() };
+        sim.run_until("the next one ends", 60_000, |sim| sim.workers.completed_count() > n);
+        sim.network.rates = FaultRates { unanswered_transaction: 30, ..FaultRates::default() };
         // Reported, answered, perhaps written; then that leader is no more.
         sim.run([100, 700, 1_200, 4_000, 8_500][n]);
         sim.elect();
-        sim.faults = FaultRates::default();
+        sim.network.rates = FaultRates::default();
     }
     sim.run_until_settled("all ends are known", 40_000);
-    assert_eq!((sim.starts, sim.relaunches_of_completed), (5, 0), "what had ended was started again");
+    assert_eq!((sim.starts(), sim.workers.relaunches_of_completed()), (5, 0), "what had ended was started again");
 }
 
 /// Guard: a place whose launch the leader before may have sent is not given up
 /// because its job is cancelled; it counts for its team until its end is
 /// proven. The team is at its limit, its machines can't be asked, the leader
 /// changes, and a cancellation falls into that period.
-pub fn a_team_at_its_limit_when_the_leader_changes(sim: &mut Simulation) {
-    sim.team_gpus_max = 6.0;
+pub fn team_at_its_quota_during_a_failover(sim: &mut Simulation) {
+    sim.controller.settings.quotas.red_gpus_max = Some(6.0);
     sim.elect();
     sim.run(4_000);
-    let gpus = |id: &str, n: u32| {
-        let mut job = submission(id, "service", n);
-        job.gpus = Some(2.0);
-        job
-    };
+    let gpus = |id: &str, n: u32| submission(id, "service", n).with_gpus(2.0);
     sim.submit(gpus("j-1", 2), 0);
     sim.submit(gpus("j-2", 1), 0);
-    sim.run_until("at the limit", 10_000, |sim| sim.starts == 3);
+    sim.run_until("at the limit", 10_000, |sim| sim.starts() == 3);
     let assigned: Vec<usize> = sim.assignments("j-1", 2).into_iter().flatten().collect();
-    assigned.iter().for_each(|&n| sim.workers[n].partitioned = true);
+    assigned.iter().for_each(|&n| sim.workers[n].faults.partitioned = true);
     sim.elect();
     sim.submit(gpus("j-3", 2), 0);
     sim.run(3_000);
     assert!(sim.cancel("j-1"));
     sim.run(5_000);
     sim.elect();
-    sim.run(LEASE - 10_000);
-    assert_eq!(sim.starts, 3, "its limit holds while they may run");
+    sim.run(LEASE_MS - 10_000);
+    assert_eq!(sim.starts(), 3, "its limit holds while they may run");
     sim.run(20_000);
-    assigned.iter().for_each(|&n| sim.workers[n].partitioned = false);
+    assigned.iter().for_each(|&n| sim.workers[n].faults.partitioned = false);
     sim.run_until_settled("within the limit again", 90_000);
     assert!(sim.all_running("j-3", 2));
 }
@@ -140,31 +139,28 @@
 /// Guard: delayed copies of old heartbeats, and a worker or two that still get
 /// through, kept a leader in office that all others could not reach, until
 /// their leases had run out.
-pub fn a_leader_that_hardly_any_worker_reaches(sim: &mut Simulation) {
+pub fn leader_that_few_workers_reach(sim: &mut Simulation) {
     const UNREACHED: Millis = 8_000;
-    for zone in ["a", "b", "a", "b", "a", "b", "a", "b"] {
-        sim.add_worker(zone);
-    }
+    sim.add_workers(8);
     sim.submit(submission("j-1", "batch", 6), 5_000);
-    sim.run(LEASE);
-    let is_unreached = |sim: &Simulation| sim.leader.as_ref().unwrap().is_unreached(sim.now, UNREACHED);
+    sim.run(LEASE_MS);
+    let is_unreached = |sim: &Simulation| sim.leader().is_unreached(sim.now(), UNREACHED);
     assert!(!is_unreached(sim), "all are heard");
-    let copies = sim.latest_reports();
-    sim.run(REPORT);
+    let copies = sim.latest_heartbeats();
+    sim.run(HEARTBEAT_INTERVAL_MS);
     let cut_workers = sim.workers.len() - 1;
-    sim.workers[..4].iter_mut().for_each(|worker| worker.partitioned = true);
+    sim.workers[..4].iter_mut().for_each(|worker| worker.faults.partitioned = true);
     sim.run(UNREACHED + 4_000);
     assert!(!is_unreached(sim), "most are heard");
-    sim.workers[..cut_workers].iter_mut().for_each(|worker| worker.partitioned = true);
+    sim.workers[..cut_workers].iter_mut().for_each(|worker| worker.faults.partitioned = true);
     for _ in 0..6 {
         sim.run(2_000);
-        let arrive_now = copies.iter().map(|copy| (sim.now, Held::Heartbeat(copy.clone())));
-        sim.delayed.extend(arrive_now);
+        deliver_heartbeats_later(sim, &copies, 0);
     }
     assert!(is_unreached(sim), "copies of old reports count as workers that were heard");
     sim.elect();
     assert!(!is_unreached(sim), "a new leader gives them time to report");
-    sim.workers.iter_mut().for_each(|worker| worker.partitioned = false);
+    sim.workers.iter_mut().for_each(|worker| worker.faults.partitioned = false);
     sim.run(UNREACHED + 4_000);
     assert!(!is_unreached(sim), "all are heard again");
 }
--- a/tests/combined_failures/main.rs
+++ b/tests/combined_failures/main.rs
@@ -10,55 +10,48 @@
 mod random_faults;
 #[path = "../simulation/mod.rs"]
 mod simulation;
-mod slow_links;
+mod slow_network;
 
-use cancellations::*;
-use heartbeats::*;
-use leader_changes::*;
-use partitions::*;
-use simulation::{Case, Simulation};
-use slow_links::*;
+use simulation::{
+    cases::{case, run_table_in, Case, VARIANT_SEEDS},
+    Simulation,
+};
+
+/// How often each case is played, with other seeds.
+const VARIANTS: u64 = 4;
 
 #[test]
 fn combined_failures_table() {
     let cases: &[Case] = &[
-        ("leader ends, machines unreachable", the_leader_ends_while_machines_are_unreachable),
-        ("old reports after newer ones", old_reports_after_newer_ones),
-        ("cancelled as the leader alone is refused", cancelled_as_the_leader_alone_is_refused),
-        ("command held up, machine goes on", a_command_is_held_up_and_the_machine_goes_on),
-        ("ten leaders in two minutes", ten_leaders_in_two_minutes),
-        ("workers reach nobody", workers_reach_nobody_but_commands_reach_them),
-        ("handed over and back, all end", handed_over_and_back_and_all_end),
-        ("slow service, refuses one, then all", a_slow_service_that_refuses_one_and_then_all),
-        ("report held back until a leader has acted", a_report_is_held_back_until_a_new_leader_has_acted),
-        ("cancelled at the very end", cancelled_at_the_very_end),
-        ("zone-bound jobs lose machines", zone_bound_jobs_lose_their_machines),
-        ("transactions carried out late", transactions_carried_out_late),
-        ("cut leader whom workers reach", a_cut_leader_whom_workers_still_reach),
-        ("zone with its controller cut off", a_zone_with_its_controller_is_cut_off),
-        ("all controllers away", all_controllers_are_away_for_longer_than_a_lease),
-        ("tasks end far apart across leaders", tasks_end_far_apart_across_leaders),
-        ("more work than room, slow links", more_work_than_room_over_slow_links),
-        ("team at its limit, leader changes", a_team_at_its_limit_when_the_leader_changes),
-        ("cancelled unseen, commands queued", cancelled_unseen_with_commands_queued),
-        ("end of an earlier attempt", an_end_of_an_earlier_attempt),
-        ("leader that hardly any worker reaches", a_leader_that_hardly_any_worker_reaches),
+        case("leader ends, machines unreachable", leader_changes::failover_while_machines_are_unreachable),
+        case("old reports after newer ones", heartbeats::stale_heartbeats_after_newer_ones),
+        case("cancelled as the leader alone is refused", cancellations::cancelled_as_the_leader_alone_is_refused),
+        case("command held up, machine goes on", slow_network::delayed_command_to_a_machine_that_resumes),
+        case("ten leaders in two minutes", leader_changes::ten_leaders_in_two_minutes),
+        case("workers reach nobody", cancellations::workers_reach_no_controller_but_commands_reach_them),
+        case("handed over and back, all end", leader_changes::repeated_failover_with_launches_in_flight),
+        case("slow service, refuses one, then all", slow_network::slow_store_refuses_the_leader_then_everybody),
+        case("report held back until a leader has acted", heartbeats::heartbeat_delayed_until_a_new_leader_has_acted),
+        case("cancelled at the very end", cancellations::cancelled_at_the_very_end),
+        case("zone-bound jobs lose machines", partitions::zone_bound_jobs_lose_their_machines),
+        case("transactions carried out late", slow_network::transactions_applied_late),
+        case("cut leader whom workers reach", partitions::partitioned_leader_whom_workers_still_reach),
+        case("zone with its controller cut off", partitions::zone_is_partitioned_with_its_controller),
+        case("all controllers away", partitions::no_controller_for_longer_than_a_lease),
+        case("tasks end far apart across leaders", leader_changes::tasks_end_far_apart_across_leaders),
+        case("more work than room, slow links", slow_network::overload_on_a_slow_network),
+        case("team at its limit, leader changes", leader_changes::team_at_its_quota_during_a_failover),
+        case("cancelled unseen, commands queued", cancellations::cancelled_unseen_with_commands_queued),
+        case("end of an earlier attempt", heartbeats::end_of_an_earlier_attempt),
+        case("leader that hardly any worker reaches", leader_changes::leader_that_few_workers_reach),
     ];
-    // All cases are played, and every one that fails is named.
-    let mut failed = Vec::new();
-    for (n, (name, case)) in cases.iter().enumerate() {
-        for seed in 0..4 {
-            let played = std::panic::catch_unwind(|| {
-                let mut sim = Simulation::new(100 * seed + n as u64, 4);
-                sim.gang_semantics = seed % 2 == 1;
-                sim.elect();
-                case(&mut sim);
-                sim.check(name);
-            });
-            if played.is_err() {
-                failed.push(format!("{name}, seed {}", 100 * seed + n as u64));
-            }
-        }
-    }
-    assert!(failed.is_empty(), "{failed:#?}");
+    run_table_in(cases, VARIANTS, prepare);
+}
+
+/// Every second variant of a case is played with the full behaviour of gangs.
+fn prepare(seed: u64) -> Simulation {
+    let mut sim = Simulation::new(seed, 4);
+    sim.workers.settings.gang_semantics = (seed / VARIANT_SEEDS) % 2 == 1;
+    sim.elect();
+    sim
 }
--- a/tests/combined_failures/random_faults.rs
+++ b/tests/combined_failures/random_faults.rs
@@ -1,6 +1,10 @@
 //! All faults chosen at random with fixed seeds, two and three at a time.
 
-use crate::simulation::{submission, FaultRates, Simulation, LEASE};
+use shedhook::protocol::jobs::Submission;
+
+use crate::simulation::{
+    cloud::ZONES, submission, worker::WorkerFaults, FaultRates, Simulation, SubmissionBuilder, LEASE_MS,
+};
 
 /// All faults by chance with fixed seeds, two and three at a time: nothing
 /// breaks a rule, and once they are over every job that was accepted and not
@@ -19,73 +23,84 @@
 
 fn play_random_faults(seed: u64) {
     let mut sim = Simulation::new(seed, 6);
-    sim.team_gpus_max = 8.0;
-    sim.capacity = 8;
-    sim.fetch = [200, 1_000, 3_000][sim.random_below(3)];
-    sim.gang_semantics = !seed.is_multiple_of(3);
+    sim.controller.settings.quotas.red_gpus_max = Some(8.0);
+    sim.cloud.settings.capacity = 8;
+    sim.workers.settings.image_fetch_ms = [200, 1_000, 3_000][sim.random_below(3)];
+    sim.workers.settings.gang_semantics = !seed.is_multiple_of(3);
     if seed.is_multiple_of(2) {
-        sim.silent_ms = 8_500;
+        sim.controller.settings.silent_ms = 8_500;
     }
     sim.elect();
     for n in 0..14u32 {
-        sim.faults = random_fault_rates(&mut sim);
-        (sim.txn_ms, sim.changes_ms) = ([0, 300, 1_500][sim.random_below(3)], [0, 500, 3_000][sim.random_below(3)]);
+        sim.network.rates = random_fault_rates(&mut sim);
+        sim.store.conditions.transaction_latency_max_ms = [0, 300, 1_500][sim.random_below(3)];
+        sim.store.conditions.read_latency_max_ms = [0, 500, 3_000][sim.random_below(3)];
         let kind = ["batch", "ensemble", "service"][sim.random_below(3)];
-        let mut job = submission(&format!("j-{n}"), kind, 1 + sim.random_below(5) as u32);
-        job.gpus = Some(sim.random_below(2) as f64);
-        job.one_zone = Some(sim.random_below(3) == 0);
-        job.spread = Some(job.one_zone == Some(false) && sim.random_below(3) == 0);
-        job.zone =
-            (job.spread == Some(false) && sim.random_below(3) == 0).then(|| ["a", "b"][sim.random_below(2)].into());
-        job.priority = Some(["low", "normal", "high"][sim.random_below(3)].into());
+        let tasks = 1 + sim.random_below(5) as u32;
+        let job = random_submission(&mut sim, &format!("j-{n}"), kind, tasks);
         let run = if kind == "service" { 0 } else { 2_000 + 1_000 * sim.random_below(25) as u64 };
         sim.submit(job, run);
         for _ in 0..3 {
             let at = sim.random_below(sim.workers.len());
             inject_random_fault(&mut sim, n, at);
             sim.run(4_000);
-            if sim.refuse_leader {
-                // Its lease under the state service is over.
-                (sim.leader, sim.refuse_leader) = (None, false);
+            if sim.store.conditions.refuses_leader {
+                // Its lease under the key-value store is over.
+                sim.stop_leader();
+                sim.store.conditions.refuses_leader = false;
             }
-            if sim.leader.is_none() && sim.random_below(3) > 0 {
+            if !sim.has_leader() && sim.random_below(3) > 0 {
                 sim.elect();
             }
         }
     }
     sim.check(&format!("seed {seed}"));
     sim.heal_faults();
-    sim.capacity = 12;
-    sim.run(LEASE);
+    sim.cloud.settings.capacity = 12;
+    sim.run(LEASE_MS);
     for n in 0..14 {
         let id = format!("j-{n}");
-        if sim.jobs[&id].run_ms == 0 && n % 2 == 0 {
+        if sim.job(&id).run_ms == 0 && n % 2 == 0 {
             sim.cancel(&id);
         }
     }
     let all: Vec<String> = (0..14).map(|n| format!("j-{n}")).collect();
     sim.run_without_starvation(&format!("seed {seed}"), &all, 200_000);
     // Services that fill the team's limit make way; the rest has to end.
-    for id in all.iter().filter(|id| sim.jobs[*id].run_ms == 0).cloned().collect::<Vec<_>>() {
+    for id in all.iter().filter(|id| sim.job(id).run_ms == 0).cloned().collect::<Vec<_>>() {
         sim.cancel(&id);
     }
     sim.run_until_settled(&format!("seed {seed}"), 600_000);
-    sim.run(LEASE);
+    sim.run(LEASE_MS);
     sim.check(&format!("seed {seed}, afterwards"));
 }
 
+fn random_submission(sim: &mut Simulation, id: &str, kind: &str, tasks: u32) -> Submission {
+    let gpus = sim.random_below(2) as f64;
+    let one_zone = sim.random_below(3) == 0;
+    let spread = !one_zone && sim.random_below(3) == 0;
+    let zone = (!spread && sim.random_below(3) == 0).then(|| ZONES[sim.random_below(2)]);
+    let priority = ["low", "normal", "high"][sim.random_below(3)];
+    let job = submission(id, kind, tasks).with_gpus(gpus).with_one_zone(one_zone).with_spread(spread);
+    let job = job.with_priority(priority);
+    match zone {
+        Some(zone) => job.with_zone(zone),
+        None => job,
+    }
+}
+
 /// One fault, or its end, drawn at random: at worker `at`, at the leader, or a
 /// cancellation of one of the first `n` jobs.
 fn inject_random_fault(sim: &mut Simulation, n: u32, at: usize) {
     match sim.random_below(20) {
-        0 => sim.workers[at].partitioned = true,
-        1 => sim.workers[at].hung = true,
-        2 => sim.workers[at].inbound_lost = true,
-        3 => sim.workers[at].outbound_lost = true,
-        4 => sim.workers[at].answers_lost = true,
-        5 => sim.refuse_leader = true,
+        0 => sim.workers[at].faults.partitioned = true,
+        1 => sim.workers[at].faults.hung = true,
+        2 => sim.workers[at].faults.inbound_lost = true,
+        3 => sim.workers[at].faults.outbound_lost = true,
+        4 => sim.workers[at].faults.answers_lost = true,
+        5 => sim.store.conditions.refuses_leader = true,
         6 => {
-            let zone = sim.workers[at].zone.clone();
+            let zone = sim.workers[at].spec.zone.clone();
             replace_leader_while_a_peer_keeps_leases(sim, &zone);
         }
         7 => {
@@ -95,16 +110,14 @@
             }
         }
         8 => {
-            sim.leader = None;
-            sim.run(LEASE + 4_000);
+            sim.stop_leader();
+            sim.run(LEASE_MS + 4_000);
         }
         9 => {
-            let now = sim.now;
-            sim.workers[at].restart(now);
+            sim.restart_worker(at);
         }
-        10 | 11 => sim.workers.iter_mut().for_each(|x| {
-            (x.partitioned, x.hung, x.inbound_lost, x.outbound_lost, x.answers_lost) =
-                (false, false, false, false, false)
+        10 | 11 => sim.workers.iter_mut().for_each(|worker| {
+            worker.faults = WorkerFaults { lease_kept_by_peer: worker.faults.lease_kept_by_peer, ..Default::default() };
         }),
         12..15 if n > 1 => {
             let id = format!("j-{}", sim.random_below(n as usize));
@@ -123,31 +136,33 @@
         lost_command: below(8),
         repeated_command: below(25),
         slow_command: below(30),
-        lost_txn: below(12),
-        lost_report_answer: below(15),
-        late_report: below(12),
+        unanswered_transaction: below(12),
+        lost_heartbeat_answer: below(15),
+        late_heartbeat: below(12),
         lost_rental_answer: below(30),
         slow_command_answer: below(30),
-        late_txn: below(25),
-        very_late_report: below(12),
-        delayed_report: below(10),
+        late_transaction: below(25),
+        very_late_heartbeat: below(12),
+        delayed_heartbeat: below(10),
     }
 }
 
 /// The leader ends, and for some of the time that another controller may, that
 /// one keeps the leases of one zone.
 fn replace_leader_while_a_peer_keeps_leases(sim: &mut Simulation, zone: &str) {
-    sim.leader = None;
+    sim.stop_leader();
     let renewal = sim.random_below(Simulation::longest_renewal_by_peer() as usize) as u64;
-    sim.peers_silent_since = Some(sim.now);
+    sim.controller.settings.peers_silent_since = Some(sim.now());
     sim.workers
         .iter_mut()
-        .filter(|x| x.zone == zone)
-        .for_each(|x| (x.outbound_lost, x.lease_kept_by_peer) = (true, true));
+        .filter(|worker| worker.spec.zone == zone)
+        .for_each(|worker| (worker.faults.outbound_lost, worker.faults.lease_kept_by_peer) = (true, true));
     sim.run(2_000);
     sim.elect();
     sim.run(renewal.saturating_sub(2_000));
-    sim.workers.iter_mut().for_each(|x| (x.outbound_lost, x.lease_kept_by_peer) = (false, false));
+    sim.workers
+        .iter_mut()
+        .for_each(|worker| (worker.faults.outbound_lost, worker.faults.lease_kept_by_peer) = (false, false));
     sim.run(200);
-    sim.peers_silent_since = None;
+    sim.controller.settings.peers_silent_since = None;
 }
--- a/tests/pipelines/cancellations.rs
+++ b/tests/pipelines/cancellations.rs
@@ -25,7 +25,7 @@
                 }
                 sim.run(at);
                 if change {
-                    sim.leader = None;
+                    sim.stop_leader();
                 }
                 let won = sim.cancel(names[step]);
                 sim.run(500);
@@ -50,17 +50,17 @@
     sim.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
     // The leader doesn't see the cancellation, and tries to write the end.
-    sim.changes_unread = true;
+    sim.controller.settings.reads_paused = true;
     assert!(sim.cancel("j-1"));
     sim.run(15_000);
     assert!(sim.status("j-1") == JobStatus::Cancelled && !has_begun(sim, "j-2"));
-    sim.changes_unread = false;
+    sim.controller.settings.reads_paused = false;
     sim.run(30_000);
     assert_eq!(sim.status_told_to_users("j-2"), Some(JobStatus::Cancelled));
 }
 
 /// Guard: the write of the end is under way when the job is cancelled.
-pub fn a_late_end_of_a_cancelled_job(sim: &mut Simulation) {
+pub fn late_end_of_a_cancelled_job(sim: &mut Simulation) {
     run_until_the_prerequisite_ended(sim);
     lose_transaction_answers_for_a_second(sim);
     let won = sim.cancel("j-1");
@@ -68,22 +68,22 @@
     assert_eq!(sim.status_told_to_users("j-2"), Some(if won { JobStatus::Cancelled } else { JobStatus::Done }));
 }
 
-pub fn cancelled_while_the_state_service_is_away(sim: &mut Simulation) {
+pub fn cancelled_while_the_store_is_unavailable(sim: &mut Simulation) {
     sim.submit(submission("j-1", "service", 2), 0);
     sim.submit(submission("j-2", "batch", 2), 30_000);
     sim.submit(after("j-3", "batch", 1, &["j-2"]), 1_000);
     sim.submit(after("j-4", "batch", 1, &["j-3"]), 1_000);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-2/1").is_some());
-    sim.txns_left = Some(0);
+    sim.store.conditions.transactions_left = Some(0);
     sim.cancel("j-2");
     sim.run(20_000);
-    sim.txns_left = None;
+    sim.store.conditions.transactions_left = None;
     sim.run(60_000);
     assert_eq!(sim.status_told_to_users("j-4"), Some(JobStatus::Cancelled));
 }
 
 /// It is accepted all the same, and never starts.
-pub fn names_a_cancelled_one(sim: &mut Simulation) {
+pub fn submitted_after_its_prerequisite_was_cancelled(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 1), 60_000);
     sim.submit(submission("j-5", "batch", 1), 1_000);
     sim.submit(after("j-2", "batch", 1, &["j-1"]), 1_000);
--- a/tests/pipelines/cancelled_shapes.rs
+++ b/tests/pipelines/cancelled_shapes.rs
@@ -4,25 +4,25 @@
 
 use crate::{
     helpers::{after, all_run, has_begun, is_done},
-    simulation::{submission, Simulation},
+    simulation::{submission, Simulation, SubmissionBuilder},
 };
 
 /// Cancels a prerequisite that can't be placed: everything else is told
 /// cancelled, now and by the next leader, and nothing but the one record is written.
 fn cancel_first_of(sim: &mut Simulation, dependents: &[String]) {
     sim.run(5_000);
-    let before = sim.store.store_revision;
+    let before = sim.store.revision();
     assert!(sim.cancel("j-1"));
     sim.run(30_000);
-    assert_eq!(sim.store.store_revision, before.next(), "one cancellation is one write");
+    assert_eq!(sim.store.revision(), before.next(), "one cancellation is one write");
     let all_cancelled =
         |sim: &Simulation| dependents.iter().all(|id| sim.status_told_to_users(id) == Some(JobStatus::Cancelled));
     assert!(all_cancelled(sim), "under the same leader");
     sim.elect();
-    let elected = sim.store.store_revision;
+    let elected = sim.store.revision();
     sim.run(30_000);
     assert!(all_cancelled(sim), "under the next leader");
-    assert_eq!(sim.store.store_revision, elected, "nothing is written by the next leader");
+    assert_eq!(sim.store.revision(), elected, "nothing is written by the next leader");
     assert!(dependents.iter().all(|id| !has_begun(sim, id)));
     // The case itself has to run something.
     sim.submit(submission("j-9000", "batch", 1), 1_000);
@@ -30,10 +30,10 @@
 }
 
 fn unplaceable(id: &str) -> Submission {
-    Submission { zone: Some("nowhere".into()), ..submission(id, "batch", 1) }
+    submission(id, "batch", 1).with_zone("nowhere")
 }
 
-pub fn a_wide_fan_out_cancelled_at_the_first(sim: &mut Simulation) {
+pub fn wide_fan_out_cancelled_at_its_root(sim: &mut Simulation) {
     const DEPENDENTS: u32 = 200;
     sim.submit(unplaceable("j-1"), 1_000);
     let names: Vec<String> = (0..DEPENDENTS).map(|n| format!("j-{}", 100 + n)).collect();
@@ -43,7 +43,7 @@
     cancel_first_of(sim, &names);
 }
 
-pub fn a_deep_chain_cancelled_at_the_first(sim: &mut Simulation) {
+pub fn deep_chain_cancelled_at_its_root(sim: &mut Simulation) {
     const DEPTH: u32 = 60;
     sim.submit(unplaceable("j-1"), 1_000);
     let names: Vec<String> = (0..DEPTH).map(|n| format!("j-{}", 100 + n)).collect();
@@ -55,7 +55,7 @@
     cancel_first_of(sim, &names);
 }
 
-pub fn a_diamond_cancelled_at_one_side(sim: &mut Simulation) {
+pub fn diamond_cancelled_at_one_side(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 1), 3_000);
     sim.submit(after("j-2", "batch", 1, &["j-1"]), 30_000);
     sim.submit(after("j-3", "batch", 1, &["j-1"]), 5_000);
--- a/tests/pipelines/helpers.rs
+++ b/tests/pipelines/helpers.rs
@@ -2,12 +2,11 @@
 
 use shedhook::{protocol::jobs::Submission, storage::records::JobStatus};
 
-use crate::simulation::{submission, FaultRates, Simulation};
+use crate::simulation::{submission, FaultRates, Simulation, SubmissionBuilder};
 
 /// A submission that waits for its prerequisites.
 pub fn after(id: &str, kind: &str, tasks: u32, prereqs: &[&str]) -> Submission {
-    let prereqs = Some(prereqs.iter().map(|p| (*p).to_owned()).collect());
-    Submission { prereqs, ..submission(id, kind, tasks) }
+    submission(id, kind, tasks).with_prereqs(prereqs)
 }
 
 pub fn is_done(id: &'static str) -> impl Fn(&Simulation) -> bool {
@@ -17,7 +16,8 @@
 /// Whether a task of this job ever ended or is on a worker.
 pub fn has_begun(sim: &Simulation, id: &str) -> bool {
     let of = |t: &str| t.split('/').next() == Some(id);
-    sim.completed.iter().any(|t| of(t)) || sim.workers.iter().any(|x| x.tasks.iter().any(|t| of(&t.name)))
+    sim.workers.completed_tasks().any(|t| of(t))
+        || sim.workers.iter().any(|worker| worker.tasks.iter().any(|t| of(&t.name)))
 }
 
 pub fn all_run(id: &'static str, tasks: u32) -> impl Fn(&Simulation) -> bool {
@@ -29,13 +29,13 @@
 pub fn run_until_the_prerequisite_ended(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 1), 3_000);
     sim.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
-    sim.run_until("ended", 20_000, |sim| !sim.completed.is_empty());
+    sim.run_until("ended", 20_000, |sim| sim.workers.completed_count() > 0);
 }
 
 /// No transaction of the next second is answered: half of them are applied at
 /// once, half later.
 pub fn lose_transaction_answers_for_a_second(sim: &mut Simulation) {
-    sim.faults = FaultRates { lost_txn: 100, ..FaultRates::default() };
+    sim.network.rates = FaultRates { unanswered_transaction: 100, ..FaultRates::default() };
     sim.run(1_000);
-    sim.faults = FaultRates::default();
+    sim.network.rates = FaultRates::default();
 }
--- a/tests/pipelines/job_cache.rs
+++ b/tests/pipelines/job_cache.rs
@@ -18,24 +18,34 @@
 
 use crate::{helpers::after, simulation::submission};
 
-fn record(s: &Submission, status: JobStatus, at_ms: u64) -> Value {
-    to_value(&JobRecord { submission: s.clone(), status, at_ms, chunk: 4 })
+fn record(submission: &Submission, status: JobStatus, at_ms: u64) -> Value {
+    to_value(&JobRecord { submission: submission.clone(), status, at_ms, chunk: 4 })
 }
 
-fn change(s: &Submission, status: JobStatus, at_ms: u64, revision: u64) -> Change {
-    let id = s.name_id.as_deref().unwrap();
-    Change { write: Some(job_key(id)), drop: None, v: Some(record(s, status, at_ms)), revision: Revision(revision) }
+fn change(submission: &Submission, status: JobStatus, at_ms: u64, revision: u64) -> Change {
+    let id = submission.name_id.as_deref().unwrap();
+    Change {
+        write: Some(job_key(id)),
+        drop: None,
+        v: Some(record(submission, status, at_ms)),
+        revision: Revision(revision),
+    }
 }
 
 /// Guard: whatever the order in which records are seen, the outcome is the same.
 #[test]
 fn the_order_of_records_does_not_matter() {
     use JobStatus::*;
-    let s = |id: &str, p: &[&str]| after(id, "batch", 1, p);
+    let job = |id: &str, prereqs: &[&str]| after(id, "batch", 1, prereqs);
     // j-1 -> j-2 -> j-4 -> j-5, j-1 -> j-3 -> j-4; j-6 -> j-7.
-    let (one, six) = (s("j-1", &[]), s("j-6", &[]));
-    let rest =
-        [s("j-2", &["j-1"]), s("j-3", &["j-1"]), s("j-4", &["j-2", "j-3"]), s("j-5", &["j-4"]), s("j-7", &["j-6"])];
+    let (one, six) = (job("j-1", &[]), job("j-6", &[]));
+    let rest = [
+        job("j-2", &["j-1"]),
+        job("j-3", &["j-1"]),
+        job("j-4", &["j-2", "j-3"]),
+        job("j-5", &["j-4"]),
+        job("j-7", &["j-6"]),
+    ];
     let mut all = vec![
         change(&one, Pending, 100, 1),
         change(&six, Pending, 100, 2),
@@ -47,14 +57,18 @@
     all.extend(rest.iter().enumerate().map(|(n, r)| change(r, Pending, 100, 3 + n as u64)));
     let mut state = 7u64;
     for round in 0..500 {
-        let mut m = JobCache::default();
-        for c in &all {
-            m.apply(&Changes { store_revision: c.revision, events: vec![c.clone()] }, &mut Tables::default());
+        let mut job_cache = JobCache::default();
+        for change in &all {
+            job_cache.apply(
+                &Changes { store_revision: change.revision, events: vec![change.clone()] },
+                &mut Tables::default(),
+            );
         }
-        let shown: Vec<JobStatus> = (1..=7).map(|n| m.get(m.find(&format!("j-{n}")).unwrap()).status).collect();
+        let shown: Vec<JobStatus> =
+            (1..=7).map(|n| job_cache.get(job_cache.find(&format!("j-{n}")).unwrap()).status).collect();
         assert_eq!(shown, [Cancelled, Cancelled, Cancelled, Cancelled, Cancelled, Done, Pending], "round {round}");
-        let last = m.find("j-7").unwrap();
-        assert!(!m.waits(last) && m.ready_ms(last) == 7_000, "round {round}");
+        let last = job_cache.find("j-7").unwrap();
+        assert!(!job_cache.waits(last) && job_cache.ready_ms(last) == 7_000, "round {round}");
         for i in (1..all.len()).rev() {
             state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             all.swap(i, (state >> 33) as usize % (i + 1));
@@ -66,8 +80,8 @@
 #[test]
 fn a_derived_cancellation_stays() {
     let (one, two) = (after("j-1", "batch", 1, &[]), after("j-2", "batch", 1, &["j-1"]));
-    let mut m = JobCache::default();
-    let mut t = Tables::default();
+    let mut job_cache = JobCache::default();
+    let mut tables = Tables::default();
     let steps = [
         (change(&one, JobStatus::Pending, 1, 1), JobStatus::Pending),
         (change(&two, JobStatus::Pending, 1, 2), JobStatus::Pending),
@@ -75,10 +89,10 @@
         (change(&two, JobStatus::Pending, 1, 4), JobStatus::Cancelled),
         (change(&two, JobStatus::Done, 1, 5), JobStatus::Cancelled),
     ];
-    for (c, want) in steps {
-        m.apply(&Changes { store_revision: c.revision, events: vec![c.clone()] }, &mut t);
-        if let Some(index) = m.find("j-2") {
-            assert_eq!(m.get(index).status, want, "after {}", c.revision);
+    for (change, want) in steps {
+        job_cache.apply(&Changes { store_revision: change.revision, events: vec![change.clone()] }, &mut tables);
+        if let Some(index) = job_cache.find("j-2") {
+            assert_eq!(job_cache.get(index).status, want, "after {}", change.revision);
         }
     }
 }
@@ -97,15 +111,15 @@
         with(after("j-3", "batch", 1, &["j-1"]), "low", Some(500.0)),
         with(after("j-4", "batch", 1, &["j-2", "j-3"]), "high", Some(100.0)),
     ];
-    let mut t = Tables::default();
+    let mut tables = Tables::default();
     for order in [[0, 1, 2, 3], [3, 2, 1, 0], [1, 3, 0, 2]] {
-        let mut m = JobCache::default();
+        let mut job_cache = JobCache::default();
         for n in order {
-            let c = change(&jobs[n], JobStatus::Pending, 1_000, n as u64 + 1);
-            m.apply(&Changes { store_revision: c.revision, events: vec![c] }, &mut t);
+            let change = change(&jobs[n], JobStatus::Pending, 1_000, n as u64 + 1);
+            job_cache.apply(&Changes { store_revision: change.revision, events: vec![change] }, &mut tables);
         }
         let got: Vec<(Priority, Option<f64>, Option<f64>)> = (1..=4)
-            .map(|n| m.effective_spec(m.find(&format!("j-{n}")).unwrap()).unwrap())
+            .map(|n| job_cache.effective_spec(job_cache.find(&format!("j-{n}")).unwrap()).unwrap())
             .map(|spec| (spec.priority, spec.deadline_s, spec.overdue_s))
             .collect();
         use Priority::High;
@@ -118,12 +132,12 @@
         assert_eq!(got, want, "{order:?}");
         // The deadline counts from the submission, however long it waited.
         for (n, end) in [(0, 31_000), (1, 41_000), (2, 36_000)] {
-            let c = change(&jobs[n], JobStatus::Done, end, 10 + n as u64);
-            m.apply(&Changes { store_revision: c.revision, events: vec![c] }, &mut t);
+            let change = change(&jobs[n], JobStatus::Done, end, 10 + n as u64);
+            job_cache.apply(&Changes { store_revision: change.revision, events: vec![change] }, &mut tables);
         }
-        let last = m.find("j-4").unwrap();
-        let s = m.effective_spec(last).unwrap();
-        assert_eq!((m.ready_ms(last), s.deadline_s, s.overdue_s), (41_000, Some(60.0), Some(110.0)));
+        let last = job_cache.find("j-4").unwrap();
+        let spec = job_cache.effective_spec(last).unwrap();
+        assert_eq!((job_cache.ready_ms(last), spec.deadline_s, spec.overdue_s), (41_000, Some(60.0), Some(110.0)));
     }
 }
 
@@ -159,15 +173,15 @@
                 if backwards {
                     events.reverse();
                 }
-                let (mut m, mut t) = (JobCache::default(), Tables::default());
+                let (mut job_cache, mut tables) = (JobCache::default(), Tables::default());
                 let began = Instant::now();
-                m.apply(&Changes { store_revision: Revision(10_000), events }, &mut t);
+                job_cache.apply(&Changes { store_revision: Revision(10_000), events }, &mut tables);
                 let loaded = began.elapsed();
-                m.take_changed();
-                let c = change(&subs[0], end, 1, 20_000);
-                m.apply(&Changes { store_revision: Revision(20_000), events: vec![c] }, &mut t);
+                job_cache.take_changed();
+                let change = change(&subs[0], end, 1, 20_000);
+                job_cache.apply(&Changes { store_revision: Revision(20_000), events: vec![change] }, &mut tables);
                 let took = began.elapsed();
-                let changed = m.take_changed().len();
+                let changed = job_cache.take_changed().len();
                 eprintln!(
                     "{what}, backwards {backwards}: loaded in {loaded:?}, {end:?} at {took:?}, {changed} changed"
                 );
@@ -179,7 +193,10 @@
                 } else if what != "join" && what != "lattice" {
                     assert_eq!(changed, shape.len(), "{what}");
                 }
-                assert!(end == JobStatus::Done || m.get(m.find(&name(last)).unwrap()).status == JobStatus::Cancelled);
+                assert!(
+                    end == JobStatus::Done
+                        || job_cache.get(job_cache.find(&name(last)).unwrap()).status == JobStatus::Cancelled
+                );
             }
         }
     }
--- a/tests/pipelines/random_faults.rs
+++ b/tests/pipelines/random_faults.rs
@@ -1,10 +1,10 @@
 //! Pipelines under random faults with fixed seeds, also during a rolling upgrade.
 
-use shedhook::{protocol::jobs::Submission, storage::records::JobStatus};
+use shedhook::storage::records::JobStatus;
 
 use crate::{
     helpers::after,
-    simulation::{FaultRates, Simulation},
+    simulation::{FaultRates, Simulation, SubmissionBuilder},
 };
 
 /// By chance with fixed seeds: pipelines in all faults, cancelled now and
@@ -13,14 +13,14 @@
 fn pipelines_under_random_faults() {
     for seed in 0..24 {
         let mut sim = Simulation::new(seed, 6);
-        sim.faults = FaultRates {
+        sim.network.rates = FaultRates {
             late_command: 10,
             lost_command: 5,
             repeated_command: 20,
             slow_command: 20,
-            lost_txn: 15,
-            lost_report_answer: 10,
-            late_report: 10,
+            unanswered_transaction: 15,
+            lost_heartbeat_answer: 10,
+            late_heartbeat: 10,
             ..FaultRates::default()
         };
         sim.elect();
@@ -28,18 +28,18 @@
         for n in 0..16 {
             // Ids in no order.
             let id = format!("j-{}", (n * 7 + 3) % 16);
-            let mut p: Vec<String> = Vec::new();
+            let mut prereqs: Vec<String> = Vec::new();
             for _ in 0..sim.random_below(3) {
                 if !names.is_empty() {
                     let at = sim.random_below(names.len());
-                    p.push(names[at].clone());
+                    prereqs.push(names[at].clone());
                 }
             }
-            let p: Vec<&str> = p.iter().map(String::as_str).collect();
+            let prereqs: Vec<&str> = prereqs.iter().map(String::as_str).collect();
             let kind = ["batch", "ensemble"][sim.random_below(2)];
             let tasks = 1 + sim.random_below(3) as u32;
             let run = 500 + 500 * sim.random_below(8) as u64;
-            sim.submit(after(&id, kind, tasks, &p), run);
+            sim.submit(after(&id, kind, tasks, &prereqs), run);
             names.push(id);
             let pause = 200 * sim.random_below(20) as u64;
             sim.run(pause);
@@ -50,16 +50,17 @@
                     let id = names[at].clone();
                     sim.cancel(&id);
                 }
-                2 => sim.die_after_txn = true,
-                3 => sim.die_before_txn = true,
+                2 => sim.controller.settings.crash_after_transaction = true,
+                3 => sim.controller.settings.crash_before_transaction = true,
                 _ => {}
             }
-            if sim.leader.is_none() && sim.random_below(2) == 0 {
+            if !sim.has_leader() && sim.random_below(2) == 0 {
                 sim.elect();
             }
         }
-        sim.faults = FaultRates::default();
-        (sim.die_after_txn, sim.die_before_txn) = (false, false);
+        sim.network.rates = FaultRates::default();
+        sim.controller.settings.crash_after_transaction = false;
+        sim.controller.settings.crash_before_transaction = false;
         sim.elect();
         run_until_all_are_over(&mut sim, &names, seed);
     }
@@ -84,13 +85,17 @@
 fn replaced_one_by_one() {
     for seed in 0..8 {
         let mut sim = Simulation::new(seed, 6);
-        (sim.slots, sim.chunk, sim.chunk_fit) = (20, 64, 12);
-        (sim.value_now, sim.value_max, sim.value_fit) = (16 << 10, 16 << 10, 1 << 10);
-        sim.faults = FaultRates {
+        sim.workers.settings.slots = 20;
+        sim.users.tasks_per_chunk = 64;
+        sim.controller.settings.tasks_per_chunk_fit = 12;
+        sim.store.conditions.value_bytes_max = 16 << 10;
+        sim.controller.settings.value_bytes_max = 16 << 10;
+        sim.controller.settings.value_bytes_fit = 1 << 10;
+        sim.network.rates = FaultRates {
             late_command: 5,
             slow_command: 20,
-            lost_txn: 15,
-            lost_report_answer: 10,
+            unanswered_transaction: 15,
+            lost_heartbeat_answer: 10,
             ..FaultRates::default()
         };
         let mut is_new = [false; 5];
@@ -103,23 +108,23 @@
                 }
             }
             let all_new = is_new.iter().all(|n| *n);
-            if sim.leader.is_none() || sim.random_below(3) == 0 {
-                sim.writes_old_form = !is_new[sim.random_below(5)];
-                sim.may_reshard = all_new;
+            if !sim.has_leader() || sim.random_below(3) == 0 {
+                sim.controller.settings.writes_old_form = !is_new[sim.random_below(5)];
+                sim.controller.settings.may_reshard = all_new;
                 sim.elect();
             }
             let id = format!("j-{}", (round * 27 + 5) % 40);
-            let mut p: Vec<String> = Vec::new();
-            while all_new && p.len() < 2 {
+            let mut prereqs: Vec<String> = Vec::new();
+            while all_new && prereqs.len() < 2 {
                 let at = sim.random_below(names.len());
-                p.push(names[at].clone());
+                prereqs.push(names[at].clone());
             }
-            let p: Vec<&str> = p.iter().map(String::as_str).collect();
+            let prereqs: Vec<&str> = prereqs.iter().map(String::as_str).collect();
             let tasks = 1 + sim.random_below(20) as u32;
             let kind = ["batch", "ensemble"][sim.random_below(2)];
-            let job = Submission { cpus: Some(0.5), ..after(&id, kind, tasks, &p) };
+            let job = after(&id, kind, tasks, &prereqs).with_cpus(0.5);
             // Old controllers record larger chunks.
-            sim.chunk = if is_new[sim.random_below(5)] { 12 } else { 64 };
+            sim.users.tasks_per_chunk = if is_new[sim.random_below(5)] { 12 } else { 64 };
             let run = 500 + 500 * sim.random_below(6) as u64;
             sim.submit(job, run);
             names.push(id);
@@ -130,17 +135,20 @@
                     let at = sim.random_below(names.len());
                     sim.cancel(&names[at].clone());
                 }
-                1 => sim.die_after_txn = true,
-                2 => sim.die_before_txn = true,
+                1 => sim.controller.settings.crash_after_transaction = true,
+                2 => sim.controller.settings.crash_before_transaction = true,
                 _ => {}
             }
             if round == 30 {
-                sim.value_now = 1 << 10;
+                sim.store.conditions.value_bytes_max = 1 << 10;
             }
         }
         assert!(is_new.iter().all(|n| *n), "seed {seed}");
-        sim.faults = FaultRates::default();
-        (sim.die_after_txn, sim.die_before_txn, sim.writes_old_form, sim.may_reshard) = (false, false, false, true);
+        sim.network.rates = FaultRates::default();
+        sim.controller.settings.crash_after_transaction = false;
+        sim.controller.settings.crash_before_transaction = false;
+        sim.controller.settings.writes_old_form = false;
+        sim.controller.settings.may_reshard = true;
         sim.elect();
         run_until_all_are_over(&mut sim, &names, seed);
     }
--- a/tests/pipelines/starts.rs
+++ b/tests/pipelines/starts.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     helpers::{after, has_begun, is_done, lose_transaction_answers_for_a_second, run_until_the_prerequisite_ended},
-    simulation::{submission, Simulation},
+    simulation::{submission, Simulation, SubmissionBuilder},
 };
 
 pub fn chain(sim: &mut Simulation) {
@@ -37,8 +37,8 @@
 }
 
 /// Ids come in no order: the leader reads dependents before what they need.
-pub fn read_in_the_order_of_ids(sim: &mut Simulation) {
-    sim.leader = None;
+pub fn dependents_are_read_before_prerequisites(sim: &mut Simulation) {
+    sim.stop_leader();
     sim.submit(submission("j-9", "batch", 1), 2_000);
     sim.submit(after("j-5", "batch", 1, &["j-9"]), 2_000);
     sim.submit(after("j-1", "batch", 1, &["j-5", "j-9"]), 2_000);
@@ -47,31 +47,31 @@
 }
 
 /// Guard: all tasks have ended, but that isn't written: nothing after it starts.
-pub fn the_end_cannot_be_written(sim: &mut Simulation) {
+pub fn end_cannot_be_committed(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 2), 3_000);
     sim.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/1").is_some());
-    sim.txns_left = Some(0);
+    sim.store.conditions.transactions_left = Some(0);
     sim.run(30_000);
-    assert!(sim.completed.len() == 2 && sim.status("j-1") == JobStatus::Pending && !has_begun(sim, "j-2"));
-    sim.txns_left = None;
+    assert!(sim.workers.completed_count() == 2 && sim.status("j-1") == JobStatus::Pending && !has_begun(sim, "j-2"));
+    sim.store.conditions.transactions_left = None;
     sim.run_until("done", 60_000, is_done("j-2"));
 }
 
 /// The leader dies between the end and its record, or between the record and
 /// the start of what waited for it.
-pub fn the_leader_dies_before_the_end_is_written(sim: &mut Simulation) {
+pub fn leader_crashes_before_the_end_is_committed(sim: &mut Simulation) {
     run_until_the_prerequisite_ended(sim);
-    sim.die_before_txn = true;
-    sim.run_until("dead", 20_000, |sim| sim.leader.is_none());
+    sim.controller.settings.crash_before_transaction = true;
+    sim.run_until("dead", 20_000, |sim| !sim.has_leader());
     sim.elect();
     sim.run_until("done", 60_000, is_done("j-2"));
 }
 
-pub fn the_leader_dies_after_the_end_is_written(sim: &mut Simulation) {
+pub fn leader_crashes_after_the_end_is_committed(sim: &mut Simulation) {
     run_until_the_prerequisite_ended(sim);
-    sim.die_after_txn = true;
-    sim.run_until("dead", 20_000, |sim| sim.leader.is_none());
+    sim.controller.settings.crash_after_transaction = true;
+    sim.run_until("dead", 20_000, |sim| !sim.has_leader());
     assert!(sim.status("j-1") == JobStatus::Done && !has_begun(sim, "j-2"));
     sim.run(5_000);
     sim.elect();
@@ -79,7 +79,7 @@
 }
 
 /// Guard: the answer to the end's write is lost, and it is applied late.
-pub fn the_end_is_written_late(sim: &mut Simulation) {
+pub fn end_is_committed_late(sim: &mut Simulation) {
     run_until_the_prerequisite_ended(sim);
     lose_transaction_answers_for_a_second(sim);
     sim.elect();
@@ -88,7 +88,7 @@
 }
 
 /// A job that is submitted when what it needs is over starts at once.
-pub fn named_when_it_is_over(sim: &mut Simulation) {
+pub fn prerequisite_is_done_at_submission(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 1), 1_000);
     sim.run_until("done", 30_000, is_done("j-1"));
     sim.submit(after("j-2", "batch", 1, &["j-1"]), 1_000);
@@ -96,14 +96,14 @@
 }
 
 /// A waiting job takes no part of its team's limit.
-pub fn a_waiting_job_holds_no_limit(sim: &mut Simulation) {
-    sim.team_gpus_max = 4.0;
+pub fn waiting_job_uses_no_quota(sim: &mut Simulation) {
+    sim.controller.settings.quotas.red_gpus_max = Some(4.0);
     sim.elect();
     sim.submit(submission("j-1", "batch", 1), 60_000);
-    let gpus = |s: Submission| Submission { gpus: Some(4.0), cpus: Some(1.0), ..s };
+    let gpus = |s: Submission| s.with_gpus(4.0).with_cpus(1.0);
     sim.submit(gpus(after("j-2", "batch", 1, &["j-1"])), 1_000);
     sim.submit(gpus(submission("j-3", "batch", 1)), 2_000);
     sim.run_until("done", 30_000, is_done("j-3"));
-    let l = sim.leader.as_ref().unwrap();
-    assert_eq!(l.cluster().active_jobs().count(), 1, "only what runs is looked at");
+    let leader = sim.leader();
+    assert_eq!(leader.cluster().active_jobs().count(), 1, "only what runs is looked at");
 }
--- a/tests/pipelines/urgency.rs
+++ b/tests/pipelines/urgency.rs
@@ -2,12 +2,12 @@
 
 use shedhook::{
     protocol::jobs::{Priority, Submission},
-    storage::records::{job_key, JobRecord, JobStatus},
+    storage::records::{JobRecord, JobStatus},
 };
 
 use crate::{
     helpers::{after, all_run, has_begun, is_done},
-    simulation::{submission, Simulation},
+    simulation::{submission, Simulation, SubmissionBuilder},
 };
 
 /// The end's time of day stands in its record, so that a later leader counts
@@ -21,10 +21,10 @@
     sim.run_until("done", 60_000, is_done("j-1"));
     sim.run(10_000);
     let rec = recorded(&sim, "j-1");
-    assert!(rec.at_ms > 40_000 && rec.at_ms < sim.now, "{}", rec.at_ms);
+    assert!(rec.at_ms > 40_000 && rec.at_ms < sim.now(), "{}", rec.at_ms);
     for _ in 0..2 {
-        let l = sim.leader.as_ref().unwrap();
-        let job = l.cluster().active_jobs().find(|j| &*j.id == "j-2").unwrap();
+        let leader = sim.leader();
+        let job = leader.cluster().active_jobs().find(|job| &*job.id == "j-2").unwrap();
         assert_eq!(job.wait.since, rec.at_ms as i64);
         sim.elect();
     }
@@ -35,37 +35,37 @@
 fn a_running_job_is_raised() {
     let mut sim = Simulation::new(1, 4);
     sim.elect();
-    sim.submit(Submission { priority: Some("low".into()), ..submission("j-1", "batch", 4) }, 20_000);
+    sim.submit(submission("j-1", "batch", 4).with_priority("low"), 20_000);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/3").is_some());
-    sim.submit(Submission { priority: Some("high".into()), ..after("j-2", "batch", 1, &["j-1"]) }, 1_000);
+    sim.submit(after("j-2", "batch", 1, &["j-1"]).with_priority("high"), 1_000);
     sim.run(500);
-    let l = sim.leader.as_ref().unwrap();
-    let job = l.cluster().active_jobs().find(|j| &*j.id == "j-1").unwrap();
+    let leader = sim.leader();
+    let job = leader.cluster().active_jobs().find(|job| &*job.id == "j-1").unwrap();
     assert_eq!(job.spec.priority, Priority::High);
     sim.run_until("done", 90_000, is_done("j-2"));
     // What was counted under one priority was taken back under the same.
-    let l = sim.leader.as_ref().unwrap();
-    for h in &l.cluster().snapshot().hosts {
-        assert!(h.low.iter().all(|r| !r.any()) && !h.soon.any(), "left over on a machine");
+    let leader = sim.leader();
+    for host in &leader.cluster().snapshot().hosts {
+        assert!(host.low.iter().all(|r| !r.any()) && !host.soon.any(), "left over on a machine");
     }
     sim.check("raised");
 }
 
 /// A submission whose tasks each take a whole machine.
 fn whole_machine(id: &str, kind: &str, tasks: u32, priority: &str, prereqs: &[&str]) -> Submission {
-    Submission { cpus: Some(8.0), priority: Some(priority.into()), ..after(id, kind, tasks, prereqs) }
+    after(id, kind, tasks, prereqs).with_cpus(8.0).with_priority(priority)
 }
 
 fn of_team_blue(job: Submission) -> Submission {
-    Submission { team: Some("blue".into()), ..job }
+    job.with_team("blue")
 }
 
 fn was_stopped(sim: &Simulation, id: &str) -> bool {
-    sim.halts.iter().any(|halt| halt.1.starts_with(&format!("{id}/")))
+    sim.workers.halts().iter().any(|halt| halt.task.starts_with(&format!("{id}/")))
 }
 
 fn recorded(sim: &Simulation, id: &str) -> JobRecord {
-    sim.store.keys[&job_key(id)].0.deserialized().unwrap()
+    sim.job_record(id)
 }
 
 /// Guard: a job that waited long for its prerequisite is not overdue for a
@@ -73,13 +73,13 @@
 pub fn order_counts_from_the_last_prerequisite(sim: &mut Simulation) {
     sim.submit(whole_machine("j-9", "service", 3, "high", &[]), 0);
     sim.submit(whole_machine("j-1", "batch", 1, "normal", &[]), 200_000);
-    sim.run_until("all machines are taken", 20_000, |sim| sim.starts == 4);
+    sim.run_until("all machines are taken", 20_000, |sim| sim.starts() == 4);
     sim.submit(whole_machine("j-2", "batch", 1, "low", &["j-1"]), 1_000);
     sim.run(180_000);
     sim.submit(whole_machine("j-3", "batch", 3, "normal", &[]), 20_000);
     sim.run_until("the prerequisite is done", 60_000, is_done("j-1"));
     sim.run_until("the normal job's tasks have ended", 120_000, |sim| {
-        let ended = (0..3).all(|n| sim.completed.contains(&format!("j-3/{n}")));
+        let ended = (0..3).all(|n| sim.workers.has_completed(&format!("j-3/{n}")));
         assert!(ended || !has_begun(sim, "j-2"), "the low one took the order of an old job");
         ended
     });
@@ -90,51 +90,53 @@
 /// prerequisite doesn't count.
 pub fn renting_urgency_counts_from_the_last_prerequisite(sim: &mut Simulation) {
     const PATIENCE_MS: u64 = 48_000;
-    sim.spot_price = 0.02; // 50 times cheaper: low priority pays that after 48.5 s
+    sim.cloud.settings.spot_price = 0.02; // 50 times cheaper: low priority pays that after 48.5 s
     sim.elect();
     sim.workers.iter_mut().skip(1).for_each(|worker| worker.dead = true);
-    sim.capacity = 1;
+    sim.cloud.settings.capacity = 1;
     sim.submit(whole_machine("j-1", "batch", 1, "low", &[]), 100_000);
     sim.run_until("the prerequisite runs", 60_000, all_run("j-1", 1));
-    sim.capacity = 0;
+    sim.cloud.settings.capacity = 0;
     sim.submit(whole_machine("j-2", "ensemble", 2, "low", &["j-1"]), 1_000);
     sim.run_until("the prerequisite is done", 130_000, is_done("j-1"));
-    sim.rental_requests.clear();
+    sim.cloud.forget_requests();
     let ready_ms = recorded(sim, "j-1").at_ms;
     sim.run(PATIENCE_MS / 2);
-    assert!(sim.rental_requests.iter().any(|request| request.spot), "cheap machines are asked for at once");
-    sim.run_until("dear machines are asked for", 60_000, |sim| sim.rental_requests.iter().any(|r| !r.spot));
-    let dear = sim.rental_requests.iter().find(|request| !request.spot).unwrap();
-    assert!(dear.at >= ready_ms + PATIENCE_MS, "asked {} ms after it was ready", dear.at - ready_ms);
-    sim.capacity = 2;
+    assert!(sim.cloud.requests().iter().any(|request| request.spot), "cheap machines are asked for at once");
+    sim.run_until("expensive machines are asked for", 60_000, |sim| {
+        sim.cloud.requests().iter().any(|request| !request.spot)
+    });
+    let on_demand = sim.cloud.requests().iter().find(|request| !request.spot).unwrap();
+    assert!(on_demand.at >= ready_ms + PATIENCE_MS, "asked {} ms after it was ready", on_demand.at - ready_ms);
+    sim.cloud.settings.capacity = 2;
     sim.run_until("done", 120_000, is_done("j-2"));
 }
 
 /// Guard: a job that waits for a prerequisite has no machines rented for it,
 /// and nothing stopped for it.
-pub fn a_waiting_job_causes_no_rentals_and_no_preemption(sim: &mut Simulation) {
+pub fn waiting_job_causes_no_rentals_and_no_preemption(sim: &mut Simulation) {
     sim.submit(whole_machine("j-0", "service", 3, "low", &[]), 0);
     sim.submit(whole_machine("j-1", "batch", 1, "normal", &[]), 60_000);
-    sim.run_until("all machines are taken", 20_000, |sim| sim.starts == 4);
-    sim.capacity = 1;
+    sim.run_until("all machines are taken", 20_000, |sim| sim.starts() == 4);
+    sim.cloud.settings.capacity = 1;
     sim.submit(whole_machine("j-2", "ensemble", 3, "high", &["j-1"]), 2_000);
     sim.run(45_000);
     assert_eq!(sim.status("j-1"), JobStatus::Pending);
-    assert_eq!((sim.rental_requests.len(), sim.halts.len(), sim.starts), (0, 0, 4), "while it waits");
+    assert_eq!((sim.cloud.requests().len(), sim.workers.halts().len(), sim.starts()), (0, 0, 4), "while it waits");
     sim.run_until("done", 60_000, is_done("j-2"));
     assert!(was_stopped(sim, "j-0"), "the same job preempts once it is ready");
 }
 
 /// Guard: a queued job takes on the priority of a dependent that comes late.
-pub fn a_late_urgent_dependent_raises_a_queued_job(sim: &mut Simulation) {
+pub fn late_urgent_dependent_raises_a_queued_job(sim: &mut Simulation) {
     sim.submit(whole_machine("j-9", "service", 3, "high", &[]), 0);
     sim.submit(whole_machine("j-0", "batch", 1, "high", &[]), 30_000);
-    sim.run_until("all machines are taken", 20_000, |sim| sim.starts == 4);
+    sim.run_until("all machines are taken", 20_000, |sim| sim.starts() == 4);
     sim.submit(of_team_blue(whole_machine("j-5", "batch", 1, "normal", &[])), 5_000);
     sim.submit(whole_machine("j-1", "batch", 1, "low", &[]), 5_000);
     sim.run(5_000);
     let last = whole_machine("j-2", "batch", 1, "high", &["j-1"]);
-    sim.submit(Submission { deadline_s: Some(300.0), ..last }, 1_000);
+    sim.submit(last.with_deadline_s(300.0), 1_000);
     sim.run_until("the raised job runs", 60_000, all_run("j-1", 1));
     assert!(!has_begun(sim, "j-5"), "normal work went before the raised job");
     sim.run_until("the last job is done", 60_000, is_done("j-2"));
@@ -143,13 +145,13 @@
 
 /// Guard: a running job that was raised by a late dependent isn't preempted by
 /// normal work of another team, which would have preempted it before.
-pub fn a_late_urgent_dependent_protects_a_running_job(sim: &mut Simulation) {
+pub fn late_urgent_dependent_protects_a_running_job(sim: &mut Simulation) {
     const LONGER_THAN_PATIENCE_MS: u64 = 30_000;
     sim.submit(whole_machine("j-9", "service", 3, "high", &[]), 0);
     sim.submit(whole_machine("j-1", "batch", 1, "low", &[]), 60_000);
-    sim.run_until("all machines are taken", 20_000, |sim| sim.starts == 4);
+    sim.run_until("all machines are taken", 20_000, |sim| sim.starts() == 4);
     let last = whole_machine("j-2", "batch", 1, "high", &["j-1"]);
-    sim.submit(Submission { deadline_s: Some(300.0), ..last }, 1_000);
+    sim.submit(last.with_deadline_s(300.0), 1_000);
     sim.run(1_000);
     sim.submit(of_team_blue(whole_machine("j-5", "batch", 1, "normal", &[])), 5_000);
     sim.run(LONGER_THAN_PATIENCE_MS);
@@ -161,10 +163,11 @@
 
 /// Guard: neither does a raised job exceed its own team's limit, nor does it
 /// count towards the limit of the team whose job raised it.
-pub fn team_limits_stay_each_jobs_own(sim: &mut Simulation) {
-    let gpus = |job: Submission| Submission { gpus: Some(2.0), cpus: Some(1.0), ..job };
-    let high = |job: Submission| Submission { priority: Some("high".into()), ..job };
-    (sim.team_gpus_max, sim.blue_gpus_max) = (2.0, 2.0);
+pub fn quotas_count_each_jobs_own_team(sim: &mut Simulation) {
+    let gpus = |job: Submission| job.with_gpus(2.0).with_cpus(1.0);
+    let high = |job: Submission| job.with_priority("high");
+    sim.controller.settings.quotas.red_gpus_max = Some(2.0);
+    sim.controller.settings.quotas.blue_gpus_max = Some(2.0);
     sim.elect();
     sim.submit(gpus(submission("j-0", "batch", 1)), 30_000);
     sim.run_until("the team is at its limit", 20_000, all_run("j-0", 1));
--- a/tests/safety_rules/best_effort_teams.rs
+++ b/tests/safety_rules/best_effort.rs
@@ -2,28 +2,29 @@
 
 use shedhook::storage::records::JobStatus;
 
-use crate::simulation::{submission, Simulation, CHEAP_MACHINE_TYPE, MACHINE_TYPE};
+use crate::simulation::{
+    cloud::{CHEAP_MACHINE_TYPE, MACHINE_TYPE},
+    submission, Simulation, SubmissionBuilder,
+};
 
 /// Guard: a team without a guarantee bought every machine there was, at any
 /// price, once its work had waited; and its tasks, submitted first, went before
 /// those of teams that have a guarantee.
-pub fn a_team_without_a_guarantee(sim: &mut Simulation) {
-    (sim.red_gpus_guaranteed, sim.spot_price) = (4.0, 0.1);
-    (sim.capacity, sim.spot_capacity) = (40, 2);
+pub fn best_effort_team_gets_what_others_leave(sim: &mut Simulation) {
+    sim.controller.settings.quotas.red_gpus_guaranteed = Some(4.0);
+    sim.cloud.settings.spot_price = 0.1;
+    sim.cloud.settings.capacity = 40;
+    sim.cloud.settings.spot_capacity = 2;
     sim.elect();
     sim.run(5_000);
-    let mut job = submission("j-1", "batch", 400);
-    (job.team, job.priority) = (Some("blue".into()), Some("low".into()));
-    sim.submit(job, 15_000);
+    sim.submit(submission("j-1", "batch", 400).with_team("blue").with_priority("low"), 15_000);
     sim.run_until("its work begins", 10_000, |sim| sim.worker_running("j-1/0").is_some());
     sim.run(90_000);
-    let on_demand = |sim: &Simulation| sim.rental_requests.iter().filter(|request| !request.spot).count();
+    let on_demand = |sim: &Simulation| sim.cloud.requests().iter().filter(|request| !request.spot).count();
     assert_eq!(on_demand(sim), 0, "on-demand machines at ten times the price");
-    assert_eq!(sim.spot_capacity, 0, "cheap ones are rented");
-    sim.capacity = 0;
-    let mut own = submission("j-2", "batch", 24);
-    own.priority = Some("low".into());
-    sim.submit(own, 5_000);
+    assert_eq!(sim.cloud.settings.spot_capacity, 0, "cheap ones are rented");
+    sim.cloud.settings.capacity = 0;
+    sim.submit(submission("j-2", "batch", 24).with_priority("low"), 5_000);
     sim.run_until("a team with a guarantee goes first", 60_000, |sim| sim.status("j-2") == JobStatus::Done);
     assert_eq!(sim.status("j-1"), JobStatus::Pending);
     sim.run_until("it is served in the end", 400_000, |sim| sim.status("j-1") == JobStatus::Done);
@@ -31,17 +32,13 @@
 
 /// Guard: tasks of a team without a guarantee that run for minutes took all
 /// room as it became free; work of others of the same priority waited for them.
-pub fn unguaranteed_work_leaves_room(sim: &mut Simulation) {
-    sim.red_gpus_guaranteed = 4.0;
-    for n in 0..296 {
-        sim.add_worker(["a", "b"][n % 2]);
-    }
+pub fn best_effort_work_leaves_capacity(sim: &mut Simulation) {
+    sim.controller.settings.quotas.red_gpus_guaranteed = Some(4.0);
+    sim.add_workers(296);
     sim.elect();
     sim.run(5_000);
     let submit = |sim: &mut Simulation, id: &str, team: &str, tasks: u32, run_ms| {
-        let mut job = submission(id, "batch", tasks);
-        (job.team, job.priority) = (Some(team.into()), Some("low".into()));
-        sim.submit(job, run_ms);
+        sim.submit(submission(id, "batch", tasks).with_team(team).with_priority("low"), run_ms);
     };
     submit(sim, "j-100", "red", 64, 10_000);
     sim.run(10_000);
@@ -60,20 +57,21 @@
 
 /// Guard: machines that were expensive, and whose GPUs had no use, were kept for as
 /// long as a team without a guarantee had tasks for their CPUs.
-pub fn expensive_machines_are_not_kept_for_it(sim: &mut Simulation) {
-    (sim.red_gpus_guaranteed, sim.offers_cheap_type) = (4.0, true);
+pub fn expensive_machines_are_not_kept_for_best_effort(sim: &mut Simulation) {
+    sim.controller.settings.quotas.red_gpus_guaranteed = Some(4.0);
+    sim.cloud.settings.offers_cheap_type = true;
     sim.elect();
     sim.run(5_000);
-    let mut job = submission("j-1", "batch", 30);
-    (job.team, job.priority) = (Some("blue".into()), Some("low".into()));
-    (job.checkpoint_s, job.save_s) = (Some(10.0), Some(3.0));
-    sim.submit(job, 60_000);
+    sim.submit(
+        submission("j-1", "batch", 30).with_team("blue").with_priority("low").with_checkpoint_s(10.0).with_save_s(3.0),
+        60_000,
+    );
     sim.run_until("it uses what is there", 10_000, |sim| sim.worker_running("j-1/0").is_some());
-    sim.capacity = 20;
+    sim.cloud.settings.capacity = 20;
     let expensive_ones_went =
-        |sim: &Simulation| sim.workers.iter().all(|worker| worker.dead == (worker.machine_type == MACHINE_TYPE));
+        |sim: &Simulation| sim.workers.iter().all(|worker| worker.dead == (worker.spec.machine_type == MACHINE_TYPE));
     sim.run_until("the expensive machines go back", 60_000, expensive_ones_went);
-    assert!(sim.halts.iter().all(|halt| halt.2 >= 3.0), "its tasks can save what they did");
+    assert!(sim.workers.halts().iter().all(|halt| halt.grace_s >= 3.0), "its tasks can save what they did");
     sim.run_until("it is served on cheap ones", 200_000, |sim| sim.status("j-1") == JobStatus::Done);
-    assert!(sim.workers.iter().any(|worker| worker.machine_type == CHEAP_MACHINE_TYPE));
+    assert!(sim.workers.iter().any(|worker| worker.spec.machine_type == CHEAP_MACHINE_TYPE));
 }
--- a/tests/safety_rules/cancellations.rs
+++ b/tests/safety_rules/cancellations.rs
@@ -5,21 +5,21 @@
 use crate::simulation::{submission, FaultRates, Simulation};
 
 /// Guard: a launch under way when its job is cancelled is found and stopped.
-pub fn cancelled_with_the_launch_in_flight(sim: &mut Simulation) {
-    sim.faults = FaultRates { late_command: 100, ..FaultRates::default() };
+pub fn cancelled_with_a_launch_in_flight(sim: &mut Simulation) {
+    sim.network.rates = FaultRates { late_command: 100, ..FaultRates::default() };
     sim.submit(submission("j-1", "batch", 4), 500_000);
     sim.run(300);
     assert!(sim.cancel("j-1"));
-    sim.faults = FaultRates::default();
+    sim.network.rates = FaultRates::default();
     sim.submit(submission("j-2", "batch", 1), 1_000);
     sim.run(150_000);
     assert_eq!(sim.status("j-1"), JobStatus::Cancelled);
 }
 
-pub fn cancelled_while_the_leader_is_away(sim: &mut Simulation) {
+pub fn cancelled_without_a_leader(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 4), 500_000);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
-    sim.leader = None;
+    sim.stop_leader();
     assert!(sim.cancel("j-1"));
     sim.run(10_000);
     sim.elect();
--- a/tests/safety_rules/failing_jobs.rs
+++ b/tests/safety_rules/failing_jobs.rs
@@ -2,18 +2,16 @@
 
 use shedhook::storage::records::JobStatus;
 
-use crate::simulation::{submission, Simulation};
+use crate::simulation::{submission, Simulation, SubmissionBuilder};
 
 /// Starts of a job that fails everywhere within a minute, once that is known.
 const RETRIES_A_MINUTE: usize = 6;
 
 fn submit_jobs_that_fail(sim: &mut Simulation) {
     for n in 0..4 {
-        let mut array = submission(&format!("j-1{n}"), "batch", 8);
-        array.priority = Some("high".into());
+        let array = submission(&format!("j-1{n}"), "batch", 8).with_priority("high");
         sim.submit_failing(array, 1_500);
-        let mut gang = submission(&format!("j-2{n}"), "ensemble", 2);
-        gang.priority = Some("high".into());
+        let gang = submission(&format!("j-2{n}"), "ensemble", 2).with_priority("high");
         sim.submit_failing(gang, 4_000);
     }
 }
@@ -23,14 +21,12 @@
 }
 
 /// Guard: two failures of different jobs made a machine count as faulty, so a
-/// few jobs that were submitted with a mistake had healthy machines handed back,
+/// few jobs that were submitted with a mistake had healthy machines released,
 /// one after the other; and they were tried again with all of their tasks.
 pub fn jobs_that_fail_everywhere(sim: &mut Simulation) {
-    for zone in ["a", "b", "a", "b", "a", "b"] {
-        sim.add_worker(zone);
-    }
-    sim.capacity = 20;
-    sim.gang_semantics = true;
+    sim.add_workers(6);
+    sim.cloud.settings.capacity = 20;
+    sim.workers.settings.gang_semantics = true;
     sim.elect();
     sim.run(5_000);
     submit_jobs_that_fail(sim);
@@ -38,15 +34,13 @@
     // Until it is known that they fail everywhere, they are jobs like others.
     let machines = sim.workers.len();
     sim.run(30_000);
-    let mut low = submission("j-5", "batch", 20);
-    low.priority = Some("low".into());
-    sim.submit(low, 20_000);
+    sim.submit(submission("j-5", "batch", 20).with_priority("low"), 20_000);
     sim.run_until("others' work goes on beside them", 45_000, |sim| sim.status("j-5") == JobStatus::Done);
-    assert!(sim.halts.iter().all(|halt| !halt.1.starts_with("j-5/")), "others were stopped for them");
+    assert!(sim.workers.halts().iter().all(|halt| !halt.task.starts_with("j-5/")), "others were stopped for them");
     sim.run(30_000);
-    let (before, jobs) = (sim.starts, failing_jobs().len());
+    let (before, jobs) = (sim.starts(), failing_jobs().len());
     sim.run(120_000);
-    let retries = sim.starts - before;
+    let retries = sim.starts() - before;
     assert!(retries >= jobs, "{retries} retries in two minutes: one of {jobs} jobs is given up");
     assert!(retries <= 2 * jobs * RETRIES_A_MINUTE, "{retries} retries in two minutes of {jobs} jobs");
     assert!(sim.workers.iter().all(|worker| !worker.dead), "a healthy machine was handed back");
@@ -55,18 +49,17 @@
         assert!(sim.cancel(&id));
     }
     sim.run(10_000);
-    let listed =
-        |id: &String| sim.workers.iter().any(|w| w.tasks.iter().any(|t| t.name.starts_with(&format!("{id}/"))));
+    let listed = |id: &String| {
+        sim.workers.iter().any(|worker| worker.tasks.iter().any(|task| task.name.starts_with(&format!("{id}/"))))
+    };
     assert!(!failing_jobs().iter().any(listed), "they are gone once cancelled");
 }
 
 /// A machine on which everything fails is found all the same, also while jobs
 /// that fail everywhere hide it.
-pub fn a_machine_that_is_faulty(sim: &mut Simulation) {
-    for zone in ["a", "b", "a", "b", "a", "b"] {
-        sim.add_worker(zone);
-    }
-    sim.capacity = 1;
+pub fn faulty_machine_is_released(sim: &mut Simulation) {
+    sim.add_workers(6);
+    sim.cloud.settings.capacity = 1;
     sim.workers[3].fails_after = Some(1_000);
     sim.elect();
     sim.run(5_000);
--- a/tests/safety_rules/main.rs
+++ b/tests/safety_rules/main.rs
@@ -1,7 +1,8 @@
 //! The safety rules of PROTOCOL, one table of cases: each delays, loses or
 //! crashes something, and the invariants of `simulation` are checked at every step.
 
-mod best_effort_teams;
+mod autoscaling;
+mod best_effort;
 mod cancellations;
 mod failing_jobs;
 mod heartbeats;
@@ -9,7 +10,6 @@
 mod launches;
 mod placement;
 mod random_faults;
-mod renting;
 mod scale;
 #[path = "../simulation/mod.rs"]
 mod simulation;
@@ -17,67 +17,58 @@
 mod unreachable_machines;
 mod worker_leases;
 
-use best_effort_teams::*;
-use cancellations::*;
-use failing_jobs::*;
-use heartbeats::*;
-use large_jobs::*;
-use launches::*;
-use placement::*;
-use renting::*;
-use simulation::{run_table, Case};
-use transactions::*;
-use unreachable_machines::*;
-use worker_leases::*;
+use simulation::cases::{case, run_table};
 
 #[test]
 fn rules_table() {
-    let cases: &[Case] = &[
-        ("crash before the write", crash_before_the_write),
-        ("crash after the write", crash_after_the_write),
-        ("late command, worker moved on", a_late_command_to_a_worker_that_moved_on),
-        ("late command, hung worker", a_late_command_to_a_hung_worker),
-        ("gang lost, launch in flight", a_gang_is_lost_with_a_launch_in_flight),
-        ("records can't be written", nothing_starts_while_records_cannot_be_written),
-        ("repeated command", a_repeated_command_after_the_reap),
-        ("session seen by a probe", a_new_session_seen_by_a_probe),
-        ("cut worker", a_worker_that_is_cut_off_goes_on),
-        ("late report", a_late_report_from_before_the_launch),
-        ("late transaction", a_late_transaction_of_the_leader_before),
-        ("late copy of a transaction", a_late_copy_of_our_own_transaction),
-        ("lost answers to transactions", a_lost_answer_to_every_second_transaction),
-        ("cancelled, launch in flight", cancelled_with_the_launch_in_flight),
-        ("cancelled, no leader", cancelled_while_the_leader_is_away),
-        ("quota, silent machine", quota_while_a_machine_is_silent),
-        ("same place, old attempt", same_place_with_an_old_attempt_unheard),
-        ("scatter", scatter_keeps_its_half),
-        ("gang stops in order", a_gang_stops_in_order),
-        ("rentals", rentals_are_never_doubled),
-        ("dead machine", a_dead_machine_goes_back),
-        ("machines behind a cut", machines_behind_a_cut_are_kept),
-        ("large job", a_large_job_stalls_nobody),
-        ("old reports", old_reports_change_nothing),
-        ("unrecorded tasks are adopted", strays_are_adopted),
-        ("report of a returned machine", a_copy_from_a_machine_that_went_back),
-        ("old copy first", an_old_copy_is_the_first_that_a_leader_hears),
-        ("machine receives nothing", a_machine_that_hears_nothing),
-        ("machines that reach no controller", machines_that_reach_nobody_take_nothing_new),
-        ("worker back at once", a_worker_that_is_back_at_once),
-        ("leaders in a row", leaders_that_follow_one_another_quickly),
-        ("the largest", the_largest_begin_in_time),
-        ("the largest, in a backlog", the_largest_begin_in_time_in_a_backlog),
-        ("long list", a_long_list_comes_to_its_end),
-        ("machines that all come late", machines_that_all_come_late),
-        ("zones of rentals", machines_come_in_the_zones_that_need_them),
-        ("leases kept", leases_kept_behind_a_cut),
-        ("many hang", many_machines_hang),
-        ("room in one zone", room_for_a_gang_in_the_zone_that_has_enough),
-        ("answers", answers_stay_under_their_limit),
-        ("jobs that fail everywhere", jobs_that_fail_everywhere),
-        ("faulty machine", a_machine_that_is_faulty),
-        ("team without a guarantee", a_team_without_a_guarantee),
-        ("room left for others", unguaranteed_work_leaves_room),
-        ("expensive machines, unguaranteed work", expensive_machines_are_not_kept_for_it),
-    ];
-    run_table(cases);
+    run_table(&[
+        case("crash before the write", launches::leader_crashes_before_the_commit),
+        case("crash after the write", launches::leader_crashes_after_the_commit),
+        case("late command, worker moved on", launches::late_command_after_a_leader_change),
+        case("late command, hung worker", launches::late_command_to_a_hung_worker),
+        case("gang lost, launch in flight", launches::gang_fails_with_a_launch_in_flight),
+        case("records can't be written", launches::no_launch_before_its_record_is_committed),
+        case("repeated command", launches::repeated_command_after_the_reap),
+        case("session seen by a probe", worker_leases::new_incarnation_seen_by_a_probe),
+        case("cut worker", worker_leases::partitioned_worker_keeps_its_lease),
+        case("late report", heartbeats::late_heartbeat_from_before_the_launch),
+        case("late transaction", transactions::late_transaction_of_the_previous_leader),
+        case("late copy of a transaction", transactions::late_copy_of_the_leaders_own_transaction),
+        case("lost answers to transactions", transactions::every_second_transaction_is_unanswered),
+        case("cancelled, launch in flight", cancellations::cancelled_with_a_launch_in_flight),
+        case("cancelled, no leader", cancellations::cancelled_without_a_leader),
+        case("quota, silent machine", placement::quota_counts_tasks_of_a_silent_machine),
+        case("same place, old attempt", placement::one_zone_holds_while_an_old_attempt_may_run),
+        case("scatter", placement::spread_limits_tasks_per_zone),
+        case("gang stops in order", placement::gang_is_preempted_as_a_whole),
+        case("rentals", autoscaling::rental_requests_are_idempotent),
+        case("dead machine", unreachable_machines::dead_machine_is_released),
+        case("machines behind a cut", unreachable_machines::partitioned_machines_are_kept),
+        case("large job", large_jobs::large_job_does_not_block_others),
+        case("old reports", heartbeats::stale_heartbeats_are_ignored),
+        case("unrecorded tasks are adopted", heartbeats::unrecorded_tasks_are_adopted),
+        case("report of a returned machine", heartbeats::heartbeat_copy_of_a_released_machine),
+        case("old copy first", heartbeats::stale_heartbeat_is_the_first_of_a_leader),
+        case("machine receives nothing", unreachable_machines::machine_that_receives_nothing),
+        case(
+            "machines that reach no controller",
+            unreachable_machines::machines_that_reach_no_controller_get_no_new_work,
+        ),
+        case("worker back at once", worker_leases::worker_restarts_at_once),
+        case("leaders in a row", transactions::leaders_in_quick_succession),
+        case("the largest", large_jobs::largest_gang_starts_in_time),
+        case("the largest, in a backlog", large_jobs::largest_gangs_start_in_time_in_a_backlog),
+        case("long list", autoscaling::long_machine_list_is_read_to_its_end),
+        case("machines that all come late", autoscaling::all_machines_boot_late),
+        case("zones of rentals", autoscaling::machines_are_rented_in_the_zones_that_need_them),
+        case("leases kept", worker_leases::leases_renewed_behind_a_partition),
+        case("many hang", unreachable_machines::many_machines_hang),
+        case("room in one zone", placement::gang_goes_to_the_zone_with_enough_capacity),
+        case("answers", large_jobs::heartbeat_responses_stay_under_their_limit),
+        case("jobs that fail everywhere", failing_jobs::jobs_that_fail_everywhere),
+        case("faulty machine", failing_jobs::faulty_machine_is_released),
+        case("team without a guarantee", best_effort::best_effort_team_gets_what_others_leave),
+        case("room left for others", best_effort::best_effort_work_leaves_capacity),
+        case("expensive machines, unguaranteed work", best_effort::expensive_machines_are_not_kept_for_best_effort),
+    ]);
 }
--- a/tests/safety_rules/random_faults.rs
+++ b/tests/safety_rules/random_faults.rs
@@ -1,8 +1,8 @@
 //! All faults at once, chosen at random with fixed seeds.
 
-use shedhook::storage::records::JobStatus;
+use shedhook::{protocol::jobs::Submission, storage::records::JobStatus};
 
-use crate::simulation::{submission, FaultRates, Simulation};
+use crate::simulation::{submission, FaultRates, Simulation, SubmissionBuilder};
 
 /// Everything at once, by chance with fixed seeds: nothing breaks a rule, and
 /// once the faults are over all arrays are done.
@@ -10,20 +10,20 @@
 fn jobs_under_random_faults() {
     for seed in 0..32 {
         let mut sim = Simulation::new(seed, 6);
-        sim.team_gpus_max = 8.0;
-        sim.capacity = 12;
-        sim.fetch = [200, 1_000][sim.random_below(2)];
+        sim.controller.settings.quotas.red_gpus_max = Some(8.0);
+        sim.cloud.settings.capacity = 12;
+        sim.workers.settings.image_fetch_ms = [200, 1_000][sim.random_below(2)];
         if seed % 2 == 0 {
-            sim.silent_ms = 8_500; // machines that are silent or can't receive are returned
+            sim.controller.settings.silent_ms = 8_500; // machines that are silent or can't receive are returned
         }
-        sim.faults = FaultRates {
+        sim.network.rates = FaultRates {
             late_command: 10,
             lost_command: 5,
             repeated_command: 20,
             slow_command: 20,
-            lost_txn: 10,
-            lost_report_answer: 10,
-            late_report: 10,
+            unanswered_transaction: 10,
+            lost_heartbeat_answer: 10,
+            late_heartbeat: 10,
             lost_rental_answer: 30,
             ..FaultRates::default()
         };
@@ -31,30 +31,28 @@
         for n in 0..12u32 {
             let kind = ["batch", "ensemble", "service"][sim.random_below(3)];
             let tasks = 1 + sim.random_below(6) as u32;
-            let mut job = submission(&format!("j-{n}"), kind, tasks);
-            job.gpus = Some(sim.random_below(2) as f64);
-            job.one_zone = Some(sim.random_below(3) == 0);
-            job.spread = Some(job.one_zone == Some(false) && sim.random_below(3) == 0);
-            job.priority = Some(["low", "normal", "high"][sim.random_below(3)].into());
+            let job = random_submission(&mut sim, &format!("j-{n}"), kind, tasks);
             let run = if kind == "service" { 0 } else { 2_000 + 1_000 * sim.random_below(20) as u64 };
             sim.submit(job, run);
             for _ in 0..3 {
                 let at = sim.random_below(sim.workers.len());
                 inject_random_fault(&mut sim, n, at);
                 sim.run(5_000);
-                if sim.leader.is_none() && sim.random_below(2) == 0 {
+                if !sim.has_leader() && sim.random_below(2) == 0 {
                     sim.elect();
                 }
             }
         }
         sim.check(&format!("seed {seed}"));
-        sim.faults = FaultRates::default();
-        sim.capacity = 12;
-        sim.workers.iter_mut().for_each(|x| (x.partitioned, x.hung, x.inbound_lost) = (false, false, false));
+        sim.network.rates = FaultRates::default();
+        sim.cloud.settings.capacity = 12;
+        sim.workers.iter_mut().for_each(|worker| {
+            (worker.faults.partitioned, worker.faults.hung, worker.faults.inbound_lost) = (false, false, false)
+        });
         sim.elect();
         for n in 0..12 {
             let id = format!("j-{n}");
-            if sim.jobs[&id].run_ms == 0 {
+            if sim.job(&id).run_ms == 0 {
                 sim.cancel(&id);
             }
         }
@@ -64,19 +62,29 @@
     }
 }
 
+fn random_submission(sim: &mut Simulation, id: &str, kind: &str, tasks: u32) -> Submission {
+    let gpus = sim.random_below(2) as f64;
+    let one_zone = sim.random_below(3) == 0;
+    let spread = !one_zone && sim.random_below(3) == 0;
+    let priority = ["low", "normal", "high"][sim.random_below(3)];
+    let job = submission(id, kind, tasks).with_gpus(gpus).with_one_zone(one_zone);
+    job.with_spread(spread).with_priority(priority)
+}
+
 /// One fault, or its end, drawn at random: at worker `at`, at the leader, or a
 /// cancellation of one of the first `n` jobs.
 fn inject_random_fault(sim: &mut Simulation, n: u32, at: usize) {
     match sim.random_below(14) {
-        0 => sim.workers[at].partitioned = true,
-        1 => sim.workers[at].hung = true,
-        2 | 3 => sim.workers.iter_mut().for_each(|x| (x.partitioned, x.hung, x.inbound_lost) = (false, false, false)),
+        0 => sim.workers[at].faults.partitioned = true,
+        1 => sim.workers[at].faults.hung = true,
+        2 | 3 => sim.workers.iter_mut().for_each(|worker| {
+            (worker.faults.partitioned, worker.faults.hung, worker.faults.inbound_lost) = (false, false, false)
+        }),
         4 => sim.elect(),
-        5 => sim.leader = None,
-        7 => sim.workers[at].inbound_lost = true,
+        5 => sim.stop_leader(),
+        7 => sim.workers[at].faults.inbound_lost = true,
         8 => {
-            let now = sim.now;
-            sim.workers[at].restart(now);
+            sim.restart_worker(at);
         }
         6 if n > 2 => {
             let id = format!("j-{}", sim.random_below(n as usize));
--- a/tests/safety_rules/scale.rs
+++ b/tests/safety_rules/scale.rs
@@ -3,7 +3,7 @@
 
 use shedhook::{coordination::snapshot::LOOK, storage::records::JobStatus};
 
-use crate::simulation::{submission, Simulation, LEASE};
+use crate::simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS};
 
 /// More than the largest deployment has.
 const MACHINES: usize = 4_500;
@@ -12,18 +12,19 @@
 
 /// Work is counted in machines looked at and records written, not by the clock.
 ///
-/// Guard: each pass, report and sweep looked at every machine, place and job;
+/// Guard: each scheduling cycle, heartbeat and sweep looked at every machine, place and job;
 /// every end rewrote its job's record; fixed shares of the writes left half of
 /// them unused while submissions were refused.
 #[test]
 fn thousands_of_machines_and_five_controllers() {
     let mut sim = Simulation::new(3, MACHINES);
     sim.limit_writes(35.0, 5);
-    (sim.chunk, sim.run_ms_step) = (64, 700);
+    sim.users.tasks_per_chunk = 64;
+    sim.workers.settings.run_step_ms = 700;
     sim.elect();
     sim.run(8_000);
-    let looked = |sim: &Simulation| sim.leader.as_ref().unwrap().cluster().snapshot().looked;
-    let written = |sim: &Simulation| sim.writes.as_ref().unwrap().written;
+    let looked = |sim: &Simulation| sim.leader().cluster().snapshot().looked;
+    let written = |sim: &Simulation| sim.write_budgets().written();
     assert_eq!((looked(&sim), written(&sim)), (0, 0), "nobody asked for anything");
 
     // Two jobs a second, ten in a row at one controller.
@@ -31,9 +32,7 @@
     for n in 0..SERVICES + ARRAYS {
         let (id, service) = (format!("j-{n}"), n % 8 < 3);
         let (kind, size, run) = if service { ("service", 8, 0) } else { ("batch", 20 + (n % 40) as u32, 3_000) };
-        let mut job = submission(&id, kind, size);
-        job.spread = Some(service);
-        job.priority = Some(if service { "prod" } else { "low" }.into());
+        let job = submission(&id, kind, size).with_spread(service).with_priority(if service { "prod" } else { "low" });
         tasks += size as usize;
         while !sim.submit_at(n / 10 % 5, job.clone(), run) {
             refused += 1;
@@ -46,7 +45,7 @@
     };
     sim.run_until("all arrays are done", 60_000, over);
     assert!(refused <= 3, "{refused} submissions refused at a fifteenth of the limit");
-    assert!(sim.writes.as_ref().unwrap().refused == 0, "the service itself refused");
+    assert!(sim.write_budgets().refused() == 0, "the service itself refused");
     // A task is looked for on a sample, whatever the number of machines; most
     // find their place beside another of their job.
     let per_task = looked(&sim) / tasks as u64;
@@ -62,51 +61,51 @@
     assert_eq!((looked(&sim), written(&sim)), before, "nothing happened");
 
     // A new leader hears all workers anew: nothing moves.
-    let starts = sim.starts;
+    let starts = sim.starts();
     sim.elect();
     sim.run(20_000);
-    assert_eq!(sim.starts, starts, "nothing starts anew");
+    assert_eq!(sim.starts(), starts, "nothing starts anew");
     assert!(sim.worker_running("j-0/7").is_some());
-    let n = sim.worker_running("j-0/0").unwrap();
-    sim.workers[n].dead = true;
+    let placed_on = sim.worker_running("j-0/0").unwrap();
+    sim.workers[placed_on].dead = true;
     sim.run_until("the dead machine's replica runs elsewhere", 60_000, |sim| {
-        sim.worker_running("j-0/0").is_some_and(|m| m != n)
+        sim.worker_running("j-0/0").is_some_and(|worker| worker != placed_on)
     });
     assert!(looked(&sim) < 20_000, "{} machines looked at for a few replicas", looked(&sim));
     sim.check("thousands of machines");
 }
 
 /// Guard: what a failure costs must not grow with the number of machines, and
-/// no lease may be lost for it: a new leader, all controllers away, a zone cut
-/// off while the leader changes, and a burst of submissions.
+/// no lease may be lost for it: a new leader, all controllers away, a zone
+/// partitioned while the leader changes, and a burst of submissions.
 #[test]
 fn thousands_of_machines_through_failures() {
     let mut sim = Simulation::new(4, MACHINES);
-    (sim.chunk, sim.capacity, sim.silent_ms) = (64, 1, 8_500);
+    sim.users.tasks_per_chunk = 64;
+    sim.cloud.settings.capacity = 1;
+    sim.controller.settings.silent_ms = 8_500;
     sim.elect();
     sim.run(8_000);
     for n in 0..SERVICES {
-        let mut job = submission(&format!("j-{n}"), "service", 50);
-        job.spread = Some(true);
-        sim.submit(job, 0);
+        sim.submit(submission(&format!("j-{n}"), "service", 50).with_spread(true), 0);
     }
-    sim.run_until("all replicas run", 30_000, |sim| sim.starts == SERVICES * 50);
+    sim.run_until("all replicas run", 30_000, |sim| sim.starts() == SERVICES * 50);
     sim.run(10_000);
-    let (starts, machines) = (sim.starts, sim.workers.len());
+    let (starts, machines) = (sim.starts(), sim.workers.len());
     let unharmed = |sim: &Simulation, when: &str| {
-        assert_eq!(sim.starts, starts, "{when}: something started anew");
+        assert_eq!(sim.starts(), starts, "{when}: something started anew");
         assert!(sim.workers.iter().all(|worker| !worker.dead), "{when}: a machine was handed back");
         assert_eq!(sim.workers.len(), machines, "{when}: machines were rented");
     };
 
     sim.elect();
-    sim.run(LEASE * 2);
+    sim.run(LEASE_MS * 2);
     unharmed(&sim, "a new leader");
 
-    sim.leader = None;
-    sim.run(LEASE - 10_000);
+    sim.stop_leader();
+    sim.run(LEASE_MS - 10_000);
     sim.elect();
-    sim.run(LEASE * 2);
+    sim.run(LEASE_MS * 2);
     unharmed(&sim, "all controllers were away");
 
     sim.partition_zone("b", true, false);
@@ -114,10 +113,10 @@
     sim.elect();
     sim.run(12_000);
     sim.partition_zone("b", false, false);
-    sim.run(LEASE * 2);
+    sim.run(LEASE_MS * 2);
     unharmed(&sim, "a zone was cut off");
 
-    let looked = |sim: &Simulation| sim.leader.as_ref().unwrap().cluster().snapshot().looked;
+    let looked = |sim: &Simulation| sim.leader().cluster().snapshot().looked;
     let before = looked(&sim);
     for n in 0..200 {
         sim.submit(submission(&format!("j-{}", 1_000 + n), "batch", 20), 5_000);
--- a/tests/safety_rules/worker_leases.rs
+++ b/tests/safety_rules/worker_leases.rs
@@ -1,41 +1,38 @@
 //! Workers' leases and incarnations: when a silent worker's tasks may start elsewhere.
 
-use crate::simulation::{submission, Simulation, LEASE};
+use crate::simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS};
 
-/// Guard: a incarnation learned from a probe or a command's answer has a lease of
-/// its own, counted from when it was seen, though no report of it came.
-pub fn a_new_session_seen_by_a_probe(sim: &mut Simulation) {
+/// Guard: an incarnation learned from a probe or a command's answer has a lease of
+/// its own, counted from when it was seen, though no heartbeat of it came.
+pub fn new_incarnation_seen_by_a_probe(sim: &mut Simulation) {
     sim.submit(submission("j-1", "service", 9), 0);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/8").is_some());
-    sim.workers.iter_mut().skip(1).for_each(|x| x.outbound_lost = true);
-    sim.run(LEASE * 3);
-    sim.workers.iter_mut().for_each(|x| x.outbound_lost = false);
+    sim.workers.iter_mut().skip(1).for_each(|worker| worker.faults.outbound_lost = true);
+    sim.run(LEASE_MS * 3);
+    sim.workers.iter_mut().for_each(|worker| worker.faults.outbound_lost = false);
     sim.run_until("runs", 40_000, |sim| sim.worker_running("j-1/8").is_some());
 }
 
-pub fn a_worker_that_is_cut_off_goes_on(sim: &mut Simulation) {
+pub fn partitioned_worker_keeps_its_lease(sim: &mut Simulation) {
     sim.submit(submission("j-1", "service", 2), 0);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
-    let n = sim.worker_running("j-1/0").unwrap();
-    sim.workers[n].partitioned = true;
+    let placed_on = sim.worker_running("j-1/0").unwrap();
+    sim.workers[placed_on].faults.partitioned = true;
     // Guard: silence proves nothing before the lease, counted from the last 200.
-    sim.run(LEASE - 2_000);
-    assert_eq!(sim.worker_running("j-1/0"), Some(n));
-    sim.run_until("elsewhere", 20_000, |sim| sim.worker_running("j-1/0").is_some_and(|m| m != n));
-    sim.workers[n].partitioned = false;
+    sim.run(LEASE_MS - 2_000);
+    assert_eq!(sim.worker_running("j-1/0"), Some(placed_on));
+    sim.run_until("elsewhere", 20_000, |sim| sim.worker_running("j-1/0").is_some_and(|worker| worker != placed_on));
+    sim.workers[placed_on].faults.partitioned = false;
     sim.run(60_000);
 }
 
 /// A worker comes back with a new incarnation before anybody missed it.
-pub fn a_worker_that_is_back_at_once(sim: &mut Simulation) {
+pub fn worker_restarts_at_once(sim: &mut Simulation) {
     sim.submit(submission("j-1", "service", 4), 0);
-    let mut job = submission("j-2", "ensemble", 3);
-    job.one_zone = Some(true);
-    sim.submit(job, 0);
+    sim.submit(submission("j-2", "ensemble", 3).with_one_zone(true), 0);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/3").is_some() && sim.worker_running("j-2/2").is_some());
     for n in 0..4 {
-        let now = sim.now;
-        sim.workers[n].restart(now);
+        sim.restart_worker(n);
         if n == 2 {
             sim.elect();
         }
@@ -44,26 +41,29 @@
     sim.run_until("all run again", 40_000, |sim| sim.all_running("j-1", 4) && sim.all_running("j-2", 3));
 }
 
-/// Guard: behind a cut, another controller keeps the workers' leases for a
+/// Guard: behind a partition, another controller keeps the workers' leases for a
 /// while. A leader outside, new since, counts none of them out on its own clock,
-/// nor once the cut is over before the last lease kept has ended; and what is
+/// nor once the partition is over before the last lease kept has ended; and what is
 /// cancelled meanwhile is gone in time.
-pub fn leases_kept_behind_a_cut(sim: &mut Simulation) {
+pub fn leases_renewed_behind_a_partition(sim: &mut Simulation) {
     for zone in ["b", "b", "a", "a", "a"] {
         sim.add_worker(zone);
     }
     sim.submit(submission("j-1", "service", 20), 0);
     sim.submit(submission("j-2", "service", 4), 0);
-    sim.run_until("all run", 20_000, |sim| sim.starts == 24);
+    sim.run_until("all run", 20_000, |sim| sim.starts() == 24);
     let in_b = |sim: &Simulation| -> Vec<String> {
-        let b = sim.workers.iter().filter(|x| x.zone == "b");
-        b.flat_map(|x| x.tasks.iter().map(|t| t.name.clone())).filter(|t| t.starts_with("j-1/")).collect()
+        let workers = sim.workers.iter().filter(|worker| worker.spec.zone == "b");
+        workers
+            .flat_map(|worker| worker.tasks.iter().map(|task| task.name.clone()))
+            .filter(|task| task.starts_with("j-1/"))
+            .collect()
     };
     let there = in_b(sim);
     assert!(there.len() > 4);
     let longest_renewal = Simulation::longest_renewal_by_peer();
     sim.partition_zone("b", true, true);
-    sim.peers_silent_since = Some(sim.now);
+    sim.controller.settings.peers_silent_since = Some(sim.now());
     // The leader was inside; another one is elected, and a user cancels.
     sim.run(3_000);
     sim.elect();
@@ -72,13 +72,16 @@
     sim.run(longest_renewal - 3_000);
     sim.partition_zone("b", true, false);
     // Leases counted from the election on are over now; those kept are not.
-    sim.run(LEASE + 2_500 - (longest_renewal - 3_000));
+    sim.run(LEASE_MS + 2_500 - (longest_renewal - 3_000));
     assert_eq!(in_b(sim), there, "they run on");
-    assert!(there.iter().all(|t| sim.workers.iter().all(|x| x.zone == "b" || x.tasks.iter().all(|y| y.name != *t))));
+    assert!(there.iter().all(|name| sim
+        .workers
+        .iter()
+        .all(|worker| worker.spec.zone == "b" || worker.tasks.iter().all(|task| task.name != *name))));
     sim.run(6_000);
     sim.partition_zone("b", false, false);
     sim.run(500);
-    sim.peers_silent_since = None;
+    sim.controller.settings.peers_silent_since = None;
     sim.run(20_000);
     assert_eq!(in_b(sim), there, "and are there when the cut is over");
 }
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -1,14 +1,19 @@
-//! The cloud: rents machines, and answers a repeated request as before.
+//! The cloud: rents machines, lists them, and answers a repeated request as before.
+
+use std::collections::HashMap;
 
 use shedhook::{
     coordination::model::{MachineTypeSpec, Millis, Resources, Term},
     protocol::{
         cloud::{HostList, HostState, ListedHost, RentRequest},
-        ids::{FencingToken, Incarnation, SequenceNumber},
+        names::Tables,
     },
 };
 
-use super::{worker::Worker, Simulation};
+use super::{
+    worker::{Worker, WorkerSpec},
+    workers::SimulatedWorkers,
+};
 
 /// The type of all machines that are there from the start; it has GPUs.
 pub const MACHINE_TYPE: &str = "m";
@@ -16,6 +21,9 @@
 /// A tenth of its price, and no GPUs.
 pub const CHEAP_MACHINE_TYPE: &str = "c";
 
+/// The zones of the cloud.
+pub const ZONES: [&str; 2] = ["a", "b"];
+
 /// A rental as the cloud was asked for it; the name makes it idempotent.
 pub struct RentalRequest {
     pub at: Millis,
@@ -24,50 +32,82 @@
     pub spot: bool,
 }
 
-impl Simulation {
-    pub fn add_worker(&mut self, zone: &str) -> String {
-        let id = format!("i-{:06}", self.workers.len());
-        self.workers.push(Worker {
-            id: id.clone(),
-            zone: zone.into(),
-            machine_type: MACHINE_TYPE.into(),
-            spot: false,
-            up_at: 0,
-            incarnation: Incarnation(1),
-            sequence: SequenceNumber::default(),
-            token: FencingToken::NONE,
-            tasks: Vec::new(),
-            lease_start: self.now,
-            next_report: self.now + 100 * (self.workers.len() as Millis % 30),
-            changed: false,
-            partitioned: false,
-            hung: false,
-            dead: false,
-            lease_kept_by_peer: false,
-            answers_lost: false,
-            outbound_lost: false,
-            inbound_lost: false,
-            fails_after: None,
-            token_shown: None,
-        });
-        id
+pub struct CloudSettings {
+    /// Machines the cloud still has to give.
+    pub capacity: u32,
+    /// Spot machines the cloud still has to give, of `capacity`.
+    pub spot_capacity: u32,
+    /// Machines on one page of the cloud's list.
+    pub list_page: usize,
+    pub refuses_every_second_page: bool,
+    /// How long a rented machine takes to come up.
+    pub boot_ms: Millis,
+    pub offers_cheap_type: bool,
+    /// Price of a spot machine; others cost 1.
+    pub spot_price: f64,
+}
+
+impl Default for CloudSettings {
+    fn default() -> CloudSettings {
+        CloudSettings {
+            capacity: 0,
+            spot_capacity: u32::MAX,
+            list_page: usize::MAX,
+            refuses_every_second_page: false,
+            boot_ms: 0,
+            offers_cheap_type: false,
+            spot_price: 0.5,
+        }
+    }
+}
+
+#[derive(Default)]
+pub struct SimulatedCloud {
+    pub settings: CloudSettings,
+    /// Machine names by the request's name.
+    rentals: HashMap<String, Vec<String>>,
+    requests: Vec<RentalRequest>,
+    pages_requested: u32,
+    has_offered: bool,
+}
+
+impl SimulatedCloud {
+    /// All requests for machines, repeated ones included.
+    pub fn requests(&self) -> &[RentalRequest] {
+        &self.requests
     }
 
-    pub(super) fn types(&self) -> Vec<MachineTypeSpec> {
+    pub fn forget_requests(&mut self) {
+        self.requests.clear();
+    }
+
+    /// How many different requests were granted.
+    pub fn granted(&self) -> usize {
+        self.rentals.len()
+    }
+
+    /// Whether the leader has a cloud to scale with: it had machines to give at
+    /// some time.
+    pub(super) fn observe_capacity(&mut self) -> bool {
+        self.has_offered |= self.settings.capacity > 0;
+        self.has_offered
+    }
+
+    pub(super) fn machine_types(&self, tables: &Tables) -> Vec<MachineTypeSpec> {
         let machine_type = MachineTypeSpec {
-            index: self.tables.types.find(MACHINE_TYPE).unwrap(),
+            index: tables.types.find(MACHINE_TYPE).unwrap(),
             capacity: Resources { cpus: 8.0, gpus: 4.0, memory_gb: 64.0 },
             cache_gb: 50.0,
             fetch_gb_per_s: 1.0,
             price: 1.0,
-            spot_price: self.spot_price,
+            spot_price: self.settings.spot_price,
             boot_s: 5.0,
-            zones: vec![self.tables.zones.find("a").unwrap(), self.tables.zones.find("b").unwrap()],
+            zones: ZONES.iter().map(|zone| tables.zones.find(zone).unwrap()).collect(),
         };
         let mut types = vec![machine_type.clone()];
-        if self.offers_cheap_type {
+        if self.settings.offers_cheap_type {
             types.push(MachineTypeSpec {
-                index: self.tables.types.find(CHEAP_MACHINE_TYPE).unwrap(),
+                index: tables.types.find(CHEAP_MACHINE_TYPE).unwrap(),
                 capacity: Resources { gpus: 0.0, ..machine_type.capacity },
                 price: machine_type.price / 10.0,
                 spot_price: machine_type.spot_price / 10.0,
@@ -78,49 +118,58 @@
     }
 
     /// A page of the list of machines; `None`: refused.
-    pub(super) fn list(&mut self, from: Option<&str>) -> Option<HostList> {
-        self.pages_asked += 1;
-        if self.refuses_every_second_page && self.pages_asked.is_multiple_of(2) {
+    pub(super) fn list(&mut self, now: Millis, from: Option<&str>, workers: &SimulatedWorkers) -> Option<HostList> {
+        self.pages_requested += 1;
+        if self.settings.refuses_every_second_page && self.pages_requested.is_multiple_of(2) {
             return None;
         }
-        let now = self.now;
-        let after = |w: &&Worker| !w.dead && from.is_none_or(|from| w.id.as_str() > from);
-        let listed = |w: &Worker| ListedHost {
-            id: w.id.clone(),
-            addr: None,
-            machine_type: w.machine_type.clone(),
-            zone: w.zone.clone(),
-            spot: w.spot,
-            state: if now < w.up_at { HostState::Booting } else { HostState::Running },
-            age_s: 1.0,
-        };
-        let rest: Vec<ListedHost> = self.workers.iter().filter(after).map(listed).collect();
-        let truncated = rest.len() > self.list_page;
-        Some(HostList { hosts: rest.into_iter().take(self.list_page).collect(), truncated })
+        let is_on_page = |worker: &&Worker| !worker.dead && from.is_none_or(|from| worker.id.as_str() > from);
+        let rest: Vec<ListedHost> = workers.iter().filter(is_on_page).map(|worker| listed_host(worker, now)).collect();
+        let truncated = rest.len() > self.settings.list_page;
+        Some(HostList { hosts: rest.into_iter().take(self.settings.list_page).collect(), truncated })
     }
 
-    pub(super) fn rent(&mut self, req: &RentRequest) -> Option<Vec<String>> {
-        let term = self.leader.as_ref().map_or_else(Term::default, |l| l.term());
-        self.rental_requests.push(RentalRequest { at: self.now, term, name: req.request.clone(), spot: req.spot });
-        if let Some(same) = self.rentals.get(&req.request) {
+    /// Rents machines and returns their names; `None`: there are none to give.
+    pub(super) fn rent(
+        &mut self,
+        now: Millis,
+        term: Term,
+        request: &RentRequest,
+        workers: &mut SimulatedWorkers,
+    ) -> Option<Vec<String>> {
+        self.requests.push(RentalRequest { at: now, term, name: request.request.clone(), spot: request.spot });
+        if let Some(same) = self.rentals.get(&request.request) {
             return Some(same.clone());
         }
-        let kind_capacity = if req.spot { self.spot_capacity } else { u32::MAX };
-        let n = req.count.min(self.capacity).min(kind_capacity);
-        if n == 0 {
+        let of_kind = if request.spot { self.settings.spot_capacity } else { u32::MAX };
+        let count = request.count.min(self.settings.capacity).min(of_kind);
+        if count == 0 {
             return None;
         }
-        self.capacity -= n;
-        if req.spot {
-            self.spot_capacity -= n;
+        self.settings.capacity -= count;
+        if request.spot {
+            self.settings.spot_capacity -= count;
         }
-        let ids: Vec<String> = (0..n).map(|_| self.add_worker(&req.zone)).collect();
-        for w in self.workers.iter_mut().filter(|w| ids.contains(&w.id)) {
-            w.spot = req.spot;
-            w.up_at = self.now + self.boot_ms;
-            w.machine_type.clone_from(&req.machine_type);
-        }
-        self.rentals.insert(req.request.clone(), ids.clone());
+        let spec = WorkerSpec {
+            zone: request.zone.clone(),
+            machine_type: request.machine_type.clone(),
+            spot: request.spot,
+            up_at: now + self.settings.boot_ms,
+        };
+        let ids: Vec<String> = (0..count).map(|_| workers.add(now, spec.clone())).collect();
+        self.rentals.insert(request.request.clone(), ids.clone());
         Some(ids)
     }
 }
+
+fn listed_host(worker: &Worker, now: Millis) -> ListedHost {
+    ListedHost {
+        id: worker.id.clone(),
+        addr: None,
+        machine_type: worker.spec.machine_type.clone(),
+        zone: worker.spec.zone.clone(),
+        spot: worker.spec.spot,
+        state: if worker.is_booting(now) { HostState::Booting } else { HostState::Running },
+        age_s: 1.0,
+    }
+}
--- a/tests/simulation/controller.rs
+++ b/tests/simulation/controller.rs
@@ -1,306 +1,406 @@
-//! The leading controller: elections, reads of changes, transactions, and the
-//! effects that the library's leader asks for.
+//! The leading controller: elections, reads of changes, and the library's
+//! leader with what it needs beside it.
 
-use ciborium::Value;
-use rand::RngExt;
 use shedhook::{
     coordination::{
         cluster::Config,
-        effects::{CommitOutcome, DirectCallOutcome, Effect},
+        effects::{CommitOutcome, DirectCallOutcome, Effect, HeartbeatOutcome},
         leader::Leader,
         lease_renewal::TimeSpan,
-        model::{TeamLimits, Term},
+        model::{CallId, MachineIndex, MachineTypeSpec, Millis, TeamLimits, Term},
         RentOutcome,
     },
-    protocol::store::Op,
+    protocol::{
+        cloud::HostList,
+        names::Tables,
+        store::{Changes, Op, Txn},
+        workers::{Heartbeat, HeartbeatResponse},
+    },
     storage::{
-        budget::Urgency,
         job_cache::JobCache,
         records::{self, JobRecord, JobStatus},
     },
 };
 
-use super::{faults::Held, worker::Worker, Simulation, LEASE, REPORT};
+use super::{
+    cloud::{CHEAP_MACHINE_TYPE, MACHINE_TYPE, ZONES},
+    network::DirectCall,
+    random::RandomSource,
+    store::SimulatedStore,
+    write_budget::CommitAllowance,
+    Simulation, HEARTBEAT_INTERVAL_MS, LEASE_MS,
+};
+
+/// Most writes of a transaction.
+pub(super) const TRANSACTION_WRITES_MAX: usize = 8;
+
+/// So long that it never passes in a simulation.
+const NEVER_MS: Millis = 1 << 40;
 
-fn gpu_limit(max: f64) -> TeamLimits {
-    TeamLimits { gpus_max: (max > 0.0).then_some(max), ..TeamLimits::default() }
+/// Quotas of the teams in GPUs; "blue" has no guarantee.
+#[derive(Clone, Copy, Default)]
+pub struct TeamQuotas {
+    pub red_gpus_max: Option<f64>,
+    pub blue_gpus_max: Option<f64>,
+    pub red_gpus_guaranteed: Option<f64>,
 }
 
-impl Simulation {
-    fn team_limits(&self) -> Vec<TeamLimits> {
-        let guaranteed = (self.red_gpus_guaranteed > 0.0).then_some(self.red_gpus_guaranteed);
-        let red = TeamLimits { gpus: guaranteed, ..gpu_limit(self.team_gpus_max) };
-        vec![red, gpu_limit(self.blue_gpus_max)]
+impl TeamQuotas {
+    fn limits(self) -> Vec<TeamLimits> {
+        let limits = |gpus_max| TeamLimits { gpus_max, ..TeamLimits::default() };
+        vec![TeamLimits { gpus: self.red_gpus_guaranteed, ..limits(self.red_gpus_max) }, limits(self.blue_gpus_max)]
     }
+}
 
-    /// A new leader: the key changes hands, whatever the old one had under way.
-    pub fn elect(&mut self) {
-        self.leader = None;
-        let revision = self.store.advance();
-        self.store.keys.insert(records::LEADER.into(), (Value::Null, revision));
-        let cfg = Config {
-            lease_ms: LEASE,
-            heartbeat_interval_ms: REPORT,
+/// How the controllers are configured, and what befalls the one that leads.
+pub struct ControllerSettings {
+    /// From the next election on.
+    pub quotas: TeamQuotas,
+    /// A machine that is silent for so long is replaced.
+    pub silent_ms: Millis,
+    /// The announced limit of a value in bytes.
+    pub value_bytes_max: usize,
+    /// The size of values that fit later too, in bytes.
+    pub value_bytes_fit: usize,
+    /// Tasks per chunk whose record fits later too.
+    pub tasks_per_chunk_fit: u32,
+    /// All controllers know that jobs can be divided into chunks anew.
+    pub may_reshard: bool,
+    /// The leader writes records as the version before did: no time in the end
+    /// of a job.
+    pub writes_old_form: bool,
+    /// The leader reads no changes.
+    pub reads_paused: bool,
+    /// Once: the leader crashes just before its next transaction.
+    pub crash_before_transaction: bool,
+    /// Once: the leader crashes just after its next transaction.
+    pub crash_after_transaction: bool,
+    /// Since when the controllers behind a partition have not been heard.
+    pub peers_silent_since: Option<Millis>,
+}
+
+impl Default for ControllerSettings {
+    fn default() -> ControllerSettings {
+        ControllerSettings {
+            quotas: TeamQuotas::default(),
+            silent_ms: NEVER_MS,
+            value_bytes_max: usize::MAX,
+            value_bytes_fit: usize::MAX,
+            tasks_per_chunk_fit: u32::MAX,
+            may_reshard: false,
+            writes_old_form: false,
+            reads_paused: false,
+            crash_before_transaction: false,
+            crash_after_transaction: false,
+            peers_silent_since: None,
+        }
+    }
+}
+
+/// A read of the changes that is not answered yet.
+struct PendingRead {
+    answered_at: Millis,
+    term: Term,
+    changes: Changes,
+}
+
+pub struct SimulatedController {
+    pub settings: ControllerSettings,
+    leader: Option<Leader>,
+    job_cache: JobCache,
+    tables: Tables,
+    pending_read: Option<PendingRead>,
+    /// When another controller last renewed a worker's lease.
+    last_peer_renewal: Millis,
+    transactions: usize,
+    too_large: usize,
+}
+
+impl SimulatedController {
+    pub(super) fn new() -> SimulatedController {
+        let mut tables = Tables::default();
+        for team in ["red", "blue"] {
+            tables.teams.intern(team);
+        }
+        for machine_type in [MACHINE_TYPE, CHEAP_MACHINE_TYPE] {
+            tables.types.intern(machine_type);
+        }
+        for zone in ZONES {
+            tables.zones.intern(zone);
+        }
+        SimulatedController {
+            settings: ControllerSettings::default(),
+            leader: None,
+            job_cache: JobCache::default(),
+            tables,
+            pending_read: None,
+            last_peer_renewal: 0,
+            transactions: 0,
+            too_large: 0,
+        }
+    }
+
+    /// Transactions that leaders sent.
+    pub fn transactions(&self) -> usize {
+        self.transactions
+    }
+
+    /// Transactions that the store refused for their size.
+    pub fn too_large(&self) -> usize {
+        self.too_large
+    }
+
+    pub(super) fn count_transaction(&mut self) {
+        self.transactions += 1;
+    }
+
+    pub(super) fn count_too_large(&mut self) {
+        self.too_large += 1;
+    }
+
+    pub fn job_cache(&self) -> &JobCache {
+        &self.job_cache
+    }
+
+    pub(super) fn tables(&self) -> &Tables {
+        &self.tables
+    }
+
+    /// The term of the present leader, or the lowest one.
+    pub(super) fn term(&self) -> Term {
+        self.leader.as_ref().map_or_else(Term::default, |leader| leader.term())
+    }
+
+    /// The worker that the leader knows under this index.
+    pub(super) fn machine_id(&self, machine: MachineIndex) -> String {
+        self.leader.as_ref().map(|leader| leader.cluster().machine(machine).id.clone()).unwrap_or_default()
+    }
+
+    pub(super) fn status_told_to_users(&self, id: &str) -> Option<JobStatus> {
+        self.job_cache.find(id).map(|index| self.job_cache.get(index).status)
+    }
+
+    pub(super) fn record_peer_renewal(&mut self, at: Millis) {
+        self.last_peer_renewal = at;
+    }
+
+    fn config(&self) -> Config {
+        Config {
+            lease_ms: LEASE_MS,
+            heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
             gang_peer_s: 8.0,
-            txn_ops: 8,
-            value_max: self.value_max,
-            value_fit: self.value_fit,
-            chunk_fit: self.chunk_fit,
+            txn_ops: TRANSACTION_WRITES_MAX,
+            value_max: self.settings.value_bytes_max,
+            value_fit: self.settings.value_bytes_fit,
+            chunk_fit: self.settings.tasks_per_chunk_fit,
             list_lag_ms: 1_000,
-            teams: self.team_limits(),
+            teams: self.settings.quotas.limits(),
             objectives: Vec::new(),
-            idle_keep_ms: 1 << 40,
-            silent_ms: self.silent_ms,
+            idle_keep_ms: NEVER_MS,
+            silent_ms: self.settings.silent_ms,
             max_machines: usize::MAX,
             use_spot: true,
-        };
-        let nonce = self.rng.random();
-        let mut leader = Leader::new(cfg, Term(revision), nonce, self.now, self.types());
+        }
+    }
+
+    /// Begins a new leadership and reads all records.
+    fn lead(&mut self, now: Millis, term: Term, nonce: u64, types: Vec<MachineTypeSpec>, store: &SimulatedStore) {
+        let mut leader = Leader::new(self.config(), term, nonce, now, types);
         self.job_cache = JobCache::default();
-        self.job_cache.page(&self.store.page(records::JOBS), true, &mut self.tables);
+        self.job_cache.page(&store.page(records::JOBS), true, &mut self.tables);
         self.job_cache.take_changed();
-        for p in self.store.page(records::TASKS).pairs {
-            leader.load(self.now, self.now, &p.key, &p.v, p.revision, &self.job_cache, &mut self.tables);
+        for pair in store.page(records::TASKS).pairs {
+            leader.load(now, now, &pair.key, &pair.v, pair.revision, &self.job_cache, &mut self.tables);
         }
-        leader.loaded(self.now, self.now, &self.job_cache);
+        leader.loaded(now, now, &self.job_cache);
         self.leader = Some(leader);
     }
 
-    pub(super) fn lead_step(&mut self) {
-        if self.leader.is_none() {
-            return;
+    /// Reads what changed in the store; true when the answer came at once, so
+    /// that users are told what the store holds.
+    fn read_changes(&mut self, now: Millis, store: &SimulatedStore, random: &mut RandomSource) -> bool {
+        if store.conditions.refuses_leader || self.settings.reads_paused {
+            return false;
         }
-        let now = self.now;
-        self.read_changes();
+        let term = self.term();
+        if store.conditions.read_latency_max_ms == 0 {
+            self.pending_read = None;
+            let changes = store.changes(records::JOBS, self.job_cache.store_revision());
+            self.job_cache.apply(&changes, &mut self.tables);
+            return true;
+        }
+        let is_answered = |read: &mut PendingRead| read.term == term && read.answered_at <= now;
+        if let Some(read) = self.pending_read.take_if(is_answered) {
+            self.job_cache.apply(&read.changes, &mut self.tables);
+        }
+        if self.pending_read.as_ref().is_none_or(|read| read.term != term) {
+            let answered_at = now + random.delay(0..store.conditions.read_latency_max_ms);
+            let changes = store.changes(records::JOBS, self.job_cache.store_revision());
+            self.pending_read = Some(PendingRead { answered_at, term, changes });
+        }
+        false
+    }
+
+    /// The leader learns of changed jobs and runs one scheduling cycle.
+    fn schedule(&mut self, now: Millis, has_cloud: bool) {
         let changed = self.job_cache.take_changed();
-        let Some(l) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else { return };
         for index in changed {
-            l.job_update(now, now, index, &self.job_cache);
+            leader.job_update(now, now, index, &self.job_cache);
         }
-        // Once heard again, those behind the cut say when they last kept a lease.
+        // Once heard again, those behind the partition say when they last renewed a lease.
+        let silent_since = self.settings.peers_silent_since;
         let mut no_peer_renewals =
-            TimeSpan { from: self.last_peer_renewal as i64, to: self.peers_silent_since.unwrap_or(now) as i64 };
-        if let Some(since) = self.peers_silent_since {
+            TimeSpan { from: self.last_peer_renewal as i64, to: silent_since.unwrap_or(now) as i64 };
+        if let Some(since) = silent_since {
             no_peer_renewals.from = no_peer_renewals.from.min(since as i64);
         }
-        l.set_no_peer_renewals(no_peer_renewals);
-        l.set_may_reshard(self.may_reshard);
-        l.sweep(now);
-        self.cloud |= self.capacity > 0;
-        if self.cloud {
-            l.autoscale(now, &self.tables);
-        }
-        l.run_scheduling_cycle(now);
-        self.commit();
-        let Some(l) = &mut self.leader else { return };
-        l.dispatch_commands(now);
-        for e in l.take_effects() {
-            self.perform_effect(e);
+        leader.set_no_peer_renewals(no_peer_renewals);
+        leader.set_may_reshard(self.settings.may_reshard);
+        leader.sweep(now);
+        if has_cloud {
+            leader.autoscale(now, &self.tables);
         }
+        leader.run_scheduling_cycle(now);
     }
 
-    pub(super) fn read_changes(&mut self) {
-        let (now, term) = (self.now, self.leader.as_ref().map_or_else(Term::default, |l| l.term()));
-        if self.refuse_leader || self.changes_unread {
-            return;
-        }
-        if self.changes_ms == 0 {
-            self.reading = None;
-            let changes = self.store.changes(records::JOBS, self.job_cache.store_revision());
-            self.job_cache.apply(&changes, &mut self.tables);
-            self.check_dependents_of_cancelled();
-            return;
-        }
-        if let Some((_, _, changes)) = self.reading.take_if(|r| r.1 == term && r.0 <= now) {
-            self.job_cache.apply(&changes, &mut self.tables);
-        }
-        if self.reading.as_ref().is_none_or(|r| r.1 != term) {
-            let at = now + self.rng.random_range(0..self.changes_ms);
-            self.reading = Some((at, term, self.store.changes(records::JOBS, self.job_cache.store_revision())));
-        }
+    fn dispatch_commands(&mut self, now: Millis) -> Vec<Effect> {
+        let Some(leader) = &mut self.leader else { return Vec::new() };
+        leader.dispatch_commands(now);
+        leader.take_effects()
     }
 
-    pub(super) fn commit(&mut self) {
-        let now = self.now;
-        let Some(l) = &mut self.leader else { return };
-        if let Some(key) = l.resync_key().filter(|_| !self.refuse_leader).map(str::to_owned) {
-            let found = self.store.keys.get(&key).cloned();
-            l.resynced(now, &key, found);
-        }
-        if !l.may_commit(now) {
-            return;
-        }
-        // Now and then there is budget to spare.
-        let (mut spare, mut max_ops) = ((now / 1_000).is_multiple_of(4), 8);
-        if let Some(w) = &mut self.writes {
-            let allowed = w.controllers[0].commits.available(now, Urgency::Commit);
-            (spare, max_ops) = (allowed > 0.6 * w.controllers[0].commits.burst(), max_ops.min(allowed as usize));
-            if max_ops == 0 {
-                return;
-            }
+    /// The leader reads a key again whose revision it lost track of.
+    pub(super) fn resync(&mut self, now: Millis, store: &SimulatedStore) {
+        let Some(leader) = &mut self.leader else { return };
+        if let Some(key) = leader.resync_key().filter(|_| !store.conditions.refuses_leader).map(str::to_owned) {
+            let found = store.get(&key).map(|stored| (stored.value.clone(), stored.revision));
+            leader.resynced(now, &key, found);
         }
-        if !l.has_writes(now, spare) {
-            return;
-        }
-        let Some(mut txn) = l.commit(now, max_ops, spare, &self.tables) else { return };
-        if self.writes_old_form {
-            for w in &mut txn.writes {
-                let Op::Put { key, v, .. } = w else { continue };
-                if let Some(rec) = key.starts_with(records::JOBS).then(|| v.deserialized::<JobRecord>().unwrap()) {
-                    let at_ms = if rec.status == JobStatus::Done { 0 } else { rec.at_ms };
-                    *v = records::to_value(&JobRecord { at_ms, ..rec });
-                }
-            }
-        }
-        if let Some(w) = &mut self.writes {
-            let _ = w.controllers[0].commits.take(now, txn.writes.len() as f64, Urgency::Lease);
-        }
-        self.count_writes(txn.writes.len());
-        self.txns += 1;
-        if txn.writes.len() > 8 || txn.conditions.len() > 32 {
-            self.violations.push(format!("a transaction of {} writes", txn.writes.len()));
+    }
+
+    pub(super) fn may_commit(&self, now: Millis) -> bool {
+        self.leader.as_ref().is_some_and(|leader| leader.may_commit(now))
+    }
+
+    /// The leader's next transaction, in the form that its version writes.
+    pub(super) fn next_transaction(&mut self, now: Millis, allowance: &CommitAllowance) -> Option<Txn> {
+        let leader = self.leader.as_mut()?;
+        if !leader.has_writes(now, allowance.spare) {
+            return None;
         }
-        let revision = self.store.keys[records::LEADER].1;
-        if !txn.conditions.iter().any(|c| c.key == records::LEADER && c.revision == revision) {
-            self.violations.push(format!("a transaction that any later leader would let through, at {now}"));
+        let mut transaction = leader.commit(now, allowance.writes, allowance.spare, &self.tables)?;
+        if self.settings.writes_old_form {
+            to_old_form(&mut transaction);
         }
-        if std::mem::take(&mut self.die_before_txn) {
+        Some(transaction)
+    }
+
+    /// The leader learns the outcome of its transaction, and steps down if it
+    /// has lost the leadership.
+    pub(super) fn committed(&mut self, now: Millis, outcome: CommitOutcome) {
+        if self.leader.as_mut().is_some_and(|leader| !leader.committed(now, outcome)) {
             self.leader = None;
-            return;
         }
-        if self.txns_left == Some(0) || self.refuse_leader {
-            if let Some(l) = &mut self.leader {
-                l.committed(now, CommitOutcome::Refused);
-            }
-            return;
+    }
+
+    /// The leader hears that its transaction failed, or nothing; it goes on.
+    pub(super) fn transaction_failed(&mut self, now: Millis, outcome: CommitOutcome) {
+        if let Some(leader) = &mut self.leader {
+            leader.committed(now, outcome);
         }
-        self.txns_left = self.txns_left.map(|n| n - 1);
-        let too_large = |w: &Op| matches!(w, Op::Put { v, .. } if records::json_size(v) > self.value_now);
-        if txn.writes.len() > self.ops_now || txn.writes.iter().any(too_large) {
-            self.too_large += 1;
-            if let Some(l) = &mut self.leader {
-                l.committed(now, CommitOutcome::TooLarge);
-            }
-            return;
+    }
+
+    /// Delivers a heartbeat and returns the answer, if the leader gives one.
+    pub(super) fn heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) -> Option<HeartbeatResponse> {
+        let leader = self.leader.as_mut()?;
+        match leader.heartbeat(now, heartbeat, &self.job_cache, &mut self.tables) {
+            HeartbeatOutcome::Ok(response) => Some(response),
+            _ => None,
         }
-        if self.chance(self.faults.lost_txn) {
-            if self.rng.random_range(0..2) == 0 {
-                let _ = self.store.apply(&txn);
-            } else {
-                let at = now + self.rng.random_range(100..40_000);
-                self.delayed.push((at, Held::Txn(txn)));
-            }
-            if let Some(l) = &mut self.leader {
-                l.committed(now, CommitOutcome::Unknown);
-            }
-            return;
+    }
+
+    pub(super) fn direct_call_result(&mut self, now: Millis, call: DirectCall, outcome: DirectCallOutcome) {
+        let DirectCall { machine, call, term } = call;
+        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term() == term) {
+            leader.direct_call_result(now, machine, call, outcome, &self.job_cache, &mut self.tables);
         }
-        if self.chance(self.faults.late_txn) {
-            let at = now + self.rng.random_range(2_000..12_000);
-            self.delayed.push((at, Held::Txn(txn)));
-            if let Some(l) = &mut self.leader {
-                l.committed(now, CommitOutcome::Unknown);
-            }
-            return;
+    }
+
+    pub(super) fn probed(&mut self, now: Millis, machine: MachineIndex, heartbeat: Option<&Heartbeat>) {
+        if let Some(leader) = &mut self.leader {
+            leader.probed(now, machine, heartbeat, &self.job_cache, &mut self.tables);
         }
-        if self.txn_ms > 0 {
-            let at = now + self.rng.random_range(0..self.txn_ms);
-            self.delayed.push((at, Held::SlowTxn { txn, term: Term(revision) }));
-            return;
+    }
+
+    pub(super) fn rented(&mut self, now: Millis, call: CallId, outcome: RentOutcome) {
+        if let Some(leader) = &mut self.leader {
+            leader.rented(now, call, outcome);
         }
-        let outcome = match self.store.apply(&txn) {
-            Ok(store_revision) => CommitOutcome::Done(store_revision),
-            Err(failed) => CommitOutcome::Conflict(failed),
-        };
-        if std::mem::take(&mut self.die_after_txn) {
-            self.leader = None;
-            return;
+    }
+
+    pub(super) fn returned(&mut self, now: Millis, call: CallId) {
+        if let Some(leader) = &mut self.leader {
+            leader.returned(now, call, true);
         }
-        if self.leader.as_mut().is_some_and(|l| !l.committed(now, outcome)) {
-            self.leader = None;
+    }
+
+    pub(super) fn listed(&mut self, now: Millis, call: CallId, list: Option<&HostList>) {
+        if let Some(leader) = &mut self.leader {
+            leader.listed(now, call, list, &mut self.tables);
         }
     }
+}
+
+/// Removes the time from the ends of jobs, which the version before did not write.
+fn to_old_form(transaction: &mut Txn) {
+    for write in &mut transaction.writes {
+        let Op::Put { key, v, .. } = write else { continue };
+        if !key.starts_with(records::JOBS) {
+            continue;
+        }
+        let record = v.deserialized::<JobRecord>().unwrap();
+        let at_ms = if record.status == JobStatus::Done { 0 } else { record.at_ms };
+        *v = records::to_value(&JobRecord { at_ms, ..record });
+    }
+}
+
+impl Simulation {
+    /// A new leader: the key changes hands, whatever the old one had under way.
+    pub fn elect(&mut self) {
+        let revision = self.store.acquire_leadership();
+        let nonce = self.random.nonce();
+        let types = self.cloud.machine_types(self.controller.tables());
+        self.controller.lead(self.now, Term(revision), nonce, types, &self.store);
+    }
+
+    /// The leader crashes; nobody is elected yet.
+    pub fn stop_leader(&mut self) {
+        self.controller.leader = None;
+    }
 
-    pub(super) fn perform_effect(&mut self, e: Effect) {
+    pub fn has_leader(&self) -> bool {
+        self.controller.leader.is_some()
+    }
+
+    /// The library's leader, which must be there.
+    pub fn leader(&self) -> &Leader {
+        self.controller.leader.as_ref().expect("a leader")
+    }
+
+    pub(super) fn run_leader(&mut self) {
+        if !self.has_leader() {
+            return;
+        }
         let now = self.now;
-        match e {
-            Effect::Do { machine, call, req, .. } => {
-                let id = self.leader.as_ref().map(|l| l.cluster().machine(machine).id.clone()).unwrap_or_default();
-                let Some(n) = self.workers.iter().position(|w| w.id == id) else { return };
-                self.check_orders(&id, &req.commands);
-                let reached = self.workers[n].is_reached();
-                if reached && self.chance(self.faults.slow_command) {
-                    let term = self.leader.as_ref().map_or_else(Term::default, |l| l.term());
-                    let at = now + self.rng.random_range(300..1_900);
-                    self.delayed.push((at, Held::SlowDo { worker: n, req, machine, call, term }));
-                    return;
-                }
-                let out = if !reached {
-                    if self.workers[n].hung {
-                        self.delayed.push((now + 1_000, Held::Do { worker: n, req }));
-                    }
-                    DirectCallOutcome::Unknown
-                } else if self.chance(self.faults.late_command) {
-                    let at = now + self.rng.random_range(200..90_000);
-                    self.delayed.push((at, Held::Do { worker: n, req }));
-                    DirectCallOutcome::Unknown
-                } else if self.chance(self.faults.lost_command) {
-                    DirectCallOutcome::Unknown
-                } else {
-                    if self.chance(self.faults.repeated_command) {
-                        let at = now + self.rng.random_range(200..40_000);
-                        self.delayed.push((at, Held::Do { worker: n, req: req.clone() }));
-                    }
-                    let out = self.execute_command(n, &req);
-                    if self.chance(self.faults.slow_command_answer) {
-                        let term = self.leader.as_ref().map_or_else(Term::default, |l| l.term());
-                        let at = now + self.rng.random_range(300..1_900);
-                        self.delayed.push((at, Held::DoAnswer { out, machine, call, term }));
-                        return;
-                    }
-                    out
-                };
-                if let Some(l) = &mut self.leader {
-                    l.direct_call_result(now, machine, call, out, &self.job_cache, &mut self.tables);
-                }
-            }
-            Effect::Rent { call, req } => {
-                let names = self.rent(&req);
-                let lost = self.chance(self.faults.lost_rental_answer);
-                if let Some(l) = &mut self.leader {
-                    let out = match names {
-                        _ if lost => RentOutcome::Again,
-                        Some(n) => RentOutcome::Rented(n),
-                        None => RentOutcome::NoCapacity,
-                    };
-                    l.rented(now, call, out);
-                }
-            }
-            Effect::Return { call, ids } => {
-                for w in &mut self.workers {
-                    if ids.contains(&w.id) {
-                        w.dead = true;
-                        w.tasks.clear();
-                    }
-                }
-                if let Some(l) = &mut self.leader {
-                    l.returned(now, call, true);
-                }
-            }
-            Effect::Probe { machine, .. } => {
-                let id = self.leader.as_ref().map(|l| l.cluster().machine(machine).id.clone()).unwrap_or_default();
-                let w = self.workers.iter_mut().find(|w| w.id == id && w.is_reached());
-                let heartbeat = w.map(Worker::heartbeat);
-                if let Some(l) = &mut self.leader {
-                    l.probed(now, machine, heartbeat.as_ref(), &self.job_cache, &mut self.tables);
-                }
-            }
-            Effect::List { call, from } => {
-                let list = self.list(from.as_deref());
-                if let Some(l) = &mut self.leader {
-                    l.listed(now, call, list.as_ref(), &mut self.tables);
-                }
-            }
+        if self.controller.read_changes(now, &self.store, &mut self.random) {
+            let violations = self.view().jobs_with_cancelled_prerequisites();
+            self.invariants.record(violations);
+        }
+        self.controller.schedule(now, self.cloud.observe_capacity());
+        self.commit();
+        for effect in self.controller.dispatch_commands(now) {
+            self.perform_effect(effect);
         }
     }
 }
--- /dev/null
+++ b/tests/simulation/delivery.rs
@@ -0,0 +1,112 @@
+//! What workers and the store do when messages arrive, and heartbeats on their
+//! way to the leader.
+
+use shedhook::protocol::workers::{Heartbeat, TaskState};
+
+use super::{network::Message, worker::WorkerTask, Simulation, LEASE_MS};
+
+/// Commands to a worker that hangs are tried again so much later.
+const HUNG_RETRY_MS: u64 = 1_000;
+
+impl Simulation {
+    /// Delivers every delayed message that is due.
+    pub(super) fn deliver_delayed(&mut self) {
+        for message in self.network.take_due(self.now) {
+            self.deliver(message);
+        }
+    }
+
+    fn deliver(&mut self, message: Message) {
+        let now = self.now;
+        match message {
+            Message::Command { worker, request } => {
+                if self.workers[worker].faults.hung {
+                    self.network.send_at(now + HUNG_RETRY_MS, Message::Command { worker, request });
+                } else {
+                    self.workers.execute_command(now, worker, &request);
+                }
+            }
+            Message::SlowCommand { worker, request, call } => {
+                let outcome = self.workers.execute_command(now, worker, &request);
+                self.controller.direct_call_result(now, call, outcome);
+            }
+            Message::CommandAnswer { outcome, call } => self.controller.direct_call_result(now, call, outcome),
+            // Whatever is answered, nobody listens any more.
+            Message::Heartbeat(heartbeat) => drop(self.controller.heartbeat(now, &heartbeat)),
+            Message::Transaction(transaction) => drop(self.store.apply(&transaction)),
+            Message::SlowTransaction { transaction, term } => {
+                let outcome = self.store.commit(&transaction);
+                let latency_max = self.store.conditions.transaction_latency_max_ms;
+                let due = now + self.random.delay(0..latency_max.max(1));
+                self.network.send_at(due, Message::TransactionAnswer { outcome, term });
+            }
+            Message::TransactionAnswer { outcome, term } => {
+                if self.controller.term() == term {
+                    self.controller.committed(now, outcome);
+                }
+            }
+        }
+    }
+
+    /// One step of a worker: its tasks go on, and it reports what changed.
+    pub(super) fn advance_worker(&mut self, worker: usize) {
+        let now = self.now;
+        if !self.workers[worker].begin_step(now) {
+            return;
+        }
+        for index in 0..self.workers[worker].tasks.len() {
+            let task = self.workers[worker].tasks[index].clone();
+            let Some(job) = self.users.job_of(&task.name) else { continue };
+            let Some(next) = self.workers.transition(now, worker, &task, job) else { continue };
+            if task.state == TaskState::Fetching && next.state != TaskState::Exited {
+                self.check_start(worker, &task.name);
+            }
+            let task = WorkerTask { state: next.state, why: next.why, since: now, ..task };
+            self.workers[worker].replace_task(index, task);
+        }
+        if self.workers[worker].take_due_heartbeat(now) {
+            self.send_heartbeat(worker);
+        }
+    }
+
+    /// Sends a heartbeat, through the faults of both ways.
+    fn send_heartbeat(&mut self, worker: usize) {
+        let sent = self.now;
+        let heartbeat = self.workers[worker].heartbeat();
+        if self.workers[worker].renew_by_peer(sent) {
+            self.controller.record_peer_renewal(sent);
+        }
+        if self.workers[worker].faults.loses_heartbeats() || self.delay_heartbeat(&heartbeat) {
+            return;
+        }
+        let Some(response) = self.controller.heartbeat(sent, &heartbeat) else { return };
+        let id = self.workers[worker].id.clone();
+        self.check_commands(&id, &response.commands);
+        let faults = self.workers[worker].faults;
+        if faults.answers_lost || faults.inbound_lost || self.random.chance(self.network.rates.lost_heartbeat_answer) {
+            return;
+        }
+        if self.workers[worker].accept_response(sent, &response) {
+            self.workers.apply_commands(sent, worker, &response.commands);
+        }
+    }
+
+    /// Delays copies of a heartbeat by chance; true when it doesn't arrive now.
+    fn delay_heartbeat(&mut self, heartbeat: &Heartbeat) -> bool {
+        let sent = self.now;
+        if self.random.chance(self.network.rates.late_heartbeat) {
+            let due = sent + self.random.delay(1_000..120_000);
+            self.network.deliver_heartbeat_at(due, heartbeat.clone());
+        }
+        if self.random.chance(self.network.rates.very_late_heartbeat) {
+            let due = sent + self.random.delay(LEASE_MS / 2..4 * LEASE_MS);
+            self.network.deliver_heartbeat_at(due, heartbeat.clone());
+        }
+        let is_delayed = self.random.chance(self.network.rates.delayed_heartbeat);
+        if is_delayed {
+            let due = sent + self.random.delay(500..LEASE_MS / 2);
+            self.network.deliver_heartbeat_at(due, heartbeat.clone());
+        }
+        is_delayed
+    }
+}
--- /dev/null
+++ b/tests/simulation/effects.rs
@@ -0,0 +1,99 @@
+//! What the library's leader asks for: commands and probes to workers, rentals
+//! and releases of machines, and the cloud's list.
+
+use shedhook::{
+    coordination::{
+        effects::{DirectCallOutcome, Effect},
+        model::MachineIndex,
+        RentOutcome,
+    },
+    protocol::{cloud::RentRequest, workers::DirectCommandRequest},
+};
+
+use super::{
+    network::{DirectCall, Message},
+    worker::Worker,
+    Simulation,
+};
+
+impl Simulation {
+    pub(super) fn perform_effect(&mut self, effect: Effect) {
+        let now = self.now;
+        match effect {
+            Effect::Do { machine, call, req, .. } => {
+                let call = DirectCall { machine, call, term: self.controller.term() };
+                self.send_command(call, req);
+            }
+            Effect::Rent { call, req } => {
+                let outcome = self.rent(&req);
+                self.controller.rented(now, call, outcome);
+            }
+            Effect::Return { call, ids } => {
+                let returned = self.workers.iter_mut().filter(|worker| ids.contains(&worker.id));
+                returned.for_each(Worker::terminate);
+                self.controller.returned(now, call);
+            }
+            Effect::Probe { machine, .. } => self.probe(machine),
+            Effect::List { call, from } => {
+                let list = self.cloud.list(now, from.as_deref(), &self.workers);
+                self.controller.listed(now, call, list.as_ref());
+            }
+        }
+    }
+
+    /// Sends a direct command, through the faults of both ways.
+    fn send_command(&mut self, call: DirectCall, request: DirectCommandRequest) {
+        let now = self.now;
+        let id = self.controller.machine_id(call.machine);
+        let Some(worker) = self.workers.position(&id) else { return };
+        self.check_commands(&id, &request.commands);
+        if !self.workers[worker].is_reached() {
+            if self.workers[worker].faults.hung {
+                self.network.send_at(now + 1_000, Message::Command { worker, request });
+            }
+            self.controller.direct_call_result(now, call, DirectCallOutcome::Unknown);
+            return;
+        }
+        if self.random.chance(self.network.rates.slow_command) {
+            let due = now + self.random.delay(300..1_900);
+            self.network.send_at(due, Message::SlowCommand { worker, request, call });
+            return;
+        }
+        if self.random.chance(self.network.rates.late_command) {
+            let due = now + self.random.delay(200..90_000);
+            self.network.send_at(due, Message::Command { worker, request });
+            self.controller.direct_call_result(now, call, DirectCallOutcome::Unknown);
+            return;
+        }
+        if self.random.chance(self.network.rates.lost_command) {
+            self.controller.direct_call_result(now, call, DirectCallOutcome::Unknown);
+            return;
+        }
+        if self.random.chance(self.network.rates.repeated_command) {
+            let due = now + self.random.delay(200..40_000);
+            self.network.send_at(due, Message::Command { worker, request: request.clone() });
+        }
+        let outcome = self.workers.execute_command(now, worker, &request);
+        if self.random.chance(self.network.rates.slow_command_answer) {
+            let due = now + self.random.delay(300..1_900);
+            self.network.send_at(due, Message::CommandAnswer { outcome, call });
+            return;
+        }
+        self.controller.direct_call_result(now, call, outcome);
+    }
+
+    fn rent(&mut self, request: &RentRequest) -> RentOutcome {
+        let rented = self.cloud.rent(self.now, self.controller.term(), request, &mut self.workers);
+        if self.random.chance(self.network.rates.lost_rental_answer) {
+            return RentOutcome::Again;
+        }
+        rented.map_or(RentOutcome::NoCapacity, RentOutcome::Rented)
+    }
+
+    fn probe(&mut self, machine: MachineIndex) {
+        let id = self.controller.machine_id(machine);
+        let worker = self.workers.iter_mut().find(|worker| worker.id == id && worker.is_reached());
+        let heartbeat = worker.map(Worker::heartbeat);
+        self.controller.probed(self.now, machine, heartbeat.as_ref());
+    }
+}
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -1,170 +1,319 @@
 //! The rules that hold at every moment, whatever fails. A violation is recorded
 //! and fails the case at its end.
 
-use std::collections::HashMap;
+use std::collections::{HashMap, HashSet};
 
 use shedhook::{
+    coordination::model::Millis,
     protocol::{
         ids::Attempt,
         workers::{split_task, ExitReason, TaskState, WorkerCommand},
     },
-    storage::records::{self, ChunkRecord, JobRecord, JobStatus},
+    storage::records::{self, JobStatus},
 };
 
 use super::{
-    worker::{Worker, WorkerTask},
-    Simulation, CANCEL,
+    controller::{SimulatedController, TeamQuotas},
+    store::SimulatedStore,
+    users::{SimulatedUsers, SubmittedJob},
+    worker::Worker,
+    workers::SimulatedWorkers,
+    Simulation, CANCEL_MS,
 };
 
-impl Simulation {
-    pub(super) fn check_state(&mut self) {
-        if self.workers.len() > 100 && !self.now.is_multiple_of(5_000) {
-            return; // starts are judged at once; the rest takes its time
-        }
-        let (mut red_gpus, mut blue_gpus) = (0.0, 0.0);
-        let mut broken = Vec::new();
-        for w in self.workers.iter().filter(|w| !w.dead) {
-            for t in w.tasks.iter().filter(|t| t.state == TaskState::Running) {
-                // Our own rule: wherever a task runs, a record says so, lest
-                // the next leader start it elsewhere.
-                if !self.records_lost && !self.is_written(&t.name, &w.id, t.attempt) {
-                    broken.push(format!("unrecorded: {} runs on {} at {}", t.name, w.id, self.now));
-                }
-                let Some(f) = split_task(&t.name).and_then(|s| self.jobs.get(s.0)) else { continue };
-                let of_team = if f.sub.team.as_deref() == Some("blue") { &mut blue_gpus } else { &mut red_gpus };
-                *of_team += f.sub.gpus.unwrap_or(0.0);
-                if f.cancelled_at.is_some_and(|c| self.now > c + CANCEL) {
-                    broken.push(format!("ran_cancelled: {} on {} at {}", t.name, w.id, self.now));
-                }
-            }
+/// Larger clusters are checked every `LARGE_CLUSTER_PERIOD_MS` only: starts are
+/// judged at once, the rest takes its time.
+const LARGE_CLUSTER_WORKERS: usize = 100;
+const LARGE_CLUSTER_PERIOD_MS: Millis = 5_000;
+
+/// Violations that a failed case prints.
+const PRINTED_VIOLATIONS: usize = 5;
+
+/// What was seen of the rules so far.
+#[derive(Default)]
+pub struct InvariantChecker {
+    violations: Vec<String>,
+    starts: usize,
+    starts_of_cancelled: usize,
+    max_commands_in_message: usize,
+}
+
+impl InvariantChecker {
+    pub(super) fn record(&mut self, violations: impl IntoIterator<Item = String>) {
+        self.violations.extend(violations);
+    }
+
+    pub(super) fn violations(&self) -> &[String] {
+        &self.violations
+    }
+}
+
+/// The cluster as the rules see it.
+pub(super) struct ClusterView<'a> {
+    now: Millis,
+    store: &'a SimulatedStore,
+    users: &'a SimulatedUsers,
+    workers: &'a SimulatedWorkers,
+    controller: &'a SimulatedController,
+}
+
+impl ClusterView<'_> {
+    /// The rules on tasks that run now, and on what was told of jobs.
+    fn state_violations(&self) -> Vec<String> {
+        if self.workers.len() > LARGE_CLUSTER_WORKERS && !self.now.is_multiple_of(LARGE_CLUSTER_PERIOD_MS) {
+            return Vec::new();
         }
-        for (gpus, max) in [(red_gpus, self.team_gpus_max), (blue_gpus, self.blue_gpus_max)] {
-            if max > 0.0 && gpus > max {
-                broken.push(format!("quota: {gpus} GPUs at {}", self.now));
-            }
+        let mut violations = self.running_task_violations();
+        violations.extend(self.quota_violations());
+        for (id, job) in self.users.jobs() {
+            violations.extend(self.status_violations(id, job));
         }
-        self.violations.extend(broken);
-        // not_done: a record may say done only once all its tasks completed.
-        for (id, f) in &self.jobs {
-            // went_back: what was called cancelled stays so.
-            if f.cancelled_at.is_some() && self.status(id) != JobStatus::Cancelled {
-                self.violations.push(format!("went_back: {id} at {}", self.now));
+        violations
+    }
+
+    /// Every running task on a worker that is alive.
+    fn running_tasks(&self) -> impl Iterator<Item = (&Worker, &str, Attempt)> {
+        self.workers.alive().flat_map(|worker| {
+            let running = worker.tasks.iter().filter(|task| task.state == TaskState::Running);
+            running.map(move |task| (worker, task.name.as_str(), task.attempt))
+        })
+    }
+
+    fn running_task_violations(&self) -> Vec<String> {
+        let mut violations = Vec::new();
+        for (worker, task, attempt) in self.running_tasks() {
+            let (id, now) = (&worker.id, self.now);
+            // Our own rule: wherever a task runs, a record says so, lest the
+            // next leader start it elsewhere.
+            if !self.store.has_lost_records() && !self.is_recorded(task, id, attempt) {
+                violations.push(format!("unrecorded: {task} runs on {id} at {now}"));
             }
-            if self.status(id) == JobStatus::Done {
-                let all = (0..f.sub.tasks.unwrap() as u32).all(|n| self.completed.contains(&format!("{id}/{n}")));
-                if !all {
-                    self.violations.push(format!("not_done: {id} at {}", self.now));
-                }
+            let cancelled_at = self.users.job_of(task).and_then(|job| job.cancelled_at);
+            if cancelled_at.is_some_and(|cancelled_at| now > cancelled_at + CANCEL_MS) {
+                violations.push(format!("ran after cancellation: {task} on {id} at {now}"));
             }
         }
+        violations
+    }
+
+    fn quota_violations(&self) -> Vec<String> {
+        let TeamQuotas { red_gpus_max, blue_gpus_max, .. } = self.controller.settings.quotas;
+        let (mut red_gpus, mut blue_gpus) = (0.0, 0.0);
+        for (_, task, _) in self.running_tasks() {
+            let Some(job) = self.users.job_of(task) else { continue };
+            let is_blue = job.submission.team.as_deref() == Some("blue");
+            let team_gpus = if is_blue { &mut blue_gpus } else { &mut red_gpus };
+            *team_gpus += job.submission.gpus.unwrap_or(0.0);
+        }
+        [(red_gpus, red_gpus_max), (blue_gpus, blue_gpus_max)]
+            .into_iter()
+            .filter(|(gpus, max)| max.is_some_and(|max| *gpus > max))
+            .map(|(gpus, _)| format!("quota exceeded: {gpus} GPUs at {}", self.now))
+            .collect()
+    }
+
+    fn status_violations(&self, id: &str, job: &SubmittedJob) -> Vec<String> {
+        let status = self.status(id);
+        let mut violations = Vec::new();
+        // What was called cancelled stays so.
+        if job.cancelled_at.is_some() && status != JobStatus::Cancelled {
+            violations.push(format!("cancellation reverted: {id} at {}", self.now));
+        }
+        // A record may say done only once all its tasks completed.
+        if status == JobStatus::Done && !self.has_completed(id) {
+            violations.push(format!("done too early: {id} at {}", self.now));
+        }
+        violations
     }
 
-    pub(super) fn check_start(&mut self, n: usize, task: &str) {
-        self.starts += 1;
-        let Some((job, _)) = split_task(task) else { return };
-        for (m, w) in self.workers.iter().enumerate() {
-            if m != n && Simulation::holds(w, task) {
-                self.violations
-                    .push(format!("ran_twice: {task} on {} and {} at {}", w.id, self.workers[n].id, self.now));
+    /// The rules on the start of a task on a worker.
+    fn start_violations(&self, worker: usize, task: &str) -> Vec<String> {
+        let Some((id, _)) = split_task(task) else { return Vec::new() };
+        let mut violations = Vec::new();
+        for (other, holder) in self.workers.iter().enumerate() {
+            if other != worker && holder.holds(task) {
+                let here = &self.workers[worker].id;
+                violations.push(format!("runs twice: {task} on {} and {here} at {}", holder.id, self.now));
             }
         }
-        let f = &self.jobs[job];
+        let job = &self.users[id];
         // Stricter than the rule: their ends must be written, too.
-        for p in f.sub.prereqs() {
-            let all = (0..self.jobs[p].sub.tasks.unwrap() as u32).all(|n| self.completed.contains(&format!("{p}/{n}")));
-            if !all || self.status(p) != JobStatus::Done {
-                self.violations.push(format!("too_early: {task} before {p} at {}", self.now));
+        for prerequisite in job.submission.prereqs() {
+            if !self.has_completed(prerequisite) || self.status(prerequisite) != JobStatus::Done {
+                violations.push(format!("started too early: {task} before {prerequisite} at {}", self.now));
             }
         }
-        self.starts_cancelled += usize::from(f.cancelled_at.is_some());
-        let here = &self.workers[n].zone;
-        let mut zones: HashMap<&str, u32> = HashMap::new();
-        for w in self.workers.iter().filter(|w| !w.dead) {
-            for t in &w.tasks {
-                if t.name != task && t.occupies_machine() && split_task(&t.name).is_some_and(|s| s.0 == job) {
-                    *zones.entry(&w.zone).or_default() += 1;
-                }
-            }
+        violations.extend(self.zone_violations(id, job, task, &self.workers[worker].spec.zone));
+        violations
+    }
+
+    /// The rules on the zone in which a task starts.
+    fn zone_violations(&self, id: &str, job: &SubmittedJob, task: &str, here: &str) -> Vec<String> {
+        let zones = self.tasks_by_zone(id, task);
+        let spread_max = job.tasks().div_ceil(2);
+        let now = self.now;
+        let submission = &job.submission;
+        let mut violations = Vec::new();
+        if submission.one_zone == Some(true) && zones.keys().any(|zone| *zone != here) {
+            violations.push(format!("wrong zone: {task} starts in {here} at {now}"));
         }
-        let capacity = (f.sub.tasks.unwrap() as u32).div_ceil(2);
-        if f.sub.one_zone == Some(true) && zones.keys().any(|z| z != here) {
-            self.violations.push(format!("wrong_place: {task} starts in {here} at {}", self.now));
+        if submission.spread == Some(true) && zones.get(here).copied().unwrap_or(0) >= spread_max {
+            violations.push(format!("wrong zone: {task} is one too many in {here} at {now}"));
         }
-        if f.sub.spread == Some(true) && zones.get(here.as_str()).copied().unwrap_or(0) >= capacity {
-            self.violations.push(format!("wrong_place: {task} is one too many in {here} at {}", self.now));
+        if submission.zone.as_ref().is_some_and(|zone| zone != here) {
+            violations.push(format!("wrong zone: {task} in {here}"));
         }
-        if f.sub.zone.as_ref().is_some_and(|z| z != here) {
-            self.violations.push(format!("wrong_place: {task} in {here}"));
+        violations
+    }
+
+    /// How many of a job's tasks other than this one are on machines, by zone.
+    fn tasks_by_zone(&self, id: &str, except: &str) -> HashMap<&str, u32> {
+        let mut zones: HashMap<&str, u32> = HashMap::new();
+        for worker in self.workers.alive() {
+            for task in worker.tasks.iter().filter(|task| task.name != except && task.occupies_machine()) {
+                if split_task(&task.name).is_some_and(|(job, _)| job == id) {
+                    *zones.entry(&worker.spec.zone).or_default() += 1;
+                }
+            }
         }
+        zones
     }
 
     /// Our own rules: an end is written before the task is reaped, and no
-    /// launch is sent before its place is.
-    pub(super) fn check_orders(&mut self, worker: &str, commands: &[WorkerCommand]) {
-        self.max_orders_in_message = self.max_orders_in_message.max(commands.len());
-        for o in commands {
-            if let WorkerCommand::Reap { task, attempt } = o {
-                // A stopped attempt of a task that was done elsewhere says nothing.
-                let of = |w: &&Worker| w.id == worker;
-                let listed = self.workers.iter().find(of).and_then(|w| {
-                    let same = |t: &&WorkerTask| t.name == *task && t.attempt == *attempt;
-                    w.tasks.iter().find(same)
-                });
-                let is_done = listed.is_none_or(|t| t.why == Some(ExitReason::Done)) && self.completed.contains(task);
-                if is_done && !self.records_lost && !self.is_end_written(task) {
-                    self.violations
-                        .push(format!("reaped: {task} on {worker} before its end is written at {}", self.now));
+    /// launch is sent before its record is written.
+    fn command_violations(&self, worker: &str, commands: &[WorkerCommand]) -> Vec<String> {
+        let mut violations = Vec::new();
+        for command in commands {
+            match command {
+                WorkerCommand::Reap { task, attempt } if self.is_reaped_too_early(worker, task, *attempt) => {
+                    violations.push(format!("reaped: {task} on {worker} before its end is written at {}", self.now));
                 }
-            }
-            let WorkerCommand::Launch { task, attempt } = o else { continue };
-            if !self.is_written(task, worker, *attempt) {
-                self.violations.push(format!("unwritten: {task} launched on {worker} at {}", self.now));
+                WorkerCommand::Launch { task, attempt } if !self.is_recorded(task, worker, *attempt) => {
+                    violations.push(format!("unwritten: {task} launched on {worker} at {}", self.now));
+                }
+                _ => {}
             }
         }
+        violations
+    }
+
+    fn is_reaped_too_early(&self, worker: &str, task: &str, attempt: Attempt) -> bool {
+        // A stopped attempt of a task that was done elsewhere says nothing.
+        let position = self.workers.position(worker);
+        let listed = position
+            .and_then(|position| self.workers[position].tasks.iter().find(|held| held.is_attempt(task, attempt)));
+        let is_done = listed.is_none_or(|held| held.why == Some(ExitReason::Done)) && self.workers.has_completed(task);
+        is_done && !self.store.has_lost_records() && !self.is_end_recorded(task)
     }
 
     /// Stricter than the rule: whoever has read the cancellation calls all that
     /// need the job cancelled, at once.
-    pub(super) fn check_dependents_of_cancelled(&mut self) {
-        for (id, f) in &self.jobs {
-            let mut above: Vec<&String> = f.sub.prereqs().iter().collect();
-            let mut seen = std::collections::HashSet::new();
-            let mut is_doomed = false;
-            while let Some(p) = above.pop() {
-                if seen.insert(p) {
-                    is_doomed |= self.jobs[p].cancelled_at.is_some();
-                    above.extend(self.jobs[p].sub.prereqs());
+    pub(super) fn jobs_with_cancelled_prerequisites(&self) -> Vec<String> {
+        let told = |id: &str| self.controller.status_told_to_users(id);
+        self.users
+            .jobs()
+            .filter(|(id, job)| self.has_cancelled_prerequisite(job) && told(id) != Some(JobStatus::Cancelled))
+            .map(|(id, _)| format!("orphaned: {id} is {:?} at {}", told(id), self.now))
+            .collect()
+    }
+
+    fn has_cancelled_prerequisite(&self, job: &SubmittedJob) -> bool {
+        let mut above: Vec<&String> = job.submission.prereqs().iter().collect();
+        let mut seen = HashSet::new();
+        while let Some(id) = above.pop() {
+            if seen.insert(id) {
+                let prerequisite = &self.users[id.as_str()];
+                if prerequisite.cancelled_at.is_some() {
+                    return true;
                 }
-            }
-            if is_doomed && self.status_told_to_users(id) != Some(JobStatus::Cancelled) {
-                self.violations.push(format!("orphaned: {id} is {:?} at {}", self.status_told_to_users(id), self.now));
+                above.extend(prerequisite.submission.prereqs());
             }
         }
+        false
     }
 
-    pub(super) fn is_written(&self, task: &str, worker: &str, attempt: Attempt) -> bool {
-        let Some((job, n)) = split_task(task) else { return false };
+    fn status(&self, id: &str) -> JobStatus {
+        self.store.job_record(id).unwrap().status
+    }
+
+    /// Whether all tasks of a job ran to their ends.
+    fn has_completed(&self, id: &str) -> bool {
+        self.users[id].task_names(id).all(|task| self.workers.has_completed(&task))
+    }
+
+    /// Whether a record says that this attempt is on this worker.
+    fn is_recorded(&self, task: &str, worker: &str, attempt: Attempt) -> bool {
+        let Some((job, number)) = split_task(task) else { return false };
         // As its record says, which may have been written anew.
-        let rec = self.store.keys.get(&records::job_key(job));
-        let rec = rec.and_then(|(v, _)| v.deserialized::<JobRecord>().ok());
-        let size = rec.map_or(self.chunk, |r| r.chunk);
-        let rec = self.store.keys.get(&records::chunk_key(job, n / size));
-        let rec = rec.and_then(|(v, _)| v.deserialized::<ChunkRecord>().ok());
-        rec.is_some_and(|r| r.assignments.iter().any(|p| p.0 == n && p.1 == worker && p.3 == attempt))
+        let size = self.store.job_record(job).map_or(self.users.tasks_per_chunk, |record| record.chunk);
+        let chunk = self.store.chunk_record(job, number / size);
+        chunk.is_some_and(|chunk| {
+            chunk.assignments.iter().any(|place| place.0 == number && place.1 == worker && place.3 == attempt)
+        })
     }
 
     /// A later leader would know that the task is done, or doesn't care.
-    pub(super) fn is_end_written(&self, task: &str) -> bool {
-        let Some((job, n)) = split_task(task) else { return false };
-        let rec = self.store.keys.get(&records::job_key(job));
-        let Some(rec) = rec.and_then(|(v, _)| v.deserialized::<JobRecord>().ok()) else { return false };
-        let part = self.store.keys.get(&records::chunk_key(job, n / rec.chunk));
-        let part = part.and_then(|(v, _)| v.deserialized::<ChunkRecord>().ok());
-        rec.status != JobStatus::Pending || part.is_some_and(|r| records::is_done(&r.done, (n % rec.chunk) as usize))
+    fn is_end_recorded(&self, task: &str) -> bool {
+        let Some((job, number)) = split_task(task) else { return false };
+        let Some(record) = self.store.job_record(job) else { return false };
+        let is_done = |chunk: records::ChunkRecord| records::is_done(&chunk.done, (number % record.chunk) as usize);
+        record.status != JobStatus::Pending || self.store.chunk_record(job, number / record.chunk).is_some_and(is_done)
     }
+}
 
+impl Simulation {
+    pub(super) fn view(&self) -> ClusterView<'_> {
+        ClusterView {
+            now: self.now,
+            store: &self.store,
+            users: &self.users,
+            workers: &self.workers,
+            controller: &self.controller,
+        }
+    }
+
+    pub(super) fn check_state(&mut self) {
+        let violations = self.view().state_violations();
+        self.invariants.record(violations);
+    }
+
+    /// A task starts on a worker.
+    pub(super) fn check_start(&mut self, worker: usize, task: &str) {
+        let violations = self.view().start_violations(worker, task);
+        let is_cancelled = self.users.job_of(task).is_some_and(|job| job.cancelled_at.is_some());
+        self.invariants.starts += 1;
+        self.invariants.starts_of_cancelled += usize::from(is_cancelled);
+        self.invariants.record(violations);
+    }
+
+    /// The leader sends commands to a worker.
+    pub(super) fn check_commands(&mut self, worker: &str, commands: &[WorkerCommand]) {
+        let violations = self.view().command_violations(worker, commands);
+        let checker = &mut self.invariants;
+        checker.max_commands_in_message = checker.max_commands_in_message.max(commands.len());
+        checker.record(violations);
+    }
+
+    /// Fails the case if a rule was broken, or nothing ever ran.
     pub fn check(&self, name: &str) {
-        assert!(self.violations.is_empty(), "{name}: {:#?}", &self.violations[..self.violations.len().min(5)]);
-        assert!(self.starts > 0, "{name}: nothing ran");
+        let violations = &self.invariants.violations;
+        let printed = &violations[..violations.len().min(PRINTED_VIOLATIONS)];
+        assert!(violations.is_empty(), "{name}: {printed:#?}");
+        assert!(self.invariants.starts > 0, "{name}: nothing ran");
+    }
+
+    /// Starts of tasks so far.
+    pub fn starts(&self) -> usize {
+        self.invariants.starts
+    }
+
+    /// Starts of jobs whose cancellation was confirmed before.
+    pub fn starts_of_cancelled(&self) -> usize {
+        self.invariants.starts_of_cancelled
+    }
+
+    /// Most commands seen in one message.
+    pub fn max_commands_in_message(&self) -> usize {
+        self.invariants.max_commands_in_message
     }
 }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,246 +1,124 @@
-//! A cluster simulated in virtual time: state service, workers, cloud and users
-//! are written from the protocol's description; the leader is the library's own.
-//! A test case decides which messages are delayed, lost or repeated and what
-//! crashes; the invariants are checked at every step.
-
-#![allow(dead_code)] // each test target uses its own part of it
-
-mod cloud;
+//! A cluster simulated in virtual time: key-value store, workers, cloud, network
+//! and users are written from the protocol's description; the leader is the
+//! library's own. A test case decides which messages are delayed, lost or
+//! repeated and what crashes; the invariants are checked at every step.
+//!
+//! [`Simulation`] is composed of one part for each of these. Each part keeps its
+//! state to itself; what a test case may set stands in its settings: for example
+//! [`store::StoreConditions`], [`network::FaultRates`] or [`worker::WorkerFaults`].
+
+// Several test binaries include this module, and each of them uses another part
+// of it; together they use all.
+#![allow(dead_code)]
+
+pub mod cases;
+pub mod cloud;
+mod commits;
 mod controller;
-mod faults;
+mod delivery;
+mod effects;
 mod invariants;
+mod network;
 mod progress;
 mod queries;
-mod state_service;
+mod random;
+mod store;
+mod submission;
 mod users;
-mod worker;
+pub mod worker;
+mod workers;
 mod write_budget;
 
-use std::collections::HashMap;
-
-use cloud::RentalRequest;
-pub use cloud::{CHEAP_MACHINE_TYPE, MACHINE_TYPE};
-pub use faults::{FaultRates, Held};
-use rand::{rngs::SmallRng, SeedableRng};
-use shedhook::{
-    coordination::{
-        leader::Leader,
-        model::{Millis, Term},
-    },
-    protocol::{ids::Attempt, names::Tables, store::Changes},
-    storage::job_cache::JobCache,
-};
-use state_service::Store;
-pub use users::submission;
-use users::JobFacts;
-use worker::Worker;
-use write_budget::Writes;
+use cloud::{SimulatedCloud, MACHINE_TYPE, ZONES};
+use controller::SimulatedController;
+use invariants::InvariantChecker;
+pub use network::FaultRates;
+use network::SimulatedNetwork;
+use progress::StarvationCheck;
+use random::RandomSource;
+use shedhook::coordination::model::Millis;
+use store::SimulatedStore;
+pub use submission::{submission, SubmissionBuilder};
+use users::SimulatedUsers;
+use worker::WorkerSpec;
+use workers::SimulatedWorkers;
+use write_budget::WriteBudgets;
 
-pub const LEASE: Millis = 30_000;
+/// How long a worker keeps its tasks without an answered heartbeat.
+pub const LEASE_MS: Millis = 30_000;
 
-pub const CANCEL: Millis = 50_000;
+/// How long tasks of a cancelled job may run on.
+pub const CANCEL_MS: Millis = 50_000;
 
-pub const REPORT: Millis = 3_000;
+pub const HEARTBEAT_INTERVAL_MS: Millis = 3_000;
 
-const STEP: Millis = 100;
+/// How far the virtual time goes on in one step.
+const STEP_MS: Millis = 100;
 
-const FETCH: Millis = 1_000;
+/// How often controllers tell one another what they write.
+const WRITE_SHARING_MS: Millis = 400;
 
 pub struct Simulation {
-    pub now: Millis,
-    pub rng: SmallRng,
-    pub store: Store,
-    pub workers: Vec<Worker>,
-    pub jobs: HashMap<String, JobFacts>,
-    pub leader: Option<Leader>,
-    pub job_cache: JobCache,
-    pub tables: Tables,
-    pub delayed: Vec<(Millis, Held)>,
-    pub faults: FaultRates,
-    /// Tasks that completed; started again, they end at once.
-    pub completed: std::collections::HashSet<String>,
-    pub rentals: HashMap<String, Vec<String>>,
-    pub rental_requests: Vec<RentalRequest>,
-    /// Machines the cloud still has to give.
-    pub capacity: u32,
-    /// There is a cloud: it had machines to give at some time.
-    cloud: bool,
-    pub violations: Vec<String>,
-    pub starts: usize,
-    /// Limit of the team "red", and of the team "blue"; 0 for none.
-    pub team_gpus_max: f64,
-    pub blue_gpus_max: f64,
-    /// GPUs guaranteed to the team "red"; 0 for none. "blue" has no guarantee.
-    pub red_gpus_guaranteed: f64,
-    /// Spot machines the cloud still has to give, of `capacity`.
-    pub spot_capacity: u32,
-    /// Machines on one page of the cloud's list.
-    pub list_page: usize,
-    /// The cloud refuses every second page.
-    pub refuses_every_second_page: bool,
-    pages_asked: u32,
-    /// How long a rented machine takes to come up.
-    pub boot_ms: Millis,
-    /// The cloud offers the cheap type, too.
-    pub offers_cheap_type: bool,
-    /// Price of a spot machine; others cost 1.
-    pub spot_price: f64,
-    /// The leader dies just before, or just after, its next transaction.
-    pub die_before_txn: bool,
-    pub die_after_txn: bool,
-    pub txns: usize,
-    /// The state service takes so many transactions more, then it is away.
-    pub txns_left: Option<u32>,
-    pub halts: Vec<(Millis, String, f64)>,
-    /// This case threw records away.
-    pub records_lost: bool,
-    pub silent_ms: Millis,
-    /// Tasks in one record; few, so that small jobs have several.
-    pub chunk: u32,
-    /// How much longer each task runs than the one before, up to sixteen.
-    pub run_ms_step: Millis,
-    /// Tasks that a worker takes at once.
-    pub slots: usize,
-    /// How long an image takes.
-    pub fetch: Millis,
-    /// Most orders seen in one message.
-    pub max_orders_in_message: usize,
-    /// When a lease was last kept, and since when the controllers behind the
-    /// cut have not been heard.
-    pub last_peer_renewal: Millis,
-    pub peers_silent_since: Option<Millis>,
-    /// The leader writes records as the version before did: no time in the end
-    /// of a job.
-    pub writes_old_form: bool,
-    /// The controller reads no changes.
-    pub changes_unread: bool,
-    /// Values that the state service takes now, in bytes, those that fit
-    /// later too, and tasks per chunk that do; no limit at first.
-    pub value_now: usize,
-    pub value_max: usize,
-    pub value_fit: usize,
-    pub chunk_fit: u32,
-    /// Most writes of a transaction that it takes.
-    pub ops_now: usize,
-    pub too_large: usize,
-    pub may_reshard: bool,
+    pub store: SimulatedStore,
+    pub network: SimulatedNetwork,
+    pub workers: SimulatedWorkers,
+    pub cloud: SimulatedCloud,
+    pub controller: SimulatedController,
+    pub users: SimulatedUsers,
+    now: Millis,
+    random: RandomSource,
+    invariants: InvariantChecker,
+    starvation: StarvationCheck,
     /// Where writes are counted; elsewhere they are free.
-    pub writes: Option<Writes>,
-    /// The state service refuses the leader: its reads and transactions get
-    /// 503. A read that was open waits.
-    pub refuse_leader: bool,
-    /// The longest that a read of the changes, or a transaction, takes.
-    pub changes_ms: Millis,
-    pub txn_ms: Millis,
-    /// The read under way: when it is answered, whose it is, what it says.
-    reading: Option<(Millis, Term, Changes)>,
-    /// Launches of tasks that had completed and were reaped.
-    pub relaunches_of_completed: usize,
-    /// Tasks of a gang wait for one another, and end when one of them is gone.
-    pub gang_semantics: bool,
-    /// Since when a gang's task misses another one.
-    peer_lost_since: HashMap<(String, Attempt), Millis>,
-    /// Starts of jobs whose cancellation was confirmed before.
-    pub starts_cancelled: usize,
-    /// Since when a job's tasks wait though there is room.
-    waiting_since: HashMap<String, Millis>,
-}
-
-pub type Case = (&'static str, fn(&mut Simulation));
-
-/// Plays each case in a simulation of its own, and names every one that fails.
-pub fn run_table(cases: &[Case]) {
-    let mut failed = Vec::new();
-    for (seed, (name, case)) in cases.iter().enumerate() {
-        eprintln!("case: {name}");
-        let played = std::panic::catch_unwind(|| {
-            let mut simulation = Simulation::new(seed as u64, 4);
-            simulation.elect();
-            case(&mut simulation);
-            simulation.check(name);
-        });
-        if played.is_err() {
-            failed.push(*name);
-        }
-    }
-    assert!(failed.is_empty(), "{failed:#?}");
+    write_budgets: Option<WriteBudgets>,
 }
 
 impl Simulation {
+    /// A cluster of so many workers, in both zones by turns, that has no leader yet.
     pub fn new(seed: u64, workers: usize) -> Simulation {
-        let mut w = Simulation {
+        let mut simulation = Simulation {
+            store: SimulatedStore::default(),
+            network: SimulatedNetwork::default(),
+            workers: SimulatedWorkers::default(),
+            cloud: SimulatedCloud::default(),
+            controller: SimulatedController::new(),
+            users: SimulatedUsers::default(),
             now: 1_000,
-            rng: SmallRng::seed_from_u64(seed),
-            store: Store::default(),
-            workers: Vec::new(),
-            jobs: HashMap::new(),
-            leader: None,
-            job_cache: JobCache::default(),
-            tables: Tables::default(),
-            delayed: Vec::new(),
-            faults: FaultRates::default(),
-            completed: Default::default(),
-            rentals: HashMap::new(),
-            rental_requests: Vec::new(),
-            capacity: 0,
-            cloud: false,
-            violations: Vec::new(),
-            starts: 0,
-            team_gpus_max: 0.0,
-            blue_gpus_max: 0.0,
-            red_gpus_guaranteed: 0.0,
-            spot_capacity: u32::MAX,
-            list_page: usize::MAX,
-            refuses_every_second_page: false,
-            pages_asked: 0,
-            boot_ms: 0,
-            offers_cheap_type: false,
-            spot_price: 0.5,
-            die_before_txn: false,
-            die_after_txn: false,
-            txns: 0,
-            txns_left: None,
-            halts: Vec::new(),
-            records_lost: false,
-            silent_ms: 1 << 40,
-            chunk: 4,
-            run_ms_step: 0,
-            slots: 4,
-            fetch: FETCH,
-            max_orders_in_message: 0,
-            last_peer_renewal: 0,
-            peers_silent_since: None,
-            writes_old_form: false,
-            changes_unread: false,
-            value_now: usize::MAX,
-            value_max: usize::MAX,
-            value_fit: usize::MAX,
-            chunk_fit: u32::MAX,
-            ops_now: usize::MAX,
-            too_large: 0,
-            may_reshard: false,
-            writes: None,
-            refuse_leader: false,
-            changes_ms: 0,
-            txn_ms: 0,
-            reading: None,
-            gang_semantics: false,
-            relaunches_of_completed: 0,
-            peer_lost_since: HashMap::new(),
-            starts_cancelled: 0,
-            waiting_since: HashMap::new(),
+            random: RandomSource::with_seed(seed),
+            invariants: InvariantChecker::default(),
+            starvation: StarvationCheck::default(),
+            write_budgets: None,
         };
-        w.tables.teams.intern("red");
-        w.tables.teams.intern("blue");
-        w.tables.types.intern(MACHINE_TYPE);
-        w.tables.types.intern(CHEAP_MACHINE_TYPE);
-        for z in ["a", "b"] {
-            w.tables.zones.intern(z);
-        }
-        for n in 0..workers {
-            w.add_worker(if n % 2 == 0 { "a" } else { "b" });
+        simulation.add_workers(workers);
+        simulation
+    }
+
+    /// Adds so many workers, in both zones by turns.
+    pub fn add_workers(&mut self, count: usize) {
+        for zone in ZONES.into_iter().cycle().take(count) {
+            self.add_worker(zone);
         }
-        w
+    }
+
+    /// Adds a worker that is up at once, and returns its name.
+    pub fn add_worker(&mut self, zone: &str) -> String {
+        let spec = WorkerSpec { zone: zone.into(), machine_type: MACHINE_TYPE.into(), spot: false, up_at: 0 };
+        self.workers.add(self.now, spec)
+    }
+
+    /// The worker comes back at once, with a new incarnation and nothing on it.
+    pub fn restart_worker(&mut self, worker: usize) {
+        self.workers[worker].restart(self.now);
+    }
+
+    /// From now on writes are limited, and shared by so many controllers.
+    pub fn limit_writes(&mut self, limit: f64, controllers: usize) {
+        self.write_budgets = Some(WriteBudgets::new(limit, controllers));
+    }
+
+    /// The budgets of a simulation whose writes are limited.
+    pub fn write_budgets(&self) -> &WriteBudgets {
+        self.write_budgets.as_ref().expect("writes are limited")
     }
 
     pub fn run(&mut self, ms: Millis) {
@@ -250,25 +128,25 @@
         }
     }
 
-    /// Runs until `f`, or fails the case.
-    pub fn run_until(&mut self, what: &str, max: Millis, f: impl Fn(&Simulation) -> bool) {
+    /// Runs until the condition holds, or fails the case.
+    pub fn run_until(&mut self, what: &str, max: Millis, condition: impl Fn(&Simulation) -> bool) {
         let end = self.now + max;
-        while !f(self) {
+        while !condition(self) {
             assert!(self.now < end, "never came: {what}");
             self.step();
         }
     }
 
-    pub fn step(&mut self) {
-        self.now += STEP;
-        if self.now.is_multiple_of(400) {
-            self.share_writes();
+    fn step(&mut self) {
+        self.now += STEP_MS;
+        if let Some(budgets) = self.write_budgets.as_mut().filter(|_| self.now.is_multiple_of(WRITE_SHARING_MS)) {
+            budgets.share(self.now);
         }
         self.deliver_delayed();
-        for n in 0..self.workers.len() {
-            self.advance(n);
+        for worker in 0..self.workers.len() {
+            self.advance_worker(worker);
         }
         self.check_state();
-        self.lead_step();
+        self.run_leader();
     }
 }
--- /dev/null
+++ b/tests/simulation/store.rs
@@ -0,0 +1,175 @@
+//! The consensus-backed key-value store: versioned keys, compare-and-swap
+//! transactions and reads of what changed.
+
+use std::collections::BTreeMap;
+
+use ciborium::Value;
+use shedhook::{
+    coordination::model::Millis,
+    protocol::{
+        ids::Revision,
+        store::{Change, Changes, Op, Page, Pair, Txn},
+    },
+    storage::records::{self, ChunkRecord, JobRecord},
+};
+
+/// The value of a key and the revision that wrote it.
+#[derive(Clone)]
+pub struct StoredValue {
+    pub value: Value,
+    pub revision: Revision,
+}
+
+/// How the store treats the leader's requests.
+pub struct StoreConditions {
+    /// Transactions it still takes before it is unavailable; `None`: no limit.
+    pub transactions_left: Option<u32>,
+    /// The leader's reads and transactions get 503. A read that was open waits.
+    pub refuses_leader: bool,
+    /// The longest that a read of the changes takes.
+    pub read_latency_max_ms: Millis,
+    /// The longest that a transaction takes, and its answer once more.
+    pub transaction_latency_max_ms: Millis,
+    /// The largest value that it accepts now, in bytes.
+    pub value_bytes_max: usize,
+    /// Most writes of a transaction that it accepts now.
+    pub operations_max: usize,
+}
+
+impl Default for StoreConditions {
+    fn default() -> StoreConditions {
+        StoreConditions {
+            transactions_left: None,
+            refuses_leader: false,
+            read_latency_max_ms: 0,
+            transaction_latency_max_ms: 0,
+            value_bytes_max: usize::MAX,
+            operations_max: usize::MAX,
+        }
+    }
+}
+
+impl StoreConditions {
+    /// Whether a value or the number of writes exceeds the present limits.
+    pub(super) fn is_too_large(&self, transaction: &Txn) -> bool {
+        let too_large = |write: &Op| matches!(write, Op::Put { v, .. } if records::json_size(v) > self.value_bytes_max);
+        transaction.writes.len() > self.operations_max || transaction.writes.iter().any(too_large)
+    }
+}
+
+#[derive(Default)]
+pub struct SimulatedStore {
+    pub conditions: StoreConditions,
+    values: BTreeMap<String, StoredValue>,
+    revision: Revision,
+    log: Vec<Change>,
+    records_lost: bool,
+}
+
+impl SimulatedStore {
+    /// Applies a transaction, or returns the keys whose conditions failed.
+    pub(super) fn apply(&mut self, transaction: &Txn) -> Result<Revision, Vec<String>> {
+        let failed: Vec<String> = transaction
+            .conditions
+            .iter()
+            .filter(|condition| self.revision_of(&condition.key) != condition.revision)
+            .map(|condition| condition.key.clone())
+            .collect();
+        if !failed.is_empty() {
+            return Err(failed);
+        }
+        let revision = self.advance();
+        for write in &transaction.writes {
+            match write {
+                Op::Put { key, v, .. } => {
+                    self.values.insert(key.clone(), StoredValue { value: v.clone(), revision });
+                    self.log.push(Change { write: Some(key.clone()), drop: None, v: Some(v.clone()), revision });
+                }
+                Op::Delete { key } => {
+                    self.values.remove(key);
+                    self.log.push(Change { write: None, drop: Some(key.clone()), v: None, revision });
+                }
+            }
+        }
+        Ok(revision)
+    }
+
+    /// Writes one value without conditions.
+    pub(super) fn put(&mut self, key: String, value: Value) {
+        let writes = vec![Op::Put { key, v: value, permit: None }];
+        self.apply(&Txn { conditions: vec![], writes }).unwrap();
+    }
+
+    /// The key of the leadership changes hands: returns its new revision.
+    pub(super) fn acquire_leadership(&mut self) -> Revision {
+        let revision = self.advance();
+        self.values.insert(records::LEADER.into(), StoredValue { value: Value::Null, revision });
+        revision
+    }
+
+    pub(super) fn leadership_revision(&self) -> Revision {
+        self.values[records::LEADER].revision
+    }
+
+    pub(super) fn get(&self, key: &str) -> Option<&StoredValue> {
+        self.values.get(key)
+    }
+
+    pub fn revision(&self) -> Revision {
+        self.revision
+    }
+
+    pub fn job_record(&self, id: &str) -> Option<JobRecord> {
+        self.get(&records::job_key(id))?.value.deserialized().ok()
+    }
+
+    pub(super) fn chunk_record(&self, job: &str, chunk: u32) -> Option<ChunkRecord> {
+        self.get(&records::chunk_key(job, chunk))?.value.deserialized().ok()
+    }
+
+    /// The keys of all records that say where tasks are.
+    pub fn chunk_keys(&self) -> Vec<&String> {
+        self.values.keys().filter(|key| key.starts_with(records::TASKS)).collect()
+    }
+
+    /// Throws away the records that say where tasks are, without a trace in the log.
+    pub fn lose_chunk_records(&mut self) {
+        self.records_lost = true;
+        self.values.retain(|key, _| !key.starts_with(records::TASKS));
+    }
+
+    /// This case threw records away.
+    pub(super) fn has_lost_records(&self) -> bool {
+        self.records_lost
+    }
+
+    pub(super) fn page(&self, prefix: &str) -> Page {
+        let pairs = self
+            .values
+            .iter()
+            .filter(|(key, _)| key.starts_with(prefix))
+            .map(|(key, stored)| Pair {
+                key: key.clone(),
+                v: stored.value.clone(),
+                revision: stored.revision,
+                permit: None,
+            })
+            .collect();
+        Page { pairs, truncated: false, store_revision: self.revision }
+    }
+
+    pub(super) fn changes(&self, prefix: &str, from: Revision) -> Changes {
+        let has_prefix = |change: &Change| change.write.as_deref().is_some_and(|key| key.starts_with(prefix));
+        let events = self.log.iter().filter(|change| change.revision > from && has_prefix(change)).cloned().collect();
+        Changes { store_revision: self.revision, events }
+    }
+
+    fn revision_of(&self, key: &str) -> Revision {
+        self.get(key).map_or(Revision::ABSENT, |stored| stored.revision)
+    }
+
+    fn advance(&mut self) -> Revision {
+        self.revision = self.revision.next();
+        self.revision
+    }
+}
