--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -1,115 +1,151 @@
 //! Users of the cluster: submissions, cancellations, and what they are told.
 
+use std::{collections::HashMap, ops::Index};
+
 use shedhook::{
     coordination::model::Millis,
-    protocol::{
-        jobs::Submission,
-        store::{Op, Txn},
-    },
-    storage::{
-        budget::Urgency,
-        records::{self, JobRecord, JobStatus},
-    },
+    protocol::{jobs::Submission, workers::split_task},
+    storage::records::{self, JobRecord, JobStatus},
 };
 
-use super::Simulation;
+use super::{store::SimulatedStore, Simulation};
+
+/// Jobs with more tasks than this are recorded in large chunks.
+const LARGE_JOB_TASKS: f64 = 1_000.0;
+
+/// Tasks in one record of a large job.
+const LARGE_JOB_CHUNK: u32 = 128;
 
-pub struct JobFacts {
-    pub sub: Submission,
+/// What the users know of a job, and how its tasks behave.
+pub struct SubmittedJob {
+    pub submission: Submission,
     pub cancelled_at: Option<Millis>,
+    /// How long its tasks run; 0: for ever.
     pub run_ms: Millis,
     /// Submitted with a mistake: its tasks fail after running for this long.
     pub fails_after: Option<Millis>,
 }
 
-pub fn submission(id: &str, kind: &str, tasks: u32) -> Submission {
-    Submission {
-        name_id: Some(id.into()),
-        class: Some("c".into()),
-        team: Some("red".into()),
-        kind: Some(kind.into()),
-        priority: Some("normal".into()),
-        tasks: Some(f64::from(tasks)),
-        cpus: Some(2.0),
-        gpus: Some(0.0),
-        memory_gb: Some(1.0),
-        image: Some("img".into()),
-        image_gb: Some(1.0),
-        one_zone: Some(false),
-        spread: Some(false),
-        spot: Some(true),
-        estimate_s: Some(10.0),
-        checkpoint_s: Some(0.0),
-        save_s: Some(0.0),
-        ..Submission::default()
+impl SubmittedJob {
+    pub(super) fn tasks(&self) -> u32 {
+        self.submission.tasks.unwrap() as u32
+    }
+
+    pub(super) fn is_gang(&self) -> bool {
+        self.submission.kind.as_deref() == Some("ensemble")
+    }
+
+    pub(super) fn is_service(&self) -> bool {
+        self.submission.kind.as_deref() == Some("service")
+    }
+
+    /// The names of its tasks, where the job is called `id`.
+    pub(super) fn task_names<'a>(&self, id: &'a str) -> impl Iterator<Item = String> + 'a {
+        (0..self.tasks()).map(move |number| format!("{id}/{number}"))
     }
 }
 
-impl Simulation {
-    pub fn submit(&mut self, sub: Submission, run_ms: Millis) {
-        let id = sub.name_id.clone().unwrap();
-        let rec = JobRecord {
-            submission: sub.clone(),
+pub struct SimulatedUsers {
+    /// Tasks in one record; few, so that small jobs have several.
+    pub tasks_per_chunk: u32,
+    jobs: HashMap<String, SubmittedJob>,
+}
+
+impl Default for SimulatedUsers {
+    fn default() -> SimulatedUsers {
+        SimulatedUsers { tasks_per_chunk: 4, jobs: HashMap::new() }
+    }
+}
+
+impl Index<&str> for SimulatedUsers {
+    type Output = SubmittedJob;
+
+    fn index(&self, id: &str) -> &SubmittedJob {
+        &self.jobs[id]
+    }
+}
+
+impl SimulatedUsers {
+    pub(super) fn jobs(&self) -> impl Iterator<Item = (&String, &SubmittedJob)> {
+        self.jobs.iter()
+    }
+
+    /// The job that a task belongs to.
+    pub(super) fn job_of(&self, task: &str) -> Option<&SubmittedJob> {
+        self.jobs.get(split_task(task)?.0)
+    }
+
+    fn submit(&mut self, now: Millis, store: &mut SimulatedStore, job: SubmittedJob) {
+        let id = job.submission.name_id.clone().unwrap();
+        let record = JobRecord {
+            submission: job.submission.clone(),
             status: JobStatus::Pending,
-            at_ms: self.now,
-            chunk: self.chunk_size(&sub),
+            at_ms: now,
+            chunk: self.chunk_size(&job.submission),
         };
-        let txn = Txn {
-            conditions: vec![],
-            writes: vec![Op::Put { key: records::job_key(&id), v: records::to_value(&rec), permit: None }],
-        };
-        self.store.apply(&txn).unwrap();
-        self.jobs.insert(id, JobFacts { sub, cancelled_at: None, run_ms, fails_after: None });
+        store.put(records::job_key(&id), records::to_value(&record));
+        self.jobs.insert(id, job);
+    }
+
+    fn cancel(&mut self, now: Millis, store: &mut SimulatedStore, id: &str) -> bool {
+        let mut record = store.job_record(id).unwrap();
+        if record.status == JobStatus::Done {
+            return false;
+        }
+        record.status = JobStatus::Cancelled;
+        store.put(records::job_key(id), records::to_value(&record));
+        self.jobs.get_mut(id).unwrap().cancelled_at = Some(now);
+        true
+    }
+
+    fn chunk_size(&self, submission: &Submission) -> u32 {
+        if submission.tasks.unwrap_or(1.0) > LARGE_JOB_TASKS {
+            LARGE_JOB_CHUNK
+        } else {
+            self.tasks_per_chunk
+        }
+    }
+}
+
+impl Simulation {
+    /// Submits a job whose tasks run for `run_ms`, or for ever if that is 0.
+    pub fn submit(&mut self, submission: Submission, run_ms: Millis) {
+        let job = SubmittedJob { submission, cancelled_at: None, run_ms, fails_after: None };
+        self.users.submit(self.now, &mut self.store, job);
     }
 
     /// A job that was submitted with a mistake: it fails on every machine.
-    pub fn submit_failing(&mut self, sub: Submission, fails_after: Millis) {
-        let id = sub.name_id.clone().unwrap();
-        self.submit(sub, 0);
-        self.jobs.get_mut(&id).unwrap().fails_after = Some(fails_after);
+    pub fn submit_failing(&mut self, submission: Submission, fails_after: Millis) {
+        let job = SubmittedJob { submission, cancelled_at: None, run_ms: 0, fails_after: Some(fails_after) };
+        self.users.submit(self.now, &mut self.store, job);
     }
 
     /// A submission at one of the controllers: false when it is over its budget.
-    pub fn submit_at(&mut self, controller: usize, sub: Submission, run_ms: Millis) -> bool {
-        let now = self.now;
-        let w = self.writes.as_mut().expect("writes are limited");
-        if w.controllers[controller].users.take(now, 1.0, Urgency::Submit).is_err() {
+    pub fn submit_at(&mut self, controller: usize, submission: Submission, run_ms: Millis) -> bool {
+        let budgets = self.write_budgets.as_mut().expect("writes are limited");
+        if !budgets.take_for_submission(self.now, controller) {
             return false;
         }
-        self.count_writes(1);
-        self.submit(sub, run_ms);
+        budgets.count_writes(self.now, 1);
+        self.submit(submission, run_ms);
         true
     }
 
-    /// A user's abort, answered: true when cancelled, false when done before.
+    /// A user's cancellation, answered: true when cancelled, false when done before.
     pub fn cancel(&mut self, id: &str) -> bool {
-        let key = records::job_key(id);
-        let mut rec: JobRecord = self.store.keys[&key].0.deserialized().unwrap();
-        if rec.status == JobStatus::Done {
-            return false;
-        }
-        rec.status = JobStatus::Cancelled;
-        let txn = Txn { conditions: vec![], writes: vec![Op::Put { key, v: records::to_value(&rec), permit: None }] };
-        self.store.apply(&txn).unwrap();
-        self.jobs.get_mut(id).unwrap().cancelled_at = Some(self.now);
-        true
+        self.users.cancel(self.now, &mut self.store, id)
+    }
+
+    pub fn job_record(&self, id: &str) -> JobRecord {
+        self.store.job_record(id).unwrap()
     }
 
     pub fn status(&self, id: &str) -> JobStatus {
-        let rec: JobRecord = self.store.keys[&records::job_key(id)].0.deserialized().unwrap();
-        rec.status
+        self.job_record(id).status
     }
 
     /// What the controller tells users of a job.
     pub fn status_told_to_users(&self, id: &str) -> Option<JobStatus> {
-        self.job_cache.find(id).map(|index| self.job_cache.get(index).status)
-    }
-
-    pub(super) fn chunk_size(&self, sub: &Submission) -> u32 {
-        if sub.tasks.unwrap_or(1.0) > 1_000.0 {
-            128
-        } else {
-            self.chunk
-        }
+        self.controller.status_told_to_users(id)
     }
 }
--- /dev/null
+++ b/tests/simulation/workers.rs
@@ -0,0 +1,257 @@
+//! All workers, how tasks go on on them, and what they do on commands.
+
+use std::{
+    collections::{HashMap, HashSet},
+    ops::{Index, IndexMut},
+    slice::SliceIndex,
+};
+
+use shedhook::{
+    coordination::{effects::DirectCallOutcome, model::Millis},
+    protocol::{
+        ids::Attempt,
+        workers::{split_task, DirectCommandRequest, ExitReason, TaskState, WorkerCommand},
+    },
+};
+
+use super::{
+    users::SubmittedJob,
+    worker::{Worker, WorkerSpec, WorkerTask},
+};
+
+/// How long a gang's task waits for the others.
+const GANG_WAIT_MS: Millis = 60_000;
+
+/// How long a gang's task may miss another one.
+const GANG_PEER_MS: Millis = 8_000;
+
+/// Task numbers over which run times differ.
+const RUN_STEPS: u32 = 16;
+
+pub struct WorkerSettings {
+    /// Tasks that a worker takes at once.
+    pub slots: usize,
+    /// How long an image takes.
+    pub image_fetch_ms: Millis,
+    /// How much longer each task runs than the one before, up to sixteen.
+    pub run_step_ms: Millis,
+    /// Tasks of a gang wait for one another, and end when one of them is gone.
+    pub gang_semantics: bool,
+}
+
+impl Default for WorkerSettings {
+    fn default() -> WorkerSettings {
+        WorkerSettings { slots: 4, image_fetch_ms: 1_000, run_step_ms: 0, gang_semantics: false }
+    }
+}
+
+/// A task that was told to stop, and the time it was given to save its state.
+pub struct Halt {
+    pub at: Millis,
+    pub task: String,
+    pub grace_s: f64,
+}
+
+/// The state that a task enters next, with the reason if that is its end.
+pub(super) struct Transition {
+    pub(super) state: TaskState,
+    pub(super) why: Option<ExitReason>,
+}
+
+impl Transition {
+    fn to(state: TaskState) -> Transition {
+        Transition { state, why: None }
+    }
+
+    fn exit(why: ExitReason) -> Transition {
+        Transition { state: TaskState::Exited, why: Some(why) }
+    }
+}
+
+/// A task of a gang, in one attempt.
+#[derive(PartialEq, Eq, Hash)]
+struct GangMember {
+    task: String,
+    attempt: Attempt,
+}
+
+#[derive(Default)]
+pub struct SimulatedWorkers {
+    pub settings: WorkerSettings,
+    workers: Vec<Worker>,
+    /// Tasks that completed; started again, they end at once.
+    completed: HashSet<String>,
+    halts: Vec<Halt>,
+    relaunches_of_completed: usize,
+    /// Since when a gang's task misses another one.
+    peer_lost_since: HashMap<GangMember, Millis>,
+}
+
+impl<I: SliceIndex<[Worker]>> Index<I> for SimulatedWorkers {
+    type Output = I::Output;
+
+    fn index(&self, index: I) -> &I::Output {
+        &self.workers[index]
+    }
+}
+
+impl<I: SliceIndex<[Worker]>> IndexMut<I> for SimulatedWorkers {
+    fn index_mut(&mut self, index: I) -> &mut I::Output {
+        &mut self.workers[index]
+    }
+}
+
+impl SimulatedWorkers {
+    pub fn len(&self) -> usize {
+        self.workers.len()
+    }
+
+    pub fn iter(&self) -> std::slice::Iter<'_, Worker> {
+        self.workers.iter()
+    }
+
+    pub fn iter_mut(&mut self) -> std::slice::IterMut<'_, Worker> {
+        self.workers.iter_mut()
+    }
+
+    pub(super) fn alive(&self) -> impl Iterator<Item = &Worker> {
+        self.iter().filter(|worker| !worker.dead)
+    }
+
+    /// The place in the list of the worker with this name.
+    pub(super) fn position(&self, id: &str) -> Option<usize> {
+        self.iter().position(|worker| worker.id == id)
+    }
+
+    /// Adds a worker and returns its name.
+    pub(super) fn add(&mut self, now: Millis, spec: WorkerSpec) -> String {
+        let number = self.workers.len();
+        let id = format!("i-{number:06}");
+        // Heartbeats of different workers come at different times.
+        let first_heartbeat = now + 100 * (number as Millis % 30);
+        self.workers.push(Worker::new(id.clone(), spec, now, first_heartbeat));
+        id
+    }
+
+    /// Whether this task ran to its end, once at least.
+    pub fn has_completed(&self, task: &str) -> bool {
+        self.completed.contains(task)
+    }
+
+    pub fn completed_tasks(&self) -> impl Iterator<Item = &String> {
+        self.completed.iter()
+    }
+
+    pub fn completed_count(&self) -> usize {
+        self.completed.len()
+    }
+
+    /// All tasks that were told to stop, in order.
+    pub fn halts(&self) -> &[Halt] {
+        &self.halts
+    }
+
+    /// Launches of tasks that had completed and were reaped.
+    pub fn relaunches_of_completed(&self) -> usize {
+        self.relaunches_of_completed
+    }
+
+    /// What a task does next, if its state changes now.
+    pub(super) fn transition(
+        &mut self,
+        now: Millis,
+        worker: usize,
+        task: &WorkerTask,
+        job: &SubmittedJob,
+    ) -> Option<Transition> {
+        let completed = self.has_completed(&task.name);
+        let waits = self.settings.gang_semantics && job.is_gang() && !completed;
+        let elapsed = |duration: Millis| now >= task.since + duration;
+        let fails_after = job.fails_after.or(self[worker].fails_after);
+        let run_ms = job.run_ms + self.extra_run_ms(&task.name);
+        match task.state {
+            TaskState::Fetching if !elapsed(self.settings.image_fetch_ms) => None,
+            TaskState::Fetching if waits => Some(Transition::to(TaskState::Waiting)),
+            TaskState::Fetching if completed => Some(Transition::exit(ExitReason::Done)),
+            TaskState::Fetching => Some(Transition::to(TaskState::Running)),
+            TaskState::Waiting if self.has_all_peers(task, job) => Some(Transition::to(TaskState::Running)),
+            TaskState::Waiting if elapsed(GANG_WAIT_MS) => Some(Transition::exit(ExitReason::Alone)),
+            TaskState::Running if waits && self.has_lost_peer(now, task, job) => {
+                Some(Transition::exit(ExitReason::Peers))
+            }
+            TaskState::Running if fails_after.is_some_and(elapsed) => Some(Transition::exit(ExitReason::Error)),
+            TaskState::Running if job.run_ms > 0 && elapsed(run_ms) => {
+                self.completed.insert(task.name.clone());
+                Some(Transition::exit(ExitReason::Done))
+            }
+            _ => None,
+        }
+    }
+
+    fn extra_run_ms(&self, task: &str) -> Millis {
+        split_task(task).map_or(0, |(_, number)| Millis::from(number % RUN_STEPS) * self.settings.run_step_ms)
+    }
+
+    /// Is every task of this one's gang done, or there with its attempt?
+    fn has_all_peers(&self, task: &WorkerTask, job: &SubmittedJob) -> bool {
+        let Some((id, _)) = split_task(&task.name) else { return false };
+        let is_there = |name: &str| {
+            let is_peer = |held: &WorkerTask| held.is_attempt(name, task.attempt) && held.occupies_machine();
+            self.alive().any(|worker| !worker.faults.hung && worker.tasks.iter().any(is_peer))
+        };
+        job.task_names(id).all(|name| self.has_completed(&name) || is_there(&name))
+    }
+
+    fn has_lost_peer(&mut self, now: Millis, task: &WorkerTask, job: &SubmittedJob) -> bool {
+        let member = GangMember { task: task.name.clone(), attempt: task.attempt };
+        if self.has_all_peers(task, job) {
+            self.peer_lost_since.remove(&member);
+            return false;
+        }
+        let since = *self.peer_lost_since.entry(member).or_insert(now);
+        now >= since + GANG_PEER_MS
+    }
+
+    /// Executes a direct command, unless it is fenced off.
+    pub(super) fn execute_command(
+        &mut self,
+        now: Millis,
+        worker: usize,
+        request: &DirectCommandRequest,
+    ) -> DirectCallOutcome {
+        if !self[worker].accept_command(request) {
+            return DirectCallOutcome::Refused(self[worker].heartbeat());
+        }
+        self.apply_commands(now, worker, &request.commands);
+        DirectCallOutcome::Executed(self[worker].heartbeat())
+    }
+
+    pub(super) fn apply_commands(&mut self, now: Millis, worker: usize, commands: &[WorkerCommand]) {
+        for command in commands {
+            match command {
+                WorkerCommand::Launch { task, attempt } => self.launch(now, worker, task, *attempt),
+                WorkerCommand::Halt { task, attempt, grace_s } => {
+                    if self[worker].stop_task(task, *attempt) {
+                        self.halts.push(Halt { at: now, task: task.clone(), grace_s: *grace_s });
+                    }
+                }
+                WorkerCommand::Reap { task, attempt } => self[worker].reap_task(task, *attempt),
+            }
+        }
+    }
+
+    fn launch(&mut self, now: Millis, worker: usize, task: &str, attempt: Attempt) {
+        if self[worker].tasks.iter().any(|held| held.is_attempt(task, attempt)) {
+            return;
+        }
+        let busy = self[worker].live_tasks().any(|held| held.name == task);
+        let full = self[worker].live_tasks().count() >= self.settings.slots;
+        let Transition { state, why } = match (busy, full) {
+            (true, _) => Transition::exit(ExitReason::Busy),
+            (_, true) => Transition::exit(ExitReason::NoRoom),
+            _ => Transition::to(TaskState::Fetching),
+        };
+        self.relaunches_of_completed += usize::from(self.has_completed(task));
+        self[worker].add_task(WorkerTask { name: task.to_owned(), attempt, state, why, since: now });
+    }
+}
--- a/tests/simulation/write_budget.rs
+++ b/tests/simulation/write_budget.rs
@@ -1,58 +1,112 @@
-//! The state service's limit of writes, shared by several controllers.
+//! The limit on writes of the key-value store, shared by several controllers.
 
-use shedhook::storage::budget::{share, Budget, BudgetRole, Urgency};
+use shedhook::{
+    coordination::model::Millis,
+    storage::budget::{share, Budget, BudgetRole, Urgency},
+};
 
-use super::Simulation;
+/// Part of the limit that a controller's users have at first, and at least.
+const USERS_SHARE: f64 = 0.2;
 
-/// A controller's shares of the state service's writes; the first one leads.
-pub struct Controller {
-    pub users: Budget,
-    pub commits: Budget,
+/// Part of the limit that a controller's commits have at first, and at least.
+const COMMITS_SHARE: f64 = 0.5;
+
+/// Commits may write what can wait when more than this part of them is unused.
+const SPARE_SHARE: f64 = 0.6;
+
+/// A controller's shares of the store's writes.
+struct ControllerBudgets {
+    users: Budget,
+    commits: Budget,
 }
 
-/// The state service's own count of writes, and how many controllers share it.
-pub struct Writes {
-    pub limit: f64,
-    pub controllers: Vec<Controller>,
-    service: Budget,
-    pub written: usize,
-    pub refused: usize,
+/// What a controller used of its shares, a second.
+struct Usage {
+    users: f64,
+    commits: f64,
 }
 
-impl Simulation {
-    /// From now on writes are limited, and shared by so many controllers.
-    pub fn limit_writes(&mut self, limit: f64, controllers: usize) {
-        let of = |part| Budget::new(limit * part, limit * part);
-        let controllers = (0..controllers).map(|_| Controller { users: of(0.2), commits: of(0.5) }).collect();
-        let service = Budget::new(limit, limit);
-        self.writes = Some(Writes { limit, controllers, service, written: 0, refused: 0 });
+/// How many writes the leader may commit now.
+pub(super) struct CommitAllowance {
+    pub(super) writes: usize,
+    /// There is enough for writes that can wait.
+    pub(super) spare: bool,
+}
+
+/// The store's own count of writes, and the controllers that share it; the
+/// first one leads.
+pub struct WriteBudgets {
+    limit: f64,
+    controllers: Vec<ControllerBudgets>,
+    store: Budget,
+    written: usize,
+    refused: usize,
+}
+
+impl WriteBudgets {
+    pub(super) fn new(limit: f64, controllers: usize) -> WriteBudgets {
+        let budget = |part| Budget::new(limit * part, limit * part);
+        let of_controller = |_| ControllerBudgets { users: budget(USERS_SHARE), commits: budget(COMMITS_SHARE) };
+        WriteBudgets {
+            limit,
+            controllers: (0..controllers).map(of_controller).collect(),
+            store: Budget::new(limit, limit),
+            written: 0,
+            refused: 0,
+        }
+    }
+
+    /// Writes that the store was asked for.
+    pub fn written(&self) -> usize {
+        self.written
+    }
+
+    /// Requests that were over the store's own limit.
+    pub fn refused(&self) -> usize {
+        self.refused
     }
 
     /// Controllers tell one another what they use.
-    pub(super) fn share_writes(&mut self) {
-        let now = self.now;
-        let Some(w) = &mut self.writes else { return };
-        let used: Vec<(f64, f64)> =
-            w.controllers.iter_mut().map(|c| (c.users.used(now), c.commits.used(now))).collect();
-        let n = w.controllers.len();
-        for (i, c) in w.controllers.iter_mut().enumerate() {
-            let others = |of: fn(&(f64, f64)) -> f64| -> Vec<Option<f64>> {
-                used.iter().enumerate().filter(|(j, _)| *j != i).map(|(_, u)| Some(of(u))).collect()
+    pub(super) fn share(&mut self, now: Millis) {
+        let usage: Vec<Usage> = self
+            .controllers
+            .iter_mut()
+            .map(|budgets| Usage { users: budgets.users.used(now), commits: budgets.commits.used(now) })
+            .collect();
+        let count = self.controllers.len();
+        for (own, budgets) in self.controllers.iter_mut().enumerate() {
+            let of_others = |part: fn(&Usage) -> f64| -> Vec<Option<f64>> {
+                let others = usage.iter().enumerate().filter(|(other, _)| *other != own);
+                others.map(|(_, usage)| Some(part(usage))).collect()
             };
-            let mut all = others(|u| u.0 + u.1);
-            all.push(Some(used[i].1));
-            c.users.set(share(w.limit, BudgetRole::Users(n), &all), w.limit * 0.2);
-            let mut users = others(|u| u.0);
-            users.push(Some(used[i].0));
-            c.commits.set(share(w.limit, BudgetRole::Leader, &users), w.limit * 0.5);
+            let mut all = of_others(|usage| usage.users + usage.commits);
+            all.push(Some(usage[own].commits));
+            let users_share = share(self.limit, BudgetRole::Users(count), &all);
+            budgets.users.set(users_share, self.limit * USERS_SHARE);
+            let mut users = of_others(|usage| usage.users);
+            users.push(Some(usage[own].users));
+            let commits_share = share(self.limit, BudgetRole::Leader, &users);
+            budgets.commits.set(commits_share, self.limit * COMMITS_SHARE);
         }
     }
 
-    pub(super) fn count_writes(&mut self, n: usize) {
-        let now = self.now;
-        if let Some(w) = &mut self.writes {
-            w.written += n;
-            w.refused += usize::from(w.service.take(now, n as f64, Urgency::Cancel).is_err());
-        }
+    /// Takes one write for a submission; false when the controller has none left.
+    pub(super) fn take_for_submission(&mut self, now: Millis, controller: usize) -> bool {
+        self.controllers[controller].users.take(now, 1.0, Urgency::Submit).is_ok()
+    }
+
+    pub(super) fn commit_allowance(&mut self, now: Millis) -> CommitAllowance {
+        let commits = &mut self.controllers[0].commits;
+        let available = commits.available(now, Urgency::Commit);
+        CommitAllowance { writes: available as usize, spare: available > SPARE_SHARE * commits.burst() }
+    }
+
+    pub(super) fn take_for_commit(&mut self, now: Millis, writes: usize) {
+        let _ = self.controllers[0].commits.take(now, writes as f64, Urgency::Lease);
+    }
+
+    pub(super) fn count_writes(&mut self, now: Millis, writes: usize) {
+        self.written += writes;
+        self.refused += usize::from(self.store.take(now, writes as f64, Urgency::Cancel).is_err());
     }
 }
