--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! Three real controllers on loopback, against stand-ins for the state
-//! service, the cloud and one worker: answers, a leader's death, a restart of all.
+//! Three real controllers on loopback, against stand-ins for the key-value
+//! store, the cloud and one worker: answers, a leader's death, a restart of all.
 
 mod loopback_cluster;
 
@@ -14,7 +14,8 @@
 use loopback_cluster::{
     cluster::Cluster,
     controllers::{Controller, Shared},
-    http::call,
+    http::{call, code, Response},
+    key_value_store::StoredValue,
     users::{ids, is_ready, job, job_after, status, status_word, with},
     wait_for, wait_up_to,
     worker::Worker,
@@ -37,66 +38,68 @@
 fn nobody_renews_what_may_be_cancelled() {
     const LEASE_S: u32 = 4;
     const CANCEL_S: u32 = 14;
-    let mut c = Cluster::start("cancelled", &Shared { lease_s: LEASE_S, cancel_s: CANCEL_S, next: None });
+    let mut cluster = Cluster::start("cancelled", &Shared { lease_s: LEASE_S, cancel_s: CANCEL_S, next: None });
     for id in ["j-100001", "j-100002", "j-100003", "j-100004"] {
-        let accepted = || call(c.nodes[0].client, "POST", "/api/jobs", &job(id, "service", 2)).filter(|a| a.0 == 201);
+        let accepted = || {
+            call(cluster.nodes[0].client, "POST", "/api/jobs", &job(id, "service", 2))
+                .filter(|response| response.status == 201)
+        };
         wait_for("accepted", accepted);
     }
-    let all = || ["j-100001", "j-100002", "j-100003", "j-100004"].iter().all(|j| c.runs(j) == 2);
+    let all = || ["j-100001", "j-100002", "j-100003", "j-100004"].iter().all(|job| cluster.runs(job) == 2);
     wait_for("all run", || all().then_some(()));
 
     // Refused alone, it is told by the controller that confirmed.
-    let leader = c.leader();
-    let other = c.nodes[(leader + 1) % 3].client;
-    c.gates[leader].shut.store(true, Ordering::Relaxed);
-    for n in c.nodes.iter() {
-        status(n.client, "j-100002"); // a question makes a controller read
+    let leader = cluster.leader();
+    let other = cluster.nodes[(leader + 1) % 3].client;
+    cluster.gates[leader].shut.store(true, Ordering::Relaxed);
+    for node in cluster.nodes.iter() {
+        status(node.client, "j-100002"); // a question makes a controller read
     }
-    assert_eq!(call(other, "POST", "/api/jobs/j-100001/abort", &[]).map(|a| a.0), Some(200));
+    assert_eq!(code(call(other, "POST", "/api/jobs/j-100001/abort", &[])), Some(200));
     let user_responses = Instant::now();
-    c.gates.iter().for_each(|d| d.shut.store(true, Ordering::Relaxed));
-    wait_for("what a peer told of is gone", || (c.runs("j-100001") == 0).then_some(()));
+    cluster.gates.iter().for_each(|gate| gate.shut.store(true, Ordering::Relaxed));
+    wait_for("what a peer told of is gone", || (cluster.runs("j-100001") == 0).then_some(()));
     assert!(user_responses.elapsed() < Duration::from_secs(3), "gone after {:?}", user_responses.elapsed());
     // In the outage the rest goes on, answered by whoever may, for a time.
     thread::sleep(Duration::from_millis(4_500).saturating_sub(user_responses.elapsed()));
-    assert_eq!((c.runs("j-100002"), c.runs("j-100003")), (2, 2));
-    let renewed = || c.worker.lock().unwrap().renewed.unwrap();
+    assert_eq!((cluster.runs("j-100002"), cluster.runs("j-100003")), (2, 2));
+    let renewed = || cluster.worker.lock().unwrap().renewed.unwrap();
     assert!(renewed().elapsed() < Duration::from_secs(2), "leases are kept for a while");
     thread::sleep(Duration::from_secs(u64::from(CANCEL_S - LEASE_S)).saturating_sub(user_responses.elapsed()));
     let last = renewed();
     thread::sleep(Duration::from_secs(1));
     assert_eq!(renewed(), last, "nobody renews beyond the bound");
-    c.gates.iter().for_each(|d| d.shut.store(false, Ordering::Relaxed));
+    cluster.gates.iter().for_each(|gate| gate.shut.store(false, Ordering::Relaxed));
     wait_for("answered again", || (renewed() > last).then_some(()));
 
     // Its reads hang while its lease goes on; nobody can tell it.
-    let leader = c.leader();
-    c.gates[leader].blind.store(true, Ordering::Relaxed);
+    let leader = cluster.leader();
+    cluster.gates[leader].blind.store(true, Ordering::Relaxed);
     let key = "j/j-100002";
     let confirmed = {
-        let mut s = c.store.lock().unwrap();
-        let (record, revision, _) = s.keys[key].clone();
-        let mut v = record;
-        for (k, x) in v.as_map_mut().unwrap() {
-            if k.as_text() == Some("st") {
-                *x = Value::Text("c".into());
+        let mut store = cluster.store.lock().unwrap();
+        let StoredValue { value: mut record, revision, .. } = store.keys[key].clone();
+        for (field, value) in record.as_map_mut().unwrap() {
+            if field.as_text() == Some("st") {
+                *value = Value::Text("c".into());
             }
         }
         let txn = Txn {
             conditions: vec![Condition { key: key.into(), revision: Revision(revision) }],
-            writes: vec![Op::Put { key: key.into(), v, permit: None }],
+            writes: vec![Op::Put { key: key.into(), v: record, permit: None }],
         };
-        assert_eq!(s.txn(txn).0, 200);
+        assert_eq!(store.apply(txn).status, 200);
         Instant::now()
     };
     let bound = Duration::from_secs(u64::from(CANCEL_S - LEASE_S));
     thread::sleep(bound);
     let last = renewed();
     let heartbeat = |tasks: Vec<TaskStatus>, machine: &str| {
-        let w = c.worker.lock().unwrap();
-        let (addr, token) = (w.addr.to_string(), w.token);
+        let worker = cluster.worker.lock().unwrap();
+        let (addr, token) = (worker.addr.to_string(), worker.token);
         let (machine, machine_type, zone) = (machine.to_owned(), "m".into(), "a".into());
-        let r = Heartbeat {
+        let heartbeat = Heartbeat {
             machine,
             addr,
             machine_type,
@@ -108,9 +111,9 @@
             notice_s: None,
             tasks,
         };
-        body::encode(&r)
+        body::encode(&heartbeat)
     };
-    let asks = |bytes: &[u8]| call(c.nodes[leader].client, "POST", "/checkin", bytes).map(|a| a.0);
+    let asks = |bytes: &[u8]| code(call(cluster.nodes[leader].client, "POST", "/checkin", bytes));
     let runs = TaskStatus {
         task: "j-100002/0".into(),
         attempt: Attempt(1),
@@ -123,40 +126,40 @@
     thread::sleep(Duration::from_secs(2));
     assert_eq!(renewed(), last, "renewed {:?} after the confirmation", renewed() - confirmed);
     assert!(last < confirmed + bound, "renewed {:?} after the confirmation", last - confirmed);
-    c.gates[leader].blind.store(false, Ordering::Relaxed);
-    wait_for("what it reads of is gone", || (c.runs("j-100002") == 0).then_some(()));
-    assert_eq!((c.runs("j-100003"), c.runs("j-100004")), (2, 2), "nothing else is");
+    cluster.gates[leader].blind.store(false, Ordering::Relaxed);
+    wait_for("what it reads of is gone", || (cluster.runs("j-100002") == 0).then_some(()));
+    assert_eq!((cluster.runs("j-100003"), cluster.runs("j-100004")), (2, 2), "nothing else is");
 
     // The leader dies, a cancellation is confirmed, and the service is away before
     // there is a next one: whoever keeps the lease ends what is cancelled.
-    let leader = c.leader();
-    let other = c.nodes[(leader + 1) % 3].client;
-    for n in c.nodes.iter() {
-        status(n.client, "j-100004");
+    let leader = cluster.leader();
+    let other = cluster.nodes[(leader + 1) % 3].client;
+    for node in cluster.nodes.iter() {
+        status(node.client, "j-100004");
     }
-    c.nodes[leader].kill();
-    assert_eq!(call(other, "POST", "/api/jobs/j-100003/abort", &[]).map(|a| a.0), Some(200));
-    c.gates.iter().for_each(|d| d.shut.store(true, Ordering::Relaxed));
+    cluster.nodes[leader].kill();
+    assert_eq!(code(call(other, "POST", "/api/jobs/j-100003/abort", &[])), Some(200));
+    cluster.gates.iter().for_each(|gate| gate.shut.store(true, Ordering::Relaxed));
     let user_responses = Instant::now();
-    wait_for("halted by who keeps the lease", || (c.runs("j-100003") == 0).then_some(()));
+    wait_for("halted by who keeps the lease", || (cluster.runs("j-100003") == 0).then_some(()));
     assert!(
         user_responses.elapsed() < Duration::from_secs(u64::from(CANCEL_S - LEASE_S)),
         "gone after {:?}",
         user_responses.elapsed()
     );
-    assert_eq!(c.runs("j-100004"), 2, "the rest goes on");
-    c.gates.iter().for_each(|d| d.shut.store(false, Ordering::Relaxed));
+    assert_eq!(cluster.runs("j-100004"), 2, "the rest goes on");
+    cluster.gates.iter().for_each(|gate| gate.shut.store(false, Ordering::Relaxed));
     wait_for("a leader again", || {
-        (c.worker.lock().unwrap().renewed? > user_responses + Duration::from_secs(6)).then_some(())
+        (cluster.worker.lock().unwrap().renewed? > user_responses + Duration::from_secs(6)).then_some(())
     });
-    assert_eq!((c.runs("j-100003"), c.runs("j-100004")), (0, 2));
+    assert_eq!((cluster.runs("j-100003"), cluster.runs("j-100004")), (0, 2));
 }
 
 #[test]
 fn three_controllers_serve_fail_and_return() {
-    let mut c = Cluster::start("loopback", &SHARED);
-    let (worker_state, shut) = (c.worker.clone(), c.gates.clone());
-    let nodes = &mut c.nodes;
+    let mut cluster = Cluster::start("loopback", &SHARED);
+    let (worker_state, shut) = (cluster.worker.clone(), cluster.gates.clone());
+    let nodes = &mut cluster.nodes;
     let first = nodes[0].client;
 
     // What can't be taken is told at once, and how.
@@ -172,58 +175,57 @@
         ("GET", "/nowhere", b"", 404),
     ];
     for (method, path, bytes, want) in cases {
-        assert_eq!(call(first, method, path, bytes).map(|a| a.0), Some(*want), "{method} {path}");
+        assert_eq!(code(call(first, method, path, bytes)), Some(*want), "{method} {path}");
     }
 
     // A job is taken once, whoever is asked, and done for everybody.
-    assert_eq!(call(first, "POST", "/api/jobs", &job("j-000001", "batch", 3)).map(|a| a.0), Some(201));
-    for n in nodes.iter() {
-        assert_eq!(call(n.client, "POST", "/api/jobs", &job("j-000001", "batch", 3)).map(|a| a.0), Some(200));
+    assert_eq!(code(call(first, "POST", "/api/jobs", &job("j-000001", "batch", 3))), Some(201));
+    for node in nodes.iter() {
+        assert_eq!(code(call(node.client, "POST", "/api/jobs", &job("j-000001", "batch", 3))), Some(200));
     }
-    for n in nodes.iter() {
-        wait_for("done", || (status(n.client, "j-000001")? == "done").then_some(()));
+    for node in nodes.iter() {
+        wait_for("done", || (status(node.client, "j-000001")? == "done").then_some(()));
     }
 
     // A service runs, survives its leader, and ends when it is told to.
-    assert_eq!(call(first, "POST", "/api/jobs", &job("j-100001", "service", 2)).map(|a| a.0), Some(201));
+    assert_eq!(code(call(first, "POST", "/api/jobs", &job("j-100001", "service", 2))), Some(201));
     wait_for("running", || (status(first, "j-100001")? == "running").then_some(()));
     let leader = wait_for("a leader", || {
         let heartbeat = worker_state.lock().unwrap().heartbeat();
-        nodes
-            .iter()
-            .position(|n| call(n.client, "POST", "/checkin", &body::encode(&heartbeat)).is_some_and(|a| a.0 == 200))
+        nodes.iter().position(|node| {
+            call(node.client, "POST", "/checkin", &body::encode(&heartbeat))
+                .is_some_and(|response| response.status == 200)
+        })
     });
     nodes[leader].kill();
     let other = nodes[(leader + 1) % 3].client;
-    assert_eq!(
-        wait_for("accepted", || call(other, "POST", "/api/jobs", &job("j-000002", "batch", 2)).map(|a| a.0)),
-        201
-    );
+    assert_eq!(wait_for("accepted", || code(call(other, "POST", "/api/jobs", &job("j-000002", "batch", 2)))), 201);
     wait_for("done under the next leader", || (status(other, "j-000002")? == "done").then_some(()));
-    let running = |w: &Worker| w.tasks.iter().filter(|(t, _)| t.state == TaskState::Running).count();
+    let running = |worker: &Worker| worker.tasks.iter().filter(|task| task.is_running()).count();
     assert_eq!(running(&worker_state.lock().unwrap()), 2, "replicas went on");
-    assert_eq!(call(other, "POST", "/api/jobs/j-100001/abort", &[]).map(|a| a.0), Some(200));
+    assert_eq!(code(call(other, "POST", "/api/jobs/j-100001/abort", &[])), Some(200));
     wait_for("replicas gone", || (running(&worker_state.lock().unwrap()) == 0).then_some(()));
 
     // All gone and back: nothing is forgotten.
-    for n in nodes.iter_mut() {
-        n.kill();
+    for node in nodes.iter_mut() {
+        node.kill();
     }
-    for n in nodes.iter_mut() {
-        n.start();
+    for node in nodes.iter_mut() {
+        node.start();
     }
-    for n in nodes.iter() {
-        wait_for("ready again", || (call(n.client, "GET", "/ready", &[])?.0 == 200).then_some(()));
-        assert_eq!(status(n.client, "j-000001").as_deref(), Some("done"));
-        assert_eq!(status(n.client, "j-100001").as_deref(), Some("cancelled"));
-        assert_eq!(call(n.client, "POST", "/api/jobs", &job("j-000002", "batch", 2)).map(|a| a.0), Some(200));
+    for node in nodes.iter() {
+        wait_for("ready again", || (call(node.client, "GET", "/ready", &[])?.status == 200).then_some(()));
+        assert_eq!(status(node.client, "j-000001").as_deref(), Some("done"));
+        assert_eq!(status(node.client, "j-100001").as_deref(), Some("cancelled"));
+        assert_eq!(code(call(node.client, "POST", "/api/jobs", &job("j-000002", "batch", 2))), Some(200));
     }
 
     // The leader keeps its workers, but has neither the state service nor peers:
     // it acts for nobody, says so at once, and sends workers to nobody.
     let heartbeat = |worker: &Arc<Mutex<Worker>>| body::encode(&worker.lock().unwrap().heartbeat());
-    let leads =
-        |n: &Controller| call(n.client, "POST", "/checkin", &heartbeat(&worker_state)).is_some_and(|a| a.0 == 200);
+    let leads = |node: &Controller| {
+        call(node.client, "POST", "/checkin", &heartbeat(&worker_state)).is_some_and(|response| response.status == 200)
+    };
     let leader = wait_for("a leader again", || nodes.iter().position(leads));
     shut[leader].shut.store(true, Ordering::Relaxed);
     for n in (0..3).filter(|n| *n != leader) {
@@ -233,28 +235,29 @@
     let since = Instant::now();
     wait_for("it no longer leads", || (!leads(&nodes[leader])).then_some(()));
     assert!(since.elapsed() < Duration::from_secs(5), "led on for {:?}", since.elapsed());
-    wait_for("not ready", || (call(alone, "GET", "/ready", &[])?.0 == 503).then_some(()));
-    let (code, bytes) = call(alone, "POST", "/checkin", &heartbeat(&worker_state)).unwrap();
-    let leader_hint: Value = body::decode(&bytes).unwrap_or(Value::Null);
-    assert_eq!((code, leader_hint.as_map().map_or(0, Vec::len)), (421, 0), "names somebody: {leader_hint:?}");
+    wait_for("not ready", || (call(alone, "GET", "/ready", &[])?.status == 503).then_some(()));
+    let answer = call(alone, "POST", "/checkin", &heartbeat(&worker_state)).unwrap();
+    let leader_hint: Value = body::decode(&answer.body).unwrap_or(Value::Null);
+    assert_eq!((answer.status, leader_hint.as_map().map_or(0, Vec::len)), (421, 0), "names somebody: {leader_hint:?}");
     let unknown = [("GET", "/api/jobs/j-000777", 503), ("GET", "/api/jobs/j-000001", 200)];
     for (method, path, want) in unknown {
         let asked = Instant::now();
-        assert_eq!(call(alone, method, path, &[]).map(|a| a.0), Some(want), "{path}");
+        assert_eq!(code(call(alone, method, path, &[])), Some(want), "{path}");
         assert!(asked.elapsed() < Duration::from_secs(2), "{path} took {:?}", asked.elapsed());
     }
-    assert_eq!(call(alone, "POST", "/api/jobs", &job("j-000003", "batch", 1)).map(|a| a.0), Some(503));
+    assert_eq!(code(call(alone, "POST", "/api/jobs", &job("j-000003", "batch", 1))), Some(503));
 
     // Once that is over, every question is answered, there and elsewhere.
     shut[leader].shut.store(false, Ordering::Relaxed);
-    for n in nodes.iter_mut().filter(|n| n.child.is_none()) {
-        n.start();
+    for node in nodes.iter_mut().filter(|node| node.child.is_none()) {
+        node.start();
     }
-    for n in nodes.iter() {
-        wait_for("answers again", || (status(n.client, "j-000002")? == "done").then_some(()));
-        let taken = || call(n.client, "POST", "/api/jobs", &job("j-000004", "batch", 1)).filter(|a| a.0 < 300);
+    for node in nodes.iter() {
+        wait_for("answers again", || (status(node.client, "j-000002")? == "done").then_some(()));
+        let taken =
+            || call(node.client, "POST", "/api/jobs", &job("j-000004", "batch", 1)).filter(Response::is_success);
         wait_for("takes jobs again", taken);
-        wait_for("runs them", || (status(n.client, "j-000004")? == "done").then_some(()));
+        wait_for("runs them", || (status(node.client, "j-000004")? == "done").then_some(()));
     }
 }
 
@@ -262,17 +265,17 @@
 /// accepted; `tests/upgrade.rs` does the same with one that is there, and old.
 #[test]
 fn pipelines_over_the_wire() {
-    let mut c = Cluster::prepare("pipelines", &SHARED);
-    let nodes = &mut c.nodes;
+    let mut cluster = Cluster::prepare("pipelines", &SHARED);
+    let nodes = &mut cluster.nodes;
     nodes[0].start();
     nodes[1].start();
     let (a, b) = (nodes[0].client, nodes[1].client);
-    c.receive_reports();
-    let nodes = &mut c.nodes;
+    cluster.receive_heartbeats();
+    let nodes = &mut cluster.nodes;
     for at in [a, b] {
-        wait_for("ready", || (call(at, "GET", "/ready", &[])?.0 == 200).then_some(()));
+        wait_for("ready", || (call(at, "GET", "/ready", &[])?.status == 200).then_some(()));
     }
-    let submit = |to: SocketAddr, bytes: &[u8]| call(to, "POST", "/api/jobs", bytes).map(|a| a.0);
+    let submit = |to: SocketAddr, bytes: &[u8]| code(call(to, "POST", "/api/jobs", bytes));
     assert!(submit(a, &job("j-000001", "batch", 3)).is_some_and(|s| s < 300));
     for at in [a, b] {
         wait_for("done", || (status(at, "j-000001")? == "done").then_some(()));
@@ -282,9 +285,9 @@
         assert_eq!(status(at, "j-000002"), None);
     }
     nodes[2].start();
-    for n in nodes.iter() {
+    for node in nodes.iter() {
         let bytes = job_after("j-000002", "batch", ids(&["j-000001", "j-000001"]));
-        wait_for("accepted", || submit(n.client, &bytes).filter(|s| *s < 300));
+        wait_for("accepted", || submit(node.client, &bytes).filter(|s| *s < 300));
     }
     wait_for("done", || (status(a, "j-000002")? == "done").then_some(()));
 
@@ -315,24 +318,28 @@
     wait_for("runs", || (status(a, "j-100001")? == "running").then_some(()));
     assert_eq!(status(b, "j-000010").as_deref(), Some("pending"));
     // Guard: one cancellation, and nobody calls what needs the job anything else.
-    assert_eq!(call(b, "POST", "/api/jobs/j-100001/abort", &[]).map(|a| a.0), Some(200));
-    for n in nodes.iter() {
+    assert_eq!(code(call(b, "POST", "/api/jobs/j-100001/abort", &[])), Some(200));
+    for node in nodes.iter() {
         for id in ["j-000010", "j-000011"] {
-            assert_eq!(status(n.client, id).as_deref(), Some("cancelled"), "{id}");
+            assert_eq!(status(node.client, id).as_deref(), Some("cancelled"), "{id}");
         }
     }
-    let (code, bytes) = call(a, "POST", "/api/jobs/j-000011/abort", &[]).unwrap();
-    assert_eq!((code, status_word(&bytes).as_deref()), (200, Some("cancelled")));
+    let answer = call(a, "POST", "/api/jobs/j-000011/abort", &[]).unwrap();
+    assert_eq!((answer.status, status_word(&answer.body).as_deref()), (200, Some("cancelled")));
     let late = job_after("j-000015", "batch", ids(&["j-000011"]));
-    let (code, bytes) = call(a, "POST", "/api/jobs", &late).unwrap();
-    assert_eq!((code, status_word(&bytes).as_deref()), (201, Some("cancelled")), "names a cancelled one");
-    for n in nodes.iter_mut() {
-        n.kill();
-        n.start();
+    let answer = call(a, "POST", "/api/jobs", &late).unwrap();
+    assert_eq!(
+        (answer.status, status_word(&answer.body).as_deref()),
+        (201, Some("cancelled")),
+        "names a cancelled one"
+    );
+    for node in nodes.iter_mut() {
+        node.kill();
+        node.start();
     }
-    for n in nodes.iter() {
-        wait_for("still", || (status(n.client, "j-000015")? == "cancelled").then_some(()));
-        wait_for("done", || (status(n.client, "j-000006")? == "done").then_some(()));
+    for node in nodes.iter() {
+        wait_for("still", || (status(node.client, "j-000015")? == "cancelled").then_some(()));
+        wait_for("done", || (status(node.client, "j-000006")? == "done").then_some(()));
     }
 }
 
@@ -342,9 +349,7 @@
 fn a_restarted_controller_learns_what_runs() {
     let mut cluster = Cluster::start("what-runs", &SHARED);
     let at = cluster.nodes[0].client;
-    wait_for("accepted", || {
-        call(at, "POST", "/api/jobs", &job("j-100001", "service", 1)).filter(|answer| answer.0 < 300)
-    });
+    wait_for("accepted", || call(at, "POST", "/api/jobs", &job("j-100001", "service", 1)).filter(Response::is_success));
     wait_for("its task runs", || (cluster.runs("j-100001") == 1).then_some(()));
     let leader = cluster.leader();
     let follower = (leader + 1) % cluster.nodes.len();
--- a/tests/loopback_cluster/answer_watch.rs
+++ b/tests/loopback_cluster/answer_watch.rs
@@ -12,7 +12,10 @@
     time::Duration,
 };
 
-use super::users::{poll, status_word};
+use super::{
+    http::Response,
+    users::{poll, status_word},
+};
 
 const ROUND_GAP: Duration = Duration::from_millis(100);
 
@@ -28,16 +31,16 @@
 
 impl Told {
     /// `before`: what was final when the question was asked.
-    fn hear(&mut self, id: &str, before: Option<&str>, code: u16, bytes: &[u8]) {
-        if code == 404 {
+    fn hear(&mut self, id: &str, before: Option<&str>, response: &Response) {
+        if response.status == 404 {
             self.broken.push(format!("{id} is forgotten"));
         }
-        if code != 200 {
+        if response.status != 200 {
             return;
         }
         self.answers += 1;
-        let word = status_word(bytes).unwrap_or_default();
-        if before.is_some_and(|b| b != word) {
+        let word = status_word(&response.body).unwrap_or_default();
+        if before.is_some_and(|before| before != word) {
             self.broken.push(format!("{id} was {before:?}, then {word}"));
         }
         if word == "done" || word == "cancelled" {
@@ -88,7 +91,7 @@
     /// Ends the polls, and fails the test if an answer was taken back.
     pub fn end(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
-        let ended = self.thread.take().is_none_or(|t| t.join().is_ok());
+        let ended = self.thread.take().is_none_or(|thread| thread.join().is_ok());
         let told = self.told.lock().unwrap();
         assert!(ended && told.broken.is_empty(), "{:?}", told.broken);
         assert!(told.answers > told.jobs.len(), "hardly anything was answered: {}", told.answers);
@@ -97,8 +100,8 @@
 
 fn ask(told: &Mutex<Told>, at: SocketAddr, id: &str) {
     let before = told.lock().unwrap().last.get(id).cloned();
-    if let Some((code, bytes)) = poll(at, id) {
-        told.lock().unwrap().hear(id, before.as_deref(), code, &bytes);
+    if let Some(response) = poll(at, id) {
+        told.lock().unwrap().hear(id, before.as_deref(), &response);
     }
 }
 
--- a/tests/loopback_cluster/cluster.rs
+++ b/tests/loopback_cluster/cluster.rs
@@ -13,13 +13,13 @@
 use shedhook::protocol::cbor as body;
 
 use super::{
-    cloud::cloud,
+    cloud::serve_cloud,
     controllers::{controllers, this_version, Addresses, Controller, Shared},
     http::call,
-    state_service::{state_service, AccessGate, Store},
+    key_value_store::{serve_store, AccessGate, Store},
     users::is_ready,
     wait_for,
-    worker::{worker, Worker},
+    worker::{start_worker, Worker, WorkerHandle},
 };
 
 const CONTROLLERS: usize = 3;
@@ -46,38 +46,38 @@
 
     /// With controllers that run a program, ready.
     pub fn start_as(name: &str, shared: &Shared, program: &Path) -> Cluster {
-        let mut c = Cluster::prepare(name, shared);
-        for n in &mut c.nodes {
-            n.start_as(program);
+        let mut cluster = Cluster::prepare(name, shared);
+        for node in &mut cluster.nodes {
+            node.start_as(program);
         }
-        c.receive_reports();
-        c.wait_until_ready();
-        c
+        cluster.receive_heartbeats();
+        cluster.wait_until_ready();
+        cluster
     }
 
     /// With controllers that aren't started, and a worker that reports to none.
     pub fn prepare(name: &str, shared: &Shared) -> Cluster {
         let store = Arc::new(Mutex::new(Store::default()));
         let gates: Vec<Arc<AccessGate>> = (0..CONTROLLERS).map(|_| Arc::default()).collect();
-        let address = |gate: &Arc<AccessGate>| Addresses::new(state_service(store.clone(), gate.clone()));
+        let address = |gate: &Arc<AccessGate>| Addresses::new(serve_store(store.clone(), gate.clone()));
         let addresses: Vec<Addresses> = gates.iter().map(address).collect();
         let reports_to = Arc::new(Mutex::new(Vec::new()));
         let stop = Arc::new(AtomicBool::new(false));
-        let (worker_addr, worker) = worker(reports_to.clone(), stop.clone());
-        let cloud = cloud(worker_addr);
+        let WorkerHandle { addr, state: worker } = start_worker(reports_to.clone(), stop.clone());
+        let cloud = serve_cloud(addr);
         let dir = std::env::temp_dir().join(format!("shedhook-{name}-{}", std::process::id()));
         let nodes = controllers(&dir, &addresses, cloud, shared);
         Cluster { store, gates, worker, nodes, reports_to, addresses, cloud, stop, dir }
     }
 
     /// The worker reports to the controllers from now on.
-    pub fn receive_reports(&self) {
-        *self.reports_to.lock().unwrap() = self.nodes.iter().map(|n| n.client).collect();
+    pub fn receive_heartbeats(&self) {
+        *self.reports_to.lock().unwrap() = self.nodes.iter().map(|node| node.client).collect();
     }
 
     pub fn wait_until_ready(&self) {
-        for n in &self.nodes {
-            wait_for("ready", || is_ready(n.client).then_some(()));
+        for node in &self.nodes {
+            wait_for("ready", || is_ready(node.client).then_some(()));
         }
     }
 
@@ -91,7 +91,10 @@
     pub fn leader(&self) -> usize {
         wait_for("a leader", || {
             let heartbeat = body::encode(&self.worker.lock().unwrap().heartbeat());
-            self.nodes.iter().position(|n| call(n.client, "POST", "/checkin", &heartbeat).is_some_and(|a| a.0 == 200))
+            let leads = |node: &Controller| {
+                call(node.client, "POST", "/checkin", &heartbeat).is_some_and(|response| response.status == 200)
+            };
+            self.nodes.iter().position(leads)
         })
     }
 
--- a/tests/loopback_cluster/controllers.rs
+++ b/tests/loopback_cluster/controllers.rs
@@ -8,15 +8,19 @@
     sync::atomic::{AtomicU32, Ordering},
 };
 
-use super::state_service::{Limits, LIMITS};
+use super::key_value_store::{Limits, LIMITS};
+
+/// Ports that controllers may listen on: below those of outgoing connections.
+const FIRST_PORT: u16 = 20_000;
+const PORTS: u32 = 12_000;
 
 /// A port below those that the system gives to outgoing connections: one of
 /// theirs could be taken again before the controller listens on it.
 fn free_port() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
-        let n = (std::process::id() * 64 + NEXT.fetch_add(1, Ordering::Relaxed)) % 12_000;
-        let addr = SocketAddr::from(([127, 0, 0, 1], 20_000 + n as u16));
+        let offset = (std::process::id() * 64 + NEXT.fetch_add(1, Ordering::Relaxed)) % PORTS;
+        let addr = SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + offset as u16));
         if TcpListener::bind(addr).is_ok() {
             return addr;
         }
@@ -52,9 +56,9 @@
     }
 
     pub fn kill(&mut self) {
-        if let Some(mut c) = self.child.take() {
-            let _ = c.kill();
-            let _ = c.wait();
+        if let Some(mut child) = self.child.take() {
+            let _ = child.kill();
+            let _ = child.wait();
         }
     }
 }
@@ -93,8 +97,8 @@
         "label = \"n-{n}\"\ndomain = \"a\"\nclient_listen = \"{}\"\ncluster_listen = \"{}\"\n",
         own.client, own.cluster
     );
-    for m in (0..all.len()).filter(|m| *m != n) {
-        text += &format!("[[seeds]]\nlabel = \"n-{m}\"\ndomain = \"a\"\nendpoint = \"{}\"\n", all[m].cluster);
+    for peer in (0..all.len()).filter(|peer| *peer != n) {
+        text += &format!("[[seeds]]\nlabel = \"n-{peer}\"\ndomain = \"a\"\nendpoint = \"{}\"\n", all[peer].cluster);
     }
     text += &format!("[outside]\ncloud = \"{cloud}\"\nstate = \"{}\"\n", own.state);
     let Shared { lease_s, cancel_s, next } = shared;
--- a/tests/loopback_cluster/history.rs
+++ b/tests/loopback_cluster/history.rs
@@ -21,7 +21,7 @@
         let events = self.cluster.worker.lock().unwrap().events.clone();
         for (id, job) in &self.accepted {
             let starts: Vec<&TaskEvent> =
-                events.iter().filter(|e| e.job() == id && e.change == TaskChange::Started).collect();
+                events.iter().filter(|event| event.job() == id && event.change == TaskChange::Started).collect();
             let is_recorded = done_records.contains_key(id);
             check_told(id, job, told.get(id).map(String::as_str), is_recorded);
             check_started_once(id, job, &starts, is_recorded);
@@ -34,15 +34,15 @@
     /// Every job that was recorded as done, and when.
     fn done_records(&self) -> BTreeMap<String, Instant> {
         let store = self.cluster.store.lock().unwrap();
-        let mut out = BTreeMap::new();
+        let mut done = BTreeMap::new();
         for entry in &store.log {
-            let (Some(key), Some(v)) = (&entry.change.write, &entry.change.v) else { continue };
+            let (Some(key), Some(value)) = (&entry.change.write, &entry.change.v) else { continue };
             let Some(id) = key.strip_prefix("j/") else { continue };
-            if text_field(v, "st") == Some("d") {
-                out.entry(id.to_owned()).or_insert(entry.at);
+            if text_field(value, "st") == Some("d") {
+                done.entry(id.to_owned()).or_insert(entry.at);
             }
         }
-        out
+        done
     }
 
     /// Before a task starts, all that its job needs has ended on the worker, and
@@ -54,11 +54,16 @@
         done: &BTreeMap<String, Instant>,
         events: &[TaskEvent],
     ) {
-        for p in &job.prereqs {
-            assert!(done.get(p).is_some_and(|at| *at <= start.at), "{} started before {p} was done", start.task);
-            let is_end = |e: &&TaskEvent| e.job() == p && e.change == TaskChange::Ended(ExitReason::Done);
-            let ended = events.iter().filter(is_end).filter(|e| e.at <= start.at).count();
-            assert_eq!(ended, self.accepted[p].tasks as usize, "{} started before {p} had ended", start.task);
+        for prereq in &job.prereqs {
+            assert!(
+                done.get(prereq).is_some_and(|at| *at <= start.at),
+                "{} started before {prereq} was done",
+                start.task
+            );
+            let is_end =
+                |event: &&TaskEvent| event.job() == prereq && event.change == TaskChange::Ended(ExitReason::Done);
+            let ended = events.iter().filter(is_end).filter(|event| event.at <= start.at).count();
+            assert_eq!(ended, self.accepted[prereq].tasks as usize, "{} started before {prereq} had ended", start.task);
         }
     }
 }
@@ -76,12 +81,12 @@
 /// No task starts twice, or after its user was told that it is cancelled; where
 /// the job is done each has started.
 fn check_started_once(id: &str, job: &Accepted, starts: &[&TaskEvent], is_done: bool) {
-    let tasks: BTreeSet<&str> = starts.iter().map(|e| &*e.task).collect();
+    let tasks: BTreeSet<&str> = starts.iter().map(|start| &*start.task).collect();
     assert_eq!(tasks.len(), starts.len(), "{id}: a task ran twice: {starts:?}");
     if is_done {
         assert_eq!(starts.len(), job.tasks as usize, "{id} is done");
     }
     if let Some(at) = job.cancelled {
-        assert!(starts.iter().all(|e| e.at <= at), "{id} started though it is cancelled: {starts:?}");
+        assert!(starts.iter().all(|start| start.at <= at), "{id} started though it is cancelled: {starts:?}");
     }
 }
--- a/tests/loopback_cluster/http.rs
+++ b/tests/loopback_cluster/http.rs
@@ -8,41 +8,74 @@
     time::Duration,
 };
 
-use shedhook::transport::http::{parse_reply, parse_request, write_reply, write_request, Parsed};
+use ciborium::Value;
+use serde::Serialize;
+use shedhook::{
+    protocol::cbor,
+    transport::http::{parse_reply, parse_request, write_reply, write_request, Parsed},
+};
+
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
+const READ_BYTES: usize = 8192;
+
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Response {
+    pub status: u16,
+    pub body: Vec<u8>,
+}
+
+impl Response {
+    pub fn empty(status: u16) -> Response {
+        Response { status, body: Vec::new() }
+    }
+
+    /// With a body in the protocol's form.
+    pub fn encoded(status: u16, body: &impl Serialize) -> Response {
+        Response { status, body: cbor::encode(body) }
+    }
 
-/// Status and body of a response.
-pub type HeartbeatOutcome = (u16, Vec<u8>);
+    /// An error with its reason.
+    pub fn error(status: u16, reason: &str) -> Response {
+        let body = Value::Map(vec![(Value::Text("error".into()), Value::Text(reason.into()))]);
+        Response::encoded(status, &body)
+    }
+
+    pub fn is_success(&self) -> bool {
+        self.status < 300
+    }
+}
 
 /// Serves until the test process ends; one thread a connection.
-pub fn serve(handler: impl Fn(&str, &str, &[u8]) -> HeartbeatOutcome + Send + Sync + 'static) -> SocketAddr {
+pub fn serve(handler: impl Fn(&str, &str, &[u8]) -> Response + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let handler = Arc::new(handler);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let handler = handler.clone();
-            thread::spawn(move || talk(stream, &*handler));
+            thread::spawn(move || serve_connection(stream, &*handler));
         }
     });
     addr
 }
 
-fn talk(mut stream: TcpStream, handler: &dyn Fn(&str, &str, &[u8]) -> HeartbeatOutcome) {
-    let mut buf = Vec::new();
-    let mut part = [0; 8192];
+fn serve_connection(mut stream: TcpStream, handler: &dyn Fn(&str, &str, &[u8]) -> Response) {
+    let mut received = Vec::new();
+    let mut chunk = [0; READ_BYTES];
     loop {
-        match parse_request(&buf) {
-            Ok(Parsed::Whole(req, used)) => {
-                buf.drain(..used);
-                let (status, bytes) = handler(&req.method, &req.path, &req.body);
+        match parse_request(&received) {
+            Ok(Parsed::Whole(request, used)) => {
+                received.drain(..used);
+                let response = handler(&request.method, &request.path, &request.body);
                 let mut out = Vec::new();
-                write_reply(&mut out, status, None, &bytes, false);
+                write_reply(&mut out, response.status, None, &response.body, false);
                 if stream.write_all(&out).is_err() {
                     return;
                 }
             }
-            Ok(Parsed::Partial) => match stream.read(&mut part) {
-                Ok(n) if n > 0 => buf.extend_from_slice(&part[..n]),
+            Ok(Parsed::Partial) => match stream.read(&mut chunk) {
+                Ok(read) if read > 0 => received.extend_from_slice(&chunk[..read]),
                 _ => return,
             },
             Err(_) => return,
@@ -51,22 +84,27 @@
 }
 
 /// One request on a connection of its own. None: no response.
-pub fn call(to: SocketAddr, method: &str, path: &str, bytes: &[u8]) -> Option<HeartbeatOutcome> {
-    let mut s = TcpStream::connect_timeout(&to, Duration::from_millis(500)).ok()?;
-    s.set_read_timeout(Some(Duration::from_secs(3))).ok()?;
-    let mut out = Vec::new();
-    write_request(&mut out, method, path, "test", bytes);
-    s.write_all(&out).ok()?;
-    let mut buf = Vec::new();
-    let mut part = [0; 8192];
+pub fn call(to: SocketAddr, method: &str, path: &str, body: &[u8]) -> Option<Response> {
+    let mut stream = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
+    let mut request = Vec::new();
+    write_request(&mut request, method, path, "test", body);
+    stream.write_all(&request).ok()?;
+    let mut received = Vec::new();
+    let mut chunk = [0; READ_BYTES];
     loop {
-        match parse_reply(&buf) {
-            Ok(Parsed::Whole(r, _)) => return Some((r.status, r.body)),
-            Ok(Parsed::Partial) => match s.read(&mut part) {
-                Ok(n) if n > 0 => buf.extend_from_slice(&part[..n]),
+        match parse_reply(&received) {
+            Ok(Parsed::Whole(reply, _)) => return Some(Response { status: reply.status, body: reply.body }),
+            Ok(Parsed::Partial) => match stream.read(&mut chunk) {
+                Ok(read) if read > 0 => received.extend_from_slice(&chunk[..read]),
                 _ => return None,
             },
             Err(_) => return None,
         }
     }
 }
+
+/// The status code of a response, if there was one.
+pub fn code(response: Option<Response>) -> Option<u16> {
+    response.map(|response| response.status)
+}
--- a/tests/loopback_cluster/json_size.rs
+++ b/tests/loopback_cluster/json_size.rs
@@ -3,26 +3,28 @@
 use ciborium::Value;
 
 /// Bytes of the shortest JSON text of a value.
-pub fn json_size(v: &Value) -> usize {
-    match v {
+pub fn json_size(value: &Value) -> usize {
+    match value {
         Value::Null => "null".len(),
-        Value::Bool(b) => b.to_string().len(),
-        Value::Integer(i) => i128::from(*i).to_string().len(),
-        Value::Float(x) => x.to_string().len(),
-        Value::Text(s) => text_size(s),
-        Value::Array(l) => list_size(l.iter().map(json_size)),
-        Value::Map(m) => list_size(m.iter().map(|(k, x)| json_size(k) + ":".len() + json_size(x))),
+        Value::Bool(flag) => flag.to_string().len(),
+        Value::Integer(number) => i128::from(*number).to_string().len(),
+        Value::Float(number) => number.to_string().len(),
+        Value::Text(text) => text_size(text),
+        Value::Array(items) => list_size(items.iter().map(json_size)),
+        Value::Map(fields) => {
+            list_size(fields.iter().map(|(key, field)| json_size(key) + ":".len() + json_size(field)))
+        }
         other => panic!("not a form of the protocol: {other:?}"),
     }
 }
 
-fn text_size(s: &str) -> usize {
-    let escaped = |b: u8| match b {
+fn text_size(text: &str) -> usize {
+    let escaped = |byte: u8| match byte {
         b'"' | b'\\' => 2,
         0..0x20 => r"\u0000".len(),
         _ => 1,
     };
-    2 + s.bytes().map(escaped).sum::<usize>()
+    2 + text.bytes().map(escaped).sum::<usize>()
 }
 
 /// Brackets, the items, and commas between them.
--- /dev/null
+++ b/tests/loopback_cluster/key_value_store.rs
@@ -0,0 +1,291 @@
+//! Stand-in for the key-value store: one store, and one address a controller.
+
+use std::{
+    collections::BTreeMap,
+    net::SocketAddr,
+    sync::{
+        atomic::{AtomicBool, Ordering},
+        Arc, Mutex,
+    },
+    thread,
+    time::{Duration, Instant},
+};
+
+use ciborium::{cbor, Value};
+use shedhook::protocol::{
+    cbor as body,
+    ids::Revision,
+    store::{Change, Changes, GrantRequest, Op, Page, Pair, Txn},
+};
+
+use super::{
+    http::{serve, Response},
+    json_size::json_size,
+};
+
+const KB: usize = 1_024;
+/// Conditions of a transaction, for each write that it may have.
+const CONDITIONS_PER_WRITE: usize = 4;
+/// Prefix of the jobs' keys.
+const JOBS: &str = "j/";
+/// How often an open watch looks for changes.
+const WATCH_GAP: Duration = Duration::from_millis(10);
+/// How often a read that gets no answer looks whether that is over.
+const BLIND_GAP: Duration = Duration::from_millis(20);
+
+/// What a transaction may hold; more gets 400.
+#[derive(Debug, Clone, Copy)]
+pub struct Limits {
+    pub value_kb: usize,
+    pub txn_ops: usize,
+}
+
+/// What the controllers' settings say, see [`super::controllers`].
+pub const LIMITS: Limits = Limits { value_kb: 16, txn_ops: 24 };
+
+/// The value of a key.
+#[derive(Clone)]
+pub struct StoredValue {
+    pub value: Value,
+    pub revision: u64,
+    /// The key is deleted when this lease ends.
+    pub permit: Option<u64>,
+}
+
+/// A lease of keys.
+struct Grant {
+    expires: Instant,
+    ttl: Duration,
+}
+
+/// Keys with their values, and all changes since the start.
+pub struct Store {
+    pub keys: BTreeMap<String, StoredValue>,
+    pub log: Vec<LogEntry>,
+    pub limits: Limits,
+    /// Transactions that were refused for their size.
+    pub too_large: usize,
+    revision: u64,
+    grants: BTreeMap<u64, Grant>,
+}
+
+/// A change, and when it was made.
+pub struct LogEntry {
+    pub change: Change,
+    pub at: Instant,
+}
+
+impl Default for Store {
+    fn default() -> Store {
+        Store {
+            keys: BTreeMap::new(),
+            log: Vec::new(),
+            limits: LIMITS,
+            too_large: 0,
+            revision: 0,
+            grants: BTreeMap::new(),
+        }
+    }
+}
+
+impl Store {
+    /// Applies a transaction whole or not at all.
+    pub fn apply(&mut self, txn: Txn) -> Response {
+        if self.is_too_large(&txn) {
+            self.too_large += 1;
+            return Response::error(400, "too large");
+        }
+        let is_expired = |op: &Op| matches!(op, Op::Put { permit: Some(id), .. } if !self.grants.contains_key(id));
+        if txn.writes.iter().any(is_expired) {
+            return Response::error(400, "no such lease");
+        }
+        let failed = self.failed_conditions(&txn);
+        if !failed.is_empty() {
+            return Response::encoded(409, &cbor!({"failed" => failed, "epoch" => self.revision}).unwrap());
+        }
+        self.revision += 1;
+        let revision = self.revision;
+        for op in txn.writes {
+            let change = match op {
+                Op::Put { key, v, permit } => {
+                    self.keys.insert(key.clone(), StoredValue { value: v.clone(), revision, permit });
+                    Change { write: Some(key), drop: None, v: Some(v), revision: Revision(revision) }
+                }
+                Op::Delete { key } => {
+                    self.keys.remove(&key);
+                    Change { write: None, drop: Some(key), v: None, revision: Revision(revision) }
+                }
+            };
+            self.write_log(change);
+        }
+        Response::encoded(200, &cbor!({"epoch" => revision}).unwrap())
+    }
+
+    fn failed_conditions(&self, txn: &Txn) -> Vec<String> {
+        let revision_of = |key: &str| self.keys.get(key).map_or(0, |stored| stored.revision);
+        let failed = txn.conditions.iter().filter(|condition| revision_of(&condition.key) != condition.revision.0);
+        failed.map(|condition| condition.key.clone()).collect()
+    }
+
+    fn is_too_large(&self, txn: &Txn) -> bool {
+        let value_too_large = |op: &Op| matches!(op, Op::Put { v, .. } if json_size(v) > self.limits.value_kb * KB);
+        txn.writes.len() > self.limits.txn_ops
+            || txn.conditions.len() > CONDITIONS_PER_WRITE * self.limits.txn_ops
+            || txn.writes.iter().any(value_too_large)
+    }
+
+    /// Grants a lease, and returns its id.
+    fn grant(&mut self, ttl: Duration) -> u64 {
+        self.revision += 1;
+        self.grants.insert(self.revision, Grant { expires: Instant::now() + ttl, ttl });
+        self.revision
+    }
+
+    /// Renews a lease; false when it is over.
+    fn renew_grant(&mut self, id: u64) -> bool {
+        let Some(grant) = self.grants.get_mut(&id) else { return false };
+        grant.expires = Instant::now() + grant.ttl;
+        true
+    }
+
+    /// Ends the leases that are over by now.
+    fn expire_grants(&mut self) {
+        let now = Instant::now();
+        let over: Vec<u64> = self.grants.iter().filter(|(_, grant)| now > grant.expires).map(|(id, _)| *id).collect();
+        for id in over {
+            self.end_grant(id);
+        }
+    }
+
+    fn end_grant(&mut self, id: u64) {
+        self.grants.remove(&id);
+        let held = self.keys.iter().filter(|(_, stored)| stored.permit == Some(id));
+        let keys: Vec<String> = held.map(|(key, _)| key.clone()).collect();
+        for key in keys {
+            self.revision += 1;
+            self.keys.remove(&key);
+            self.write_log(Change { write: None, drop: Some(key), v: None, revision: Revision(self.revision) });
+        }
+    }
+
+    fn write_log(&mut self, change: Change) {
+        self.log.push(LogEntry { change, at: Instant::now() });
+    }
+
+    fn page(&self, prefix: &str, from: &str) -> Page {
+        let pairs: Vec<Pair> = self
+            .keys
+            .iter()
+            .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > from)
+            .map(|(key, stored)| Pair {
+                key: key.clone(),
+                v: stored.value.clone(),
+                revision: Revision(stored.revision),
+                permit: stored.permit,
+            })
+            .collect();
+        Page { pairs, truncated: false, store_revision: Revision(self.revision) }
+    }
+
+    fn changes(&self, prefix: &str, from: Revision) -> Changes {
+        let has_prefix = |change: &&Change| {
+            change.write.as_ref().or(change.drop.as_ref()).is_some_and(|key| key.starts_with(prefix))
+        };
+        let later = self.log.iter().map(|entry| &entry.change).filter(|change| change.revision > from);
+        Changes { store_revision: Revision(self.revision), events: later.filter(has_prefix).cloned().collect() }
+    }
+}
+
+/// The value of a parameter in a request's path.
+fn query<'a>(path: &'a str, name: &str) -> Option<&'a str> {
+    let parameters = path.split_once('?')?.1.split('&').filter_map(|parameter| parameter.split_once('='));
+    parameters.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
+}
+
+/// One door to the store, for one controller.
+#[derive(Default)]
+pub struct AccessGate {
+    /// Whoever uses it is refused.
+    pub shut: AtomicBool,
+    /// Reads of changed jobs get no answer; all else is served.
+    pub blind: AtomicBool,
+}
+
+impl AccessGate {
+    fn is_shut(&self) -> bool {
+        self.shut.load(Ordering::Relaxed)
+    }
+
+    fn is_blind_for(&self, prefix: &str) -> bool {
+        prefix == JOBS && self.blind.load(Ordering::Relaxed)
+    }
+}
+
+/// Serves the store through one gate.
+pub fn serve_store(store: Arc<Mutex<Store>>, gate: Arc<AccessGate>) -> SocketAddr {
+    serve(move |method, path, bytes| {
+        if gate.is_shut() {
+            return Response::empty(503);
+        }
+        while path.starts_with("/changes?under=j/") && gate.is_blind_for(JOBS) {
+            thread::sleep(BLIND_GAP);
+        }
+        let prefix = query(path, "under").unwrap_or("");
+        let resource = path.split('?').next().unwrap();
+        let mut locked = store.lock().unwrap();
+        locked.expire_grants();
+        match resource {
+            "/multi" => locked.apply(body::decode(bytes).unwrap()),
+            "/grants" => {
+                let request: GrantRequest = body::decode(bytes).unwrap();
+                granted(locked.grant(Duration::from_millis(request.ttl_ms)))
+            }
+            "/store" => Response::encoded(200, &locked.page(prefix, query(path, "from").unwrap_or(""))),
+            "/changes" => {
+                drop(locked);
+                watch(&store, &gate, path, prefix)
+            }
+            _ => match resource.strip_prefix("/grants/") {
+                Some(rest) => renew_or_end_grant(&mut locked, method, rest),
+                None => Response::empty(404),
+            },
+        }
+    })
+}
+
+fn granted(id: u64) -> Response {
+    Response::encoded(200, &cbor!({"permit" => id}).unwrap())
+}
+
+/// `rest`: the path after `/grants/`.
+fn renew_or_end_grant(store: &mut Store, method: &str, rest: &str) -> Response {
+    let id: u64 = rest.split('/').next().unwrap().parse().unwrap();
+    if method == "DELETE" {
+        store.end_grant(id);
+        return Response::empty(200);
+    }
+    if store.renew_grant(id) {
+        granted(id)
+    } else {
+        Response::empty(404)
+    }
+}
+
+/// Answers once there are changes, or the time to wait is over.
+fn watch(store: &Mutex<Store>, gate: &AccessGate, path: &str, prefix: &str) -> Response {
+    let from = Revision(query(path, "from").unwrap().parse().unwrap());
+    let wait_ms: u64 = query(path, "waitMs").map_or(0, |wait| wait.parse().unwrap());
+    let until = Instant::now() + Duration::from_millis(wait_ms);
+    loop {
+        let mut locked = store.lock().unwrap();
+        locked.expire_grants();
+        let changes = locked.changes(prefix, from);
+        // In an outage open watches stay open.
+        let held = gate.is_blind_for(prefix) || gate.is_shut();
+        if !held && (!changes.events.is_empty() || Instant::now() >= until) {
+            return Response::encoded(200, &changes);
+        }
+        drop(locked);
+        thread::sleep(WATCH_GAP);
+    }
+}
--- a/tests/loopback_cluster/upgrade.rs
+++ b/tests/loopback_cluster/upgrade.rs
@@ -13,14 +13,14 @@
     answer_watch::AnswerWatch,
     cluster::Cluster,
     controllers::{this_version, Shared},
-    http::HeartbeatOutcome,
+    http::Response,
     users::{abort, ids, is_ready, job, status, status_word, submit, with},
     versions::production,
     wait_for, wait_up_to,
 };
 
 /// A job may wait for many others, and for limits that were lowered.
-const DONE_PATIENCE: Duration = Duration::from_secs(90);
+const DONE_WAIT_MAX: Duration = Duration::from_secs(90);
 
 /// Which program a controller runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -69,7 +69,7 @@
     /// All controllers run the production version.
     pub fn start(name: &str, shared: &Shared) -> Upgrade {
         let cluster = Cluster::start_as(name, shared, production());
-        let watch = AnswerWatch::start(cluster.nodes.iter().map(|n| n.client).collect());
+        let watch = AnswerWatch::start(cluster.nodes.iter().map(|node| node.client).collect());
         Upgrade { cluster, versions: [Version::Production; 3], accepted: BTreeMap::new(), watch }
     }
 
@@ -110,7 +110,7 @@
     /// Whose label the leader's key holds.
     pub fn leader(&self) -> Option<usize> {
         let store = self.cluster.store.lock().unwrap();
-        let label = text_field(&store.keys.get("leader")?.0, "l")?.to_owned();
+        let label = text_field(&store.keys.get("leader")?.value, "l")?.to_owned();
         label.strip_prefix("n-")?.parse().ok()
     }
 
@@ -132,17 +132,18 @@
         self.submit_body(n, job, |bytes| small_tasks(&bytes));
     }
 
-    fn submit_body(&mut self, n: usize, j: Job, change: impl Fn(Vec<u8>) -> Vec<u8>) {
-        let bytes = change(with(&job(j.id, j.kind, j.tasks), "prereqs", ids(j.prereqs)));
+    fn submit_body(&mut self, n: usize, submitted: Job, change: impl Fn(Vec<u8>) -> Vec<u8>) {
+        let bytes =
+            change(with(&job(submitted.id, submitted.kind, submitted.tasks), "prereqs", ids(submitted.prereqs)));
         let at = self.client(n);
-        wait_for(j.id, || submit(at, &bytes).filter(|a| a.0 < 300));
-        self.note_accepted(j.id, j.tasks, j.prereqs);
+        wait_for(submitted.id, || submit(at, &bytes).filter(Response::is_success));
+        self.note_accepted(submitted.id, submitted.tasks, submitted.prereqs);
     }
 
     /// A job was accepted, whose prerequisites are known.
     pub fn note_accepted(&mut self, id: &str, tasks: u32, prereqs: &[&str]) {
-        let prereqs: Vec<String> = prereqs.iter().map(|p| (*p).to_owned()).collect();
-        let cancelled = prereqs.iter().any(|p| self.accepted[p].cancelled.is_some()).then(Instant::now);
+        let prereqs: Vec<String> = prereqs.iter().map(|id| (*id).to_owned()).collect();
+        let cancelled = prereqs.iter().any(|id| self.accepted[id].cancelled.is_some()).then(Instant::now);
         self.accepted.insert(id.to_owned(), Accepted { tasks, prereqs, cancelled });
         self.watch.accepted(id);
     }
@@ -150,7 +151,7 @@
     /// Cancels a job; all that need it are cancelled with it, for everybody.
     pub fn cancel(&mut self, n: usize, id: &str) {
         let at = self.client(n);
-        let answer = wait_for("cancelled", || abort(at, id).filter(|a| a.0 == 200));
+        let answer = wait_for("cancelled", || abort(at, id).filter(|response| response.status == 200));
         assert_eq!(answer_of(Some(answer)), (200, Some("cancelled".to_owned())), "{id}");
         self.note_cancelled(id, Instant::now());
         self.check_cancelled();
@@ -159,14 +160,14 @@
     fn note_cancelled(&mut self, id: &str, at: Instant) {
         self.accepted.get_mut(id).unwrap().cancelled = Some(at);
         self.watch.cancelled(id);
-        let needs = |a: &Accepted| a.cancelled.is_none() && a.prereqs.iter().any(|p| p == id);
-        let after: Vec<String> = self.accepted.iter().filter(|(_, a)| needs(a)).map(|(id, _)| id.clone()).collect();
+        let needs = |job: &Accepted| job.cancelled.is_none() && job.prereqs.iter().any(|prereq| prereq == id);
+        let after: Vec<String> = self.accepted.iter().filter(|(_, job)| needs(job)).map(|(id, _)| id.clone()).collect();
         after.iter().for_each(|id| self.note_cancelled(id, at));
     }
 
     /// Every controller that is up says so of all that is cancelled.
     pub fn check_cancelled(&self) {
-        for id in self.accepted.iter().filter(|(_, a)| a.cancelled.is_some()).map(|(id, _)| id) {
+        for id in self.accepted.iter().filter(|(_, job)| job.cancelled.is_some()).map(|(id, _)| id) {
             for (n, controller) in
                 self.cluster.nodes.iter().enumerate().filter(|(_, controller)| controller.child.is_some())
             {
@@ -184,18 +185,18 @@
     /// Waits until a job is done, for every controller.
     pub fn wait_until_done(&self, id: &str) {
         for at in self.clients() {
-            wait_up_to(DONE_PATIENCE, &format!("{id} is done"), || (status(at, id)? == "done").then_some(()));
+            wait_up_to(DONE_WAIT_MAX, &format!("{id} is done"), || (status(at, id)? == "done").then_some(()));
         }
     }
 }
 
 /// A text in a map.
-pub fn text_field<'a>(v: &'a Value, name: &str) -> Option<&'a str> {
-    v.as_map()?.iter().find(|(k, _)| k.as_text() == Some(name))?.1.as_text()
+pub fn text_field<'a>(map: &'a Value, name: &str) -> Option<&'a str> {
+    map.as_map()?.iter().find(|(key, _)| key.as_text() == Some(name))?.1.as_text()
 }
 
 /// Code and status of an answer.
-pub fn answer_of(a: Option<HeartbeatOutcome>) -> (u16, Option<String>) {
-    let (code, bytes) = a.expect("no answer");
-    (code, status_word(&bytes))
+pub fn answer_of(response: Option<Response>) -> (u16, Option<String>) {
+    let response = response.expect("no answer");
+    (response.status, status_word(&response.body))
 }
--- a/tests/loopback_cluster/users.rs
+++ b/tests/loopback_cluster/users.rs
@@ -5,7 +5,7 @@
 use ciborium::{cbor, Value};
 use shedhook::protocol::cbor as body;
 
-use super::http::{call, HeartbeatOutcome};
+use super::http::{call, Response};
 
 /// The body of a submission.
 pub fn job(id: &str, kind: &str, tasks: u32) -> Vec<u8> {
@@ -20,11 +20,11 @@
 
 /// A submission with one field set.
 pub fn with(job: &[u8], field: &str, value: Value) -> Vec<u8> {
-    let mut v: Value = body::decode(job).unwrap();
-    let fields = v.as_map_mut().unwrap();
-    fields.retain(|(k, _)| k.as_text() != Some(field));
+    let mut submission: Value = body::decode(job).unwrap();
+    let fields = submission.as_map_mut().unwrap();
+    fields.retain(|(key, _)| key.as_text() != Some(field));
     fields.push((Value::Text(field.into()), value));
-    body::encode(&v)
+    body::encode(&submission)
 }
 
 /// A submission of one task with prerequisites.
@@ -32,39 +32,37 @@
     with(&job(id, kind, 1), "prereqs", prereqs)
 }
 
-pub fn ids(l: &[&str]) -> Value {
-    Value::Array(l.iter().map(|s| Value::Text((*s).into())).collect())
+/// A list of ids.
+pub fn ids(ids: &[&str]) -> Value {
+    Value::Array(ids.iter().map(|id| Value::Text((*id).into())).collect())
 }
 
-pub fn submit(to: SocketAddr, bytes: &[u8]) -> Option<HeartbeatOutcome> {
+pub fn submit(to: SocketAddr, bytes: &[u8]) -> Option<Response> {
     call(to, "POST", "/api/jobs", bytes)
 }
 
-pub fn abort(to: SocketAddr, id: &str) -> Option<HeartbeatOutcome> {
+pub fn abort(to: SocketAddr, id: &str) -> Option<Response> {
     call(to, "POST", &format!("/api/jobs/{id}/abort"), &[])
 }
 
-pub fn poll(to: SocketAddr, id: &str) -> Option<HeartbeatOutcome> {
+pub fn poll(to: SocketAddr, id: &str) -> Option<Response> {
     call(to, "GET", &format!("/api/jobs/{id}"), &[])
 }
 
 /// The status in the body of an answer.
 pub fn status_word(bytes: &[u8]) -> Option<String> {
-    let v: Value = body::decode(bytes).ok()?;
-    let word = v.as_map()?.iter().find(|(k, _)| k.as_text() == Some("status"))?.1.as_text()?.to_owned();
-    Some(word)
+    let answer: Value = body::decode(bytes).ok()?;
+    let (_, status) = answer.as_map()?.iter().find(|(key, _)| key.as_text() == Some("status"))?;
+    Some(status.as_text()?.to_owned())
 }
 
 /// What a poll says, if it is answered 200.
 pub fn status(to: SocketAddr, id: &str) -> Option<String> {
-    let (code, bytes) = poll(to, id)?;
-    if code != 200 {
-        return None;
-    }
-    status_word(&bytes)
+    let response = poll(to, id).filter(|response| response.status == 200)?;
+    status_word(&response.body)
 }
 
 /// Whether a controller says that it takes requests.
 pub fn is_ready(to: SocketAddr) -> bool {
-    call(to, "GET", "/ready", &[]).is_some_and(|a| a.0 == 200)
+    call(to, "GET", "/ready", &[]).is_some_and(|response| response.status == 200)
 }
--- a/tests/loopback_cluster/versions.rs
+++ b/tests/loopback_cluster/versions.rs
@@ -24,7 +24,7 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let script = root.join(".ci/build-version");
     let out = Command::new(&script).arg(version).current_dir(root).stderr(Stdio::inherit()).output();
-    let out = out.unwrap_or_else(|e| panic!("{} can't be run: {e}", script.display()));
+    let out = out.unwrap_or_else(|error| panic!("{} can't be run: {error}", script.display()));
     assert!(out.status.success(), "version {version} can't be built from the git history, see above");
     let program = PathBuf::from(String::from_utf8(out.stdout).unwrap().trim_end());
     assert!(program.is_file(), "no program of version {version} at {}", program.display());
--- a/tests/loopback_cluster/worker.rs
+++ b/tests/loopback_cluster/worker.rs
@@ -18,12 +18,12 @@
     workers::{DirectCommandRequest, ExitReason, Heartbeat, HeartbeatResponse, TaskState, TaskStatus, WorkerCommand},
 };
 
-use super::http::{call, serve};
+use super::http::{call, serve, Response};
 
 /// Jobs whose ids begin so end by themselves; all others run on.
 const SHORT_JOBS: &str = "j-0";
 const SHORT_RUN: Duration = Duration::from_millis(300);
-const REPORT_GAP: Duration = Duration::from_millis(150);
+const HEARTBEAT_GAP: Duration = Duration::from_millis(150);
 
 /// What happened to a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,12 +48,32 @@
     }
 }
 
+/// A task on the machine, and when it started.
+pub struct WorkerTask {
+    pub status: TaskStatus,
+    pub started: Instant,
+}
+
+impl WorkerTask {
+    fn is_attempt(&self, task: &str, attempt: Attempt) -> bool {
+        self.status.task == task && self.status.attempt == attempt
+    }
+
+    pub fn is_running(&self) -> bool {
+        self.status.state == TaskState::Running
+    }
+
+    fn job(&self) -> &str {
+        self.status.task.split('/').next().unwrap()
+    }
+}
+
 /// State of the one machine.
 pub struct Worker {
     pub addr: SocketAddr,
     sequence: u64,
     pub token: u64,
-    pub tasks: Vec<(TaskStatus, Instant)>,
+    pub tasks: Vec<WorkerTask>,
     /// When a heartbeat that was answered 200 was last sent.
     pub renewed: Option<Instant>,
     /// Jobs whose tasks the test lets end.
@@ -81,17 +101,16 @@
 
     /// Tasks of a job that run now.
     pub fn running(&self, job: &str) -> usize {
-        self.tasks.iter().filter(|(t, _)| t.task.starts_with(job) && t.state == TaskState::Running).count()
+        self.tasks.iter().filter(|task| task.status.task.starts_with(job) && task.is_running()).count()
     }
 
     /// The next heartbeat, with what has ended by now.
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
-        for (t, since) in &mut self.tasks {
-            let job = t.task.split('/').next().unwrap();
-            let short = job.starts_with(SHORT_JOBS) || self.finishing.contains(job);
-            if t.state == TaskState::Running && short && since.elapsed() > SHORT_RUN {
-                end(t, ExitReason::Done, &mut self.events);
+        for task in &mut self.tasks {
+            let is_short = task.job().starts_with(SHORT_JOBS) || self.finishing.contains(task.job());
+            if task.is_running() && is_short && task.started.elapsed() > SHORT_RUN {
+                end(&mut task.status, ExitReason::Done, &mut self.events);
             }
         }
         Heartbeat {
@@ -104,72 +123,83 @@
             sequence: SequenceNumber(self.sequence),
             token: FencingToken(self.token),
             notice_s: None,
-            tasks: self.tasks.iter().map(|t| t.0.clone()).collect(),
+            tasks: self.tasks.iter().map(|task| task.status.clone()).collect(),
         }
     }
 
-    fn launch(&mut self, task: &str, attempt: u64) {
-        if self.tasks.iter().any(|(t, _)| t.task == task && t.attempt == Attempt(attempt)) {
+    fn launch(&mut self, task: &str, attempt: Attempt) {
+        if self.tasks.iter().any(|held| held.is_attempt(task, attempt)) {
             return;
         }
-        let at = Instant::now();
-        let state = TaskState::Running;
-        self.tasks
-            .push((TaskStatus { task: task.to_owned(), attempt: Attempt(attempt), state, why: None, saved: None }, at));
-        self.events.push(TaskEvent { task: task.to_owned(), attempt, change: TaskChange::Started, at });
+        let started = Instant::now();
+        let status = TaskStatus { task: task.to_owned(), attempt, state: TaskState::Running, why: None, saved: None };
+        self.tasks.push(WorkerTask { status, started });
+        let change = TaskChange::Started;
+        self.events.push(TaskEvent { task: task.to_owned(), attempt: attempt.0, change, at: started });
+    }
+
+    fn halt(&mut self, task: &str, attempt: Attempt) {
+        for held in self.tasks.iter_mut().filter(|held| held.is_attempt(task, attempt) && held.is_running()) {
+            end(&mut held.status, ExitReason::Stopped, &mut self.events);
+        }
     }
 
-    fn obey(&mut self, token: u64, commands: &[WorkerCommand]) {
+    fn apply_commands(&mut self, token: u64, commands: &[WorkerCommand]) {
         self.token = token;
-        for o in commands {
-            let same = |t: &TaskStatus, task: &str, attempt: u64| t.task == task && t.attempt == Attempt(attempt);
-            match o {
-                WorkerCommand::Launch { task, attempt } => self.launch(task, attempt.0),
-                WorkerCommand::Halt { task, attempt, .. } => {
-                    for (t, _) in &mut self.tasks {
-                        if same(t, task, attempt.0) && t.state == TaskState::Running {
-                            end(t, ExitReason::Stopped, &mut self.events);
-                        }
-                    }
-                }
-                WorkerCommand::Reap { task, attempt } => self.tasks.retain(|(t, _)| !same(t, task, attempt.0)),
+        for command in commands {
+            match command {
+                WorkerCommand::Launch { task, attempt } => self.launch(task, *attempt),
+                WorkerCommand::Halt { task, attempt, .. } => self.halt(task, *attempt),
+                WorkerCommand::Reap { task, attempt } => self.tasks.retain(|held| !held.is_attempt(task, *attempt)),
             }
         }
     }
+
+    /// Executes a direct command, unless it is fenced off.
+    fn execute_command(&mut self, request: &DirectCommandRequest) -> Response {
+        if request.token < FencingToken(self.token) || request.incarnation != Incarnation(1) {
+            return Response::encoded(409, &self.heartbeat());
+        }
+        self.apply_commands(request.token.0, &request.commands);
+        Response::encoded(200, &self.heartbeat())
+    }
 }
 
-fn end(t: &mut TaskStatus, why: ExitReason, events: &mut Vec<TaskEvent>) {
-    t.state = TaskState::Exited;
-    t.why = Some(why);
+/// A task's attempt ends.
+fn end(status: &mut TaskStatus, why: ExitReason, events: &mut Vec<TaskEvent>) {
+    status.state = TaskState::Exited;
+    status.why = Some(why);
     let change = TaskChange::Ended(why);
-    events.push(TaskEvent { task: t.task.clone(), attempt: t.attempt.0, change, at: Instant::now() });
+    events.push(TaskEvent { task: status.task.clone(), attempt: status.attempt.0, change, at: Instant::now() });
+}
+
+/// Where a worker listens, and its state.
+pub struct WorkerHandle {
+    pub addr: SocketAddr,
+    pub state: Arc<Mutex<Worker>>,
 }
 
 /// Starts a worker that reports to the controllers in turn until `stop`.
-pub fn worker(controllers: Arc<Mutex<Vec<SocketAddr>>>, stop: Arc<AtomicBool>) -> (SocketAddr, Arc<Mutex<Worker>>) {
+pub fn start_worker(controllers: Arc<Mutex<Vec<SocketAddr>>>, stop: Arc<AtomicBool>) -> WorkerHandle {
     let state = Arc::new(Mutex::new(Worker::new()));
     let shared = state.clone();
     let addr = serve(move |_, path, bytes| {
-        let mut w = shared.lock().unwrap();
+        let mut worker = shared.lock().unwrap();
         if path == "/do" {
-            let req: DirectCommandRequest = body::decode(bytes).unwrap();
-            if req.token < FencingToken(w.token) || req.incarnation != Incarnation(1) {
-                return (409, body::encode(&w.heartbeat()));
-            }
-            w.obey(req.token.0, &req.commands);
+            return worker.execute_command(&body::decode(bytes).unwrap());
         }
-        (200, body::encode(&w.heartbeat()))
+        Response::encoded(200, &worker.heartbeat())
     });
     state.lock().unwrap().addr = addr;
     let shared = state.clone();
-    thread::spawn(move || report_until(&stop, &controllers, &shared));
-    (addr, state)
+    thread::spawn(move || send_heartbeats_until(&stop, &controllers, &shared));
+    WorkerHandle { addr, state }
 }
 
-fn report_until(stop: &AtomicBool, controllers: &Mutex<Vec<SocketAddr>>, worker: &Mutex<Worker>) {
+fn send_heartbeats_until(stop: &AtomicBool, controllers: &Mutex<Vec<SocketAddr>>, worker: &Mutex<Worker>) {
     let mut at = 0;
     while !stop.load(Ordering::Relaxed) {
-        thread::sleep(REPORT_GAP);
+        thread::sleep(HEARTBEAT_GAP);
         let controllers = controllers.lock().unwrap().clone();
         if controllers.is_empty() {
             continue;
@@ -177,12 +207,12 @@
         let heartbeat = worker.lock().unwrap().heartbeat();
         let sent = Instant::now();
         match call(controllers[at % controllers.len()], "POST", "/checkin", &body::encode(&heartbeat)) {
-            Some((200, bytes)) => {
-                let a: HeartbeatResponse = body::decode(&bytes).unwrap();
-                let mut w = worker.lock().unwrap();
-                if a.token >= FencingToken(w.token) {
-                    w.renewed = Some(sent);
-                    w.obey(a.token.0, &a.commands);
+            Some(Response { status: 200, body: bytes }) => {
+                let response: HeartbeatResponse = body::decode(&bytes).unwrap();
+                let mut worker = worker.lock().unwrap();
+                if response.token >= FencingToken(worker.token) {
+                    worker.renewed = Some(sent);
+                    worker.apply_commands(response.token.0, &response.commands);
                 }
             }
             _ => at += 1,
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -10,8 +10,8 @@
 use loopback_cluster::{
     cluster::Cluster,
     controllers::Shared,
-    http::{call, HeartbeatOutcome},
-    state_service::Limits,
+    http::{call, code, Response},
+    key_value_store::Limits,
     upgrade::{answer_of, batch, Job, Upgrade, Version},
     users::{abort, ids, is_ready, job, job_after, poll, status, submit, with},
     versions::without_pipelines,
@@ -25,60 +25,74 @@
 
 // ---- both serve ---------------------------------------------------------------------
 
+/// A field of an answer, with its value if that is a text.
+#[derive(Debug, PartialEq, Eq)]
+struct Field {
+    name: String,
+    text: Option<String>,
+}
+
+#[derive(Debug, PartialEq, Eq)]
+struct ResponseForm {
+    status: u16,
+    fields: Vec<Field>,
+}
+
 /// Code, fields and texts of an answer: all but the counts, which are for display
 /// and may lag.
-fn form_of(a: Option<HeartbeatOutcome>) -> (u16, Vec<(String, Option<String>)>) {
-    let (code, bytes) = a.expect("no answer");
-    let v: Value = body::decode(&bytes).unwrap_or(Value::Null);
-    let fields = v.as_map().map_or(&[][..], Vec::as_slice);
-    let text = |v: &Value| v.as_text().map(str::to_owned);
-    (code, fields.iter().map(|(k, x)| (text(k).unwrap_or_default(), text(x))).collect())
+fn form_of(response: Option<Response>) -> ResponseForm {
+    let response = response.expect("no answer");
+    let decoded: Value = body::decode(&response.body).unwrap_or(Value::Null);
+    let fields = decoded.as_map().map_or(&[][..], Vec::as_slice);
+    let text = |value: &Value| value.as_text().map(str::to_owned);
+    let field = |(name, value): &(Value, Value)| Field { name: text(name).unwrap_or_default(), text: text(value) };
+    ResponseForm { status: response.status, fields: fields.iter().map(field).collect() }
 }
 
 /// Asked the same, both versions answer the same.
-fn check_alike(u: &Upgrade, what: &str, ask: impl Fn(SocketAddr) -> Option<HeartbeatOutcome>) -> u16 {
-    let answers = u.clients().map(|at| form_of(ask(at)));
-    assert!(answers.iter().all(|a| *a == answers[0]), "{what}: {answers:?}");
-    answers[0].0
+fn check_alike(upgrade: &Upgrade, what: &str, ask: impl Fn(SocketAddr) -> Option<Response>) -> u16 {
+    let answers = upgrade.clients().map(|at| form_of(ask(at)));
+    assert!(answers.iter().all(|answer| *answer == answers[0]), "{what}: {answers:?}");
+    answers[0].status
 }
 
 #[test]
 fn both_versions_serve_alike() {
-    let mut u = Upgrade::start("alike", &SHARED);
-    u.replace(2);
+    let mut upgrade = Upgrade::start("alike", &SHARED);
+    upgrade.replace(2);
     const OLD: usize = 0;
     const NEW: usize = 2;
     // A leader of production tells only once what runs, so that a controller which
     // misses that goes on calling a running job pending. The new one leads here;
     // `leadership_passes_from_version_to_version` has leaders of both.
     for old in [0, 1] {
-        u.cluster.nodes[old].kill();
+        upgrade.cluster.nodes[old].kill();
     }
-    assert_eq!(u.wait_for_leader(Version::This), NEW);
+    assert_eq!(upgrade.wait_for_leader(Version::This), NEW);
     for old in [0, 1] {
-        u.start_again(old);
+        upgrade.start_again(old);
     }
 
     // Of both, alone and in pipelines that cross the versions.
-    u.submit(OLD, batch("j-100001", 1, &[]));
-    u.submit(NEW, batch("j-000010", 1, &["j-100001"]));
-    u.submit(NEW, batch("j-100002", 1, &[]));
-    u.submit(OLD, batch("j-000011", 1, &["j-100002", "j-000010"]));
-    u.submit(NEW, batch("j-000012", 1, &["j-000011", "j-100001"]));
-    u.submit(OLD, batch("j-100003", 1, &[]));
-    u.submit(NEW, batch("j-100004", 1, &[]));
-    u.submit(OLD, Job { id: "j-100005", kind: "service", tasks: 1, prereqs: &[] });
+    upgrade.submit(OLD, batch("j-100001", 1, &[]));
+    upgrade.submit(NEW, batch("j-000010", 1, &["j-100001"]));
+    upgrade.submit(NEW, batch("j-100002", 1, &[]));
+    upgrade.submit(OLD, batch("j-000011", 1, &["j-100002", "j-000010"]));
+    upgrade.submit(NEW, batch("j-000012", 1, &["j-000011", "j-100001"]));
+    upgrade.submit(OLD, batch("j-100003", 1, &[]));
+    upgrade.submit(NEW, batch("j-100004", 1, &[]));
+    upgrade.submit(OLD, Job { id: "j-100005", kind: "service", tasks: 1, prereqs: &[] });
     let running = ["j-100001", "j-100002", "j-100003", "j-100004", "j-100005"];
-    for (id, at) in running.iter().flat_map(|id| u.clients().map(|at| (id, at))) {
+    for (id, at) in running.iter().flat_map(|id| upgrade.clients().map(|at| (id, at))) {
         wait_for("running", || (status(at, id)? == "running").then_some(()));
     }
 
     // What is known, waits, or can't be taken.
     for id in running.iter().chain(&["j-000010", "j-000011", "j-000012"]) {
-        assert_eq!(check_alike(&u, id, |at| poll(at, id)), 200);
-        assert_eq!(check_alike(&u, id, |at| submit(at, &job(id, "batch", 1))), 200, "again");
+        assert_eq!(check_alike(&upgrade, id, |at| poll(at, id)), 200);
+        assert_eq!(check_alike(&upgrade, id, |at| submit(at, &job(id, "batch", 1))), 200, "again");
     }
-    assert_eq!(status(u.client(OLD), "j-000012").as_deref(), Some("pending"));
+    assert_eq!(status(upgrade.client(OLD), "j-000012").as_deref(), Some("pending"));
     let many: Vec<String> = (0..3_000).map(|n| format!("j-{n}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
     let refused = [
@@ -91,56 +105,56 @@
     ];
     for (what, prereqs, want) in refused {
         let bytes = job_after("j-000020", "batch", prereqs);
-        assert_eq!(check_alike(&u, what, |at| submit(at, &bytes)), want, "{what}");
+        assert_eq!(check_alike(&upgrade, what, |at| submit(at, &bytes)), want, "{what}");
     }
     // A job that names itself: production calls it malformed, this version calls it
     // one that was never accepted. Neither accepts it.
     let itself = job_after("j-000020", "batch", ids(&["j-000020"]));
-    assert_eq!(submit(u.client(OLD), &itself).map(|a| a.0), Some(400));
-    assert_eq!(submit(u.client(NEW), &itself).map(|a| a.0), Some(422));
+    assert_eq!(submit(upgrade.client(OLD), &itself).map(|response| response.status), Some(400));
+    assert_eq!(submit(upgrade.client(NEW), &itself).map(|response| response.status), Some(422));
     let unknown_team = with(&job("j-000020", "batch", 1), "owner", Value::Text("nobody".into()));
-    assert_eq!(check_alike(&u, "unknown team", |at| submit(at, &unknown_team)), 422);
-    assert_eq!(check_alike(&u, "nonsense", |at| submit(at, b"nonsense")), 400);
-    assert_eq!(check_alike(&u, "too long", |at| submit(at, &vec![0; 70_000])), 413);
-    assert_eq!(check_alike(&u, "refused for good", |at| poll(at, "j-000020")), 404);
-    assert_eq!(check_alike(&u, "never accepted", |at| abort(at, "j-999999")), 404);
-    assert_eq!(check_alike(&u, "no method", |at| call(at, "PUT", "/api/jobs", &[])), 405);
+    assert_eq!(check_alike(&upgrade, "unknown team", |at| submit(at, &unknown_team)), 422);
+    assert_eq!(check_alike(&upgrade, "nonsense", |at| submit(at, b"nonsense")), 400);
+    assert_eq!(check_alike(&upgrade, "too long", |at| submit(at, &vec![0; 70_000])), 413);
+    assert_eq!(check_alike(&upgrade, "refused for good", |at| poll(at, "j-000020")), 404);
+    assert_eq!(check_alike(&upgrade, "never accepted", |at| abort(at, "j-999999")), 404);
+    assert_eq!(check_alike(&upgrade, "no method", |at| call(at, "PUT", "/api/jobs", &[])), 405);
 
     // Accepted at one version, cancelled at the other.
-    u.cancel(OLD, "j-100002");
-    assert_eq!(status(u.client(NEW), "j-000010").as_deref(), Some("pending"), "it needs another");
-    u.cancel(NEW, "j-100003");
-    u.cancel(OLD, "j-100004");
-    u.cancel(NEW, "j-100005");
+    upgrade.cancel(OLD, "j-100002");
+    assert_eq!(status(upgrade.client(NEW), "j-000010").as_deref(), Some("pending"), "it needs another");
+    upgrade.cancel(NEW, "j-100003");
+    upgrade.cancel(OLD, "j-100004");
+    upgrade.cancel(NEW, "j-100005");
     for id in ["j-100002", "j-000011", "j-000012", "j-100003", "j-100004", "j-100005"] {
-        assert_eq!(check_alike(&u, id, |at| poll(at, id)), 200);
-        assert_eq!(check_alike(&u, id, |at| abort(at, id)), 200, "again");
-        assert_eq!(check_alike(&u, id, |at| submit(at, &job(id, "batch", 1))), 200);
+        assert_eq!(check_alike(&upgrade, id, |at| poll(at, id)), 200);
+        assert_eq!(check_alike(&upgrade, id, |at| abort(at, id)), 200, "again");
+        assert_eq!(check_alike(&upgrade, id, |at| submit(at, &job(id, "batch", 1))), 200);
     }
     // Names a cancelled one: accepted, and cancelled.
     for (n, id) in [(OLD, "j-000015"), (NEW, "j-000016")] {
-        let answer = submit(u.client(n), &job_after(id, "batch", ids(&["j-000012"])));
+        let answer = submit(upgrade.client(n), &job_after(id, "batch", ids(&["j-000012"])));
         assert_eq!(answer_of(answer), (201, Some("cancelled".into())), "{id}");
-        u.note_accepted(id, 1, &["j-000012"]);
+        upgrade.note_accepted(id, 1, &["j-000012"]);
     }
-    u.check_cancelled();
+    upgrade.check_cancelled();
     for id in ["j-100002", "j-100003", "j-100004", "j-100005"] {
-        wait_for("its tasks are gone", || (u.cluster.runs(id) == 0).then_some(()));
+        wait_for("its tasks are gone", || (upgrade.cluster.runs(id) == 0).then_some(()));
     }
 
     // Done for both; too late to be cancelled.
-    u.finish("j-100001");
+    upgrade.finish("j-100001");
     for id in ["j-100001", "j-000010"] {
-        u.wait_until_done(id);
-        assert_eq!(check_alike(&u, id, |at| abort(at, id)), 200);
-        assert_eq!(answer_of(abort(u.client(NEW), id)).1.as_deref(), Some("done"));
+        upgrade.wait_until_done(id);
+        assert_eq!(check_alike(&upgrade, id, |at| abort(at, id)), 200);
+        assert_eq!(answer_of(abort(upgrade.client(NEW), id)).1.as_deref(), Some("done"));
     }
     // Names what is done, at either: runs at once.
-    u.submit(OLD, batch("j-000017", 1, &["j-000010"]));
-    u.submit(NEW, batch("j-000018", 1, &["j-000010", "j-000017"]));
-    u.wait_until_done("j-000018");
-    u.check_cancelled();
-    u.check_history();
+    upgrade.submit(OLD, batch("j-000017", 1, &["j-000010"]));
+    upgrade.submit(NEW, batch("j-000018", 1, &["j-000010", "j-000017"]));
+    upgrade.wait_until_done("j-000018");
+    upgrade.check_cancelled();
+    upgrade.check_history();
 }
 
 // ---- leadership ------------------------------------------------------------------
@@ -165,135 +179,135 @@
 
 /// Submits the jobs of a stage, and lets those of the one before come to their end
 /// under the leader of now.
-fn run_stage(u: &mut Upgrade, n: usize, version: Version) -> Stage {
-    let leader = u.wait_for_leader(version);
+fn run_stage(upgrade: &mut Upgrade, n: usize, version: Version) -> Stage {
+    let leader = upgrade.wait_for_leader(version);
     let stage = Stage::new(n);
     let [first, second, third] = &stage.short;
-    u.submit(0, batch(&stage.head, 2, &[]));
-    u.submit(1, batch(&stage.middle, 2, &[&stage.head]));
-    u.submit(2, batch(&stage.tail, 1, &[&stage.middle, &stage.head]));
-    u.submit(2, batch(first, 2, &[]));
-    u.submit(0, batch(second, 1, &[first]));
-    u.submit(1, batch(third, 2, &[second, first]));
-    u.wait_until_done(third);
-    wait_for("the head runs", || (u.cluster.runs(&stage.head) == 2).then_some(()));
+    upgrade.submit(0, batch(&stage.head, 2, &[]));
+    upgrade.submit(1, batch(&stage.middle, 2, &[&stage.head]));
+    upgrade.submit(2, batch(&stage.tail, 1, &[&stage.middle, &stage.head]));
+    upgrade.submit(2, batch(first, 2, &[]));
+    upgrade.submit(0, batch(second, 1, &[first]));
+    upgrade.submit(1, batch(third, 2, &[second, first]));
+    upgrade.wait_until_done(third);
+    wait_for("the head runs", || (upgrade.cluster.runs(&stage.head) == 2).then_some(()));
     if n > FIRST_STAGE {
-        u.wait_until_done(&Stage::new(n - 1).tail);
+        upgrade.wait_until_done(&Stage::new(n - 1).tail);
     }
-    assert_eq!(u.leader(), Some(leader), "one leader for the whole stage");
+    assert_eq!(upgrade.leader(), Some(leader), "one leader for the whole stage");
     stage
 }
 
 #[test]
 fn leadership_passes_from_version_to_version() {
-    let mut u = Upgrade::start("leadership", &SHARED);
-    u.submit(0, batch("j-100001", 1, &[]));
-    u.submit(1, Job { id: "j-100002", kind: "service", tasks: 1, prereqs: &[] });
-    u.submit(2, batch("j-000001", 1, &["j-100001"]));
-    wait_for("both run", || (u.cluster.runs("j-100001") + u.cluster.runs("j-100002") == 2).then_some(()));
+    let mut upgrade = Upgrade::start("leadership", &SHARED);
+    upgrade.submit(0, batch("j-100001", 1, &[]));
+    upgrade.submit(1, Job { id: "j-100002", kind: "service", tasks: 1, prereqs: &[] });
+    upgrade.submit(2, batch("j-000001", 1, &["j-100001"]));
+    wait_for("both run", || (upgrade.cluster.runs("j-100001") + upgrade.cluster.runs("j-100002") == 2).then_some(()));
     // The second is replaced, and an old one leads.
-    u.cluster.nodes[1].kill();
-    let old = u.wait_for_leader(Version::Production);
-    u.versions[1] = Version::This;
-    u.start_again(1);
+    upgrade.cluster.nodes[1].kill();
+    let old = upgrade.wait_for_leader(Version::Production);
+    upgrade.versions[1] = Version::This;
+    upgrade.start_again(1);
     let other = 2 - old;
 
     // Heads end while there is no leader.
-    let stage = run_stage(&mut u, FIRST_STAGE, Version::Production);
-    u.finish(&stage.head);
-    u.cluster.nodes[old].kill();
-    u.cluster.nodes[other].kill();
-    assert_eq!(u.wait_for_leader(Version::This), 1);
-    u.start_again(old);
-    u.start_again(other);
-
-    let stage = run_stage(&mut u, 2, Version::This);
-    u.finish(&stage.head);
-    u.cluster.nodes[1].kill();
-    let old = u.wait_for_leader(Version::Production);
+    let stage = run_stage(&mut upgrade, FIRST_STAGE, Version::Production);
+    upgrade.finish(&stage.head);
+    upgrade.cluster.nodes[old].kill();
+    upgrade.cluster.nodes[other].kill();
+    assert_eq!(upgrade.wait_for_leader(Version::This), 1);
+    upgrade.start_again(old);
+    upgrade.start_again(other);
+
+    let stage = run_stage(&mut upgrade, 2, Version::This);
+    upgrade.finish(&stage.head);
+    upgrade.cluster.nodes[1].kill();
+    let old = upgrade.wait_for_leader(Version::Production);
     let other = 2 - old;
-    u.start_again(1);
+    upgrade.start_again(1);
 
-    let stage = run_stage(&mut u, 3, Version::Production);
-    u.replace(other);
-    u.finish(&stage.head);
-    u.cluster.nodes[old].kill();
-    u.wait_for_leader(Version::This);
-    u.start_again(old);
+    let stage = run_stage(&mut upgrade, 3, Version::Production);
+    upgrade.replace(other);
+    upgrade.finish(&stage.head);
+    upgrade.cluster.nodes[old].kill();
+    upgrade.wait_for_leader(Version::This);
+    upgrade.start_again(old);
 
-    let stage = run_stage(&mut u, 4, Version::This);
-    u.replace(old);
-    u.finish(&stage.head);
-    u.wait_until_done(&stage.tail);
+    let stage = run_stage(&mut upgrade, 4, Version::This);
+    upgrade.replace(old);
+    upgrade.finish(&stage.head);
+    upgrade.wait_until_done(&stage.tail);
 
     // What ran all the time has started once, which `check_history` holds too.
-    assert_eq!((u.cluster.runs("j-100001"), u.cluster.runs("j-100002")), (1, 1));
-    assert_eq!(status(u.client(0), "j-000001").as_deref(), Some("pending"));
-    u.finish("j-100001");
-    u.wait_until_done("j-000001");
-    u.cancel(0, "j-100002");
-    wait_for("the service is gone", || (u.cluster.runs("j-100002") == 0).then_some(()));
-    u.check_history();
+    assert_eq!((upgrade.cluster.runs("j-100001"), upgrade.cluster.runs("j-100002")), (1, 1));
+    assert_eq!(status(upgrade.client(0), "j-000001").as_deref(), Some("pending"));
+    upgrade.finish("j-100001");
+    upgrade.wait_until_done("j-000001");
+    upgrade.cancel(0, "j-100002");
+    wait_for("the service is gone", || (upgrade.cluster.runs("j-100002") == 0).then_some(()));
+    upgrade.check_history();
 }
 
 // ---- one by one -------------------------------------------------------------------
 
 /// A chain of three, whose first runs until it is let go, each accepted elsewhere.
-fn submit_chain(u: &mut Upgrade, chain: &[&str; 3]) {
+fn submit_chain(upgrade: &mut Upgrade, chain: &[&str; 3]) {
     let [head, middle, tail] = *chain;
-    u.submit(0, batch(head, 1, &[]));
-    u.submit(1, Job { id: middle, kind: "ensemble", tasks: 2, prereqs: &[head] });
-    u.submit(2, batch(tail, 2, &[middle]));
+    upgrade.submit(0, batch(head, 1, &[]));
+    upgrade.submit(1, Job { id: middle, kind: "ensemble", tasks: 2, prereqs: &[head] });
+    upgrade.submit(2, batch(tail, 2, &[middle]));
 }
 
 #[test]
 fn replaced_one_by_one_with_pipelines_under_way() {
-    let mut u = Upgrade::start("one-by-one", &SHARED);
+    let mut upgrade = Upgrade::start("one-by-one", &SHARED);
     let kept = ["j-100001", "j-000011", "j-000012"];
     let cancelled_before = ["j-100002", "j-000021", "j-000022"];
     let cancelled_at_new = ["j-100003", "j-000031", "j-000032"];
     let cancelled_at_old = ["j-100004", "j-000041", "j-000042"];
     for chain in [&kept, &cancelled_before, &cancelled_at_new, &cancelled_at_old] {
-        submit_chain(&mut u, chain);
+        submit_chain(&mut upgrade, chain);
     }
     for id in ["j-100001", "j-100002", "j-100003", "j-100004"] {
-        wait_for("the heads run", || (u.cluster.runs(id) == 1).then_some(()));
+        wait_for("the heads run", || (upgrade.cluster.runs(id) == 1).then_some(()));
     }
-    u.cancel(1, "j-100002");
+    upgrade.cancel(1, "j-100002");
 
-    u.replace(0);
-    u.check_cancelled();
+    upgrade.replace(0);
+    upgrade.check_cancelled();
     // Dies before its turn, and comes back old.
-    u.restart(1);
-    assert_eq!(u.versions, [Version::This, Version::Production, Version::Production]);
-    u.check_cancelled();
-    u.cancel(0, "j-100003");
-    u.cancel(1, "j-100004");
+    upgrade.restart(1);
+    assert_eq!(upgrade.versions, [Version::This, Version::Production, Version::Production]);
+    upgrade.check_cancelled();
+    upgrade.cancel(0, "j-100003");
+    upgrade.cancel(1, "j-100004");
     // Later ones, that name what is cancelled.
-    u.submit(0, batch("j-000033", 1, &["j-000032"]));
-    u.submit(2, batch("j-000043", 1, &["j-000042", "j-000012"]));
-    u.check_cancelled();
-
-    u.replace(2);
-    u.check_cancelled();
-    assert_eq!(u.cluster.runs("j-100001"), 1, "it runs on");
-    u.finish("j-100001");
-    u.wait_until_done("j-000012");
-    u.check_cancelled();
-    u.submit(1, batch("j-000013", 1, &["j-000012"]));
-    u.wait_until_done("j-000013");
-
-    u.replace(1);
-    u.check_cancelled();
+    upgrade.submit(0, batch("j-000033", 1, &["j-000032"]));
+    upgrade.submit(2, batch("j-000043", 1, &["j-000042", "j-000012"]));
+    upgrade.check_cancelled();
+
+    upgrade.replace(2);
+    upgrade.check_cancelled();
+    assert_eq!(upgrade.cluster.runs("j-100001"), 1, "it runs on");
+    upgrade.finish("j-100001");
+    upgrade.wait_until_done("j-000012");
+    upgrade.check_cancelled();
+    upgrade.submit(1, batch("j-000013", 1, &["j-000012"]));
+    upgrade.wait_until_done("j-000013");
+
+    upgrade.replace(1);
+    upgrade.check_cancelled();
     for n in 0..3 {
-        u.restart(n);
-        u.check_cancelled();
-        u.wait_until_done("j-000013");
+        upgrade.restart(n);
+        upgrade.check_cancelled();
+        upgrade.wait_until_done("j-000013");
     }
     for id in ["j-100002", "j-100003", "j-100004"] {
-        wait_for("its tasks are gone", || (u.cluster.runs(id) == 0).then_some(()));
+        wait_for("its tasks are gone", || (upgrade.cluster.runs(id) == 0).then_some(()));
     }
-    u.check_history();
+    upgrade.check_history();
 }
 
 // ---- limits ---------------------------------------------------------------------
@@ -305,41 +319,41 @@
 #[test]
 fn limits_are_lowered_amid_the_upgrade() {
     // Recorded when nothing was announced yet: in chunks too large for later.
-    let mut u = Upgrade::start("limits", &SHARED);
-    u.submit_small(0, batch("j-100001", 120, &[]));
-    u.submit_small(1, Job { id: "j-100002", kind: "ensemble", tasks: 40, prereqs: &["j-100001"] });
-    u.submit_small(2, batch("j-000003", 3, &["j-100002"]));
-    u.submit_small(0, batch("j-000004", 100, &["j-100001"]));
-    u.submit_small(1, batch("j-100005", 1, &[]));
-    u.submit_small(2, batch("j-000006", 60, &["j-100005"]));
-    wait_for("the array runs", || (u.cluster.runs("j-100001") == 120).then_some(()));
+    let mut upgrade = Upgrade::start("limits", &SHARED);
+    upgrade.submit_small(0, batch("j-100001", 120, &[]));
+    upgrade.submit_small(1, Job { id: "j-100002", kind: "ensemble", tasks: 40, prereqs: &["j-100001"] });
+    upgrade.submit_small(2, batch("j-000003", 3, &["j-100002"]));
+    upgrade.submit_small(0, batch("j-000004", 100, &["j-100001"]));
+    upgrade.submit_small(1, batch("j-100005", 1, &[]));
+    upgrade.submit_small(2, batch("j-000006", 60, &["j-100005"]));
+    wait_for("the array runs", || (upgrade.cluster.runs("j-100001") == 120).then_some(()));
 
     // The old version, with settings that announce them.
-    u.cluster.change_settings(&Shared { next: Some(LOWERED), ..SHARED });
+    upgrade.cluster.change_settings(&Shared { next: Some(LOWERED), ..SHARED });
     for n in 0..3 {
-        u.start_again(n);
+        upgrade.start_again(n);
     }
-    u.replace(0);
+    upgrade.replace(0);
     {
-        let mut store = u.cluster.store.lock().unwrap();
+        let mut store = upgrade.cluster.store.lock().unwrap();
         store.limits = LOWERED;
         store.too_large = 0;
     }
-    u.submit_small(1, batch("j-000007", 20, &[]));
-    u.submit_small(0, Job { id: "j-000008", kind: "ensemble", tasks: 10, prereqs: &["j-000007"] });
-    u.wait_until_done("j-000008");
-    u.finish("j-100005");
-    u.wait_until_done("j-000006");
-    u.replace(1);
-    u.finish("j-100001");
-    u.wait_until_done("j-100001");
-    u.finish("j-100002");
-    u.wait_until_done("j-000003");
-    u.replace(2);
-    u.wait_until_done("j-000004");
-    let refused = u.cluster.store.lock().unwrap().too_large;
+    upgrade.submit_small(1, batch("j-000007", 20, &[]));
+    upgrade.submit_small(0, Job { id: "j-000008", kind: "ensemble", tasks: 10, prereqs: &["j-000007"] });
+    upgrade.wait_until_done("j-000008");
+    upgrade.finish("j-100005");
+    upgrade.wait_until_done("j-000006");
+    upgrade.replace(1);
+    upgrade.finish("j-100001");
+    upgrade.wait_until_done("j-100001");
+    upgrade.finish("j-100002");
+    upgrade.wait_until_done("j-000003");
+    upgrade.replace(2);
+    upgrade.wait_until_done("j-000004");
+    let refused = upgrade.cluster.store.lock().unwrap().too_large;
     assert!(refused <= MOST_REFUSED, "{refused} refused");
-    u.check_history();
+    upgrade.check_history();
 }
 
 // ---- before pipelines -----------------------------------------------------------------
@@ -348,19 +362,18 @@
 /// is there, nothing is accepted that has some.
 #[test]
 fn nothing_with_prerequisites_beside_a_version_without_them() {
-    let mut c = Cluster::start_as("before-pipelines", &SHARED, without_pipelines());
-    let at = c.nodes[0].client;
-    wait_for("taken", || (submit(at, &job("j-000001", "batch", 3))?.0 == 201).then_some(()));
+    let mut cluster = Cluster::start_as("before-pipelines", &SHARED, without_pipelines());
+    let at = cluster.nodes[0].client;
+    wait_for("taken", || (submit(at, &job("j-000001", "batch", 3))?.status == 201).then_some(()));
     wait_for("done", || (status(at, "j-000001")? == "done").then_some(()));
-    for n in &mut c.nodes[..2] {
-        n.kill();
-        n.start();
+    for node in &mut cluster.nodes[..2] {
+        node.kill();
+        node.start();
     }
-    let (a, b) = (c.nodes[0].client, c.nodes[1].client);
+    let (a, b) = (cluster.nodes[0].client, cluster.nodes[1].client);
     for at in [a, b] {
         wait_for("ready", || is_ready(at).then_some(()));
     }
-    let code = |a: Option<HeartbeatOutcome>| a.map(|a| a.0);
     assert_eq!(code(submit(a, &job("j-000001", "batch", 3))), Some(200), "known still");
     for at in [a, b] {
         wait_for("done", || (status(at, "j-000001")? == "done").then_some(()));
@@ -369,12 +382,12 @@
         assert_eq!(code(submit(at, &job_after("j-000002", "batch", Value::from(1)))), Some(400));
         assert_eq!(status(at, "j-000002"), None);
     }
-    assert_eq!(status(c.nodes[2].client, "j-000001").as_deref(), Some("done"), "the old one serves");
-    c.nodes[2].kill();
-    c.nodes[2].start();
-    for n in &c.nodes {
+    assert_eq!(status(cluster.nodes[2].client, "j-000001").as_deref(), Some("done"), "the old one serves");
+    cluster.nodes[2].kill();
+    cluster.nodes[2].start();
+    for node in &cluster.nodes {
         let bytes = job_after("j-000002", "batch", ids(&["j-000001", "j-000001"]));
-        wait_for("accepted", || submit(n.client, &bytes).filter(|a| a.0 < 300));
+        wait_for("accepted", || submit(node.client, &bytes).filter(Response::is_success));
     }
     wait_for("done", || (status(a, "j-000002")? == "done").then_some(()));
 }
