--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -21,34 +21,36 @@
     },
 };
 
+/// Encoded forms by their names.
 type Lines = BTreeMap<String, Vec<u8>>;
 
 fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|b| format!("{b:02x}")).collect()
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
+/// The lines of a fixture: a name, and bytes in hexadecimal digits.
 fn read(file: &str) -> Lines {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(file);
     let text = fs::read_to_string(path).unwrap();
-    let mut out = Lines::new();
-    for line in text.lines().filter(|l| !l.is_empty()) {
+    let mut lines = Lines::new();
+    for line in text.lines().filter(|line| !line.is_empty()) {
         let (name, digits) = line.split_once(' ').unwrap();
-        let byte = |n: usize| u8::from_str_radix(&digits[2 * n..2 * n + 2], 16).unwrap();
-        out.insert(name.to_owned(), (0..digits.len() / 2).map(byte).collect());
+        let byte = |index: usize| u8::from_str_radix(&digits[2 * index..2 * index + 2], 16).unwrap();
+        lines.insert(name.to_owned(), (0..digits.len() / 2).map(byte).collect());
     }
-    out
+    lines
 }
 
 fn record<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> T {
     cbor::decode::<Value>(bytes).unwrap().deserialized().unwrap()
 }
 
-fn bytes_of<T: serde::Serialize>(v: &T) -> Vec<u8> {
-    cbor::encode(&to_value(v))
+fn bytes_of<T: serde::Serialize>(record: &T) -> Vec<u8> {
+    cbor::encode(&to_value(record))
 }
 
 /// What this version reads of the bytes, written again.
-fn again(name: &str, bytes: &[u8]) -> Vec<u8> {
+fn decode_and_encode(name: &str, bytes: &[u8]) -> Vec<u8> {
     match name.split('/').next().unwrap() {
         "frame" => peers::encode(&peers::decode(bytes).unwrap()),
         "job" => bytes_of(&record::<JobRecord>(bytes)),
@@ -65,14 +67,14 @@
     let body = lines.remove("submission").unwrap();
     assert_eq!(lines.len(), 7);
     for (name, bytes) in &lines {
-        assert_eq!(hex(&again(name, bytes)), hex(bytes), "{name}");
+        assert_eq!(hex(&decode_and_encode(name, bytes)), hex(bytes), "{name}");
     }
     // The body named a prerequisite, of which production knows nothing: its
     // record is the one this version writes of a job without any.
-    let sub: Submission = cbor::decode(&body).unwrap();
-    assert_eq!(sub.prereqs(), ["j-000398"]);
-    let rec: JobRecord = record(&lines["job/pending"]);
-    assert_eq!(rec.submission, Submission { prereqs: None, ..sub });
+    let submitted: Submission = cbor::decode(&body).unwrap();
+    assert_eq!(submitted.prereqs(), ["j-000398"]);
+    let pending: JobRecord = record(&lines["job/pending"]);
+    assert_eq!(pending.submission, Submission { prereqs: None, ..submitted });
     let chunk: ChunkRecord = record(&lines["chunk/000000"]);
     assert_eq!((chunk.done.as_str(), chunk.assignments.len()), ("9429", 2));
     let Ok(Frame::Gossip(frame)) = peers::decode(&lines["frame/full"]) else { panic!("no gossip") };
@@ -82,11 +84,16 @@
     for (name, want) in
         [("job/pending", JobStatus::Pending), ("job/cancelled", JobStatus::Cancelled), ("job/done", JobStatus::Done)]
     {
-        let mut m = JobCache::default();
-        let v: Value = cbor::decode(&lines[name]).unwrap();
-        let index = m.put("j/j-000412", &v, Revision(7), &mut Tables::default()).unwrap();
+        let mut job_cache = JobCache::default();
+        let value: Value = cbor::decode(&lines[name]).unwrap();
+        let index = job_cache.put("j/j-000412", &value, Revision(7), &mut Tables::default()).unwrap();
         assert_eq!(
-            (m.get(index).status, m.get(index).tasks, m.get(index).chunk, m.waits(index)),
+            (
+                job_cache.get(index).status,
+                job_cache.get(index).tasks,
+                job_cache.get(index).chunk,
+                job_cache.waits(index)
+            ),
             (want, 16, 128, false),
             "{name}"
         );
@@ -99,7 +106,7 @@
 
 /// Every form that this version writes where production may meet it, and the
 /// one that it must not meet.
-fn ours() -> Vec<(&'static str, Vec<u8>)> {
+fn forms_of_this_version() -> Vec<(&'static str, Vec<u8>)> {
     let job = |submission: Submission, status, at_ms, chunk| bytes_of(&JobRecord { submission, status, at_ms, chunk });
     let ended = Submission { tasks: Some(16.0), ..Submission::default() };
     let waiting = Submission { prereqs: Some(vec!["j-000398".into(), "j-000405".into()]), ..submission() };
@@ -148,17 +155,17 @@
 #[test]
 fn what_this_version_writes_is_read_and_rewritten_by_production() {
     let (written, rewritten) = (read("this.txt"), read("this-as-production-rewrites.txt"));
-    for (name, bytes) in ours() {
+    for (name, bytes) in forms_of_this_version() {
         println!("form {name} {}", hex(&bytes)); // what stands in `this.txt`
     }
-    for (name, bytes) in ours() {
+    for (name, bytes) in forms_of_this_version() {
         assert_eq!(hex(&bytes), hex(&written[name]), "{name}: the form has changed, or the file is old");
         let kept = written[name] == rewritten[name];
         // Guard: production loses the prerequisites. So none is accepted while
         // one of that version may be left.
         assert_eq!(kept, name != "job/waiting", "{name}");
     }
-    assert_eq!((written.len(), rewritten.len()), (ours().len(), ours().len()));
+    assert_eq!((written.len(), rewritten.len()), (forms_of_this_version().len(), forms_of_this_version().len()));
     let lost: JobRecord = record(&rewritten["job/waiting"]);
     assert!(lost.submission.prereqs().is_empty());
 }
@@ -184,16 +191,16 @@
     let submission = lines.remove("submission").unwrap();
     assert_eq!(lines.len(), 12);
     for (name, bytes) in &lines {
-        assert_eq!(hex(&again(name, bytes)), hex(bytes), "{name}");
+        assert_eq!(hex(&decode_and_encode(name, bytes)), hex(bytes), "{name}");
     }
     // The record of a submission, with its prerequisites, each named once.
-    let mut sub: Submission = cbor::decode(&submission).unwrap();
-    sub.fold_prereqs();
-    assert_eq!(sub.prereqs(), ["j-000398", "j-000405"]);
+    let mut submitted: Submission = cbor::decode(&submission).unwrap();
+    submitted.fold_prereqs();
+    assert_eq!(submitted.prereqs(), ["j-000398", "j-000405"]);
     let waiting: JobRecord = record(&lines["job/waiting"]);
-    assert_eq!((&waiting.submission, waiting.status, waiting.chunk), (&sub, JobStatus::Pending, 128));
+    assert_eq!((&waiting.submission, waiting.status, waiting.chunk), (&submitted, JobStatus::Pending, 128));
     let without: JobRecord = record(&lines["job/pending"]);
-    assert_eq!(without.submission, Submission { prereqs: None, ..sub });
+    assert_eq!(without.submission, Submission { prereqs: None, ..submitted });
     // The time of a done record is that of the end.
     let done: JobRecord = record(&lines["job/done"]);
     assert_eq!((done.status, done.at_ms), (JobStatus::Done, 1_780_000_123_456));
@@ -213,11 +220,11 @@
         ("job/done", JobStatus::Done, false),
     ];
     for (name, status, waits) in forms {
-        let mut cache = JobCache::default();
-        let v: Value = cbor::decode(&lines[name]).unwrap();
-        let index = cache.put("j/j-000731", &v, Revision(7), &mut Tables::default()).unwrap();
-        let job = cache.get(index);
-        assert_eq!((job.status, job.tasks, job.chunk, cache.waits(index)), (status, 6, 128, waits), "{name}");
+        let mut job_cache = JobCache::default();
+        let value: Value = cbor::decode(&lines[name]).unwrap();
+        let index = job_cache.put("j/j-000731", &value, Revision(7), &mut Tables::default()).unwrap();
+        let job = job_cache.get(index);
+        assert_eq!((job.status, job.tasks, job.chunk, job_cache.waits(index)), (status, 6, 128, waits), "{name}");
     }
 }
 
@@ -242,13 +249,13 @@
 }
 
 /// Every form that this version writes where `ddfa46b` meets it.
-fn ours_beside_ddfa46b() -> Vec<(&'static str, Vec<u8>)> {
+fn forms_beside_ddfa46b() -> Vec<(&'static str, Vec<u8>)> {
     let waiting = Submission { prereqs: Some(vec!["j-000398".into(), "j-000405".into()]), ..submission() };
     let cancelled =
         JobRecord { submission: waiting, status: JobStatus::Cancelled, at_ms: 1_780_000_000_000, chunk: 28 };
     let notice =
         Notice { from: "n-4".into(), cancelled: vec![Cancelled { job: "j-000412".into(), revision: Revision(431) }] };
-    let mut all = ours();
+    let mut all = forms_of_this_version();
     all.extend([
         ("job/waiting-cancelled", bytes_of(&cancelled)),
         ("version/n-4", bytes_of(&VersionRecord { version: VERSION, nonce: 9 })),
@@ -259,16 +266,16 @@
 
 #[test]
 fn what_this_version_writes_is_rewritten_unchanged_by_ddfa46b() {
-    let ours = ours_beside_ddfa46b();
-    for (name, bytes) in &ours {
+    let forms = forms_beside_ddfa46b();
+    for (name, bytes) in &forms {
         println!("beside {name} {}", hex(bytes)); // what stands in `this-beside-ddfa46b.txt`
     }
     let (written, rewritten) = (read("this-beside-ddfa46b.txt"), read("this-as-ddfa46b-rewrites.txt"));
-    for (name, bytes) in &ours {
+    for (name, bytes) in &forms {
         assert_eq!(hex(bytes), hex(&written[*name]), "{name}: the form has changed, or the file is old");
         assert_eq!(hex(&written[*name]), hex(&rewritten[*name]), "{name}: not kept as it was");
     }
-    assert_eq!((written.len(), rewritten.len()), (ours.len(), ours.len()));
+    assert_eq!((written.len(), rewritten.len()), (forms.len(), forms.len()));
     let kept: JobRecord = record(&rewritten["job/waiting"]);
     assert_eq!(kept.submission.prereqs(), ["j-000398", "j-000405"]);
 }
