--- a/tests/simulation/commits.rs
+++ b/tests/simulation/commits.rs
@@ -7,8 +7,8 @@
 };
 
 use super::{
-    controller::TRANSACTION_WRITES_MAX, network::Message, store::SimulatedStore, write_budget::CommitAllowance,
-    Simulation,
+    controller_settings::TRANSACTION_WRITES_MAX, network::Message, store::SimulatedStore,
+    write_budget::CommitAllowance, Simulation,
 };
 
 /// Most conditions of a transaction.
--- a/tests/simulation/controller.rs
+++ b/tests/simulation/controller.rs
@@ -3,11 +3,10 @@
 
 use shedhook::{
     coordination::{
-        cluster::Config,
         effects::{CommitOutcome, DirectCallOutcome, Effect, HeartbeatOutcome},
         leader::Leader,
         lease_renewal::TimeSpan,
-        model::{CallId, MachineIndex, MachineTypeSpec, Millis, TeamLimits, Term},
+        model::{CallId, MachineIndex, MachineTypeSpec, Millis, Term},
         RentOutcome,
     },
     protocol::{
@@ -24,79 +23,14 @@
 
 use super::{
     cloud::{CHEAP_MACHINE_TYPE, MACHINE_TYPE, ZONES},
+    controller_settings::ControllerSettings,
     network::DirectCall,
     random::RandomSource,
     store::SimulatedStore,
     write_budget::CommitAllowance,
-    Simulation, HEARTBEAT_INTERVAL_MS, LEASE_MS,
+    Simulation,
 };
 
-/// Most writes of a transaction.
-pub(super) const TRANSACTION_WRITES_MAX: usize = 8;
-
-/// So long that it never passes in a simulation.
-const NEVER_MS: Millis = 1 << 40;
-
-/// Quotas of the teams in GPUs; "blue" has no guarantee.
-#[derive(Clone, Copy, Default)]
-pub struct TeamQuotas {
-    pub red_gpus_max: Option<f64>,
-    pub blue_gpus_max: Option<f64>,
-    pub red_gpus_guaranteed: Option<f64>,
-}
-
-impl TeamQuotas {
-    fn limits(self) -> Vec<TeamLimits> {
-        let limits = |gpus_max| TeamLimits { gpus_max, ..TeamLimits::default() };
-        vec![TeamLimits { gpus: self.red_gpus_guaranteed, ..limits(self.red_gpus_max) }, limits(self.blue_gpus_max)]
-    }
-}
-
-/// How the controllers are configured, and what befalls the one that leads.
-pub struct ControllerSettings {
-    /// From the next election on.
-    pub quotas: TeamQuotas,
-    /// A machine that is silent for so long is replaced.
-    pub silent_ms: Millis,
-    /// The announced limit of a value in bytes.
-    pub value_bytes_max: usize,
-    /// The size of values that fit later too, in bytes.
-    pub value_bytes_fit: usize,
-    /// Tasks per chunk whose record fits later too.
-    pub tasks_per_chunk_fit: u32,
-    /// All controllers know that jobs can be divided into chunks anew.
-    pub may_reshard: bool,
-    /// The leader writes records as the version before did: no time in the end
-    /// of a job.
-    pub writes_old_form: bool,
-    /// The leader reads no changes.
-    pub reads_paused: bool,
-    /// Once: the leader crashes just before its next transaction.
-    pub crash_before_transaction: bool,
-    /// Once: the leader crashes just after its next transaction.
-    pub crash_after_transaction: bool,
-    /// Since when the controllers behind a partition have not been heard.
-    pub peers_silent_since: Option<Millis>,
-}
-
-impl Default for ControllerSettings {
-    fn default() -> ControllerSettings {
-        ControllerSettings {
-            quotas: TeamQuotas::default(),
-            silent_ms: NEVER_MS,
-            value_bytes_max: usize::MAX,
-            value_bytes_fit: usize::MAX,
-            tasks_per_chunk_fit: u32::MAX,
-            may_reshard: false,
-            writes_old_form: false,
-            reads_paused: false,
-            crash_before_transaction: false,
-            crash_after_transaction: false,
-            peers_silent_since: None,
-        }
-    }
-}
-
 /// A read of the changes that is not answered yet.
 struct PendingRead {
     answered_at: Millis,
@@ -184,28 +118,9 @@
         self.last_peer_renewal = at;
     }
 
-    fn config(&self) -> Config {
-        Config {
-            lease_ms: LEASE_MS,
-            heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
-            gang_peer_s: 8.0,
-            txn_ops: TRANSACTION_WRITES_MAX,
-            value_max: self.settings.value_bytes_max,
-            value_fit: self.settings.value_bytes_fit,
-            chunk_fit: self.settings.tasks_per_chunk_fit,
-            list_lag_ms: 1_000,
-            teams: self.settings.quotas.limits(),
-            objectives: Vec::new(),
-            idle_keep_ms: NEVER_MS,
-            silent_ms: self.settings.silent_ms,
-            max_machines: usize::MAX,
-            use_spot: true,
-        }
-    }
-
     /// Begins a new leadership and reads all records.
     fn lead(&mut self, now: Millis, term: Term, nonce: u64, types: Vec<MachineTypeSpec>, store: &SimulatedStore) {
-        let mut leader = Leader::new(self.config(), term, nonce, now, types);
+        let mut leader = Leader::new(self.settings.leader_config(), term, nonce, now, types);
         self.job_cache = JobCache::default();
         self.job_cache.page(&store.page(records::JOBS), true, &mut self.tables);
         self.job_cache.take_changed();
--- /dev/null
+++ b/tests/simulation/controller_settings.rs
@@ -0,0 +1,96 @@
+//! How the simulated controllers are configured, and what befalls the one that leads.
+
+use shedhook::coordination::{
+    cluster::Config,
+    model::{Millis, TeamLimits},
+};
+
+use super::{HEARTBEAT_INTERVAL_MS, LEASE_MS};
+
+/// Most writes of a transaction.
+pub(super) const TRANSACTION_WRITES_MAX: usize = 8;
+
+/// So long that it never passes in a simulation.
+const NEVER_MS: Millis = 1 << 40;
+
+/// Quotas of the teams in GPUs; "blue" has no guarantee.
+#[derive(Clone, Copy, Default)]
+pub struct TeamQuotas {
+    pub red_gpus_max: Option<f64>,
+    pub blue_gpus_max: Option<f64>,
+    pub red_gpus_guaranteed: Option<f64>,
+}
+
+impl TeamQuotas {
+    fn limits(self) -> Vec<TeamLimits> {
+        let limits = |gpus_max| TeamLimits { gpus_max, ..TeamLimits::default() };
+        vec![TeamLimits { gpus: self.red_gpus_guaranteed, ..limits(self.red_gpus_max) }, limits(self.blue_gpus_max)]
+    }
+}
+
+/// How the controllers are configured, and what befalls the one that leads.
+pub struct ControllerSettings {
+    /// From the next election on.
+    pub quotas: TeamQuotas,
+    /// A machine that is silent for so long is replaced.
+    pub silent_ms: Millis,
+    /// The announced limit of a value in bytes.
+    pub value_bytes_max: usize,
+    /// The size of values that fit later too, in bytes.
+    pub value_bytes_fit: usize,
+    /// Tasks per chunk whose record fits later too.
+    pub tasks_per_chunk_fit: u32,
+    /// All controllers know that jobs can be divided into chunks anew.
+    pub may_reshard: bool,
+    /// The leader writes records as the version before did: no time in the end
+    /// of a job.
+    pub writes_old_form: bool,
+    /// The leader reads no changes.
+    pub reads_paused: bool,
+    /// Once: the leader crashes just before its next transaction.
+    pub crash_before_transaction: bool,
+    /// Once: the leader crashes just after its next transaction.
+    pub crash_after_transaction: bool,
+    /// Since when the controllers behind a partition have not been heard.
+    pub peers_silent_since: Option<Millis>,
+}
+
+impl Default for ControllerSettings {
+    fn default() -> ControllerSettings {
+        ControllerSettings {
+            quotas: TeamQuotas::default(),
+            silent_ms: NEVER_MS,
+            value_bytes_max: usize::MAX,
+            value_bytes_fit: usize::MAX,
+            tasks_per_chunk_fit: u32::MAX,
+            may_reshard: false,
+            writes_old_form: false,
+            reads_paused: false,
+            crash_before_transaction: false,
+            crash_after_transaction: false,
+            peers_silent_since: None,
+        }
+    }
+}
+
+impl ControllerSettings {
+    /// The settings with which a leader begins.
+    pub(super) fn leader_config(&self) -> Config {
+        Config {
+            lease_ms: LEASE_MS,
+            heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
+            gang_peer_s: 8.0,
+            txn_ops: TRANSACTION_WRITES_MAX,
+            value_max: self.value_bytes_max,
+            value_fit: self.value_bytes_fit,
+            chunk_fit: self.tasks_per_chunk_fit,
+            list_lag_ms: 1_000,
+            teams: self.quotas.limits(),
+            objectives: Vec::new(),
+            idle_keep_ms: NEVER_MS,
+            silent_ms: self.silent_ms,
+            max_machines: usize::MAX,
+            use_spot: true,
+        }
+    }
+}
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -13,7 +13,8 @@
 };
 
 use super::{
-    controller::{SimulatedController, TeamQuotas},
+    controller::SimulatedController,
+    controller_settings::TeamQuotas,
     store::SimulatedStore,
     users::{SimulatedUsers, SubmittedJob},
     worker::Worker,
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -15,6 +15,7 @@
 pub mod cloud;
 mod commits;
 mod controller;
+mod controller_settings;
 mod delivery;
 mod effects;
 mod invariants;
