--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -67,7 +67,11 @@
     #[error("{0}")]
     Syntax(String),
     /// `leader_ttl_ms` lies outside the allowed range.
-    #[error("leader_ttl_ms = {0}: must lie between {min} and {max}", min = LEADER_TTL_MS.start(), max = LEADER_TTL_MS.end())]
+    #[error(
+        "leader_ttl_ms = {0}: must lie between {least} and {most}",
+        least = LEADER_TTL_MS.start(),
+        most = LEADER_TTL_MS.end()
+    )]
     LeaderTtl(u32),
 }
 
