--- a/src/coordination/model/machine_type.rs
+++ b/src/coordination/model/machine_type.rs
@@ -1,4 +1,4 @@
-//! Machine types that can be rented.
+//! Machine types that the cloud offers.
 
 use super::Resources;
 use crate::protocol::{
@@ -19,7 +19,7 @@
     pub fetch_gb_per_s: f64,
     /// Price per hour of a machine on demand.
     pub price: f64,
-    /// 0: the type has no spot price of its own.
+    /// Price per hour as a spot machine; 0: the type has no spot price of its own.
     pub spot_price: f64,
     /// Nominal boot time, in seconds.
     pub boot_s: f64,
@@ -28,7 +28,7 @@
 }
 
 impl MachineTypeSpec {
-    /// Price of a machine, on demand or as a spot machine.
+    /// Price per hour of a machine, on demand or as a spot machine.
     pub fn price_of(&self, spot: bool) -> f64 {
         if spot && self.spot_price > 0.0 {
             self.spot_price
--- a/src/coordination/model/resources.rs
+++ b/src/coordination/model/resources.rs
@@ -4,7 +4,8 @@
 
 use crate::protocol::jobs::JobSpec;
 
-/// An amount of each resource that the scheduler accounts for.
+/// An amount of each resource that the scheduler accounts for. Differences may
+/// be negative.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
     /// CPUs.
@@ -25,15 +26,16 @@
         Resources { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
 
-    /// Whether `room` has at least this much of every resource.
-    pub fn fits_in(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + RESOURCE_TOLERANCE
-            && self.gpus <= room.gpus + RESOURCE_TOLERANCE
-            && self.memory_gb <= room.memory_gb + RESOURCE_TOLERANCE
+    /// Whether `available` has at least this much of every resource.
+    pub fn fits_in(&self, available: &Resources) -> bool {
+        self.cpus <= available.cpus + RESOURCE_TOLERANCE
+            && self.gpus <= available.gpus + RESOURCE_TOLERANCE
+            && self.memory_gb <= available.memory_gb + RESOURCE_TOLERANCE
     }
 
-    /// How many times `self` fits into `room`.
-    pub fn times_in(&self, room: &Resources) -> u32 {
+    /// How many times `self` fits into `available`; resources that aren't needed
+    /// don't limit it.
+    pub fn times_in(&self, available: &Resources) -> u32 {
         let of_one_resource = |need: f64, have: f64| {
             if need <= RESOURCE_TOLERANCE {
                 f64::from(u32::MAX)
@@ -41,9 +43,9 @@
                 ((have + RESOURCE_TOLERANCE) / need).floor().max(0.0)
             }
         };
-        of_one_resource(self.cpus, room.cpus)
-            .min(of_one_resource(self.gpus, room.gpus))
-            .min(of_one_resource(self.memory_gb, room.memory_gb)) as u32
+        of_one_resource(self.cpus, available.cpus)
+            .min(of_one_resource(self.gpus, available.gpus))
+            .min(of_one_resource(self.memory_gb, available.memory_gb)) as u32
     }
 
     /// Whether any resource differs from zero.
--- a/src/coordination/model/team.rs
+++ b/src/coordination/model/team.rs
@@ -1,18 +1,18 @@
-//! Guarantees and limits of teams.
+//! Quotas of teams: what is guaranteed to them, and their limits.
 
 use super::{Resources, RESOURCE_TOLERANCE};
 use crate::protocol::jobs::{JobSpec, Kind};
 
-/// A team's guarantee and limit. `None`: none is set.
+/// A team's quota. `None`: no amount is set.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TeamLimits {
-    /// CPUs that are guaranteed.
+    /// Guaranteed CPUs.
     pub cpus: Option<f64>,
-    /// GPUs that are guaranteed.
+    /// Guaranteed GPUs.
     pub gpus: Option<f64>,
-    /// Most CPUs in use at once.
+    /// Most CPUs that the team may use at once.
     pub cpus_max: Option<f64>,
-    /// Most GPUs in use at once.
+    /// Most GPUs that the team may use at once.
     pub gpus_max: Option<f64>,
 }
 
@@ -22,7 +22,8 @@
         self.cpus.is_some() || self.gpus.is_some()
     }
 
-    /// How many more tasks of this kind the limit allows on top of `used`.
+    /// How many more tasks of this job the limit allows on top of `used`;
+    /// `u32::MAX` if nothing limits them.
     pub fn room_for(&self, spec: &JobSpec, used: &Resources) -> u32 {
         let tasks_within = |limit: Option<f64>, used: f64, need: f64| match limit {
             Some(limit) if need > 0.0 => ((limit - used + RESOURCE_TOLERANCE) / need).floor().max(0.0) as u32,
--- a/src/coordination/scheduler/best_effort.rs
+++ b/src/coordination/scheduler/best_effort.rs
@@ -43,7 +43,7 @@
     pub fn new(cluster: &ClusterState, now: Millis) -> BestEffortBudget {
         let (mut free, mut capacity) = (0.0, 0.0);
         for pool in pools_for_arrays(&cluster.snapshot) {
-            free += pool.room.cpus;
+            free += pool.free.cpus;
             capacity += pool.capacity.cpus * pool.members.len() as f64;
         }
         // Guard: where others ask for more than they then use, what is kept for
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -9,7 +9,7 @@
     preemption::{self, SampleCursor},
     queue::is_overdue_unplaced,
     task_selection,
-    trial::{HostFilter, Pick, TrialRequest, Verdict},
+    trial::{HostFilter, TaskPlacement, TrialRequest, Verdict},
 };
 use crate::{
     coordination::{
@@ -104,7 +104,7 @@
         }
         self.record_unmet(index, request.wanted - placed);
         let reservations = self.cluster.snapshot.reservations();
-        self.make_room(index, &request.tasks[placed..]);
+        self.reclaim_capacity(index, &request.tasks[placed..]);
         let reserved_nothing = self.cluster.snapshot.reservations() == reservations;
         let is_overdue_gang = request.spec.kind == Kind::Gang && request.is_overdue;
         if is_overdue_gang && reserved_nothing && self.gang_reservations.may_reserve() {
@@ -170,7 +170,7 @@
         placed
     }
 
-    fn assign(&mut self, job: JobIndex, picks: &[Pick]) {
+    fn assign(&mut self, job: JobIndex, picks: &[TaskPlacement]) {
         let attempt = self.cluster.next_attempt();
         for pick in picks {
             let machine_index = MachineIndex(pick.host as u32);
@@ -198,7 +198,7 @@
 
     /// Reserves the capacity that tasks being stopped will leave for tasks that
     /// don't fit now, or preempts others for them.
-    fn make_room(&mut self, index: JobIndex, tasks: &[u32]) {
+    fn reclaim_capacity(&mut self, index: JobIndex, tasks: &[u32]) {
         let Some(job) = self.cluster.job(index) else { return };
         if tasks.is_empty() || !preemption::may_preempt(self.now, job) {
             return;
@@ -230,7 +230,7 @@
         let Some(job) = self.cluster.job(index) else { return 0 };
         let spec = job.spec.clone();
         let zone_used = job.tasks.zone_used.clone();
-        if !self.cluster.snapshot.anything_stops() || self.infeasible.is_infeasible_later(&spec) {
+        if !self.cluster.snapshot.has_stopping_tasks() || self.infeasible.is_infeasible_later(&spec) {
             return 0;
         }
         let min = min_tasks(&spec, tasks.len());
@@ -255,7 +255,7 @@
         }
     }
 
-    fn reserve(&mut self, spec: &JobSpec, picks: &[Pick]) {
+    fn reserve(&mut self, spec: &JobSpec, picks: &[TaskPlacement]) {
         for pick in picks {
             self.cluster.snapshot.reserve(pick.host, Resources::of(spec), Resources::default());
         }
--- /dev/null
+++ b/src/coordination/scheduler/trial/tree.rs
@@ -0,0 +1,239 @@
+//! The walk over a job's tree.
+
+use std::cmp::Reverse;
+
+use super::{
+    score::{host_score, zone_score},
+    HostFilter, TaskPlacement, TrialRequest, TrialResult, Verdict,
+};
+use crate::{
+    coordination::{
+        model::{MachineIndex, Resources},
+        snapshot::{ClusterSnapshot, Host},
+    },
+    protocol::{jobs::Kind, names::ZoneIndex},
+};
+
+/// Tasks of one shape that a pool's capacity is counted up to.
+const TASK_COUNT_LIMIT: u32 = 1_000_000;
+
+impl ClusterSnapshot {
+    /// Tries to place a job's whole tree, and leaves the snapshot as it was: the
+    /// caller turns what was found into assignments, or reserves it.
+    pub fn trial(&mut self, request: &TrialRequest<'_>) -> TrialResult {
+        let mut trial = Trial { snapshot: self, request };
+        let outcome = trial.try_root();
+        trial.forget_all(&outcome.picks);
+        outcome
+    }
+}
+
+/// A trial in progress.
+struct Trial<'a> {
+    snapshot: &'a mut ClusterSnapshot,
+    request: &'a TrialRequest<'a>,
+}
+
+/// A machine and its score.
+#[derive(Clone, Copy)]
+struct ScoredHost {
+    score: f64,
+    host: usize,
+}
+
+/// What was found in a zone, and its score.
+struct ScoredOutcome {
+    score: f64,
+    outcome: TrialResult,
+}
+
+/// A zone and how many tasks of the job fit there.
+struct ZoneCapacity {
+    zone: ZoneIndex,
+    tasks: u32,
+}
+
+impl Trial<'_> {
+    fn try_root(&mut self) -> TrialResult {
+        if self.request.spec.one_zone {
+            self.try_one_zone()
+        } else if self.request.spec.spread {
+            self.try_spread()
+        } else {
+            self.try_tasks(self.request.tasks, self.request.min, None)
+        }
+    }
+
+    /// A node whose children are tasks. They are alike, so the first that
+    /// doesn't fit speaks for the rest, and a machine that was best for one
+    /// takes as many as fit. None of them is unresolvable: preemption may make
+    /// each fit. On success the picks stay assumed.
+    fn try_tasks(&mut self, tasks: &[u32], min: usize, zone: Option<ZoneIndex>) -> TrialResult {
+        let mut picks: Vec<TaskPlacement> = Vec::new();
+        let mut preemptable = 0;
+        for (position, &task) in tasks.iter().enumerate() {
+            let same = picks.last().map(|pick| pick.host).filter(|&host| self.takes_another(host));
+            match same.or_else(|| self.best_host(zone)) {
+                Some(host) => {
+                    self.snapshot.assume(host, self.request.spec);
+                    picks.push(TaskPlacement { task, host });
+                }
+                None => {
+                    preemptable = tasks.len() - position;
+                    break;
+                }
+            }
+        }
+        self.judge_picks(picks, min, preemptable)
+    }
+
+    /// A node with one child per candidate zone; the feasible one with the
+    /// highest score wins.
+    fn try_one_zone(&mut self) -> TrialResult {
+        let zone_used = self.request.zone_used;
+        let used_zone = zone_used.iter().position(|&tasks| tasks > 0).map(|zone| ZoneIndex(zone as u32));
+        let candidates = match used_zone {
+            Some(zone) => vec![zone],
+            None => self.zones_by_capacity(),
+        };
+        let used = used_zone.map_or(0, |zone| zone_used[zone.at()] as usize);
+        let limit = (self.request.spec.zone_cap() as usize).saturating_sub(used);
+        let tasks = &self.request.tasks[..self.request.tasks.len().min(limit)];
+        let mut best: Option<ScoredOutcome> = None;
+        let mut verdict = Verdict::Unschedulable;
+        for zone in candidates {
+            let outcome = self.try_tasks(tasks, self.request.min, Some(zone));
+            if outcome.verdict != Verdict::Success {
+                verdict = outcome.verdict;
+                continue;
+            }
+            let score = self.score_of(&outcome.picks);
+            self.forget_all(&outcome.picks);
+            if best.as_ref().is_none_or(|best| score > best.score) {
+                best = Some(ScoredOutcome { score, outcome });
+            }
+        }
+        let Some(ScoredOutcome { outcome, .. }) = best else {
+            return TrialResult { verdict, picks: Vec::new() };
+        };
+        for pick in &outcome.picks {
+            self.snapshot.assume(pick.host, self.request.spec);
+        }
+        outcome
+    }
+
+    /// A node with one child per zone, the one with the most capacity first;
+    /// each takes at most what the spread rule allows in a zone.
+    fn try_spread(&mut self) -> TrialResult {
+        let request = self.request;
+        let zones = self.zones_by_capacity();
+        let limits: Vec<usize> = zones.iter().map(|&zone| spread_limit(request, zone)).collect();
+        let all_or_nothing = request.min == request.tasks.len();
+        let mut picks: Vec<TaskPlacement> = Vec::new();
+        let mut rest = request.tasks;
+        let mut preemptable = 0;
+        for (position, zone) in zones.iter().enumerate() {
+            let part = &rest[..rest.len().min(limits[position])];
+            if part.is_empty() {
+                continue;
+            }
+            // What later zones can't take must be placed here.
+            let later: usize = limits[position + 1..].iter().sum();
+            let min = if all_or_nothing { rest.len().saturating_sub(later).min(part.len()) } else { 1 };
+            let outcome = self.try_tasks(part, min, Some(*zone));
+            if outcome.verdict != Verdict::Success {
+                preemptable += part.len();
+                continue;
+            }
+            // What doesn't fit here moves on to the next zone.
+            rest = &rest[outcome.picks.len()..];
+            picks.extend(outcome.picks);
+        }
+        self.judge_picks(picks, request.min, preemptable.max(rest.len()))
+    }
+
+    /// Judges a node by what was placed; what a failed one assumed is forgotten.
+    fn judge_picks(&mut self, mut picks: Vec<TaskPlacement>, min: usize, preemptable: usize) -> TrialResult {
+        let verdict = Verdict::from_counts(min, picks.len(), 0, preemptable);
+        if verdict != Verdict::Success {
+            self.forget_all(&picks);
+            picks.clear();
+        }
+        TrialResult { verdict, picks }
+    }
+
+    /// Forgets assumed picks, the last one first.
+    fn forget_all(&mut self, picks: &[TaskPlacement]) {
+        for pick in picks.iter().rev() {
+            self.snapshot.forget(pick.host, self.request.spec);
+        }
+    }
+
+    /// The feasible machine with the highest score.
+    fn best_host(&mut self, zone: Option<ZoneIndex>) -> Option<usize> {
+        let request = self.request;
+        let mut best: Option<ScoredHost> = None;
+        let examined = self.snapshot.candidates(request.spec, zone, request.room, |host_index, host, pool| {
+            if !is_eligible(request, host_index, host) {
+                return;
+            }
+            let score = host_score(pool, host, request.spec);
+            if best.is_none_or(|best| score > best.score) {
+                best = Some(ScoredHost { score, host: host_index });
+            }
+        });
+        self.snapshot.looked += examined;
+        best.map(|best| best.host)
+    }
+
+    /// Whether the machine that the job's last task took takes one more of them.
+    fn takes_another(&self, host_index: usize) -> bool {
+        let spec = self.request.spec;
+        let host = &self.snapshot.hosts[host_index];
+        spec.kind != Kind::Service
+            && Resources::of(spec).fits_in(&host.room(self.request.room))
+            && host.pool.is_some_and(|pool| self.snapshot.pools[pool].host_allows(host, spec))
+    }
+
+    /// Zones with machines that the job may use, those with the most free
+    /// capacity first.
+    fn zones_by_capacity(&self) -> Vec<ZoneIndex> {
+        let spec = self.request.spec;
+        let need = Resources::of(spec);
+        let mut zones: Vec<ZoneCapacity> = Vec::new();
+        for pool in self.snapshot.pools.iter().filter(|pool| !pool.members.is_empty() && pool.allows(spec)) {
+            let tasks = need.times_in(&pool.free).min(TASK_COUNT_LIMIT);
+            match zones.iter_mut().find(|known| known.zone == pool.zone) {
+                Some(known) => known.tasks += tasks,
+                None => zones.push(ZoneCapacity { zone: pool.zone, tasks }),
+            }
+        }
+        zones.sort_by_key(|capacity| (Reverse(capacity.tasks), capacity.zone));
+        zones.into_iter().map(|capacity| capacity.zone).collect()
+    }
+
+    /// Score of the zone in which these picks are assumed.
+    fn score_of(&self, picks: &[TaskPlacement]) -> f64 {
+        let score_of_pick = |pick: &TaskPlacement| {
+            let host = &self.snapshot.hosts[pick.host];
+            host.pool.map_or(0.0, |pool| host_score(&self.snapshot.pools[pool], host, self.request.spec))
+        };
+        zone_score(picks.iter().map(score_of_pick))
+    }
+}
+
+/// Whether the request allows a machine, capacity aside.
+fn is_eligible(request: &TrialRequest<'_>, host_index: usize, host: &Host) -> bool {
+    let is_avoided = request.avoid.contains(&MachineIndex(host_index as u32));
+    let passes_filter = match request.hosts {
+        HostFilter::Any => true,
+        HostFilter::BusyOnly => host.assignments > 0 && !host.gpu_only,
+    };
+    passes_filter && !is_avoided
+}
+
+/// How many more of the job's tasks the spread rule allows in a zone.
+fn spread_limit(request: &TrialRequest<'_>, zone: ZoneIndex) -> usize {
+    let used = request.zone_used.get(zone.at()).copied().unwrap_or(0);
+    request.spec.zone_cap().saturating_sub(used) as usize
+}
--- a/src/coordination/snapshot/host.rs
+++ b/src/coordination/snapshot/host.rs
@@ -1,4 +1,4 @@
-//! One machine as a trial sees it.
+//! One machine's capacity and what uses it.
 
 use crate::{
     coordination::model::Resources,
@@ -15,32 +15,32 @@
     pub gb: f64,
 }
 
-/// One machine as a trial sees it.
+/// One machine's capacity and what uses it.
 #[derive(Debug, Clone, Default)]
 pub struct Host {
     /// Index of its pool. `None`: not up, or of an unknown type.
     pub pool: Option<usize>,
-    /// May take new tasks at all.
+    /// Whether it may take new tasks at all.
     pub open: bool,
-    /// Takes GPU work only, so that it becomes empty when there is none.
+    /// Whether it takes GPU work only, so that it becomes empty when there is none.
     pub gpu_only: bool,
     /// Tasks assigned to it.
     pub assignments: u32,
-    /// Free room for new tasks.
+    /// Free for new tasks.
     pub free: Resources,
-    /// What tasks that are being stopped will leave.
+    /// What the tasks that are being stopped will free.
     pub soon: Resources,
-    /// In use by tasks that are not being stopped, by priority.
+    /// Used by tasks that are not being stopped, by priority.
     pub low: [Resources; 4],
     /// Images it holds or fetches, most recent last.
     pub images: Vec<CachedImage>,
     /// Service replicas on it: a machine that dies takes them all.
     pub services: u32,
-    /// Used by tasks that are not stopped for others.
-    pub fixed: Resources,
+    /// Used by CPU work that [can't be preempted well](is_costly_to_preempt).
+    pub used_by_costly_to_preempt: Resources,
 }
 
-/// Which of a machine's room counts.
+/// Which of a machine's capacity counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoomKind {
     /// What is free now.
@@ -59,7 +59,7 @@
 }
 
 impl Host {
-    /// The machine's room of this kind.
+    /// The machine's capacity of this kind.
     pub fn room(&self, kind: RoomKind) -> Resources {
         match kind {
             RoomKind::Free => self.free,
@@ -72,8 +72,8 @@
         self.images.iter().any(|cached| cached.image == image)
     }
 
-    /// Notes that an image was fetched or used, and forgets those that the
-    /// cache preempted for it, least recently used first.
+    /// Records that an image was fetched or used, and drops those that the cache
+    /// evicted for it, least recently used first.
     pub fn note_image(&mut self, image: ImageIndex, gb: f64, cache_gb: f64) {
         if self.images.last().is_some_and(|cached| cached.image == image) {
             return;
@@ -100,15 +100,14 @@
                 LoadChange::Removed => self.services.saturating_sub(1),
             };
         }
-        if is_fixed(spec) && spec.gpus <= 0.0 {
-            self.fixed += need;
+        if is_costly_to_preempt(spec) && spec.gpus <= 0.0 {
+            self.used_by_costly_to_preempt += need;
         }
     }
 }
 
-/// Whether the job's tasks are not stopped for others, or only at the loss of
-/// all they did.
-pub fn is_fixed(spec: &JobSpec) -> bool {
+/// Whether the job's tasks are not preempted, or only at the loss of all they did.
+pub fn is_costly_to_preempt(spec: &JobSpec) -> bool {
     spec.priority == Priority::Production || spec.checkpoint_s <= 0.0
 }
 
--- a/src/coordination/snapshot/mod.rs
+++ b/src/coordination/snapshot/mod.rs
@@ -1,8 +1,10 @@
-//! The snapshot of the machines that trials are made on.
+//! The cluster snapshot: the machines' capacity, on which placements are tried.
 //!
 //! It is kept up to date as assignments come and go, and indexed by machine
-//! type, zone and free room, so that a search looks at a few machines and not
-//! at all of them.
+//! type, zone and free capacity, so that a search examines a few machines and
+//! not all of them. A trial assumes tasks on it and forgets them again;
+//! [`ClusterSnapshot::reserve`] keeps capacity for a job until the end of a
+//! scheduling cycle.
 
 mod host;
 mod pool;
@@ -13,7 +15,7 @@
 
 use self::reservations::Reservation;
 pub use self::{
-    host::{is_fixed, Host, LoadChange, RoomKind},
+    host::{Host, LoadChange, RoomKind},
     pool::Pool,
     search::LOOK,
 };
@@ -23,7 +25,7 @@
     names::{MachineTypeIndex, ZoneIndex},
 };
 
-/// All machines as trials see them, grouped into pools of machines that are alike.
+/// The capacity of all machines, grouped into pools of machines that are alike.
 #[derive(Debug, Default)]
 pub struct ClusterSnapshot {
     /// One entry per machine, at the machine's index.
@@ -31,9 +33,9 @@
     /// The pools, in the order in which they were first needed.
     pub pools: Vec<Pool>,
     /// Machines on which something is being stopped.
-    stopping: BTreeSet<u32>,
+    stopping_hosts: BTreeSet<u32>,
     reservations: Vec<Reservation>,
-    /// Machines looked at so far: the measure of a search's work.
+    /// Machines examined so far: the measure of a search's work.
     pub looked: u64,
 }
 
@@ -61,7 +63,7 @@
         self.pools.len() - 1
     }
 
-    /// Takes over changed machine types: prices change; capacities may, in principle.
+    /// Applies changed machine types: prices change; capacities may, in principle.
     pub fn types_changed(&mut self, types: &[MachineTypeSpec]) {
         for pool_index in 0..self.pools.len() {
             let pool = &mut self.pools[pool_index];
@@ -71,12 +73,12 @@
             pool.fetch_gb_per_s = machine_type.fetch_gb_per_s;
             pool.cache_gb = machine_type.cache_gb;
             if growth != Resources::default() {
-                self.grow_pool(pool_index, machine_type.capacity, growth);
+                self.change_pool_capacity(pool_index, machine_type.capacity, growth);
             }
         }
     }
 
-    fn grow_pool(&mut self, pool_index: usize, capacity: Resources, growth: Resources) {
+    fn change_pool_capacity(&mut self, pool_index: usize, capacity: Resources, growth: Resources) {
         let members: Vec<u32> = self.pools[pool_index].members.iter().copied().collect();
         for &host in &members {
             self.unindex(host as usize);
@@ -88,22 +90,24 @@
         }
     }
 
+    /// Removes a machine from the indices, as it must be before it changes.
     fn unindex(&mut self, host_index: usize) {
         let host = &self.hosts[host_index];
         let Some(pool) = host.pool else { return };
         if host.open {
             self.pools[pool].unindex(host_index as u32, &host.free);
         }
-        self.stopping.remove(&(host_index as u32));
+        self.stopping_hosts.remove(&(host_index as u32));
     }
 
+    /// Adds a machine to the indices.
     fn index(&mut self, host_index: usize) {
         let host = &self.hosts[host_index];
         let Some(pool) = host.pool else { return };
         if host.open {
             self.pools[pool].index(host_index as u32, &host.free);
             if host.soon.any() {
-                self.stopping.insert(host_index as u32);
+                self.stopping_hosts.insert(host_index as u32);
             }
         }
     }
@@ -118,8 +122,7 @@
         self.index(host_index);
     }
 
-    /// The machine now belongs to this pool, or to none. What is assigned to it
-    /// stays assigned.
+    /// Moves a machine to this pool, or to none. Its assignments stay.
     pub fn move_to(&mut self, host_index: usize, pool: Option<usize>) {
         if self.hosts.get(host_index).map_or(pool.is_none(), |host| host.pool == pool) {
             return;
@@ -160,12 +163,13 @@
         });
     }
 
-    /// An assignment to the machine was released; `halted`: it was being stopped.
-    pub fn give(&mut self, host_index: usize, spec: &JobSpec, halted: bool) {
+    /// An assignment to the machine was released; `was_stopping`: its task was
+    /// being stopped.
+    pub fn give(&mut self, host_index: usize, spec: &JobSpec, was_stopping: bool) {
         self.change(host_index, |host| {
             host.assignments -= 1;
             host.account(spec, LoadChange::Removed);
-            if halted {
+            if was_stopping {
                 host.soon -= Resources::of(spec);
             } else {
                 host.low[spec.priority as usize] -= Resources::of(spec);
@@ -181,18 +185,18 @@
         });
     }
 
-    /// For a trial: accounts for a task as if it were on the machine.
+    /// Accounts for a task as if it were on the machine, until it is forgotten.
     pub fn assume(&mut self, host_index: usize, spec: &JobSpec) {
         self.change(host_index, |host| host.account(spec, LoadChange::Added));
     }
 
-    /// Takes back what a trial assumed.
-    pub fn revert(&mut self, host_index: usize, spec: &JobSpec) {
+    /// Takes back an assumed task.
+    pub fn forget(&mut self, host_index: usize, spec: &JobSpec) {
         self.change(host_index, |host| host.account(spec, LoadChange::Removed));
     }
 
     /// Whether a task is being stopped on any machine.
-    pub fn anything_stops(&self) -> bool {
-        !self.stopping.is_empty()
+    pub fn has_stopping_tasks(&self) -> bool {
+        !self.stopping_hosts.is_empty()
     }
 }
--- a/src/coordination/snapshot/pool.rs
+++ b/src/coordination/snapshot/pool.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::host::{is_fixed, Host};
+use super::host::{is_costly_to_preempt, Host};
 use crate::{
     coordination::model::{MachineTypeSpec, Resources},
     protocol::{
@@ -12,7 +12,7 @@
 };
 
 /// Steps into which the index divides a machine's share of free CPUs and memory.
-const ROOM_STEPS: f64 = 1e4;
+const SHARE_STEPS: f64 = 1e4;
 /// Steps into which the index divides one GPU.
 const GPU_STEPS: f64 = 100.0;
 /// Added before an index key is cut to a whole number, so that a rounding
@@ -43,17 +43,17 @@
     pub fetch_gb_per_s: f64,
     /// Price per hour of one machine.
     pub price: f64,
-    /// What recent GPU work that these machines could run asked for: tasks
-    /// that can't be stopped for such work must leave that much.
-    pub guard: Option<Resources>,
+    /// What recent GPU work that these machines could run asked for: tasks that
+    /// are costly to preempt must leave that much free.
+    pub protected_for_gpu_work: Option<Resources>,
     /// The machines of the pool, by their index.
     pub members: BTreeSet<u32>,
-    /// Open machines with room, by the free share of the scarcer of CPUs and memory.
-    by_room: BTreeSet<IndexEntry>,
+    /// Open machines with free capacity, by the free share of the scarcer of CPUs and memory.
+    by_free_share: BTreeSet<IndexEntry>,
     /// Open machines with free GPUs, by their number.
     by_gpus: BTreeSet<IndexEntry>,
-    /// Room on all open machines together.
-    pub room: Resources,
+    /// Free on all open machines together.
+    pub free: Resources,
 }
 
 impl Pool {
@@ -66,18 +66,18 @@
             cache_gb: machine_type.cache_gb,
             fetch_gb_per_s: machine_type.fetch_gb_per_s,
             price: machine_type.price_of(spot),
-            guard: None,
+            protected_for_gpu_work: None,
             members: BTreeSet::new(),
-            by_room: BTreeSet::new(),
+            by_free_share: BTreeSet::new(),
             by_gpus: BTreeSet::new(),
-            room: Resources::default(),
+            free: Resources::default(),
         }
     }
 
-    fn room_key(&self, free: &Resources) -> u32 {
+    fn share_key(&self, free: &Resources) -> u32 {
         let share = |have: f64, capacity: f64| if capacity > 0.0 { (have / capacity).clamp(0.0, 1.0) } else { 1.0 };
         let scarcer = share(free.cpus, self.capacity.cpus).min(share(free.memory_gb, self.capacity.memory_gb));
-        (scarcer * ROOM_STEPS + KEY_TOLERANCE) as u32
+        (scarcer * SHARE_STEPS + KEY_TOLERANCE) as u32
     }
 
     fn gpu_key(free: &Resources) -> u32 {
@@ -85,26 +85,26 @@
     }
 
     pub(in crate::coordination) fn index(&mut self, host: u32, free: &Resources) {
-        let room_key = self.room_key(free);
+        let share_key = self.share_key(free);
         let gpu_key = Pool::gpu_key(free);
-        if room_key > 0 {
-            self.by_room.insert(IndexEntry { key: room_key, host });
+        if share_key > 0 {
+            self.by_free_share.insert(IndexEntry { key: share_key, host });
         }
         if gpu_key > 0 {
             self.by_gpus.insert(IndexEntry { key: gpu_key, host });
         }
-        self.room += free.max0();
+        self.free += free.max0();
     }
 
     pub(in crate::coordination) fn unindex(&mut self, host: u32, free: &Resources) {
-        let room_key = self.room_key(free);
-        self.by_room.remove(&IndexEntry { key: room_key, host });
+        let share_key = self.share_key(free);
+        self.by_free_share.remove(&IndexEntry { key: share_key, host });
         self.by_gpus.remove(&IndexEntry { key: Pool::gpu_key(free), host });
-        self.room -= free.max0();
+        self.free -= free.max0();
     }
 
-    /// Open machines that may have room for `need`, those with the least first.
-    pub(in crate::coordination) fn hosts_with_room(
+    /// Open machines that `need` may fit on, those with the least free capacity first.
+    pub(in crate::coordination) fn hosts_that_may_fit(
         &self,
         need: &Resources,
         needs_gpus: bool,
@@ -115,7 +115,7 @@
             // Whatever fits has at least the smaller of the two shares free.
             let share = |need: f64, capacity: f64| if capacity > 0.0 { need / capacity } else { 1.0 };
             let smaller = share(need.cpus, self.capacity.cpus).min(share(need.memory_gb, self.capacity.memory_gb));
-            (&self.by_room, (smaller * ROOM_STEPS) as u32)
+            (&self.by_free_share, (smaller * SHARE_STEPS) as u32)
         };
         index.range(IndexEntry { key: least_key, host: 0 }..).map(|entry| entry.host as usize)
     }
@@ -129,17 +129,19 @@
     }
 
     /// Guard: a replica that stays for hours on a few CPUs of a machine with
-    /// GPUs would keep all GPU work off it, and tasks that can't save would be
-    /// stopped for that work at the loss of all they did.
-    fn takes_guarded_room(&self, host: &Host, spec: &JobSpec) -> bool {
+    /// GPUs would keep all GPU work off it, and tasks without checkpoints would be
+    /// preempted for that work at the loss of all they did.
+    fn blocks_gpu_work(&self, host: &Host, spec: &JobSpec) -> bool {
         let need = Resources::of(spec);
         need.gpus <= 0.0
-            && is_fixed(spec)
-            && self.guard.is_some_and(|guard| !(guard + need + host.fixed).fits_in(&self.capacity))
+            && is_costly_to_preempt(spec)
+            && self
+                .protected_for_gpu_work
+                .is_some_and(|protected| !(protected + need + host.used_by_costly_to_preempt).fits_in(&self.capacity))
     }
 
-    /// Whether this machine takes new tasks of this job, room aside.
+    /// Whether this machine takes new tasks of this job, free capacity aside.
     pub fn host_allows(&self, host: &Host, spec: &JobSpec) -> bool {
-        host.open && !(host.gpu_only && spec.gpus <= 0.0) && !self.takes_guarded_room(host, spec)
+        host.open && !(host.gpu_only && spec.gpus <= 0.0) && !self.blocks_gpu_work(host, spec)
     }
 }
--- a/src/coordination/snapshot/reservations.rs
+++ b/src/coordination/snapshot/reservations.rs
@@ -1,9 +1,9 @@
-//! Room that is reserved until the end of a scheduling cycle.
+//! Capacity that is reserved until the end of a scheduling cycle.
 
 use super::ClusterSnapshot;
 use crate::coordination::model::Resources;
 
-/// Room reserved on one machine, taken off what is free and off what will be.
+/// Capacity reserved on one machine, taken off what is free and off what will be.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::coordination) struct Reservation {
     host: usize,
@@ -12,7 +12,7 @@
 }
 
 impl ClusterSnapshot {
-    /// Reserves room until it is released: first what is about to be free, then
+    /// Reserves capacity until it is released: first what is about to be free, then
     /// what is free now, so that no later job takes it. `also_freed`: what else
     /// is about to be free there.
     pub fn reserve(&mut self, host_index: usize, need: Resources, also_freed: Resources) {
--- a/src/coordination/snapshot/search.rs
+++ b/src/coordination/snapshot/search.rs
@@ -6,14 +6,15 @@
     protocol::{jobs::JobSpec, names::ZoneIndex},
 };
 
-/// Machines of one pool looked at for one task, at most.
+/// Most machines of one pool examined for one task.
 pub const LOOK: usize = 192;
-/// Machines on which something is being stopped looked at for one task, at most.
-const LOOK_STOPPING: usize = 2 * LOOK;
+/// Most machines with tasks being stopped examined for one task.
+const STOPPING_HOSTS_EXAMINED_MAX: usize = 2 * LOOK;
 
 impl ClusterSnapshot {
-    /// Shows machines that a task may fit on, those with the least room first,
-    /// at most [`LOOK`] of each pool, and returns how many were looked at.
+    /// Visits the machines on which a task fits, those with the least free
+    /// capacity first, among at most [`LOOK`] of each pool, and returns how many
+    /// were examined.
     pub fn candidates(
         &self,
         spec: &JobSpec,
@@ -23,13 +24,13 @@
     ) -> u64 {
         let need = Resources::of(spec);
         let needs_gpus = need.gpus > RESOURCE_TOLERANCE;
-        let mut looked = 0;
+        let mut examined = 0;
         for pool in &self.pools {
             if zone.is_some_and(|zone| zone != pool.zone) || !pool.allows(spec) {
                 continue;
             }
-            for host_index in pool.hosts_with_room(&need, needs_gpus).take(LOOK) {
-                looked += 1;
+            for host_index in pool.hosts_that_may_fit(&need, needs_gpus).take(LOOK) {
+                examined += 1;
                 let host = &self.hosts[host_index];
                 if pool.host_allows(host, spec) && need.fits_in(&host.free) {
                     visit(host_index, host, pool);
@@ -37,12 +38,12 @@
             }
         }
         if room == RoomKind::FreeOrStopping {
-            looked += self.candidates_with_stopping(spec, zone, visit);
+            examined += self.candidates_with_stopping(spec, zone, visit);
         }
-        looked
+        examined
     }
 
-    /// Shows machines with room for a task once what is being stopped is gone.
+    /// Visits the machines on which a task fits once what is being stopped is gone.
     fn candidates_with_stopping(
         &self,
         spec: &JobSpec,
@@ -50,9 +51,9 @@
         mut visit: impl FnMut(usize, &Host, &Pool),
     ) -> u64 {
         let need = Resources::of(spec);
-        let mut looked = 0;
-        for &host_index in self.stopping.iter().take(LOOK_STOPPING) {
-            looked += 1;
+        let mut examined = 0;
+        for &host_index in self.stopping_hosts.iter().take(STOPPING_HOSTS_EXAMINED_MAX) {
+            examined += 1;
             let host = &self.hosts[host_index as usize];
             let Some(pool) = host.pool.map(|pool| &self.pools[pool]) else { continue };
             if zone.is_none_or(|zone| zone == pool.zone)
@@ -63,7 +64,7 @@
                 visit(host_index as usize, host, pool);
             }
         }
-        looked
+        examined
     }
 
     /// A sample of the machines this job may use, whatever is on them: at most
--- a/src/coordination/tests/trial.rs
+++ b/src/coordination/tests/trial.rs
@@ -1,7 +1,13 @@
 use super::*;
 use crate::{
-    coordination::model::{tests::spec, MachineTypeSpec},
-    protocol::{jobs::Priority, names::MachineTypeIndex},
+    coordination::{
+        model::{tests::spec, MachineTypeSpec, Resources},
+        snapshot::ClusterSnapshot,
+    },
+    protocol::{
+        jobs::{Kind, Priority},
+        names::{MachineTypeIndex, ZoneIndex},
+    },
 };
 
 /// A machine of a case: zone, CPUs, GPUs, spot, what GPU work needs there.
@@ -22,7 +28,7 @@
             zones: vec![ZoneIndex(zone)],
         };
         let pool = p.pool_of(&t, ZoneIndex(zone), spot);
-        p.pools[pool].guard = guard;
+        p.pools[pool].protected_for_gpu_work = guard;
         p.move_to(n, Some(pool));
         p.set_open(n, true, false);
     }
@@ -44,7 +50,7 @@
         (5, 1, 1, 2, Unresolvable),
     ];
     for (m, s, r, u, want) in cases {
-        assert_eq!(judge(m, s, r, u), want, "M={m} S={s} R={r} U={u}");
+        assert_eq!(Verdict::from_counts(m, s, r, u), want, "M={m} S={s} R={r} U={u}");
     }
 }
 
