--- a/src/coordination/cluster/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -178,6 +178,22 @@
         self.machines[index.at()].commands.unreaped_exits.clear();
     }
 
+    /// Has the machines of those of the assignments that are `wanted` looked at,
+    /// for commands to be sent.
+    pub(in crate::coordination) fn schedule_dispatch(
+        &mut self,
+        now: Millis,
+        assignments: Vec<AssignmentIndex>,
+        wanted: impl Fn(&Assignment) -> bool,
+    ) {
+        for index in assignments {
+            let Some(assignment) = self.assignments.get(index) else { continue };
+            if wanted(assignment) {
+                self.dispatch_queue.schedule(now, assignment.machine);
+            }
+        }
+    }
+
     /// Whether a command with the assignment's launch is unanswered.
     pub fn in_flight_launch(&self, assignment: &Assignment) -> bool {
         let call = &self.machines[assignment.machine.at()].commands.direct_call;
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -172,6 +172,16 @@
         self.dispatch_queue.schedule(now, machine);
     }
 
+    /// Notes which jobs have changes that wait to be written.
+    pub(in crate::coordination) fn note_unwritten_changes(&mut self, now: Millis) {
+        for &index in &self.active {
+            let Some(job) = self.jobs.get_mut(index.at()).and_then(Option::as_mut) else { continue };
+            if job.records.unwritten_since.is_none() && job.has_unwritten_changes() {
+                job.records.unwritten_since = Some(now);
+            }
+        }
+    }
+
     /// Forgets a job that is over and has no assignments; its records are dropped.
     pub(in crate::coordination) fn remove_if_finished(&mut self, index: JobIndex) {
         let Some(job) = self.job(index) else { return };
--- /dev/null
+++ b/src/coordination/commits/job_records.rs
@@ -0,0 +1,142 @@
+//! Adds the records of jobs to a transaction.
+
+use std::ops::Range;
+
+use ciborium::Value;
+
+use super::{
+    in_flight::{TxnTag, WrittenChunk},
+    txn_builder::{OversizedChunk, TxnBuilder},
+    write_priority::WritePriority,
+};
+use crate::{
+    coordination::{
+        cluster::ClusterState,
+        model::{Assignment, Chunk, Job, Millis, Slot},
+    },
+    protocol::{jobs::Submission, names::Tables},
+    storage::records::{self, AssignmentRecord, ChunkRecord, JobRecord, JobStatus},
+};
+
+/// Writes the records of jobs as the cluster state wants them.
+pub struct JobRecordWriter<'a> {
+    /// The state that is to be written.
+    pub cluster: &'a ClusterState,
+    /// Names of what the cluster state refers to by index.
+    pub tables: &'a Tables,
+    /// The present moment on the steady clock.
+    pub now: Millis,
+    /// The present time of day, in ms since the Unix epoch.
+    pub wall_ms: u64,
+    /// There is budget for more than what is urgent.
+    pub has_spare: bool,
+}
+
+impl JobRecordWriter<'_> {
+    /// Adds the records that are due, the most urgent first, until the
+    /// transaction is full.
+    pub fn add_due_jobs(&self, builder: &mut TxnBuilder) {
+        for (priority, job) in self.due_jobs() {
+            if builder.is_full() {
+                break;
+            }
+            let is_written = if priority == WritePriority::CompletedJob {
+                self.add_completed_job(job, builder);
+                true
+            } else {
+                self.add_due_chunks(job, priority, builder)
+            };
+            if is_written {
+                builder.require(records::job_key(&job.id), job.records.revision);
+            }
+        }
+    }
+
+    /// Jobs with records that are due, in the order in which they are written.
+    fn due_jobs(&self) -> Vec<(WritePriority, &Job)> {
+        let with_priority = |job| Some((WritePriority::of(job, self.now, self.has_spare)?, job));
+        let mut due: Vec<(WritePriority, &Job)> = self.cluster.active_jobs().filter_map(with_priority).collect();
+        due.sort_unstable_by_key(|(priority, job)| (*priority, job.wait.since, job.index));
+        due
+    }
+
+    fn add_completed_job(&self, job: &Job, builder: &mut TxnBuilder) {
+        let submission = Submission { tasks: Some(f64::from(job.spec.tasks)), ..Submission::default() };
+        // The next leader counts from here how long its dependents have waited.
+        let at_ms = self.wall_ms;
+        let record = JobRecord { submission, status: JobStatus::Done, at_ms, chunk: job.records.chunk_size };
+        let value = records::to_value(&record);
+        let bytes = records::json_size(&value);
+        builder.put(records::job_key(&job.id), value, bytes);
+        builder.contents.completed_jobs.push(job.index);
+    }
+
+    /// Adds the job's chunks that are due. Returns whether any was added.
+    fn add_due_chunks(&self, job: &Job, priority: WritePriority, builder: &mut TxnBuilder) -> bool {
+        let due = self.due_chunks(job, priority);
+        // A job is split only if it alone is more than a transaction takes.
+        if !builder.takes_whole(due.len()) {
+            return false;
+        }
+        let ops_left = builder.ops_left();
+        let mut is_written = false;
+        for chunk in due.into_iter().take(ops_left) {
+            if builder.has_reached_byte_limit() {
+                break;
+            }
+            is_written |= self.add_chunk(job, chunk, builder);
+        }
+        is_written
+    }
+
+    fn due_chunks(&self, job: &Job, priority: WritePriority) -> Vec<usize> {
+        let is_due = |chunk: &Chunk| {
+            let is_wanted = chunk.has_unwritten_placement() || (priority == WritePriority::Exits && chunk.is_dirty());
+            self.now >= chunk.retry_at && is_wanted
+        };
+        let chunks = job.records.chunks.iter().enumerate();
+        chunks.filter(|(_, chunk)| is_due(chunk)).map(|(index, _)| index).collect()
+    }
+
+    /// Adds one chunk. Returns whether it was added: it may be too large.
+    fn add_chunk(&self, job: &Job, chunk: usize, builder: &mut TxnBuilder) -> bool {
+        let size = job.records.chunk_size as usize;
+        let value = chunk_value(self.cluster, self.tables, job, chunk * size..(chunk + 1) * size, builder.tag());
+        let bytes = records::json_size(&value);
+        // Guard: what is too large is never sent again as it is; it would
+        // be refused for ever.
+        if bytes > self.cluster.records.value_limit {
+            builder.oversized_chunks.push(OversizedChunk { job: job.index, chunk });
+            return false;
+        }
+        let key = records::chunk_key(&job.id, chunk as u32);
+        let state = &job.records.chunks[chunk];
+        builder.require(key.clone(), state.revision);
+        builder.put(key, value, bytes);
+        builder.contents.chunks.push(WrittenChunk { job: job.index, chunk, version: state.version });
+        true
+    }
+}
+
+/// The chunk record of a range of a job's tasks; the range may reach beyond the last task.
+pub fn chunk_value(cluster: &ClusterState, tables: &Tables, job: &Job, tasks: Range<usize>, tag: TxnTag) -> Value {
+    let slots = &job.tasks.slots[tasks.start..tasks.end.min(job.tasks.slots.len())];
+    let assigned = |slot: &Slot| match slot {
+        Slot::At(index) => cluster.assignment(*index),
+        Slot::Pending | Slot::Done => None,
+    };
+    let to_record = |assignment| assignment_record(cluster, tables, assignment);
+    let assignments = slots.iter().filter_map(assigned).map(to_record).collect();
+    let done = records::pack_done(slots.iter().map(|slot| *slot == Slot::Done));
+    records::to_value(&ChunkRecord { done, assignments, tag: tag.0 })
+}
+
+fn assignment_record(cluster: &ClusterState, tables: &Tables, assignment: &Assignment) -> AssignmentRecord {
+    AssignmentRecord(
+        assignment.task,
+        cluster.machine(assignment.machine).id.clone(),
+        assignment.incarnation,
+        assignment.attempt,
+        tables.zones.name(assignment.zone.0).to_owned(),
+    )
+}
--- /dev/null
+++ b/src/coordination/commits/obsolete_records.rs
@@ -0,0 +1,31 @@
+//! Deletes the records of jobs that are over.
+
+use super::txn_builder::TxnBuilder;
+use crate::coordination::{cluster::RecordState, model::Millis};
+
+/// Obsolete records deleted in one transaction.
+const DELETES_PER_TXN: usize = 4;
+/// Pause between transactions that delete obsolete records, in ms.
+const DELETE_INTERVAL_MS: Millis = 800;
+
+/// Deletes obsolete records slowly: a large job's must not take the budget from
+/// anything that somebody waits for.
+#[derive(Debug, Default)]
+pub struct ObsoleteRecordDeletion {
+    /// None is deleted before.
+    not_before: Millis,
+}
+
+impl ObsoleteRecordDeletion {
+    /// Adds the deletion of some obsolete records to a transaction.
+    pub fn add_deletes(&mut self, now: Millis, records: &mut RecordState, builder: &mut TxnBuilder) {
+        if now < self.not_before {
+            return;
+        }
+        for _ in 0..builder.ops_left().min(DELETES_PER_TXN) {
+            let Some(record) = records.pop_obsolete() else { break };
+            self.not_before = now + DELETE_INTERVAL_MS;
+            builder.delete(record);
+        }
+    }
+}
--- a/src/coordination/commits/pipeline.rs
+++ b/src/coordination/commits/pipeline.rs
@@ -1,107 +1,45 @@
-//! State of the one transaction that may be under way, and of records that
-//! wait to be dropped.
-
-use std::collections::HashSet;
+//! The leader's transactions: one at a time.
 
+use super::{
+    in_flight::{InFlightTxn, TxnContents, TxnTag},
+    job_records::JobRecordWriter,
+    obsolete_records::ObsoleteRecordDeletion,
+    oversized::shrink_chunk,
+    resharding::{reshard_txn, Resharding},
+    statistics::WriteStatistics,
+    txn_builder::TxnBuilder,
+    write_priority::WritePriority,
+};
 use crate::{
-    coordination::{
-        cluster::{RecordState, ReshardPlan},
-        model::Millis,
-    },
-    protocol::store::Txn,
-    storage::job_cache::JobIndex,
+    coordination::{cluster::ClusterState, model::Millis},
+    protocol::{names::Tables, store::Txn},
+    storage::records,
 };
 
-/// A chunk and the version of it that a transaction writes.
+/// How many writes the request budget allows at present.
 #[derive(Debug, Clone, Copy)]
-pub struct WrittenChunk {
-    pub job: JobIndex,
-    pub chunk: usize,
-    pub version: u64,
-}
-
-/// What of the wanted state a transaction carries.
-#[derive(Debug, Default)]
-pub struct TxnContents {
-    pub chunks: Vec<WrittenChunk>,
-    /// Jobs whose end it writes.
-    pub finished_jobs: Vec<JobIndex>,
-    /// Keys of obsolete records that it deletes.
-    pub dropped_keys: Vec<String>,
-    /// A job whose chunks it reshards.
-    pub reshard: Option<ReshardPlan>,
-}
-
-impl TxnContents {
-    /// Jobs of which it writes chunks.
-    pub fn jobs(&self) -> HashSet<JobIndex> {
-        let written = self.chunks.iter().map(|written| written.job);
-        written.chain(self.reshard.iter().map(|plan| plan.job)).collect()
-    }
-}
-
-/// Where a transaction that was not settled yet stands.
-#[derive(Debug)]
-pub enum TxnState {
-    /// Sent and unanswered.
-    Sent,
-    /// To be sent again as it was.
-    Resend,
-    /// These keys are read before anything else, to learn whether it was applied.
-    Resync(Vec<String>),
-}
-
-/// A transaction that was not settled yet.
-#[derive(Debug)]
-pub struct InFlightTxn {
-    pub txn: Txn,
-    pub contents: TxnContents,
-    /// Written into each of its chunk records: tells whose they are.
-    pub tag: u64,
-    /// A copy of it went unanswered: that one may have been applied, or may yet be.
-    pub has_unanswered_copy: bool,
-    pub state: TxnState,
-}
-
-impl InFlightTxn {
-    /// An answer came, or none in time: it is no longer out.
-    pub fn mark_returned(&mut self) {
-        if matches!(self.state, TxnState::Sent) {
-            self.state = TxnState::Resend;
-        }
-    }
+pub struct WriteAllowance {
+    /// Most writes of the next transaction.
+    pub max_ops: usize,
+    /// There is budget for more than what is urgent.
+    pub has_spare: bool,
 }
 
-/// What was written since the last summary, for the logs.
-#[derive(Debug, Default)]
-pub struct WriteStatistics {
-    pub txns: u32,
-    pub placements: u32,
-    pub ends: u32,
-    pub finished_jobs: u32,
-    pub drops: u32,
-    /// How long placements waited for their records in all.
-    pub waited_ms: u64,
-}
-
-/// The leader's transactions: one at a time.
+/// Writes the cluster state to the key-value store, in one transaction at a time.
 #[derive(Debug)]
 pub struct CommitPipeline {
-    pub in_flight: Option<InFlightTxn>,
-    pub last_tag: u64,
-    /// Most writes of a transaction that the state service is known to take.
-    pub ops_cap: usize,
+    /// The transaction that is not settled yet.
+    in_flight: Option<InFlightTxn>,
+    last_tag: TxnTag,
+    /// Most writes of a transaction that the store is known to accept.
+    accepted_ops: usize,
     /// No transaction is sent before.
-    pub paused_until: Millis,
-    /// No obsolete records are dropped before.
-    pub drop_after: Millis,
-    /// No job is resharded before.
-    pub reshard_after: Millis,
-    pub statistics: WriteStatistics,
-    /// All controllers run a version that can follow a resharded job.
-    pub may_reshard: bool,
-    /// The time of day minus the steady clock.
-    pub wall_clock_offset_ms: i64,
+    paused_until: Millis,
+    obsolete_record_deletion: ObsoleteRecordDeletion,
+    resharding: Resharding,
+    statistics: WriteStatistics,
+    /// The time of day minus the steady clock, in ms.
+    wall_clock_offset_ms: i64,
 }
 
 impl CommitPipeline {
@@ -109,39 +47,167 @@
     pub fn new(last_tag: u64) -> CommitPipeline {
         CommitPipeline {
             in_flight: None,
-            last_tag,
-            ops_cap: usize::MAX,
+            last_tag: TxnTag(last_tag),
+            accepted_ops: usize::MAX,
             paused_until: 0,
-            drop_after: 0,
-            reshard_after: 0,
+            obsolete_record_deletion: ObsoleteRecordDeletion::default(),
+            resharding: Resharding::default(),
             statistics: WriteStatistics::default(),
-            may_reshard: false,
             wall_clock_offset_ms: 0,
         }
     }
 
-    /// Sets the time of day.
+    /// Sets the time of day, in ms since the Unix epoch.
     pub fn set_wall_clock(&mut self, now: Millis, wall_ms: u64) {
         self.wall_clock_offset_ms = wall_ms as i64 - now as i64;
     }
 
-    /// Removes the transaction under way, to settle it.
-    pub fn take_in_flight(&mut self, records: &mut RecordState) -> Option<InFlightTxn> {
-        records.clear_in_flight();
-        self.in_flight.take()
+    /// Sets whether all controllers run a version that can follow a resharded job.
+    pub fn set_resharding_enabled(&mut self, is_enabled: bool) {
+        self.resharding.set_enabled(is_enabled);
     }
 
-    /// Puts back a transaction that is not settled yet.
-    pub fn put_in_flight(&mut self, records: &mut RecordState, in_flight: InFlightTxn) {
-        records.set_in_flight(in_flight.contents.jobs());
-        self.in_flight = Some(in_flight);
+    /// What was written since the last call.
+    pub fn take_statistics(&mut self) -> WriteStatistics {
+        std::mem::take(&mut self.statistics)
+    }
+
+    /// Whether a transaction may be sent: none is unanswered, and no pause is
+    /// kept after one that failed.
+    pub fn may_send(&self, now: Millis) -> bool {
+        now >= self.paused_until && !self.in_flight.as_ref().is_some_and(InFlightTxn::is_sent)
+    }
+
+    /// A key to read before the next transaction, to learn whether the last one
+    /// was applied; [`CommitPipeline::resynced`] takes its value.
+    pub fn resync_key(&self) -> Option<&str> {
+        self.in_flight.as_ref()?.resync_key()
+    }
+
+    /// Whether something is to be written. `has_spare`: there is budget for more
+    /// than what is urgent.
+    pub fn has_writes(&mut self, now: Millis, has_spare: bool, cluster: &mut ClusterState) -> bool {
+        cluster.note_unwritten_changes(now);
+        let max_ops = self.max_ops(cluster);
+        self.resharding.is_due(now, max_ops, has_spare, cluster)
+            || self.in_flight.is_some()
+            || (has_spare && cluster.records.has_obsolete())
+            || cluster.active_jobs().any(|job| WritePriority::of(job, now, has_spare).is_some())
+    }
+
+    /// The next transaction: jobs that completed first, then placements by
+    /// priority, then exits that have waited; a job whose chunks don't fit waits
+    /// for the next one. An unanswered transaction is sent again as it was.
+    pub fn next_transaction(
+        &mut self,
+        now: Millis,
+        allowance: WriteAllowance,
+        cluster: &mut ClusterState,
+        tables: &Tables,
+    ) -> Option<Txn> {
+        if let Some(in_flight) = &mut self.in_flight {
+            return in_flight.resend();
+        }
+        let max_ops = allowance.max_ops.min(self.max_ops(cluster));
+        let allowance = WriteAllowance { max_ops, ..allowance };
+        let resharding = self.reshard_transaction(now, allowance, cluster, tables);
+        resharding.or_else(|| self.record_transaction(now, allowance, cluster, tables))
+    }
+
+    /// Most writes of a transaction, whatever the request budget allows.
+    fn max_ops(&self, cluster: &ClusterState) -> usize {
+        cluster.config.txn_ops.min(self.accepted_ops)
+    }
+
+    /// A transaction that reshards a job, if one is to be resharded.
+    fn reshard_transaction(
+        &mut self,
+        now: Millis,
+        allowance: WriteAllowance,
+        cluster: &mut ClusterState,
+        tables: &Tables,
+    ) -> Option<Txn> {
+        let job = self.resharding.candidate(now, self.max_ops(cluster), allowance.has_spare, cluster)?;
+        let (job_index, record) = (job.index, job.records.oversized_record.as_ref()?);
+        let tag = self.last_tag.next();
+        let (txn, contents) = reshard_txn(cluster, tables, job, record, tag);
+        if txn.writes.len() > allowance.max_ops {
+            return None;
+        }
+        self.last_tag = tag;
+        self.resharding.record_start(now);
+        if let Some(job) = cluster.job_mut(job_index) {
+            job.records.resharding = true;
+        }
+        Some(self.send(cluster, txn, contents, tag))
+    }
+
+    /// A transaction that writes and deletes records, if there is anything to write.
+    fn record_transaction(
+        &mut self,
+        now: Millis,
+        allowance: WriteAllowance,
+        cluster: &mut ClusterState,
+        tables: &Tables,
+    ) -> Option<Txn> {
+        self.last_tag = self.last_tag.next();
+        let mut builder = TxnBuilder::new(self.last_tag, allowance.max_ops);
+        let has_spare = allowance.has_spare;
+        let wall_ms = self.wall_ms(now);
+        JobRecordWriter { cluster, tables, now, wall_ms, has_spare }.add_due_jobs(&mut builder);
+        for oversized in std::mem::take(&mut builder.oversized_chunks) {
+            shrink_chunk(cluster, now, oversized);
+        }
+        if has_spare {
+            self.obsolete_record_deletion.add_deletes(now, &mut cluster.records, &mut builder);
+        }
+        if builder.is_empty() {
+            return None;
+        }
+        // Guard: whoever leads by the time it is applied, only this
+        // leadership's writes count.
+        builder.require(records::LEADER.to_owned(), cluster.term.0);
+        let tag = builder.tag();
+        let (txn, contents) = builder.build();
+        Some(self.send(cluster, txn, contents, tag))
+    }
+
+    /// The time of day, in ms since the Unix epoch.
+    fn wall_ms(&self, now: Millis) -> u64 {
+        (now as i64 + self.wall_clock_offset_ms).max(0) as u64
     }
 
     /// Notes a transaction as sent and returns the copy to send.
-    pub fn send(&mut self, records: &mut RecordState, txn: Txn, contents: TxnContents, tag: u64) -> Txn {
+    fn send(&mut self, cluster: &mut ClusterState, txn: Txn, contents: TxnContents, tag: TxnTag) -> Txn {
         let copy = txn.clone();
-        let in_flight = InFlightTxn { txn, contents, tag, has_unanswered_copy: false, state: TxnState::Sent };
-        self.put_in_flight(records, in_flight);
+        self.keep_in_flight(cluster, InFlightTxn::new(txn, contents, tag));
         copy
     }
+
+    /// Keeps a transaction that is not settled yet.
+    pub(super) fn keep_in_flight(&mut self, cluster: &mut ClusterState, in_flight: InFlightTxn) {
+        cluster.records.set_in_flight(in_flight.contents.jobs());
+        self.in_flight = Some(in_flight);
+    }
+
+    /// Removes the transaction that is not settled yet, to settle it.
+    pub(super) fn take_in_flight(&mut self, cluster: &mut ClusterState) -> Option<InFlightTxn> {
+        cluster.records.clear_in_flight();
+        self.in_flight.take()
+    }
+
+    /// Sends no transaction before this moment.
+    pub(super) fn pause_until(&mut self, until: Millis) {
+        self.paused_until = until;
+    }
+
+    /// The store refuses transactions of this many writes, or of fewer.
+    pub(super) fn limit_ops_below(&mut self, refused_ops: usize) {
+        self.accepted_ops = (refused_ops / 2).max(1);
+    }
+
+    /// The counts of what was written.
+    pub(super) fn statistics_mut(&mut self) -> &mut WriteStatistics {
+        &mut self.statistics
+    }
 }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -9,6 +9,7 @@
 //! until something proves that the task is gone; a command that may still be
 //! on its way is fenced by a raised token; reaping follows the written end.
 
+mod commits;
 mod loading;
 mod sweep;
 
@@ -37,7 +38,7 @@
 /// All that a controller keeps while it leads.
 pub struct Leader {
     pub(in crate::coordination) cluster: ClusterState,
-    pub(in crate::coordination) commits: CommitPipeline,
+    commits: CommitPipeline,
     pub(in crate::coordination) scheduler: Scheduler,
     pub(in crate::coordination) autoscaler: Autoscaler,
     pub(in crate::coordination) workers: WorkerControl,
@@ -83,11 +84,6 @@
         &self.cluster
     }
 
-    /// Whether all controllers run a version that can follow a resharded job.
-    pub fn set_may_reshard(&mut self, may_reshard: bool) {
-        self.commits.may_reshard = may_reshard;
-    }
-
     /// The time in which no other controller renewed any lease.
     pub fn set_no_peer_renewals(&mut self, span: TimeSpan) {
         self.workers.no_peer_renewals = span;
--- a/src/coordination/leader/sweep.rs
+++ b/src/coordination/leader/sweep.rs
@@ -46,23 +46,22 @@
                 closed += u32::from(!host.open);
             }
         }
-        let written = std::mem::take(&mut self.commits.statistics);
-        let writing_ms = written.waited_ms / u64::from(written.placements.max(1));
+        let written = self.commits.take_statistics();
         tracing::info!(
-            up = self.cluster.snapshot.pools.iter().map(|pool| pool.members.len()).sum::<usize>(),
-            closed,
+            machines_up = self.cluster.snapshot.pools.iter().map(|pool| pool.members.len()).sum::<usize>(),
+            machines_unschedulable = closed,
             cpus = capacity.cpus.round(),
             cpus_free = free.cpus.round(),
             gpus = capacity.gpus.round(),
             gpus_free = free.gpus.round(),
             jobs = self.cluster.active.len(),
-            waiting = self.cluster.backlog.unmet.len(),
-            txns = written.txns,
+            waiting_jobs = self.cluster.backlog.unmet.len(),
+            transactions = written.txns,
             placements = written.placements,
-            ends = written.ends,
-            dones = written.finished_jobs,
-            drops = written.drops,
-            writing_ms,
+            exits = written.exits,
+            completed_jobs = written.completed_jobs,
+            deleted_records = written.deleted_records,
+            writing_ms = written.mean_placement_wait_ms(),
             "summary"
         );
     }
