--- a/src/coordination/cluster/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -1,15 +1,16 @@
-//! Assignments are made, and released on proof that the task is gone.
+//! The life of an assignment: it is made, launched once its record is written,
+//! and released on proof that its task is gone.
 
 use super::ClusterState;
 use crate::{
     coordination::model::{
-        Assignment, AssignmentIndex, AssignmentState, Job, MachineIndex, Millis, Resources, Slot, START_COUNTS_MS,
+        Assignment, AssignmentIndex, AssignmentState, MachineIndex, MachineLoad, Millis, Resources, Slot,
+        START_COUNTS_MS,
     },
     protocol::{
         ids::{Attempt, Incarnation},
         jobs::Kind,
         names::ZoneIndex,
-        workers::TaskState,
     },
     storage::{job_cache::JobIndex, records::JobStatus},
 };
@@ -31,6 +32,26 @@
     pub zone: ZoneIndex,
 }
 
+impl NewAssignment {
+    fn into_assignment(self, now: Millis, chunk_version: u64) -> Assignment {
+        Assignment {
+            job: self.job,
+            task: self.task,
+            machine: self.machine,
+            zone: self.zone,
+            incarnation: self.incarnation,
+            attempt: self.attempt,
+            chunk_version,
+            state: AssignmentState::Wanted,
+            sent: None,
+            running_since: None,
+            halt: None,
+            made: now,
+            inherited: false,
+        }
+    }
+}
+
 /// What became of a task whose assignment is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskFate {
@@ -44,7 +65,7 @@
     /// Assigns a pending task to a machine. `None`: the task is not pending, or
     /// its job is being resharded.
     pub fn add_assignment(&mut self, now: Millis, new: NewAssignment) -> Option<AssignmentIndex> {
-        let job = self.jobs.get_mut(new.job.at()).and_then(Option::as_mut)?;
+        let job = self.jobs.get_mut(new.job)?;
         // Guard: its chunks are being resharded on the assumption that no task
         // is assigned meanwhile.
         if job.records.resharding {
@@ -53,46 +74,12 @@
         if job.tasks.slots.get(new.task as usize) != Some(&Slot::Pending) {
             return None;
         }
-        let chunk_version = job.touch(new.task);
-        let chunk = job.chunk_of(new.task);
-        job.records.chunks[chunk].placement_version = chunk_version;
-        job.tasks.placed += 1;
-        job.wait.ever_assigned = true;
-        count_in_zone(job, new.zone);
-        if let Some(used) = self.team_used.get_mut(job.spec.team.at()) {
-            *used += Resources::of(&job.spec);
-        }
+        let chunk_version = job.record_assignment(now, new.task, new.zone);
+        self.team_used.add(job.spec.team, Resources::of(&job.spec));
         self.snapshot.take(new.machine.at(), &job.spec);
-        job.statistics.last_assigned = now;
-        if job.tasks.pending.last() == Some(&new.task) {
-            job.tasks.pending.pop();
-        } else {
-            job.tasks.pending.retain(|&task| task != new.task);
-        }
-        let index = self.assignments.insert(Assignment {
-            job: new.job,
-            task: new.task,
-            machine: new.machine,
-            zone: new.zone,
-            incarnation: new.incarnation,
-            attempt: new.attempt,
-            chunk_version,
-            state: AssignmentState::Wanted,
-            sent: None,
-            running_since: None,
-            halt: None,
-            made: now,
-            inherited: false,
-        });
+        let index = self.assignments.insert(new.into_assignment(now, chunk_version));
         job.tasks.slots[new.task as usize] = Slot::At(index);
-        let uses_gpus = job.spec.gpus > 0.0;
-        let machine = &mut self.machines[new.machine.at()];
-        machine.load.assignments.push(index);
-        machine.load.idle_since = None;
-        if uses_gpus {
-            machine.load.gpu_assignments += 1;
-            machine.load.gpu_idle_since = None;
-        }
+        add_to_load(&mut self.machines[new.machine.at()].load, index, job.spec.gpus > 0.0);
         Some(index)
     }
 
@@ -103,7 +90,7 @@
         self.cycle_needed = true;
         if self.job(assignment.job).is_some() {
             self.release_from_job(&assignment, fate);
-            self.changed_progress.insert(assignment.job);
+            self.progress_feed.mark_changed(assignment.job);
             if fate == TaskFate::Unfinished {
                 self.stop_rest_of_gang(&assignment);
             }
@@ -112,40 +99,25 @@
         Some(assignment)
     }
 
+    /// Takes an assignment out of the counts of its job, its team and its machine.
     fn release_from_job(&mut self, assignment: &Assignment, fate: TaskFate) {
-        let Some(job) = self.jobs.get_mut(assignment.job.at()).and_then(Option::as_mut) else { return };
-        let task = assignment.task;
+        let Some(job) = self.jobs.get_mut(assignment.job) else { return };
         let machine = assignment.machine.at();
-        job.touch(task);
-        job.tasks.placed -= 1;
         let ran_long_enough =
             assignment.running_since.is_some_and(|since| self.last_event_at >= since + START_COUNTS_MS);
         job.wait.has_counted_start |= fate == TaskFate::Done || ran_long_enough;
-        if let Some(used) = job.tasks.zone_used.get_mut(assignment.zone.at()) {
-            *used -= 1;
-        }
-        if let Some(used) = self.team_used.get_mut(job.spec.team.at()) {
-            *used -= Resources::of(&job.spec);
-        }
+        job.record_release(assignment);
+        self.team_used.subtract(job.spec.team, Resources::of(&job.spec));
         self.snapshot.give(machine, &job.spec, assignment.halt.is_some());
         if job.spec.gpus > 0.0 {
             self.machines[machine].load.gpu_assignments -= 1;
         }
-        if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
-            job.tasks.running = job.tasks.running.saturating_sub(1);
-        }
         match fate {
             TaskFate::Done => {
-                job.tasks.slots[task as usize] = Slot::Done;
-                job.tasks.done += 1;
+                job.tasks.mark_done(assignment.task);
                 job.failures.job_is_sound = true;
             }
-            TaskFate::Unfinished => {
-                job.tasks.slots[task as usize] = Slot::Pending;
-                // Keep the lowest number next, so that replacements come first.
-                let position = job.tasks.pending.partition_point(|&pending| pending > task);
-                job.tasks.pending.insert(position, task);
-            }
+            TaskFate::Unfinished => job.tasks.mark_pending(assignment.task),
         }
     }
 
@@ -219,12 +191,11 @@
     }
 }
 
-fn count_in_zone(job: &mut Job, zone: ZoneIndex) {
-    if !(job.spec.one_zone || job.spec.spread) {
-        return;
-    }
-    if job.tasks.zone_used.len() <= zone.at() {
-        job.tasks.zone_used.resize(zone.at() + 1, 0);
+fn add_to_load(load: &mut MachineLoad, index: AssignmentIndex, uses_gpus: bool) {
+    load.assignments.push(index);
+    load.idle_since = None;
+    if uses_gpus {
+        load.gpu_assignments += 1;
+        load.gpu_idle_since = None;
     }
-    job.tasks.zone_used[zone.at()] += 1;
 }
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -1,14 +1,14 @@
-//! Jobs as they come, change, end and are forgotten.
+//! The life of a job: it is added, changes, is stopped, ends and is removed.
 
 use std::rc::Rc;
 
 use super::{records::ObsoleteRecord, ClusterState, TaskFate};
 use crate::{
     coordination::model::{
-        AssignmentIndex, Chunk, ExitRecord, Halt, Job, JobFailures, JobProgress, JobRecords, JobStatistics, Millis,
-        Slot, TaskTable, UnreapedExit, WaitState,
+        AssignmentIndex, ExitRecord, Halt, Job, JobFailures, JobProgress, JobRecords, JobStatistics, Millis, TaskTable,
+        UnreapedExit, WaitState,
     },
-    protocol::{jobs::JobSpec, peers::Count},
+    protocol::{ids::Revision, jobs::JobSpec, peers::Count},
     storage::{
         job_cache::{JobCache, JobIndex},
         records::{self, JobStatus},
@@ -18,58 +18,57 @@
 /// Greatest age of a job that is believed, in ms (about 35 years): a time of
 /// day that is far off must not overflow what is computed with it.
 const OLDEST_MS: u64 = 1 << 40;
-/// Most jobs per message whose unchanged progress is repeated. With a message
-/// every 0.4 s, some hundred jobs are through within the seconds by which a
-/// user's answer may lag.
-const REPEATED_COUNTS: usize = 60;
 
 impl ClusterState {
-    /// The job cache shows a job's record, new or changed.
+    /// Takes a job's record from the job cache, new or changed. `wall_ms`: time of
+    /// day, in ms since the Unix epoch.
     pub fn job_update(&mut self, now: Millis, wall_ms: u64, index: JobIndex, job_cache: &JobCache) {
-        let entry = job_cache.get(index);
-        self.reserve_job_slot(index);
-        match (&mut self.jobs[index.at()], entry.status) {
+        match (self.job(index).is_some(), job_cache.get(index).status) {
             // Guard: until the ends of all that it depends on are written, a job
             // takes part in no trial, and holds no part of any limit or guarantee.
-            (None, JobStatus::Pending) if job_cache.waits(index) => return,
-            (None, JobStatus::Pending) => {
+            (false, JobStatus::Pending) if job_cache.waits(index) => return,
+            (false, JobStatus::Pending) => {
                 let Some(spec) = job_cache.effective_spec(index) else { return };
                 self.add_job(now, wall_ms, index, spec, job_cache);
             }
-            (Some(job), JobStatus::Pending) => {
-                job.records.revision = entry.revision;
-                job.records.stale = false;
-                job.records.recorded_chunk_size = entry.chunk;
-                self.adopt_recorded_sharding(index);
-                if let Some(spec) = job_cache.effective_spec(index) {
-                    self.change_spec(index, spec);
-                }
-            }
-            (Some(job), JobStatus::Cancelled) => {
-                job.records.revision = entry.revision;
-                job.records.stale = false;
-                if job.status != JobStatus::Cancelled {
-                    job.status = JobStatus::Cancelled;
-                    tracing::info!(job = &*job.id, "cancelled by its user");
-                    self.changed_progress.insert(index);
-                    self.stop_job(now, index, 0.0);
-                }
-            }
-            (Some(_), JobStatus::Done) => self.finish(index),
-            (None, _) => {}
+            (true, JobStatus::Pending) => self.job_changed(index, job_cache),
+            (true, JobStatus::Cancelled) => self.job_cancelled(now, index, job_cache.get(index).revision),
+            (true, JobStatus::Done) => self.finish(index),
+            (false, JobStatus::Cancelled | JobStatus::Done) => {}
         }
         self.cycle_needed = true;
     }
 
-    pub(in crate::coordination) fn reserve_job_slot(&mut self, index: JobIndex) {
-        if self.jobs.len() <= index.at() {
-            self.jobs.resize_with(index.at() + 1, || None);
+    /// The record of an unfinished job changed.
+    fn job_changed(&mut self, index: JobIndex, job_cache: &JobCache) {
+        let entry = job_cache.get(index);
+        if let Some(job) = self.jobs.get_mut(index) {
+            job.records.revision = entry.revision;
+            job.records.stale = false;
+            job.records.recorded_chunk_size = entry.chunk;
+        }
+        self.adopt_recorded_sharding(index);
+        if let Some(spec) = job_cache.effective_spec(index) {
+            self.change_spec(index, spec);
+        }
+    }
+
+    /// A job's record says that it is cancelled; the record has this revision.
+    fn job_cancelled(&mut self, now: Millis, index: JobIndex, revision: Revision) {
+        let Some(job) = self.jobs.get_mut(index) else { return };
+        job.records.revision = revision;
+        job.records.stale = false;
+        if job.status != JobStatus::Cancelled {
+            job.status = JobStatus::Cancelled;
+            tracing::info!(job = &*job.id, "job cancelled");
+            self.progress_feed.mark_changed(index);
+            self.stop_job(now, index, 0.0);
         }
     }
 
     /// Jobs that depend on this one changed its priority or its deadline.
     fn change_spec(&mut self, index: JobIndex, spec: Rc<JobSpec>) {
-        let Some(job) = self.jobs[index.at()].as_mut() else { return };
+        let Some(job) = self.jobs.get_mut(index) else { return };
         if *job.spec == *spec {
             return;
         }
@@ -87,6 +86,8 @@
         }
     }
 
+    /// Adds a job that the job cache shows. Its age is counted from `wall_ms`, the
+    /// time of day in ms since the Unix epoch.
     pub(in crate::coordination) fn add_job(
         &mut self,
         now: Millis,
@@ -96,49 +97,26 @@
         job_cache: &JobCache,
     ) {
         let entry = job_cache.get(index);
-        let tasks = spec.tasks;
-        let is_oversized = entry.chunk > self.config.chunk_fit && tasks > self.config.chunk_fit;
+        let is_oversized = entry.chunk > self.config.chunk_fit && spec.tasks > self.config.chunk_fit;
+        let oversized_record = entry.record.clone().filter(|_| is_oversized);
         let age_ms = wall_ms.saturating_sub(job_cache.ready_ms(index)).min(OLDEST_MS) as i64;
-        self.jobs[index.at()] = Some(Job {
+        self.jobs.insert(Job {
             index,
             id: entry.id.clone(),
-            spec,
-            records: JobRecords {
-                revision: entry.revision,
-                stale: false,
-                chunk_size: entry.chunk,
-                chunks: vec![Chunk::default(); tasks.div_ceil(entry.chunk) as usize],
-                recorded_chunk_size: entry.chunk,
-                resharding: false,
-                oversized_record: entry.record.clone().filter(|_| is_oversized),
-                unwritten_since: None,
-            },
+            records: JobRecords::new(entry.revision, entry.chunk, spec.tasks, oversized_record),
             status: entry.status,
-            wait: WaitState {
-                since: now as i64 - age_ms,
-                waiting_since: now,
-                not_before: 0,
-                next_preemption: 0,
-                has_counted_start: false,
-                ever_assigned: false,
-            },
-            tasks: TaskTable {
-                slots: vec![Slot::Pending; tasks as usize],
-                pending: (0..tasks).rev().collect(),
-                done: 0,
-                placed: 0,
-                running: 0,
-                zone_used: Vec::new(),
-            },
+            wait: WaitState::new(now, age_ms),
+            tasks: TaskTable::new(spec.tasks),
+            spec,
             failures: JobFailures::default(),
             published: JobProgress::default(),
             within_guarantee: false,
-            statistics: JobStatistics { stop_count: 0, lost_count: 0, last_assigned: now },
+            statistics: JobStatistics::new(now),
         });
-        self.active.push(index);
     }
 
-    /// Stops all of a job's tasks; those that were never launched are simply dropped.
+    /// Stops all of a job's tasks, with this grace period; those that were never
+    /// launched are released at once.
     pub fn stop_job(&mut self, now: Millis, index: JobIndex, grace_s: f64) {
         let Some(job) = self.job(index) else { return };
         for assignment_index in job.assignments() {
@@ -147,8 +125,8 @@
         self.remove_if_finished(index);
     }
 
-    /// Wants a task stopped. An assignment whose launch was never sent is
-    /// released at once.
+    /// Wants a task stopped, with this grace period; the shorter of two holds. An
+    /// assignment whose launch was never sent is released at once.
     pub fn halt(&mut self, now: Millis, index: AssignmentIndex, grace_s: f64) {
         let Some(assignment) = self.assignments.get_mut(index) else { return };
         if assignment.never_launched() {
@@ -164,7 +142,7 @@
             Some(_) => return,
             None => {
                 assignment.halt = Some(Halt { grace_s, sent: None });
-                if let Some(job) = self.jobs.get(job_index.at()).and_then(Option::as_ref) {
+                if let Some(job) = self.jobs.get(job_index) {
                     self.snapshot.stop(machine.at(), &job.spec);
                 }
             }
@@ -174,22 +152,23 @@
 
     /// Notes which jobs have changes that wait to be written.
     pub(in crate::coordination) fn note_unwritten_changes(&mut self, now: Millis) {
-        for &index in &self.active {
-            let Some(job) = self.jobs.get_mut(index.at()).and_then(Option::as_mut) else { continue };
+        self.jobs.for_each_mut(|job| {
             if job.records.unwritten_since.is_none() && job.has_unwritten_changes() {
                 job.records.unwritten_since = Some(now);
             }
-        }
+        });
     }
 
-    /// Forgets a job that is over and has no assignments; its records are dropped.
+    /// Removes a job that is over and has no assignments; its chunk records become
+    /// obsolete.
     pub(in crate::coordination) fn remove_if_finished(&mut self, index: JobIndex) {
         let Some(job) = self.job(index) else { return };
         if job.status != JobStatus::Pending && job.tasks.placed == 0 && !self.records.is_in_flight(index) {
-            self.forget(index);
+            self.remove_job(index);
         }
     }
 
+    /// A job's completion is recorded.
     pub(in crate::coordination) fn finish(&mut self, index: JobIndex) {
         self.blame_machines_of(index);
         if let Some(job) = self.job_mut(index) {
@@ -198,7 +177,8 @@
         self.remove_if_finished(index);
     }
 
-    /// A job that failed somewhere has completed: its machines were at fault.
+    /// A job that failed somewhere has completed: the machines on which it failed
+    /// were at fault.
     pub(in crate::coordination) fn blame_machines_of(&mut self, index: JobIndex) {
         let Some(job) = self.job(index) else { return };
         for machine in job.failures.machines.clone() {
@@ -207,9 +187,8 @@
         }
     }
 
-    fn forget(&mut self, index: JobIndex) {
-        let Some(job) = self.jobs[index.at()].take() else { return };
-        self.active.retain(|&active| active != index);
+    fn remove_job(&mut self, index: JobIndex) {
+        let Some(job) = self.jobs.remove(index) else { return };
         for (chunk_number, chunk) in job.records.chunks.iter().enumerate() {
             if !chunk.revision.is_absent() {
                 let key = records::chunk_key(&job.id, chunk_number as u32);
@@ -229,42 +208,8 @@
         }
     }
 
-    /// Progress of at most `max` jobs: of those that changed since the last
-    /// call, and again of some others that have begun. Guard: a controller that
-    /// missed the first message, or didn't know the job then, would go on
-    /// calling a running job pending.
+    /// Progress of at most `max` jobs, to be published to the other controllers.
     pub fn take_progress(&mut self, max: usize) -> Vec<Count> {
-        let mut counts = self.changed_counts(max);
-        let repeated = self.repeated_counts(REPEATED_COUNTS.min(max - counts.len()));
-        counts.extend(repeated);
-        counts
+        self.progress_feed.take(max, &mut self.jobs)
     }
-
-    fn changed_counts(&mut self, max: usize) -> Vec<Count> {
-        let changed: Vec<JobIndex> = self.changed_progress.iter().copied().take(max).collect();
-        let mut counts = Vec::with_capacity(changed.len());
-        for index in changed {
-            self.changed_progress.remove(&index);
-            let Some(job) = self.job_mut(index) else { continue };
-            let progress = JobProgress { done: job.tasks.done, running: job.tasks.running };
-            if job.published != progress {
-                job.published = progress;
-                counts.push(count_of(job));
-            }
-        }
-        counts
-    }
-
-    /// The next jobs in turn, of all that are active.
-    fn repeated_counts(&mut self, max: usize) -> Vec<Count> {
-        let looked_at = max.min(self.active.len());
-        let from = self.next_repeated;
-        self.next_repeated = from.wrapping_add(looked_at);
-        let jobs = (0..looked_at).filter_map(|n| self.job(self.active[from.wrapping_add(n) % self.active.len()]));
-        jobs.filter(|job| job.tasks.done + job.tasks.running > 0).map(count_of).collect()
-    }
-}
-
-fn count_of(job: &Job) -> Count {
-    Count { job: job.id.to_string(), done: job.tasks.done, running: job.tasks.running }
 }
--- /dev/null
+++ b/src/coordination/cluster/machine_registry.rs
@@ -0,0 +1,54 @@
+//! The machines, by index and by name.
+
+use std::{
+    collections::HashMap,
+    ops::{Deref, DerefMut},
+};
+
+use crate::coordination::model::{Machine, MachineIndex};
+
+/// All machines known so far. None is ever removed, so an index stays valid;
+/// as a slice it can be read and its machines changed, but not shortened.
+#[derive(Debug, Default)]
+pub(in crate::coordination) struct MachineRegistry {
+    machines: Vec<Machine>,
+    index_by_name: HashMap<String, MachineIndex>,
+}
+
+impl MachineRegistry {
+    /// The machine of this name, if it is known.
+    pub fn find(&self, name: &str) -> Option<MachineIndex> {
+        self.index_by_name.get(name).copied()
+    }
+
+    /// Adds a machine whose name is not known yet.
+    pub fn add(&mut self, machine: Machine) -> MachineIndex {
+        let index = MachineIndex(self.machines.len() as u32);
+        self.index_by_name.insert(machine.id.clone(), index);
+        self.machines.push(machine);
+        index
+    }
+}
+
+impl Deref for MachineRegistry {
+    type Target = [Machine];
+
+    fn deref(&self) -> &[Machine] {
+        &self.machines
+    }
+}
+
+impl DerefMut for MachineRegistry {
+    fn deref_mut(&mut self) -> &mut [Machine] {
+        &mut self.machines
+    }
+}
+
+impl<'a> IntoIterator for &'a MachineRegistry {
+    type Item = &'a Machine;
+    type IntoIter = std::slice::Iter<'a, Machine>;
+
+    fn into_iter(self) -> Self::IntoIter {
+        self.machines.iter()
+    }
+}
--- a/src/coordination/cluster/machines.rs
+++ b/src/coordination/cluster/machines.rs
@@ -14,13 +14,10 @@
 impl ClusterState {
     /// The machine of this name, added if it isn't known yet.
     pub fn machine_named(&mut self, now: Millis, id: &str, zone: ZoneIndex) -> MachineIndex {
-        if let Some(&index) = self.machine_index.get(id) {
-            return index;
+        match self.machines.find(id) {
+            Some(index) => index,
+            None => self.machines.add(Machine::new(id, zone, self.term.first_token(), now)),
         }
-        let index = MachineIndex(self.machines.len() as u32);
-        self.machines.push(Machine::new(id, zone, self.term.first_token(), now));
-        self.machine_index.insert(id.to_owned(), index);
-        index
     }
 
     /// Shows the snapshot what a machine is and whether it takes new tasks.
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -10,15 +10,20 @@
 mod backlog;
 mod config;
 mod dispatch_queue;
+mod job_table;
 mod jobs;
+mod machine_registry;
 mod machines;
+mod progress_feed;
 mod records;
 mod run_times;
 mod sharding;
+mod team_usage;
 
-use std::collections::{HashMap, HashSet};
-
-use self::{assignment_table::AssignmentTable, backlog::Backlog, dispatch_queue::DispatchQueue};
+use self::{
+    assignment_table::AssignmentTable, backlog::Backlog, dispatch_queue::DispatchQueue, job_table::JobTable,
+    machine_registry::MachineRegistry, progress_feed::ProgressFeed, team_usage::TeamUsage,
+};
 pub use self::{
     assignments::{NewAssignment, TaskFate},
     backlog::UnmetDemand,
@@ -53,28 +58,24 @@
     pub(in crate::coordination) started: Millis,
     /// All records are read.
     pub(in crate::coordination) loaded: bool,
-    /// Jobs by their index; None: not known, or over and released.
-    pub(in crate::coordination) jobs: Vec<Option<Job>>,
-    /// Jobs that are known and not over.
-    pub(in crate::coordination) active: Vec<JobIndex>,
-    /// Position in `active` from which progress is repeated next.
-    next_repeated: usize,
-    /// Jobs whose progress changed since it was last published.
-    pub(in crate::coordination) changed_progress: HashSet<JobIndex>,
-    /// All machines known so far, by their index.
-    pub(in crate::coordination) machines: Vec<Machine>,
-    /// Indices of the machines, by name.
-    pub(in crate::coordination) machine_index: HashMap<String, MachineIndex>,
+    /// Jobs that are not over, or whose tasks are still somewhere.
+    pub(in crate::coordination) jobs: JobTable,
+    /// Jobs whose progress is to be published.
+    pub(in crate::coordination) progress_feed: ProgressFeed,
+    /// All machines known so far.
+    pub(in crate::coordination) machines: MachineRegistry,
     /// When any worker last sent a heartbeat.
     pub(in crate::coordination) last_heartbeat_from_any: Millis,
     /// Machine types that may be rented.
     pub(in crate::coordination) types: Vec<MachineTypeSpec>,
+    /// Tasks that are, or may be, on a machine.
     pub(in crate::coordination) assignments: AssignmentTable,
+    /// The latest attempt of any job.
     last_attempt: Attempt,
     /// Free capacity of the machines, as trials see it.
     pub(in crate::coordination) snapshot: ClusterSnapshot,
     /// In use by each team, unproven assignments included.
-    pub(in crate::coordination) team_used: Vec<Resources>,
+    pub(in crate::coordination) team_used: TeamUsage,
     /// Observed run times against their owners' estimates.
     pub(in crate::coordination) run_times: RunTimeEstimates,
     /// Work that found no free capacity.
@@ -102,18 +103,15 @@
             last_event_at: now,
             started: now,
             loaded: false,
-            jobs: Vec::new(),
-            active: Vec::new(),
-            next_repeated: 0,
-            changed_progress: HashSet::new(),
-            machines: Vec::new(),
-            machine_index: HashMap::new(),
+            jobs: JobTable::default(),
+            progress_feed: ProgressFeed::default(),
+            machines: MachineRegistry::default(),
             last_heartbeat_from_any: now,
             types,
             assignments: AssignmentTable::default(),
             last_attempt,
             snapshot: ClusterSnapshot::default(),
-            team_used: vec![Resources::default(); config.teams.len()],
+            team_used: TeamUsage::new(config.teams.len()),
             run_times: RunTimeEstimates::default(),
             backlog: Backlog::new(now),
             cycle_needed: true,
@@ -125,17 +123,17 @@
 
     /// A job that is not over, or whose tasks are still somewhere.
     pub fn job(&self, index: JobIndex) -> Option<&Job> {
-        self.jobs.get(index.at()).and_then(Option::as_ref)
+        self.jobs.get(index)
     }
 
     /// As [`ClusterState::job`], to be changed.
     pub fn job_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
-        self.jobs.get_mut(index.at()).and_then(Option::as_mut)
+        self.jobs.get_mut(index)
     }
 
     /// The active jobs, in the order in which they came.
     pub fn active_jobs(&self) -> impl Iterator<Item = &Job> {
-        self.active.iter().filter_map(|&index| self.job(index))
+        self.jobs.iter()
     }
 
     /// An assignment that was not released yet.
@@ -188,6 +186,10 @@
 
     /// What a team's assignments use.
     pub(in crate::coordination) fn used_by_team(&self, team: TeamIndex) -> Resources {
-        self.team_used.get(team.at()).copied().unwrap_or_default()
+        self.team_used.of(team)
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/cluster.rs"]
+mod tests;
--- a/src/coordination/cluster/sharding.rs
+++ b/src/coordination/cluster/sharding.rs
@@ -42,7 +42,7 @@
         size: u32,
         applied: Option<AppliedPlan<'_>>,
     ) {
-        let Some(job) = self.jobs.get_mut(index.at()).and_then(Option::as_mut) else { return };
+        let Some(job) = self.jobs.get_mut(index) else { return };
         job.records.oversized_record = None;
         job.records.resharding = false;
         job.records.chunk_size = size.max(1);
@@ -82,7 +82,7 @@
     /// Guard: an end is not reaped before it is written, under the new chunks
     /// either.
     fn renumber_unreaped_exits(&mut self, index: JobIndex, applied: Option<&AppliedPlan<'_>>) {
-        let Some(job) = self.jobs.get(index.at()).and_then(Option::as_ref) else { return };
+        let Some(job) = self.jobs.get(index) else { return };
         let exits = self.machines.iter_mut().flat_map(|machine| &mut machine.commands.unreaped_exits);
         for exit in exits.filter(|exit| exit.job == index) {
             let ExitRecord::WrittenWith { chunk: old_chunk, version: old_version } = exit.record else { continue };
--- a/src/coordination/commits/in_flight.rs
+++ b/src/coordination/commits/in_flight.rs
@@ -14,12 +14,12 @@
 /// Identifies a transaction. It is written into each of its chunk records, so
 /// that a leader recognizes its own write when it reads the record again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TxnTag(pub u64);
+pub struct TransactionTag(pub u64);
 
-impl TxnTag {
+impl TransactionTag {
     /// The tag of the next transaction.
-    pub fn next(self) -> TxnTag {
-        TxnTag(self.0 + 1)
+    pub fn next(self) -> TransactionTag {
+        TransactionTag(self.0 + 1)
     }
 }
 
@@ -36,7 +36,7 @@
 
 /// What of the wanted state a transaction writes.
 #[derive(Debug, Default)]
-pub struct TxnContents {
+pub struct TransactionContents {
     /// The chunks whose records it writes.
     pub chunks: Vec<WrittenChunk>,
     /// Jobs that it records as completed.
@@ -47,7 +47,7 @@
     pub reshard: Option<ReshardPlan>,
 }
 
-impl TxnContents {
+impl TransactionContents {
     /// Jobs of which it writes chunks.
     pub fn jobs(&self) -> HashSet<JobIndex> {
         let written = self.chunks.iter().map(|written| written.job);
@@ -57,7 +57,7 @@
 
 /// What is to be done next to settle a transaction.
 #[derive(Debug)]
-pub enum TxnState {
+pub enum TransactionState {
     /// Wait: it was sent and is unanswered.
     Sent,
     /// Send it again as it was.
@@ -68,65 +68,65 @@
 
 /// A transaction whose outcome is not settled yet.
 #[derive(Debug)]
-pub struct InFlightTxn {
+pub struct InFlightTransaction {
     /// What was sent.
-    pub txn: Txn,
+    pub transaction: Txn,
     /// What of the wanted state it writes.
-    pub contents: TxnContents,
+    pub contents: TransactionContents,
     /// Identifies it.
-    pub tag: TxnTag,
+    pub tag: TransactionTag,
     /// A copy of it went unanswered: that one may have been applied, or may yet be.
     pub has_unanswered_copy: bool,
     /// What is to be done next.
-    pub state: TxnState,
+    pub state: TransactionState,
 }
 
-impl InFlightTxn {
+impl InFlightTransaction {
     /// A transaction that is being sent for the first time.
-    pub fn new(txn: Txn, contents: TxnContents, tag: TxnTag) -> InFlightTxn {
-        InFlightTxn { txn, contents, tag, has_unanswered_copy: false, state: TxnState::Sent }
+    pub fn new(transaction: Txn, contents: TransactionContents, tag: TransactionTag) -> InFlightTransaction {
+        InFlightTransaction { transaction, contents, tag, has_unanswered_copy: false, state: TransactionState::Sent }
     }
 
     /// Whether it was sent and is unanswered.
     pub fn is_sent(&self) -> bool {
-        matches!(self.state, TxnState::Sent)
+        matches!(self.state, TransactionState::Sent)
     }
 
     /// Returns a copy to send, if it is to be sent again.
     pub fn resend(&mut self) -> Option<Txn> {
-        if !matches!(self.state, TxnState::Resend) {
+        if !matches!(self.state, TransactionState::Resend) {
             return None;
         }
-        self.state = TxnState::Sent;
-        Some(self.txn.clone())
+        self.state = TransactionState::Sent;
+        Some(self.transaction.clone())
     }
 
     /// An answer came, or none in time: it is to be sent again.
     pub fn schedule_resend(&mut self) {
         if self.is_sent() {
-            self.state = TxnState::Resend;
+            self.state = TransactionState::Resend;
         }
     }
 
     /// The key to be read next, to learn whether it was applied.
     pub fn resync_key(&self) -> Option<&str> {
         match &self.state {
-            TxnState::Resync(keys) => keys.last().map(String::as_str),
-            TxnState::Sent | TxnState::Resend => None,
+            TransactionState::Resync(keys) => keys.last().map(String::as_str),
+            TransactionState::Sent | TransactionState::Resend => None,
         }
     }
 
     /// A key was read again and doesn't hold its write. Returns whether other
     /// keys are still to be read.
     pub fn key_resynced(&mut self, key: &str) -> bool {
-        let TxnState::Resync(keys) = &mut self.state else { return false };
+        let TransactionState::Resync(keys) = &mut self.state else { return false };
         keys.retain(|other| other != key);
         !keys.is_empty()
     }
 
     /// The revision that it expects of a key.
     pub fn expected_revision(&self, key: &str) -> Revision {
-        let mut conditions = self.txn.conditions.iter();
+        let mut conditions = self.transaction.conditions.iter();
         conditions.find(|condition| condition.key == key).map_or(Revision::ABSENT, |condition| condition.revision)
     }
 
@@ -136,6 +136,6 @@
             Op::Put { key, .. } if key.starts_with(records::TASKS) => Some(key.clone()),
             _ => None,
         };
-        self.txn.writes.iter().filter_map(chunk_key).collect()
+        self.transaction.writes.iter().filter_map(chunk_key).collect()
     }
 }
--- a/src/coordination/commits/job_records.rs
+++ b/src/coordination/commits/job_records.rs
@@ -5,8 +5,8 @@
 use ciborium::Value;
 
 use super::{
-    in_flight::{TxnTag, WrittenChunk},
-    txn_builder::{OversizedChunk, TxnBuilder},
+    in_flight::{TransactionTag, WrittenChunk},
+    transaction_builder::{OversizedChunk, TransactionBuilder},
     write_priority::WritePriority,
 };
 use crate::{
@@ -35,7 +35,7 @@
 impl JobRecordWriter<'_> {
     /// Adds the records that are due, the most urgent first, until the
     /// transaction is full.
-    pub fn add_due_jobs(&self, builder: &mut TxnBuilder) {
+    pub fn add_due_jobs(&self, builder: &mut TransactionBuilder) {
         for (priority, job) in self.due_jobs() {
             if builder.is_full() {
                 break;
@@ -60,7 +60,7 @@
         due
     }
 
-    fn add_completed_job(&self, job: &Job, builder: &mut TxnBuilder) {
+    fn add_completed_job(&self, job: &Job, builder: &mut TransactionBuilder) {
         let submission = Submission { tasks: Some(f64::from(job.spec.tasks)), ..Submission::default() };
         // The next leader counts from here how long its dependents have waited.
         let at_ms = self.wall_ms;
@@ -72,7 +72,7 @@
     }
 
     /// Adds the job's chunks that are due. Returns whether any was added.
-    fn add_due_chunks(&self, job: &Job, priority: WritePriority, builder: &mut TxnBuilder) -> bool {
+    fn add_due_chunks(&self, job: &Job, priority: WritePriority, builder: &mut TransactionBuilder) -> bool {
         let due = self.due_chunks(job, priority);
         // A job is split only if it alone is more than a transaction takes.
         if !builder.takes_whole(due.len()) {
@@ -99,7 +99,7 @@
     }
 
     /// Adds one chunk. Returns whether it was added: it may be too large.
-    fn add_chunk(&self, job: &Job, chunk: usize, builder: &mut TxnBuilder) -> bool {
+    fn add_chunk(&self, job: &Job, chunk: usize, builder: &mut TransactionBuilder) -> bool {
         let size = job.records.chunk_size as usize;
         let value = chunk_value(self.cluster, self.tables, job, chunk * size..(chunk + 1) * size, builder.tag());
         let bytes = records::json_size(&value);
@@ -119,7 +119,13 @@
 }
 
 /// The chunk record of a range of a job's tasks; the range may reach beyond the last task.
-pub fn chunk_value(cluster: &ClusterState, tables: &Tables, job: &Job, tasks: Range<usize>, tag: TxnTag) -> Value {
+pub fn chunk_value(
+    cluster: &ClusterState,
+    tables: &Tables,
+    job: &Job,
+    tasks: Range<usize>,
+    tag: TransactionTag,
+) -> Value {
     let slots = &job.tasks.slots[tasks.start..tasks.end.min(job.tasks.slots.len())];
     let assigned = |slot: &Slot| match slot {
         Slot::At(index) => cluster.assignment(*index),
--- a/src/coordination/commits/mod.rs
+++ b/src/coordination/commits/mod.rs
@@ -7,6 +7,7 @@
 //! it was applied. A job is *resharded* when its tasks are split into smaller
 //! chunk records, because the store lowered its limit on the size of a value.
 
+mod applied;
 mod in_flight;
 mod job_records;
 mod obsolete_records;
@@ -15,7 +16,7 @@
 mod pipeline;
 mod resharding;
 mod statistics;
-mod txn_builder;
+mod transaction_builder;
 mod write_priority;
 
 pub use self::pipeline::{CommitPipeline, WriteAllowance};
--- a/src/coordination/commits/obsolete_records.rs
+++ b/src/coordination/commits/obsolete_records.rs
@@ -1,10 +1,10 @@
 //! Deletes the records of jobs that are over.
 
-use super::txn_builder::TxnBuilder;
+use super::transaction_builder::TransactionBuilder;
 use crate::coordination::{cluster::RecordState, model::Millis};
 
 /// Obsolete records deleted in one transaction.
-const DELETES_PER_TXN: usize = 4;
+const DELETES_PER_TRANSACTION: usize = 4;
 /// Pause between transactions that delete obsolete records, in ms.
 const DELETE_INTERVAL_MS: Millis = 800;
 
@@ -18,11 +18,11 @@
 
 impl ObsoleteRecordDeletion {
     /// Adds the deletion of some obsolete records to a transaction.
-    pub fn add_deletes(&mut self, now: Millis, records: &mut RecordState, builder: &mut TxnBuilder) {
+    pub fn add_deletes(&mut self, now: Millis, records: &mut RecordState, builder: &mut TransactionBuilder) {
         if now < self.not_before {
             return;
         }
-        for _ in 0..builder.ops_left().min(DELETES_PER_TXN) {
+        for _ in 0..builder.ops_left().min(DELETES_PER_TRANSACTION) {
             let Some(record) = records.pop_obsolete() else { break };
             self.not_before = now + DELETE_INTERVAL_MS;
             builder.delete(record);
--- a/src/coordination/commits/outcomes.rs
+++ b/src/coordination/commits/outcomes.rs
@@ -5,20 +5,20 @@
 use ciborium::Value;
 
 use super::{
-    in_flight::{InFlightTxn, TxnContents, TxnState, WrittenChunk},
+    applied::{chunk_applied, completion_applied},
+    in_flight::{InFlightTransaction, TransactionContents, TransactionState, WrittenChunk},
     oversized::shrink_chunk,
     pipeline::CommitPipeline,
     resharding::{reshard_aborted, reshard_applied},
-    statistics::WriteStatistics,
-    txn_builder::OversizedChunk,
+    transaction_builder::OversizedChunk,
 };
 use crate::{
     coordination::{
         cluster::{ClusterState, ObsoleteRecord},
         effects::{CommitOutcome, REFUSED_PAUSE_MS},
-        model::{AssignmentState, Job, Millis},
+        model::Millis,
     },
-    protocol::{ids::Revision, jobs::Kind},
+    protocol::ids::Revision,
     storage::{
         job_cache::JobIndex,
         records::{self, ChunkRecord},
@@ -91,7 +91,7 @@
     /// It was certainly not executed. What it carried is written later, as it is
     /// by then, unless an earlier copy went unanswered: that one must be settled
     /// first.
-    fn refused(&mut self, now: Millis, mut in_flight: InFlightTxn, cluster: &mut ClusterState) {
+    fn refused(&mut self, now: Millis, mut in_flight: InFlightTransaction, cluster: &mut ClusterState) {
         self.pause_until(now + REFUSED_PAUSE_MS);
         if in_flight.has_unanswered_copy {
             in_flight.schedule_resend();
@@ -103,7 +103,7 @@
 
     /// Guard: it may yet be applied. The same transaction again, on the same
     /// conditions, can be applied only once in all.
-    fn unanswered(&mut self, now: Millis, mut in_flight: InFlightTxn, cluster: &mut ClusterState) {
+    fn unanswered(&mut self, now: Millis, mut in_flight: InFlightTransaction, cluster: &mut ClusterState) {
         self.pause_until(now + UNANSWERED_PAUSE_MS);
         in_flight.schedule_resend();
         in_flight.has_unanswered_copy = true;
@@ -113,7 +113,7 @@
     /// Its conditions failed at these keys.
     fn conflicted(
         &mut self,
-        mut in_flight: InFlightTxn,
+        mut in_flight: InFlightTransaction,
         failed_keys: Vec<String>,
         cluster: &mut ClusterState,
     ) -> Result<(), LeadershipLost> {
@@ -136,7 +136,7 @@
         if resync.is_empty() {
             abort(cluster, &in_flight);
         } else {
-            in_flight.state = TxnState::Resync(resync);
+            in_flight.state = TransactionState::Resync(resync);
             self.keep_in_flight(cluster, in_flight);
         }
         Ok(())
@@ -144,15 +144,15 @@
 
     /// The first refusal shows that the store's lower limits hold; what fits
     /// them and is refused all the same is cut smaller, and in the end left out.
-    fn too_large(&mut self, now: Millis, mut in_flight: InFlightTxn, cluster: &mut ClusterState) {
+    fn too_large(&mut self, now: Millis, mut in_flight: InFlightTransaction, cluster: &mut ClusterState) {
         if cluster.records.value_limit > cluster.config.value_fit {
             tracing::warn!(value_bytes = cluster.config.value_fit, "value size limit lowered");
             cluster.records.value_limit = cluster.config.value_fit;
             self.pause_until(now + REFUSED_PAUSE_MS);
         } else {
             self.pause_until(now + TOO_LARGE_PAUSE_MS);
-            self.limit_ops_below(in_flight.txn.writes.len());
-            if in_flight.txn.writes.len() == 1 {
+            self.limit_ops_below(in_flight.transaction.writes.len());
+            if in_flight.transaction.writes.len() == 1 {
                 leave_out(cluster, now, &in_flight.contents);
             }
         }
@@ -161,7 +161,7 @@
         if in_flight.has_unanswered_copy {
             let keys = in_flight.written_chunk_keys();
             if !keys.is_empty() {
-                in_flight.state = TxnState::Resync(keys);
+                in_flight.state = TransactionState::Resync(keys);
                 self.keep_in_flight(cluster, in_flight);
                 return;
             }
@@ -170,9 +170,9 @@
     }
 
     /// Everything that it wrote has this revision now.
-    fn applied(&mut self, now: Millis, contents: &TxnContents, revision: Revision, cluster: &mut ClusterState) {
+    fn applied(&mut self, now: Millis, contents: &TransactionContents, revision: Revision, cluster: &mut ClusterState) {
         let statistics = self.statistics_mut();
-        statistics.txns += 1;
+        statistics.transactions += 1;
         statistics.completed_jobs += contents.completed_jobs.len() as u32;
         statistics.deleted_records += contents.deleted_keys.len() as u32;
         for written in &contents.chunks {
@@ -190,7 +190,7 @@
 
 /// A transaction was certainly not applied: what it carried is written later,
 /// as it is by then.
-fn abort(cluster: &mut ClusterState, in_flight: &InFlightTxn) {
+fn abort(cluster: &mut ClusterState, in_flight: &InFlightTransaction) {
     if let Some(plan) = &in_flight.contents.reshard {
         reshard_aborted(cluster, plan);
     }
@@ -210,7 +210,7 @@
 }
 
 /// Leaves out, for a while, what is refused as too large even as the only write.
-fn leave_out(cluster: &mut ClusterState, now: Millis, contents: &TxnContents) {
+fn leave_out(cluster: &mut ClusterState, now: Millis, contents: &TransactionContents) {
     for written in &contents.chunks {
         shrink_chunk(cluster, now, OversizedChunk { job: written.job, chunk: written.chunk });
     }
@@ -222,58 +222,6 @@
     }
 }
 
-/// A chunk's record was written, with this revision.
-fn chunk_applied(
-    cluster: &mut ClusterState,
-    statistics: &mut WriteStatistics,
-    now: Millis,
-    written: &WrittenChunk,
-    revision: Revision,
-) {
-    let Some(job) = cluster.job_mut(written.job) else {
-        tracing::debug!(job = written.job.0, "chunk of a removed job written");
-        return;
-    };
-    let chunk = &mut job.records.chunks[written.chunk];
-    if chunk.has_unwritten_placement() {
-        statistics.placements += 1;
-        statistics.placement_wait_ms += now.saturating_sub(job.statistics.last_assigned);
-    } else {
-        statistics.exits += 1;
-    }
-    chunk.committed_version = chunk.committed_version.max(written.version);
-    chunk.revision = revision;
-    job.records.unwritten_since = None;
-    // A gang's launches wait for the last of its records.
-    let launchable =
-        if job.spec.kind == Kind::Gang { job.assignments() } else { job.assignments_of_chunk(written.chunk) };
-    cluster.schedule_dispatch(now, launchable, |assignment| assignment.state == AssignmentState::Wanted);
-}
-
-/// A job was recorded as completed, with this revision.
-fn completion_applied(cluster: &mut ClusterState, now: Millis, index: JobIndex, revision: Revision) {
-    if let Some(job) = cluster.job_mut(index) {
-        job.records.revision = revision;
-        log_completion(now, job);
-    }
-    cluster.finish(index);
-}
-
-fn log_completion(now: Millis, job: &Job) {
-    let last_assigned_after_ms = job.statistics.last_assigned as i64 - job.wait.since;
-    tracing::info!(
-        job = &*job.id,
-        age_s = job.age_s(now),
-        last_assigned_after_s = last_assigned_after_ms as f64 / 1000.0,
-        tasks = job.spec.tasks,
-        estimate_s = job.spec.estimate_s,
-        priority = ?job.spec.priority,
-        stopped_tasks = job.statistics.stop_count,
-        lost_tasks = job.statistics.lost_count,
-        "job completed"
-    );
-}
-
 /// A job's record changed under a transaction that expected `sent_revision`.
 fn mark_stale(cluster: &mut ClusterState, id: &str, sent_revision: Revision) {
     for index in active_jobs_with_id(cluster, id) {
--- a/src/coordination/commits/oversized.rs
+++ b/src/coordination/commits/oversized.rs
@@ -1,6 +1,6 @@
 //! Chunks that are too large to be written.
 
-use super::txn_builder::OversizedChunk;
+use super::transaction_builder::OversizedChunk;
 use crate::coordination::{
     cluster::{ClusterState, TaskFate},
     model::Millis,
--- a/src/coordination/commits/pipeline.rs
+++ b/src/coordination/commits/pipeline.rs
@@ -1,13 +1,13 @@
 //! The leader's transactions: one at a time.
 
 use super::{
-    in_flight::{InFlightTxn, TxnContents, TxnTag},
+    in_flight::{InFlightTransaction, TransactionContents, TransactionTag},
     job_records::JobRecordWriter,
     obsolete_records::ObsoleteRecordDeletion,
     oversized::shrink_chunk,
-    resharding::{reshard_txn, Resharding},
+    resharding::{reshard_transaction, Resharding},
     statistics::WriteStatistics,
-    txn_builder::TxnBuilder,
+    transaction_builder::TransactionBuilder,
     write_priority::WritePriority,
 };
 use crate::{
@@ -29,8 +29,8 @@
 #[derive(Debug)]
 pub struct CommitPipeline {
     /// The transaction that is not settled yet.
-    in_flight: Option<InFlightTxn>,
-    last_tag: TxnTag,
+    in_flight: Option<InFlightTransaction>,
+    last_tag: TransactionTag,
     /// Most writes of a transaction that the store is known to accept.
     accepted_ops: usize,
     /// No transaction is sent before.
@@ -47,7 +47,7 @@
     pub fn new(last_tag: u64) -> CommitPipeline {
         CommitPipeline {
             in_flight: None,
-            last_tag: TxnTag(last_tag),
+            last_tag: TransactionTag(last_tag),
             accepted_ops: usize::MAX,
             paused_until: 0,
             obsolete_record_deletion: ObsoleteRecordDeletion::default(),
@@ -75,7 +75,7 @@
     /// Whether a transaction may be sent: none is unanswered, and no pause is
     /// kept after one that failed.
     pub fn may_send(&self, now: Millis) -> bool {
-        now >= self.paused_until && !self.in_flight.as_ref().is_some_and(InFlightTxn::is_sent)
+        now >= self.paused_until && !self.in_flight.as_ref().is_some_and(InFlightTransaction::is_sent)
     }
 
     /// A key to read before the next transaction, to learn whether the last one
@@ -130,8 +130,8 @@
         let job = self.resharding.candidate(now, self.max_ops(cluster), allowance.has_spare, cluster)?;
         let (job_index, record) = (job.index, job.records.oversized_record.as_ref()?);
         let tag = self.last_tag.next();
-        let (txn, contents) = reshard_txn(cluster, tables, job, record, tag);
-        if txn.writes.len() > allowance.max_ops {
+        let (transaction, contents) = reshard_transaction(cluster, tables, job, record, tag);
+        if transaction.writes.len() > allowance.max_ops {
             return None;
         }
         self.last_tag = tag;
@@ -139,7 +139,7 @@
         if let Some(job) = cluster.job_mut(job_index) {
             job.records.resharding = true;
         }
-        Some(self.send(cluster, txn, contents, tag))
+        Some(self.send(cluster, transaction, contents, tag))
     }
 
     /// A transaction that writes and deletes records, if there is anything to write.
@@ -151,7 +151,7 @@
         tables: &Tables,
     ) -> Option<Txn> {
         self.last_tag = self.last_tag.next();
-        let mut builder = TxnBuilder::new(self.last_tag, allowance.max_ops);
+        let mut builder = TransactionBuilder::new(self.last_tag, allowance.max_ops);
         let has_spare = allowance.has_spare;
         let wall_ms = self.wall_ms(now);
         JobRecordWriter { cluster, tables, now, wall_ms, has_spare }.add_due_jobs(&mut builder);
@@ -168,8 +168,8 @@
         // leadership's writes count.
         builder.require(records::LEADER.to_owned(), cluster.term.0);
         let tag = builder.tag();
-        let (txn, contents) = builder.build();
-        Some(self.send(cluster, txn, contents, tag))
+        let (transaction, contents) = builder.build();
+        Some(self.send(cluster, transaction, contents, tag))
     }
 
     /// The time of day, in ms since the Unix epoch.
@@ -178,20 +178,26 @@
     }
 
     /// Notes a transaction as sent and returns the copy to send.
-    fn send(&mut self, cluster: &mut ClusterState, txn: Txn, contents: TxnContents, tag: TxnTag) -> Txn {
-        let copy = txn.clone();
-        self.keep_in_flight(cluster, InFlightTxn::new(txn, contents, tag));
+    fn send(
+        &mut self,
+        cluster: &mut ClusterState,
+        transaction: Txn,
+        contents: TransactionContents,
+        tag: TransactionTag,
+    ) -> Txn {
+        let copy = transaction.clone();
+        self.keep_in_flight(cluster, InFlightTransaction::new(transaction, contents, tag));
         copy
     }
 
     /// Keeps a transaction that is not settled yet.
-    pub(super) fn keep_in_flight(&mut self, cluster: &mut ClusterState, in_flight: InFlightTxn) {
+    pub(super) fn keep_in_flight(&mut self, cluster: &mut ClusterState, in_flight: InFlightTransaction) {
         cluster.records.set_in_flight(in_flight.contents.jobs());
         self.in_flight = Some(in_flight);
     }
 
     /// Removes the transaction that is not settled yet, to settle it.
-    pub(super) fn take_in_flight(&mut self, cluster: &mut ClusterState) -> Option<InFlightTxn> {
+    pub(super) fn take_in_flight(&mut self, cluster: &mut ClusterState) -> Option<InFlightTransaction> {
         cluster.records.clear_in_flight();
         self.in_flight.take()
     }
--- a/src/coordination/commits/resharding.rs
+++ b/src/coordination/commits/resharding.rs
@@ -2,9 +2,9 @@
 //! limit on the size of a value: the old chunks' records might not fit any more.
 
 use super::{
-    in_flight::{TxnContents, TxnTag},
+    in_flight::{TransactionContents, TransactionTag},
     job_records::chunk_value,
-    txn_builder::TXN_BYTES_LIMIT,
+    transaction_builder::TRANSACTION_BYTES_LIMIT,
 };
 use crate::{
     coordination::{
@@ -75,8 +75,8 @@
         if !(is_required || has_spare) || now < self.not_before {
             return None;
         }
-        let values_per_txn = TXN_BYTES_LIMIT / cluster.config.value_fit.max(1);
-        let max_writes = max_ops.min(values_per_txn).max(1);
+        let values_per_transaction = TRANSACTION_BYTES_LIMIT / cluster.config.value_fit.max(1);
+        let max_writes = max_ops.min(values_per_transaction).max(1);
         cluster.active_jobs().find(|job| {
             job.records.oversized_record.is_some()
                 && job.status == JobStatus::Pending
@@ -113,41 +113,41 @@
 }
 
 /// The transaction that reshards a job, and what it writes.
-pub fn reshard_txn(
+pub fn reshard_transaction(
     cluster: &ClusterState,
     tables: &Tables,
     job: &Job,
     record: &JobRecord,
-    tag: TxnTag,
-) -> (Txn, TxnContents) {
+    tag: TransactionTag,
+) -> (Txn, TransactionContents) {
     let chunk_size = cluster.config.chunk_fit;
     let record = JobRecord { chunk: chunk_size, ..record.clone() };
     let job_key = records::job_key(&job.id);
-    let mut txn = Txn::default();
-    txn.conditions.push(Condition { key: job_key.clone(), revision: job.records.revision });
-    txn.writes.push(Op::Put { key: job_key, v: records::to_value(&record), permit: None });
+    let mut transaction = Txn::default();
+    transaction.conditions.push(Condition { key: job_key.clone(), revision: job.records.revision });
+    transaction.writes.push(Op::Put { key: job_key, v: records::to_value(&record), permit: None });
     let mut written_chunks = Vec::new();
     for (chunk_number, write) in chunk_writes(job, chunk_size).into_iter().enumerate() {
         let key = records::chunk_key(&job.id, chunk_number as u32);
         match write {
             ChunkWrite::None => continue,
-            ChunkWrite::Delete => txn.writes.push(Op::Delete { key: key.clone() }),
+            ChunkWrite::Delete => transaction.writes.push(Op::Delete { key: key.clone() }),
             ChunkWrite::Put => {
                 let size = chunk_size as usize;
                 let tasks = chunk_number * size..(chunk_number + 1) * size;
                 let value = chunk_value(cluster, tables, job, tasks, tag);
-                txn.writes.push(Op::Put { key: key.clone(), v: value, permit: None });
+                transaction.writes.push(Op::Put { key: key.clone(), v: value, permit: None });
                 written_chunks.push(chunk_number);
             }
         }
         let revision = job.records.chunks.get(chunk_number).map_or(Revision::ABSENT, |chunk| chunk.revision);
-        txn.conditions.push(Condition { key, revision });
+        transaction.conditions.push(Condition { key, revision });
     }
     // Guard: as for every transaction, only this leadership's writes count.
-    txn.conditions.push(Condition { key: records::LEADER.to_owned(), revision: cluster.term.0 });
+    transaction.conditions.push(Condition { key: records::LEADER.to_owned(), revision: cluster.term.0 });
     let versions = job.records.chunks.iter().map(|chunk| chunk.version).collect();
     let plan = ReshardPlan { job: job.index, slots: job.tasks.slots.clone(), versions, written_chunks };
-    (txn, TxnContents { reshard: Some(plan), ..TxnContents::default() })
+    (transaction, TransactionContents { reshard: Some(plan), ..TransactionContents::default() })
 }
 
 /// The resharded records of a job were written, with this revision.
--- a/src/coordination/commits/statistics.rs
+++ b/src/coordination/commits/statistics.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Default)]
 pub struct WriteStatistics {
     /// Transactions that were applied.
-    pub txns: u32,
+    pub transactions: u32,
     /// Chunk records written with a new assignment.
     pub placements: u32,
     /// Chunk records written for the exits of tasks alone.
--- a/src/coordination/commits/transaction_builder.rs
+++ b/src/coordination/commits/transaction_builder.rs
@@ -2,7 +2,7 @@
 
 use ciborium::Value;
 
-use super::in_flight::{TxnContents, TxnTag};
+use super::in_flight::{TransactionContents, TransactionTag};
 use crate::{
     coordination::cluster::ObsoleteRecord,
     protocol::{
@@ -14,7 +14,7 @@
 
 /// Bytes of values after which a transaction takes no more; well below the
 /// largest request that the store accepts.
-pub const TXN_BYTES_LIMIT: usize = 48 * 1024;
+pub const TRANSACTION_BYTES_LIMIT: usize = 48 * 1024;
 /// Bytes of a write besides its value: its key, its condition and the framing.
 const WRITE_OVERHEAD_BYTES: usize = 64;
 
@@ -29,25 +29,25 @@
 
 /// A transaction as it is put together.
 #[derive(Debug)]
-pub struct TxnBuilder {
-    txn: Txn,
+pub struct TransactionBuilder {
+    transaction: Txn,
     /// What of the wanted state it writes so far.
-    pub contents: TxnContents,
+    pub contents: TransactionContents,
     /// Chunks that were left out because they are too large.
     pub oversized_chunks: Vec<OversizedChunk>,
     /// Most writes that it may hold.
     max_ops: usize,
     /// Bytes of its writes so far.
     bytes: usize,
-    tag: TxnTag,
+    tag: TransactionTag,
 }
 
-impl TxnBuilder {
+impl TransactionBuilder {
     /// An empty transaction that may hold `max_ops` writes.
-    pub fn new(tag: TxnTag, max_ops: usize) -> TxnBuilder {
-        TxnBuilder {
-            txn: Txn::default(),
-            contents: TxnContents::default(),
+    pub fn new(tag: TransactionTag, max_ops: usize) -> TransactionBuilder {
+        TransactionBuilder {
+            transaction: Txn::default(),
+            contents: TransactionContents::default(),
             oversized_chunks: Vec::new(),
             max_ops,
             bytes: 0,
@@ -56,13 +56,13 @@
     }
 
     /// The tag of the transaction.
-    pub fn tag(&self) -> TxnTag {
+    pub fn tag(&self) -> TransactionTag {
         self.tag
     }
 
     /// How many more writes it may hold.
     pub fn ops_left(&self) -> usize {
-        self.max_ops.saturating_sub(self.txn.writes.len())
+        self.max_ops.saturating_sub(self.transaction.writes.len())
     }
 
     /// Whether `writes` more writes fit, or would fit into no transaction at all.
@@ -73,7 +73,7 @@
 
     /// Whether its values have reached the limit on the bytes of a transaction.
     pub fn has_reached_byte_limit(&self) -> bool {
-        self.bytes > TXN_BYTES_LIMIT
+        self.bytes > TRANSACTION_BYTES_LIMIT
     }
 
     /// Whether it takes no further write.
@@ -83,29 +83,29 @@
 
     /// Whether it holds no write.
     pub fn is_empty(&self) -> bool {
-        self.txn.writes.is_empty()
+        self.transaction.writes.is_empty()
     }
 
     /// Adds a write of `value`, which has `value_bytes` bytes in JSON form.
     pub fn put(&mut self, key: String, value: Value, value_bytes: usize) {
         self.bytes += value_bytes + WRITE_OVERHEAD_BYTES;
-        self.txn.writes.push(Op::Put { key, v: value, permit: None });
+        self.transaction.writes.push(Op::Put { key, v: value, permit: None });
     }
 
     /// Adds the deletion of a record, provided that it has not changed.
     pub fn delete(&mut self, record: ObsoleteRecord) {
         self.require(record.key.clone(), record.revision);
-        self.txn.writes.push(Op::Delete { key: record.key.clone() });
+        self.transaction.writes.push(Op::Delete { key: record.key.clone() });
         self.contents.deleted_keys.push(record.key);
     }
 
     /// Adds the condition that a key has this revision.
     pub fn require(&mut self, key: String, revision: Revision) {
-        self.txn.conditions.push(Condition { key, revision });
+        self.transaction.conditions.push(Condition { key, revision });
     }
 
     /// The transaction, and what of the wanted state it writes.
-    pub fn build(self) -> (Txn, TxnContents) {
-        (self.txn, self.contents)
+    pub fn build(self) -> (Txn, TransactionContents) {
+        (self.transaction, self.contents)
     }
 }
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -1,14 +1,12 @@
 //! A new leader reads the records that earlier leaders wrote.
 
-use ciborium::Value;
-
 use super::Leader;
 use crate::{
     coordination::{
-        cluster::{NewAssignment, ObsoleteRecord},
+        cluster::{ClusterState, NewAssignment, ObsoleteRecord},
         model::{Job, Millis, Slot},
     },
-    protocol::{ids::Revision, names::Tables},
+    protocol::{names::Tables, store::Pair},
     storage::{
         job_cache::{JobCache, JobIndex},
         records::{self, AssignmentRecord, ChunkRecord, JobStatus},
@@ -16,73 +14,60 @@
 };
 
 impl Leader {
-    /// Takes in a chunk record read at the beginning.
-    #[allow(clippy::too_many_arguments)]
-    pub fn load(
-        &mut self,
-        now: Millis,
-        wall_ms: u64,
-        key: &str,
-        value: &Value,
-        revision: Revision,
-        job_cache: &JobCache,
-        tables: &mut Tables,
-    ) {
-        let Some((id, chunk_number)) = records::split_chunk_key(key) else { return };
+    /// Takes in a chunk record read at the beginning. `wall_ms`: time of day, in
+    /// ms since the Unix epoch.
+    pub fn load(&mut self, now: Millis, wall_ms: u64, pair: &Pair, job_cache: &JobCache, tables: &mut Tables) {
+        let Some((id, chunk_number)) = records::split_chunk_key(&pair.key) else { return };
         let Some(index) = job_cache.find(id) else { return };
-        self.cluster.reserve_job_slot(index);
         if job_cache.get(index).status == JobStatus::Done {
-            self.cluster.records.delete_later(ObsoleteRecord { key: key.to_owned(), revision });
+            let obsolete = ObsoleteRecord { key: pair.key.clone(), revision: pair.revision };
+            self.cluster.records.delete_later(obsolete);
             return;
         }
-        if self.cluster.jobs[index.at()].is_none() {
-            // Guard: nothing of a job that still waits for others can have been
-            // assigned. Were it so all the same, its assignments must count.
-            if job_cache.waits(index) {
-                tracing::error!(key, "a task record of a job that waits for others");
-            }
-            let Some(spec) = job_cache.effective_spec(index) else { return };
-            self.cluster.add_job(now, wall_ms, index, spec, job_cache);
+        if !self.add_job_of_record(now, wall_ms, index, &pair.key, job_cache) {
+            return;
         }
-        let Ok(record) = value.deserialized::<ChunkRecord>() else {
-            tracing::error!(key, "a task record can't be read");
+        let Ok(record) = pair.v.deserialized::<ChunkRecord>() else {
+            tracing::error!(key = pair.key, "chunk record unreadable");
             return;
         };
-        let Some(job) = self.cluster.jobs[index.at()].as_mut() else { return };
+        let Some(job) = self.cluster.job_mut(index) else { return };
         let Some(chunk) = job.records.chunks.get_mut(chunk_number as usize) else { return };
-        chunk.revision = revision;
+        chunk.revision = pair.revision;
         load_done_tasks(job, chunk_number, &record.done);
-        self.load_assignments(now, index, record.assignments, tables);
+        load_assignments(&mut self.cluster, now, index, record.assignments, tables);
         // What was read is what is written.
-        if let Some(job) = self.cluster.jobs[index.at()].as_mut() {
+        if let Some(job) = self.cluster.job_mut(index) {
             let chunk = &mut job.records.chunks[chunk_number as usize];
             chunk.version = chunk.version.max(1);
             chunk.committed_version = chunk.version;
         }
     }
 
-    fn load_assignments(
+    /// Adds the job that a chunk record belongs to, if it is not active yet.
+    /// Returns whether it is active now.
+    fn add_job_of_record(
         &mut self,
         now: Millis,
-        job: JobIndex,
-        assignments: Vec<AssignmentRecord>,
-        tables: &mut Tables,
-    ) {
-        for AssignmentRecord(task, machine_id, incarnation, attempt, zone_name) in assignments {
-            let zone = tables.zones.intern(&zone_name);
-            let machine = self.cluster.machine_named(now, &machine_id, zone);
-            self.cluster.machines[machine.at()].heartbeats.lease_renewed = now;
-            let new = NewAssignment { job, task, machine, incarnation, attempt, zone };
-            let Some(assignment_index) = self.cluster.add_assignment(now, new) else { continue };
-            // Its launch may have been sent by an earlier leader.
-            if let Some(assignment) = self.cluster.assignments.get_mut(assignment_index) {
-                assignment.sent = Some(now);
-                assignment.inherited = true;
-            }
+        wall_ms: u64,
+        index: JobIndex,
+        key: &str,
+        job_cache: &JobCache,
+    ) -> bool {
+        if self.cluster.job(index).is_some() {
+            return true;
+        }
+        // Guard: nothing of a job that still waits for others can have been
+        // assigned. Were it so all the same, its assignments must count.
+        if job_cache.waits(index) {
+            tracing::error!(key, "chunk record of a job with unfinished prerequisites");
         }
+        let Some(spec) = job_cache.effective_spec(index) else { return false };
+        self.cluster.add_job(now, wall_ms, index, spec, job_cache);
+        true
     }
 
-    /// All records are read.
+    /// All records are read. `wall_ms`: time of day, in ms since the Unix epoch.
     pub fn loaded(&mut self, now: Millis, wall_ms: u64, job_cache: &JobCache) {
         self.cluster.loaded = true;
         self.commits.set_wall_clock(now, wall_ms);
@@ -91,17 +76,40 @@
                 self.job_update(now, wall_ms, index, job_cache);
             }
         }
-        for index in self.cluster.active.clone() {
+        for index in self.cluster.jobs.indices().to_vec() {
             if job_cache.get(index).status == JobStatus::Cancelled {
                 self.cluster.stop_job(now, index, 0.0);
             }
         }
         let placed: u32 = self.cluster.active_jobs().map(|job| job.tasks.placed).sum();
-        tracing::info!(jobs = self.cluster.active.len(), placed, "records read, leading");
+        tracing::info!(jobs = self.cluster.jobs.len(), placed, "records loaded");
         self.cluster.cycle_needed = true;
     }
 }
 
+/// Makes the assignments of a chunk record.
+fn load_assignments(
+    cluster: &mut ClusterState,
+    now: Millis,
+    job: JobIndex,
+    assignments: Vec<AssignmentRecord>,
+    tables: &mut Tables,
+) {
+    for AssignmentRecord(task, machine_id, incarnation, attempt, zone_name) in assignments {
+        let zone = tables.zones.intern(&zone_name);
+        let machine = cluster.machine_named(now, &machine_id, zone);
+        cluster.machines[machine.at()].heartbeats.lease_renewed = now;
+        let new = NewAssignment { job, task, machine, incarnation, attempt, zone };
+        let Some(assignment_index) = cluster.add_assignment(now, new) else { continue };
+        // Its launch may have been sent by an earlier leader.
+        if let Some(assignment) = cluster.assignments.get_mut(assignment_index) {
+            assignment.sent = Some(now);
+            assignment.inherited = true;
+        }
+    }
+}
+
+/// Marks the tasks that a chunk record says are done.
 fn load_done_tasks(job: &mut Job, chunk_number: u32, packed_done: &str) {
     let first = chunk_number * job.records.chunk_size;
     let mut newly_done = 0;
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -28,12 +28,9 @@
     storage::job_cache::{JobCache, JobIndex},
 };
 
-/// Raises of one worker's token after which the leadership is given up: well
-/// below what a token's count can hold.
+/// Raises of one worker's fencing token after which the leader steps down: well
+/// below what the count in a token can hold.
 const TOKEN_RAISE_LIMIT: u64 = 60_000;
-/// Bits of an attempt number or a transaction's tag that count those of one
-/// leadership.
-const SEQUENCE_BITS: u32 = 20;
 
 /// All that a controller keeps while it leads.
 pub struct Leader {
@@ -51,10 +48,9 @@
     /// A new leadership that has read no records yet. `nonce` is a random number
     /// that no other leadership has.
     pub fn new(config: Config, term: Term, nonce: u64, now: Millis, types: Vec<MachineTypeSpec>) -> Leader {
-        let first_in_sequence = term.0 .0 << SEQUENCE_BITS;
         Leader {
-            cluster: ClusterState::new(config, term, Attempt(first_in_sequence), now, types),
-            commits: CommitPipeline::new(first_in_sequence),
+            cluster: ClusterState::new(config, term, Attempt(term.first_sequence_number()), now, types),
+            commits: CommitPipeline::new(term.first_sequence_number()),
             scheduler: Scheduler::default(),
             autoscaler: Autoscaler::new(nonce, now),
             workers: WorkerControl::new(now),
@@ -89,12 +85,13 @@
         self.workers.no_peer_renewals = span;
     }
 
-    /// The cloud's machine types were read again: prices change.
+    /// Takes the cloud's machine types and their prices, which may have changed.
     pub fn set_types(&mut self, types: &[MachineTypeSpec]) {
         self.cluster.set_types(types);
     }
 
-    /// The job cache shows a job's record, new or changed.
+    /// Takes a job's record from the job cache, new or changed. `wall_ms`: time of
+    /// day, in ms since the Unix epoch.
     pub fn job_update(&mut self, now: Millis, wall_ms: u64, index: JobIndex, job_cache: &JobCache) {
         self.commits.set_wall_clock(now, wall_ms);
         self.cluster.job_update(now, wall_ms, index, job_cache);
@@ -110,10 +107,10 @@
         self.outbox.take()
     }
 
-    /// The count inside some worker's token is nearly used up: the next
-    /// leadership begins a new one.
+    /// Whether the count in some worker's fencing token is nearly used up: the
+    /// next leadership begins a new one.
     pub fn tokens_exhausted(&self) -> bool {
-        let base = self.cluster.term.first_token();
-        self.cluster.machines.iter().any(|machine| machine.fence.token.0 - base.0 > TOKEN_RAISE_LIMIT)
+        let term = self.cluster.term;
+        self.cluster.machines.iter().any(|machine| term.raise_count(machine.fence.token) > TOKEN_RAISE_LIMIT)
     }
 }
--- a/src/coordination/leader/sweep.rs
+++ b/src/coordination/leader/sweep.rs
@@ -1,7 +1,10 @@
 //! Regular checks for what only time tells, and the summary for the logs.
 
 use super::Leader;
-use crate::coordination::model::{MachineIndex, MachineLifecycle, Millis, Resources};
+use crate::coordination::{
+    model::{MachineIndex, MachineLifecycle, Millis, Resources},
+    snapshot::ClusterSnapshot,
+};
 
 /// Interval of the checks: short against leases and heartbeat interval.
 const SWEEP_MS: Millis = 250;
@@ -25,7 +28,7 @@
             }
             self.expire_lease(now, index);
             self.probe_if_overdue(now, index);
-            self.note_idle(now, index);
+            self.update_idle_since(now, index);
             self.cluster.refresh(now, index);
         }
         self.judge_failures(now);
@@ -38,25 +41,18 @@
     /// Logs what there is, what of it is in use, what waits, and what was
     /// written since the last summary.
     fn log_summary(&mut self) {
-        let (mut capacity, mut free, mut closed) = (Resources::default(), Resources::default(), 0);
-        for pool in &self.cluster.snapshot.pools {
-            capacity += pool.capacity * pool.members.len() as f64;
-            for host in pool.members.iter().filter_map(|&n| self.cluster.snapshot.hosts.get(n as usize)) {
-                free += host.free.max0();
-                closed += u32::from(!host.open);
-            }
-        }
+        let totals = CapacityTotals::of(&self.cluster.snapshot);
         let written = self.commits.take_statistics();
         tracing::info!(
-            machines_up = self.cluster.snapshot.pools.iter().map(|pool| pool.members.len()).sum::<usize>(),
-            machines_unschedulable = closed,
-            cpus = capacity.cpus.round(),
-            cpus_free = free.cpus.round(),
-            gpus = capacity.gpus.round(),
-            gpus_free = free.gpus.round(),
-            jobs = self.cluster.active.len(),
+            machines_up = totals.machines,
+            machines_unschedulable = totals.unschedulable_machines,
+            cpus = totals.capacity.cpus.round(),
+            cpus_free = totals.free.cpus.round(),
+            gpus = totals.capacity.gpus.round(),
+            gpus_free = totals.free.gpus.round(),
+            jobs = self.cluster.jobs.len(),
             waiting_jobs = self.cluster.backlog.unmet.len(),
-            transactions = written.txns,
+            transactions = written.transactions,
             placements = written.placements,
             exits = written.exits,
             completed_jobs = written.completed_jobs,
@@ -66,7 +62,8 @@
         );
     }
 
-    fn note_idle(&mut self, now: Millis, index: MachineIndex) {
+    /// Notes since when a machine, or its GPUs, have had nothing to do.
+    fn update_idle_since(&mut self, now: Millis, index: MachineIndex) {
         let machine = &mut self.cluster.machines[index.at()];
         if machine.lifecycle != MachineLifecycle::Up {
             return;
@@ -79,3 +76,28 @@
         }
     }
 }
+
+/// All machines taken together.
+#[derive(Debug, Default)]
+struct CapacityTotals {
+    machines: usize,
+    /// Machines that take no new tasks.
+    unschedulable_machines: u32,
+    capacity: Resources,
+    free: Resources,
+}
+
+impl CapacityTotals {
+    fn of(snapshot: &ClusterSnapshot) -> CapacityTotals {
+        let mut totals = CapacityTotals::default();
+        for pool in &snapshot.pools {
+            totals.machines += pool.members.len();
+            totals.capacity += pool.capacity * pool.members.len() as f64;
+            for host in pool.members.iter().filter_map(|&host_index| snapshot.hosts.get(host_index as usize)) {
+                totals.free += host.free.max0();
+                totals.unschedulable_machines += u32::from(!host.open);
+            }
+        }
+        totals
+    }
+}
--- a/src/coordination/model/job.rs
+++ b/src/coordination/model/job/mod.rs
@@ -1,54 +1,20 @@
 //! Unfinished jobs and the state of their tasks.
 
+mod records;
+mod tasks;
+
 use std::rc::Rc;
 
-use super::{AssignmentIndex, JobFailures, Millis};
+pub use self::{
+    records::{Chunk, JobRecords},
+    tasks::{Slot, TaskTable},
+};
+use super::{Assignment, AssignmentIndex, AssignmentState, JobFailures, Millis};
 use crate::{
-    protocol::{ids::Revision, jobs::JobSpec},
-    storage::{
-        job_cache::JobIndex,
-        records::{JobRecord, JobStatus},
-    },
+    protocol::{jobs::JobSpec, names::ZoneIndex, workers::TaskState},
+    storage::{job_cache::JobIndex, records::JobStatus},
 };
 
-/// Where one task of a job stands.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Slot {
-    /// Not assigned to any machine.
-    Pending,
-    /// Completed.
-    Done,
-    /// On a machine, or on its way there.
-    At(AssignmentIndex),
-}
-
-/// State of one chunk record (`t/`), which holds a part of a job's tasks.
-#[derive(Debug, Clone, Copy, Default)]
-pub struct Chunk {
-    /// Version of the wanted state.
-    pub version: u64,
-    /// The version that the written record holds.
-    pub committed_version: u64,
-    /// The version that last gained an assignment: its launch waits for the write.
-    pub placement_version: u64,
-    /// Revision of the written record; 0: there is none.
-    pub revision: Revision,
-    /// Its value is larger than may be written; not to be tried before.
-    pub retry_at: Millis,
-}
-
-impl Chunk {
-    /// Whether the wanted state differs from the written record.
-    pub fn is_dirty(&self) -> bool {
-        self.version != self.committed_version
-    }
-
-    /// Whether an assignment waits for the record to be written.
-    pub fn has_unwritten_placement(&self) -> bool {
-        self.placement_version > self.committed_version
-    }
-}
-
 /// Task counts of a job, as users see them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobProgress {
@@ -58,45 +24,6 @@
     pub running: u32,
 }
 
-/// How the records of a job in the state service compare with its wanted state.
-#[derive(Debug)]
-pub struct JobRecords {
-    /// Revision of its record.
-    pub revision: Revision,
-    /// A transaction found the record changed; wait until the job cache shows it.
-    pub stale: bool,
-    /// Tasks per chunk.
-    pub chunk_size: u32,
-    /// State of its chunk records, by chunk number.
-    pub chunks: Vec<Chunk>,
-    /// Tasks per chunk according to its record.
-    pub recorded_chunk_size: u32,
-    /// Its chunks are being resharded: none of its tasks may be assigned.
-    pub resharding: bool,
-    /// Its record, while that splits its tasks into chunks that are too large
-    /// for the state service's lower limit.
-    pub oversized_record: Option<Rc<JobRecord>>,
-    /// Since when changes wait to be written.
-    pub unwritten_since: Option<Millis>,
-}
-
-/// Where the tasks of a job stand.
-#[derive(Debug)]
-pub struct TaskTable {
-    /// Where each task stands, by task number.
-    pub slots: Vec<Slot>,
-    /// Pending task numbers, the next one last.
-    pub pending: Vec<u32>,
-    /// Tasks that completed.
-    pub done: u32,
-    /// Tasks that have an assignment.
-    pub placed: u32,
-    /// Tasks that run now.
-    pub running: u32,
-    /// Its assignments by zone, if it restricts zones.
-    pub zone_used: Vec<u32>,
-}
-
 /// How long a job has waited, and what holds it back.
 #[derive(Debug)]
 pub struct WaitState {
@@ -115,6 +42,20 @@
     pub ever_assigned: bool,
 }
 
+impl WaitState {
+    /// A job that may run for `age_ms` already, and of which nothing is assigned yet.
+    pub fn new(now: Millis, age_ms: i64) -> WaitState {
+        WaitState {
+            since: now as i64 - age_ms,
+            waiting_since: now,
+            not_before: 0,
+            next_preemption: 0,
+            has_counted_start: false,
+            ever_assigned: false,
+        }
+    }
+}
+
 /// Counts and times for the logs.
 #[derive(Debug)]
 pub struct JobStatistics {
@@ -126,6 +67,13 @@
     pub last_assigned: Millis,
 }
 
+impl JobStatistics {
+    /// A job that was just added.
+    pub fn new(now: Millis) -> JobStatistics {
+        JobStatistics { stop_count: 0, lost_count: 0, last_assigned: now }
+    }
+}
+
 /// A job that is not over, or whose tasks are still somewhere.
 #[derive(Debug)]
 pub struct Job {
@@ -171,6 +119,34 @@
         self.records.chunks[chunk].version
     }
 
+    /// Counts a pending task as assigned. Returns the version of its chunk that
+    /// first contains the assignment.
+    pub fn record_assignment(&mut self, now: Millis, task: u32, zone: ZoneIndex) -> u64 {
+        let chunk_version = self.touch(task);
+        let chunk = self.chunk_of(task);
+        self.records.chunks[chunk].placement_version = chunk_version;
+        self.tasks.placed += 1;
+        self.tasks.remove_pending(task);
+        if self.spec.one_zone || self.spec.spread {
+            self.tasks.count_in_zone(zone);
+        }
+        self.wait.ever_assigned = true;
+        self.statistics.last_assigned = now;
+        chunk_version
+    }
+
+    /// Takes a released assignment out of the counts of its tasks.
+    pub fn record_release(&mut self, assignment: &Assignment) {
+        self.touch(assignment.task);
+        self.tasks.placed -= 1;
+        if let Some(used) = self.tasks.zone_used.get_mut(assignment.zone.at()) {
+            *used -= 1;
+        }
+        if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
+            self.tasks.running = self.tasks.running.saturating_sub(1);
+        }
+    }
+
     /// Whether any chunk differs from its written record.
     pub fn has_unwritten_changes(&self) -> bool {
         self.records.chunks.iter().any(Chunk::is_dirty)
@@ -193,21 +169,12 @@
 
     /// All of its assignments, in the order of its tasks.
     pub fn assignments(&self) -> Vec<AssignmentIndex> {
-        assignments_in(&self.tasks.slots)
+        self.tasks.assignments()
     }
 
     /// The assignments of one chunk's tasks.
     pub fn assignments_of_chunk(&self, chunk: usize) -> Vec<AssignmentIndex> {
         let size = self.records.chunk_size as usize;
-        let start = chunk * size;
-        assignments_in(&self.tasks.slots[start..(start + size).min(self.tasks.slots.len())])
+        self.tasks.assignments_of(chunk * size..(chunk + 1) * size)
     }
 }
-
-fn assignments_in(slots: &[Slot]) -> Vec<AssignmentIndex> {
-    let assigned = |slot: &Slot| match slot {
-        Slot::At(assignment) => Some(*assignment),
-        Slot::Pending | Slot::Done => None,
-    };
-    slots.iter().filter_map(assigned).collect()
-}
--- a/src/coordination/tests/commits.rs
+++ b/src/coordination/tests/commits.rs
@@ -101,8 +101,8 @@
     }
 }
 
-fn written(txn: &Txn) -> Vec<(&str, &Value)> {
-    txn.writes.iter().filter_map(put).collect()
+fn written(transaction: &Txn) -> Vec<(&str, &Value)> {
+    transaction.writes.iter().filter_map(put).collect()
 }
 
 fn put(op: &Op) -> Option<(&str, &Value)> {
@@ -119,20 +119,20 @@
     }
 }
 
-fn written_keys(txn: &Txn) -> Vec<&str> {
-    written(txn).into_iter().map(|(key, _)| key).collect()
+fn written_keys(transaction: &Txn) -> Vec<&str> {
+    written(transaction).into_iter().map(|(key, _)| key).collect()
 }
 
-fn deleted_keys(txn: &Txn) -> Vec<&str> {
-    txn.writes.iter().filter_map(deleted).collect()
+fn deleted_keys(transaction: &Txn) -> Vec<&str> {
+    transaction.writes.iter().filter_map(deleted).collect()
 }
 
-fn requires(txn: &Txn, key: &str, revision: Revision) -> bool {
-    txn.conditions.iter().any(|condition| condition.key == key && condition.revision == revision)
+fn requires(transaction: &Txn, key: &str, revision: Revision) -> bool {
+    transaction.conditions.iter().any(|condition| condition.key == key && condition.revision == revision)
 }
 
-fn chunk_record(txn: &Txn, key: &str) -> ChunkRecord {
-    let (_, value) = written(txn).into_iter().find(|(written, _)| *written == key).expect("written");
+fn chunk_record(transaction: &Txn, key: &str) -> ChunkRecord {
+    let (_, value) = written(transaction).into_iter().find(|(written, _)| *written == key).expect("written");
     value.deserialized().expect("a chunk record")
 }
 
@@ -143,21 +143,23 @@
     f.assign(0);
     f.assign(9);
     assert!(f.has_writes(NOW, false));
-    let txn = f.next(NOW, URGENT).expect("two chunks changed");
-    assert_eq!(written_keys(&txn), [FIRST_CHUNK, SECOND_CHUNK]);
-    assert!(requires(&txn, records::LEADER, LEADER_REVISION));
-    assert!(requires(&txn, "j/j-1", JOB_REVISION));
-    assert!(requires(&txn, FIRST_CHUNK, Revision::ABSENT) && requires(&txn, SECOND_CHUNK, Revision::ABSENT));
-    let assignments = chunk_record(&txn, SECOND_CHUNK).assignments;
+    let transaction = f.next(NOW, URGENT).expect("two chunks changed");
+    assert_eq!(written_keys(&transaction), [FIRST_CHUNK, SECOND_CHUNK]);
+    assert!(requires(&transaction, records::LEADER, LEADER_REVISION));
+    assert!(requires(&transaction, "j/j-1", JOB_REVISION));
+    assert!(
+        requires(&transaction, FIRST_CHUNK, Revision::ABSENT) && requires(&transaction, SECOND_CHUNK, Revision::ABSENT)
+    );
+    let assignments = chunk_record(&transaction, SECOND_CHUNK).assignments;
     assert_eq!(assignments.iter().map(|record| (record.0, record.1.as_str())).collect::<Vec<_>>(), [(9, "m-1")]);
     assert!(!f.commits.may_send(NOW) && f.next(NOW, URGENT).is_none(), "one transaction at a time");
     assert!(f.finish(NOW + 20, CommitOutcome::Done(Revision(8))));
     assert_eq!((f.chunk_revision(0), f.chunk_revision(1)), (Revision(8), Revision(8)));
     assert!(!f.has_unwritten_placement() && !f.has_writes(NOW + 20, false));
     let statistics = f.commits.take_statistics();
-    assert_eq!((statistics.txns, statistics.placements, statistics.exits), (1, 2, 0));
+    assert_eq!((statistics.transactions, statistics.placements, statistics.exits), (1, 2, 0));
     assert_eq!(statistics.mean_placement_wait_ms(), 20);
-    assert_eq!(f.commits.take_statistics().txns, 0, "counted once");
+    assert_eq!(f.commits.take_statistics().transactions, 0, "counted once");
 }
 
 #[test]
@@ -218,11 +220,11 @@
     for case in 0..3 {
         let mut f = fixture();
         f.assign(0);
-        let txn = f.next(NOW, URGENT).unwrap();
+        let transaction = f.next(NOW, URGENT).unwrap();
         assert!(f.finish(NOW, CommitOutcome::Conflict(vec![FIRST_CHUNK.to_owned()])));
         assert_eq!(f.commits.resync_key(), Some(FIRST_CHUNK), "case {case}");
         assert!(f.next(NOW, URGENT).is_none(), "case {case}: not before it is read");
-        let own = chunk_record(&txn, FIRST_CHUNK);
+        let own = chunk_record(&transaction, FIRST_CHUNK);
         let found = match case {
             0 => Some((records::to_value(&own), Revision(8))),
             1 => Some((records::to_value(&ChunkRecord { tag: own.tag + 1, ..own }), Revision(8))),
@@ -232,7 +234,7 @@
         assert_eq!(f.commits.resync_key(), None, "case {case}");
         assert_eq!(f.has_unwritten_placement(), case != 0, "case {case}");
         assert_eq!(f.chunk_revision(0), if case == 2 { Revision::ABSENT } else { Revision(8) }, "case {case}");
-        assert_eq!(f.commits.take_statistics().txns, u32::from(case == 0), "case {case}");
+        assert_eq!(f.commits.take_statistics().transactions, u32::from(case == 0), "case {case}");
     }
 }
 
@@ -287,17 +289,19 @@
     for assignment in f.cluster.job(f.job).unwrap().assignments() {
         f.cluster.release_assignment(assignment, TaskFate::Done);
     }
-    let txn = f.next(NOW + 10, URGENT).expect("completions wait for nothing");
-    assert_eq!(written_keys(&txn), ["j/j-1"]);
-    assert!(requires(&txn, "j/j-1", JOB_REVISION));
-    let record: JobRecord = written(&txn)[0].1.deserialized().unwrap();
+    let transaction = f.next(NOW + 10, URGENT).expect("completions wait for nothing");
+    assert_eq!(written_keys(&transaction), ["j/j-1"]);
+    assert!(requires(&transaction, "j/j-1", JOB_REVISION));
+    let record: JobRecord = written(&transaction)[0].1.deserialized().unwrap();
     assert_eq!((record.status, record.at_ms), (JobStatus::Done, 50_010));
     assert!(f.finish(NOW + 10, CommitOutcome::Done(Revision(9))));
     assert!(f.cluster.job(f.job).is_none(), "removed");
     assert!(!f.has_writes(NOW + 10, false) && f.has_writes(NOW + 10, true), "deletions take only what is to spare");
-    let txn = f.next(NOW + 10, SPARE).unwrap();
-    assert_eq!(deleted_keys(&txn), [FIRST_CHUNK, SECOND_CHUNK]);
-    assert!(requires(&txn, FIRST_CHUNK, Revision(8)) && requires(&txn, records::LEADER, LEADER_REVISION));
+    let transaction = f.next(NOW + 10, SPARE).unwrap();
+    assert_eq!(deleted_keys(&transaction), [FIRST_CHUNK, SECOND_CHUNK]);
+    assert!(
+        requires(&transaction, FIRST_CHUNK, Revision(8)) && requires(&transaction, records::LEADER, LEADER_REVISION)
+    );
     // One key has changed meanwhile: only the other one is tried again, after a pause.
     assert!(f.finish(NOW + 10, CommitOutcome::Conflict(vec![FIRST_CHUNK.to_owned()])));
     assert!(f.next(NOW + 809, SPARE).is_none());
@@ -313,12 +317,12 @@
     assert!(!f.has_writes(NOW, true) && f.next(NOW, SPARE).is_none(), "not enabled");
     f.commits.set_resharding_enabled(true);
     assert!(f.next(NOW + 200, URGENT).is_none(), "nothing to spare");
-    let txn = f.next(NOW + 200, SPARE).expect("chunks of 8 tasks become chunks of 4");
+    let transaction = f.next(NOW + 200, SPARE).expect("chunks of 8 tasks become chunks of 4");
     // Task 5 is in the second of the new chunks; the first one's record is deleted.
-    assert_eq!(written_keys(&txn), ["j/j-1", SECOND_CHUNK]);
-    assert_eq!(deleted_keys(&txn), [FIRST_CHUNK]);
-    assert!(requires(&txn, FIRST_CHUNK, Revision(8)) && requires(&txn, SECOND_CHUNK, Revision::ABSENT));
-    assert!(requires(&txn, records::LEADER, LEADER_REVISION));
+    assert_eq!(written_keys(&transaction), ["j/j-1", SECOND_CHUNK]);
+    assert_eq!(deleted_keys(&transaction), [FIRST_CHUNK]);
+    assert!(requires(&transaction, FIRST_CHUNK, Revision(8)) && requires(&transaction, SECOND_CHUNK, Revision::ABSENT));
+    assert!(requires(&transaction, records::LEADER, LEADER_REVISION));
     assert!(f.cluster.job(f.job).unwrap().records.resharding, "none of its tasks may be assigned");
     assert!(f.finish(NOW + 200, CommitOutcome::Done(Revision(9))));
     let records = &f.cluster.job(f.job).unwrap().records;
