--- a/src/controller/task_loading.rs
+++ b/src/controller/task_loading.rs
@@ -83,7 +83,7 @@
         };
         let wall = wall_ms();
         for pair in &page.pairs {
-            leader.load(now, wall, &pair.key, &pair.v, pair.revision, &self.job_cache, &mut self.tables);
+            leader.load(now, wall, pair, &self.job_cache, &mut self.tables);
         }
         match page.pairs.last() {
             Some(last) if page.truncated => self.task_loading.next_page_from = Some(last.key.clone()),
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -46,7 +46,7 @@
 
     fn apply_listed_host(&mut self, now: Millis, host: &ListedHost, tables: &mut Tables) {
         let zone = tables.zones.intern(&host.zone);
-        let is_known = self.cluster.machine_index.contains_key(&host.id);
+        let is_known = self.cluster.machines.find(&host.id).is_some();
         let index = self.cluster.machine_named(now, &host.id, zone);
         let machine = &mut self.cluster.machines[index.at()];
         if machine.lifecycle == MachineLifecycle::Gone {
--- a/src/coordination/scheduler/demand.rs
+++ b/src/coordination/scheduler/demand.rs
@@ -18,7 +18,7 @@
         oldest_first.sort_unstable_by_key(|&index| (self.cluster.job(index).map(|job| job.wait.since), index));
         let mut demand_by_team: Vec<Resources> = vec![Resources::default(); self.cluster.config.teams.len()];
         for index in oldest_first {
-            let Some(job) = self.cluster.jobs[index.at()].as_mut() else { continue };
+            let Some(job) = self.cluster.jobs.get_mut(index) else { continue };
             let team = job.spec.team.at();
             let Some(team_demand) = demand_by_team.get_mut(team) else { continue };
             let limits = self.cluster.config.teams.get(team).copied().unwrap_or_default();
@@ -31,8 +31,7 @@
     /// Notes what GPU work of the last minutes asked for, and what of it each
     /// pool's machines could run.
     pub fn note_gpu_demand(&mut self, now: Millis) {
-        let jobs =
-            self.cluster.active.iter().filter_map(|&index| self.cluster.jobs.get(index.at()).and_then(Option::as_ref));
+        let jobs = self.cluster.jobs.iter();
         self.scheduler.gpu_demand.observe(now, jobs);
         for pool in &mut self.cluster.snapshot.pools {
             pool.guard = None;
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -53,7 +53,7 @@
         if is_listed || !self.cluster.loaded {
             return true;
         }
-        let Some(&index) = self.cluster.machine_index.get(&heartbeat.machine) else { return false };
+        let Some(index) = self.cluster.machines.find(&heartbeat.machine) else { return false };
         let machine = self.cluster.machine(index);
         !machine.load.assignments.is_empty() || !machine.has_no_command_in_flight()
     }
--- a/src/coordination/workers/exits.rs
+++ b/src/coordination/workers/exits.rs
@@ -92,7 +92,7 @@
             return;
         }
         let ran_s = (now - running_since) as f64 / 1000.0;
-        if let Some(job) = self.cluster.jobs.get(assignment.job.at()).and_then(Option::as_ref) {
+        if let Some(job) = self.cluster.jobs.get(assignment.job) {
             self.cluster.run_times.observe(&job.spec, ran_s);
         }
     }
--- a/src/coordination/workers/failures.rs
+++ b/src/coordination/workers/failures.rs
@@ -92,7 +92,7 @@
         let (jobs, machine) = (&self.cluster.jobs, &mut self.cluster.machines[n]);
         machine.recent_failures.retain(|failure| now < failure.at + FAILURE_MEMORY_MS);
         for failure in &mut machine.recent_failures {
-            let job = jobs.get(failure.job.at()).and_then(Option::as_ref);
+            let job = jobs.get(failure.job);
             failure.job_is_sound |= job.is_some_and(|job| job.failures.job_is_sound);
         }
         let sound_jobs = machine.recent_failures.iter().filter(|failure| failure.job_is_sound).count();
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -112,7 +112,7 @@
     /// The answer that was made for a heartbeat is not sent after all: that the
     /// worker never shows what was in it means nothing.
     pub fn response_not_sent(&mut self, machine: &str) {
-        if let Some(&index) = self.cluster.machine_index.get(machine) {
+        if let Some(index) = self.cluster.machines.find(machine) {
             self.cluster.machines[index.at()].fence.answered_since_fence = false;
         }
     }
--- a/src/coordination/workers/task_statuses.rs
+++ b/src/coordination/workers/task_statuses.rs
@@ -113,7 +113,7 @@
             if let Some(job) = self.cluster.job_mut(task.job) {
                 record = complete_pending_task(job, task.number);
             }
-            self.cluster.changed_progress.insert(task.job);
+            self.cluster.progress_feed.mark_changed(task.job);
             self.cluster.cycle_needed = true;
         }
         if is_settled {
@@ -191,7 +191,7 @@
         let was_running = previous == AssignmentState::Seen(TaskState::Running);
         let (job_index, machine) = (assignment.job, assignment.machine);
         let (made, inherited) = (assignment.made, assignment.inherited);
-        let Some(job) = self.cluster.jobs[job_index.at()].as_mut() else { return };
+        let Some(job) = self.cluster.jobs.get_mut(job_index) else { return };
         match (was_running, is_running) {
             (false, true) => {
                 job.tasks.running += 1;
@@ -202,7 +202,7 @@
             (true, false) => job.tasks.running = job.tasks.running.saturating_sub(1),
             _ => {}
         }
-        self.cluster.changed_progress.insert(job_index);
+        self.cluster.progress_feed.mark_changed(job_index);
         if let Some(host) = self.cluster.snapshot.hosts.get_mut(machine.at()) {
             let cache_gb = host.pool.map_or(0.0, |pool| self.cluster.snapshot.pools[pool].cache_gb);
             host.note_image(job.spec.image, job.spec.image_gb, cache_gb);
@@ -212,7 +212,7 @@
     fn apply_task_exit(&mut self, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
         let Some(assignment) = self.cluster.assignments.get_mut(index) else { return };
         if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
-            if let Some(job) = self.cluster.jobs[assignment.job.at()].as_mut() {
+            if let Some(job) = self.cluster.jobs.get_mut(assignment.job) {
                 job.tasks.running = job.tasks.running.saturating_sub(1);
             }
         }
--- a/tests/simulation/controller.rs
+++ b/tests/simulation/controller.rs
@@ -60,7 +60,7 @@
         self.job_cache.page(&self.store.page(records::JOBS), true, &mut self.tables);
         self.job_cache.take_changed();
         for p in self.store.page(records::TASKS).pairs {
-            leader.load(self.now, self.now, &p.key, &p.v, p.revision, &self.job_cache, &mut self.tables);
+            leader.load(self.now, self.now, &p, &self.job_cache, &mut self.tables);
         }
         leader.loaded(self.now, self.now, &self.job_cache);
         self.leader = Some(leader);
