--- a/src/coordination/cluster/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -83,7 +83,7 @@
         Some(index)
     }
 
-    /// The task is provably not on its machine (any more).
+    /// Releases an assignment: its task is provably not on the machine, or no longer.
     pub fn release_assignment(&mut self, index: AssignmentIndex, fate: TaskFate) -> Option<Assignment> {
         let assignment = self.assignments.remove(index)?;
         self.machines[assignment.machine.at()].load.assignments.retain(|&other| other != index);
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Everything on a machine is provably gone; with `before_incarnation`, only
+    /// Releases all assignments of a machine, as their tasks are provably gone; with `before_incarnation`, only
     /// what was assigned in an earlier incarnation.
     pub fn free_machine(&mut self, index: MachineIndex, before_incarnation: Option<Incarnation>) {
         for assignment_index in self.machines[index.at()].load.assignments.clone() {
--- a/src/coordination/cluster/config.rs
+++ b/src/coordination/cluster/config.rs
@@ -1,47 +1,48 @@
-//! Settings of a leadership.
+//! Settings of one leadership.
 
 use crate::{
     coordination::model::{Millis, TeamLimits},
     protocol::names::ClassIndex,
 };
 
-/// What a leader is told of its cluster when it begins.
+/// Settings of the cluster as a leader gets them when its leadership begins.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// How long a worker's lease lasts.
+    /// How long a worker's lease lasts, in ms.
     pub lease_ms: Millis,
-    /// The interval of workers' heartbeats.
+    /// The interval of workers' heartbeats, in ms.
     pub heartbeat_interval_ms: Millis,
-    /// How long a gang's task waits for the others.
+    /// How long a gang's task waits for the others, in seconds.
     pub gang_peer_s: f64,
-    /// Most writes of a transaction.
+    /// Most writes of a transaction that the key-value store accepts.
     pub txn_ops: usize,
-    /// Largest value, in bytes, under the state service's present limit.
+    /// Largest value, in bytes, under the key-value store's present limit.
     pub value_max: usize,
-    /// Largest value, in bytes, that fits under its lower limit as well.
+    /// Largest value, in bytes, that fits under its lower limit as well, which may
+    /// replace the present one at any time.
     pub value_fit: usize,
     /// Tasks per chunk whose record fits under the lower limit.
     pub chunk_fit: u32,
     /// How old the cloud's list of hosts may be, in ms.
     pub list_lag_ms: Millis,
-    /// By index of the team.
+    /// Guarantee and limit of each team, by index of the team.
     pub teams: Vec<TeamLimits>,
-    /// What users expect of classes, the shortest time first.
+    /// Service-level objectives of classes, the shortest time first.
     pub objectives: Vec<ServiceObjective>,
-    /// How long an idle machine is kept at least.
+    /// How long an idle machine is kept at least, in ms.
     pub idle_keep_ms: Millis,
-    /// How long past its due report a machine counts as silent.
+    /// How long after its heartbeat was due a machine is taken to have failed, in ms.
     pub silent_ms: Millis,
-    /// Most machines held at once; `usize::MAX`: no limit.
+    /// Most machines rented at once; `usize::MAX`: no limit.
     pub max_machines: usize,
     /// Whether spot machines may be rented.
     pub use_spot: bool,
 }
 
-/// What users expect of a class: that its jobs start or end within some seconds.
+/// Service-level objective of a class: its jobs start or end within a time limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceObjective {
-    /// The class of jobs that it is about.
+    /// The class of jobs that it holds for.
     pub class: ClassIndex,
     /// True: the first tasks run by then; false: all are done.
     pub start: bool,
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -197,7 +197,8 @@
         }
     }
 
-    /// Whether an end is written, or its job is over: then it may be reaped.
+    /// Whether a task's exit is recorded, or its job is over: then the worker may
+    /// reap the task.
     pub(in crate::coordination) fn is_exit_recorded(&self, exit: &UnreapedExit) -> bool {
         let Some(job) = self.job(exit.job) else { return true };
         match exit.record {
--- a/src/coordination/cluster/machines.rs
+++ b/src/coordination/cluster/machines.rs
@@ -1,4 +1,4 @@
-//! Machines become known, and the snapshot is shown what they are.
+//! Machines become known, and the snapshot learns which of them take new tasks.
 
 use super::{ClusterState, UNCROWDED_MS};
 use crate::{
@@ -8,7 +8,7 @@
 
 /// A machine with GPUs is expensive per CPU beyond this many times the cheapest.
 const GPU_PRICE_FACTOR: f64 = 2.0;
-/// How far past its second missed report a machine still takes new tasks.
+/// How long after its second missed heartbeat a machine still takes new tasks, in ms.
 const HEARTBEAT_SLACK_MS: Millis = 500;
 
 impl ClusterState {
@@ -23,9 +23,7 @@
     /// Shows the snapshot what a machine is and whether it takes new tasks.
     pub fn refresh(&mut self, now: Millis, index: MachineIndex) {
         let machine = &self.machines[index.at()];
-        let is_present = matches!(machine.lifecycle, MachineLifecycle::Up | MachineLifecycle::Returning)
-            && machine.heartbeats.incarnation != Incarnation::NONE;
-        let machine_type = if is_present { self.type_of(machine) } else { None };
+        let machine_type = if is_present(machine) { self.type_of(machine) } else { None };
         let open = self.takes_new_tasks(now, machine);
         let gpu_only = machine_type.is_some_and(|machine_type| self.reserved_for_gpu_work(now, machine, machine_type));
         let (zone, spot) = (machine.zone, machine.spot);
@@ -46,13 +44,13 @@
     }
 
     fn takes_new_tasks(&self, now: Millis, machine: &Machine) -> bool {
-        let report_limit_ms = 2 * self.config.heartbeat_interval_ms + HEARTBEAT_SLACK_MS;
+        let heartbeat_limit_ms = 2 * self.config.heartbeat_interval_ms + HEARTBEAT_SLACK_MS;
         machine.lifecycle == MachineLifecycle::Up
             // Guard: a machine that reaches no controller answers calls, but its
             // lease is running out: what starts there would soon be lost.
-            && machine.heartbeats.last_heartbeat.is_some_and(|reported| now < reported + report_limit_ms)
+            && machine.heartbeats.last_heartbeat.is_some_and(|last| now < last + heartbeat_limit_ms)
             // Guard: it has shown our token, so our answers reach it. A delayed
-            // copy of an old heartbeat, of a machine that was handed back, say,
+            // copy of an old heartbeat, of a machine that was released, say,
             // can't show it.
             && machine.fenced()
             && machine.heartbeats.incarnation > machine.heartbeats.expired_incarnation
@@ -61,8 +59,8 @@
             && now >= machine.avoid_until
     }
 
-    /// An expensive machine whose GPUs have no use takes no other work once
-    /// nothing waits: it becomes empty and is handed back.
+    /// Whether a machine takes only GPU work: an expensive one whose GPUs are idle,
+    /// while no work waits for its type. So it becomes empty and can be released.
     pub fn reserved_for_gpu_work(&self, now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
         if machine_type.capacity.gpus <= 0.0
             || machine_type.capacity.cpus <= 0.0
@@ -77,3 +75,9 @@
             && price_per_cpu(machine_type) > GPU_PRICE_FACTOR * cheapest
     }
 }
+
+/// Whether a machine is rented and its worker has sent a heartbeat.
+fn is_present(machine: &Machine) -> bool {
+    matches!(machine.lifecycle, MachineLifecycle::Up | MachineLifecycle::Returning)
+        && machine.heartbeats.incarnation != Incarnation::NONE
+}
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -21,7 +21,7 @@
 mod team_usage;
 
 use self::{
-    assignment_table::AssignmentTable, backlog::Backlog, dispatch_queue::DispatchQueue, job_table::JobTable,
+    assignment_table::AssignmentTable, backlog::Backlog, dispatch_queue::DispatchQueue,
     machine_registry::MachineRegistry, progress_feed::ProgressFeed, team_usage::TeamUsage,
 };
 pub use self::{
@@ -32,6 +32,7 @@
 };
 pub(in crate::coordination) use self::{
     backlog::UNCROWDED_MS,
+    job_table::JobTable,
     records::{ObsoleteRecord, RecordState},
     sharding::{AppliedPlan, ReshardPlan},
 };
@@ -84,7 +85,7 @@
     pub(in crate::coordination) cycle_needed: bool,
     /// Machines that may have to be sent a command, and when to look.
     pub(in crate::coordination) dispatch_queue: DispatchQueue,
-    /// What is known of the records in the state service.
+    /// What is known of the records in the key-value store.
     pub(in crate::coordination) records: RecordState,
 }
 
--- a/src/coordination/cluster/records.rs
+++ b/src/coordination/cluster/records.rs
@@ -1,22 +1,23 @@
-//! What is known of the records in the state service, besides what each job keeps.
+//! What is known of the records in the key-value store, besides what each job keeps.
 
 use std::collections::{HashSet, VecDeque};
 
 use crate::{protocol::ids::Revision, storage::job_cache::JobIndex};
 
-/// A record that no job needs any more, at its last known revision.
+/// A record to be deleted, as no job needs it any more. It is deleted only at the
+/// revision that is known here.
 #[derive(Debug)]
 pub(in crate::coordination) struct ObsoleteRecord {
     pub key: String,
     pub revision: Revision,
 }
 
-/// The records as a whole.
+/// The records of all jobs together.
 #[derive(Debug)]
 pub(in crate::coordination) struct RecordState {
-    /// Largest value, in bytes, that the state service is known to take.
+    /// Largest value, in bytes, that the key-value store is known to take.
     pub value_limit: usize,
-    /// Jobs of which a transaction that is not settled writes records.
+    /// Jobs of which a transaction whose outcome is not settled writes records.
     in_flight: HashSet<JobIndex>,
     /// Records that wait to be deleted.
     obsolete: VecDeque<ObsoleteRecord>,
--- a/src/coordination/cluster/sharding.rs
+++ b/src/coordination/cluster/sharding.rs
@@ -1,32 +1,35 @@
 //! How the tasks of a job are split into chunks, each with a record of its own.
+//! Resharding changes the number of tasks per chunk.
 
 use super::ClusterState;
 use crate::{
-    coordination::model::{Chunk, ExitRecord, Slot},
+    coordination::model::{Chunk, ExitRecord, Job, Slot},
     protocol::{ids::Revision, workers::split_task},
     storage::job_cache::JobIndex,
 };
 
-/// A resharding under way, and the job as it was when its transaction was built.
+/// A job that is being resharded, as it was when its transaction was built.
 #[derive(Debug)]
 pub(in crate::coordination) struct ReshardPlan {
     pub job: JobIndex,
+    /// Where each task stood, by task number.
     pub slots: Vec<Slot>,
     /// Versions of the old chunks.
     pub versions: Vec<u64>,
-    /// Those of the new chunks that have a record.
+    /// The new chunks that get a record, by chunk number.
     pub written_chunks: Vec<usize>,
 }
 
-/// What is written under new chunk sizes, and the revision that it has.
+/// A job that was resharded, and the revision that its new records have.
 pub(in crate::coordination) struct AppliedPlan<'a> {
     pub plan: &'a ReshardPlan,
     pub revision: Revision,
 }
 
 impl ClusterState {
-    /// Its record says another chunk size than ours: a write of ours that was
-    /// never answered. All chunks are written once more under that size.
+    /// Reshards a job whose record gives another chunk size than is known here:
+    /// a transaction that was never answered was applied. All chunks are written
+    /// once more under that size.
     pub(in crate::coordination) fn adopt_recorded_sharding(&mut self, index: JobIndex) {
         let Some(job) = self.job(index) else { return };
         if job.records.recorded_chunk_size != job.records.chunk_size && !job.records.resharding {
@@ -43,37 +46,14 @@
         applied: Option<AppliedPlan<'_>>,
     ) {
         let Some(job) = self.jobs.get_mut(index) else { return };
-        job.records.oversized_record = None;
-        job.records.resharding = false;
-        job.records.chunk_size = size.max(1);
-        let chunk_count = job.spec.tasks.div_ceil(job.records.chunk_size) as usize;
-        let version = u64::from(applied.is_some());
-        job.records.chunks = vec![Chunk { version, committed_version: version, ..Chunk::default() }; chunk_count];
-        if let Some(AppliedPlan { plan, revision }) = &applied {
-            for &chunk in &plan.written_chunks {
-                job.records.chunks[chunk].revision = *revision;
-            }
+        replace_chunks(job, size, applied.as_ref());
+        match &applied {
+            Some(applied) => mark_changed_since(job, applied.plan),
+            None => mark_all_unwritten(job),
         }
-        for task in 0..job.spec.tasks {
-            let slot = job.tasks.slots[task as usize];
-            match &applied {
-                // Guard: what changed while the transaction was under way isn't
-                // written yet.
-                Some(applied) if applied.plan.slots[task as usize] != slot => {
-                    job.touch(task);
-                }
-                Some(_) => {}
-                None if slot != Slot::Pending => {
-                    let chunk = job.chunk_of(task);
-                    job.records.chunks[chunk].version = 1;
-                    job.records.chunks[chunk].placement_version = 1;
-                }
-                None => {}
-            }
-            if let Slot::At(assignment_index) = slot {
-                if let Some(assignment) = self.assignments.get_mut(assignment_index) {
-                    assignment.chunk_version = 1;
-                }
+        for assignment_index in job.assignments() {
+            if let Some(assignment) = self.assignments.get_mut(assignment_index) {
+                assignment.chunk_version = 1;
             }
         }
         self.renumber_unreaped_exits(index, applied.as_ref());
@@ -96,3 +76,38 @@
         }
     }
 }
+
+/// Gives a job new chunks of `size` tasks. `applied`: what of them is written.
+fn replace_chunks(job: &mut Job, size: u32, applied: Option<&AppliedPlan<'_>>) {
+    job.records.oversized_record = None;
+    job.records.resharding = false;
+    job.records.chunk_size = size.max(1);
+    let chunk_count = job.spec.tasks.div_ceil(job.records.chunk_size) as usize;
+    let version = u64::from(applied.is_some());
+    job.records.chunks = vec![Chunk { version, committed_version: version, ..Chunk::default() }; chunk_count];
+    if let Some(AppliedPlan { plan, revision }) = applied {
+        for &chunk in &plan.written_chunks {
+            job.records.chunks[chunk].revision = *revision;
+        }
+    }
+}
+
+/// Guard: what changed while the transaction was under way isn't written yet.
+fn mark_changed_since(job: &mut Job, plan: &ReshardPlan) {
+    for task in 0..job.spec.tasks {
+        if plan.slots[task as usize] != job.tasks.slots[task as usize] {
+            job.touch(task);
+        }
+    }
+}
+
+/// Every chunk with a task that is assigned or done is to be written.
+fn mark_all_unwritten(job: &mut Job) {
+    for task in 0..job.spec.tasks {
+        if job.tasks.slots[task as usize] != Slot::Pending {
+            let chunk = job.chunk_of(task);
+            job.records.chunks[chunk].version = 1;
+            job.records.chunks[chunk].placement_version = 1;
+        }
+    }
+}
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -1,4 +1,4 @@
-//! What the leader asks of the outside, and what it hears of the outcome.
+//! Calls that the leader asks to be made, and their outcomes.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
     },
 };
 
-/// A call to be made.
+/// A call to a worker or to the cloud that is to be made.
 #[derive(Debug, Clone)]
 pub enum Effect {
     /// POST /do: a command sent straight to a worker.
@@ -46,7 +46,7 @@
         /// The first name to list; None: from the beginning.
         from: Option<String>,
     },
-    /// GET /status, of a worker whose report is overdue.
+    /// GET /status, of a worker whose heartbeat is overdue.
     Probe {
         /// The machine of the worker.
         machine: MachineIndex,
@@ -60,7 +60,7 @@
 pub enum HeartbeatOutcome {
     /// Accepted: this renews the worker's lease and carries orders.
     Ok(HeartbeatResponse),
-    /// Too old to mean anything, or from a machine that is gone.
+    /// Ignored: it is older than one heard before, or from a machine that is gone.
     Stale,
     /// The worker has seen a higher token than any of ours.
     Superseded,
@@ -94,7 +94,7 @@
     Unknown,
 }
 
-/// Pause after a refusal, so that a busy service is not asked at once again.
+/// Pause after a refusal, in ms, so that a busy service is not asked again at once.
 pub(in crate::coordination) const REFUSED_PAUSE_MS: Millis = 150;
 
 /// Effects that the leader has decided on, and the numbers of its calls.
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,7 +1,7 @@
 //! The leader: what a controller does while it holds the leader's lease.
 //!
 //! [`Leader`] composes the components and hands them each event: the cluster
-//! state (what runs where), the commits (its records in the state service), the
+//! state (what runs where), the commits (its records in the key-value store), the
 //! scheduler, the autoscaler, and the control of the workers.
 //!
 //! Safety rests on four rules, each guarded where it is marked in the components:
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,5 +1,8 @@
-//! Who leads, and what runs where. Everything here is pure: events and the
-//! present moment go in, effects come out.
+//! Leader election and scheduling: which controller leads, and which task runs on
+//! which machine.
+//!
+//! Everything here is deterministic and free of I/O: events and the present moment
+//! go in, effects come out.
 
 mod autoscaler;
 pub mod cluster;
--- a/src/coordination/model/failures.rs
+++ b/src/coordination/model/failures.rs
@@ -1,11 +1,11 @@
-//! What a job's failed tasks say of the job itself.
+//! Whether the failures of a job's tasks are the fault of the job itself.
 
 use super::{MachineIndex, Millis};
 use crate::protocol::ids::Attempt;
 
-/// Machines on which a job failed, and ran well nowhere, after which the fault
-/// is taken for its own.
-const MACHINES_TO_BLAME_JOB: usize = 2;
+/// A job that failed on this many machines, and succeeded on none, is taken to be
+/// at fault itself.
+const MIN_FAILED_MACHINES: usize = 2;
 
 /// The failures of one job's tasks.
 #[derive(Debug, Default)]
@@ -14,7 +14,7 @@
     pub machines: Vec<MachineIndex>,
     /// Rounds of attempts that ended in failures.
     pub rounds: u32,
-    /// The longest that a task ran before it failed.
+    /// The longest that a task ran before it failed, in ms.
     pub longest_run_ms: Millis,
     /// A task of the job completed, or outlasted those that failed.
     pub job_is_sound: bool,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// It fails on every machine, as far as is known.
+    /// Whether the job is at fault itself: it fails on every machine, as far as is known.
     pub fn job_is_at_fault(&self) -> bool {
-        !self.job_is_sound && self.machines.len() >= MACHINES_TO_BLAME_JOB
+        !self.job_is_sound && self.machines.len() >= MIN_FAILED_MACHINES
     }
 
-    /// Its tasks failed, and it is not known whether others would run well.
+    /// Whether tasks failed and the cause is open: the job or the machines.
     pub fn are_unexplained(&self) -> bool {
         !self.job_is_sound && !self.machines.is_empty()
     }
--- a/src/coordination/model/job/mod.rs
+++ b/src/coordination/model/job/mod.rs
@@ -83,7 +83,7 @@
     pub id: Rc<str>,
     /// What was submitted.
     pub spec: Rc<JobSpec>,
-    /// How the records of a job in the state service compare with its wanted state.
+    /// How the records of a job in the key-value store compare with its wanted state.
     pub records: JobRecords,
     /// Status according to its record.
     pub status: JobStatus,
--- a/src/coordination/model/job/records.rs
+++ b/src/coordination/model/job/records.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// How the records of a job in the state service compare with its wanted state.
+/// How the records of a job in the key-value store compare with its wanted state.
 #[derive(Debug)]
 pub struct JobRecords {
     /// Revision of its record.
@@ -53,7 +53,7 @@
     /// into smaller chunks. None of its tasks may be assigned meanwhile.
     pub resharding: bool,
     /// Its record, while that splits its tasks into chunks that are too large
-    /// for the state service's lower limit.
+    /// for the key-value store's lower limit.
     pub oversized_record: Option<Rc<JobRecord>>,
     /// Since when changes wait to be written.
     pub unwritten_since: Option<Millis>,
