--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -83,7 +83,7 @@
     pub(in crate::coordination) cycle_needed: bool,
     /// Machines that may have to be sent a command, and when to look.
     pub(in crate::coordination) dispatch_queue: DispatchQueue,
-    /// What is known of the records in the state service.
+    /// What is known of the records in the key-value store.
     pub(in crate::coordination) records: RecordState,
 }
 
