--- a/src/controller/cluster_limits.rs
+++ b/src/controller/cluster_limits.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     coordination::model::TeamLimits,
-    protocol::settings::{Cluster, Team},
+    protocol::settings::{ClusterSettings, Team},
     storage::records,
 };
 
@@ -10,7 +10,7 @@
 const DEFAULT_ZONE_NAME_LENGTH: usize = 16;
 
 /// Tasks per chunk of a job that is recorded now.
-pub fn chunk_size(cluster: &Cluster) -> u32 {
+pub fn chunk_size(cluster: &ClusterSettings) -> u32 {
     let zone_len = cluster.zones.iter().map(String::len).max().unwrap_or(DEFAULT_ZONE_NAME_LENGTH);
     records::chunk_size(cluster.state.fitting_value_kb(), zone_len)
 }
--- a/src/controller/election_driver.rs
+++ b/src/controller/election_driver.rs
@@ -55,13 +55,13 @@
                 client.send_to_store(net, PendingCall::Election(ElectionCall::CreateGrant), request);
             }
             Action::RenewGrant(grant) => {
-                let request = StoreRequest::renew_grant(grant, self.election.patience_ms());
+                let request = StoreRequest::renew_grant(grant, self.election.renewal_timeout_ms());
                 client.send_to_store(net, PendingCall::Election(ElectionCall::RenewGrant), request);
             }
             Action::WriteKey { grant, expected_revision } => {
                 let record = self.election.record(grant);
                 let request = StoreRequest::write_granted_key(
-                    records::LEADER.into(),
+                    records::LEADER_KEY.into(),
                     &record,
                     grant,
                     expected_revision,
@@ -86,7 +86,7 @@
     fn claimed(&mut self, now: Millis, result: &CallResult) {
         // The store knows no such grant any more.
         if status(result) == BAD_REQUEST {
-            self.election.permit_lost();
+            self.election.grant_lost();
         }
         self.election.claimed(now, applied_revision(result));
     }
@@ -94,7 +94,7 @@
     /// The leader's key was seen. `record`: None: it doesn't exist. `revision`: of
     /// the record, or of its removal.
     pub fn observe_key(&mut self, now: Millis, record: Option<LeaderRecord>, revision: Revision) {
-        self.election.saw_key(now, record, revision);
+        self.election.observe_key(now, record, revision);
     }
 
     /// Term of this controller's leadership, if it may act at this moment.
@@ -103,8 +103,8 @@
     }
 
     /// Term of this controller's leadership, even if it may not act just now.
-    pub fn holds_key(&self) -> Option<Term> {
-        self.election.holds_key()
+    pub fn held_term(&self) -> Option<Term> {
+        self.election.held_term()
     }
 
     /// The label of the controller that the leader's key names.
--- a/src/controller/identity.rs
+++ b/src/controller/identity.rs
@@ -18,7 +18,7 @@
     pub fn new(settings: &Settings) -> Identity {
         Identity {
             label: settings.label.clone(),
-            zone: settings.domain.clone(),
+            zone: settings.zone.clone(),
             // 63 bits, as the key-value store's numbers are signed.
             nonce: rand::random::<u64>() >> 1,
         }
--- a/src/controller/instance/heartbeats.rs
+++ b/src/controller/instance/heartbeats.rs
@@ -3,7 +3,7 @@
 
 use super::Controller;
 use crate::{
-    coordination::{effects::HeartbeatOutcome, halts_of_cancelled, model::Millis},
+    coordination::{effects::HeartbeatOutcome, model::Millis, stop_commands_for_cancelled},
     protocol::{
         cbor,
         ids::FencingToken,
@@ -11,13 +11,13 @@
     },
     transport::{
         http::status::{BAD_REQUEST, MISDIRECTED_REQUEST, OK, SERVICE_UNAVAILABLE},
-        ConnId, Net,
+        ConnectionId, Net,
     },
 };
 
 impl Controller {
     /// Handles a worker's heartbeat.
-    pub(super) fn handle_heartbeat(&mut self, net: &mut Net, conn: ConnId, bytes: &[u8]) {
+    pub(super) fn handle_heartbeat(&mut self, net: &mut Net, conn: ConnectionId, bytes: &[u8]) {
         let heartbeat: Heartbeat = match cbor::decode(bytes) {
             Ok(heartbeat) => heartbeat,
             Err(error) => {
@@ -33,7 +33,7 @@
         self.leadership.sync_jobs(now, &mut self.jobs);
         let term = self.election.leading(now);
         match self.leadership.answer_heartbeat(now, term, &heartbeat, &self.jobs, &mut self.names) {
-            Some(HeartbeatOutcome::Ok(answer)) => self.send_leader_answer(net, conn, &heartbeat, &answer),
+            Some(HeartbeatOutcome::Accepted(answer)) => self.send_leader_answer(net, conn, &heartbeat, &answer),
             Some(HeartbeatOutcome::Stale) => net.respond(conn, SERVICE_UNAVAILABLE, None, b""),
             Some(HeartbeatOutcome::Superseded) => {
                 tracing::warn!(
@@ -59,7 +59,13 @@
     /// Guard: it must not let a task outlive a cancellation that this controller
     /// doesn't know of yet, so the job cache must be recent, unless nothing runs
     /// on the machine.
-    fn send_leader_answer(&mut self, net: &mut Net, conn: ConnId, heartbeat: &Heartbeat, answer: &HeartbeatResponse) {
+    fn send_leader_answer(
+        &mut self,
+        net: &mut Net,
+        conn: ConnectionId,
+        heartbeat: &Heartbeat,
+        answer: &HeartbeatResponse,
+    ) {
         let bytes = cbor::encode(answer);
         let now = net.now();
         let cache_is_recent = self.renewal_key.may_renew(now);
@@ -68,7 +74,7 @@
             return net.respond(conn, SERVICE_UNAVAILABLE, None, b"");
         };
         if is_leading && (cache_is_recent || !leader.may_hold_tasks(heartbeat)) {
-            return net.respond_heartbeat(conn, OK, &bytes);
+            return net.respond_to_heartbeat(conn, OK, &bytes);
         }
         tracing::debug!(machine = &*heartbeat.machine, is_leading, cache_is_recent, "heartbeat not answered");
         leader.response_not_sent(&heartbeat.machine);
@@ -85,19 +91,19 @@
 
     /// Renews a worker's lease. Tasks that are known as cancelled are stopped,
     /// which any controller may order; all others go on.
-    fn renew_without_leader(&mut self, net: &mut Net, conn: ConnId, now: Millis, heartbeat: &Heartbeat) {
+    fn renew_without_leader(&mut self, net: &mut Net, conn: ConnectionId, now: Millis, heartbeat: &Heartbeat) {
         // Guard: recorded before the answer is sent, so that no leader counts the
         // lease as expired.
         self.renewal_key.record_renewal(now);
-        let commands = halts_of_cancelled(heartbeat, self.jobs.cache());
+        let commands = stop_commands_for_cancelled(heartbeat, self.jobs.cache());
         let bytes = cbor::encode(&HeartbeatResponse { token: heartbeat.token, commands });
-        net.respond_heartbeat(conn, OK, &bytes);
+        net.respond_to_heartbeat(conn, OK, &bytes);
     }
 
     /// Redirects a worker to the leader, if it is known.
-    fn redirect_heartbeat(&mut self, net: &mut Net, conn: ConnId, now: Millis) {
+    fn redirect_heartbeat(&mut self, net: &mut Net, conn: ConnectionId, now: Millis) {
         self.peers.record_rejected_heartbeat(now);
-        let redirect = Redirect { report_to: self.leader_hint(now) };
+        let redirect = Redirect { leader: self.leader_hint(now) };
         net.respond(conn, MISDIRECTED_REQUEST, None, &cbor::encode(&redirect));
     }
 }
--- a/src/controller/instance/mod.rs
+++ b/src/controller/instance/mod.rs
@@ -27,10 +27,10 @@
 use crate::{
     coordination::model::Millis,
     protocol::{
-        names::Tables,
-        operator::Operator,
+        names::Interners,
+        operator::OperatorSettings,
         peers::{self as frames, Frame, Gossip, Notice},
-        settings::{Cluster, Settings},
+        settings::{ClusterSettings, Settings},
     },
     transport::{Event, Net},
 };
@@ -45,10 +45,10 @@
 /// One controller.
 pub(super) struct Controller {
     identity: Identity,
-    cluster: Rc<Cluster>,
-    operator: Operator,
+    cluster: Rc<ClusterSettings>,
+    operator: OperatorSettings,
     /// Interned names.
-    names: Tables,
+    names: Interners,
     client: ServiceClient,
     store_health: StoreHealth,
     peers: Peers,
@@ -63,8 +63,8 @@
 }
 
 /// The names that the settings give, so that their indices follow its order.
-fn configured_names(cluster: &Cluster) -> Tables {
-    let mut names = Tables::default();
+fn configured_names(cluster: &ClusterSettings) -> Interners {
+    let mut names = Interners::default();
     for team in &cluster.teams {
         names.teams.intern(&team.name);
     }
@@ -76,20 +76,20 @@
 
 impl Controller {
     /// A controller that knows nothing yet of the key-value store and its peers.
-    pub(super) fn new(settings: &Settings, operator: Operator, net: &mut Net) -> Controller {
+    pub(super) fn new(settings: &Settings, operator: OperatorSettings, net: &mut Net) -> Controller {
         let identity = Identity::new(settings);
         let cluster = Rc::new(settings.cluster.clone());
         Controller {
             names: configured_names(&cluster),
             client: ServiceClient::new(settings),
             store_health: StoreHealth::default(),
-            peers: Peers::new(identity.clone(), &settings.seeds, net),
+            peers: Peers::new(identity.clone(), &settings.peer_settings, net),
             election: ElectionDriver::new(&identity, operator.leader_ttl_ms),
             renewal_key: RenewalKey::new(identity.clone(), settings),
             leader_key: LeaderKeyWatch::default(),
             jobs: JobWatch::default(),
             machine_types: MachineTypeCatalog::default(),
-            versions: VersionWatch::new(identity.clone(), &settings.seeds),
+            versions: VersionWatch::new(identity.clone(), &settings.peer_settings),
             users: UserApi::new(Rc::clone(&cluster)),
             leadership: Leadership::default(),
             identity,
@@ -122,7 +122,7 @@
 
     fn handle_gossip(&mut self, now: Millis, gossip: Gossip) {
         for count in self.peers.receive_gossip(now, gossip) {
-            self.jobs.cache_mut().show(&count.job, count.done, count.running);
+            self.jobs.cache_mut().set_progress(&count.job, count.done, count.running);
         }
     }
 
@@ -132,7 +132,7 @@
             return;
         }
         for cancelled in &notice.cancelled {
-            self.jobs.cache_mut().cancelled_elsewhere(&cancelled.job, cancelled.revision, &mut self.names);
+            self.jobs.cache_mut().apply_peer_cancellation(&cancelled.job, cancelled.revision, &mut self.names);
         }
     }
 
--- a/src/controller/instance/routes.rs
+++ b/src/controller/instance/routes.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use crate::transport::{
     http::status::{METHOD_NOT_ALLOWED, NOT_FOUND, OK, SERVICE_UNAVAILABLE},
-    ConnId, Net, Request,
+    ConnectionId, Net, Request,
 };
 
 /// What a request is for. Paths that don't exist have no route.
@@ -36,7 +36,7 @@
 
 impl Controller {
     /// Handles a request of a user, a worker or a health probe.
-    pub(super) fn handle_request(&mut self, net: &mut Net, conn: ConnId, request: &Request) {
+    pub(super) fn handle_request(&mut self, net: &mut Net, conn: ConnectionId, request: &Request) {
         // Guard: overload. Requests of clients that have disconnected meanwhile
         // are not worked on.
         if !net.is_open(conn) {
--- a/src/controller/instance/tick.rs
+++ b/src/controller/instance/tick.rs
@@ -50,7 +50,7 @@
         let now = net.now();
         let leading = self.election.leading(now);
         self.set_budget_shares(now, Role::from_leading(leading.is_some()));
-        self.leadership.end_unless_held(self.election.holds_key());
+        self.leadership.end_unless_held(self.election.held_term());
         let Some(term) = leading else { return };
         if self.machine_types.is_empty() || !self.jobs.cache().loaded() {
             return;
@@ -87,13 +87,13 @@
         let local_state = || {
             let counts = if leading { self.leadership.take_progress(MAX_GOSSIP_COUNTS) } else { Vec::new() };
             for count in &counts {
-                self.jobs.cache_mut().show(&count.job, count.done, count.running);
+                self.jobs.cache_mut().set_progress(&count.job, count.done, count.running);
             }
             LocalState {
                 store_age_ms: self.store_health.age(now),
                 leading,
                 usage: self.client.budgets().usage(now),
-                no_renewal_ms: now.saturating_sub(self.renewal_key.last_leaderless_renewal()),
+                since_leaderless_renewal_ms: now.saturating_sub(self.renewal_key.last_leaderless_renewal()),
                 counts,
             }
         };
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -10,10 +10,10 @@
 use crate::{
     coordination::model::Millis,
     protocol::{
-        names::Tables,
+        names::Interners,
         store::{Changes, Page},
     },
-    storage::{budget::Urgency, job_cache::JobCache, records},
+    storage::{job_cache::JobCache, rate_limit::Urgency, records},
     transport::{http::status::GONE, Net},
 };
 
@@ -67,7 +67,7 @@
             return;
         }
         self.pages.begin();
-        let request = StoreRequest::read_page(records::JOBS, self.next_page_from.as_deref(), PAGE_TIMEOUT_MS);
+        let request = StoreRequest::read_page(records::JOB_KEY_PREFIX, self.next_page_from.as_deref(), PAGE_TIMEOUT_MS);
         let is_first = self.next_page_from.is_none();
         client.send_to_store(net, PendingCall::Jobs(JobsCall::Page { is_first }), request);
     }
@@ -85,7 +85,7 @@
     /// A read of the changes since the last one, which waits for a change for at
     /// most `wait_ms`.
     pub fn read_changes(&self, wait_ms: u64, timeout_ms: u64) -> StoreRequest {
-        StoreRequest::read_changes(records::JOBS, self.cache.store_revision(), wait_ms, timeout_ms)
+        StoreRequest::read_changes(records::JOB_KEY_PREFIX, self.cache.store_revision(), wait_ms, timeout_ms)
     }
 
     /// The next watch may be sent from now on.
@@ -94,13 +94,13 @@
     }
 
     /// A page of all records came.
-    pub fn page_received(&mut self, now: Millis, is_first: bool, result: &CallResult, names: &mut Tables) {
+    pub fn page_received(&mut self, now: Millis, is_first: bool, result: &CallResult, names: &mut Interners) {
         let Some(page) = body::<Page>(result) else {
             self.pages.end_until(now + RETRY_MS);
             return;
         };
         self.pages.end();
-        self.cache.page(&page, is_first, names);
+        self.cache.apply_page(&page, is_first, names);
         let last_key = page.pairs.last().map(|pair| pair.key.clone());
         self.next_page_from = last_key.filter(|_| page.truncated);
     }
@@ -117,7 +117,7 @@
 
     /// Applies the result of a read of changes. Returns whether the cache is now as
     /// recent as the sending of that read.
-    pub fn apply_changes(&mut self, result: &CallResult, names: &mut Tables) -> bool {
+    pub fn apply_changes(&mut self, result: &CallResult, names: &mut Interners) -> bool {
         // Guard: while all records are loaded again, the changes since the first
         // page don't show what the later pages contain.
         if !self.cache.loaded() {
@@ -130,7 +130,7 @@
             }
             return false;
         };
-        self.cache.apply(&changes, names);
+        self.cache.apply_changes(&changes, names);
         true
     }
 }
--- a/src/controller/leader_key_watch.rs
+++ b/src/controller/leader_key_watch.rs
@@ -16,7 +16,7 @@
         store::{Change, Changes, Page},
     },
     storage::{
-        budget::Urgency,
+        rate_limit::Urgency,
         records::{self, LeaderRecord},
     },
     transport::{http::status::GONE, Net},
@@ -42,23 +42,23 @@
     fn observe_listing(&mut self, now: Millis, page: &Page) {
         let find = |key: &str| page.pairs.iter().find(|pair| pair.key == key);
 
-        let leader = find(records::LEADER);
-        let record = leader.and_then(|pair| pair.v.deserialized::<LeaderRecord>().ok());
+        let leader = find(records::LEADER_KEY);
+        let record = leader.and_then(|pair| pair.value.deserialized::<LeaderRecord>().ok());
         self.election.observe_key(now, record, leader.map_or(page.store_revision, |pair| pair.revision));
 
         let own = find(&self.renewal_key.key());
         let key_revision = own.map_or(Revision::ABSENT, |pair| pair.revision);
-        self.renewal_key.observe_key(own.map(|pair| &pair.v), key_revision, page.store_revision);
+        self.renewal_key.observe_key(own.map(|pair| &pair.value), key_revision, page.store_revision);
 
         self.peers.observe_renewal_keys(now, |label| find(&records::renewal_key(label)).is_some());
     }
 
     /// One key was written or removed.
     fn observe_change(&mut self, now: Millis, change: &Change) {
-        if change.write.as_deref() == Some(records::LEADER) {
-            let record = change.v.as_ref().and_then(|value| value.deserialized::<LeaderRecord>().ok());
+        if change.write.as_deref() == Some(records::LEADER_KEY) {
+            let record = change.value.as_ref().and_then(|value| value.deserialized::<LeaderRecord>().ok());
             self.election.observe_key(now, record, change.revision);
-        } else if change.drop.as_deref() == Some(records::LEADER) {
+        } else if change.drop.as_deref() == Some(records::LEADER_KEY) {
             self.election.observe_key(now, None, change.revision);
         } else {
             self.observe_renewal_key_change(now, change);
@@ -70,7 +70,7 @@
         let exists = change.write.is_some();
         if *key == self.renewal_key.key() {
             let key_revision = if exists { change.revision } else { Revision::ABSENT };
-            self.renewal_key.observe_key(change.v.as_ref(), key_revision, change.revision);
+            self.renewal_key.observe_key(change.value.as_ref(), key_revision, change.revision);
         } else {
             self.peers.observe_renewal_key(now, exists, |label| *key == records::renewal_key(label));
         }
@@ -100,10 +100,10 @@
         self.schedule.begin();
         if self.listed {
             let timeout_ms = WATCH_MS + WATCH_GRACE_MS;
-            let request = StoreRequest::read_changes(records::LEADER, self.store_revision, WATCH_MS, timeout_ms);
+            let request = StoreRequest::read_changes(records::LEADER_KEY, self.store_revision, WATCH_MS, timeout_ms);
             client.send_to_store(net, PendingCall::LeaderKey(LeaderKeyCall::Watch { sent: now }), request);
         } else {
-            let request = StoreRequest::read_page(records::LEADER, None, LIST_TIMEOUT_MS);
+            let request = StoreRequest::read_page(records::LEADER_KEY, None, LIST_TIMEOUT_MS);
             client.send_to_store(net, PendingCall::LeaderKey(LeaderKeyCall::Listing), request);
         }
     }
--- a/src/controller/leadership/commits.rs
+++ b/src/controller/leadership/commits.rs
@@ -69,7 +69,7 @@
         Err(CallError::Unknown) => return CommitOutcome::Unknown,
     };
     match reply.status {
-        OK => applied_revision(result).map_or(CommitOutcome::Unknown, CommitOutcome::Done),
+        OK => applied_revision(result).map_or(CommitOutcome::Unknown, CommitOutcome::Applied),
         CONFLICT => match cbor::decode::<Conflict>(&reply.body) {
             Ok(conflict) => CommitOutcome::Conflict(conflict.failed),
             Err(_) => CommitOutcome::Unknown,
--- a/src/controller/leadership/config.rs
+++ b/src/controller/leadership/config.rs
@@ -7,9 +7,9 @@
         model::Millis,
     },
     protocol::{
-        names::Tables,
-        operator::Operator,
-        settings::{Cluster, Objective, ObjectiveKind},
+        names::Interners,
+        operator::OperatorSettings,
+        settings::{ClusterSettings, Objective, ObjectiveKind},
     },
 };
 
@@ -25,36 +25,36 @@
 }
 
 /// The configuration of a leader that starts now.
-pub fn leader_config(cluster: &Cluster, operator: &Operator, names: &mut Tables) -> Config {
-    let heartbeat_interval_ms = ms(cluster.workers.report_s);
+pub fn leader_config(cluster: &ClusterSettings, operator: &OperatorSettings, names: &mut Interners) -> Config {
+    let heartbeat_interval_ms = ms(cluster.workers.heartbeat_interval_s);
     let default_silent_ms = heartbeat_interval_ms * SILENT_HEARTBEAT_INTERVALS + SILENT_GRACE_MS;
     Config {
         lease_ms: ms(cluster.workers.lease_s),
         heartbeat_interval_ms,
         gang_peer_s: cluster.workers.gang_peer_s,
         txn_ops: cluster.state.fitting_txn_ops(),
-        value_max: (cluster.state.value_kb * BYTES_PER_KB) as usize,
-        value_fit: (cluster.state.fitting_value_kb() * BYTES_PER_KB) as usize,
-        chunk_fit: chunk_size(cluster),
-        list_lag_ms: ms(cluster.cloud.list_lag_s),
+        max_value_bytes: (cluster.state.value_kb * BYTES_PER_KB) as usize,
+        reduced_max_value_bytes: (cluster.state.fitting_value_kb() * BYTES_PER_KB) as usize,
+        reduced_chunk_size: chunk_size(cluster),
+        host_list_delay_ms: ms(cluster.cloud.list_lag_s),
         teams: cluster.teams.iter().map(team_limits).collect(),
         objectives: service_objectives(cluster, names),
-        idle_keep_ms: ms(operator.idle_keep_s),
-        silent_ms: operator.silent_return_s.map_or(default_silent_ms, ms),
+        min_idle_ms: ms(operator.idle_keep_s),
+        heartbeat_timeout_ms: operator.silent_return_s.map_or(default_silent_ms, ms),
         max_machines: operator.max_machines.unwrap_or(usize::MAX),
         use_spot: operator.use_spot,
     }
 }
 
 /// The objectives that scheduling can serve, the most urgent first.
-fn service_objectives(cluster: &Cluster, names: &mut Tables) -> Vec<ServiceObjective> {
+fn service_objectives(cluster: &ClusterSettings, names: &mut Interners) -> Vec<ServiceObjective> {
     let mut objectives: Vec<ServiceObjective> =
         cluster.objectives.iter().filter_map(|objective| service_objective(objective, names)).collect();
     objectives.sort_by(|one, other| one.within_s.total_cmp(&other.within_s));
     objectives
 }
 
-fn service_objective(objective: &Objective, names: &mut Tables) -> Option<ServiceObjective> {
+fn service_objective(objective: &Objective, names: &mut Interners) -> Option<ServiceObjective> {
     let start = match objective.kind {
         ObjectiveKind::Wait => true,
         ObjectiveKind::Finished => false,
--- a/src/controller/leadership/context.rs
+++ b/src/controller/leadership/context.rs
@@ -7,7 +7,7 @@
         service_client::{CloudRequest, LeaderCall, PendingCall, ServiceClient, StoreRequest, WorkerRequest},
     },
     coordination::{lease_renewal::TimeSpan, model::Term},
-    protocol::names::Tables,
+    protocol::names::Interners,
     transport::Net,
 };
 
@@ -22,7 +22,7 @@
     /// The jobs' records.
     pub jobs: &'a mut JobWatch,
     /// Interned names.
-    pub names: &'a mut Tables,
+    pub names: &'a mut Interners,
 }
 
 impl LeaderContext<'_> {
--- a/src/controller/leadership/effects.rs
+++ b/src/controller/leadership/effects.rs
@@ -8,14 +8,14 @@
     coordination::{
         effects::{DirectCallOutcome, Effect},
         model::{CallId, MachineIndex, Millis, Term},
-        RentOutcome,
+        ScaleOutOutcome,
     },
     protocol::{
         cbor,
-        cloud::{HostList, HostNames, RentRequest},
+        cloud::{HostList, HostNames, ProvisionRequest},
         workers::{DirectCommandRequest, Heartbeat},
     },
-    storage::budget::Urgency,
+    storage::rate_limit::Urgency,
     transport::{
         http::status::{BAD_REQUEST, CONFLICT, OK, SERVICE_UNAVAILABLE},
         CallError, Method, Reply,
@@ -58,14 +58,14 @@
             Effect::Do { machine, call, addr, req } => {
                 self.send_commands(context, authority, machine, call, addr, &req);
             }
-            Effect::Rent { call, req } => self.rent(context, authority, call, &req),
-            Effect::Return { call, ids } => self.return_hosts(context, authority, call, ids),
+            Effect::ScaleOut { call, req } => self.rent(context, authority, call, &req),
+            Effect::ScaleIn { call, ids } => self.return_hosts(context, authority, call, ids),
             Effect::Probe { machine, addr } => {
                 let (path, body, timeout_ms) = ("/status", Vec::new(), PROBE_TIMEOUT_MS);
                 let request = WorkerRequest { addr, method: Method::Get, path, body, timeout_ms };
                 context.send_to_worker(authority.term, LeaderCall::Probe { machine }, request);
             }
-            Effect::List { call, from } => self.list_hosts(context, authority, call, from.as_deref()),
+            Effect::ListMachines { call, from } => self.list_hosts(context, authority, call, from.as_deref()),
         }
     }
 
@@ -89,21 +89,21 @@
         }
     }
 
-    fn rent(&mut self, context: &mut LeaderContext, authority: Authority, call: CallId, rent: &RentRequest) {
+    fn rent(&mut self, context: &mut LeaderContext, authority: Authority, call: CallId, rent: &ProvisionRequest) {
         let request = CloudRequest::post("/hosts", cbor::encode(rent));
         let sent =
-            send_to_cloud_if_leading(context, authority, Urgency::Commit, LeaderCall::RentHosts { call }, request);
+            send_to_cloud_if_leading(context, authority, Urgency::Commit, LeaderCall::ProvisionHosts { call }, request);
         if let Some(leader) = self.leader.as_mut().filter(|_| !sent) {
-            leader.rented(authority.now, call, RentOutcome::Again);
+            leader.scale_out_finished(authority.now, call, ScaleOutOutcome::Retry);
         }
     }
 
     fn return_hosts(&mut self, context: &mut LeaderContext, authority: Authority, call: CallId, hosts: Vec<String>) {
         let request = CloudRequest::post("/hosts/return", cbor::encode(&HostNames { hosts }));
         let sent =
-            send_to_cloud_if_leading(context, authority, Urgency::Cancel, LeaderCall::ReturnHosts { call }, request);
+            send_to_cloud_if_leading(context, authority, Urgency::Cancel, LeaderCall::ReleaseHosts { call }, request);
         if let Some(leader) = self.leader.as_mut().filter(|_| !sent) {
-            leader.returned(authority.now, call, false);
+            leader.scale_in_finished(authority.now, call, false);
         }
     }
 
@@ -113,7 +113,7 @@
         let sent =
             send_to_cloud_if_leading(context, authority, Urgency::Submit, LeaderCall::ListHosts { call }, request);
         if let Some(leader) = self.leader.as_mut().filter(|_| !sent) {
-            leader.listed(authority.now, call, None, context.names);
+            leader.machines_listed(authority.now, call, None, context.names);
         }
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// The answer to a probe came.
-    pub(super) fn probed(
+    pub(super) fn probe_finished(
         &mut self,
         context: &mut LeaderContext,
         now: Millis,
@@ -145,22 +145,22 @@
     ) {
         let heartbeat = body::<Heartbeat>(result);
         if let Some(leader) = self.leader_of(term) {
-            leader.probed(now, machine, heartbeat.as_ref(), context.jobs.cache(), context.names);
+            leader.probe_finished(now, machine, heartbeat.as_ref(), context.jobs.cache(), context.names);
         }
     }
 
     /// The answer to a scale-out came.
-    pub(super) fn rented(&mut self, now: Millis, term: Term, call: CallId, result: &CallResult) {
-        let outcome = rent_outcome(result);
+    pub(super) fn scale_out_finished(&mut self, now: Millis, term: Term, call: CallId, result: &CallResult) {
+        let outcome = scale_out_outcome(result);
         if let Some(leader) = self.leader_of(term) {
-            leader.rented(now, call, outcome);
+            leader.scale_out_finished(now, call, outcome);
         }
     }
 
     /// The answer to a scale-in came.
-    pub(super) fn returned(&mut self, now: Millis, term: Term, call: CallId, result: &CallResult) {
+    pub(super) fn scale_in_finished(&mut self, now: Millis, term: Term, call: CallId, result: &CallResult) {
         if let Some(leader) = self.leader_of(term) {
-            leader.returned(now, call, status(result) == OK);
+            leader.scale_in_finished(now, call, status(result) == OK);
         }
     }
 
@@ -175,7 +175,7 @@
     ) {
         let list = body::<HostList>(result);
         if let Some(leader) = self.leader_of(term) {
-            leader.listed(now, call, list.as_ref(), context.names);
+            leader.machines_listed(now, call, list.as_ref(), context.names);
         }
     }
 }
@@ -208,12 +208,14 @@
     }
 }
 
-fn rent_outcome(result: &CallResult) -> RentOutcome {
+fn scale_out_outcome(result: &CallResult) -> ScaleOutOutcome {
     let lacks_capacity = |reply: &Reply| reply.body.windows(NO_CAPACITY.len()).any(|window| window == NO_CAPACITY);
     match status(result) {
-        OK => body::<HostNames>(result).map_or(RentOutcome::Again, |names| RentOutcome::Rented(names.hosts)),
-        BAD_REQUEST => RentOutcome::Malformed,
-        SERVICE_UNAVAILABLE if result.as_ref().is_ok_and(lacks_capacity) => RentOutcome::NoCapacity,
-        _ => RentOutcome::Again,
+        OK => {
+            body::<HostNames>(result).map_or(ScaleOutOutcome::Retry, |names| ScaleOutOutcome::Provisioned(names.hosts))
+        }
+        BAD_REQUEST => ScaleOutOutcome::Malformed,
+        SERVICE_UNAVAILABLE if result.as_ref().is_ok_and(lacks_capacity) => ScaleOutOutcome::NoCapacity,
+        _ => ScaleOutOutcome::Retry,
     }
 }
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -27,7 +27,7 @@
         leader::Leader,
         model::{MachineTypeSpec, Millis, Term},
     },
-    protocol::{names::Tables, peers::Count, workers::Heartbeat},
+    protocol::{names::Interners, peers::Count, workers::Heartbeat},
 };
 
 /// Pause, in ms, between two scheduling cycles that are needed.
@@ -157,7 +157,7 @@
         term: Option<Term>,
         heartbeat: &Heartbeat,
         jobs: &JobWatch,
-        names: &mut Tables,
+        names: &mut Interners,
     ) -> Option<HeartbeatOutcome> {
         let leader = self.leader_of(term?)?;
         Some(leader.heartbeat(now, heartbeat, jobs.cache(), names))
@@ -210,9 +210,9 @@
             LeaderCall::Commands { machine, call } => {
                 self.commands_answered(context, now, term, machine, call, result);
             }
-            LeaderCall::Probe { machine } => self.probed(context, now, term, machine, result),
-            LeaderCall::RentHosts { call } => self.rented(now, term, call, result),
-            LeaderCall::ReturnHosts { call } => self.returned(now, term, call, result),
+            LeaderCall::Probe { machine } => self.probe_finished(context, now, term, machine, result),
+            LeaderCall::ProvisionHosts { call } => self.scale_out_finished(now, term, call, result),
+            LeaderCall::ReleaseHosts { call } => self.scale_in_finished(now, term, call, result),
             LeaderCall::ListHosts { call } => self.hosts_listed(context, now, term, call, result),
         }
     }
--- a/src/controller/leadership/record_resync.rs
+++ b/src/controller/leadership/record_resync.rs
@@ -11,8 +11,8 @@
         leader::Leader,
         model::{Millis, Term},
     },
-    protocol::store::Pair,
-    storage::budget::Urgency,
+    protocol::store::KeyValue,
+    storage::rate_limit::Urgency,
     transport::http::status::{NOT_FOUND, OK},
 };
 
@@ -46,8 +46,8 @@
         let Some(leader) = leader else { return };
         match status(result) {
             OK => {
-                if let Some(pair) = body::<Pair>(result) {
-                    leader.resynced(now, key, Some((pair.v, pair.revision)));
+                if let Some(pair) = body::<KeyValue>(result) {
+                    leader.resynced(now, key, Some((pair.value, pair.revision)));
                 }
             }
             NOT_FOUND => leader.resynced(now, key, None),
--- a/src/controller/leadership/task_loading.rs
+++ b/src/controller/leadership/task_loading.rs
@@ -18,7 +18,7 @@
         model::{Millis, Term},
     },
     protocol::store::Page,
-    storage::{budget::Urgency, records},
+    storage::{rate_limit::Urgency, records},
 };
 
 /// Pause, in ms, after a request that failed.
@@ -54,7 +54,7 @@
             return context.client.send_to_store(context.net, pending, request);
         }
         let from = self.next_page_from.as_deref();
-        let request = StoreRequest::read_page(records::TASKS, from, PAGE_TIMEOUT_MS);
+        let request = StoreRequest::read_page(records::CHUNK_KEY_PREFIX, from, PAGE_TIMEOUT_MS);
         context.send_to_store(term, LeaderCall::TasksPage, request);
     }
 
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -8,9 +8,9 @@
     coordination::model::{MachineTypeSpec, Millis, Resources},
     protocol::{
         cloud::{MachineType, MachineTypeList},
-        names::Tables,
+        names::Interners,
     },
-    storage::budget::Urgency,
+    storage::rate_limit::Urgency,
     transport::Net,
 };
 
@@ -34,7 +34,7 @@
     amounts.iter().all(|amount| amount.is_finite() && *amount >= 0.0)
 }
 
-fn machine_type_spec(offered: &MachineType, names: &mut Tables) -> MachineTypeSpec {
+fn machine_type_spec(offered: &MachineType, names: &mut Interners) -> MachineTypeSpec {
     MachineTypeSpec {
         index: names.types.intern(&offered.name),
         capacity: Resources { cpus: offered.cpus, gpus: offered.gpus, memory_gb: offered.memory_gb },
@@ -74,7 +74,7 @@
     }
 
     /// The list of machine types came. Returns whether it was read.
-    pub fn update(&mut self, now: Millis, result: &CallResult, names: &mut Tables) -> bool {
+    pub fn update(&mut self, now: Millis, result: &CallResult, names: &mut Interners) -> bool {
         let Some(list) = body::<MachineTypeList>(result) else {
             self.schedule.end_until(now + RETRY_MS);
             return false;
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -15,7 +15,7 @@
     },
     protocol::{
         peers::{self as frames, Cancelled, Count, Echo, Frame, Gossip, Notice},
-        settings::Seed,
+        settings::PeerSettings,
     },
     transport::Net,
 };
@@ -45,7 +45,7 @@
     /// What it uses of the key-value store's limits.
     pub usage: Usage,
     /// Milliseconds since it last renewed a worker's lease without leading.
-    pub no_renewal_ms: Millis,
+    pub since_leaderless_renewal_ms: Millis,
     /// Task counts of jobs that changed lately, from the leader.
     pub counts: Vec<Count>,
 }
@@ -63,9 +63,15 @@
 
 impl Peers {
     /// Peers that were not heard yet, with a link to each.
-    pub fn new(identity: Identity, seeds: &[Seed], net: &mut Net) -> Peers {
-        let list = seeds.iter().map(|seed| Peer::new(seed, &identity.zone, net.add_link(seed.endpoint))).collect();
-        Peers { identity, list, inactivity: PeerInactivity::new(seeds.len()), outgoing: OutgoingGossip::default() }
+    pub fn new(identity: Identity, peer_settings: &[PeerSettings], net: &mut Net) -> Peers {
+        let list =
+            peer_settings.iter().map(|seed| Peer::new(seed, &identity.zone, net.add_link(seed.endpoint))).collect();
+        Peers {
+            identity,
+            list,
+            inactivity: PeerInactivity::new(peer_settings.len()),
+            outgoing: OutgoingGossip::default(),
+        }
     }
 
     /// Number of controllers, this one included.
@@ -126,14 +132,14 @@
             commits_used: state.usage.commits,
             clock_ms: now,
             echoes: self.echoes(),
-            no_renewal_ms: state.no_renewal_ms,
+            since_leaderless_renewal_ms: state.since_leaderless_renewal_ms,
             counts: state.counts,
         }
     }
 
     /// The last clock of each peer, and the mark of the frame types read here.
     fn echoes(&self) -> Vec<Echo> {
-        self.list.iter().filter_map(Peer::echo).chain([Gossip::reads_mark()]).collect()
+        self.list.iter().filter_map(Peer::echo).chain([Gossip::supported_frames_marker()]).collect()
     }
 
     /// Tells peers at once of a cancellation that was confirmed to a user.
--- a/src/controller/peers/peer.rs
+++ b/src/controller/peers/peer.rs
@@ -5,7 +5,7 @@
     coordination::{lease_renewal::PeerContact, model::Millis},
     protocol::{
         peers::{Echo, FrameOrder, Gossip},
-        settings::Seed,
+        settings::PeerSettings,
     },
 };
 
@@ -51,11 +51,11 @@
 
 impl Peer {
     /// A peer that was not heard yet.
-    pub(super) fn new(seed: &Seed, own_zone: &str, link: usize) -> Peer {
+    pub(super) fn new(seed: &PeerSettings, own_zone: &str, link: usize) -> Peer {
         Peer {
             label: seed.label.clone(),
             link,
-            same_zone: seed.domain == own_zone,
+            same_zone: seed.zone == own_zone,
             order: FrameOrder::default(),
             last_heard: None,
             store_age: Millis::MAX,
@@ -76,7 +76,7 @@
     /// Takes the state in a frame. Returns false for a frame that is older than
     /// one that was received before.
     pub(super) fn update(&mut self, now: Millis, gossip: &Gossip) -> bool {
-        if !self.order.is_news(gossip) {
+        if !self.order.is_newer(gossip) {
             return false;
         }
         self.last_heard = Some(now);
@@ -117,7 +117,7 @@
     pub(super) fn stated_in(gossip: &Gossip, identity: &Identity, now: Millis) -> Option<QuietTime> {
         let is_ours = |echo: &&Echo| echo.of == identity.label && echo.nonce == identity.nonce;
         let echo = gossip.echoes.iter().find(is_ours)?;
-        let quiet_ms = (gossip.no_renewal_ms.min(MAX_QUIET_MS) as f64 * CLOCK_RATE_MARGIN) as i64;
+        let quiet_ms = (gossip.since_leaderless_renewal_ms.min(MAX_QUIET_MS) as f64 * CLOCK_RATE_MARGIN) as i64;
         Some(QuietTime { from: now as i64 - quiet_ms, to: echo.clock_ms.min(now) as i64 })
     }
 }
--- a/src/controller/renewal_key.rs
+++ b/src/controller/renewal_key.rs
@@ -13,7 +13,7 @@
 use crate::{
     coordination::{
         ephemeral_key::Action,
-        lease_renewal::{self, shares_the_cut, PeerContact, RenewalRight},
+        lease_renewal::{self, is_shared_partition, PeerContact, RenewalAuthority},
         model::Millis,
     },
     protocol::{ids::Revision, settings::Settings},
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct RenewalKey {
     identity: Identity,
-    right: RenewalRight,
+    right: RenewalAuthority,
     /// When a worker of another zone last sent a heartbeat here.
     last_foreign_heartbeat: Option<Millis>,
 }
@@ -35,9 +35,9 @@
     pub fn new(identity: Identity, settings: &Settings) -> RenewalKey {
         let workers = &settings.cluster.workers;
         // A single controller has no leader but itself to renew leases for.
-        let is_single = settings.seeds.is_empty();
-        let max_ms = if is_single { 0 } else { lease_renewal::most_ms(workers.cancel_s, workers.lease_s) };
-        let right = RenewalRight::new(lease_renewal::renewal_ms(workers.cancel_s, workers.lease_s), max_ms);
+        let is_single = settings.peer_settings.is_empty();
+        let max_ms = if is_single { 0 } else { lease_renewal::leaderless_window_ms(workers.cancel_s, workers.lease_s) };
+        let right = RenewalAuthority::new(lease_renewal::renewal_window_ms(workers.cancel_s, workers.lease_s), max_ms);
         RenewalKey { identity, right, last_foreign_heartbeat: None }
     }
 
@@ -97,7 +97,7 @@
     /// of its last write, or [`Revision::ABSENT`].
     pub fn observe_key(&mut self, value: Option<&Value>, key_revision: Revision, store_revision: Revision) {
         let is_ours = value.is_some_and(|value| self.is_own_record(value));
-        self.right.saw_key(key_revision, store_revision, is_ours);
+        self.right.observe_key(key_revision, store_revision, is_ours);
     }
 
     /// Whether the value of the key belongs to the grant that this controller holds.
@@ -114,7 +114,7 @@
 
     /// For how long, in ms, a read of the jobs' records allows leases to be renewed.
     pub fn read_validity_ms(&self) -> Millis {
-        self.right.renewal_ms()
+        self.right.renewal_window_ms()
     }
 
     /// A worker of another zone sent a heartbeat here.
@@ -131,7 +131,7 @@
     /// Whether leases may be renewed although no leader is in contact.
     pub fn may_renew_without_leader(&self, now: Millis, peers: &[PeerContact]) -> bool {
         self.right.may_renew_without_leader(now)
-            && shares_the_cut(now, self.right.last_contact(), peers, self.last_foreign_heartbeat)
+            && is_shared_partition(now, self.right.last_contact(), peers, self.last_foreign_heartbeat)
     }
 
     /// A lease is renewed now without leading.
--- a/src/controller/run.rs
+++ b/src/controller/run.rs
@@ -8,11 +8,11 @@
 use crate::{
     coordination::model::Millis,
     protocol::{
-        operator::Operator,
+        operator::OperatorSettings,
         settings::{Settings, WorkerSettings},
     },
     transport::{
-        descriptors::{allow_descriptors, DescriptorLimit},
+        descriptors::{raise_descriptor_limit, DescriptorLimit},
         Limits, ListenerKind, Net,
     },
 };
@@ -52,15 +52,15 @@
 }
 
 fn stale_ms(workers: &WorkerSettings) -> u64 {
-    ((workers.report_s * STALE_MS_PER_HEARTBEAT_S) as u64).clamp(MIN_STALE_MS, MAX_STALE_MS)
+    ((workers.heartbeat_interval_s * STALE_MS_PER_HEARTBEAT_S) as u64).clamp(MIN_STALE_MS, MAX_STALE_MS)
 }
 
 /// Runs one controller until the process ends.
-pub fn run(settings: Settings, operator: Operator) -> Result<(), ControllerError> {
+pub fn run(settings: Settings, operator: OperatorSettings) -> Result<(), ControllerError> {
     let mut event_loop: EventLoop<'static, Net> = EventLoop::try_new()?;
     let cluster = &settings.cluster;
     let stale_ms = stale_ms(&cluster.workers);
-    if let DescriptorLimit::TooLow(descriptors) = allow_descriptors(cluster.limits.sockets) {
+    if let DescriptorLimit::TooLow(descriptors) = raise_descriptor_limit(cluster.limits.sockets) {
         let sockets = cluster.limits.sockets;
         tracing::warn!(descriptors, sockets, "descriptor limit below socket limit");
     }
@@ -70,7 +70,7 @@
     for (addr, kind) in listeners {
         net.listen(addr, kind).map_err(|source| ControllerError::Listen { addr, source })?;
     }
-    tracing::info!(label = &*settings.label, zone = &*settings.domain, "started");
+    tracing::info!(label = &*settings.label, zone = &*settings.zone, "started");
     let mut controller = Controller::new(&settings, operator, &mut net);
     let mut last_turn = net.now();
     loop {
@@ -78,7 +78,7 @@
         net.turn(&mut event_loop, Duration::from_millis(controller.max_wait_ms())).map_err(ControllerError::Turn)?;
         drop_stale_io_after_halt(&mut net, last_turn);
         last_turn = net.now();
-        while let Some(event) = net.pop() {
+        while let Some(event) = net.next_event() {
             controller.handle(&mut net, event);
         }
     }
--- a/src/controller/service_client/budgets.rs
+++ b/src/controller/service_client/budgets.rs
@@ -3,11 +3,8 @@
 use crate::{
     controller::role::Role,
     coordination::model::Millis,
-    protocol::settings::{CloudLimits, LimitPhase, StateLimits, StateRates},
-    storage::{
-        budget::{share, Budget, BudgetRole, Urgency},
-        rate_limit::RateLimited,
-    },
+    protocol::settings::{CloudLimits, LimitPhase, StoreLimits, StoreRates},
+    storage::rate_limit::{allotted_rate, LimitUser, RateLimited, RateLimiter, Urgency},
 };
 
 // Shares of the limits at the start, before anything is known of what the
@@ -53,15 +50,15 @@
 #[derive(Debug)]
 pub struct Budgets {
     /// Requests to the key-value store.
-    reads: Budget,
+    reads: RateLimiter,
     /// Writes for users' requests.
-    writes: Budget,
+    writes: RateLimiter,
     /// Writes of the leader's own work.
-    commits: Budget,
+    commits: RateLimiter,
     /// Requests to the cloud.
-    cloud: Budget,
+    cloud: RateLimiter,
     /// The key-value store's limits.
-    limits: StateLimits,
+    limits: StoreLimits,
     /// Which of these limits hold, as far as the store's answers show.
     phase: LimitPhase,
     /// This controller's role when the shares were set; None: they must be set anew.
@@ -70,12 +67,12 @@
 
 impl Budgets {
     /// The budgets of a controller that has not heard its peers yet.
-    pub fn new(limits: &StateLimits, cloud: &CloudLimits) -> Budgets {
+    pub fn new(limits: &StoreLimits, cloud: &CloudLimits) -> Budgets {
         Budgets {
-            reads: Budget::new(limits.rps * INITIAL_READ_SHARE, limits.rps * INITIAL_READ_BURST_SHARE),
-            writes: Budget::new(limits.write_rps * INITIAL_WRITE_SHARE, limits.write_rps * INITIAL_WRITE_SHARE),
-            commits: Budget::new(limits.write_rps * INITIAL_COMMIT_SHARE, limits.write_rps * INITIAL_COMMIT_SHARE),
-            cloud: Budget::new(cloud.rps * CLOUD_SHARE, cloud.rps * CLOUD_BURST_S),
+            reads: RateLimiter::new(limits.rps * INITIAL_READ_SHARE, limits.rps * INITIAL_READ_BURST_SHARE),
+            writes: RateLimiter::new(limits.write_rps * INITIAL_WRITE_SHARE, limits.write_rps * INITIAL_WRITE_SHARE),
+            commits: RateLimiter::new(limits.write_rps * INITIAL_COMMIT_SHARE, limits.write_rps * INITIAL_COMMIT_SHARE),
+            cloud: RateLimiter::new(cloud.rps * CLOUD_SHARE, cloud.rps * CLOUD_BURST_S),
             limits: limits.clone(),
             phase: LimitPhase::Current,
             set_for_role: None,
@@ -169,7 +166,7 @@
     /// An answer showed that the limits which were announced have taken effect.
     pub fn lower_limits(&mut self) {
         if self.limits.next.is_some() && self.phase == LimitPhase::Current {
-            let StateRates { requests, writes } = self.limits.rates(LimitPhase::Lowered);
+            let StoreRates { requests, writes } = self.limits.rates(LimitPhase::Lowered);
             tracing::warn!(requests_per_s = requests, writes_per_s = writes, "store limits lowered");
             self.phase = LimitPhase::Lowered;
             self.invalidate_shares();
@@ -184,22 +181,22 @@
         }
         self.set_for_role = Some(role);
         let rates = self.limits.rates(self.phase);
-        let users = BudgetRole::Users(peers.len() + 1);
+        let users = LimitUser::Users(peers.len() + 1);
         let used = |of: fn(Usage) -> f64| -> Vec<Option<f64>> { peers.iter().map(|peer| peer.map(of)).collect() };
 
         let (reader, read_burst_s) = match role {
-            Role::Leader => (BudgetRole::Leader, LEADER_READ_BURST_S),
+            Role::Leader => (LimitUser::Leader, LEADER_READ_BURST_S),
             Role::Follower => (users, FOLLOWER_READ_BURST_S),
         };
-        let reads = share(rates.requests, reader, &used(|peer| peer.reads));
+        let reads = allotted_rate(rates.requests, reader, &used(|peer| peer.reads));
 
         let mut others = used(|peer| peer.writes + peer.commits);
         others.push(Some(self.commits.used(now)));
-        let writes = share(rates.writes, users, &others);
+        let writes = allotted_rate(rates.writes, users, &others);
 
         let mut others = used(|peer| peer.writes);
         others.push(Some(self.writes.used(now)));
-        let commits = share(rates.writes, BudgetRole::Leader, &others);
+        let commits = allotted_rate(rates.writes, LimitUser::Leader, &others);
 
         self.reads.set(reads, rates.requests * read_burst_s);
         self.writes.set(writes, (rates.writes * WRITE_BURST_S).max(MIN_WRITE_BURST));
--- a/src/controller/service_client/mod.rs
+++ b/src/controller/service_client/mod.rs
@@ -46,8 +46,8 @@
     /// A client that has sent nothing yet.
     pub fn new(settings: &Settings) -> ServiceClient {
         ServiceClient {
-            store_addr: settings.outside.state,
-            cloud_addr: settings.outside.cloud,
+            store_addr: settings.service_addresses.state,
+            cloud_addr: settings.service_addresses.cloud,
             pending: PendingCalls::default(),
             budgets: Budgets::new(&settings.cluster.state, &settings.cluster.cloud),
         }
--- a/src/controller/service_client/pending_call.rs
+++ b/src/controller/service_client/pending_call.rs
@@ -7,7 +7,7 @@
 use crate::{
     coordination::model::{CallId, MachineIndex, Millis, Term},
     storage::records::JobRecord,
-    transport::ConnId,
+    transport::ConnectionId,
 };
 
 /// What a pending reply is for.
@@ -88,7 +88,7 @@
 #[derive(Debug)]
 pub struct JobWrite {
     /// The user's connection.
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     /// Id of the job.
     pub id: String,
     /// The record.
@@ -111,9 +111,9 @@
     /// A worker's status, asked for after its heartbeats stopped.
     Probe { machine: MachineIndex },
     /// Scale-out at the cloud.
-    RentHosts { call: CallId },
+    ProvisionHosts { call: CallId },
     /// Scale-in at the cloud.
-    ReturnHosts { call: CallId },
+    ReleaseHosts { call: CallId },
     /// A page of the cloud's list of hosts.
     ListHosts { call: CallId },
 }
@@ -124,8 +124,8 @@
             LeaderCall::TasksPage | LeaderCall::Commit | LeaderCall::Resync { .. } => true,
             LeaderCall::Commands { .. }
             | LeaderCall::Probe { .. }
-            | LeaderCall::RentHosts { .. }
-            | LeaderCall::ReturnHosts { .. }
+            | LeaderCall::ProvisionHosts { .. }
+            | LeaderCall::ReleaseHosts { .. }
             | LeaderCall::ListHosts { .. } => false,
         }
     }
--- a/src/controller/service_client/replies.rs
+++ b/src/controller/service_client/replies.rs
@@ -7,7 +7,7 @@
     protocol::{
         cbor,
         ids::{GrantId, Revision},
-        store::{AppliedTransaction, Permit},
+        store::{AppliedTransaction, GrantResponse},
     },
     transport::{
         http::status::{NOT_FOUND, OK},
@@ -37,7 +37,7 @@
 
 /// The number of the grant that a request created; None: it failed.
 pub fn grant_id(result: &CallResult) -> Option<GrantId> {
-    body::<Permit>(result).map(|permit| permit.permit)
+    body::<GrantResponse>(result).map(|grant| grant.grant)
 }
 
 /// The revision at which a transaction was applied; None: it failed, or that is not known.
--- a/src/controller/service_client/requests.rs
+++ b/src/controller/service_client/requests.rs
@@ -6,7 +6,7 @@
     protocol::{
         cbor,
         ids::{GrantId, Revision},
-        store::{Condition, GrantRequest, Op, Txn},
+        store::{Condition, GrantRequest, Transaction, WriteOperation},
     },
     storage::records::{self, LeaderRecord},
     transport::Method,
@@ -51,7 +51,7 @@
     }
 
     /// Applies a transaction.
-    pub fn transaction(transaction: &Txn, timeout_ms: u64) -> StoreRequest {
+    pub fn transaction(transaction: &Transaction, timeout_ms: u64) -> StoreRequest {
         StoreRequest::post("/multi".into(), cbor::encode(transaction), timeout_ms)
     }
 
@@ -63,9 +63,9 @@
         expected_revision: Revision,
         timeout_ms: u64,
     ) -> StoreRequest {
-        let transaction = Txn {
+        let transaction = Transaction {
             conditions: vec![Condition { key: key.clone(), revision: expected_revision }],
-            writes: vec![Op::Put { key, v: records::to_value(record), permit: Some(grant) }],
+            writes: vec![WriteOperation::Put { key, value: records::to_value(record), grant: Some(grant) }],
         };
         StoreRequest::transaction(&transaction, timeout_ms)
     }
--- a/src/controller/tests/budgets.rs
+++ b/src/controller/tests/budgets.rs
@@ -2,7 +2,7 @@
 use crate::{
     controller::role::Role,
     protocol::settings::{tests::SAMPLE, Settings},
-    storage::budget::Urgency,
+    storage::rate_limit::Urgency,
 };
 
 fn budgets() -> Budgets {
--- a/src/controller/tests/election_driver.rs
+++ b/src/controller/tests/election_driver.rs
@@ -3,7 +3,7 @@
     controller::test_support::{answered, answered_with, identity, new_net, settings_with_peers, SentCalls},
     protocol::{
         ids::GrantId,
-        store::{AppliedTransaction, Permit},
+        store::{AppliedTransaction, GrantResponse},
     },
 };
 
@@ -22,7 +22,7 @@
     driver.observe_key(0, None, Revision(3));
     driver.tick(&mut net, 0, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateGrant)"));
-    driver.handle_reply(10, &ElectionCall::CreateGrant, &answered_with(&Permit { permit: GrantId(4) }));
+    driver.handle_reply(10, &ElectionCall::CreateGrant, &answered_with(&GrantResponse { grant: GrantId(4) }));
     driver.tick(&mut net, 10, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(ClaimKey)"));
     assert_eq!(driver.leading(10), None, "the claim is pending");
@@ -30,14 +30,14 @@
     driver.handle_reply(20, &ElectionCall::ClaimKey, &applied);
     assert_eq!((driver.leading(20), driver.leader()), (Some(Term(Revision(5))), Some("n-0")));
     assert_eq!(
-        (driver.leading(TTL_MS), driver.holds_key()),
+        (driver.leading(TTL_MS), driver.held_term()),
         (None, Some(Term(Revision(5)))),
         "the grant may have ended"
     );
 
     driver.step_down(&mut net, 30, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(DeleteGrant)"));
-    assert_eq!((driver.leading(30), driver.holds_key(), driver.leader()), (None, None, None));
+    assert_eq!((driver.leading(30), driver.held_term(), driver.leader()), (None, None, None));
 }
 
 /// A claim that the store refuses as under no grant begins with a new grant.
@@ -52,7 +52,7 @@
     for grant in [4, 5] {
         driver.tick(&mut net, now, &mut client);
         assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateGrant)"));
-        driver.handle_reply(now, &ElectionCall::CreateGrant, &answered_with(&Permit { permit: GrantId(grant) }));
+        driver.handle_reply(now, &ElectionCall::CreateGrant, &answered_with(&GrantResponse { grant: GrantId(grant) }));
         driver.tick(&mut net, now, &mut client);
         assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(ClaimKey)"));
         driver.handle_reply(now, &ElectionCall::ClaimKey, &answered(400));
--- a/src/controller/tests/instance.rs
+++ b/src/controller/tests/instance.rs
@@ -11,7 +11,7 @@
     protocol::{
         cbor,
         ids::Revision,
-        operator::Operator,
+        operator::OperatorSettings,
         peers::Gossip,
         settings::{tests::SAMPLE, Settings},
         store::{Changes, Page},
@@ -23,7 +23,7 @@
 const SEED: &str = "[[seeds]]\nlabel = \"n-1\"\nendpoint = \"127.0.0.1:3\"\n[outside]";
 
 fn new_controller(settings: &str, net: &mut Net) -> Controller {
-    Controller::new(&Settings::parse(settings, "x.toml").unwrap(), Operator::default(), net)
+    Controller::new(&Settings::parse(settings, "x.toml").unwrap(), OperatorSettings::default(), net)
 }
 
 /// The rates follow the first refusal, and stay; sizes fit from the start.
@@ -37,7 +37,7 @@
         let text = if has_next { SAMPLE.replacen("[cluster.cloud]", NEXT, 1) } else { SAMPLE.to_owned() };
         let mut controller = new_controller(&text, &mut net);
         let config = leader_config(&controller.cluster, &controller.operator, &mut controller.names);
-        assert_eq!((config.txn_ops, config.value_fit), if has_next { (4, 2_048) } else { (24, 16_384) });
+        assert_eq!((config.txn_ops, config.reduced_max_value_bytes), if has_next { (4, 2_048) } else { (24, 16_384) });
         controller.set_budget_shares(1_000, Role::Leader);
         assert_eq!(controller.client.budgets().commit_burst(), before);
         for _ in 0..2 {
@@ -99,7 +99,7 @@
         commits_used: 0.0,
         clock_ms: 0,
         echoes: Vec::new(),
-        no_renewal_ms: 0,
+        since_leaderless_renewal_ms: 0,
         counts: Vec::new(),
     }
 }
@@ -158,15 +158,15 @@
     for (i, (before, status, counts)) in cases.into_iter().enumerate() {
         controller = new_controller(SAMPLE, &mut net);
         match before {
-            "one page" => controller.jobs.cache_mut().page(&page(true), true, &mut controller.names),
-            "all" => controller.jobs.cache_mut().page(&page(false), true, &mut controller.names),
+            "one page" => controller.jobs.cache_mut().apply_page(&page(true), true, &mut controller.names),
+            "all" => controller.jobs.cache_mut().apply_page(&page(false), true, &mut controller.names),
             _ => {}
         }
         assert_eq!(controller.apply_job_changes(NOW, &changes(status)), counts, "case {i}");
         assert_eq!(controller.renewal_key.may_renew(NOW + 10), counts, "case {i}");
     }
     // Too old a place to read on from: all is read anew, and until then nothing counts.
-    controller.jobs.cache_mut().page(&page(false), true, &mut controller.names);
+    controller.jobs.cache_mut().apply_page(&page(false), true, &mut controller.names);
     assert!(!controller.apply_job_changes(NOW, &changes(410)) && !controller.jobs.cache().loaded());
     assert!(!controller.apply_job_changes(NOW, &changes(200)) && !controller.renewal_key.may_renew(NOW + 10));
 }
--- a/src/controller/tests/job_watch.rs
+++ b/src/controller/tests/job_watch.rs
@@ -1,11 +1,12 @@
 use super::*;
 use crate::{
     controller::test_support::{answered, answered_with, new_net, settings_with_peers, SentCalls},
-    protocol::{ids::Revision, store::Pair},
+    protocol::{ids::Revision, store::KeyValue},
 };
 
 fn page(key: Option<&str>, truncated: bool) -> Page {
-    let pair = |key: &str| Pair { key: key.to_owned(), v: ciborium::Value::Null, revision: Revision(2), permit: None };
+    let pair =
+        |key: &str| KeyValue { key: key.to_owned(), value: ciborium::Value::Null, revision: Revision(2), grant: None };
     Page { pairs: key.map(pair).into_iter().collect(), truncated, store_revision: Revision(7) }
 }
 
@@ -15,7 +16,7 @@
     const VALIDITY_MS: Millis = 8_000;
     let mut net = new_net();
     let mut client = ServiceClient::new(&settings_with_peers());
-    let (mut sent, mut names) = (SentCalls::default(), Tables::default());
+    let (mut sent, mut names) = (SentCalls::default(), Interners::default());
     let mut jobs = JobWatch::default();
     let mut refresh = |jobs: &mut JobWatch, now: Millis| {
         jobs.refresh(&mut net, now, &mut client, VALIDITY_MS);
--- a/src/controller/tests/leader_key_watch.rs
+++ b/src/controller/tests/leader_key_watch.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::{
     controller::test_support::{answered, answered_with, identity, new_net, settings_with_peers, SentCalls, NONCE},
-    protocol::store::Pair,
+    protocol::store::KeyValue,
 };
 
 struct Observed {
@@ -16,7 +16,7 @@
         Observed {
             election: ElectionDriver::new(&identity(), 9_000),
             renewal_key: RenewalKey::new(identity(), &settings),
-            peers: Peers::new(identity(), &settings.seeds, net),
+            peers: Peers::new(identity(), &settings.peer_settings, net),
         }
     }
 
@@ -30,11 +30,11 @@
 }
 
 fn written(key: &str, label: &str, revision: u64) -> Change {
-    Change { write: Some(key.to_owned()), drop: None, v: Some(record(label)), revision: Revision(revision) }
+    Change { write: Some(key.to_owned()), drop: None, value: Some(record(label)), revision: Revision(revision) }
 }
 
 fn removed(key: &str, revision: u64) -> Change {
-    Change { write: None, drop: Some(key.to_owned()), v: None, revision: Revision(revision) }
+    Change { write: None, drop: Some(key.to_owned()), value: None, revision: Revision(revision) }
 }
 
 /// A listing comes first, then watches from its revision on, and a listing again
@@ -51,14 +51,15 @@
     watch.refresh(&mut net, 0, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Listing)"));
     assert_eq!(sent.next_debug(&mut client), None, "one request at a time");
-    let pair = Pair { key: records::LEADER.to_owned(), v: record("n-1"), revision: Revision(3), permit: None };
+    let pair =
+        KeyValue { key: records::LEADER_KEY.to_owned(), value: record("n-1"), revision: Revision(3), grant: None };
     let page = Page { pairs: vec![pair], truncated: false, store_revision: Revision(7) };
     watch.handle_reply(10, &LeaderKeyCall::Listing, &answered_with(&page), &mut observed.observers());
     assert_eq!(observed.election.leader(), Some("n-1"));
 
     watch.refresh(&mut net, 10, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Watch { sent: 10 })"));
-    let events = vec![removed(records::LEADER, 8), written(records::LEADER, "n-2", 9)];
+    let events = vec![removed(records::LEADER_KEY, 8), written(records::LEADER_KEY, "n-2", 9)];
     let changes = Changes { store_revision: Revision(9), events };
     watch.handle_reply(20, &LeaderKeyCall::Watch { sent: 10 }, &answered_with(&changes), &mut observed.observers());
     assert_eq!((observed.election.leader(), watch.store_revision), (Some("n-2"), Revision(9)));
--- a/src/controller/tests/machine_types.rs
+++ b/src/controller/tests/machine_types.rs
@@ -21,7 +21,7 @@
 fn only_plausible_types_are_offered() {
     let mut net = new_net();
     let mut client = ServiceClient::new(&settings_with_peers());
-    let mut names = Tables::default();
+    let mut names = Interners::default();
     let mut catalog = MachineTypeCatalog::default();
     catalog.refresh(&mut net, 0, &mut client);
     assert_eq!(SentCalls::default().next_debug(&mut client).as_deref(), Some("MachineTypes"));
--- a/src/controller/tests/peers.rs
+++ b/src/controller/tests/peers.rs
@@ -4,8 +4,8 @@
 fn peers() -> Peers {
     let mut net = new_net();
     let settings = settings_with_peers();
-    let identity = Identity { label: settings.label, zone: settings.domain, nonce: NONCE };
-    Peers::new(identity, &settings.seeds, &mut net)
+    let identity = Identity { label: settings.label, zone: settings.zone, nonce: NONCE };
+    Peers::new(identity, &settings.peer_settings, &mut net)
 }
 
 fn gossip(from: &str, count: u64) -> Gossip {
@@ -21,7 +21,7 @@
         commits_used: 1.0,
         clock_ms: 40,
         echoes: Vec::new(),
-        no_renewal_ms: 0,
+        since_leaderless_renewal_ms: 0,
         counts: vec![Count { job: "j-1".to_owned(), done: 1, running: 2 }],
     }
 }
@@ -50,8 +50,10 @@
     for (echo, believed) in cases {
         let mut peers = peers();
         for from in ["n-1", "n-2"] {
-            peers
-                .receive_gossip(10_000, Gossip { echoes: vec![echo.clone()], no_renewal_ms: 4_000, ..gossip(from, 1) });
+            peers.receive_gossip(
+                10_000,
+                Gossip { echoes: vec![echo.clone()], since_leaderless_renewal_ms: 4_000, ..gossip(from, 1) },
+            );
         }
         let want = if believed { TimeSpan { from: 10_000 - 3_996, to: 9_000 } } else { TimeSpan::NEVER };
         assert_eq!(peers.inactive_span(), want, "{echo:?}");
--- a/src/controller/tests/renewal_key.rs
+++ b/src/controller/tests/renewal_key.rs
@@ -3,7 +3,7 @@
     controller::test_support::{answered_with, identity, new_net, settings_with_peers, SentCalls, NONCE},
     protocol::{
         ids::GrantId,
-        store::{AppliedTransaction, Permit},
+        store::{AppliedTransaction, GrantResponse},
     },
 };
 
@@ -21,7 +21,7 @@
     key.observe_key(None, Revision::ABSENT, Revision(3));
     key.tick(&mut net, at, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(CreateGrant)"));
-    key.handle_reply(at, &RenewalKeyCall::CreateGrant, &answered_with(&Permit { permit: GrantId(GRANT) }));
+    key.handle_reply(at, &RenewalKeyCall::CreateGrant, &answered_with(&GrantResponse { grant: GrantId(GRANT) }));
     key.tick(&mut net, at, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(WriteKey)"));
     let applied = answered_with(&AppliedTransaction { store_revision: Revision(5) });
@@ -76,7 +76,7 @@
 #[test]
 fn a_single_controller_needs_no_key() {
     let mut settings = settings_with_peers();
-    settings.seeds.clear();
+    settings.peer_settings.clear();
     let mut client = ServiceClient::new(&settings);
     let mut key = RenewalKey::new(identity(), &settings);
     key.observe_key(None, Revision::ABSENT, Revision(3));
--- a/src/controller/tests/version_watch.rs
+++ b/src/controller/tests/version_watch.rs
@@ -1,15 +1,15 @@
 use super::*;
 use crate::{
     controller::test_support::{answered, answered_with, identity, new_net, settings_with_peers, SentCalls},
-    protocol::{ids::Revision, store::Pair},
+    protocol::{ids::Revision, store::KeyValue},
 };
 
 fn listing(labels: &[&str], truncated: bool) -> CallResult {
-    let pair = |label: &&str| Pair {
+    let pair = |label: &&str| KeyValue {
         key: version_key(label),
-        v: records::to_value(&VersionRecord { version: VERSION, nonce: 1 }),
+        value: records::to_value(&VersionRecord { version: VERSION, nonce: 1 }),
         revision: Revision(2),
-        permit: None,
+        grant: None,
     };
     answered_with(&Page { pairs: labels.iter().map(pair).collect(), truncated, store_revision: Revision(7) })
 }
@@ -21,7 +21,7 @@
     let settings = settings_with_peers();
     let mut client = ServiceClient::new(&settings);
     let mut sent = SentCalls::default();
-    let mut versions = VersionWatch::new(identity(), &settings.seeds);
+    let mut versions = VersionWatch::new(identity(), &settings.peer_settings);
     let mut refresh = |versions: &mut VersionWatch, now: Millis| {
         versions.refresh(&mut net, now, &mut client);
         sent.next_debug(&mut client)
--- a/src/controller/users/barrier.rs
+++ b/src/controller/users/barrier.rs
@@ -5,7 +5,7 @@
 use crate::{
     controller::service_client::{JobsCall, PendingCall, STORE_TIMEOUT_MS},
     coordination::model::Millis,
-    storage::budget::Urgency,
+    storage::rate_limit::Urgency,
     transport::http::status::NOT_FOUND,
 };
 
@@ -19,10 +19,10 @@
     /// that have waited too long.
     pub fn flush_read_barrier(&mut self, context: &mut UserContext) {
         let now = context.net.now();
-        if self.read_barrier.due(now) {
-            self.read_barrier.sent(now, BARRIER_GAP_MS * context.peers.controller_count() as Millis);
+        if self.read_barrier.is_read_due(now) {
+            self.read_barrier.read_sent(now, BARRIER_GAP_MS * context.peers.controller_count() as Millis);
             if !context.client.budgets().take_read(now, Urgency::Cancel) {
-                let waiting = self.read_barrier.ended();
+                let waiting = self.read_barrier.read_finished();
                 return self.refuse_all(context, waiting);
             }
             let request = context.jobs.read_changes(0, STORE_TIMEOUT_MS);
@@ -40,7 +40,7 @@
         // Guard: after the process was halted, the read is as old as the requests
         // themselves, and must not answer them.
         self.refuse_overdue(context, now);
-        let waiting = self.read_barrier.ended();
+        let waiting = self.read_barrier.read_finished();
         if !applied {
             return self.refuse_all(context, waiting);
         }
@@ -50,7 +50,7 @@
     }
 
     fn refuse_overdue(&mut self, context: &mut UserContext, now: Millis) {
-        let overdue = self.read_barrier.overdue(now, MAX_BARRIER_WAIT_MS);
+        let overdue = self.read_barrier.take_overdue(now, MAX_BARRIER_WAIT_MS);
         self.refuse_all(context, overdue);
     }
 
--- a/src/controller/users/cancel.rs
+++ b/src/controller/users/cancel.rs
@@ -7,17 +7,17 @@
 use crate::{
     controller::service_client::{CallResult, JobWrite, UserCall},
     protocol::{
-        jobs::{valid_id, Submission},
+        jobs::{is_valid_job_id, Submission},
         peers::Cancelled,
         store::Condition,
     },
     storage::{
-        budget::Urgency,
+        rate_limit::Urgency,
         records::{self, JobRecord, JobStatus},
     },
     transport::{
         http::status::{NOT_FOUND, OK},
-        ConnId,
+        ConnectionId,
     },
 };
 
@@ -26,8 +26,8 @@
 
 impl UserApi {
     /// `POST /api/jobs/{id}/abort`. `retries`: how often it was tried again so far.
-    pub fn cancel(&mut self, context: &mut UserContext, conn: ConnId, id: String, retries: u32) {
-        if !valid_id(&id) {
+    pub fn cancel(&mut self, context: &mut UserContext, conn: ConnectionId, id: String, retries: u32) {
+        if !is_valid_job_id(&id) {
             return context.respond_empty(conn, NOT_FOUND);
         }
         match context.find(&id) {
@@ -43,7 +43,7 @@
                 self.write_record(context, Urgency::Cancel, conditions, write, UserCall::Cancel);
             }
             None if !context.jobs.cache().loaded() => self.respond_unavailable(context, conn),
-            None => self.read_barrier.join(context.net.now(), WaitingRequest::Cancel { conn, id, retries }),
+            None => self.read_barrier.enqueue(context.net.now(), WaitingRequest::Cancel { conn, id, retries }),
         }
     }
 
@@ -74,7 +74,7 @@
             }
             // Done or cancelled in the meantime: read, then decide again.
             WriteOutcome::Conflict if retries < CANCEL_RETRIES => {
-                self.read_barrier.join(context.net.now(), WaitingRequest::Cancel { conn, id, retries: retries + 1 });
+                self.read_barrier.enqueue(context.net.now(), WaitingRequest::Cancel { conn, id, retries: retries + 1 });
             }
             WriteOutcome::Conflict => self.respond_unavailable(context, conn),
             WriteOutcome::Answered => {}
--- a/src/controller/users/context.rs
+++ b/src/controller/users/context.rs
@@ -6,13 +6,13 @@
     protocol::{
         cbor,
         jobs::{JobAnswer, PollAnswer},
-        names::Tables,
+        names::Interners,
     },
     storage::{
         job_cache::{JobEntry, JobIndex},
         records::JobStatus,
     },
-    transport::{http::status::OK, ConnId, Net},
+    transport::{http::status::OK, ConnectionId, Net},
 };
 
 /// The components that users' requests are served with.
@@ -24,7 +24,7 @@
     /// The jobs' records.
     pub jobs: &'a mut JobWatch,
     /// Interned names.
-    pub names: &'a mut Tables,
+    pub names: &'a mut Interners,
     /// The other controllers.
     pub peers: &'a mut Peers,
     /// The machine types that the cloud offers; none before they were read.
@@ -35,24 +35,24 @@
 
 impl UserContext<'_> {
     /// Answers with no body.
-    pub(super) fn respond_empty(&mut self, conn: ConnId, status: u16) {
+    pub(super) fn respond_empty(&mut self, conn: ConnectionId, status: u16) {
         self.net.respond(conn, status, None, b"");
     }
 
     /// Answers with the state of a job.
-    pub(super) fn respond_job(&mut self, conn: ConnId, code: u16, id: &str, status: &str) {
+    pub(super) fn respond_job(&mut self, conn: ConnectionId, code: u16, id: &str, status: &str) {
         self.net.respond(conn, code, None, &cbor::encode(&JobAnswer { name_id: id, status }));
     }
 
     /// Answers 200 with the state of a known job.
-    pub(super) fn respond_known_job(&mut self, conn: ConnId, index: JobIndex) {
+    pub(super) fn respond_known_job(&mut self, conn: ConnectionId, index: JobIndex) {
         let entry = self.jobs.cache().get(index);
         let answer = JobAnswer { name_id: &entry.id, status: status_word(entry) };
         self.net.respond(conn, OK, None, &cbor::encode(&answer));
     }
 
     /// Answers 200 with the state and the task counts of a known job.
-    pub(super) fn respond_poll(&mut self, conn: ConnId, index: JobIndex) {
+    pub(super) fn respond_poll(&mut self, conn: ConnectionId, index: JobIndex) {
         let entry = self.jobs.cache().get(index);
         let answer =
             PollAnswer { name_id: &entry.id, status: status_word(entry), done: entry.done, running: entry.running };
--- a/src/controller/users/mod.rs
+++ b/src/controller/users/mod.rs
@@ -18,19 +18,18 @@
     coordination::model::Millis,
     protocol::{
         cbor,
-        jobs::valid_id,
-        settings::Cluster,
-        store::{AppliedTransaction, Condition, Op, Txn},
+        jobs::is_valid_job_id,
+        settings::ClusterSettings,
+        store::{AppliedTransaction, Condition, Transaction, WriteOperation},
     },
     storage::{
-        budget::Urgency,
-        rate_limit::RateLimited,
+        rate_limit::{RateLimited, Urgency},
         read_barrier::ReadBarrier,
         records::{self, JobRecord},
     },
     transport::{
         http::status::{CONFLICT, NOT_FOUND, OK, SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS},
-        ConnId,
+        ConnectionId,
     },
 };
 
@@ -52,7 +51,7 @@
 
 /// Serves users' requests.
 pub struct UserApi {
-    cluster: Rc<Cluster>,
+    cluster: Rc<ClusterSettings>,
     /// Requests that wait for a read of the jobs' changes.
     read_barrier: ReadBarrier<WaitingRequest>,
     statistics: RequestStatistics,
@@ -60,7 +59,7 @@
 
 impl UserApi {
     /// No request waits yet.
-    pub fn new(cluster: Rc<Cluster>) -> UserApi {
+    pub fn new(cluster: Rc<ClusterSettings>) -> UserApi {
         UserApi { cluster, read_barrier: ReadBarrier::default(), statistics: RequestStatistics::default() }
     }
 
@@ -70,12 +69,12 @@
     }
 
     /// Answers 503, so that the user retries.
-    fn respond_unavailable(&mut self, context: &mut UserContext, conn: ConnId) {
+    fn respond_unavailable(&mut self, context: &mut UserContext, conn: ConnectionId) {
         self.statistics.record_unavailable();
         context.net.respond(conn, SERVICE_UNAVAILABLE, Some(RETRY_AFTER_S), b"");
     }
 
-    fn respond_over_budget(&mut self, context: &mut UserContext, conn: ConnId, retry_after_ms: u64) {
+    fn respond_over_budget(&mut self, context: &mut UserContext, conn: ConnectionId, retry_after_ms: u64) {
         self.statistics.record_over_budget();
         let wait_s = retry_after_ms.div_ceil(MS_PER_S).clamp(1, MAX_RETRY_AFTER_S) as u32;
         context.net.respond(conn, TOO_MANY_REQUESTS, Some(wait_s), b"");
@@ -101,8 +100,12 @@
         if let Err(RateLimited { retry_after_ms }) = context.client.budgets().take_user_write(now, urgency) {
             return self.respond_over_budget(context, write.conn, retry_after_ms);
         }
-        let put = Op::Put { key: records::job_key(&write.id), v: records::to_value(&*write.record), permit: None };
-        let transaction = Txn { conditions, writes: vec![put] };
+        let put = WriteOperation::Put {
+            key: records::job_key(&write.id),
+            value: records::to_value(&*write.record),
+            grant: None,
+        };
+        let transaction = Transaction { conditions, writes: vec![put] };
         let request = StoreRequest::transaction(&transaction, SLOW_STORE_TIMEOUT_MS);
         context.client.send_to_store(context.net, PendingCall::User(call(write)), request);
     }
@@ -139,14 +142,14 @@
     }
 
     /// `GET /api/jobs/{id}`
-    pub fn poll(&mut self, context: &mut UserContext, conn: ConnId, id: &str) {
-        if !valid_id(id) {
+    pub fn poll(&mut self, context: &mut UserContext, conn: ConnectionId, id: &str) {
+        if !is_valid_job_id(id) {
             return context.respond_empty(conn, NOT_FOUND);
         }
         match context.find(id) {
             Some(index) if context.is_over(index) => context.respond_poll(conn, index),
             _ if !context.jobs.cache().loaded() => self.respond_unavailable(context, conn),
-            _ => self.read_barrier.join(context.net.now(), WaitingRequest::Poll { conn, id: id.to_owned() }),
+            _ => self.read_barrier.enqueue(context.net.now(), WaitingRequest::Poll { conn, id: id.to_owned() }),
         }
     }
 }
--- a/src/controller/users/submit.rs
+++ b/src/controller/users/submit.rs
@@ -17,17 +17,17 @@
     protocol::{
         cbor,
         ids::Revision,
-        jobs::{JobSpec, Refusal, Submission, SubmissionSource},
+        jobs::{JobSpec, Submission, SubmissionError, SubmissionSource},
         names::TeamIndex,
         store::Condition,
     },
     storage::{
-        budget::Urgency,
+        rate_limit::Urgency,
         records::{self, JobRecord, JobStatus},
     },
     transport::{
         http::status::{BAD_REQUEST, CREATED, UNPROCESSABLE_CONTENT},
-        ConnId,
+        ConnectionId,
     },
 };
 
@@ -49,12 +49,12 @@
 
 impl UserApi {
     /// `POST /api/jobs`
-    pub fn submit(&mut self, context: &mut UserContext, conn: ConnId, body: &[u8]) {
+    pub fn submit(&mut self, context: &mut UserContext, conn: ConnectionId, body: &[u8]) {
         let Ok(mut submission) = cbor::decode::<Submission>(body) else {
             return context.respond_empty(conn, BAD_REQUEST);
         };
         let checked = submission.validate(context.names, SubmissionSource::User);
-        if let Err(Refusal::Malformed(field)) = checked {
+        if let Err(SubmissionError::Malformed(field)) = checked {
             tracing::debug!(field, "malformed submission");
             return context.respond_empty(conn, BAD_REQUEST);
         }
@@ -62,7 +62,7 @@
         if !context.jobs.cache().loaded() || context.machine_types.is_empty() {
             return self.respond_unavailable(context, conn);
         }
-        submission.fold_prereqs();
+        submission.remove_duplicate_prereqs();
         let Some(id) = submission.name_id.clone() else {
             return context.respond_empty(conn, BAD_REQUEST);
         };
@@ -70,7 +70,7 @@
             if context.is_over(index) {
                 return context.respond_known_job(conn, index);
             }
-            return self.read_barrier.join(context.net.now(), WaitingRequest::Known { conn, id });
+            return self.read_barrier.enqueue(context.net.now(), WaitingRequest::Known { conn, id });
         }
         if let Some(reason) = self.infeasibility(&checked, context.machine_types) {
             return self.refuse(context, conn, id, UNPROCESSABLE_CONTENT, reason);
@@ -79,7 +79,7 @@
     }
 
     /// Creates the record of a job that can run, if it is not too large.
-    fn create_feasible(&mut self, context: &mut UserContext, conn: ConnId, id: String, submission: Submission) {
+    fn create_feasible(&mut self, context: &mut UserContext, conn: ConnectionId, id: String, submission: Submission) {
         let chunk = chunk_size(&self.cluster);
         let record = JobRecord { submission, status: JobStatus::Pending, at_ms: wall_clock_ms(), chunk };
         if !self.fits_a_value(&record) {
@@ -95,14 +95,18 @@
 
     /// Refuses a submission for good. Guard: never one of a job that was
     /// accepted, so a read comes first.
-    fn refuse(&mut self, context: &UserContext, conn: ConnId, id: String, status: u16, reason: &'static str) {
-        self.read_barrier.join(context.net.now(), WaitingRequest::Refuse { conn, id, status, reason });
+    fn refuse(&mut self, context: &UserContext, conn: ConnectionId, id: String, status: u16, reason: &'static str) {
+        self.read_barrier.enqueue(context.net.now(), WaitingRequest::Refuse { conn, id, status, reason });
     }
 
     /// Why a well-formed job can never run; None: it can.
-    fn infeasibility(&self, checked: &Result<JobSpec, Refusal>, types: &[MachineTypeSpec]) -> Option<&'static str> {
+    fn infeasibility(
+        &self,
+        checked: &Result<JobSpec, SubmissionError>,
+        types: &[MachineTypeSpec],
+    ) -> Option<&'static str> {
         match checked {
-            Err(Refusal::NeverRuns(reason) | Refusal::Malformed(reason)) => Some(reason),
+            Err(SubmissionError::Infeasible(reason) | SubmissionError::Malformed(reason)) => Some(reason),
             Ok(spec) if !fits_some_type(spec, types) => Some("fits no machine type"),
             Ok(spec) if !self.team_limits(spec.team).ever_allows(spec) => Some("over the team's limit"),
             Ok(_) => None,
@@ -111,7 +115,7 @@
 
     /// The quota of a team; none for a team that the settings don't name.
     fn team_limits(&self, team: TeamIndex) -> TeamLimits {
-        self.cluster.teams.get(team.at()).map(team_limits).unwrap_or_default()
+        self.cluster.teams.get(team.as_usize()).map(team_limits).unwrap_or_default()
     }
 
     /// Writes the record of a new job if all its prerequisites are known here;
@@ -122,7 +126,7 @@
             Prereqs::Unknown | Prereqs::Service => {
                 // The jobs of a pipeline are submitted one after another, to any controller.
                 self.read_barrier.expedite(context.net.now());
-                self.read_barrier.join(context.net.now(), WaitingRequest::Dependent(write));
+                self.read_barrier.enqueue(context.net.now(), WaitingRequest::Dependent(write));
             }
         }
     }
@@ -194,12 +198,12 @@
                 context.respond_job(conn, CREATED, &id, status);
             }
             WriteOutcome::Conflict if record.submission.prereqs().is_empty() => {
-                self.read_barrier.join(now, WaitingRequest::Known { conn, id });
+                self.read_barrier.enqueue(now, WaitingRequest::Known { conn, id });
             }
             // The job exists, or one that it needs has changed.
             WriteOutcome::Conflict if retries < CREATE_RETRIES => {
                 let write = JobWrite { conn, id, record, retries: retries + 1 };
-                self.read_barrier.join(now, WaitingRequest::Dependent(write));
+                self.read_barrier.enqueue(now, WaitingRequest::Dependent(write));
             }
             WriteOutcome::Conflict => self.respond_unavailable(context, conn),
             WriteOutcome::Answered => {}
--- a/src/controller/version_watch.rs
+++ b/src/controller/version_watch.rs
@@ -10,13 +10,13 @@
 use crate::{
     coordination::model::Millis,
     protocol::{
-        settings::Seed,
-        store::{Op, Page, Txn},
+        settings::PeerSettings,
+        store::{Page, Transaction, WriteOperation},
     },
     storage::{
-        budget::Urgency,
+        rate_limit::Urgency,
         records,
-        versions::{version_key, Evidence, VersionRecord, VERSION, VERSIONS},
+        versions::{version_key, VersionEvidence, VersionRecord, VERSION, VERSION_KEY_PREFIX},
     },
     transport::{http::status::OK, Net},
 };
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct VersionWatch {
     identity: Identity,
-    evidence: Evidence,
+    evidence: VersionEvidence,
     /// This controller's own key was written.
     own_key_written: bool,
     write: PollSchedule,
@@ -40,10 +40,10 @@
 
 impl VersionWatch {
     /// Nothing is known yet of the controllers.
-    pub fn new(identity: Identity, seeds: &[Seed]) -> VersionWatch {
-        let peers = seeds.iter().map(|seed| &*seed.label);
+    pub fn new(identity: Identity, peer_settings: &[PeerSettings]) -> VersionWatch {
+        let peers = peer_settings.iter().map(|seed| &*seed.label);
         VersionWatch {
-            evidence: Evidence::new(peers.chain([&*identity.label])),
+            evidence: VersionEvidence::new(peers.chain([&*identity.label])),
             identity,
             own_key_written: false,
             write: PollSchedule::default(),
@@ -74,8 +74,8 @@
         // Attached to no grant, so that it outlives the process. The write is
         // unconditional, as it may be applied at any later time.
         let key = version_key(&self.identity.label);
-        let write = Op::Put { key, v: records::to_value(&record), permit: None };
-        let transaction = Txn { conditions: Vec::new(), writes: vec![write] };
+        let write = WriteOperation::Put { key, value: records::to_value(&record), grant: None };
+        let transaction = Transaction { conditions: Vec::new(), writes: vec![write] };
         let request = StoreRequest::transaction(&transaction, SLOW_STORE_TIMEOUT_MS);
         client.send_to_store(net, PendingCall::Version(VersionCall::Write), request);
     }
@@ -85,7 +85,7 @@
             return;
         }
         self.listing.begin();
-        let request = StoreRequest::read_page(VERSIONS, None, SLOW_STORE_TIMEOUT_MS);
+        let request = StoreRequest::read_page(VERSION_KEY_PREFIX, None, SLOW_STORE_TIMEOUT_MS);
         client.send_to_store(net, PendingCall::Version(VersionCall::Listing), request);
     }
 
@@ -103,12 +103,12 @@
     fn listing_received(&mut self, now: Millis, result: &CallResult) {
         self.listing.end_until(now + POLL_MS);
         let Some(page) = body::<Page>(result).filter(|page| !page.truncated) else { return };
-        let missing_before = self.evidence.missing();
-        self.evidence.saw(&page);
+        let missing_before = self.evidence.missing_count();
+        self.evidence.record_listing(&page);
         if self.evidence.is_complete() {
             self.listing.set_not_before(now + COMPLETE_POLL_MS);
         }
-        let missing = self.evidence.missing();
+        let missing = self.evidence.missing_count();
         if missing != missing_before {
             tracing::info!(missing, "controllers not known to run this version");
         }
--- a/src/coordination/autoscaler/boot_delays.rs
+++ b/src/coordination/autoscaler/boot_delays.rs
@@ -66,7 +66,7 @@
         let machine = cluster.machine(index);
         let boot_s = cluster.type_of(machine).map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s);
         let timeout_ms = (boot_s * self.timeout_factor(machine, index) + BOOT_TIMEOUT_SLACK_S) * 1000.0;
-        let since = machine.rented_at.max(cluster.started);
+        let since = machine.provisioned_at.max(cluster.started);
         (now - since) as f64 > timeout_ms
     }
 
@@ -75,7 +75,7 @@
     /// released, since those requested after the delay come up sooner.
     fn timeout_factor(&self, machine: &Machine, index: MachineIndex) -> f64 {
         let is_type_slow = machine.machine_type.is_some_and(|known| self.slow_types.contains(&known));
-        if is_type_slow && index.at().is_multiple_of(EXTENDED_TIMEOUT_DIVISOR) {
+        if is_type_slow && index.as_usize().is_multiple_of(EXTENDED_TIMEOUT_DIVISOR) {
             EXTENDED_TIMEOUT_FACTOR
         } else {
             BOOT_TIMEOUT_FACTOR
@@ -85,7 +85,7 @@
 
 /// Whether a booting machine should be up by now.
 pub fn is_boot_overdue(now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
-    let waited_ms = now.saturating_sub(machine.rented_at) as f64;
+    let waited_ms = now.saturating_sub(machine.provisioned_at) as f64;
     waited_ms > machine_type.boot_s * OVERDUE_MS_PER_BOOT_S + OVERDUE_SLACK_MS
 }
 
@@ -95,14 +95,14 @@
         let Some(machine_type) = cluster.type_of(machine) else { continue };
         let statistics = by_type.entry(machine_type.index).or_default();
         match machine.lifecycle {
-            MachineLifecycle::Booting if !machine.is_inherited_unheard() => {
+            MachineLifecycle::Booting if !machine.is_inherited_without_heartbeat() => {
                 statistics.overdue += u32::from(is_boot_overdue(now, machine, machine_type));
             }
             MachineLifecycle::Up => {
                 let came_up_lately = machine.up_at.is_some_and(|up_at| now < up_at + RECENT_BOOT_MS);
                 statistics.completed += u32::from(came_up_lately);
             }
-            MachineLifecycle::Booting | MachineLifecycle::Returning | MachineLifecycle::Gone => {}
+            MachineLifecycle::Booting | MachineLifecycle::Releasing | MachineLifecycle::Gone => {}
         }
     }
     by_type
--- a/src/coordination/autoscaler/consolidation.rs
+++ b/src/coordination/autoscaler/consolidation.rs
@@ -3,17 +3,17 @@
 use super::drain::drain_machine;
 use crate::{
     coordination::{
-        cluster::{ClusterState, UNCROWDED_MS},
+        cluster::{ClusterState, RECENT_UNMET_DEMAND_MS},
         model::{
             Assignment, AssignmentIndex, Machine, MachineIndex, MachineLifecycle, MachineTypeSpec, Millis, Resources,
         },
         scheduler::{
             headroom,
-            trial::{HostFilter, TrialRequest, Verdict},
+            trial::{HostFilter, PlacementStatus, TrialRequest},
         },
-        snapshot::RoomKind,
+        snapshot::CapacityKind,
     },
-    protocol::jobs::Kind,
+    protocol::jobs::JobKind,
     storage::{job_cache::JobIndex, records::JobStatus},
 };
 
@@ -22,7 +22,7 @@
 /// of them.
 const PRICE_FACTOR: f64 = 3.0;
 /// A new leader consolidates nothing for this long.
-const START_DELAY_MS: Millis = 4 * UNCROWDED_MS;
+const START_DELAY_MS: Millis = 4 * RECENT_UNMET_DEMAND_MS;
 /// Most machines tried in one step.
 const CANDIDATES_PER_STEP: usize = 4;
 
@@ -57,7 +57,7 @@
 fn may_consolidate(now: Millis, cluster: &ClusterState) -> bool {
     let is_starting = now < cluster.started + START_DELAY_MS;
     let is_draining = |machine: &Machine| machine.cordoned && !machine.load.assignments.is_empty();
-    !cluster.backlog.is_recent(now) && !is_starting && !cluster.machines.iter().any(is_draining)
+    !cluster.backlog.has_recent_unmet_demand(now) && !is_starting && !cluster.machines.iter().any(is_draining)
 }
 
 /// Machines that may be drained, the most expensive first.
@@ -78,7 +78,7 @@
     let is_in_use = machine.lifecycle == MachineLifecycle::Up
         && !machine.cordoned
         && !machine.load.assignments.is_empty()
-        && machine.fenced()
+        && machine.is_fenced()
         && has_settled(now, cluster, machine.up_at);
     is_in_use
         && machine.load.assignments.iter().all(|&index| is_movable_replica(now, cluster, index))
@@ -91,16 +91,16 @@
 
 /// Whether something has lasted long enough to be changed again.
 fn has_settled(now: Millis, cluster: &ClusterState, since: Option<Millis>) -> bool {
-    since.is_some_and(|since| now > since + cluster.config.idle_keep_ms)
+    since.is_some_and(|since| now > since + cluster.config.min_idle_ms)
 }
 
 /// Whether an assignment is a service replica without GPUs that has been running
 /// for a while.
 fn is_movable_replica(now: Millis, cluster: &ClusterState, index: AssignmentIndex) -> bool {
     let Some(assignment) = cluster.assignment(index) else { return false };
-    let is_replica = cluster
-        .job(assignment.job)
-        .is_some_and(|job| job.spec.kind == Kind::Service && job.status == JobStatus::Pending && job.spec.gpus <= 0.0);
+    let is_replica = cluster.job(assignment.job).is_some_and(|job| {
+        job.spec.kind == JobKind::Service && job.status == JobStatus::Pending && job.spec.gpus <= 0.0
+    });
     is_replica && has_settled(now, cluster, assignment.running_since) && assignment.halt.is_none()
 }
 
@@ -115,7 +115,7 @@
     let Some(job) = cluster.job(job) else { return 0.0 };
     let request = Resources::of(&job.spec);
     let price_per_task = |machine_type: &MachineTypeSpec| {
-        machine_type.price_of(job.spec.spot) / f64::from(request.times_in(&machine_type.capacity).max(1))
+        machine_type.price_of(job.spec.spot) / f64::from(request.count_fitting_in(&machine_type.capacity).max(1))
     };
     cluster
         .types
@@ -157,20 +157,20 @@
         min: 1,
         zone_used: &zone_used,
         avoid: &[from],
-        room: RoomKind::Free,
+        capacity: CapacityKind::Free,
         hosts: HostFilter::BusyOnly,
     });
-    for pick in &outcome.picks {
-        cluster.snapshot.reserve(pick.host, Resources::of(&spec), Resources::default());
+    for placement in &outcome.placements {
+        cluster.snapshot.reserve(placement.host, Resources::of(&spec), Resources::default());
     }
-    outcome.verdict == Verdict::Success
-        && outcome.picks.iter().all(|pick| cluster.snapshot.hosts[pick.host].has_image(spec.image))
+    outcome.status == PlacementStatus::Success
+        && outcome.placements.iter().all(|placement| cluster.snapshot.hosts[placement.host].has_image(spec.image))
 }
 
 /// Number of the job's other assignments by zone: they stay where they are.
 fn zone_used_by_others(zone_used: &[u32], assignment: &Assignment) -> Vec<u32> {
     let mut zone_used = zone_used.to_vec();
-    if let Some(used) = zone_used.get_mut(assignment.zone.at()) {
+    if let Some(used) = zone_used.get_mut(assignment.zone.as_usize()) {
         *used -= 1;
     }
     zone_used
--- a/src/coordination/autoscaler/contact.rs
+++ b/src/coordination/autoscaler/contact.rs
@@ -11,7 +11,7 @@
 /// Whether a machine's worker should send heartbeats: it did, or it holds tasks
 /// that an earlier leader assigned.
 pub fn is_heartbeat_expected(machine: &Machine) -> bool {
-    machine.lifecycle == MachineLifecycle::Up || machine.is_inherited_unheard()
+    machine.lifecycle == MachineLifecycle::Up || machine.is_inherited_without_heartbeat()
 }
 
 /// Whether a machine was in contact within two heartbeat intervals.
@@ -23,9 +23,9 @@
 /// Whether a machine is suspected of having failed: its heartbeat is overdue for
 /// longer than the failure timeout, or its probes went unanswered.
 pub fn is_suspected(now: Millis, cluster: &ClusterState, machine: &Machine) -> bool {
-    let is_overdue = now > last_contact_or_start(cluster, machine) + cluster.config.silent_ms
+    let is_overdue = now > last_contact_or_start(cluster, machine) + cluster.config.heartbeat_timeout_ms
         || machine.heartbeats.failed_probes >= FAILED_PROBES_LIMIT;
-    let sends_heartbeats = is_heartbeat_expected(machine) || machine.lifecycle == MachineLifecycle::Returning;
+    let sends_heartbeats = is_heartbeat_expected(machine) || machine.lifecycle == MachineLifecycle::Releasing;
     is_overdue && sends_heartbeats
 }
 
--- a/src/coordination/autoscaler/failure_detector.rs
+++ b/src/coordination/autoscaler/failure_detector.rs
@@ -156,10 +156,10 @@
         let zone = Some(suspect.zone);
         if self.contact_times.others(zone) == 0 {
             return self.contact_times.count_after(None, due) * 3 > self.contact_times.others(None)
-                && self.now > last_contact + LONE_MACHINE_TIMEOUT_FACTOR * config.silent_ms;
+                && self.now > last_contact + LONE_MACHINE_TIMEOUT_FACTOR * config.heartbeat_timeout_ms;
         }
         self.contact_times.count_after(zone, due) * 3 >= self.contact_times.others(zone)
-            && self.zone_health.is_stable(self.now, suspect.zone, config.silent_ms)
+            && self.zone_health.is_stable(self.now, suspect.zone, config.heartbeat_timeout_ms)
     }
 }
 
--- a/src/coordination/autoscaler/gpu_reclaim.rs
+++ b/src/coordination/autoscaler/gpu_reclaim.rs
@@ -7,7 +7,7 @@
         model::{AssignmentIndex, Job, MachineIndex, MachineLifecycle, Millis},
         workers::SAVE_MARGIN_S,
     },
-    protocol::jobs::Kind,
+    protocol::jobs::JobKind,
 };
 
 /// Most machines drained in one step: the end of each of their tasks has to be committed.
@@ -37,8 +37,8 @@
 
 fn holds_only_best_effort_work(cluster: &ClusterState, index: MachineIndex) -> bool {
     let machine = cluster.machine(index);
-    let is_reserved_for_gpu_work = cluster.snapshot.hosts.get(index.at()).is_some_and(|host| host.gpu_only);
-    let may_be_drained = machine.lifecycle == MachineLifecycle::Up && !machine.cordoned && machine.fenced();
+    let is_reserved_for_gpu_work = cluster.snapshot.hosts.get(index.as_usize()).is_some_and(|host| host.gpu_only);
+    let may_be_drained = machine.lifecycle == MachineLifecycle::Up && !machine.cordoned && machine.is_fenced();
     if !is_reserved_for_gpu_work || !may_be_drained || machine.load.assignments.is_empty() {
         return false;
     }
@@ -49,7 +49,7 @@
 }
 
 fn is_preemptible_best_effort(cluster: &ClusterState, job: &Job) -> bool {
-    job.spec.checkpoint_s > 0.0 && job.spec.kind == Kind::Array && cluster.is_best_effort(job.spec.team)
+    job.spec.checkpoint_s > 0.0 && job.spec.kind == JobKind::Array && cluster.is_best_effort(job.spec.team)
 }
 
 /// Seconds that a task is given to save a checkpoint.
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -8,7 +8,7 @@
     },
     protocol::{
         cloud::{HostList, HostState, ListedHost},
-        names::Tables,
+        names::Interners,
     },
 };
 
@@ -60,7 +60,7 @@
     pub fn request_page(&mut self, outbox: &mut Outbox) {
         let call = outbox.next_call();
         self.in_flight = Some(call);
-        outbox.send(Effect::List { call, from: self.next_page_after.clone() });
+        outbox.send(Effect::ListMachines { call, from: self.next_page_after.clone() });
     }
 
     /// Takes in a page and requests the one after it, if any. `None`: the call failed.
@@ -71,14 +71,14 @@
         list: Option<&HostList>,
         cluster: &mut ClusterState,
         outbox: &mut Outbox,
-        tables: &mut Tables,
+        interners: &mut Interners,
     ) {
         self.in_flight.take_if(|in_flight| *in_flight == call);
         let Some(list) = list else { return };
         self.has_received_page = true;
         self.last_answer_at = now;
         for host in &list.hosts {
-            reconcile_host(now, host, cluster, tables);
+            reconcile_host(now, host, cluster, interners);
         }
         let last = list.hosts.last().filter(|_| list.truncated);
         self.next_page_after = last.map(|host| host.id.clone());
@@ -89,29 +89,29 @@
 }
 
 /// Updates the cluster state with what the cloud says of one machine.
-fn reconcile_host(now: Millis, host: &ListedHost, cluster: &mut ClusterState, tables: &mut Tables) {
-    let zone = tables.zones.intern(&host.zone);
+fn reconcile_host(now: Millis, host: &ListedHost, cluster: &mut ClusterState, interners: &mut Interners) {
+    let zone = interners.zones.intern(&host.zone);
     let is_known = cluster.machines.find(&host.id).is_some();
-    let index = cluster.machine_named(now, &host.id, zone);
-    let machine = &mut cluster.machines[index.at()];
+    let index = cluster.find_or_add_machine(now, &host.id, zone);
+    let machine = &mut cluster.machines[index.as_usize()];
     if machine.lifecycle == MachineLifecycle::Gone {
         return; // The list is older than the confirmed release.
     }
     machine.zone = zone;
-    let listed_type = tables.types.intern(&host.machine_type);
+    let listed_type = interners.types.intern(&host.machine_type);
     machine.machine_type = machine.machine_type.or(Some(listed_type));
     machine.spot = host.spot;
     if let Some(addr) = &host.addr {
         machine.addr = machine.addr.or(addr.parse().ok());
     }
     if !is_known {
-        machine.rented_at = now.saturating_sub(age_ms(host));
+        machine.provisioned_at = now.saturating_sub(age_ms(host));
         tracing::info!(machine = &*machine.id, state = ?host.state, "machine discovered");
     }
-    if host.state == HostState::Failed && machine.lifecycle != MachineLifecycle::Returning {
+    if host.state == HostState::Failed && machine.lifecycle != MachineLifecycle::Releasing {
         tracing::info!(machine = &*machine.id, "machine failed");
-        machine.lifecycle = MachineLifecycle::Returning;
-        machine.return_after = now;
+        machine.lifecycle = MachineLifecycle::Releasing;
+        machine.release_retry_at = now;
     }
 }
 
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -33,7 +33,7 @@
 mod zone_demand;
 mod zone_health;
 
-pub use self::scale_out::RentOutcome;
+pub use self::scale_out::ScaleOutOutcome;
 use self::{
     boot_delays::BootDelays, interval::Interval, inventory::Inventory, scale_in::ScaleIn,
     scale_in_policy::ScaleInPolicy, scale_out::ScaleOut, zone_health::ZoneHealth,
@@ -44,7 +44,7 @@
     model::{CallId, Millis},
     scheduler::gpu_demand::GpuDemand,
 };
-use crate::protocol::{cloud::HostList, names::Tables};
+use crate::protocol::{cloud::HostList, names::Interners};
 
 /// Interval of scale-out decisions.
 const SCALE_OUT_INTERVAL_MS: Millis = 250;
@@ -93,7 +93,7 @@
         cluster: &mut ClusterState,
         gpu_demand: &GpuDemand,
         outbox: &mut Outbox,
-        tables: &Tables,
+        interners: &Interners,
     ) {
         if !self.inventory.is_listing() && self.listing_interval.is_due(now) {
             self.inventory.request_page(outbox);
@@ -107,7 +107,7 @@
             consolidation::consolidate(now, cluster);
         }
         if self.scale_out_interval.is_due(now) {
-            self.scale_out.step(now, cluster, &self.inventory, outbox, tables);
+            self.scale_out.step(now, cluster, &self.inventory, outbox, interners);
         }
     }
 
@@ -121,7 +121,13 @@
     }
 
     /// A scale-out request ended.
-    pub fn scale_out_finished(&mut self, now: Millis, call: CallId, outcome: RentOutcome, cluster: &mut ClusterState) {
+    pub fn scale_out_finished(
+        &mut self,
+        now: Millis,
+        call: CallId,
+        outcome: ScaleOutOutcome,
+        cluster: &mut ClusterState,
+    ) {
         self.scale_out.finished(now, call, outcome, cluster);
     }
 
@@ -132,15 +138,15 @@
     }
 
     /// A page of the machine list arrived. `None`: the call failed.
-    pub fn listed(
+    pub fn machines_listed(
         &mut self,
         now: Millis,
         call: CallId,
         list: Option<&HostList>,
         cluster: &mut ClusterState,
         outbox: &mut Outbox,
-        tables: &mut Tables,
+        interners: &mut Interners,
     ) {
-        self.inventory.page_received(now, call, list, cluster, outbox, tables);
+        self.inventory.page_received(now, call, list, cluster, outbox, interners);
     }
 }
--- a/src/coordination/autoscaler/offer.rs
+++ b/src/coordination/autoscaler/offer.rs
@@ -36,7 +36,7 @@
         if !spec.allows_type(self.machine_type) || is_other_zone || (self.spot && !spec.spot) {
             return false;
         }
-        let here = zone_used.get(self.zone.at()).copied().unwrap_or(0);
+        let here = zone_used.get(self.zone.as_usize()).copied().unwrap_or(0);
         let elsewhere = zone_used.iter().sum::<u32>() - here;
         (!spec.spread || here < spec.zone_cap()) && (!spec.one_zone || elsewhere == 0)
     }
--- a/src/coordination/autoscaler/offer_selection.rs
+++ b/src/coordination/autoscaler/offer_selection.rs
@@ -116,7 +116,7 @@
     if spot && !(spec.spot && cluster.config.use_spot) {
         return None;
     }
-    let tasks_per_machine = Resources::of(spec).times_in(&machine_type.capacity);
+    let tasks_per_machine = Resources::of(spec).count_fitting_in(&machine_type.capacity);
     let offer = Offer { machine_type: machine_type.index, zone, spot };
     if tasks_per_machine == 0 || !offer.allows(spec, demand.zone_used) {
         return None;
--- a/src/coordination/autoscaler/pending_capacity.rs
+++ b/src/coordination/autoscaler/pending_capacity.rs
@@ -60,8 +60,8 @@
     pub fn count_fitting(&self, request: &Resources, limit: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
         let mut tasks = 0;
         for pending in self.0.iter().filter(|pending| allows(&pending.offer)) {
-            tasks += pending.remainders.iter().map(|remainder| request.times_in(remainder)).sum::<u32>();
-            let on_unallotted = request.times_in(&pending.capacity).saturating_mul(pending.unallotted);
+            tasks += pending.remainders.iter().map(|remainder| request.count_fitting_in(remainder)).sum::<u32>();
+            let on_unallotted = request.count_fitting_in(&pending.capacity).saturating_mul(pending.unallotted);
             tasks = tasks.saturating_add(on_unallotted).min(limit);
             if tasks == limit {
                 break;
@@ -93,7 +93,7 @@
     fn allot_remainders(&mut self, request: &Resources, tasks: u32) -> u32 {
         let mut unallotted_tasks = tasks;
         for remainder in &mut self.remainders {
-            let count = request.times_in(remainder).min(unallotted_tasks);
+            let count = request.count_fitting_in(remainder).min(unallotted_tasks);
             *remainder -= *request * f64::from(count);
             unallotted_tasks -= count;
         }
@@ -102,7 +102,7 @@
 
     fn allot_whole_machines(&mut self, request: &Resources, tasks: u32) -> u32 {
         let mut unallotted_tasks = tasks;
-        let per_machine = request.times_in(&self.capacity);
+        let per_machine = request.count_fitting_in(&self.capacity);
         while unallotted_tasks > 0 && self.unallotted > 0 && per_machine > 0 {
             let count = per_machine.min(unallotted_tasks);
             self.unallotted -= 1;
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -40,7 +40,7 @@
         let machines: Vec<MachineIndex> = decisions.into_iter().map(|decision| decision.machine).collect();
         let ids = machines.iter().map(|&index| cluster.machine(index).id.clone()).collect();
         self.in_flight.insert(call, machines);
-        outbox.send(Effect::Return { call, ids });
+        outbox.send(Effect::ScaleIn { call, ids });
     }
 
     /// A request ended. `is_released`: the cloud confirmed the release.
@@ -50,7 +50,7 @@
             if is_released {
                 mark_gone(now, index, cluster);
             } else {
-                cluster.machines[index.at()].return_after = now + FAILED_RETRY_DELAY_MS;
+                cluster.machines[index.as_usize()].release_retry_at = now + FAILED_RETRY_DELAY_MS;
             }
         }
         cluster.cycle_needed = true;
@@ -58,8 +58,8 @@
 }
 
 fn mark_releasing(now: Millis, decision: &ScaleInDecision, cluster: &mut ClusterState) {
-    let machine = &mut cluster.machines[decision.machine.at()];
-    if machine.lifecycle != MachineLifecycle::Returning {
+    let machine = &mut cluster.machines[decision.machine.as_usize()];
+    if machine.lifecycle != MachineLifecycle::Releasing {
         tracing::info!(
             machine = &*machine.id,
             reason = %decision.reason,
@@ -67,15 +67,15 @@
             "scale-in requested"
         );
     }
-    machine.lifecycle = MachineLifecycle::Returning;
-    machine.return_after = now + UNCONFIRMED_RETRY_DELAY_MS;
+    machine.lifecycle = MachineLifecycle::Releasing;
+    machine.release_retry_at = now + UNCONFIRMED_RETRY_DELAY_MS;
     cluster.refresh(now, decision.machine);
 }
 
 /// A released machine and everything on it are gone.
 fn mark_gone(now: Millis, index: MachineIndex, cluster: &mut ClusterState) {
-    cluster.free_machine(index, None);
-    let machine = &mut cluster.machines[index.at()];
+    cluster.release_machine_assignments(index, None);
+    let machine = &mut cluster.machines[index.as_usize()];
     machine.lifecycle = MachineLifecycle::Gone;
     machine.commands.direct_call = None;
     cluster.refresh(now, index);
--- a/src/coordination/autoscaler/scale_in_policy.rs
+++ b/src/coordination/autoscaler/scale_in_policy.rs
@@ -89,13 +89,13 @@
 
     fn reason_to_release(&self, index: MachineIndex) -> Option<ScaleInReason> {
         let machine = self.cluster.machine(index);
-        if self.now < machine.return_after {
+        if self.now < machine.release_retry_at {
             return None;
         }
         match machine.lifecycle {
             MachineLifecycle::Gone => None,
-            MachineLifecycle::Returning => Some(ScaleInReason::Unconfirmed),
-            MachineLifecycle::Booting if machine.is_inherited_unheard() => {
+            MachineLifecycle::Releasing => Some(ScaleInReason::Unconfirmed),
+            MachineLifecycle::Booting if machine.is_inherited_without_heartbeat() => {
                 self.failure_detector.has_failed(machine).then_some(ScaleInReason::Failed)
             }
             MachineLifecycle::Booting => {
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -14,7 +14,7 @@
         effects::{Effect, Outbox},
         model::{CallId, MachineLifecycle, Millis},
     },
-    protocol::{cloud::RentRequest, names::Tables},
+    protocol::{cloud::ProvisionRequest, names::Interners},
 };
 
 /// Pause before a request whose outcome is unknown is sent again.
@@ -26,13 +26,13 @@
 
 /// How a scale-out request ended.
 #[derive(Debug)]
-pub enum RentOutcome {
+pub enum ScaleOutOutcome {
     /// Executed; the names of the machines, which may be fewer than requested.
-    Rented(Vec<String>),
+    Provisioned(Vec<String>),
     /// The cloud has no machine of this type, zone and billing kind.
     NoCapacity,
     /// Not executed, or not known to be: the same request is to be sent again.
-    Again,
+    Retry,
     /// The cloud rejects the request as malformed.
     Malformed,
 }
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 struct ScaleOutCall {
     offer: Offer,
-    request: RentRequest,
+    request: ProvisionRequest,
 }
 
 impl ScaleOutCall {
@@ -91,7 +91,7 @@
         cluster: &ClusterState,
         inventory: &Inventory,
         outbox: &mut Outbox,
-        tables: &Tables,
+        interners: &Interners,
     ) {
         self.send_retries(now, outbox);
         if !self.may_request(now, cluster, inventory) {
@@ -99,10 +99,10 @@
         }
         let plan = ScaleOutPlan::new(now, cluster, &self.backoffs, &self.requested());
         for planned in plan.into_quantities() {
-            let request = RentRequest {
+            let request = ProvisionRequest {
                 request: self.next_request_name(),
-                machine_type: tables.types.name(planned.offer.machine_type.0).to_owned(),
-                zone: tables.zones.name(planned.offer.zone.0).to_owned(),
+                machine_type: interners.types.name(planned.offer.machine_type.0).to_owned(),
+                zone: interners.zones.name(planned.offer.zone.0).to_owned(),
                 spot: planned.offer.spot,
                 count: planned.machines.min(MACHINES_REQUESTED_PER_CALL),
             };
@@ -153,16 +153,16 @@
             count = request.count,
             "scale-out requested"
         );
-        outbox.send(Effect::Rent { call: id, req: request.clone() });
+        outbox.send(Effect::ScaleOut { call: id, req: request.clone() });
         self.in_flight.insert(id, call);
     }
 
     /// A request ended.
-    pub fn finished(&mut self, now: Millis, id: CallId, outcome: RentOutcome, cluster: &mut ClusterState) {
+    pub fn finished(&mut self, now: Millis, id: CallId, outcome: ScaleOutOutcome, cluster: &mut ClusterState) {
         let Some(call) = self.in_flight.remove(&id) else { return };
         let offer = call.offer;
         match outcome {
-            RentOutcome::Rented(names) => {
+            ScaleOutOutcome::Provisioned(names) => {
                 if (names.len() as u32) < call.request.count {
                     self.backoffs.record_partly_filled(now, offer);
                 } else {
@@ -172,10 +172,10 @@
                     add_machine(now, &name, offer, cluster);
                 }
             }
-            RentOutcome::NoCapacity => self.backoffs.record_no_capacity(now, offer),
+            ScaleOutOutcome::NoCapacity => self.backoffs.record_no_capacity(now, offer),
             // Guard: the same request name again, so that no machine is provisioned twice.
-            RentOutcome::Again => self.retries.push(Retry { call, at: now + RETRY_DELAY_MS }),
-            RentOutcome::Malformed => {
+            ScaleOutOutcome::Retry => self.retries.push(Retry { call, at: now + RETRY_DELAY_MS }),
+            ScaleOutOutcome::Malformed => {
                 tracing::error!(request = &*call.request.request, "scale-out request rejected as malformed");
                 self.backoffs.record_rejected(now, offer);
             }
@@ -186,12 +186,12 @@
 /// Adds a machine that was just provisioned, or updates it if a list or a
 /// heartbeat showed it before.
 fn add_machine(now: Millis, name: &str, offer: Offer, cluster: &mut ClusterState) {
-    let index = cluster.machine_named(now, name, offer.zone);
-    let machine = &mut cluster.machines[index.at()];
+    let index = cluster.find_or_add_machine(now, name, offer.zone);
+    let machine = &mut cluster.machines[index.as_usize()];
     machine.machine_type = machine.machine_type.or(Some(offer.machine_type));
     machine.spot = offer.spot;
     machine.zone = offer.zone;
     if machine.lifecycle == MachineLifecycle::Booting {
-        machine.rented_at = now;
+        machine.provisioned_at = now;
     }
 }
--- a/src/coordination/autoscaler/scale_out_plan.rs
+++ b/src/coordination/autoscaler/scale_out_plan.rs
@@ -142,7 +142,7 @@
 
 /// Number of machines that are up or booting.
 fn held_machines(cluster: &ClusterState) -> usize {
-    let is_held = |lifecycle| !matches!(lifecycle, MachineLifecycle::Gone | MachineLifecycle::Returning);
+    let is_held = |lifecycle| !matches!(lifecycle, MachineLifecycle::Gone | MachineLifecycle::Releasing);
     cluster.machines.iter().filter(|machine| is_held(machine.lifecycle)).count()
 }
 
--- a/src/coordination/autoscaler/zone_demand.rs
+++ b/src/coordination/autoscaler/zone_demand.rs
@@ -4,9 +4,9 @@
 
 use super::{offer::Offer, pending_capacity::PendingCapacity};
 use crate::{
-    coordination::{cluster::ClusterState, model::Resources, snapshot::RoomKind},
+    coordination::{cluster::ClusterState, model::Resources, snapshot::CapacityKind},
     protocol::{
-        jobs::{JobSpec, Kind},
+        jobs::{JobKind, JobSpec},
         names::ZoneIndex,
     },
 };
@@ -67,7 +67,7 @@
     /// more machines would be requested where capacity is free already.
     pub fn demand(&self, tasks: u32, pending_capacity: &PendingCapacity) -> Vec<ZoneDemand> {
         let spec = self.spec;
-        let is_one_zone_gang = spec.one_zone && spec.kind == Kind::Gang && tasks > 1;
+        let is_one_zone_gang = spec.one_zone && spec.kind == JobKind::Gang && tasks > 1;
         if spec.spread && !spec.one_zone {
             self.spread_demand(tasks)
         } else if spec.one_zone && (spec.spread || is_one_zone_gang) {
@@ -94,13 +94,13 @@
     /// once the tasks that are being stopped are gone. Only gangs wait although
     /// there is some: what an array or service could place there, it has placed.
     fn free_in_zone(&self, zone: ZoneIndex, limit: u32) -> u32 {
-        if self.spec.kind != Kind::Gang {
+        if self.spec.kind != JobKind::Gang {
             return 0;
         }
         let request = Resources::of(self.spec);
         let mut free = 0;
-        self.cluster.snapshot.candidates(self.spec, Some(zone), RoomKind::FreeOrStopping, |_, host, _| {
-            free = (free + request.times_in(&host.room(RoomKind::FreeOrStopping))).min(limit);
+        self.cluster.snapshot.candidates(self.spec, Some(zone), CapacityKind::FreeOrStopping, |_, host, _| {
+            free = (free + request.count_fitting_in(&host.capacity(CapacityKind::FreeOrStopping))).min(limit);
         });
         free
     }
@@ -151,7 +151,7 @@
     }
 
     fn spread_zone(&self, zone: ZoneIndex, tasks: u32) -> SpreadZone {
-        let used = self.zone_used.get(zone.at()).copied().unwrap_or(0);
+        let used = self.zone_used.get(zone.as_usize()).copied().unwrap_or(0);
         let limit = self.spec.zone_cap().saturating_sub(used);
         SpreadZone { zone, limit, free: self.free_in_zone(zone, tasks) }
     }
@@ -160,7 +160,7 @@
 /// How many times the capacity that the job needs is requested.
 fn overprovisioning(spec: &JobSpec) -> u32 {
     match spec.kind {
-        Kind::Service => SERVICE_OVERPROVISIONING,
-        Kind::Array | Kind::Gang => 1,
+        JobKind::Service => SERVICE_OVERPROVISIONING,
+        JobKind::Array | JobKind::Gang => 1,
     }
 }
--- a/src/coordination/cluster/assignment_table.rs
+++ b/src/coordination/cluster/assignment_table.rs
@@ -12,17 +12,17 @@
 
 impl AssignmentTable {
     pub fn get(&self, index: AssignmentIndex) -> Option<&Assignment> {
-        self.entries.get(index.at()).and_then(Option::as_ref)
+        self.entries.get(index.as_usize()).and_then(Option::as_ref)
     }
 
     pub fn get_mut(&mut self, index: AssignmentIndex) -> Option<&mut Assignment> {
-        self.entries.get_mut(index.at()).and_then(Option::as_mut)
+        self.entries.get_mut(index.as_usize()).and_then(Option::as_mut)
     }
 
     pub fn insert(&mut self, assignment: Assignment) -> AssignmentIndex {
         match self.free.pop() {
             Some(index) => {
-                self.entries[index.at()] = Some(assignment);
+                self.entries[index.as_usize()] = Some(assignment);
                 index
             }
             None => {
@@ -33,7 +33,7 @@
     }
 
     pub fn remove(&mut self, index: AssignmentIndex) -> Option<Assignment> {
-        let assignment = self.entries.get_mut(index.at())?.take()?;
+        let assignment = self.entries.get_mut(index.as_usize())?.take()?;
         self.free.push(index);
         Some(assignment)
     }
--- a/src/coordination/cluster/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -9,7 +9,7 @@
     },
     protocol::{
         ids::{Attempt, Incarnation},
-        jobs::Kind,
+        jobs::JobKind,
         names::ZoneIndex,
     },
     storage::{job_cache::JobIndex, records::JobStatus},
@@ -46,7 +46,7 @@
             sent: None,
             running_since: None,
             halt: None,
-            made: now,
+            assigned_at: now,
             inherited: false,
         }
     }
@@ -54,7 +54,7 @@
 
 /// What became of a task whose assignment is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TaskFate {
+pub enum ReleaseReason {
     /// It completed.
     Done,
     /// It has to run again, or for the first time, unless its job is over.
@@ -76,22 +76,22 @@
         }
         let chunk_version = job.record_assignment(now, new.task, new.zone);
         self.team_used.add(job.spec.team, Resources::of(&job.spec));
-        self.snapshot.take(new.machine.at(), &job.spec);
+        self.snapshot.add_task(new.machine.as_usize(), &job.spec);
         let index = self.assignments.insert(new.into_assignment(now, chunk_version));
-        job.tasks.slots[new.task as usize] = Slot::At(index);
-        add_to_load(&mut self.machines[new.machine.at()].load, index, job.spec.gpus > 0.0);
+        job.tasks.slots[new.task as usize] = Slot::Assigned(index);
+        add_to_load(&mut self.machines[new.machine.as_usize()].load, index, job.spec.gpus > 0.0);
         Some(index)
     }
 
     /// Releases an assignment: its task is provably not on the machine, or no longer.
-    pub fn release_assignment(&mut self, index: AssignmentIndex, fate: TaskFate) -> Option<Assignment> {
+    pub fn release_assignment(&mut self, index: AssignmentIndex, reason: ReleaseReason) -> Option<Assignment> {
         let assignment = self.assignments.remove(index)?;
-        self.machines[assignment.machine.at()].load.assignments.retain(|&other| other != index);
+        self.machines[assignment.machine.as_usize()].load.assignments.retain(|&other| other != index);
         self.cycle_needed = true;
         if self.job(assignment.job).is_some() {
-            self.release_from_job(&assignment, fate);
+            self.release_from_job(&assignment, reason);
             self.progress_feed.mark_changed(assignment.job);
-            if fate == TaskFate::Unfinished {
+            if reason == ReleaseReason::Unfinished {
                 self.stop_rest_of_gang(&assignment);
             }
             self.remove_if_finished(assignment.job);
@@ -100,24 +100,24 @@
     }
 
     /// Takes an assignment out of the counts of its job, its team and its machine.
-    fn release_from_job(&mut self, assignment: &Assignment, fate: TaskFate) {
+    fn release_from_job(&mut self, assignment: &Assignment, reason: ReleaseReason) {
         let Some(job) = self.jobs.get_mut(assignment.job) else { return };
-        let machine = assignment.machine.at();
+        let machine = assignment.machine.as_usize();
         let ran_long_enough =
             assignment.running_since.is_some_and(|since| self.last_event_at >= since + START_COUNTS_MS);
-        job.wait.has_counted_start |= fate == TaskFate::Done || ran_long_enough;
+        job.wait.has_counted_start |= reason == ReleaseReason::Done || ran_long_enough;
         job.record_release(assignment);
         self.team_used.subtract(job.spec.team, Resources::of(&job.spec));
-        self.snapshot.give(machine, &job.spec, assignment.halt.is_some());
+        self.snapshot.remove_task(machine, &job.spec, assignment.halt.is_some());
         if job.spec.gpus > 0.0 {
             self.machines[machine].load.gpu_assignments -= 1;
         }
-        match fate {
-            TaskFate::Done => {
+        match reason {
+            ReleaseReason::Done => {
                 job.tasks.mark_done(assignment.task);
-                job.failures.job_is_sound = true;
+                job.failures.job_is_healthy = true;
             }
-            TaskFate::Unfinished => job.tasks.mark_pending(assignment.task),
+            ReleaseReason::Unfinished => job.tasks.mark_pending(assignment.task),
         }
     }
 
@@ -125,18 +125,18 @@
     /// it starts again once all of them are gone.
     fn stop_rest_of_gang(&mut self, released: &Assignment) {
         let Some(job) = self.job(released.job) else { return };
-        if job.spec.kind != Kind::Gang || job.tasks.placed == 0 || job.status != JobStatus::Pending {
+        if job.spec.kind != JobKind::Gang || job.tasks.placed == 0 || job.status != JobStatus::Pending {
             return;
         }
         for assignment_index in job.assignments() {
-            self.halt(released.made, assignment_index, 0.0);
+            self.halt(released.assigned_at, assignment_index, 0.0);
         }
     }
 
     /// Releases all assignments of a machine, as their tasks are provably gone; with `before_incarnation`, only
     /// what was assigned in an earlier incarnation.
-    pub fn free_machine(&mut self, index: MachineIndex, before_incarnation: Option<Incarnation>) {
-        for assignment_index in self.machines[index.at()].load.assignments.clone() {
+    pub fn release_machine_assignments(&mut self, index: MachineIndex, before_incarnation: Option<Incarnation>) {
+        for assignment_index in self.machines[index.as_usize()].load.assignments.clone() {
             let Some(assignment) = self.assignments.get(assignment_index) else { continue };
             if before_incarnation.is_some_and(|incarnation| assignment.incarnation >= incarnation) {
                 continue;
@@ -145,9 +145,9 @@
             if let Some(job) = self.job_mut(job_index) {
                 job.statistics.lost_count += 1;
             }
-            self.release_assignment(assignment_index, TaskFate::Unfinished);
+            self.release_assignment(assignment_index, ReleaseReason::Unfinished);
         }
-        self.machines[index.at()].commands.unreaped_exits.clear();
+        self.machines[index.as_usize()].commands.pending_reaps.clear();
     }
 
     /// Has the machines of those of the assignments that are `wanted` looked at,
@@ -167,8 +167,8 @@
     }
 
     /// Whether a command with the assignment's launch is unanswered.
-    pub fn in_flight_launch(&self, assignment: &Assignment) -> bool {
-        let call = &self.machines[assignment.machine.at()].commands.direct_call;
+    pub fn is_launch_in_flight(&self, assignment: &Assignment) -> bool {
+        let call = &self.machines[assignment.machine.as_usize()].commands.direct_call;
         call.as_ref().is_some_and(|call| call.launches.contains(&assignment.launch_id()))
     }
 
@@ -187,7 +187,7 @@
         if assignment.halt.is_some() || job.status != JobStatus::Pending || !self.written(assignment) {
             return false;
         }
-        !(job.spec.kind == Kind::Gang && job.has_unwritten_placement())
+        !(job.spec.kind == JobKind::Gang && job.has_unwritten_placement())
     }
 }
 
--- a/src/coordination/cluster/backlog.rs
+++ b/src/coordination/cluster/backlog.rs
@@ -6,7 +6,7 @@
 
 /// Unmet demand counts as recent for this long. Machines are only drained, or
 /// reserved for GPU work, without recent unmet demand.
-pub(in crate::coordination) const UNCROWDED_MS: Millis = 12_000;
+pub(in crate::coordination) const RECENT_UNMET_DEMAND_MS: Millis = 12_000;
 
 /// Tasks of a job that found no free capacity in the last scheduling cycle.
 #[derive(Debug, Clone, Copy)]
@@ -48,13 +48,13 @@
     }
 
     /// Whether there was unmet demand lately that some machine type could meet.
-    pub fn is_recent(&self, now: Millis) -> bool {
-        now < self.last_unmet + UNCROWDED_MS
+    pub fn has_recent_unmet_demand(&self, now: Millis) -> bool {
+        now < self.last_unmet + RECENT_UNMET_DEMAND_MS
     }
 
     /// Whether there was unmet demand lately that machines of this type could meet.
-    pub fn is_recent_for(&self, now: Millis, machine_type: MachineTypeIndex) -> bool {
+    pub fn has_recent_unmet_demand_for(&self, now: Millis, machine_type: MachineTypeIndex) -> bool {
         let last_unmet = self.last_unmet_by_type.get(&machine_type).copied().unwrap_or(self.leader_since);
-        now < last_unmet + UNCROWDED_MS
+        now < last_unmet + RECENT_UNMET_DEMAND_MS
     }
 }
--- a/src/coordination/cluster/config.rs
+++ b/src/coordination/cluster/config.rs
@@ -17,22 +17,22 @@
     /// Most writes of a transaction that the key-value store accepts.
     pub txn_ops: usize,
     /// Largest value, in bytes, under the key-value store's present limit.
-    pub value_max: usize,
+    pub max_value_bytes: usize,
     /// Largest value, in bytes, that fits under its lower limit as well, which may
     /// replace the present one at any time.
-    pub value_fit: usize,
+    pub reduced_max_value_bytes: usize,
     /// Tasks per chunk whose record fits under the lower limit.
-    pub chunk_fit: u32,
+    pub reduced_chunk_size: u32,
     /// How old the cloud's list of hosts may be, in ms.
-    pub list_lag_ms: Millis,
+    pub host_list_delay_ms: Millis,
     /// Guarantee and limit of each team, by index of the team.
     pub teams: Vec<TeamLimits>,
     /// Service-level objectives of classes, the shortest time first.
     pub objectives: Vec<ServiceObjective>,
     /// How long an idle machine is kept at least, in ms.
-    pub idle_keep_ms: Millis,
+    pub min_idle_ms: Millis,
     /// How long after its heartbeat was due a machine is taken to have failed, in ms.
-    pub silent_ms: Millis,
+    pub heartbeat_timeout_ms: Millis,
     /// Most machines rented at once; `usize::MAX`: no limit.
     pub max_machines: usize,
     /// Whether spot machines may be rented.
--- a/src/coordination/cluster/job_table.rs
+++ b/src/coordination/cluster/job_table.rs
@@ -14,12 +14,12 @@
 impl JobTable {
     /// An active job.
     pub fn get(&self, index: JobIndex) -> Option<&Job> {
-        self.entries.get(index.at()).and_then(Option::as_ref)
+        self.entries.get(index.as_usize()).and_then(Option::as_ref)
     }
 
     /// As [`JobTable::get`], to be changed.
     pub fn get_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
-        self.entries.get_mut(index.at()).and_then(Option::as_mut)
+        self.entries.get_mut(index.as_usize()).and_then(Option::as_mut)
     }
 
     /// Indices of the active jobs, in the order in which they came.
@@ -40,16 +40,16 @@
     /// Adds a job, which is active from now on.
     pub fn insert(&mut self, job: Job) {
         let index = job.index;
-        if self.entries.len() <= index.at() {
-            self.entries.resize_with(index.at() + 1, || None);
+        if self.entries.len() <= index.as_usize() {
+            self.entries.resize_with(index.as_usize() + 1, || None);
         }
-        self.entries[index.at()] = Some(job);
+        self.entries[index.as_usize()] = Some(job);
         self.active.push(index);
     }
 
     /// Removes a job that is over.
     pub fn remove(&mut self, index: JobIndex) -> Option<Job> {
-        let job = self.entries.get_mut(index.at())?.take()?;
+        let job = self.entries.get_mut(index.as_usize())?.take()?;
         self.active.retain(|&active| active != index);
         Some(job)
     }
@@ -57,7 +57,7 @@
     /// Changes every active job, in the order in which they came.
     pub fn for_each_mut(&mut self, mut change: impl FnMut(&mut Job)) {
         for &index in &self.active {
-            if let Some(job) = self.entries.get_mut(index.at()).and_then(Option::as_mut) {
+            if let Some(job) = self.entries.get_mut(index.as_usize()).and_then(Option::as_mut) {
                 change(job);
             }
         }
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -2,11 +2,11 @@
 
 use std::rc::Rc;
 
-use super::{records::ObsoleteRecord, ClusterState, TaskFate};
+use super::{records::ObsoleteRecord, ClusterState, ReleaseReason};
 use crate::{
     coordination::model::{
-        AssignmentIndex, ExitRecord, Halt, Job, JobFailures, JobProgress, JobRecords, JobStatistics, Millis, TaskTable,
-        UnreapedExit, WaitState,
+        AssignmentIndex, ExitRecord, Halt, Job, JobFailures, JobProgress, JobRecords, JobStatistics, Millis,
+        PendingReap, TaskTable, WaitState,
     },
     protocol::{ids::Revision, jobs::JobSpec, peers::Count},
     storage::{
@@ -75,13 +75,13 @@
         let previous = std::mem::replace(&mut job.spec, spec.clone());
         for assignment_index in job.assignments() {
             let Some(assignment) = self.assignments.get(assignment_index) else { continue };
-            let host = assignment.machine.at();
+            let host = assignment.machine.as_usize();
             let is_stopping = assignment.halt.is_some();
             // The snapshot counts by priority what may be stopped.
-            self.snapshot.give(host, &previous, is_stopping);
-            self.snapshot.take(host, &spec);
+            self.snapshot.remove_task(host, &previous, is_stopping);
+            self.snapshot.add_task(host, &spec);
             if is_stopping {
-                self.snapshot.stop(host, &spec);
+                self.snapshot.mark_stopping(host, &spec);
             }
         }
     }
@@ -97,7 +97,7 @@
         job_cache: &JobCache,
     ) {
         let entry = job_cache.get(index);
-        let is_oversized = entry.chunk > self.config.chunk_fit && spec.tasks > self.config.chunk_fit;
+        let is_oversized = entry.chunk > self.config.reduced_chunk_size && spec.tasks > self.config.reduced_chunk_size;
         let oversized_record = entry.record.clone().filter(|_| is_oversized);
         let age_ms = wall_ms.saturating_sub(job_cache.ready_ms(index)).min(OLDEST_MS) as i64;
         self.jobs.insert(Job {
@@ -130,7 +130,7 @@
     pub fn halt(&mut self, now: Millis, index: AssignmentIndex, grace_s: f64) {
         let Some(assignment) = self.assignments.get_mut(index) else { return };
         if assignment.never_launched() {
-            self.release_assignment(index, TaskFate::Unfinished);
+            self.release_assignment(index, ReleaseReason::Unfinished);
             return;
         }
         let (job_index, machine) = (assignment.job, assignment.machine);
@@ -143,7 +143,7 @@
             None => {
                 assignment.halt = Some(Halt { grace_s, sent: None });
                 if let Some(job) = self.jobs.get(job_index) {
-                    self.snapshot.stop(machine.at(), &job.spec);
+                    self.snapshot.mark_stopping(machine.as_usize(), &job.spec);
                 }
             }
         }
@@ -170,7 +170,7 @@
 
     /// A job's completion is recorded.
     pub(in crate::coordination) fn finish(&mut self, index: JobIndex) {
-        self.blame_machines_of(index);
+        self.attribute_failures_to_machines(index);
         if let Some(job) = self.job_mut(index) {
             job.status = JobStatus::Done;
         }
@@ -179,11 +179,14 @@
 
     /// A job that failed somewhere has completed: the machines on which it failed
     /// were at fault.
-    pub(in crate::coordination) fn blame_machines_of(&mut self, index: JobIndex) {
+    pub(in crate::coordination) fn attribute_failures_to_machines(&mut self, index: JobIndex) {
         let Some(job) = self.job(index) else { return };
         for machine in job.failures.machines.clone() {
-            let failures = &mut self.machines[machine.at()].recent_failures;
-            failures.iter_mut().filter(|failure| failure.job == index).for_each(|failure| failure.job_is_sound = true);
+            let failures = &mut self.machines[machine.as_usize()].recent_failures;
+            failures
+                .iter_mut()
+                .filter(|failure| failure.job == index)
+                .for_each(|failure| failure.job_is_healthy = true);
         }
     }
 
@@ -199,13 +202,13 @@
 
     /// Whether a task's exit is recorded, or its job is over: then the worker may
     /// reap the task.
-    pub(in crate::coordination) fn is_exit_recorded(&self, exit: &UnreapedExit) -> bool {
+    pub(in crate::coordination) fn is_exit_recorded(&self, exit: &PendingReap) -> bool {
         let Some(job) = self.job(exit.job) else { return true };
         match exit.record {
             ExitRecord::WrittenWith { chunk, version } => {
                 job.records.chunks.get(chunk).is_none_or(|chunk| chunk.committed_version >= version)
             }
-            ExitRecord::Stray => false,
+            ExitRecord::Orphaned => false,
         }
     }
 
--- a/src/coordination/cluster/machines.rs
+++ b/src/coordination/cluster/machines.rs
@@ -1,6 +1,6 @@
 //! Machines become known, and the snapshot learns which of them take new tasks.
 
-use super::{ClusterState, UNCROWDED_MS};
+use super::{ClusterState, RECENT_UNMET_DEMAND_MS};
 use crate::{
     coordination::model::{Machine, MachineIndex, MachineLifecycle, MachineTypeSpec, Millis},
     protocol::{ids::Incarnation, names::ZoneIndex},
@@ -13,7 +13,7 @@
 
 impl ClusterState {
     /// The machine of this name, added if it isn't known yet.
-    pub fn machine_named(&mut self, now: Millis, id: &str, zone: ZoneIndex) -> MachineIndex {
+    pub fn find_or_add_machine(&mut self, now: Millis, id: &str, zone: ZoneIndex) -> MachineIndex {
         match self.machines.find(id) {
             Some(index) => index,
             None => self.machines.add(Machine::new(id, zone, self.term.first_token(), now)),
@@ -22,7 +22,7 @@
 
     /// Shows the snapshot what a machine is and whether it takes new tasks.
     pub fn refresh(&mut self, now: Millis, index: MachineIndex) {
-        let machine = &self.machines[index.at()];
+        let machine = &self.machines[index.as_usize()];
         let machine_type = if is_present(machine) { self.type_of(machine) } else { None };
         let open = self.takes_new_tasks(now, machine);
         let gpu_only = machine_type.is_some_and(|machine_type| self.reserved_for_gpu_work(now, machine, machine_type));
@@ -37,10 +37,10 @@
                 }
             },
         };
-        let was_open = self.snapshot.hosts.get(index.at()).is_some_and(|host| host.open);
+        let was_open = self.snapshot.hosts.get(index.as_usize()).is_some_and(|host| host.schedulable);
         self.cycle_needed |= open && !was_open;
-        self.snapshot.move_to(index.at(), pool);
-        self.snapshot.set_open(index.at(), open && pool.is_some(), gpu_only);
+        self.snapshot.move_to(index.as_usize(), pool);
+        self.snapshot.set_schedulable(index.as_usize(), open && pool.is_some(), gpu_only);
     }
 
     fn takes_new_tasks(&self, now: Millis, machine: &Machine) -> bool {
@@ -52,11 +52,11 @@
             // Guard: it has shown our token, so our answers reach it. A delayed
             // copy of an old heartbeat, of a machine that was released, say,
             // can't show it.
-            && machine.fenced()
+            && machine.is_fenced()
             && machine.heartbeats.incarnation > machine.heartbeats.expired_incarnation
             && machine.spot_notice_until.is_none()
             && !machine.cordoned
-            && now >= machine.avoid_until
+            && now >= machine.unschedulable_until
     }
 
     /// Whether a machine takes only GPU work: an expensive one whose GPUs are idle,
@@ -64,20 +64,20 @@
     pub fn reserved_for_gpu_work(&self, now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
         if machine_type.capacity.gpus <= 0.0
             || machine_type.capacity.cpus <= 0.0
-            || self.backlog.is_recent_for(now, machine_type.index)
+            || self.backlog.has_recent_unmet_demand_for(now, machine_type.index)
         {
             return false;
         }
         let price_per_cpu = |t: &MachineTypeSpec| t.price_of(machine.spot) / t.capacity.cpus;
         let cheapest =
             self.types.iter().filter(|t| t.capacity.cpus > 0.0).map(price_per_cpu).fold(f64::INFINITY, f64::min);
-        machine.load.gpu_idle_since.is_some_and(|since| now > since + UNCROWDED_MS)
+        machine.load.gpu_idle_since.is_some_and(|since| now > since + RECENT_UNMET_DEMAND_MS)
             && price_per_cpu(machine_type) > GPU_PRICE_FACTOR * cheapest
     }
 }
 
 /// Whether a machine is rented and its worker has sent a heartbeat.
 fn is_present(machine: &Machine) -> bool {
-    matches!(machine.lifecycle, MachineLifecycle::Up | MachineLifecycle::Returning)
+    matches!(machine.lifecycle, MachineLifecycle::Up | MachineLifecycle::Releasing)
         && machine.heartbeats.incarnation != Incarnation::NONE
 }
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -25,13 +25,13 @@
     machine_registry::MachineRegistry, progress_feed::ProgressFeed, team_usage::TeamUsage,
 };
 pub use self::{
-    assignments::{NewAssignment, TaskFate},
+    assignments::{NewAssignment, ReleaseReason},
     backlog::UnmetDemand,
     config::{Config, ServiceObjective},
     run_times::RunTimeEstimates,
 };
 pub(in crate::coordination) use self::{
-    backlog::UNCROWDED_MS,
+    backlog::RECENT_UNMET_DEMAND_MS,
     job_table::JobTable,
     records::{ObsoleteRecord, RecordState},
     sharding::{AppliedPlan, ReshardPlan},
@@ -114,7 +114,7 @@
             backlog: Backlog::new(now),
             cycle_needed: true,
             dispatch_queue: DispatchQueue::default(),
-            records: RecordState::new(config.value_max),
+            records: RecordState::new(config.max_value_bytes),
             config,
         }
     }
@@ -146,7 +146,7 @@
 
     /// A machine; machines are never forgotten, only marked as gone.
     pub fn machine(&self, index: MachineIndex) -> &Machine {
-        &self.machines[index.at()]
+        &self.machines[index.as_usize()]
     }
 
     /// The description of a machine's type, if it is known.
@@ -169,12 +169,12 @@
     /// The cloud's machine types were read again: prices change.
     pub fn set_types(&mut self, types: &[MachineTypeSpec]) {
         self.types = types.to_vec();
-        self.snapshot.types_changed(types);
+        self.snapshot.update_machine_types(types);
     }
 
     /// A team's guarantee and limit.
     pub fn team_limits(&self, team: TeamIndex) -> TeamLimits {
-        self.config.teams.get(team.at()).copied().unwrap_or_default()
+        self.config.teams.get(team.as_usize()).copied().unwrap_or_default()
     }
 
     /// Whether nothing is guaranteed to a team, while something is to others.
--- a/src/coordination/cluster/sharding.rs
+++ b/src/coordination/cluster/sharding.rs
@@ -63,7 +63,7 @@
     /// either.
     fn renumber_unreaped_exits(&mut self, index: JobIndex, applied: Option<&AppliedPlan<'_>>) {
         let Some(job) = self.jobs.get(index) else { return };
-        let exits = self.machines.iter_mut().flat_map(|machine| &mut machine.commands.unreaped_exits);
+        let exits = self.machines.iter_mut().flat_map(|machine| &mut machine.commands.pending_reaps);
         for exit in exits.filter(|exit| exit.job == index) {
             let ExitRecord::WrittenWith { chunk: old_chunk, version: old_version } = exit.record else { continue };
             let Some((_, task)) = split_task(&exit.task) else { continue };
@@ -96,7 +96,7 @@
 fn mark_changed_since(job: &mut Job, plan: &ReshardPlan) {
     for task in 0..job.spec.tasks {
         if plan.slots[task as usize] != job.tasks.slots[task as usize] {
-            job.touch(task);
+            job.mark_task_changed(task);
         }
     }
 }
--- a/src/coordination/cluster/team_usage.rs
+++ b/src/coordination/cluster/team_usage.rs
@@ -22,19 +22,19 @@
 
     /// What a team uses.
     pub fn of(&self, team: TeamIndex) -> Resources {
-        self.used.get(team.at()).copied().unwrap_or_default()
+        self.used.get(team.as_usize()).copied().unwrap_or_default()
     }
 
     /// A team uses this much more.
     pub fn add(&mut self, team: TeamIndex, resources: Resources) {
-        if let Some(used) = self.used.get_mut(team.at()) {
+        if let Some(used) = self.used.get_mut(team.as_usize()) {
             *used += resources;
         }
     }
 
     /// A team uses this much less.
     pub fn subtract(&mut self, team: TeamIndex, resources: Resources) {
-        if let Some(used) = self.used.get_mut(team.at()) {
+        if let Some(used) = self.used.get_mut(team.as_usize()) {
             *used -= resources;
         }
     }
--- a/src/coordination/commits/applied.rs
+++ b/src/coordination/commits/applied.rs
@@ -6,7 +6,7 @@
         cluster::ClusterState,
         model::{AssignmentState, Job, Millis},
     },
-    protocol::{ids::Revision, jobs::Kind},
+    protocol::{ids::Revision, jobs::JobKind},
     storage::job_cache::JobIndex,
 };
 
@@ -34,7 +34,7 @@
     job.records.unwritten_since = None;
     // A gang's launches wait for the last of its records.
     let launchable =
-        if job.spec.kind == Kind::Gang { job.assignments() } else { job.assignments_of_chunk(written.chunk) };
+        if job.spec.kind == JobKind::Gang { job.assignments() } else { job.assignments_of_chunk(written.chunk) };
     cluster.schedule_dispatch(now, launchable, |assignment| assignment.state == AssignmentState::Wanted);
 }
 
--- a/src/coordination/commits/in_flight.rs
+++ b/src/coordination/commits/in_flight.rs
@@ -6,7 +6,7 @@
     coordination::cluster::ReshardPlan,
     protocol::{
         ids::Revision,
-        store::{Op, Txn},
+        store::{Transaction, WriteOperation},
     },
     storage::{job_cache::JobIndex, records},
 };
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct InFlightTransaction {
     /// What was sent.
-    pub transaction: Txn,
+    pub transaction: Transaction,
     /// What of the wanted state it writes.
     pub contents: TransactionContents,
     /// Identifies it.
@@ -83,7 +83,7 @@
 
 impl InFlightTransaction {
     /// A transaction that is being sent for the first time.
-    pub fn new(transaction: Txn, contents: TransactionContents, tag: TransactionTag) -> InFlightTransaction {
+    pub fn new(transaction: Transaction, contents: TransactionContents, tag: TransactionTag) -> InFlightTransaction {
         InFlightTransaction { transaction, contents, tag, has_unanswered_copy: false, state: TransactionState::Sent }
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Returns a copy to send, if it is to be sent again.
-    pub fn resend(&mut self) -> Option<Txn> {
+    pub fn resend(&mut self) -> Option<Transaction> {
         if !matches!(self.state, TransactionState::Resend) {
             return None;
         }
@@ -132,8 +132,8 @@
 
     /// Keys of the chunk records that it writes.
     pub fn written_chunk_keys(&self) -> Vec<String> {
-        let chunk_key = |op: &Op| match op {
-            Op::Put { key, .. } if key.starts_with(records::TASKS) => Some(key.clone()),
+        let chunk_key = |op: &WriteOperation| match op {
+            WriteOperation::Put { key, .. } if key.starts_with(records::CHUNK_KEY_PREFIX) => Some(key.clone()),
             _ => None,
         };
         self.transaction.writes.iter().filter_map(chunk_key).collect()
--- a/src/coordination/commits/job_records.rs
+++ b/src/coordination/commits/job_records.rs
@@ -14,7 +14,7 @@
         cluster::ClusterState,
         model::{Assignment, Chunk, Job, Millis, Slot},
     },
-    protocol::{jobs::Submission, names::Tables},
+    protocol::{jobs::Submission, names::Interners},
     storage::records::{self, AssignmentRecord, ChunkRecord, JobRecord, JobStatus},
 };
 
@@ -23,7 +23,7 @@
     /// The state that is to be written.
     pub cluster: &'a ClusterState,
     /// Names of what the cluster state refers to by index.
-    pub tables: &'a Tables,
+    pub interners: &'a Interners,
     /// The present moment on the steady clock.
     pub now: Millis,
     /// The present time of day, in ms since the Unix epoch.
@@ -101,7 +101,7 @@
     /// Adds one chunk. Returns whether it was added: it may be too large.
     fn add_chunk(&self, job: &Job, chunk: usize, builder: &mut TransactionBuilder) -> bool {
         let size = job.records.chunk_size as usize;
-        let value = chunk_value(self.cluster, self.tables, job, chunk * size..(chunk + 1) * size, builder.tag());
+        let value = chunk_value(self.cluster, self.interners, job, chunk * size..(chunk + 1) * size, builder.tag());
         let bytes = records::json_size(&value);
         // Guard: what is too large is never sent again as it is; it would
         // be refused for ever.
@@ -121,28 +121,28 @@
 /// The chunk record of a range of a job's tasks; the range may reach beyond the last task.
 pub fn chunk_value(
     cluster: &ClusterState,
-    tables: &Tables,
+    interners: &Interners,
     job: &Job,
     tasks: Range<usize>,
     tag: TransactionTag,
 ) -> Value {
     let slots = &job.tasks.slots[tasks.start..tasks.end.min(job.tasks.slots.len())];
     let assigned = |slot: &Slot| match slot {
-        Slot::At(index) => cluster.assignment(*index),
+        Slot::Assigned(index) => cluster.assignment(*index),
         Slot::Pending | Slot::Done => None,
     };
-    let to_record = |assignment| assignment_record(cluster, tables, assignment);
+    let to_record = |assignment| assignment_record(cluster, interners, assignment);
     let assignments = slots.iter().filter_map(assigned).map(to_record).collect();
     let done = records::pack_done(slots.iter().map(|slot| *slot == Slot::Done));
     records::to_value(&ChunkRecord { done, assignments, tag: tag.0 })
 }
 
-fn assignment_record(cluster: &ClusterState, tables: &Tables, assignment: &Assignment) -> AssignmentRecord {
+fn assignment_record(cluster: &ClusterState, interners: &Interners, assignment: &Assignment) -> AssignmentRecord {
     AssignmentRecord(
         assignment.task,
         cluster.machine(assignment.machine).id.clone(),
         assignment.incarnation,
         assignment.attempt,
-        tables.zones.name(assignment.zone.0).to_owned(),
+        interners.zones.name(assignment.zone.0).to_owned(),
     )
 }
--- a/src/coordination/commits/outcomes.rs
+++ b/src/coordination/commits/outcomes.rs
@@ -56,7 +56,7 @@
     ) -> Result<(), LeadershipLost> {
         let Some(in_flight) = self.take_in_flight(cluster) else { return Ok(()) };
         match outcome {
-            CommitOutcome::Done(revision) => self.applied(now, &in_flight.contents, revision, cluster),
+            CommitOutcome::Applied(revision) => self.applied(now, &in_flight.contents, revision, cluster),
             CommitOutcome::Refused => self.refused(now, in_flight, cluster),
             CommitOutcome::TooLarge => self.too_large(now, in_flight, cluster),
             CommitOutcome::Unknown => self.unanswered(now, in_flight, cluster),
@@ -117,11 +117,11 @@
         failed_keys: Vec<String>,
         cluster: &mut ClusterState,
     ) -> Result<(), LeadershipLost> {
-        if failed_keys.iter().any(|key| key == records::LEADER) {
+        if failed_keys.iter().any(|key| key == records::LEADER_KEY) {
             return Err(LeadershipLost);
         }
         for key in &failed_keys {
-            if let Some(id) = key.strip_prefix(records::JOBS) {
+            if let Some(id) = key.strip_prefix(records::JOB_KEY_PREFIX) {
                 mark_stale(cluster, id, in_flight.expected_revision(key));
             }
         }
@@ -130,7 +130,7 @@
         // next leader deletes what is left of a job that is over.
         let (undeletable, resync): (Vec<String>, Vec<String>) = failed_keys
             .into_iter()
-            .filter(|key| key.starts_with(records::TASKS))
+            .filter(|key| key.starts_with(records::CHUNK_KEY_PREFIX))
             .partition(|key| deleted_keys.contains(key));
         deleted_keys.retain(|key| !undeletable.contains(key));
         if resync.is_empty() {
@@ -145,9 +145,9 @@
     /// The first refusal shows that the store's lower limits hold; what fits
     /// them and is refused all the same is cut smaller, and in the end left out.
     fn too_large(&mut self, now: Millis, mut in_flight: InFlightTransaction, cluster: &mut ClusterState) {
-        if cluster.records.value_limit > cluster.config.value_fit {
-            tracing::warn!(value_bytes = cluster.config.value_fit, "value size limit lowered");
-            cluster.records.value_limit = cluster.config.value_fit;
+        if cluster.records.value_limit > cluster.config.reduced_max_value_bytes {
+            tracing::warn!(value_bytes = cluster.config.reduced_max_value_bytes, "value size limit lowered");
+            cluster.records.value_limit = cluster.config.reduced_max_value_bytes;
             self.pause_until(now + REFUSED_PAUSE_MS);
         } else {
             self.pause_until(now + TOO_LARGE_PAUSE_MS);
--- a/src/coordination/commits/oversized.rs
+++ b/src/coordination/commits/oversized.rs
@@ -2,7 +2,7 @@
 
 use super::transaction_builder::OversizedChunk;
 use crate::coordination::{
-    cluster::{ClusterState, TaskFate},
+    cluster::{ClusterState, ReleaseReason},
     model::Millis,
 };
 
@@ -22,7 +22,7 @@
             .assignment(assignment_index)
             .is_some_and(|assignment| assignment.chunk_version > committed_version && assignment.never_launched());
         if is_unwritten {
-            cluster.release_assignment(assignment_index, TaskFate::Unfinished);
+            cluster.release_assignment(assignment_index, ReleaseReason::Unfinished);
         }
     }
 }
--- a/src/coordination/commits/pipeline.rs
+++ b/src/coordination/commits/pipeline.rs
@@ -12,7 +12,7 @@
 };
 use crate::{
     coordination::{cluster::ClusterState, model::Millis},
-    protocol::{names::Tables, store::Txn},
+    protocol::{names::Interners, store::Transaction},
     storage::records,
 };
 
@@ -103,15 +103,15 @@
         now: Millis,
         allowance: WriteAllowance,
         cluster: &mut ClusterState,
-        tables: &Tables,
-    ) -> Option<Txn> {
+        interners: &Interners,
+    ) -> Option<Transaction> {
         if let Some(in_flight) = &mut self.in_flight {
             return in_flight.resend();
         }
         let max_ops = allowance.max_ops.min(self.max_ops(cluster));
         let allowance = WriteAllowance { max_ops, ..allowance };
-        let resharding = self.reshard_transaction(now, allowance, cluster, tables);
-        resharding.or_else(|| self.record_transaction(now, allowance, cluster, tables))
+        let resharding = self.reshard_transaction(now, allowance, cluster, interners);
+        resharding.or_else(|| self.record_transaction(now, allowance, cluster, interners))
     }
 
     /// Most writes of a transaction, whatever the request budget allows.
@@ -125,12 +125,12 @@
         now: Millis,
         allowance: WriteAllowance,
         cluster: &mut ClusterState,
-        tables: &Tables,
-    ) -> Option<Txn> {
+        interners: &Interners,
+    ) -> Option<Transaction> {
         let job = self.resharding.candidate(now, self.max_ops(cluster), allowance.has_spare, cluster)?;
         let (job_index, record) = (job.index, job.records.oversized_record.as_ref()?);
         let tag = self.last_tag.next();
-        let (transaction, contents) = reshard_transaction(cluster, tables, job, record, tag);
+        let (transaction, contents) = reshard_transaction(cluster, interners, job, record, tag);
         if transaction.writes.len() > allowance.max_ops {
             return None;
         }
@@ -148,13 +148,13 @@
         now: Millis,
         allowance: WriteAllowance,
         cluster: &mut ClusterState,
-        tables: &Tables,
-    ) -> Option<Txn> {
+        interners: &Interners,
+    ) -> Option<Transaction> {
         self.last_tag = self.last_tag.next();
         let mut builder = TransactionBuilder::new(self.last_tag, allowance.max_ops);
         let has_spare = allowance.has_spare;
         let wall_ms = self.wall_ms(now);
-        JobRecordWriter { cluster, tables, now, wall_ms, has_spare }.add_due_jobs(&mut builder);
+        JobRecordWriter { cluster, interners, now, wall_ms, has_spare }.add_due_jobs(&mut builder);
         for oversized in std::mem::take(&mut builder.oversized_chunks) {
             shrink_chunk(cluster, now, oversized);
         }
@@ -166,7 +166,7 @@
         }
         // Guard: whoever leads by the time it is applied, only this
         // leadership's writes count.
-        builder.require(records::LEADER.to_owned(), cluster.term.0);
+        builder.require(records::LEADER_KEY.to_owned(), cluster.term.0);
         let tag = builder.tag();
         let (transaction, contents) = builder.build();
         Some(self.send(cluster, transaction, contents, tag))
@@ -181,10 +181,10 @@
     fn send(
         &mut self,
         cluster: &mut ClusterState,
-        transaction: Txn,
+        transaction: Transaction,
         contents: TransactionContents,
         tag: TransactionTag,
-    ) -> Txn {
+    ) -> Transaction {
         let copy = transaction.clone();
         self.keep_in_flight(cluster, InFlightTransaction::new(transaction, contents, tag));
         copy
--- a/src/coordination/commits/resharding.rs
+++ b/src/coordination/commits/resharding.rs
@@ -13,8 +13,8 @@
     },
     protocol::{
         ids::Revision,
-        names::Tables,
-        store::{Condition, Op, Txn},
+        names::Interners,
+        store::{Condition, Transaction, WriteOperation},
     },
     storage::records::{self, JobRecord, JobStatus},
 };
@@ -71,18 +71,18 @@
             return None;
         }
         // Until it must be done, it takes nothing from what somebody waits for.
-        let is_required = cluster.records.value_limit <= cluster.config.value_fit;
+        let is_required = cluster.records.value_limit <= cluster.config.reduced_max_value_bytes;
         if !(is_required || has_spare) || now < self.not_before {
             return None;
         }
-        let values_per_transaction = TRANSACTION_BYTES_LIMIT / cluster.config.value_fit.max(1);
+        let values_per_transaction = TRANSACTION_BYTES_LIMIT / cluster.config.reduced_max_value_bytes.max(1);
         let max_writes = max_ops.min(values_per_transaction).max(1);
         cluster.active_jobs().find(|job| {
             job.records.oversized_record.is_some()
                 && job.status == JobStatus::Pending
                 && !job.records.stale
                 && !job.all_done()
-                && write_count(job, cluster.config.chunk_fit) < max_writes
+                && write_count(job, cluster.config.reduced_chunk_size) < max_writes
         })
     }
 
@@ -115,28 +115,28 @@
 /// The transaction that reshards a job, and what it writes.
 pub fn reshard_transaction(
     cluster: &ClusterState,
-    tables: &Tables,
+    interners: &Interners,
     job: &Job,
     record: &JobRecord,
     tag: TransactionTag,
-) -> (Txn, TransactionContents) {
-    let chunk_size = cluster.config.chunk_fit;
+) -> (Transaction, TransactionContents) {
+    let chunk_size = cluster.config.reduced_chunk_size;
     let record = JobRecord { chunk: chunk_size, ..record.clone() };
     let job_key = records::job_key(&job.id);
-    let mut transaction = Txn::default();
+    let mut transaction = Transaction::default();
     transaction.conditions.push(Condition { key: job_key.clone(), revision: job.records.revision });
-    transaction.writes.push(Op::Put { key: job_key, v: records::to_value(&record), permit: None });
+    transaction.writes.push(WriteOperation::Put { key: job_key, value: records::to_value(&record), grant: None });
     let mut written_chunks = Vec::new();
     for (chunk_number, write) in chunk_writes(job, chunk_size).into_iter().enumerate() {
         let key = records::chunk_key(&job.id, chunk_number as u32);
         match write {
             ChunkWrite::None => continue,
-            ChunkWrite::Delete => transaction.writes.push(Op::Delete { key: key.clone() }),
+            ChunkWrite::Delete => transaction.writes.push(WriteOperation::Delete { key: key.clone() }),
             ChunkWrite::Put => {
                 let size = chunk_size as usize;
                 let tasks = chunk_number * size..(chunk_number + 1) * size;
-                let value = chunk_value(cluster, tables, job, tasks, tag);
-                transaction.writes.push(Op::Put { key: key.clone(), v: value, permit: None });
+                let value = chunk_value(cluster, interners, job, tasks, tag);
+                transaction.writes.push(WriteOperation::Put { key: key.clone(), value, grant: None });
                 written_chunks.push(chunk_number);
             }
         }
@@ -144,7 +144,7 @@
         transaction.conditions.push(Condition { key, revision });
     }
     // Guard: as for every transaction, only this leadership's writes count.
-    transaction.conditions.push(Condition { key: records::LEADER.to_owned(), revision: cluster.term.0 });
+    transaction.conditions.push(Condition { key: records::LEADER_KEY.to_owned(), revision: cluster.term.0 });
     let versions = job.records.chunks.iter().map(|chunk| chunk.version).collect();
     let plan = ReshardPlan { job: job.index, slots: job.tasks.slots.clone(), versions, written_chunks };
     (transaction, TransactionContents { reshard: Some(plan), ..TransactionContents::default() })
@@ -152,7 +152,7 @@
 
 /// The resharded records of a job were written, with this revision.
 pub fn reshard_applied(cluster: &mut ClusterState, now: Millis, plan: &ReshardPlan, revision: Revision) {
-    let chunk_size = cluster.config.chunk_fit;
+    let chunk_size = cluster.config.reduced_chunk_size;
     let Some(job) = cluster.job_mut(plan.job) else { return };
     job.records.revision = job.records.revision.max(revision);
     job.records.recorded_chunk_size = chunk_size;
--- a/src/coordination/commits/transaction_builder.rs
+++ b/src/coordination/commits/transaction_builder.rs
@@ -7,7 +7,7 @@
     coordination::cluster::ObsoleteRecord,
     protocol::{
         ids::Revision,
-        store::{Condition, Op, Txn},
+        store::{Condition, Transaction, WriteOperation},
     },
     storage::job_cache::JobIndex,
 };
@@ -30,7 +30,7 @@
 /// A transaction as it is put together.
 #[derive(Debug)]
 pub struct TransactionBuilder {
-    transaction: Txn,
+    transaction: Transaction,
     /// What of the wanted state it writes so far.
     pub contents: TransactionContents,
     /// Chunks that were left out because they are too large.
@@ -46,7 +46,7 @@
     /// An empty transaction that may hold `max_ops` writes.
     pub fn new(tag: TransactionTag, max_ops: usize) -> TransactionBuilder {
         TransactionBuilder {
-            transaction: Txn::default(),
+            transaction: Transaction::default(),
             contents: TransactionContents::default(),
             oversized_chunks: Vec::new(),
             max_ops,
@@ -89,13 +89,13 @@
     /// Adds a write of `value`, which has `value_bytes` bytes in JSON form.
     pub fn put(&mut self, key: String, value: Value, value_bytes: usize) {
         self.bytes += value_bytes + WRITE_OVERHEAD_BYTES;
-        self.transaction.writes.push(Op::Put { key, v: value, permit: None });
+        self.transaction.writes.push(WriteOperation::Put { key, value, grant: None });
     }
 
     /// Adds the deletion of a record, provided that it has not changed.
     pub fn delete(&mut self, record: ObsoleteRecord) {
         self.require(record.key.clone(), record.revision);
-        self.transaction.writes.push(Op::Delete { key: record.key.clone() });
+        self.transaction.writes.push(WriteOperation::Delete { key: record.key.clone() });
         self.contents.deleted_keys.push(record.key);
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// The transaction, and what of the wanted state it writes.
-    pub fn build(self) -> (Txn, TransactionContents) {
+    pub fn build(self) -> (Transaction, TransactionContents) {
         (self.transaction, self.contents)
     }
 }
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -5,7 +5,7 @@
 use crate::{
     coordination::model::{CallId, MachineIndex, Millis},
     protocol::{
-        cloud::RentRequest,
+        cloud::ProvisionRequest,
         ids::Revision,
         workers::{DirectCommandRequest, Heartbeat, HeartbeatResponse},
     },
@@ -26,21 +26,21 @@
         req: DirectCommandRequest,
     },
     /// POST /hosts
-    Rent {
+    ScaleOut {
         /// Number of the call.
         call: CallId,
         /// The body of the request.
-        req: RentRequest,
+        req: ProvisionRequest,
     },
     /// POST /hosts/return
-    Return {
+    ScaleIn {
         /// Number of the call.
         call: CallId,
         /// Names of the machines.
         ids: Vec<String>,
     },
     /// GET /hosts, from one machine's name on.
-    List {
+    ListMachines {
         /// Number of the call.
         call: CallId,
         /// The first name to list; None: from the beginning.
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub enum HeartbeatOutcome {
     /// Accepted: this renews the worker's lease and carries orders.
-    Ok(HeartbeatResponse),
+    Accepted(HeartbeatResponse),
     /// Ignored: it is older than one heard before, or from a machine that is gone.
     Stale,
     /// The worker has seen a higher token than any of ours.
@@ -83,7 +83,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitOutcome {
     /// Applied; the revision that all of its records have now.
-    Done(Revision),
+    Applied(Revision),
     /// Not applied, because these keys had other revisions than expected.
     Conflict(Vec<String>),
     /// Certainly not executed.
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -89,7 +89,7 @@
     }
 
     /// Timeout of the next renewal, in ms.
-    pub fn patience_ms(&self) -> Millis {
+    pub fn renewal_timeout_ms(&self) -> Millis {
         self.renewal_timeout.current_ms
     }
 
@@ -110,14 +110,14 @@
     /// Term of this controller's leadership, if it may act at this moment.
     pub fn leading(&self, now: Millis) -> Option<Term> {
         if self.claim.is_grant_valid(now) {
-            self.holds_key()
+            self.held_term()
         } else {
             None
         }
     }
 
     /// Term of this controller's leadership, even if it may not act just now.
-    pub fn holds_key(&self) -> Option<Term> {
+    pub fn held_term(&self) -> Option<Term> {
         self.own_key_revision().map(Term)
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// The key was seen at `revision` (of its record, or of its removal).
-    pub fn saw_key(&mut self, now: Millis, record: Option<LeaderRecord>, revision: Revision) {
+    pub fn observe_key(&mut self, now: Millis, record: Option<LeaderRecord>, revision: Revision) {
         if self.observed.as_ref().is_some_and(|observed| observed.revision > revision) {
             return;
         }
@@ -175,12 +175,12 @@
     pub fn claimed(&mut self, now: Millis, revision: Option<Revision>) {
         if let Some(revision) = self.claim.written(now, revision) {
             let record = self.claim.grant().map(|grant| self.record(grant));
-            self.saw_key(now, record, revision);
+            self.observe_key(now, record, revision);
         }
     }
 
     /// The store says that the grant used for a write has expired.
-    pub fn permit_lost(&mut self) {
+    pub fn grant_lost(&mut self) {
         self.claim.forget_grant();
     }
 
--- a/src/coordination/leader/commits.rs
+++ b/src/coordination/leader/commits.rs
@@ -6,7 +6,7 @@
 use super::Leader;
 use crate::{
     coordination::{commits::WriteAllowance, effects::CommitOutcome, model::Millis},
-    protocol::{ids::Revision, names::Tables, store::Txn},
+    protocol::{ids::Revision, names::Interners, store::Transaction},
 };
 
 impl Leader {
@@ -41,9 +41,9 @@
 
     /// The next transaction, of at most `max_ops` writes; an unanswered one is
     /// sent again as it was. `spare`: there is budget for more than what is urgent.
-    pub fn commit(&mut self, now: Millis, max_ops: usize, spare: bool, tables: &Tables) -> Option<Txn> {
+    pub fn commit(&mut self, now: Millis, max_ops: usize, spare: bool, interners: &Interners) -> Option<Transaction> {
         let allowance = WriteAllowance { max_ops, has_spare: spare };
-        self.commits.next_transaction(now, allowance, &mut self.cluster, tables)
+        self.commits.next_transaction(now, allowance, &mut self.cluster, interners)
     }
 
     /// Takes the outcome of the transaction that was sent. False: the leadership
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -6,7 +6,7 @@
         cluster::{ClusterState, NewAssignment, ObsoleteRecord},
         model::{Job, Millis, Slot},
     },
-    protocol::{names::Tables, store::Pair},
+    protocol::{names::Interners, store::KeyValue},
     storage::{
         job_cache::{JobCache, JobIndex},
         records::{self, AssignmentRecord, ChunkRecord, JobStatus},
@@ -16,7 +16,14 @@
 impl Leader {
     /// Takes in a chunk record read at the beginning. `wall_ms`: time of day, in
     /// ms since the Unix epoch.
-    pub fn load(&mut self, now: Millis, wall_ms: u64, pair: &Pair, job_cache: &JobCache, tables: &mut Tables) {
+    pub fn load(
+        &mut self,
+        now: Millis,
+        wall_ms: u64,
+        pair: &KeyValue,
+        job_cache: &JobCache,
+        interners: &mut Interners,
+    ) {
         let Some((id, chunk_number)) = records::split_chunk_key(&pair.key) else { return };
         let Some(index) = job_cache.find(id) else { return };
         if job_cache.get(index).status == JobStatus::Done {
@@ -27,7 +34,7 @@
         if !self.add_job_of_record(now, wall_ms, index, &pair.key, job_cache) {
             return;
         }
-        let Ok(record) = pair.v.deserialized::<ChunkRecord>() else {
+        let Ok(record) = pair.value.deserialized::<ChunkRecord>() else {
             tracing::error!(key = pair.key, "chunk record unreadable");
             return;
         };
@@ -35,7 +42,7 @@
         let Some(chunk) = job.records.chunks.get_mut(chunk_number as usize) else { return };
         chunk.revision = pair.revision;
         load_done_tasks(job, chunk_number, &record.done);
-        load_assignments(&mut self.cluster, now, index, record.assignments, tables);
+        load_assignments(&mut self.cluster, now, index, record.assignments, interners);
         // What was read is what is written.
         if let Some(job) = self.cluster.job_mut(index) {
             let chunk = &mut job.records.chunks[chunk_number as usize];
@@ -93,12 +100,12 @@
     now: Millis,
     job: JobIndex,
     assignments: Vec<AssignmentRecord>,
-    tables: &mut Tables,
+    interners: &mut Interners,
 ) {
     for AssignmentRecord(task, machine_id, incarnation, attempt, zone_name) in assignments {
-        let zone = tables.zones.intern(&zone_name);
-        let machine = cluster.machine_named(now, &machine_id, zone);
-        cluster.machines[machine.at()].heartbeats.lease_renewed = now;
+        let zone = interners.zones.intern(&zone_name);
+        let machine = cluster.find_or_add_machine(now, &machine_id, zone);
+        cluster.machines[machine.as_usize()].heartbeats.lease_renewed = now;
         let new = NewAssignment { job, task, machine, incarnation, attempt, zone };
         let Some(assignment_index) = cluster.add_assignment(now, new) else { continue };
         // Its launch may have been sent by an earlier leader.
--- a/src/coordination/leader/sweep.rs
+++ b/src/coordination/leader/sweep.rs
@@ -65,7 +65,7 @@
 
     /// Notes since when a machine, or its GPUs, have had nothing to do.
     fn update_idle_since(&mut self, now: Millis, index: MachineIndex) {
-        let machine = &mut self.cluster.machines[index.at()];
+        let machine = &mut self.cluster.machines[index.as_usize()];
         if machine.lifecycle != MachineLifecycle::Up {
             return;
         }
@@ -95,8 +95,8 @@
             totals.machines += pool.members.len();
             totals.capacity += pool.capacity * pool.members.len() as f64;
             for host in pool.members.iter().filter_map(|&host_index| snapshot.hosts.get(host_index as usize)) {
-                totals.free += host.free.max0();
-                totals.unschedulable_machines += u32::from(!host.open);
+                totals.free += host.free.clamp_to_zero();
+                totals.unschedulable_machines += u32::from(!host.schedulable);
             }
         }
         totals
--- a/src/coordination/leader/worker_events.rs
+++ b/src/coordination/leader/worker_events.rs
@@ -11,7 +11,7 @@
             probes,
         },
     },
-    protocol::{names::Tables, workers::Heartbeat},
+    protocol::{names::Interners, workers::Heartbeat},
     storage::job_cache::JobCache,
 };
 
@@ -22,9 +22,9 @@
         now: Millis,
         heartbeat: &Heartbeat,
         job_cache: &JobCache,
-        tables: &mut Tables,
+        interners: &mut Interners,
     ) -> HeartbeatOutcome {
-        let mut context = HeartbeatContext { now, job_cache, tables };
+        let mut context = HeartbeatContext { now, job_cache, interners };
         self.workers.heartbeat(&mut self.cluster, &mut context, heartbeat)
     }
 
@@ -53,22 +53,22 @@
         call: CallId,
         outcome: DirectCallOutcome,
         job_cache: &JobCache,
-        tables: &mut Tables,
+        interners: &mut Interners,
     ) -> bool {
-        let mut context = HeartbeatContext { now, job_cache, tables };
+        let mut context = HeartbeatContext { now, job_cache, interners };
         direct_calls::complete(&mut self.cluster, &mut context, index, call, outcome).is_ok()
     }
 
     /// Processes the outcome of a probe. `None`: it went unanswered.
-    pub fn probed(
+    pub fn probe_finished(
         &mut self,
         now: Millis,
         index: MachineIndex,
         heartbeat: Option<&Heartbeat>,
         job_cache: &JobCache,
-        tables: &mut Tables,
+        interners: &mut Interners,
     ) {
-        let mut context = HeartbeatContext { now, job_cache, tables };
+        let mut context = HeartbeatContext { now, job_cache, interners };
         probes::complete(&mut self.cluster, &mut context, index, heartbeat);
     }
 
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -8,12 +8,12 @@
 //! hold:
 //!
 //! - What is cancelled is gone in time. Whoever answers a worker 200, the leader
-//!   included, does so only for [`renewal_ms`] after it *sent* its last read of
+//!   included, does so only for [`renewal_window_ms`] after it *sent* its last read of
 //!   the jobs' records, and the answer stops what that read showed as cancelled.
-//!   A task that is cancelled after that read is gone [`renewal_ms`] and a lease
+//!   A task that is cancelled after that read is gone [`renewal_window_ms`] and a lease
 //!   after it at the latest.
 //! - A leader that takes a lease for expired must know of every such answer.
-//!   [`RenewalRight`] renews only while its key exists in the key-value store,
+//!   [`RenewalAuthority`] renews only while its key exists in the key-value store,
 //!   under a grant; [`PeerInactivity`] believes that a controller renewed nothing
 //!   only for the time that the controller itself vouched for, or during which
 //!   its key didn't exist.
@@ -22,7 +22,7 @@
 mod peer_inactivity;
 
 pub use self::{
-    partition::{shares_the_cut, PeerContact},
+    partition::{is_shared_partition, PeerContact},
     peer_inactivity::{PeerInactivity, TimeSpan},
 };
 use super::{
@@ -47,15 +47,15 @@
 /// How long, in ms, after the sending of its last read of the jobs' records a
 /// controller may answer a worker 200: a lease renewed then expires before a
 /// cancellation that the read could not show has to be carried out.
-pub fn renewal_ms(cancel_s: f64, lease_s: f64) -> Millis {
+pub fn renewal_window_ms(cancel_s: f64, lease_s: f64) -> Millis {
     let longest = (cancel_s * (1.0 - CLOCK_DRIFT) - lease_s * (1.0 + CLOCK_DRIFT)) * 1000.0 - MESSAGE_DELAY_MS;
     longest.max(0.0) as Millis
 }
 
 /// How long, in ms, after its last contact a controller that doesn't lead may
 /// renew leases; 0: never.
-pub fn most_ms(cancel_s: f64, lease_s: f64) -> Millis {
-    let longest = renewal_ms(cancel_s, lease_s);
+pub fn leaderless_window_ms(cancel_s: f64, lease_s: f64) -> Millis {
+    let longest = renewal_window_ms(cancel_s, lease_s);
     if longest >= 2 * OUT_OF_CONTACT_MS {
         longest
     } else {
@@ -74,11 +74,11 @@
 
 /// This controller's own right to renew leases.
 #[derive(Debug)]
-pub struct RenewalRight {
+pub struct RenewalAuthority {
     /// How long it may renew leases after a read of the jobs' records, in ms.
-    renewal_ms: Millis,
+    renewal_window_ms: Millis,
     /// The same without leading; 0: never.
-    most_ms: Millis,
+    leaderless_window_ms: Millis,
     /// This controller's grant, and the calls that write and keep the key.
     registration: EphemeralKey,
     observed: Option<ObservedKey>,
@@ -90,14 +90,14 @@
     last_leaderless_renewal: Millis,
 }
 
-impl RenewalRight {
-    /// `renewal_ms`: for any answer, the leader's too; `most_ms`: while not leading.
-    pub fn new(renewal_ms: Millis, most_ms: Millis) -> RenewalRight {
+impl RenewalAuthority {
+    /// `renewal_window_ms`: for any answer, the leader's too; `leaderless_window_ms`: while not leading.
+    pub fn new(renewal_window_ms: Millis, leaderless_window_ms: Millis) -> RenewalAuthority {
         // A grant outlives the right to renew leases by one renewal of it and more.
-        let grant_ttl_ms = most_ms + GRANT_MARGIN_MS;
-        RenewalRight {
-            renewal_ms,
-            most_ms,
+        let grant_ttl_ms = leaderless_window_ms + GRANT_MARGIN_MS;
+        RenewalAuthority {
+            renewal_window_ms,
+            leaderless_window_ms,
             registration: EphemeralKey::new(grant_ttl_ms, RETRY_DELAYS),
             observed: None,
             registered: false,
@@ -116,8 +116,8 @@
     }
 
     /// How long after the sending of its last read it may answer a worker 200, in ms.
-    pub fn renewal_ms(&self) -> Millis {
-        self.renewal_ms
+    pub fn renewal_window_ms(&self) -> Millis {
+        self.renewal_window_ms
     }
 
     /// Time to live of the grant, in ms.
@@ -127,7 +127,7 @@
 
     /// The next call to make, if one is due.
     pub fn tick(&mut self, now: Millis) -> Option<Action> {
-        if self.most_ms == 0 || !self.registration.is_idle() || self.registration.is_retry_delayed(now) {
+        if self.leaderless_window_ms == 0 || !self.registration.is_idle() || self.registration.is_retry_delayed(now) {
             return None;
         }
         let expected_revision = self.observed?.key_revision;
@@ -154,7 +154,7 @@
     /// unknown; the watch tells which.
     pub fn registered(&mut self, now: Millis, revision: Option<Revision>) {
         if let Some(revision) = self.registration.written(now, revision) {
-            self.saw_key(revision, revision, true);
+            self.observe_key(revision, revision, true);
         }
     }
 
@@ -167,7 +167,7 @@
     /// The key was seen at a revision of the store: the revision of its last write
     /// ([`Revision::ABSENT`]: it doesn't exist), and whether this start of the
     /// process wrote it.
-    pub fn saw_key(&mut self, key_revision: Revision, store_revision: Revision, is_own: bool) {
+    pub fn observe_key(&mut self, key_revision: Revision, store_revision: Revision, is_own: bool) {
         if self.observed.is_some_and(|observed| observed.store_revision > store_revision) {
             return;
         }
@@ -198,14 +198,15 @@
     /// Guard: a 200 sent now can't let a task outlive a cancellation that this
     /// controller doesn't know of, whether it leads or not.
     pub fn may_renew(&self, now: Millis) -> bool {
-        self.last_sync.is_some_and(|sync| now < sync + self.renewal_ms)
+        self.last_sync.is_some_and(|sync| now < sync + self.renewal_window_ms)
     }
 
     /// Whether a lease may be renewed without leading: only out of contact, only
     /// for a time, and only while the key exists.
     pub fn may_renew_without_leader(&self, now: Millis) -> bool {
-        let is_out_of_contact =
-            self.last_sync.is_some_and(|sync| now >= sync + OUT_OF_CONTACT_MS && now < sync + self.most_ms);
+        let is_out_of_contact = self
+            .last_sync
+            .is_some_and(|sync| now >= sync + OUT_OF_CONTACT_MS && now < sync + self.leaderless_window_ms);
         let key_exists = self.registered && self.registration.is_grant_valid(now);
         is_out_of_contact && self.may_renew(now) && key_exists
     }
--- a/src/coordination/lease_renewal/partition.rs
+++ b/src/coordination/lease_renewal/partition.rs
@@ -35,7 +35,7 @@
 /// would find the leader elsewhere. It renews leases only when every peer that it
 /// can reach is out of contact too; or when it can reach none, has no peer in its
 /// zone, and no worker of another zone sent a heartbeat since its last contact.
-pub fn shares_the_cut(
+pub fn is_shared_partition(
     now: Millis,
     last_contact: Millis,
     peers: &[PeerContact],
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -17,4 +17,4 @@
 pub mod snapshot;
 mod workers;
 
-pub use self::{autoscaler::RentOutcome, workers::halts_of_cancelled};
+pub use self::{autoscaler::ScaleOutOutcome, workers::stop_commands_for_cancelled};
--- a/src/coordination/model/assignment.rs
+++ b/src/coordination/model/assignment.rs
@@ -57,7 +57,7 @@
     /// The halt of the task; None: it is not to be stopped.
     pub halt: Option<Halt>,
     /// When the assignment was made.
-    pub made: Millis,
+    pub assigned_at: Millis,
     /// Read from a record: an earlier leader may have sent its launch.
     pub inherited: bool,
 }
@@ -85,13 +85,13 @@
         version: u64,
     },
     /// It runs though no record says so: halted until it ends, then reaped.
-    Stray,
+    Orphaned,
 }
 
 /// A task that its worker still lists and that is to be reaped once its end
 /// is written.
 #[derive(Debug, Clone)]
-pub struct UnreapedExit {
+pub struct PendingReap {
     /// Name of the task, as its worker lists it.
     pub task: String,
     /// Number of the attempt.
--- a/src/coordination/model/failures.rs
+++ b/src/coordination/model/failures.rs
@@ -17,7 +17,7 @@
     /// The longest that a task ran before it failed, in ms.
     pub longest_run_ms: Millis,
     /// A task of the job completed, or outlasted those that failed.
-    pub job_is_sound: bool,
+    pub job_is_healthy: bool,
     /// The latest attempt when the current round was counted.
     round_attempt: Attempt,
 }
@@ -37,12 +37,12 @@
     }
 
     /// Whether the job is at fault itself: it fails on every machine, as far as is known.
-    pub fn job_is_at_fault(&self) -> bool {
-        !self.job_is_sound && self.machines.len() >= MIN_FAILED_MACHINES
+    pub fn is_job_at_fault(&self) -> bool {
+        !self.job_is_healthy && self.machines.len() >= MIN_FAILED_MACHINES
     }
 
     /// Whether tasks failed and the cause is open: the job or the machines.
-    pub fn are_unexplained(&self) -> bool {
-        !self.job_is_sound && !self.machines.is_empty()
+    pub fn have_unknown_cause(&self) -> bool {
+        !self.job_is_healthy && !self.machines.is_empty()
     }
 }
--- a/src/coordination/model/index.rs
+++ b/src/coordination/model/index.rs
@@ -8,7 +8,7 @@
 
         impl $name {
             /// The index as an offset into its table.
-            pub fn at(self) -> usize {
+            pub fn as_usize(self) -> usize {
                 self.0 as usize
             }
         }
--- a/src/coordination/model/job/mod.rs
+++ b/src/coordination/model/job/mod.rs
@@ -113,7 +113,7 @@
     }
 
     /// Marks a task's chunk as changed and returns its new version.
-    pub fn touch(&mut self, task: u32) -> u64 {
+    pub fn mark_task_changed(&mut self, task: u32) -> u64 {
         let chunk = self.chunk_of(task);
         self.records.chunks[chunk].version += 1;
         self.records.chunks[chunk].version
@@ -122,7 +122,7 @@
     /// Counts a pending task as assigned. Returns the version of its chunk that
     /// first contains the assignment.
     pub fn record_assignment(&mut self, now: Millis, task: u32, zone: ZoneIndex) -> u64 {
-        let chunk_version = self.touch(task);
+        let chunk_version = self.mark_task_changed(task);
         let chunk = self.chunk_of(task);
         self.records.chunks[chunk].placement_version = chunk_version;
         self.tasks.placed += 1;
@@ -137,9 +137,9 @@
 
     /// Takes a released assignment out of the counts of its tasks.
     pub fn record_release(&mut self, assignment: &Assignment) {
-        self.touch(assignment.task);
+        self.mark_task_changed(assignment.task);
         self.tasks.placed -= 1;
-        if let Some(used) = self.tasks.zone_used.get_mut(assignment.zone.at()) {
+        if let Some(used) = self.tasks.zone_used.get_mut(assignment.zone.as_usize()) {
             *used -= 1;
         }
         if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
--- a/src/coordination/model/job/tasks.rs
+++ b/src/coordination/model/job/tasks.rs
@@ -12,7 +12,7 @@
     /// Completed.
     Done,
     /// On a machine, or on its way there.
-    At(AssignmentIndex),
+    Assigned(AssignmentIndex),
 }
 
 /// Where the tasks of a job stand.
@@ -70,10 +70,10 @@
 
     /// Counts an assignment in its zone.
     pub(super) fn count_in_zone(&mut self, zone: ZoneIndex) {
-        if self.zone_used.len() <= zone.at() {
-            self.zone_used.resize(zone.at() + 1, 0);
+        if self.zone_used.len() <= zone.as_usize() {
+            self.zone_used.resize(zone.as_usize() + 1, 0);
         }
-        self.zone_used[zone.at()] += 1;
+        self.zone_used[zone.as_usize()] += 1;
     }
 
     /// All assignments, in the order of their tasks.
@@ -84,7 +84,7 @@
     /// The assignments of a range of tasks, which may reach beyond the last one.
     pub fn assignments_of(&self, tasks: Range<usize>) -> Vec<AssignmentIndex> {
         let assigned = |slot: &Slot| match slot {
-            Slot::At(assignment) => Some(*assignment),
+            Slot::Assigned(assignment) => Some(*assignment),
             Slot::Pending | Slot::Done => None,
         };
         self.slots[tasks.start..tasks.end.min(self.slots.len())].iter().filter_map(assigned).collect()
--- a/src/coordination/model/machine.rs
+++ b/src/coordination/model/machine.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::{AssignmentIndex, CallId, DirectCall, ExitRecord, Millis, UnreapedExit};
+use super::{AssignmentIndex, CallId, DirectCall, ExitRecord, Millis, PendingReap};
 use crate::{
     protocol::{
         ids::{Attempt, FencingToken, Incarnation, SequenceNumber},
@@ -20,7 +20,7 @@
     /// Its worker has sent a heartbeat.
     Up,
     /// Its release was requested from the cloud.
-    Returning,
+    Releasing,
     /// The cloud confirmed that it no longer exists.
     Gone,
 }
@@ -37,7 +37,7 @@
     /// When the leader learned of the failure.
     pub at: Millis,
     /// The job runs well on other machines, so this machine is at fault.
-    pub job_is_sound: bool,
+    pub job_is_healthy: bool,
 }
 
 /// Fencing token of a machine, and which tokens its worker has acknowledged.
@@ -215,7 +215,7 @@
 #[derive(Debug)]
 pub struct CommandState {
     /// Exited tasks that its worker still lists.
-    pub unreaped_exits: Vec<UnreapedExit>,
+    pub pending_reaps: Vec<PendingReap>,
     /// The direct call in flight, if any.
     pub direct_call: Option<DirectCall>,
     /// No direct call is made before.
@@ -226,7 +226,7 @@
 
 impl CommandState {
     fn new() -> CommandState {
-        CommandState { unreaped_exits: Vec::new(), direct_call: None, direct_call_after: 0, launch_in_response: false }
+        CommandState { pending_reaps: Vec::new(), direct_call: None, direct_call_after: 0, launch_in_response: false }
     }
 
     /// Until when direct calls are paused; in the past: they are not.
@@ -255,14 +255,14 @@
     }
 
     /// Has an attempt reaped that its worker lists without an assignment.
-    pub fn add_unreaped_exit(&mut self, status: &TaskStatus, job: JobIndex, record: ExitRecord) {
+    pub fn add_pending_reap(&mut self, status: &TaskStatus, job: JobIndex, record: ExitRecord) {
         let (task, attempt) = (status.task.clone(), status.attempt);
-        self.unreaped_exits.push(UnreapedExit { task, attempt, job, record });
+        self.pending_reaps.push(PendingReap { task, attempt, job, record });
     }
 
     /// Whether this attempt is among the exits to be reaped.
-    pub fn is_unreaped(&self, task: &str, attempt: Attempt) -> bool {
-        self.unreaped_exits.iter().any(|exit| exit.task == task && exit.attempt == attempt)
+    pub fn is_pending_reap(&self, task: &str, attempt: Attempt) -> bool {
+        self.pending_reaps.iter().any(|exit| exit.task == task && exit.attempt == attempt)
     }
 }
 
@@ -312,17 +312,17 @@
     /// Commands to it that may still be in flight, and exits to be reaped.
     pub commands: CommandState,
     /// When it was rented, or first listed or known from a heartbeat or a record.
-    pub rented_at: Millis,
+    pub provisioned_at: Millis,
     /// When its worker first sent this leader a heartbeat; None: it has not.
     pub up_at: Option<Millis>,
     /// No new tasks are assigned to it before.
-    pub avoid_until: Millis,
+    pub unschedulable_until: Millis,
     /// Tasks that failed here recently, one entry per job.
     pub recent_failures: Vec<TaskFailure>,
     /// It gets no new tasks and is released once it is empty.
     pub cordoned: bool,
     /// Its return is not requested before.
-    pub return_after: Millis,
+    pub release_retry_at: Millis,
 }
 
 impl Machine {
@@ -340,12 +340,12 @@
             spot_notice_until: None,
             load: MachineLoad::new(),
             commands: CommandState::new(),
-            rented_at: now,
+            provisioned_at: now,
             up_at: None,
-            avoid_until: 0,
+            unschedulable_until: 0,
             recent_failures: Vec::new(),
             cordoned: false,
-            return_after: 0,
+            release_retry_at: 0,
         }
     }
 
@@ -355,18 +355,18 @@
     }
 
     /// No command sent before the fence was raised can still take effect.
-    pub fn fenced(&self) -> bool {
+    pub fn is_fenced(&self) -> bool {
         self.fence.is_acknowledged()
     }
 
     /// No command with a launch can still be in flight: what its worker lists, or
     /// doesn't, is final.
     pub fn has_no_launch_in_flight(&self) -> bool {
-        self.fenced() && self.commands.direct_call.is_none() && !self.commands.launch_in_response
+        self.is_fenced() && self.commands.direct_call.is_none() && !self.commands.launch_in_response
     }
 
     /// Inherited with tasks on it, and without a heartbeat since this leader began.
-    pub fn is_inherited_unheard(&self) -> bool {
+    pub fn is_inherited_without_heartbeat(&self) -> bool {
         self.lifecycle == MachineLifecycle::Booting && !self.load.assignments.is_empty()
     }
 }
--- a/src/coordination/model/mod.rs
+++ b/src/coordination/model/mod.rs
@@ -12,7 +12,7 @@
 mod team;
 
 pub use self::{
-    assignment::{Assignment, AssignmentState, DirectCall, ExitRecord, Halt, LaunchId, UnreapedExit},
+    assignment::{Assignment, AssignmentState, DirectCall, ExitRecord, Halt, LaunchId, PendingReap},
     failures::JobFailures,
     ids::{CallId, Term},
     index::{AssignmentIndex, MachineIndex},
--- a/src/coordination/model/resources.rs
+++ b/src/coordination/model/resources.rs
@@ -35,7 +35,7 @@
 
     /// How many times `self` fits into `available`; resources that aren't needed
     /// don't limit it.
-    pub fn times_in(&self, available: &Resources) -> u32 {
+    pub fn count_fitting_in(&self, available: &Resources) -> u32 {
         let of_one_resource = |need: f64, have: f64| {
             if need <= RESOURCE_TOLERANCE {
                 f64::from(u32::MAX)
@@ -49,14 +49,14 @@
     }
 
     /// Whether any resource differs from zero.
-    pub fn any(&self) -> bool {
+    pub fn is_nonzero(&self) -> bool {
         self.cpus.abs() > RESOURCE_TOLERANCE
             || self.gpus.abs() > RESOURCE_TOLERANCE
             || self.memory_gb.abs() > RESOURCE_TOLERANCE
     }
 
     /// Negative amounts replaced by zero.
-    pub fn max0(self) -> Resources {
+    pub fn clamp_to_zero(self) -> Resources {
         Resources { cpus: self.cpus.max(0.0), gpus: self.gpus.max(0.0), memory_gb: self.memory_gb.max(0.0) }
     }
 
--- a/src/coordination/model/team.rs
+++ b/src/coordination/model/team.rs
@@ -1,7 +1,7 @@
 //! Quotas of teams: what is guaranteed to them, and their limits.
 
 use super::{Resources, RESOURCE_TOLERANCE};
-use crate::protocol::jobs::{JobSpec, Kind};
+use crate::protocol::jobs::{JobKind, JobSpec};
 
 /// A team's quota. `None`: no amount is set.
 #[derive(Debug, Clone, Copy, Default)]
@@ -24,7 +24,7 @@
 
     /// How many more tasks of this job the limit allows on top of `used`;
     /// `u32::MAX` if nothing limits them.
-    pub fn room_for(&self, spec: &JobSpec, used: &Resources) -> u32 {
+    pub fn tasks_within_limit(&self, spec: &JobSpec, used: &Resources) -> u32 {
         let tasks_within = |limit: Option<f64>, used: f64, need: f64| match limit {
             Some(limit) if need > 0.0 => ((limit - used + RESOURCE_TOLERANCE) / need).floor().max(0.0) as u32,
             _ => u32::MAX,
@@ -37,9 +37,9 @@
     /// other kinds run at the same time.
     pub fn ever_allows(&self, spec: &JobSpec) -> bool {
         let concurrent_tasks = match spec.kind {
-            Kind::Array => 1,
-            Kind::Gang | Kind::Service => spec.tasks,
+            JobKind::Array => 1,
+            JobKind::Gang | JobKind::Service => spec.tasks,
         };
-        self.room_for(spec, &Resources::default()) >= concurrent_tasks
+        self.tasks_within_limit(spec, &Resources::default()) >= concurrent_tasks
     }
 }
--- a/src/coordination/scheduler/best_effort.rs
+++ b/src/coordination/scheduler/best_effort.rs
@@ -7,7 +7,7 @@
         snapshot::{ClusterSnapshot, Pool},
     },
     protocol::{
-        jobs::{JobSpec, Kind},
+        jobs::{JobKind, JobSpec},
         names::TeamIndex,
     },
     storage::records::JobStatus,
@@ -73,7 +73,7 @@
 /// Whether a job gets only what others leave: an array of a team to which
 /// nothing is guaranteed.
 pub fn is_best_effort_array(cluster: &ClusterState, job: &Job) -> bool {
-    job.spec.kind == Kind::Array && cluster.is_best_effort(job.spec.team)
+    job.spec.kind == JobKind::Array && cluster.is_best_effort(job.spec.team)
 }
 
 /// CPUs that best-effort teams use.
@@ -99,7 +99,7 @@
     let arrived_recently = |job: &&Job| now as i64 - job.wait.since < EXPECTED_AGAIN_MS;
     cluster
         .active_jobs()
-        .filter(|job| job.status == JobStatus::Pending && job.spec.kind == Kind::Array)
+        .filter(|job| job.status == JobStatus::Pending && job.spec.kind == JobKind::Array)
         .filter(arrived_recently)
         .filter(|job| !cluster.is_best_effort(job.spec.team))
         .map(|job| f64::from(job.spec.tasks) * job.spec.cpus)
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -9,15 +9,15 @@
     preemption::{self, SampleCursor},
     queue::is_overdue_unplaced,
     task_selection,
-    trial::{HostFilter, TaskPlacement, TrialRequest, Verdict},
+    trial::{HostFilter, PlacementStatus, TaskPlacement, TrialRequest},
 };
 use crate::{
     coordination::{
         cluster::{ClusterState, NewAssignment, UnmetDemand},
         model::{MachineIndex, Millis, Resources},
-        snapshot::RoomKind,
+        snapshot::CapacityKind,
     },
-    protocol::jobs::{JobSpec, Kind},
+    protocol::jobs::{JobKind, JobSpec},
     storage::job_cache::JobIndex,
 };
 
@@ -86,7 +86,7 @@
     /// Places a job's waiting tasks, or makes or reserves capacity for them.
     pub fn schedule_job(&mut self, index: JobIndex) {
         let Some(job) = self.cluster.job(index) else { return };
-        if job.spec.kind != Kind::Service {
+        if job.spec.kind != JobKind::Service {
             // Services come first in the queue; what follows leaves capacity
             // for the replicas that are expected next.
             self.reserve_headroom();
@@ -106,7 +106,7 @@
         let reservations = self.cluster.snapshot.reservations();
         self.reclaim_capacity(index, &request.tasks[placed..]);
         let reserved_nothing = self.cluster.snapshot.reservations() == reservations;
-        let is_overdue_gang = request.spec.kind == Kind::Gang && request.is_overdue;
+        let is_overdue_gang = request.spec.kind == JobKind::Gang && request.is_overdue;
         if is_overdue_gang && reserved_nothing && self.gang_reservations.may_reserve() {
             self.reserve_for_gang(&request);
         }
@@ -155,29 +155,29 @@
             min: min_tasks(&request.spec, request.tasks.len()),
             zone_used: &request.zone_used,
             avoid: &request.avoid,
-            room: RoomKind::Free,
+            capacity: CapacityKind::Free,
             hosts: HostFilter::Any,
         });
-        if outcome.verdict != Verdict::Success {
+        if outcome.status != PlacementStatus::Success {
             if request.is_unrestricted() {
                 self.infeasible.add_now(request.spec.clone());
             }
             return 0;
         }
-        self.assign(request.job, &outcome.picks);
-        let placed = outcome.picks.len();
+        self.assign(request.job, &outcome.placements);
+        let placed = outcome.placements.len();
         tracing::debug!(job_index = request.job.0, placed, requested = request.tasks.len(), "tasks placed");
         placed
     }
 
-    fn assign(&mut self, job: JobIndex, picks: &[TaskPlacement]) {
+    fn assign(&mut self, job: JobIndex, placements: &[TaskPlacement]) {
         let attempt = self.cluster.next_attempt();
-        for pick in picks {
-            let machine_index = MachineIndex(pick.host as u32);
+        for placement in placements {
+            let machine_index = MachineIndex(placement.host as u32);
             let machine = self.cluster.machine(machine_index);
             let new = NewAssignment {
                 job,
-                task: pick.task,
+                task: placement.task,
                 machine: machine_index,
                 incarnation: machine.heartbeats.incarnation,
                 attempt,
@@ -190,7 +190,7 @@
     /// Records tasks that found no free capacity. Those of a job that fails
     /// everywhere don't count as demand.
     fn record_unmet(&mut self, index: JobIndex, tasks: usize) {
-        let is_at_fault = self.cluster.job(index).is_some_and(|job| job.failures.job_is_at_fault());
+        let is_at_fault = self.cluster.job(index).is_some_and(|job| job.failures.is_job_at_fault());
         if !is_at_fault {
             self.unmet.push(UnmetDemand { job: index, tasks: tasks as u32 });
         }
@@ -235,11 +235,11 @@
         }
         let min = min_tasks(&spec, tasks.len());
         let outcome = self.cluster.snapshot.trial(&TrialRequest::later(&spec, tasks, min, &zone_used));
-        self.reserve(&spec, &outcome.picks);
-        if outcome.verdict != Verdict::Success && uses_no_zone(&zone_used) {
+        self.reserve(&spec, &outcome.placements);
+        if outcome.status != PlacementStatus::Success && uses_no_zone(&zone_used) {
             self.infeasible.add_later(spec);
         }
-        outcome.picks.len()
+        outcome.placements.len()
     }
 
     /// Guard: smaller work takes every machine that a large gang could begin to
@@ -249,15 +249,15 @@
         let spec = &request.spec;
         let trial = TrialRequest::later(spec, &request.tasks, 1, &request.zone_used);
         let outcome = self.cluster.snapshot.trial(&trial);
-        self.reserve(spec, &outcome.picks);
-        if !outcome.picks.is_empty() {
+        self.reserve(spec, &outcome.placements);
+        if !outcome.placements.is_empty() {
             self.gang_reservations.count += 1;
         }
     }
 
-    fn reserve(&mut self, spec: &JobSpec, picks: &[TaskPlacement]) {
-        for pick in picks {
-            self.cluster.snapshot.reserve(pick.host, Resources::of(spec), Resources::default());
+    fn reserve(&mut self, spec: &JobSpec, placements: &[TaskPlacement]) {
+        for placement in placements {
+            self.cluster.snapshot.reserve(placement.host, Resources::of(spec), Resources::default());
         }
     }
 }
@@ -278,8 +278,8 @@
 /// How many of a job's tasks must be placed together.
 fn min_tasks(spec: &JobSpec, tasks: usize) -> usize {
     match spec.kind {
-        Kind::Gang => tasks,
-        Kind::Array | Kind::Service => 1,
+        JobKind::Gang => tasks,
+        JobKind::Array | JobKind::Service => 1,
     }
 }
 
--- a/src/coordination/scheduler/headroom.rs
+++ b/src/coordination/scheduler/headroom.rs
@@ -8,7 +8,7 @@
         model::{Millis, Resources},
         scheduler::trial::TrialRequest,
     },
-    protocol::jobs::{JobSpec, Kind, Priority},
+    protocol::jobs::{JobKind, JobSpec, Priority},
     storage::records::JobStatus,
 };
 
@@ -38,7 +38,7 @@
     let mut arrivals: Vec<RecentArrivals> = Vec::new();
     for job in cluster.active_jobs() {
         let spec = &job.spec;
-        let is_service = spec.kind == Kind::Service && spec.priority == Priority::Production;
+        let is_service = spec.kind == JobKind::Service && spec.priority == Priority::Production;
         if !is_service || job.status != JobStatus::Pending {
             continue;
         }
@@ -56,8 +56,8 @@
     let spec = &expected.spec;
     let tasks: Vec<u32> = (0..expected.replicas as u32).collect();
     let outcome = cluster.snapshot.trial(&TrialRequest::later(spec, &tasks, 1, &[]));
-    for pick in &outcome.picks {
-        cluster.snapshot.reserve(pick.host, Resources::of(spec), Resources::default());
+    for placement in &outcome.placements {
+        cluster.snapshot.reserve(placement.host, Resources::of(spec), Resources::default());
     }
 }
 
