--- a/src/coordination/scheduler/infeasible.rs
+++ b/src/coordination/scheduler/infeasible.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use crate::protocol::jobs::{JobSpec, Kind};
+use crate::protocol::jobs::{JobKind, JobSpec};
 
 /// Shapes for which a scheduling cycle found no capacity at all. What is free
 /// only shrinks within a cycle, so work that is at least as hard to place isn't
@@ -39,7 +39,8 @@
 
 /// Whether `spec` can't fit where `failed` didn't.
 fn is_at_least_as_hard(spec: &JobSpec, failed: &JobSpec) -> bool {
-    let needs_as_many_at_once = failed.kind != Kind::Gang || (spec.kind == Kind::Gang && spec.tasks >= failed.tasks);
+    let needs_as_many_at_once =
+        failed.kind != JobKind::Gang || (spec.kind == JobKind::Gang && spec.tasks >= failed.tasks);
     needs_as_many_at_once
         && spec.cpus >= failed.cpus
         && spec.gpus >= failed.gpus
--- a/src/coordination/scheduler/preemption/mod.rs
+++ b/src/coordination/scheduler/preemption/mod.rs
@@ -13,7 +13,7 @@
         workers::SAVE_MARGIN_S,
     },
     protocol::{
-        jobs::{JobSpec, Kind, Priority},
+        jobs::{JobKind, JobSpec, Priority},
         names::ZoneIndex,
     },
     storage::job_cache::JobIndex,
@@ -46,7 +46,7 @@
 /// Whether other work may be preempted for this job by now.
 pub fn may_preempt(now: Millis, job: &Job) -> bool {
     // Guard: what fails everywhere would have others stopped again and again.
-    if job.failures.job_is_at_fault() {
+    if job.failures.is_job_at_fault() {
         return false;
     }
     if job.within_guarantee {
@@ -72,8 +72,8 @@
     let spec = job.spec.clone();
     let has_zone = job.tasks.zone_used.iter().any(|&used| used > 0);
     let task_count = match spec.kind {
-        Kind::Array => tasks.len().min(ARRAY_TASKS_PER_CYCLE),
-        Kind::Gang | Kind::Service => tasks.len(),
+        JobKind::Array => tasks.len().min(ARRAY_TASKS_PER_CYCLE),
+        JobKind::Gang | JobKind::Service => tasks.len(),
     };
     let sample_start = samples.advance(cluster.machines.len());
     let plans_by_zone = spec.one_zone && !has_zone && task_count > 1;
@@ -118,7 +118,7 @@
     let job_index = assignment.job;
     let Some(job) = cluster.job(job_index) else { return false };
     let save_s = if job.spec.checkpoint_s > 0.0 { job.spec.save_s + SAVE_MARGIN_S } else { 0.0 };
-    if job.spec.kind == Kind::Gang {
+    if job.spec.kind == JobKind::Gang {
         cluster.stop_job(now, job_index, save_s);
     } else {
         let is_urgent = preemptor.priority == Priority::Production;
--- a/src/coordination/scheduler/preemption/planner.rs
+++ b/src/coordination/scheduler/preemption/planner.rs
@@ -6,10 +6,10 @@
         cluster::ClusterState,
         model::{AssignmentIndex, Job, MachineIndex, Millis, Resources, RESOURCE_TOLERANCE},
         scheduler::trial::{IDLE_GPU_PENALTY_S, SLOWEST_FETCH_GB_PER_S},
-        snapshot::{Host, Pool, RoomKind},
+        snapshot::{CapacityKind, Host, Pool},
     },
     protocol::{
-        jobs::{JobSpec, Kind},
+        jobs::{JobKind, JobSpec},
         names::ZoneIndex,
     },
     storage::job_cache::JobIndex,
@@ -104,9 +104,9 @@
                 planned_victims: &plan.victims,
             };
             let cheapest = search.cheapest();
-            cluster.snapshot.looked += sample.len() as u64;
+            cluster.snapshot.hosts_examined += sample.len() as u64;
             let Some(preemption) = cheapest else {
-                if spec.kind == Kind::Gang {
+                if spec.kind == JobKind::Gang {
                     return None;
                 }
                 break;
@@ -158,7 +158,7 @@
         let assignments = &self.cluster.machine(MachineIndex(host_index as u32)).load.assignments;
         let selector = VictimSelector { cluster: self.cluster, now: self.now, preemptor: self.preemptor };
         let victims = selector.victims_among(assignments, self.planned_victims);
-        let available = host.room(RoomKind::FreeOrStopping);
+        let available = host.capacity(CapacityKind::FreeOrStopping);
         let mut preemption = choose_victims(&Resources::of(spec), available, victims, host_index)?;
         if !host.has_image(spec.image) {
             let fetch_s = spec.image_gb / pool.fetch_gb_per_s.max(SLOWEST_FETCH_GB_PER_S);
@@ -198,15 +198,15 @@
 }
 
 fn count_in_zone(zone_used: &mut Vec<u32>, zone: ZoneIndex) {
-    if zone_used.len() <= zone.at() {
-        zone_used.resize(zone.at() + 1, 0);
+    if zone_used.len() <= zone.as_usize() {
+        zone_used.resize(zone.as_usize() + 1, 0);
     }
-    zone_used[zone.at()] += 1;
+    zone_used[zone.as_usize()] += 1;
 }
 
 /// Whether one more task of the job may be in this zone.
 fn zone_allows(spec: &JobSpec, zone: ZoneIndex, zone_used: &[u32]) -> bool {
-    let here = zone_used.get(zone.at()).copied().unwrap_or(0);
+    let here = zone_used.get(zone.as_usize()).copied().unwrap_or(0);
     let elsewhere = zone_used.iter().sum::<u32>() - here;
     let is_other_zone = spec.one_zone && elsewhere > 0;
     let is_full = spec.spread && here >= spec.zone_cap();
@@ -216,6 +216,8 @@
 /// Whether a task would fit if all were stopped that may be at best.
 fn may_free_enough(job: &Job, host: &Host) -> bool {
     let stoppable = if job.within_guarantee { PRIORITY_COUNT } else { job.spec.priority as usize };
-    let at_best = host.low[..stoppable].iter().fold(host.room(RoomKind::FreeOrStopping), |sum, used| sum + *used);
+    let at_best = host.used_by_priority[..stoppable]
+        .iter()
+        .fold(host.capacity(CapacityKind::FreeOrStopping), |sum, used| sum + *used);
     Resources::of(&job.spec).fits_in(&at_best)
 }
--- a/src/coordination/scheduler/preemption/victims.rs
+++ b/src/coordination/scheduler/preemption/victims.rs
@@ -9,7 +9,7 @@
         scheduler::queue::is_overdue,
         workers::SAVE_MARGIN_S,
     },
-    protocol::jobs::{Kind, Priority},
+    protocol::jobs::{JobKind, Priority},
     storage::records::JobStatus,
 };
 
@@ -106,7 +106,7 @@
         if spec.checkpoint_s > 0.0 { ran_s.min(spec.checkpoint_s).min(spec.save_s + SAVE_MARGIN_S) } else { ran_s };
     let fresh_cost_s = if is_fresh && spec.priority > Priority::Low { FRESH_START_COST_S } else { 0.0 };
     // A gang is stopped as a whole.
-    let stopped_tasks = if spec.kind == Kind::Gang { f64::from(job.tasks.placed) } else { 1.0 };
+    let stopped_tasks = if spec.kind == JobKind::Gang { f64::from(job.tasks.placed) } else { 1.0 };
     (STOP_COST_S + priority_cost_s(spec.priority) + lost_s + fresh_cost_s) * stopped_tasks
 }
 
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -8,7 +8,7 @@
         model::{Job, Millis},
     },
     protocol::{
-        jobs::{Kind, Priority},
+        jobs::{JobKind, Priority},
         names::ClassIndex,
     },
     storage::{job_cache::JobIndex, records::JobStatus},
@@ -194,7 +194,7 @@
     let has_work = job.status == JobStatus::Pending && !job.tasks.pending.is_empty();
     let is_held_back = now < job.wait.not_before || job.records.stale || job.records.resharding;
     // A gang starts again only once all tasks of its old attempt are gone.
-    let is_partly_placed_gang = job.spec.kind == Kind::Gang && job.tasks.placed > 0;
+    let is_partly_placed_gang = job.spec.kind == JobKind::Gang && job.tasks.placed > 0;
     has_work && !is_held_back && !is_partly_placed_gang
 }
 
@@ -204,7 +204,7 @@
 /// Guard: a job that fails everywhere would go before all others for as long as
 /// it is wanted.
 pub fn is_overdue(now: Millis, job: &Job) -> bool {
-    !job.wait.has_counted_start && job.age_s(now) >= OVERDUE_S && !job.failures.job_is_at_fault()
+    !job.wait.has_counted_start && job.age_s(now) >= OVERDUE_S && !job.failures.is_job_at_fault()
 }
 
 /// Whether the job is overdue and none of its tasks is even assigned.
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -15,7 +15,7 @@
     let mut demand_by_team: Vec<Resources> = vec![Resources::default(); cluster.config.teams.len()];
     for index in pending_jobs_oldest_first(cluster) {
         let Some(job) = cluster.jobs.get_mut(index) else { continue };
-        let team = job.spec.team.at();
+        let team = job.spec.team.as_usize();
         let Some(team_demand) = demand_by_team.get_mut(team) else { continue };
         let limits = cluster.config.teams.get(team).copied().unwrap_or_default();
         let unfinished = f64::from(job.spec.tasks - job.tasks.done.min(job.spec.tasks));
--- a/src/coordination/scheduler/task_selection.rs
+++ b/src/coordination/scheduler/task_selection.rs
@@ -6,7 +6,7 @@
         cluster::ClusterState,
         model::{Job, Machine, MachineIndex, MachineLifecycle, Slot},
     },
-    protocol::jobs::Kind,
+    protocol::jobs::JobKind,
 };
 
 /// Most tasks of one job assigned in one scheduling cycle, so that a large job
@@ -23,9 +23,9 @@
 /// The tasks of a job that this scheduling cycle tries to place, in order.
 pub fn tasks_to_place(cluster: &ClusterState, job: &Job, is_overdue_unplaced: bool) -> Vec<u32> {
     let pending = job.tasks.pending.len();
-    let is_gang = job.spec.kind == Kind::Gang;
+    let is_gang = job.spec.kind == JobKind::Gang;
     let within_quota =
-        cluster.team_limits(job.spec.team).room_for(&job.spec, &cluster.used_by_team(job.spec.team)) as usize;
+        cluster.team_limits(job.spec.team).tasks_within_limit(&job.spec, &cluster.used_by_team(job.spec.team)) as usize;
     let limit = pending.min(within_quota).min(task_limit(job, is_overdue_unplaced));
     if limit == 0 || (is_gang && limit < pending) {
         tracing::debug!(job = &*job.id, tasks_within_quota = within_quota, "team quota reached");
@@ -41,13 +41,13 @@
 /// Most tasks of the job that one cycle may place, the team's quota aside.
 fn task_limit(job: &Job, is_overdue_unplaced: bool) -> usize {
     let mut limit = TASKS_PER_CYCLE;
-    if job.spec.kind == Kind::Gang {
+    if job.spec.kind == JobKind::Gang {
         return limit.max(job.tasks.pending.len());
     }
-    if is_overdue_unplaced && job.spec.kind == Kind::Array {
+    if is_overdue_unplaced && job.spec.kind == JobKind::Array {
         limit = limit.min((job.spec.tasks / OVERDUE_ARRAY_DIVISOR).max(1) as usize);
     }
-    if job.failures.job_is_at_fault() {
+    if job.failures.is_job_at_fault() {
         limit = limit.min(TASKS_PER_RETRY);
     }
     limit
@@ -65,14 +65,17 @@
 impl ChunkCapacity {
     /// `None`: the job's chunks are not restricted.
     fn of(cluster: &ClusterState, job: &Job) -> Option<ChunkCapacity> {
-        let limit_is_normal = cluster.records.value_limit > cluster.config.value_fit;
-        if limit_is_normal || job.records.chunk_size <= cluster.config.chunk_fit || job.spec.kind == Kind::Gang {
+        let limit_is_normal = cluster.records.value_limit > cluster.config.reduced_max_value_bytes;
+        if limit_is_normal
+            || job.records.chunk_size <= cluster.config.reduced_chunk_size
+            || job.spec.kind == JobKind::Gang
+        {
             return None;
         }
-        let left_plus_one = vec![cluster.config.chunk_fit + 1; job.records.chunks.len()];
+        let left_plus_one = vec![cluster.config.reduced_chunk_size + 1; job.records.chunks.len()];
         let mut capacity = ChunkCapacity { left_plus_one };
         for (task, slot) in job.tasks.slots.iter().enumerate() {
-            if matches!(slot, Slot::At(_)) {
+            if matches!(slot, Slot::Assigned(_)) {
                 capacity.take_for(job, task as u32);
             }
         }
--- a/src/coordination/scheduler/trial/mod.rs
+++ b/src/coordination/scheduler/trial/mod.rs
@@ -11,13 +11,13 @@
 
 pub use self::score::{IDLE_GPU_PENALTY_S, SLOWEST_FETCH_GB_PER_S};
 use crate::{
-    coordination::{model::MachineIndex, snapshot::RoomKind},
+    coordination::{model::MachineIndex, snapshot::CapacityKind},
     protocol::jobs::JobSpec,
 };
 
 /// Result of a node of the tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum PlacementStatus {
     /// There is capacity for all that it needs.
     Success,
     /// Children that were not tried yet may still make it succeed.
@@ -28,20 +28,20 @@
     Unresolvable,
 }
 
-impl Verdict {
+impl PlacementStatus {
     /// The result of a node from the counts of its children: `needed` must be
     /// placed; `placed` are, `untried` may be, and `preemptable` would be if
     /// other tasks were preempted. Children that can't fit at all are in none
     /// of the counts.
-    pub fn from_counts(needed: usize, placed: usize, untried: usize, preemptable: usize) -> Verdict {
+    pub fn from_counts(needed: usize, placed: usize, untried: usize, preemptable: usize) -> PlacementStatus {
         if placed >= needed {
-            Verdict::Success
+            PlacementStatus::Success
         } else if placed + untried >= needed {
-            Verdict::Wait
+            PlacementStatus::Wait
         } else if placed + untried + preemptable >= needed {
-            Verdict::Unschedulable
+            PlacementStatus::Unschedulable
         } else {
-            Verdict::Unresolvable
+            PlacementStatus::Unresolvable
         }
     }
 }
@@ -78,7 +78,7 @@
     /// Machines on which its tasks failed.
     pub avoid: &'a [MachineIndex],
     /// Which capacity of a machine counts.
-    pub room: RoomKind,
+    pub capacity: CapacityKind,
     /// Which machines may be used.
     pub hosts: HostFilter,
 }
@@ -86,7 +86,15 @@
 impl<'a> TrialRequest<'a> {
     /// Asks for as many tasks as fit once the tasks being stopped are gone.
     pub fn later(spec: &'a JobSpec, tasks: &'a [u32], min: usize, zone_used: &'a [u32]) -> TrialRequest<'a> {
-        TrialRequest { spec, tasks, min, zone_used, avoid: &[], room: RoomKind::FreeOrStopping, hosts: HostFilter::Any }
+        TrialRequest {
+            spec,
+            tasks,
+            min,
+            zone_used,
+            avoid: &[],
+            capacity: CapacityKind::FreeOrStopping,
+            hosts: HostFilter::Any,
+        }
     }
 }
 
@@ -94,9 +102,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrialResult {
     /// Result of the root.
-    pub verdict: Verdict,
+    pub status: PlacementStatus,
     /// The machines found, one per task; empty unless the root succeeds.
-    pub picks: Vec<TaskPlacement>,
+    pub placements: Vec<TaskPlacement>,
 }
 
 #[cfg(test)]
--- a/src/coordination/scheduler/trial/score.rs
+++ b/src/coordination/scheduler/trial/score.rs
@@ -5,7 +5,7 @@
         model::Resources,
         snapshot::{Host, Pool},
     },
-    protocol::jobs::{JobSpec, Kind},
+    protocol::jobs::{JobKind, JobSpec},
 };
 
 /// Longest image fetch, in seconds, that counts against a machine: beyond it,
@@ -41,7 +41,7 @@
     if pool.capacity.cpus > 0.0 {
         score += BEST_FIT_BONUS_S * (1.0 - (host.free.cpus - need.cpus).max(0.0) / pool.capacity.cpus);
     }
-    if spec.kind == Kind::Service {
+    if spec.kind == JobKind::Service {
         score -= SHARED_MACHINE_PENALTY_S * f64::from(host.services);
     }
     if pool.spot && spec.checkpoint_s <= 0.0 {
--- a/src/coordination/scheduler/trial/tree.rs
+++ b/src/coordination/scheduler/trial/tree.rs
@@ -4,14 +4,14 @@
 
 use super::{
     score::{host_score, zone_score},
-    HostFilter, TaskPlacement, TrialRequest, TrialResult, Verdict,
+    HostFilter, PlacementStatus, TaskPlacement, TrialRequest, TrialResult,
 };
 use crate::{
     coordination::{
         model::{MachineIndex, Resources},
         snapshot::{ClusterSnapshot, Host},
     },
-    protocol::{jobs::Kind, names::ZoneIndex},
+    protocol::{jobs::JobKind, names::ZoneIndex},
 };
 
 /// Tasks of one shape that a pool's capacity is counted up to.
@@ -23,7 +23,7 @@
     pub fn trial(&mut self, request: &TrialRequest<'_>) -> TrialResult {
         let mut trial = Trial { snapshot: self, request };
         let outcome = trial.try_root();
-        trial.forget_all(&outcome.picks);
+        trial.forget_all(&outcome.placements);
         outcome
     }
 }
@@ -67,16 +67,16 @@
     /// A node whose children are tasks. They are alike, so the first that
     /// doesn't fit speaks for the rest, and a machine that was best for one
     /// takes as many as fit. None of them is unresolvable: preemption may make
-    /// each fit. On success the picks stay assumed.
+    /// each fit. On success the placements stay assumed.
     fn try_tasks(&mut self, tasks: &[u32], min: usize, zone: Option<ZoneIndex>) -> TrialResult {
-        let mut picks: Vec<TaskPlacement> = Vec::new();
+        let mut placements: Vec<TaskPlacement> = Vec::new();
         let mut preemptable = 0;
         for (position, &task) in tasks.iter().enumerate() {
-            let same = picks.last().map(|pick| pick.host).filter(|&host| self.takes_another(host));
+            let same = placements.last().map(|placement| placement.host).filter(|&host| self.takes_another(host));
             match same.or_else(|| self.best_host(zone)) {
                 Some(host) => {
                     self.snapshot.assume(host, self.request.spec);
-                    picks.push(TaskPlacement { task, host });
+                    placements.push(TaskPlacement { task, host });
                 }
                 None => {
                     preemptable = tasks.len() - position;
@@ -84,7 +84,7 @@
                 }
             }
         }
-        self.judge_picks(picks, min, preemptable)
+        self.judge_placements(placements, min, preemptable)
     }
 
     /// A node with one child per candidate zone; the feasible one with the
@@ -96,28 +96,28 @@
             Some(zone) => vec![zone],
             None => self.zones_by_capacity(),
         };
-        let used = used_zone.map_or(0, |zone| zone_used[zone.at()] as usize);
+        let used = used_zone.map_or(0, |zone| zone_used[zone.as_usize()] as usize);
         let limit = (self.request.spec.zone_cap() as usize).saturating_sub(used);
         let tasks = &self.request.tasks[..self.request.tasks.len().min(limit)];
         let mut best: Option<ScoredOutcome> = None;
-        let mut verdict = Verdict::Unschedulable;
+        let mut status = PlacementStatus::Unschedulable;
         for zone in candidates {
             let outcome = self.try_tasks(tasks, self.request.min, Some(zone));
-            if outcome.verdict != Verdict::Success {
-                verdict = outcome.verdict;
+            if outcome.status != PlacementStatus::Success {
+                status = outcome.status;
                 continue;
             }
-            let score = self.score_of(&outcome.picks);
-            self.forget_all(&outcome.picks);
+            let score = self.score_of(&outcome.placements);
+            self.forget_all(&outcome.placements);
             if best.as_ref().is_none_or(|best| score > best.score) {
                 best = Some(ScoredOutcome { score, outcome });
             }
         }
         let Some(ScoredOutcome { outcome, .. }) = best else {
-            return TrialResult { verdict, picks: Vec::new() };
+            return TrialResult { status, placements: Vec::new() };
         };
-        for pick in &outcome.picks {
-            self.snapshot.assume(pick.host, self.request.spec);
+        for placement in &outcome.placements {
+            self.snapshot.assume(placement.host, self.request.spec);
         }
         outcome
     }
@@ -129,7 +129,7 @@
         let zones = self.zones_by_capacity();
         let limits: Vec<usize> = zones.iter().map(|&zone| spread_limit(request, zone)).collect();
         let all_or_nothing = request.min == request.tasks.len();
-        let mut picks: Vec<TaskPlacement> = Vec::new();
+        let mut placements: Vec<TaskPlacement> = Vec::new();
         let mut rest = request.tasks;
         let mut preemptable = 0;
         for (position, zone) in zones.iter().enumerate() {
@@ -141,31 +141,31 @@
             let later: usize = limits[position + 1..].iter().sum();
             let min = if all_or_nothing { rest.len().saturating_sub(later).min(part.len()) } else { 1 };
             let outcome = self.try_tasks(part, min, Some(*zone));
-            if outcome.verdict != Verdict::Success {
+            if outcome.status != PlacementStatus::Success {
                 preemptable += part.len();
                 continue;
             }
             // What doesn't fit here moves on to the next zone.
-            rest = &rest[outcome.picks.len()..];
-            picks.extend(outcome.picks);
+            rest = &rest[outcome.placements.len()..];
+            placements.extend(outcome.placements);
         }
-        self.judge_picks(picks, request.min, preemptable.max(rest.len()))
+        self.judge_placements(placements, request.min, preemptable.max(rest.len()))
     }
 
     /// Judges a node by what was placed; what a failed one assumed is forgotten.
-    fn judge_picks(&mut self, mut picks: Vec<TaskPlacement>, min: usize, preemptable: usize) -> TrialResult {
-        let verdict = Verdict::from_counts(min, picks.len(), 0, preemptable);
-        if verdict != Verdict::Success {
-            self.forget_all(&picks);
-            picks.clear();
+    fn judge_placements(&mut self, mut placements: Vec<TaskPlacement>, min: usize, preemptable: usize) -> TrialResult {
+        let status = PlacementStatus::from_counts(min, placements.len(), 0, preemptable);
+        if status != PlacementStatus::Success {
+            self.forget_all(&placements);
+            placements.clear();
         }
-        TrialResult { verdict, picks }
+        TrialResult { status, placements }
     }
 
-    /// Forgets assumed picks, the last one first.
-    fn forget_all(&mut self, picks: &[TaskPlacement]) {
-        for pick in picks.iter().rev() {
-            self.snapshot.forget(pick.host, self.request.spec);
+    /// Forgets assumed placements, the last one first.
+    fn forget_all(&mut self, placements: &[TaskPlacement]) {
+        for placement in placements.iter().rev() {
+            self.snapshot.forget(placement.host, self.request.spec);
         }
     }
 
@@ -173,7 +173,7 @@
     fn best_host(&mut self, zone: Option<ZoneIndex>) -> Option<usize> {
         let request = self.request;
         let mut best: Option<ScoredHost> = None;
-        let examined = self.snapshot.candidates(request.spec, zone, request.room, |host_index, host, pool| {
+        let examined = self.snapshot.candidates(request.spec, zone, request.capacity, |host_index, host, pool| {
             if !is_eligible(request, host_index, host) {
                 return;
             }
@@ -182,7 +182,7 @@
                 best = Some(ScoredHost { score, host: host_index });
             }
         });
-        self.snapshot.looked += examined;
+        self.snapshot.hosts_examined += examined;
         best.map(|best| best.host)
     }
 
@@ -190,8 +190,8 @@
     fn takes_another(&self, host_index: usize) -> bool {
         let spec = self.request.spec;
         let host = &self.snapshot.hosts[host_index];
-        spec.kind != Kind::Service
-            && Resources::of(spec).fits_in(&host.room(self.request.room))
+        spec.kind != JobKind::Service
+            && Resources::of(spec).fits_in(&host.capacity(self.request.capacity))
             && host.pool.is_some_and(|pool| self.snapshot.pools[pool].host_allows(host, spec))
     }
 
@@ -202,7 +202,7 @@
         let need = Resources::of(spec);
         let mut zones: Vec<ZoneCapacity> = Vec::new();
         for pool in self.snapshot.pools.iter().filter(|pool| !pool.members.is_empty() && pool.allows(spec)) {
-            let tasks = need.times_in(&pool.free).min(TASK_COUNT_LIMIT);
+            let tasks = need.count_fitting_in(&pool.free).min(TASK_COUNT_LIMIT);
             match zones.iter_mut().find(|known| known.zone == pool.zone) {
                 Some(known) => known.tasks += tasks,
                 None => zones.push(ZoneCapacity { zone: pool.zone, tasks }),
@@ -212,13 +212,13 @@
         zones.into_iter().map(|capacity| capacity.zone).collect()
     }
 
-    /// Score of the zone in which these picks are assumed.
-    fn score_of(&self, picks: &[TaskPlacement]) -> f64 {
-        let score_of_pick = |pick: &TaskPlacement| {
-            let host = &self.snapshot.hosts[pick.host];
+    /// Score of the zone in which these placements are assumed.
+    fn score_of(&self, placements: &[TaskPlacement]) -> f64 {
+        let score_of_pick = |placement: &TaskPlacement| {
+            let host = &self.snapshot.hosts[placement.host];
             host.pool.map_or(0.0, |pool| host_score(&self.snapshot.pools[pool], host, self.request.spec))
         };
-        zone_score(picks.iter().map(score_of_pick))
+        zone_score(placements.iter().map(score_of_pick))
     }
 }
 
@@ -234,6 +234,6 @@
 
 /// How many more of the job's tasks the spread rule allows in a zone.
 fn spread_limit(request: &TrialRequest<'_>, zone: ZoneIndex) -> usize {
-    let used = request.zone_used.get(zone.at()).copied().unwrap_or(0);
+    let used = request.zone_used.get(zone.as_usize()).copied().unwrap_or(0);
     request.spec.zone_cap().saturating_sub(used) as usize
 }
--- a/src/coordination/snapshot/host.rs
+++ b/src/coordination/snapshot/host.rs
@@ -3,7 +3,7 @@
 use crate::{
     coordination::model::Resources,
     protocol::{
-        jobs::{JobSpec, Kind, Priority},
+        jobs::{JobKind, JobSpec, Priority},
         names::ImageIndex,
     },
 };
@@ -21,7 +21,7 @@
     /// Index of its pool. `None`: not up, or of an unknown type.
     pub pool: Option<usize>,
     /// Whether it may take new tasks at all.
-    pub open: bool,
+    pub schedulable: bool,
     /// Whether it takes GPU work only, so that it becomes empty when there is none.
     pub gpu_only: bool,
     /// Tasks assigned to it.
@@ -29,9 +29,9 @@
     /// Free for new tasks.
     pub free: Resources,
     /// What the tasks that are being stopped will free.
-    pub soon: Resources,
+    pub stopping: Resources,
     /// Used by tasks that are not being stopped, by priority.
-    pub low: [Resources; 4],
+    pub used_by_priority: [Resources; 4],
     /// Images it holds or fetches, most recent last.
     pub images: Vec<CachedImage>,
     /// Service replicas on it: a machine that dies takes them all.
@@ -42,7 +42,7 @@
 
 /// Which of a machine's capacity counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RoomKind {
+pub enum CapacityKind {
     /// What is free now.
     Free,
     /// What is free once the tasks that are being stopped are gone.
@@ -60,10 +60,10 @@
 
 impl Host {
     /// The machine's capacity of this kind.
-    pub fn room(&self, kind: RoomKind) -> Resources {
+    pub fn capacity(&self, kind: CapacityKind) -> Resources {
         match kind {
-            RoomKind::Free => self.free,
-            RoomKind::FreeOrStopping => self.free + self.soon,
+            CapacityKind::Free => self.free,
+            CapacityKind::FreeOrStopping => self.free + self.stopping,
         }
     }
 
@@ -94,7 +94,7 @@
         };
         let need = Resources::of(spec) * sign;
         self.free -= need;
-        if spec.kind == Kind::Service {
+        if spec.kind == JobKind::Service {
             self.services = match change {
                 LoadChange::Added => self.services + 1,
                 LoadChange::Removed => self.services.saturating_sub(1),
--- a/src/coordination/snapshot/mod.rs
+++ b/src/coordination/snapshot/mod.rs
@@ -15,9 +15,9 @@
 
 use self::reservations::Reservation;
 pub use self::{
-    host::{Host, LoadChange, RoomKind},
+    host::{CapacityKind, Host, LoadChange},
     pool::Pool,
-    search::LOOK,
+    search::HOSTS_EXAMINED_MAX,
 };
 use super::model::{MachineTypeSpec, Resources};
 use crate::protocol::{
@@ -36,7 +36,7 @@
     stopping_hosts: BTreeSet<u32>,
     reservations: Vec<Reservation>,
     /// Machines examined so far: the measure of a search's work.
-    pub looked: u64,
+    pub hosts_examined: u64,
 }
 
 impl ClusterSnapshot {
@@ -64,7 +64,7 @@
     }
 
     /// Applies changed machine types: prices change; capacities may, in principle.
-    pub fn types_changed(&mut self, types: &[MachineTypeSpec]) {
+    pub fn update_machine_types(&mut self, types: &[MachineTypeSpec]) {
         for pool_index in 0..self.pools.len() {
             let pool = &mut self.pools[pool_index];
             let Some(machine_type) = types.iter().find(|t| t.index == pool.machine_type) else { continue };
@@ -94,7 +94,7 @@
     fn unindex(&mut self, host_index: usize) {
         let host = &self.hosts[host_index];
         let Some(pool) = host.pool else { return };
-        if host.open {
+        if host.schedulable {
             self.pools[pool].unindex(host_index as u32, &host.free);
         }
         self.stopping_hosts.remove(&(host_index as u32));
@@ -104,9 +104,9 @@
     fn index(&mut self, host_index: usize) {
         let host = &self.hosts[host_index];
         let Some(pool) = host.pool else { return };
-        if host.open {
+        if host.schedulable {
             self.pools[pool].index(host_index as u32, &host.free);
-            if host.soon.any() {
+            if host.stopping.is_nonzero() {
                 self.stopping_hosts.insert(host_index as u32);
             }
         }
@@ -148,40 +148,40 @@
     }
 
     /// Sets whether the machine takes new tasks, and whether only GPU work.
-    pub fn set_open(&mut self, host_index: usize, open: bool, gpu_only: bool) {
-        if self.hosts.get(host_index).is_none_or(|host| (host.open, host.gpu_only) != (open, gpu_only)) {
-            self.change(host_index, |host| (host.open, host.gpu_only) = (open, gpu_only));
+    pub fn set_schedulable(&mut self, host_index: usize, schedulable: bool, gpu_only: bool) {
+        if self.hosts.get(host_index).is_none_or(|host| (host.schedulable, host.gpu_only) != (schedulable, gpu_only)) {
+            self.change(host_index, |host| (host.schedulable, host.gpu_only) = (schedulable, gpu_only));
         }
     }
 
     /// A task was assigned to the machine.
-    pub fn take(&mut self, host_index: usize, spec: &JobSpec) {
+    pub fn add_task(&mut self, host_index: usize, spec: &JobSpec) {
         self.change(host_index, |host| {
             host.assignments += 1;
             host.account(spec, LoadChange::Added);
-            host.low[spec.priority as usize] += Resources::of(spec);
+            host.used_by_priority[spec.priority as usize] += Resources::of(spec);
         });
     }
 
     /// An assignment to the machine was released; `was_stopping`: its task was
     /// being stopped.
-    pub fn give(&mut self, host_index: usize, spec: &JobSpec, was_stopping: bool) {
+    pub fn remove_task(&mut self, host_index: usize, spec: &JobSpec, was_stopping: bool) {
         self.change(host_index, |host| {
             host.assignments -= 1;
             host.account(spec, LoadChange::Removed);
             if was_stopping {
-                host.soon -= Resources::of(spec);
+                host.stopping -= Resources::of(spec);
             } else {
-                host.low[spec.priority as usize] -= Resources::of(spec);
+                host.used_by_priority[spec.priority as usize] -= Resources::of(spec);
             }
         });
     }
 
     /// A task on the machine is being stopped.
-    pub fn stop(&mut self, host_index: usize, spec: &JobSpec) {
+    pub fn mark_stopping(&mut self, host_index: usize, spec: &JobSpec) {
         self.change(host_index, |host| {
-            host.soon += Resources::of(spec);
-            host.low[spec.priority as usize] -= Resources::of(spec);
+            host.stopping += Resources::of(spec);
+            host.used_by_priority[spec.priority as usize] -= Resources::of(spec);
         });
     }
 
--- a/src/coordination/snapshot/pool.rs
+++ b/src/coordination/snapshot/pool.rs
@@ -93,14 +93,14 @@
         if gpu_key > 0 {
             self.by_gpus.insert(IndexEntry { key: gpu_key, host });
         }
-        self.free += free.max0();
+        self.free += free.clamp_to_zero();
     }
 
     pub(in crate::coordination) fn unindex(&mut self, host: u32, free: &Resources) {
         let share_key = self.share_key(free);
         self.by_free_share.remove(&IndexEntry { key: share_key, host });
         self.by_gpus.remove(&IndexEntry { key: Pool::gpu_key(free), host });
-        self.free -= free.max0();
+        self.free -= free.clamp_to_zero();
     }
 
     /// Open machines that `need` may fit on, those with the least free capacity first.
@@ -142,6 +142,6 @@
 
     /// Whether this machine takes new tasks of this job, free capacity aside.
     pub fn host_allows(&self, host: &Host, spec: &JobSpec) -> bool {
-        host.open && !(host.gpu_only && spec.gpus <= 0.0) && !self.blocks_gpu_work(host, spec)
+        host.schedulable && !(host.gpu_only && spec.gpus <= 0.0) && !self.blocks_gpu_work(host, spec)
     }
 }
--- a/src/coordination/snapshot/reservations.rs
+++ b/src/coordination/snapshot/reservations.rs
@@ -8,7 +8,7 @@
 pub(in crate::coordination) struct Reservation {
     host: usize,
     free: Resources,
-    soon: Resources,
+    stopping: Resources,
 }
 
 impl ClusterSnapshot {
@@ -16,12 +16,13 @@
     /// what is free now, so that no later job takes it. `also_freed`: what else
     /// is about to be free there.
     pub fn reserve(&mut self, host_index: usize, need: Resources, also_freed: Resources) {
-        let mut reservation = Reservation { host: host_index, free: Resources::default(), soon: Resources::default() };
+        let mut reservation =
+            Reservation { host: host_index, free: Resources::default(), stopping: Resources::default() };
         self.change(host_index, |host| {
-            let from_soon = need.min((host.soon + also_freed).max0());
-            reservation.soon = from_soon - also_freed;
-            reservation.free = need - from_soon;
-            host.soon -= reservation.soon;
+            let from_stopping = need.min((host.stopping + also_freed).clamp_to_zero());
+            reservation.stopping = from_stopping - also_freed;
+            reservation.free = need - from_stopping;
+            host.stopping -= reservation.stopping;
             host.free -= reservation.free;
         });
         self.reservations.push(reservation);
@@ -32,7 +33,7 @@
         while self.reservations.len() > keep {
             let Some(reservation) = self.reservations.pop() else { return };
             self.change(reservation.host, |host| {
-                host.soon += reservation.soon;
+                host.stopping += reservation.stopping;
                 host.free += reservation.free;
             });
         }
--- a/src/coordination/snapshot/search.rs
+++ b/src/coordination/snapshot/search.rs
@@ -1,25 +1,25 @@
 //! Searches for machines on the snapshot.
 
-use super::{ClusterSnapshot, Host, Pool, RoomKind};
+use super::{CapacityKind, ClusterSnapshot, Host, Pool};
 use crate::{
     coordination::model::{Resources, RESOURCE_TOLERANCE},
     protocol::{jobs::JobSpec, names::ZoneIndex},
 };
 
 /// Most machines of one pool examined for one task.
-pub const LOOK: usize = 192;
+pub const HOSTS_EXAMINED_MAX: usize = 192;
 /// Most machines with tasks being stopped examined for one task.
-const STOPPING_HOSTS_EXAMINED_MAX: usize = 2 * LOOK;
+const STOPPING_HOSTS_EXAMINED_MAX: usize = 2 * HOSTS_EXAMINED_MAX;
 
 impl ClusterSnapshot {
     /// Visits the machines on which a task fits, those with the least free
-    /// capacity first, among at most [`LOOK`] of each pool, and returns how many
+    /// capacity first, among at most [`HOSTS_EXAMINED_MAX`] of each pool, and returns how many
     /// were examined.
     pub fn candidates(
         &self,
         spec: &JobSpec,
         zone: Option<ZoneIndex>,
-        room: RoomKind,
+        capacity: CapacityKind,
         mut visit: impl FnMut(usize, &Host, &Pool),
     ) -> u64 {
         let need = Resources::of(spec);
@@ -29,7 +29,7 @@
             if zone.is_some_and(|zone| zone != pool.zone) || !pool.allows(spec) {
                 continue;
             }
-            for host_index in pool.hosts_that_may_fit(&need, needs_gpus).take(LOOK) {
+            for host_index in pool.hosts_that_may_fit(&need, needs_gpus).take(HOSTS_EXAMINED_MAX) {
                 examined += 1;
                 let host = &self.hosts[host_index];
                 if pool.host_allows(host, spec) && need.fits_in(&host.free) {
@@ -37,7 +37,7 @@
                 }
             }
         }
-        if room == RoomKind::FreeOrStopping {
+        if capacity == CapacityKind::FreeOrStopping {
             examined += self.candidates_with_stopping(spec, zone, visit);
         }
         examined
@@ -59,7 +59,7 @@
             if zone.is_none_or(|zone| zone == pool.zone)
                 && pool.allows(spec)
                 && pool.host_allows(host, spec)
-                && need.fits_in(&host.room(RoomKind::FreeOrStopping))
+                && need.fits_in(&host.capacity(CapacityKind::FreeOrStopping))
             {
                 visit(host_index as usize, host, pool);
             }
--- a/src/coordination/tests/cluster.rs
+++ b/src/coordination/tests/cluster.rs
@@ -5,7 +5,7 @@
     coordination::model::{tests::spec, JobFailures, JobProgress, JobRecords, JobStatistics, TaskTable, WaitState},
     protocol::{
         ids::{FencingToken, Revision},
-        jobs::{Kind, Priority},
+        jobs::{JobKind, Priority},
         names::ZoneIndex,
     },
     storage::records::JobStatus,
@@ -15,7 +15,7 @@
     Job {
         index: JobIndex(index),
         id: Rc::from(format!("j-{index}")),
-        spec: Rc::new(spec(Kind::Array, Priority::Low, 10, 1.0)),
+        spec: Rc::new(spec(JobKind::Array, Priority::Low, 10, 1.0)),
         records: JobRecords::new(Revision(1), 4, 10, None),
         status: JobStatus::Pending,
         wait: WaitState::new(1_000, 2_500),
--- a/src/coordination/tests/commits.rs
+++ b/src/coordination/tests/commits.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::{
     coordination::{
-        cluster::{ClusterState, Config, NewAssignment, TaskFate},
+        cluster::{ClusterState, Config, NewAssignment, ReleaseReason},
         effects::CommitOutcome,
         model::{Millis, Term},
     },
@@ -11,8 +11,8 @@
         cbor,
         ids::{Attempt, Incarnation, Revision},
         jobs::Submission,
-        names::{Tables, ZoneIndex},
-        store::{Op, Txn},
+        names::{Interners, ZoneIndex},
+        store::{Transaction, WriteOperation},
     },
     storage::{
         job_cache::{JobCache, JobIndex},
@@ -32,7 +32,7 @@
 struct Fixture {
     commits: CommitPipeline,
     cluster: ClusterState,
-    tables: Tables,
+    interners: Interners,
     job: JobIndex,
 }
 
@@ -42,42 +42,42 @@
         heartbeat_interval_ms: 500,
         gang_peer_s: 8.0,
         txn_ops: 8,
-        value_max: 16_384,
-        value_fit: 4_096,
-        chunk_fit: 4,
-        list_lag_ms: 1_000,
+        max_value_bytes: 16_384,
+        reduced_max_value_bytes: 4_096,
+        reduced_chunk_size: 4,
+        host_list_delay_ms: 1_000,
         teams: Vec::new(),
         objectives: Vec::new(),
-        idle_keep_ms: 60_000,
-        silent_ms: 2_000,
+        min_idle_ms: 60_000,
+        heartbeat_timeout_ms: 2_000,
         max_machines: usize::MAX,
         use_spot: true,
     }
 }
 
 fn fixture() -> Fixture {
-    let mut tables = Tables::default();
+    let mut interners = Interners::default();
     let submission: Submission = cbor::decode(&cbor::encode(&crate::protocol::jobs::tests::sample())).unwrap();
     let record = JobRecord { submission, status: JobStatus::Pending, at_ms: 5, chunk: 8 };
     let mut job_cache = JobCache::default();
-    let job = job_cache.put("j/j-1", &records::to_value(&record), JOB_REVISION, &mut tables).unwrap();
+    let job = job_cache.put("j/j-1", &records::to_value(&record), JOB_REVISION, &mut interners).unwrap();
     let mut cluster = ClusterState::new(config(), Term(LEADER_REVISION), Attempt(0), NOW, Vec::new());
     cluster.job_update(NOW, NOW, job, &job_cache);
-    tables.zones.intern("z1");
-    Fixture { commits: CommitPipeline::new(100), cluster, tables, job }
+    interners.zones.intern("z1");
+    Fixture { commits: CommitPipeline::new(100), cluster, interners, job }
 }
 
 impl Fixture {
     fn assign(&mut self, task: u32) {
-        let machine = self.cluster.machine_named(NOW, "m-1", ZoneIndex(0));
+        let machine = self.cluster.find_or_add_machine(NOW, "m-1", ZoneIndex(0));
         self.cluster.refresh(NOW, machine);
         let (attempt, job) = (self.cluster.next_attempt(), self.job);
         let new = NewAssignment { job, task, machine, incarnation: Incarnation(1), attempt, zone: ZoneIndex(0) };
         self.cluster.add_assignment(NOW, new).expect("a pending task");
     }
 
-    fn next(&mut self, now: Millis, allowance: WriteAllowance) -> Option<Txn> {
-        self.commits.next_transaction(now, allowance, &mut self.cluster, &self.tables)
+    fn next(&mut self, now: Millis, allowance: WriteAllowance) -> Option<Transaction> {
+        self.commits.next_transaction(now, allowance, &mut self.cluster, &self.interners)
     }
 
     fn finish(&mut self, now: Millis, outcome: CommitOutcome) -> bool {
@@ -101,37 +101,37 @@
     }
 }
 
-fn written(transaction: &Txn) -> Vec<(&str, &Value)> {
+fn written(transaction: &Transaction) -> Vec<(&str, &Value)> {
     transaction.writes.iter().filter_map(put).collect()
 }
 
-fn put(op: &Op) -> Option<(&str, &Value)> {
+fn put(op: &WriteOperation) -> Option<(&str, &Value)> {
     match op {
-        Op::Put { key, v, .. } => Some((key, v)),
-        Op::Delete { .. } => None,
+        WriteOperation::Put { key, value: v, .. } => Some((key, v)),
+        WriteOperation::Delete { .. } => None,
     }
 }
 
-fn deleted(op: &Op) -> Option<&str> {
+fn deleted(op: &WriteOperation) -> Option<&str> {
     match op {
-        Op::Put { .. } => None,
-        Op::Delete { key } => Some(key),
+        WriteOperation::Put { .. } => None,
+        WriteOperation::Delete { key } => Some(key),
     }
 }
 
-fn written_keys(transaction: &Txn) -> Vec<&str> {
+fn written_keys(transaction: &Transaction) -> Vec<&str> {
     written(transaction).into_iter().map(|(key, _)| key).collect()
 }
 
-fn deleted_keys(transaction: &Txn) -> Vec<&str> {
+fn deleted_keys(transaction: &Transaction) -> Vec<&str> {
     transaction.writes.iter().filter_map(deleted).collect()
 }
 
-fn requires(transaction: &Txn, key: &str, revision: Revision) -> bool {
+fn requires(transaction: &Transaction, key: &str, revision: Revision) -> bool {
     transaction.conditions.iter().any(|condition| condition.key == key && condition.revision == revision)
 }
 
-fn chunk_record(transaction: &Txn, key: &str) -> ChunkRecord {
+fn chunk_record(transaction: &Transaction, key: &str) -> ChunkRecord {
     let (_, value) = written(transaction).into_iter().find(|(written, _)| *written == key).expect("written");
     value.deserialized().expect("a chunk record")
 }
@@ -145,7 +145,7 @@
     assert!(f.has_writes(NOW, false));
     let transaction = f.next(NOW, URGENT).expect("two chunks changed");
     assert_eq!(written_keys(&transaction), [FIRST_CHUNK, SECOND_CHUNK]);
-    assert!(requires(&transaction, records::LEADER, LEADER_REVISION));
+    assert!(requires(&transaction, records::LEADER_KEY, LEADER_REVISION));
     assert!(requires(&transaction, "j/j-1", JOB_REVISION));
     assert!(
         requires(&transaction, FIRST_CHUNK, Revision::ABSENT) && requires(&transaction, SECOND_CHUNK, Revision::ABSENT)
@@ -153,7 +153,7 @@
     let assignments = chunk_record(&transaction, SECOND_CHUNK).assignments;
     assert_eq!(assignments.iter().map(|record| (record.0, record.1.as_str())).collect::<Vec<_>>(), [(9, "m-1")]);
     assert!(!f.commits.may_send(NOW) && f.next(NOW, URGENT).is_none(), "one transaction at a time");
-    assert!(f.finish(NOW + 20, CommitOutcome::Done(Revision(8))));
+    assert!(f.finish(NOW + 20, CommitOutcome::Applied(Revision(8))));
     assert_eq!((f.chunk_revision(0), f.chunk_revision(1)), (Revision(8), Revision(8)));
     assert!(!f.has_unwritten_placement() && !f.has_writes(NOW + 20, false));
     let statistics = f.commits.take_statistics();
@@ -189,7 +189,7 @@
     // That copy is refused; the first one may still be on its way.
     assert!(f.finish(NOW + 100, CommitOutcome::Refused));
     assert_eq!(f.next(NOW + 250, URGENT).as_ref(), Some(&first));
-    assert!(f.finish(NOW + 250, CommitOutcome::Done(Revision(8))));
+    assert!(f.finish(NOW + 250, CommitOutcome::Applied(Revision(8))));
     assert!(f.has_unwritten_placement(), "the second assignment is not written yet");
     let next = f.next(NOW + 250, URGENT).unwrap();
     assert_eq!(chunk_record(&next, FIRST_CHUNK).assignments.len(), 2);
@@ -201,7 +201,7 @@
     let mut f = fixture();
     f.assign(0);
     f.next(NOW, URGENT).unwrap();
-    assert!(!f.finish(NOW, CommitOutcome::Conflict(vec![records::LEADER.to_owned(), FIRST_CHUNK.to_owned()])));
+    assert!(!f.finish(NOW, CommitOutcome::Conflict(vec![records::LEADER_KEY.to_owned(), FIRST_CHUNK.to_owned()])));
 }
 
 #[test]
@@ -264,14 +264,14 @@
         let mut f = fixture();
         f.assign(0);
         f.next(NOW, URGENT).unwrap();
-        assert!(f.finish(NOW, CommitOutcome::Done(Revision(8))));
+        assert!(f.finish(NOW, CommitOutcome::Applied(Revision(8))));
         let assignment = f.cluster.job(f.job).unwrap().assignments()[0];
-        f.cluster.release_assignment(assignment, TaskFate::Done);
+        f.cluster.release_assignment(assignment, ReleaseReason::Done);
         assert!(!f.has_writes(NOW, has_spare) && !f.has_writes(NOW + delay - 1, has_spare));
         assert!(f.has_writes(NOW + delay, has_spare));
         let allowance = WriteAllowance { has_spare, ..URGENT };
         assert_eq!(written_keys(&f.next(NOW + delay, allowance).unwrap()), [FIRST_CHUNK]);
-        assert!(f.finish(NOW + delay, CommitOutcome::Done(Revision(9))));
+        assert!(f.finish(NOW + delay, CommitOutcome::Applied(Revision(9))));
         let statistics = f.commits.take_statistics();
         assert_eq!((statistics.placements, statistics.exits), (1, 1));
     }
@@ -285,22 +285,23 @@
         f.assign(task);
     }
     f.next(NOW, URGENT).unwrap();
-    assert!(f.finish(NOW, CommitOutcome::Done(Revision(8))));
+    assert!(f.finish(NOW, CommitOutcome::Applied(Revision(8))));
     for assignment in f.cluster.job(f.job).unwrap().assignments() {
-        f.cluster.release_assignment(assignment, TaskFate::Done);
+        f.cluster.release_assignment(assignment, ReleaseReason::Done);
     }
     let transaction = f.next(NOW + 10, URGENT).expect("completions wait for nothing");
     assert_eq!(written_keys(&transaction), ["j/j-1"]);
     assert!(requires(&transaction, "j/j-1", JOB_REVISION));
     let record: JobRecord = written(&transaction)[0].1.deserialized().unwrap();
     assert_eq!((record.status, record.at_ms), (JobStatus::Done, 50_010));
-    assert!(f.finish(NOW + 10, CommitOutcome::Done(Revision(9))));
+    assert!(f.finish(NOW + 10, CommitOutcome::Applied(Revision(9))));
     assert!(f.cluster.job(f.job).is_none(), "removed");
     assert!(!f.has_writes(NOW + 10, false) && f.has_writes(NOW + 10, true), "deletions take only what is to spare");
     let transaction = f.next(NOW + 10, SPARE).unwrap();
     assert_eq!(deleted_keys(&transaction), [FIRST_CHUNK, SECOND_CHUNK]);
     assert!(
-        requires(&transaction, FIRST_CHUNK, Revision(8)) && requires(&transaction, records::LEADER, LEADER_REVISION)
+        requires(&transaction, FIRST_CHUNK, Revision(8))
+            && requires(&transaction, records::LEADER_KEY, LEADER_REVISION)
     );
     // One key has changed meanwhile: only the other one is tried again, after a pause.
     assert!(f.finish(NOW + 10, CommitOutcome::Conflict(vec![FIRST_CHUNK.to_owned()])));
@@ -313,7 +314,7 @@
     let mut f = fixture();
     f.assign(5);
     f.next(NOW, URGENT).unwrap();
-    assert!(f.finish(NOW, CommitOutcome::Done(Revision(8))));
+    assert!(f.finish(NOW, CommitOutcome::Applied(Revision(8))));
     assert!(!f.has_writes(NOW, true) && f.next(NOW, SPARE).is_none(), "not enabled");
     f.commits.set_resharding_enabled(true);
     assert!(f.next(NOW + 200, URGENT).is_none(), "nothing to spare");
@@ -322,9 +323,9 @@
     assert_eq!(written_keys(&transaction), ["j/j-1", SECOND_CHUNK]);
     assert_eq!(deleted_keys(&transaction), [FIRST_CHUNK]);
     assert!(requires(&transaction, FIRST_CHUNK, Revision(8)) && requires(&transaction, SECOND_CHUNK, Revision::ABSENT));
-    assert!(requires(&transaction, records::LEADER, LEADER_REVISION));
+    assert!(requires(&transaction, records::LEADER_KEY, LEADER_REVISION));
     assert!(f.cluster.job(f.job).unwrap().records.resharding, "none of its tasks may be assigned");
-    assert!(f.finish(NOW + 200, CommitOutcome::Done(Revision(9))));
+    assert!(f.finish(NOW + 200, CommitOutcome::Applied(Revision(9))));
     let records = &f.cluster.job(f.job).unwrap().records;
     assert_eq!((records.chunk_size, records.chunks.len(), records.resharding), (4, 4, false));
     assert_eq!(records.chunks[1].revision, Revision(9));
--- a/src/coordination/tests/election.rs
+++ b/src/coordination/tests/election.rs
@@ -7,7 +7,7 @@
 }
 
 fn lead(election: &mut Election) {
-    election.saw_key(0, None, Revision(1));
+    election.observe_key(0, None, Revision(1));
     assert_eq!(election.tick(0), Some(Action::RequestGrant));
     election.granted(10, Some(GrantId(7)));
     assert_eq!(election.tick(10), Some(Action::WriteKey { grant: GrantId(7), expected_revision: Revision(0) }));
@@ -26,7 +26,7 @@
     assert_eq!(election.leading(4_500), Some(Term(Revision(5))));
     assert_eq!(election.leading(5_000), None, "sent at 1000, not answered at 3900");
     // An outage: the key is still ours, we just may not act.
-    assert_eq!(election.holds_key(), Some(Term(Revision(5))));
+    assert_eq!(election.held_term(), Some(Term(Revision(5))));
     assert_eq!(election.tick(5_000), Some(Action::RenewGrant(GrantId(7))));
     election.renewed(5_010, RenewalOutcome::Unknown);
     assert_eq!(election.tick(5_100), None);
@@ -35,7 +35,7 @@
     assert_eq!(election.leading(5_270), Some(Term(Revision(5))));
     assert_eq!(election.tick(6_260), Some(Action::RenewGrant(GrantId(7))));
     election.renewed(6_270, RenewalOutcome::Expired);
-    assert_eq!((election.leading(6_270), election.holds_key()), (None, None));
+    assert_eq!((election.leading(6_270), election.held_term()), (None, None));
 }
 
 /// Guard: a claim without an answer is carried out after its grant was given
@@ -43,7 +43,7 @@
 #[test]
 fn a_claim_carried_out_under_an_earlier_grant() {
     let mut election = Election::new("a", 1, TTL);
-    election.saw_key(0, None, Revision(1));
+    election.observe_key(0, None, Revision(1));
     assert_eq!(election.tick(0), Some(Action::RequestGrant));
     election.granted(10, Some(GrantId(7)));
     assert_eq!(election.tick(10), Some(Action::WriteKey { grant: GrantId(7), expected_revision: Revision(0) }));
@@ -51,8 +51,8 @@
     election.claimed(2_500, None);
     assert_eq!(election.tick(2_900), Some(Action::RequestGrant), "the first grant has too little left");
     election.granted(2_910, Some(GrantId(8)));
-    election.saw_key(2_920, Some(early), Revision(5));
-    assert_eq!((election.leading(2_920), election.holds_key()), (None, None));
+    election.observe_key(2_920, Some(early), Revision(5));
+    assert_eq!((election.leading(2_920), election.held_term()), (None, None));
     assert_eq!(
         election.tick(2_930),
         Some(Action::WriteKey { grant: GrantId(8), expected_revision: Revision(5) }),
@@ -74,7 +74,7 @@
         let mut lost = 0;
         for now in (30..60_000).step_by(10) {
             if let Some(sent) = in_flight {
-                let timeout_ms = election.patience_ms();
+                let timeout_ms = election.renewal_timeout_ms();
                 if now >= sent + took.min(timeout_ms) {
                     in_flight = None;
                     let outcome = if took <= timeout_ms { RenewalOutcome::Renewed } else { RenewalOutcome::Unknown };
@@ -104,25 +104,25 @@
     for (key, stands) in cases {
         let mut election = Election::new("a", 1, TTL);
         if let Some((record, revision)) = key.clone() {
-            election.saw_key(0, record, Revision(revision));
+            election.observe_key(0, record, Revision(revision));
         }
         assert_eq!(election.tick(0), stands.then_some(Action::RequestGrant), "{key:?}");
     }
     // One's own dead start is replaced conditionally on its revision.
     let mut election = Election::new("a", 1, TTL);
-    election.saw_key(0, Some(dead), Revision(3));
+    election.observe_key(0, Some(dead), Revision(3));
     election.tick(0);
     election.granted(1, Some(GrantId(8)));
     assert_eq!(election.tick(1), Some(Action::WriteKey { grant: GrantId(8), expected_revision: Revision(3) }));
     // A claim with no answer that was applied late still counts, by the watch.
     election.claimed(5, None);
     assert_eq!(election.leading(6), None);
-    election.saw_key(50, Some(election.record(GrantId(8))), Revision(9));
+    election.observe_key(50, Some(election.record(GrantId(8))), Revision(9));
     assert_eq!(election.leading(51), Some(Term(Revision(9))));
     // An older sight of the key changes nothing.
-    election.saw_key(60, Some(other(1)), Revision(4));
+    election.observe_key(60, Some(other(1)), Revision(4));
     assert_eq!(election.leading(61), Some(Term(Revision(9))));
     assert_eq!(election.step_down(70), Some(GrantId(8)));
-    election.saw_key(80, None, Revision(12));
+    election.observe_key(80, None, Revision(12));
     assert_eq!((election.leading(80), election.tick(80)), (None, None), "stands aside for a while");
 }
--- a/src/coordination/tests/lease_renewal.rs
+++ b/src/coordination/tests/lease_renewal.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn ready(most: Millis) -> RenewalRight {
-    let mut right = RenewalRight::new(most, most);
-    right.saw_key(Revision(0), Revision(5), false);
+fn ready(most: Millis) -> RenewalAuthority {
+    let mut right = RenewalAuthority::new(most, most);
+    right.observe_key(Revision(0), Revision(5), false);
     assert_eq!(right.tick(0), Some(Action::RequestGrant));
     right.granted(20, Some(GrantId(7)));
     assert_eq!(right.tick(20), Some(Action::WriteKey { grant: GrantId(7), expected_revision: Revision(0) }));
@@ -16,7 +16,7 @@
 fn leases_are_renewed_for_a_limited_time() {
     // (cancel_s, lease_s, longest)
     for (cancel, lease, most) in [(50.0, 30.0, 17_840), (66.0, 36.0, 27_795), (30.0, 30.0, 0), (35.0, 30.0, 0)] {
-        let got = most_ms(cancel, lease);
+        let got = leaderless_window_ms(cancel, lease);
         assert_eq!(got, most, "{cancel} {lease}");
         assert!(got == 0 || got as f64 + lease * 1000.0 < cancel * 1000.0 - 1_000.0);
     }
@@ -26,13 +26,13 @@
         assert_eq!(right.may_renew_without_leader(now), may, "at {now}");
     }
     let mut right = ready(18_000);
-    right.saw_key(Revision(0), Revision(12), false);
+    right.observe_key(Revision(0), Revision(12), false);
     assert!(!right.may_renew_without_leader(5_000), "the key is gone: a leader no longer counts on us");
     assert_eq!(right.tick(5_000), Some(Action::WriteKey { grant: GrantId(7), expected_revision: Revision(0) }));
     right.registered(5_010, None);
-    right.saw_key(Revision(13), Revision(13), true);
+    right.observe_key(Revision(13), Revision(13), true);
     assert!(right.may_renew_without_leader(5_100), "the watch shows that it was written");
-    right.saw_key(Revision(8), Revision(8), false);
+    right.observe_key(Revision(8), Revision(8), false);
     assert!(right.may_renew_without_leader(5_100), "an older sight changes nothing");
     assert_eq!(right.tick(6_100), Some(Action::RenewGrant(GrantId(7))));
     right.renewed(6_110, RenewalOutcome::Expired);
@@ -41,7 +41,7 @@
     let mut right = ready(18_000);
     right.record_sync(30_000);
     assert!(!right.may_renew_without_leader(33_000), "never renewed");
-    assert!(RenewalRight::new(0, 0).tick(0).is_none());
+    assert!(RenewalAuthority::new(0, 0).tick(0).is_none());
 }
 
 /// Guard: the leader's answers are bound as well. An open watch, an answer
@@ -52,8 +52,8 @@
     // (cancel_s, lease_s): the last lease renewed ends before what was
     // cancelled right after the read has to be gone.
     for (cancel, lease) in [(50.0, 30.0), (66.0, 36.0), (35.0, 30.0), (10.0, 4.0), (30.0, 30.0)] {
-        let most = renewal_ms(cancel, lease);
-        let mut right = RenewalRight::new(most, 0);
+        let most = renewal_window_ms(cancel, lease);
+        let mut right = RenewalAuthority::new(most, 0);
         assert!(!right.may_renew(0) && !right.may_renew(20), "a restart knows nothing");
         right.record_sync(10_000);
         let last = (10_000..100_000).take_while(|&t| right.may_renew(t)).last();
--- a/src/coordination/tests/machine.rs
+++ b/src/coordination/tests/machine.rs
@@ -24,17 +24,17 @@
 #[test]
 fn fence_holds_once_the_raised_token_is_acknowledged() {
     let mut machine = machine();
-    assert!(!machine.fenced(), "no token was acknowledged yet");
+    assert!(!machine.is_fenced(), "no token was acknowledged yet");
     heartbeat(&mut machine, 1_000, FencingToken(10));
-    assert!(machine.fenced());
+    assert!(machine.is_fenced());
     machine.fence.raise_token();
-    assert!(machine.fenced(), "a token raised for a reap need not be acknowledged");
+    assert!(machine.is_fenced(), "a token raised for a reap need not be acknowledged");
     machine.fence.raise();
     assert_eq!(machine.fence.token, FencingToken(12));
     heartbeat(&mut machine, 2_000, FencingToken(11));
-    assert!(!machine.fenced(), "commands with the former token may be in flight");
+    assert!(!machine.is_fenced(), "commands with the former token may be in flight");
     heartbeat(&mut machine, 3_000, FencingToken(12));
-    assert!(machine.fenced());
+    assert!(machine.is_fenced());
 }
 
 #[test]
--- a/src/coordination/tests/partition.rs
+++ b/src/coordination/tests/partition.rs
@@ -22,6 +22,6 @@
         (&[far, far], Some(9_500), true),
     ];
     for (number, (peers, ago, expected)) in cases.into_iter().enumerate() {
-        assert_eq!(shares_the_cut(NOW, NOW - 9_000, peers, ago.map(|ago| NOW - ago)), expected, "case {number}");
+        assert_eq!(is_shared_partition(NOW, NOW - 9_000, peers, ago.map(|ago| NOW - ago)), expected, "case {number}");
     }
 }
--- a/src/coordination/tests/trial.rs
+++ b/src/coordination/tests/trial.rs
@@ -5,7 +5,7 @@
         snapshot::ClusterSnapshot,
     },
     protocol::{
-        jobs::{Kind, Priority},
+        jobs::{JobKind, Priority},
         names::{MachineTypeIndex, ZoneIndex},
     },
 };
@@ -30,14 +30,14 @@
         let pool = p.pool_of(&t, ZoneIndex(zone), spot);
         p.pools[pool].protected_for_gpu_work = guard;
         p.move_to(n, Some(pool));
-        p.set_open(n, true, false);
+        p.set_schedulable(n, true, false);
     }
     p
 }
 
 #[test]
 fn the_four_results() {
-    use Verdict::*;
+    use PlacementStatus::*;
     // (M, S, R, U, result)
     let cases = [
         (2, 2, 0, 0, Success),
@@ -50,22 +50,22 @@
         (5, 1, 1, 2, Unresolvable),
     ];
     for (m, s, r, u, want) in cases {
-        assert_eq!(Verdict::from_counts(m, s, r, u), want, "M={m} S={s} R={r} U={u}");
+        assert_eq!(PlacementStatus::from_counts(m, s, r, u), want, "M={m} S={s} R={r} U={u}");
     }
 }
 
 #[test]
 fn trees_table() {
-    use Verdict::*;
+    use PlacementStatus::*;
     struct Case {
         name: &'static str,
         hosts: Vec<Machine>,
-        kind: Kind,
+        kind: JobKind,
         tasks: u32,
         min: usize,
         change: fn(&mut JobSpec),
         zone_used: Vec<u32>,
-        want: (Verdict, usize),
+        want: (PlacementStatus, usize),
     }
     let two = || vec![(0, 8.0, 0.0, false, None), (1, 4.0, 0.0, false, None)];
     let spot = (0, 8.0, 0.0, true, None);
@@ -75,7 +75,7 @@
         Case {
             name: "array takes what fits",
             hosts: two(),
-            kind: Kind::Array,
+            kind: JobKind::Array,
             tasks: 9,
             min: 1,
             change: |_| {},
@@ -85,7 +85,7 @@
         Case {
             name: "gang all",
             hosts: two(),
-            kind: Kind::Gang,
+            kind: JobKind::Gang,
             tasks: 6,
             min: 6,
             change: |_| {},
@@ -95,7 +95,7 @@
         Case {
             name: "gang or nothing",
             hosts: two(),
-            kind: Kind::Gang,
+            kind: JobKind::Gang,
             tasks: 7,
             min: 7,
             change: |_| {},
@@ -105,7 +105,7 @@
         Case {
             name: "one zone",
             hosts: two(),
-            kind: Kind::Gang,
+            kind: JobKind::Gang,
             tasks: 5,
             min: 5,
             change: |s| s.one_zone = true,
@@ -115,7 +115,7 @@
         Case {
             name: "one zone fits",
             hosts: two(),
-            kind: Kind::Gang,
+            kind: JobKind::Gang,
             tasks: 4,
             min: 4,
             change: |s| s.one_zone = true,
@@ -126,7 +126,7 @@
         Case {
             name: "one zone held",
             hosts: two(),
-            kind: Kind::Array,
+            kind: JobKind::Array,
             tasks: 4,
             min: 1,
             change: |s| s.one_zone = true,
@@ -136,7 +136,7 @@
         Case {
             name: "spread",
             hosts: two(),
-            kind: Kind::Service,
+            kind: JobKind::Service,
             tasks: 5,
             min: 1,
             change: |s| s.spread = true,
@@ -147,7 +147,7 @@
         Case {
             name: "spread held",
             hosts: two(),
-            kind: Kind::Service,
+            kind: JobKind::Service,
             tasks: 5,
             min: 1,
             change: |s| s.spread = true,
@@ -157,7 +157,7 @@
         Case {
             name: "spread gang",
             hosts: two(),
-            kind: Kind::Gang,
+            kind: JobKind::Gang,
             tasks: 6,
             min: 6,
             change: |s| s.spread = true,
@@ -167,7 +167,7 @@
         Case {
             name: "no such type",
             hosts: two(),
-            kind: Kind::Array,
+            kind: JobKind::Array,
             tasks: 1,
             min: 1,
             change: |s| s.types = Some(vec![MachineTypeIndex(7)]),
@@ -177,7 +177,7 @@
         Case {
             name: "only zone 1",
             hosts: two(),
-            kind: Kind::Array,
+            kind: JobKind::Array,
             tasks: 9,
             min: 1,
             change: |s| s.zone = Some(ZoneIndex(1)),
@@ -187,7 +187,7 @@
         Case {
             name: "no spot",
             hosts: vec![spot],
-            kind: Kind::Array,
+            kind: JobKind::Array,
             tasks: 1,
             min: 1,
             change: |s| s.spot = false,
@@ -198,7 +198,7 @@
         Case {
             name: "guarded",
             hosts: vec![gpu],
-            kind: Kind::Service,
+            kind: JobKind::Service,
             tasks: 2,
             min: 1,
             change: prod,
@@ -208,7 +208,7 @@
         Case {
             name: "guarded, saves",
             hosts: vec![gpu],
-            kind: Kind::Array,
+            kind: JobKind::Array,
             tasks: 5,
             min: 1,
             change: |s| s.checkpoint_s = 5.0,
@@ -218,7 +218,7 @@
         Case {
             name: "more than a machine has",
             hosts: two(),
-            kind: Kind::Array,
+            kind: JobKind::Array,
             tasks: 1,
             min: 1,
             change: |s| s.cpus = 9.0,
@@ -230,7 +230,7 @@
         let mut s = spec(c.kind, Priority::Normal, c.tasks, 2.0);
         (c.change)(&mut s);
         let mut p = snapshot(&c.hosts);
-        let room = |p: &ClusterSnapshot| p.hosts.iter().map(|h| (h.free, h.soon)).collect::<Vec<_>>();
+        let room = |p: &ClusterSnapshot| p.hosts.iter().map(|h| (h.free, h.stopping)).collect::<Vec<_>>();
         let before = room(&p);
         let tasks: Vec<u32> = (0..c.tasks).collect();
         let mut ask = TrialRequest {
@@ -239,44 +239,44 @@
             min: c.min,
             zone_used: &c.zone_used,
             avoid: &[],
-            room: RoomKind::Free,
+            capacity: CapacityKind::Free,
             hosts: HostFilter::Any,
         };
         let out = p.trial(&ask);
-        assert_eq!((out.verdict, out.picks.len()), c.want, "{}", c.name);
+        assert_eq!((out.status, out.placements.len()), c.want, "{}", c.name);
         assert_eq!(before, room(&p), "{}: taken back", c.name);
-        let mut seen: Vec<u32> = out.picks.iter().map(|p| p.task).collect();
+        let mut seen: Vec<u32> = out.placements.iter().map(|p| p.task).collect();
         seen.dedup();
-        assert_eq!(seen.len(), out.picks.len(), "{}: each task once", c.name);
+        assert_eq!(seen.len(), out.placements.len(), "{}: each task once", c.name);
         // What is reserved is nobody else's until it is released.
-        for pick in &out.picks {
+        for pick in &out.placements {
             p.reserve(pick.host, Resources::of(&s), Resources::default());
         }
         let full = p.trial(&ask);
-        assert!(c.want.0 != Success || full.picks.len() < c.tasks as usize, "{}", c.name);
+        assert!(c.want.0 != Success || full.placements.len() < c.tasks as usize, "{}", c.name);
         p.release(0);
         assert_eq!(before, room(&p), "{}: released", c.name);
         // Machines that take nothing, and those where everything stops.
         for n in 0..c.hosts.len() {
-            p.set_open(n, false, false);
+            p.set_schedulable(n, false, false);
         }
-        assert_eq!(p.trial(&ask).picks.len(), 0, "{}: closed", c.name);
+        assert_eq!(p.trial(&ask).placements.len(), 0, "{}: closed", c.name);
         for n in 0..c.hosts.len() {
-            p.set_open(n, true, false);
+            p.set_schedulable(n, true, false);
             for _ in 0..9 {
-                p.take(n, &s);
-                p.stop(n, &s);
+                p.add_task(n, &s);
+                p.mark_stopping(n, &s);
             }
         }
-        assert_eq!(p.trial(&ask).picks.len(), 0, "{}: full", c.name);
-        ask.room = RoomKind::FreeOrStopping;
+        assert_eq!(p.trial(&ask).placements.len(), 0, "{}: full", c.name);
+        ask.capacity = CapacityKind::FreeOrStopping;
         let after = p.trial(&ask);
         if c.hosts.iter().all(|h| h.4.is_none()) {
-            assert_eq!((after.verdict, after.picks.len()), c.want, "{}: later", c.name);
+            assert_eq!((after.status, after.placements.len()), c.want, "{}: later", c.name);
         }
         for n in 0..c.hosts.len() {
             for _ in 0..9 {
-                p.give(n, &s, true);
+                p.remove_task(n, &s, true);
             }
         }
         assert_eq!(before, room(&p), "{}: all gone", c.name);
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -3,9 +3,7 @@
 use crate::{
     coordination::{
         cluster::ClusterState,
-        model::{
-            Assignment, AssignmentIndex, AssignmentState, ExitRecord, Machine, MachineIndex, Millis, UnreapedExit,
-        },
+        model::{Assignment, AssignmentIndex, AssignmentState, ExitRecord, Machine, MachineIndex, Millis, PendingReap},
     },
     protocol::workers::{split_task, Heartbeat, TaskState, TaskStatus, WorkerCommand},
     storage::{job_cache::JobCache, records::JobStatus},
@@ -32,7 +30,7 @@
 /// Guard: every 200 to a heartbeat renews a lease, so each carries these halts,
 /// whoever answers, and whether the heartbeat is new or the records are read yet.
 /// Otherwise a cancelled task could run on under a renewed lease.
-pub fn halts_of_cancelled(heartbeat: &Heartbeat, job_cache: &JobCache) -> Vec<WorkerCommand> {
+pub fn stop_commands_for_cancelled(heartbeat: &Heartbeat, job_cache: &JobCache) -> Vec<WorkerCommand> {
     let is_cancelled = |task: &&TaskStatus| {
         let job = split_task(&task.task).and_then(|(id, _)| job_cache.find(id));
         task.state != TaskState::Exited && job.is_some_and(|index| job_cache.get(index).status == JobStatus::Cancelled)
@@ -80,17 +78,17 @@
 impl CommandSelector<'_> {
     /// Commands for tasks that the worker lists without an assignment.
     fn exit_commands(&self) -> Vec<WorkerCommand> {
-        if !self.machine.fenced() {
+        if !self.machine.is_fenced() {
             return Vec::new();
         }
-        let exits = self.machine.commands.unreaped_exits.iter().take(EXITS_PER_MESSAGE);
+        let exits = self.machine.commands.pending_reaps.iter().take(EXITS_PER_MESSAGE);
         exits.flat_map(|exit| self.commands_for_exit(exit)).collect()
     }
 
-    fn commands_for_exit(&self, exit: &UnreapedExit) -> Vec<WorkerCommand> {
+    fn commands_for_exit(&self, exit: &PendingReap) -> Vec<WorkerCommand> {
         let (task, attempt) = (&exit.task, exit.attempt);
         let reap = WorkerCommand::Reap { task: task.clone(), attempt };
-        if exit.record == ExitRecord::Stray {
+        if exit.record == ExitRecord::Orphaned {
             // Halt and reap together: whichever applies takes effect.
             vec![WorkerCommand::Halt { task: task.clone(), attempt, grace_s: 0.0 }, reap]
         } else if self.cluster.is_exit_recorded(exit) {
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -45,7 +45,7 @@
     let contact_limit_ms = CONTACT_LIMIT_INTERVALS * cluster.config.heartbeat_interval_ms;
     // A token that the worker has not acknowledged yet is delivered by the response
     // to its heartbeat first; a worker without contact is sent nothing.
-    if !machine.fenced() || !machine.heartbeats.contacted_within(now, contact_limit_ms) {
+    if !machine.is_fenced() || !machine.heartbeats.contacted_within(now, contact_limit_ms) {
         return;
     }
     let commands = commands::select_and_mark_sent(cluster, now, index, CommandMessage::DirectCall);
@@ -54,7 +54,7 @@
     }
     let launches = commands.iter().filter_map(|command| launch_of(cluster, index, command)).collect();
     let call = outbox.next_call();
-    let machine = &mut cluster.machines[index.at()];
+    let machine = &mut cluster.machines[index.as_usize()];
     machine.commands.direct_call = Some(DirectCall { id: call, launches });
     let req =
         DirectCommandRequest { token: machine.fence.token, incarnation: machine.heartbeats.incarnation, commands };
@@ -90,7 +90,7 @@
     outcome: DirectCallOutcome,
 ) -> Result<(), Superseded> {
     let now = context.now;
-    let commands = &mut cluster.machines[index.at()].commands;
+    let commands = &mut cluster.machines[index.as_usize()].commands;
     let Some(completed) = commands.end_direct_call(call) else { return Ok(()) };
     cluster.dispatch_queue.schedule(now, index);
     match outcome {
@@ -116,7 +116,7 @@
 fn mark_unsent(cluster: &mut ClusterState, launches: &[LaunchId]) {
     for launch in launches {
         let slot = cluster.job(launch.job).and_then(|job| job.tasks.slots.get(launch.task as usize).copied());
-        let Some(Slot::At(assignment_index)) = slot else { continue };
+        let Some(Slot::Assigned(assignment_index)) = slot else { continue };
         let assignment = cluster.assignments.get_mut(assignment_index);
         if let Some(assignment) = assignment.filter(|assignment| assignment.attempt == launch.attempt) {
             assignment.sent = None;
@@ -127,7 +127,7 @@
 /// Guard: launches that went unanswered may arrive at any later time. The raised
 /// token fences them, once the worker has acknowledged it.
 fn raise_fence(cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
-    let machine = &mut cluster.machines[index.at()];
+    let machine = &mut cluster.machines[index.as_usize()];
     machine.fence.raise();
     tracing::debug!(
         machine = &*machine.id,
--- a/src/coordination/workers/exited_tasks.rs
+++ b/src/coordination/workers/exited_tasks.rs
@@ -4,7 +4,7 @@
 use super::failure_attribution;
 use crate::{
     coordination::{
-        cluster::{ClusterState, TaskFate},
+        cluster::{ClusterState, ReleaseReason},
         model::{Assignment, AssignmentIndex, ExitRecord, Millis},
     },
     protocol::workers::{ExitReason, TaskStatus},
@@ -21,12 +21,12 @@
         return;
     }
     let reason = status.why.unwrap_or(ExitReason::Other);
-    let fate = if reason == ExitReason::Done { TaskFate::Done } else { TaskFate::Unfinished };
+    let fate = if reason == ExitReason::Done { ReleaseReason::Done } else { ReleaseReason::Unfinished };
     let Some(assignment) = cluster.release_assignment(index, fate) else { return };
     let record = record_of_exit(cluster, &assignment);
-    let machine = &mut cluster.machines[assignment.machine.at()];
-    machine.commands.add_unreaped_exit(status, assignment.job, record);
-    if fate == TaskFate::Done {
+    let machine = &mut cluster.machines[assignment.machine.as_usize()];
+    machine.commands.add_pending_reap(status, assignment.job, record);
+    if fate == ReleaseReason::Done {
         observe_run_time(cluster, now, &assignment);
     } else {
         tracing::debug!(
@@ -45,7 +45,7 @@
 fn is_exit_final(cluster: &ClusterState, index: AssignmentIndex) -> bool {
     let Some(assignment) = cluster.assignment(index) else { return false };
     let machine = cluster.machine(assignment.machine);
-    machine.fenced() && !cluster.in_flight_launch(assignment) && !machine.commands.has_launch_in_response()
+    machine.is_fenced() && !cluster.is_launch_in_flight(assignment) && !machine.commands.has_launch_in_response()
 }
 
 /// The chunk version with which the exit of a released assignment is written.
@@ -67,10 +67,10 @@
     task: &str,
 ) {
     match reason {
-        ExitReason::NoRoom | ExitReason::Busy => {
-            let machine = &mut cluster.machines[assignment.machine.at()];
+        ExitReason::InsufficientResources | ExitReason::Busy => {
+            let machine = &mut cluster.machines[assignment.machine.as_usize()];
             tracing::info!(task, machine = &*machine.id, ?reason, "task start refused");
-            machine.avoid_until = now + REFUSED_START_PAUSE_MS;
+            machine.unschedulable_until = now + REFUSED_START_PAUSE_MS;
             cluster.refresh(now, assignment.machine);
         }
         ExitReason::Unknown => {
--- a/src/coordination/workers/failure_attribution.rs
+++ b/src/coordination/workers/failure_attribution.rs
@@ -41,19 +41,19 @@
     job.wait.not_before = now + retry_pause_ms(&job.failures);
     // Guard: a job that fails everywhere would keep healthy machines from
     // taking any work.
-    if !job.failures.job_is_at_fault() {
+    if !job.failures.is_job_at_fault() {
         pause_machine(cluster, now, machine_index, job_index);
     }
     cluster.refresh(now, machine_index);
 }
 
 fn pause_machine(cluster: &mut ClusterState, now: Millis, machine_index: MachineIndex, job: JobIndex) {
-    let machine = &mut cluster.machines[machine_index.at()];
+    let machine = &mut cluster.machines[machine_index.as_usize()];
     machine.recent_failures.retain(|failure| failure.job != job);
-    machine.recent_failures.push(TaskFailure { job, at: now, job_is_sound: false });
+    machine.recent_failures.push(TaskFailure { job, at: now, job_is_healthy: false });
     let doublings = machine.recent_failures.len() as u32 - 1;
     let pause_ms = MACHINE_PAUSE_MS.checked_shl(doublings).unwrap_or(MACHINE_PAUSE_MAX_MS);
-    machine.avoid_until = machine.avoid_until.max(now + pause_ms.min(MACHINE_PAUSE_MAX_MS));
+    machine.unschedulable_until = machine.unschedulable_until.max(now + pause_ms.min(MACHINE_PAUSE_MAX_MS));
 }
 
 /// Evaluates recent failures at regular intervals.
@@ -90,11 +90,11 @@
         let assignments = job.assignments().into_iter().filter_map(|index| cluster.assignment(index));
         assignments.filter_map(|assignment| assignment.running_since).any(|since| now > since + limit_ms)
     };
-    let suspects = cluster.active_jobs().filter(|job| job.failures.are_unexplained());
+    let suspects = cluster.active_jobs().filter(|job| job.failures.have_unknown_cause());
     let sound: Vec<JobIndex> = suspects.filter(|job| outlasts(job)).map(|job| job.index).collect();
     for index in sound {
         if let Some(job) = cluster.job_mut(index) {
-            job.failures.job_is_sound = true;
+            job.failures.job_is_healthy = true;
         }
     }
 }
@@ -103,9 +103,9 @@
     machine.recent_failures.retain(|failure| now < failure.at + FAILURE_MEMORY_MS);
     for failure in &mut machine.recent_failures {
         let job = jobs.get(failure.job);
-        failure.job_is_sound |= job.is_some_and(|job| job.failures.job_is_sound);
+        failure.job_is_healthy |= job.is_some_and(|job| job.failures.job_is_healthy);
     }
-    let sound_jobs = machine.recent_failures.iter().filter(|failure| failure.job_is_sound).count();
+    let sound_jobs = machine.recent_failures.iter().filter(|failure| failure.job_is_healthy).count();
     if sound_jobs >= FAULTY_MACHINE_JOBS && !machine.cordoned {
         machine.cordoned = true;
         tracing::warn!(machine = &*machine.id, failed_jobs = sound_jobs, "faulty machine cordoned");
@@ -114,7 +114,7 @@
 
 /// How long a job waits after one of its tasks failed.
 fn retry_pause_ms(failures: &JobFailures) -> Millis {
-    if !failures.job_is_at_fault() {
+    if !failures.is_job_at_fault() {
         return RETRY_PAUSE_MS;
     }
     BACKOFF_MS << failures.rounds.saturating_sub(1).min(BACKOFF_DOUBLINGS)
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of workers: processed, acknowledged and answered.
 
 use super::{
-    commands::{self, halts_of_cancelled, CommandMessage},
+    commands::{self, stop_commands_for_cancelled, CommandMessage},
     machine_status,
     reconciliation::Reconciliation,
     spot_interruption, Superseded,
@@ -14,7 +14,7 @@
     },
     protocol::{
         ids::FencingToken,
-        names::Tables,
+        names::Interners,
         workers::{Heartbeat, HeartbeatResponse, TaskState, WorkerCommand},
     },
     storage::job_cache::JobCache,
@@ -27,7 +27,7 @@
     /// All jobs, also those that are over.
     pub job_cache: &'a JobCache,
     /// Names of zones and machine types.
-    pub tables: &'a mut Tables,
+    pub interners: &'a mut Interners,
 }
 
 /// Processes a periodic heartbeat and makes the response.
@@ -37,9 +37,9 @@
     heartbeat: &Heartbeat,
 ) -> HeartbeatOutcome {
     let now = context.now;
-    let zone = context.tables.zones.intern(&heartbeat.zone);
-    let index = cluster.machine_named(now, &heartbeat.machine, zone);
-    let machine = &mut cluster.machines[index.at()];
+    let zone = context.interners.zones.intern(&heartbeat.zone);
+    let index = cluster.find_or_add_machine(now, &heartbeat.machine, zone);
+    let machine = &mut cluster.machines[index.as_usize()];
     if heartbeat.token > machine.fence.token {
         return HeartbeatOutcome::Superseded;
     }
@@ -56,9 +56,9 @@
     } else {
         // Answering renews the worker's lease. Until the records are read, the
         // state that it sends is left to its next heartbeat.
-        halts_of_cancelled(heartbeat, context.job_cache)
+        stop_commands_for_cancelled(heartbeat, context.job_cache)
     };
-    HeartbeatOutcome::Ok(HeartbeatResponse { token: cluster.machine(index).fence.token, commands })
+    HeartbeatOutcome::Accepted(HeartbeatResponse { token: cluster.machine(index).fence.token, commands })
 }
 
 /// Applies the heartbeat that a worker sent in response to a direct call.
@@ -90,7 +90,7 @@
     if !cluster.machine(index).heartbeats.is_outdated_by(heartbeat.incarnation, heartbeat.sequence) {
         return;
     }
-    machine_status::update(cluster, now, index, heartbeat, context.tables);
+    machine_status::update(cluster, now, index, heartbeat, context.interners);
     if heartbeat.incarnation > cluster.machine(index).heartbeats.incarnation {
         machine_status::begin_incarnation(cluster, now, index, heartbeat.incarnation);
     }
@@ -105,7 +105,7 @@
 /// after all.
 pub fn response_not_sent(cluster: &mut ClusterState, machine: &str) {
     if let Some(index) = cluster.machines.find(machine) {
-        cluster.machines[index.at()].fence.response_not_sent();
+        cluster.machines[index.as_usize()].fence.response_not_sent();
     }
 }
 
@@ -131,7 +131,7 @@
 /// Records what a periodic heartbeat shows of our earlier responses.
 fn record_acknowledgement(cluster: &mut ClusterState, now: Millis, index: MachineIndex, token: FencingToken) {
     let min_gap_ms = cluster.config.heartbeat_interval_ms / 2;
-    let machine = &mut cluster.machines[index.at()];
+    let machine = &mut cluster.machines[index.as_usize()];
     machine.heartbeats.last_heartbeat = Some(now);
     // The worker received or lost our last response before it sent this.
     machine.commands.set_launch_in_response(false);
@@ -145,12 +145,12 @@
     index: MachineIndex,
     heartbeat: &Heartbeat,
 ) -> Vec<WorkerCommand> {
-    let mut response = halts_of_cancelled(heartbeat, context.job_cache);
+    let mut response = stop_commands_for_cancelled(heartbeat, context.job_cache);
     let mut others = commands::select_and_mark_sent(cluster, context.now, index, CommandMessage::HeartbeatResponse);
-    others.retain(|command| !response.iter().any(|halt| halt.same_halt(command)));
+    others.retain(|command| !response.iter().any(|halt| halt.stops_same_attempt(command)));
     response.append(&mut others);
 
-    let machine = &mut cluster.machines[index.at()];
+    let machine = &mut cluster.machines[index.as_usize()];
     let has_launch = response.iter().any(|command| matches!(command, WorkerCommand::Launch { .. }));
     machine.commands.set_launch_in_response(has_launch);
     if response.iter().any(|command| matches!(command, WorkerCommand::Reap { .. })) {
--- a/src/coordination/workers/lease_expiry.rs
+++ b/src/coordination/workers/lease_expiry.rs
@@ -37,14 +37,14 @@
     /// there any more.
     pub fn expire(&self, cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
         let machine = cluster.machine(index);
-        let is_empty = machine.load.assignments.is_empty() && machine.commands.unreaped_exits.is_empty();
+        let is_empty = machine.load.assignments.is_empty() && machine.commands.pending_reaps.is_empty();
         if is_empty || !self.is_expired(&cluster.config, now, machine) {
             return;
         }
         tracing::warn!(machine = &*machine.id, tasks = machine.load.assignments.len(), "worker lease expired");
         let last_assigned = last_assigned_incarnation(cluster, machine);
-        cluster.machines[index.at()].heartbeats.expire(last_assigned);
-        cluster.free_machine(index, None);
+        cluster.machines[index.as_usize()].heartbeats.expire(last_assigned);
+        cluster.release_machine_assignments(index, None);
     }
 
     /// Guard: counted from the last 200 that any leader could have sent (a new
--- a/src/coordination/workers/machine_status.rs
+++ b/src/coordination/workers/machine_status.rs
@@ -5,7 +5,7 @@
         cluster::ClusterState,
         model::{Machine, MachineIndex, MachineLifecycle, Millis},
     },
-    protocol::{ids::Incarnation, names::Tables, workers::Heartbeat},
+    protocol::{ids::Incarnation, names::Interners, workers::Heartbeat},
 };
 
 /// Longest interruption notice of a spot machine that is believed, in seconds.
@@ -17,10 +17,10 @@
     now: Millis,
     index: MachineIndex,
     heartbeat: &Heartbeat,
-    tables: &mut Tables,
+    interners: &mut Interners,
 ) {
-    let machine_type = tables.types.intern(&heartbeat.machine_type);
-    let machine = &mut cluster.machines[index.at()];
+    let machine_type = interners.types.intern(&heartbeat.machine_type);
+    let machine = &mut cluster.machines[index.as_usize()];
     machine.addr = heartbeat.addr.parse().ok().or(machine.addr);
     machine.machine_type = Some(machine_type);
     machine.spot = heartbeat.spot;
@@ -30,9 +30,9 @@
         mark_up(machine, now, heartbeat);
         cluster.cycle_needed = true;
     }
-    if let Some(notice_s) = heartbeat.notice_s.filter(|_| machine.spot_notice_until.is_none()) {
-        tracing::info!(machine = &*machine.id, notice_s, "spot interruption notice received");
-        machine.spot_notice_until = Some(now + (notice_s.clamp(0.0, NOTICE_MAX_S) * 1000.0) as Millis);
+    if let Some(reclaim_notice_s) = heartbeat.reclaim_notice_s.filter(|_| machine.spot_notice_until.is_none()) {
+        tracing::info!(machine = &*machine.id, reclaim_notice_s, "spot interruption notice received");
+        machine.spot_notice_until = Some(now + (reclaim_notice_s.clamp(0.0, NOTICE_MAX_S) * 1000.0) as Millis);
         cluster.cycle_needed = true;
     }
 }
@@ -44,18 +44,18 @@
         machine = &*machine.id,
         machine_type = &*heartbeat.machine_type,
         spot = heartbeat.spot,
-        boot_s = (now - machine.rented_at) / 1000,
+        boot_s = (now - machine.provisioned_at) / 1000,
         "machine up"
     );
 }
 
 /// Begins a new incarnation: the worker killed and forgot all tasks of the former one.
 pub fn begin_incarnation(cluster: &mut ClusterState, now: Millis, index: MachineIndex, incarnation: Incarnation) {
-    let machine = &mut cluster.machines[index.at()];
+    let machine = &mut cluster.machines[index.as_usize()];
     let previous = machine.heartbeats.begin_incarnation(now, incarnation);
     if previous != Incarnation::NONE {
         tracing::info!(machine = &*machine.id, %incarnation, "new worker incarnation");
     }
-    cluster.free_machine(index, Some(incarnation));
+    cluster.release_machine_assignments(index, Some(incarnation));
     cluster.cycle_needed = true;
 }
--- a/src/coordination/workers/mod.rs
+++ b/src/coordination/workers/mod.rs
@@ -18,7 +18,7 @@
 mod spot_interruption;
 mod task_progress;
 
-pub use self::{commands::halts_of_cancelled, spot_interruption::SAVE_MARGIN_S};
+pub use self::{commands::stop_commands_for_cancelled, spot_interruption::SAVE_MARGIN_S};
 use self::{
     failure_attribution::FailureAttribution, heartbeats::HeartbeatContext, lease_expiry::LeaseExpiry,
     reachability::Reachability,
@@ -62,7 +62,7 @@
         heartbeat: &Heartbeat,
     ) -> HeartbeatOutcome {
         let outcome = heartbeats::process(cluster, context, heartbeat);
-        if matches!(outcome, HeartbeatOutcome::Ok(_)) {
+        if matches!(outcome, HeartbeatOutcome::Accepted(_)) {
             self.reachability.record_heartbeat(context.now);
         }
         outcome
--- a/src/coordination/workers/reachability.rs
+++ b/src/coordination/workers/reachability.rs
@@ -49,7 +49,7 @@
 fn should_send_heartbeats(machine: &Machine) -> bool {
     match machine.lifecycle {
         MachineLifecycle::Up => true,
-        MachineLifecycle::Booting => machine.is_inherited_unheard(),
-        MachineLifecycle::Returning | MachineLifecycle::Gone => false,
+        MachineLifecycle::Booting => machine.is_inherited_without_heartbeat(),
+        MachineLifecycle::Releasing | MachineLifecycle::Gone => false,
     }
 }
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -5,9 +5,9 @@
 use super::task_progress;
 use crate::{
     coordination::{
-        cluster::{ClusterState, NewAssignment, TaskFate},
+        cluster::{ClusterState, NewAssignment, ReleaseReason},
         model::{
-            Assignment, AssignmentIndex, AssignmentState, ExitRecord, Job, MachineIndex, Millis, Slot, UnreapedExit,
+            Assignment, AssignmentIndex, AssignmentState, ExitRecord, Job, MachineIndex, Millis, PendingReap, Slot,
         },
     },
     protocol::{
@@ -33,8 +33,8 @@
     }
 }
 
-impl<'a> From<&'a UnreapedExit> for TaskAttempt<'a> {
-    fn from(exit: &'a UnreapedExit) -> TaskAttempt<'a> {
+impl<'a> From<&'a PendingReap> for TaskAttempt<'a> {
+    fn from(exit: &'a PendingReap) -> TaskAttempt<'a> {
         TaskAttempt { task: &exit.task, attempt: exit.attempt }
     }
 }
@@ -90,7 +90,7 @@
 
     /// The assignment that this very attempt belongs to.
     fn assignment_of(&self, task: &ListedTask<'_>) -> Option<AssignmentIndex> {
-        let Some(Slot::At(assignment_index)) = task.slot else { return None };
+        let Some(Slot::Assigned(assignment_index)) = task.slot else { return None };
         let assignment = self.cluster.assignment(assignment_index)?;
         let is_same = assignment.machine == self.machine
             && assignment.attempt == task.status.attempt
@@ -115,7 +115,7 @@
     /// counts as done all the same.
     fn reconcile_unassigned_exit(&mut self, task: &ListedTask<'a>) {
         self.listed_exits.insert(task.status.into());
-        if self.is_unreaped(task) {
+        if self.is_pending_reap(task) {
             return;
         }
         let is_exit_final = self.cluster.machine(self.machine).has_no_launch_in_flight();
@@ -128,7 +128,7 @@
             self.cluster.cycle_needed = true;
         }
         if is_exit_final {
-            self.add_unreaped_exit(task, record);
+            self.add_pending_reap(task, record);
         }
     }
 
@@ -168,25 +168,25 @@
             machine = &*self.cluster.machine(self.machine).id,
             "stopping orphaned task"
         );
-        if !self.is_unreaped(task) {
-            self.add_unreaped_exit(task, ExitRecord::Stray);
+        if !self.is_pending_reap(task) {
+            self.add_pending_reap(task, ExitRecord::Orphaned);
         }
         self.listed_exits.insert(task.status.into());
     }
 
-    fn is_unreaped(&self, task: &ListedTask<'_>) -> bool {
-        self.cluster.machine(self.machine).commands.is_unreaped(&task.status.task, task.status.attempt)
+    fn is_pending_reap(&self, task: &ListedTask<'_>) -> bool {
+        self.cluster.machine(self.machine).commands.is_pending_reap(&task.status.task, task.status.attempt)
     }
 
-    fn add_unreaped_exit(&mut self, task: &ListedTask<'_>, record: ExitRecord) {
-        let commands = &mut self.cluster.machines[self.machine.at()].commands;
-        commands.add_unreaped_exit(task.status, task.job, record);
+    fn add_pending_reap(&mut self, task: &ListedTask<'_>, record: ExitRecord) {
+        let commands = &mut self.cluster.machines[self.machine.as_usize()].commands;
+        commands.add_pending_reap(task.status, task.job, record);
     }
 
     /// Exits that are no longer listed were reaped.
     fn forget_reaped_exits(&mut self) {
         let listed = &self.listed_exits;
-        let exits = &mut self.cluster.machines[self.machine.at()].commands.unreaped_exits;
+        let exits = &mut self.cluster.machines[self.machine.as_usize()].commands.pending_reaps;
         exits.retain(|exit| listed.contains(&TaskAttempt::from(exit)));
     }
 
@@ -200,7 +200,7 @@
             return;
         }
         for assignment_index in self.missing_halted_assignments() {
-            self.cluster.release_assignment(assignment_index, TaskFate::Unfinished);
+            self.cluster.release_assignment(assignment_index, ReleaseReason::Unfinished);
         }
         self.relaunch_missing_tasks();
     }
@@ -217,7 +217,7 @@
 
     /// Tasks that were lost though still wanted are launched again, as the same attempt.
     fn relaunch_missing_tasks(&mut self) {
-        let assigned = self.cluster.machines[self.machine.at()].load.assignments.iter();
+        let assigned = self.cluster.machines[self.machine.as_usize()].load.assignments.iter();
         for &assignment_index in assigned.filter(|index| !self.listed_assignments.contains(index)) {
             let Some(assignment) = self.cluster.assignments.get_mut(assignment_index) else { continue };
             if matches!(assignment.state, AssignmentState::Seen(_)) {
@@ -232,5 +232,5 @@
     job.tasks.slots[task as usize] = Slot::Done;
     job.tasks.pending.retain(|&pending| pending != task);
     job.tasks.done += 1;
-    ExitRecord::WrittenWith { chunk: job.chunk_of(task), version: job.touch(task) }
+    ExitRecord::WrittenWith { chunk: job.chunk_of(task), version: job.mark_task_changed(task) }
 }
--- a/src/coordination/workers/spot_interruption.rs
+++ b/src/coordination/workers/spot_interruption.rs
@@ -5,7 +5,7 @@
         cluster::ClusterState,
         model::{MachineIndex, Millis},
     },
-    protocol::jobs::Kind,
+    protocol::jobs::JobKind,
 };
 
 /// Share of a task's saving time that a notice must leave for it: notices come
@@ -28,7 +28,7 @@
             continue;
         }
         let grace_s = save_s + SAVE_MARGIN_S;
-        if job.spec.kind == Kind::Gang {
+        if job.spec.kind == JobKind::Gang {
             let job_index = assignment.job;
             cluster.stop_job(now, job_index, grace_s);
         } else {
--- a/src/coordination/workers/task_progress.rs
+++ b/src/coordination/workers/task_progress.rs
@@ -44,14 +44,14 @@
 fn count_running_task(now: Millis, job: &mut Job, assignment: &Assignment) {
     job.tasks.running += 1;
     if job.tasks.running + job.tasks.done == 1 && !assignment.inherited {
-        log_first_start(now, job, assignment.made);
+        log_first_start(now, job, assignment.assigned_at);
     }
 }
 
 /// The machine has fetched, or is fetching, the image of the job.
 fn record_cached_image(cluster: &mut ClusterState, machine: MachineIndex, job: JobIndex) {
     let Some(job) = cluster.jobs.get(job) else { return };
-    if let Some(host) = cluster.snapshot.hosts.get_mut(machine.at()) {
+    if let Some(host) = cluster.snapshot.hosts.get_mut(machine.as_usize()) {
         let cache_gb = host.pool.map_or(0.0, |pool| cluster.snapshot.pools[pool].cache_gb);
         host.note_image(job.spec.image, job.spec.image_gb, cache_gb);
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,7 +6,7 @@
 use shedhook::{
     controller,
     protocol::{
-        operator::{Operator, OperatorError},
+        operator::{OperatorSettings, OperatorSettingsError},
         settings::{Settings, SettingsError},
     },
 };
@@ -47,12 +47,12 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error(transparent)]
-    Operator(#[from] OperatorError),
+    OperatorSettings(#[from] OperatorSettingsError),
 }
 
-fn load_settings(args: &Args) -> Result<(Settings, Operator), ConfigError> {
+fn load_settings(args: &Args) -> Result<(Settings, OperatorSettings), ConfigError> {
     let settings = Settings::load(&args.config)?;
-    let operator = args.operator.as_deref().map(Operator::load).transpose()?;
+    let operator = args.operator.as_deref().map(OperatorSettings::load).transpose()?;
     Ok((settings, operator.unwrap_or_default()))
 }
 
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -55,7 +55,7 @@
 
 /// Asks for hosts of one type in one zone.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
-pub struct RentRequest {
+pub struct ProvisionRequest {
     /// Makes the request idempotent: the same name rents only once.
     #[serde(rename = "ask")]
     pub request: String,
--- a/src/protocol/jobs.rs
+++ b/src/protocol/jobs.rs
@@ -10,9 +10,9 @@
 
 pub use self::{
     answers::{JobAnswer, PollAnswer},
-    spec::{JobSpec, Kind, Priority},
+    spec::{JobKind, JobSpec, Priority},
     submission::Submission,
-    validation::{valid_id, Refusal, SubmissionSource, MAX_TASKS},
+    validation::{is_valid_job_id, SubmissionError, SubmissionSource, MAX_TASKS},
 };
 
 /// Tests of submissions, and a sample that other tests use.
--- a/src/protocol/jobs/spec.rs
+++ b/src/protocol/jobs/spec.rs
@@ -4,7 +4,7 @@
 
 /// How the tasks of a job belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each of which runs to completion. On the wire: `batch`.
     Array,
     /// All tasks run at the same time, or none does. On the wire: `ensemble`.
@@ -13,12 +13,12 @@
     Service,
 }
 
-impl Kind {
-    pub(super) fn parse(name: &str) -> Option<Kind> {
+impl JobKind {
+    pub(super) fn parse(name: &str) -> Option<JobKind> {
         match name {
-            "batch" => Some(Kind::Array),
-            "ensemble" => Some(Kind::Gang),
-            "service" => Some(Kind::Service),
+            "batch" => Some(JobKind::Array),
+            "ensemble" => Some(JobKind::Gang),
+            "service" => Some(JobKind::Service),
             _ => None,
         }
     }
@@ -57,7 +57,7 @@
     /// Team whose quota applies.
     pub team: TeamIndex,
     /// Array, gang or service.
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Priority; for a prerequisite, the highest of all jobs that need it.
     pub priority: Priority,
     /// Number of tasks.
--- a/src/protocol/jobs/submission.rs
+++ b/src/protocol/jobs/submission.rs
@@ -94,7 +94,7 @@
 
     /// Removes repeated prerequisites, keeping their order; an empty list
     /// becomes none.
-    pub fn fold_prereqs(&mut self) {
+    pub fn remove_duplicate_prereqs(&mut self) {
         let mut seen = HashSet::new();
         if let Some(prereqs) = &mut self.prereqs {
             prereqs.retain(|id| seen.insert(id.clone()));
--- a/src/protocol/jobs/validation.rs
+++ b/src/protocol/jobs/validation.rs
@@ -1,10 +1,10 @@
 //! Validation of submissions.
 
 use super::{
-    spec::{JobSpec, Kind, Priority},
+    spec::{JobKind, JobSpec, Priority},
     submission::Submission,
 };
-use crate::protocol::names::{MachineTypeIndex, Tables, ZoneIndex};
+use crate::protocol::names::{Interners, MachineTypeIndex, ZoneIndex};
 
 /// The largest number of tasks in one job.
 pub const MAX_TASKS: u32 = 100_000;
@@ -21,13 +21,13 @@
 
 /// Why a submission is refused for good.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum SubmissionError {
     /// Answered with 400; names the missing or invalid field.
     #[error("missing or invalid field `{0}`")]
     Malformed(&'static str),
     /// Answered with 422; says why the job can never run.
     #[error("the job can never run: {0}")]
-    NeverRuns(&'static str),
+    Infeasible(&'static str),
 }
 
 /// Where a submission comes from, which decides how unknown names are taken.
@@ -43,7 +43,7 @@
 
 /// Whether a text has the form of a job id: lower-case letters (with dashes
 /// between), a dash, digits.
-pub fn valid_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     let Some((head, digits)) = id.rsplit_once('-') else { return false };
     id.len() <= MAX_ID_BYTES
         && !head.is_empty()
@@ -52,14 +52,14 @@
         && digits.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-fn required<T>(value: Option<T>, field: &'static str) -> Result<T, Refusal> {
-    value.ok_or(Refusal::Malformed(field))
+fn required<T>(value: Option<T>, field: &'static str) -> Result<T, SubmissionError> {
+    value.ok_or(SubmissionError::Malformed(field))
 }
 
-fn amount(value: Option<f64>, field: &'static str) -> Result<f64, Refusal> {
+fn amount(value: Option<f64>, field: &'static str) -> Result<f64, SubmissionError> {
     match value {
         Some(amount) if amount.is_finite() && (0.0..MAX_AMOUNT).contains(&amount) => Ok(amount),
-        _ => Err(Refusal::Malformed(field)),
+        _ => Err(SubmissionError::Malformed(field)),
     }
 }
 
@@ -67,10 +67,10 @@
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-fn text<'a>(value: &'a Option<String>, field: &'static str) -> Result<&'a str, Refusal> {
+fn text<'a>(value: &'a Option<String>, field: &'static str) -> Result<&'a str, SubmissionError> {
     match value {
         Some(name) if is_name(name) => Ok(name),
-        _ => Err(Refusal::Malformed(field)),
+        _ => Err(SubmissionError::Malformed(field)),
     }
 }
 
@@ -78,15 +78,15 @@
     /// Validates the fields and interns the names.
     ///
     /// An unknown team, or a job that is its own prerequisite, is reported as
-    /// [`Refusal::NeverRuns`], but only if no field is malformed.
-    pub fn validate(&self, tables: &mut Tables, source: SubmissionSource) -> Result<JobSpec, Refusal> {
+    /// [`SubmissionError::Infeasible`], but only if no field is malformed.
+    pub fn validate(&self, interners: &mut Interners, source: SubmissionSource) -> Result<JobSpec, SubmissionError> {
         let id = text(&self.name_id, "nameId")?;
-        if !valid_id(id) {
-            return Err(Refusal::Malformed("nameId"));
+        if !is_valid_job_id(id) {
+            return Err(SubmissionError::Malformed("nameId"));
         }
         let class = text(&self.class, "lane")?;
         let team = text(&self.team, "owner")?;
-        let kind = required(Kind::parse(text(&self.kind, "shape")?), "shape")?;
+        let kind = required(JobKind::parse(text(&self.kind, "shape")?), "shape")?;
         let priority = required(Priority::parse(text(&self.priority, "rank")?), "rank")?;
         let tasks = self.task_count()?;
         let cpus = amount(self.cpus, "cpus")?;
@@ -94,8 +94,8 @@
         let memory_gb = amount(self.memory_gb, "memoryGb")?;
         let image = text(&self.image, "bundle")?;
         let image_gb = amount(self.image_gb, "imageGb")?;
-        let types = self.allowed_types(tables, source)?;
-        let zone = self.allowed_zone(tables, source)?;
+        let types = self.allowed_types(interners, source)?;
+        let zone = self.allowed_zone(interners, source)?;
         let one_zone = required(self.one_zone, "samePlace")?;
         let spread = required(self.spread, "scatter")?;
         let spot = required(self.spot, "loaners")?;
@@ -103,20 +103,20 @@
         let checkpoint_s = amount(self.checkpoint_s, "bookmarkS")?;
         let save_s = amount(self.save_s, "stashS")?;
         let deadline_s = self.deadline_s.map(|_| amount(self.deadline_s, "dueS")).transpose()?;
-        if self.prereqs().iter().any(|prereq| !valid_id(prereq)) {
-            return Err(Refusal::Malformed("prereqs"));
+        if self.prereqs().iter().any(|prereq| !is_valid_job_id(prereq)) {
+            return Err(SubmissionError::Malformed("prereqs"));
         }
         // The job itself is not accepted yet when it is submitted.
         if self.prereqs().iter().any(|prereq| prereq == id) {
-            return Err(Refusal::NeverRuns("needs itself"));
+            return Err(SubmissionError::Infeasible("needs itself"));
         }
-        let team = match tables.teams.find(team) {
+        let team = match interners.teams.find(team) {
             Some(index) => index,
-            None if source == SubmissionSource::Record => tables.teams.intern(team),
-            None => return Err(Refusal::NeverRuns("unknown team")),
+            None if source == SubmissionSource::Record => interners.teams.intern(team),
+            None => return Err(SubmissionError::Infeasible("unknown team")),
         };
         Ok(JobSpec {
-            class: tables.classes.intern(class),
+            class: interners.classes.intern(class),
             team,
             kind,
             priority,
@@ -124,7 +124,7 @@
             cpus,
             gpus,
             memory_gb,
-            image: tables.images.intern(image),
+            image: interners.images.intern(image),
             image_gb,
             types,
             zone,
@@ -139,12 +139,12 @@
         })
     }
 
-    fn task_count(&self) -> Result<u32, Refusal> {
+    fn task_count(&self) -> Result<u32, SubmissionError> {
         let tasks = required(self.tasks, "pieces")?;
         if tasks >= 1.0 && tasks <= f64::from(MAX_TASKS) && tasks.fract() == 0.0 {
             Ok(tasks as u32)
         } else {
-            Err(Refusal::Malformed("pieces"))
+            Err(SubmissionError::Malformed("pieces"))
         }
     }
 
@@ -152,26 +152,30 @@
     /// out of the tables, so that users can't fill them.
     fn allowed_types(
         &self,
-        tables: &mut Tables,
+        interners: &mut Interners,
         source: SubmissionSource,
-    ) -> Result<Option<Vec<MachineTypeIndex>>, Refusal> {
+    ) -> Result<Option<Vec<MachineTypeIndex>>, SubmissionError> {
         let Some(names) = &self.types else { return Ok(None) };
         if names.is_empty() || names.len() > MAX_TYPES || !names.iter().all(|name| is_name(name)) {
-            return Err(Refusal::Malformed("breeds"));
+            return Err(SubmissionError::Malformed("breeds"));
         }
         let index = |name: &String| match source {
-            SubmissionSource::Record => tables.types.intern(name),
-            SubmissionSource::User => tables.types.find(name).unwrap_or(MachineTypeIndex(u32::MAX)),
+            SubmissionSource::Record => interners.types.intern(name),
+            SubmissionSource::User => interners.types.find(name).unwrap_or(MachineTypeIndex(u32::MAX)),
         };
         Ok(Some(names.iter().map(index).collect()))
     }
 
-    fn allowed_zone(&self, tables: &mut Tables, source: SubmissionSource) -> Result<Option<ZoneIndex>, Refusal> {
+    fn allowed_zone(
+        &self,
+        interners: &mut Interners,
+        source: SubmissionSource,
+    ) -> Result<Option<ZoneIndex>, SubmissionError> {
         match &self.zone {
             None => Ok(None),
-            Some(name) if !is_name(name) => Err(Refusal::Malformed("yard")),
-            Some(name) if source == SubmissionSource::Record => Ok(Some(tables.zones.intern(name))),
-            Some(name) => Ok(Some(tables.zones.find(name).unwrap_or(ZoneIndex(u32::MAX)))),
+            Some(name) if !is_name(name) => Err(SubmissionError::Malformed("yard")),
+            Some(name) if source == SubmissionSource::Record => Ok(Some(interners.zones.intern(name))),
+            Some(name) => Ok(Some(interners.zones.find(name).unwrap_or(ZoneIndex(u32::MAX)))),
         }
     }
 }
--- a/src/protocol/names.rs
+++ b/src/protocol/names.rs
@@ -4,15 +4,15 @@
 
 /// Maps names to dense indices of one kind, and back.
 #[derive(Debug, Clone)]
-pub struct Names<K> {
+pub struct Interner<K> {
     names: Vec<String>,
     indices: HashMap<String, u32>,
     kind: PhantomData<K>,
 }
 
-impl<K> Default for Names<K> {
+impl<K> Default for Interner<K> {
     fn default() -> Self {
-        Names { names: Vec::new(), indices: HashMap::new(), kind: PhantomData }
+        Interner { names: Vec::new(), indices: HashMap::new(), kind: PhantomData }
     }
 }
 
@@ -32,7 +32,7 @@
 
         impl $name {
             /// The index as a position in a list.
-            pub fn at(self) -> usize {
+            pub fn as_usize(self) -> usize {
                 self.0 as usize
             }
         }
@@ -62,7 +62,7 @@
 
 pub(crate) use index_type;
 
-impl<K: From<u32>> Names<K> {
+impl<K: From<u32>> Interner<K> {
     /// The index of a name, which is added if it is new.
     pub fn intern(&mut self, name: &str) -> K {
         if let Some(&index) = self.indices.get(name) {
@@ -97,15 +97,15 @@
 
 /// The interners of one process, one for each kind of names.
 #[derive(Debug, Default, Clone)]
-pub struct Tables {
+pub struct Interners {
     /// Teams.
-    pub teams: Names<TeamIndex>,
+    pub teams: Interner<TeamIndex>,
     /// Classes of jobs.
-    pub classes: Names<ClassIndex>,
+    pub classes: Interner<ClassIndex>,
     /// Zones.
-    pub zones: Names<ZoneIndex>,
+    pub zones: Interner<ZoneIndex>,
     /// Machine types.
-    pub types: Names<MachineTypeIndex>,
+    pub types: Interner<MachineTypeIndex>,
     /// Images.
-    pub images: Names<ImageIndex>,
+    pub images: Interner<ImageIndex>,
 }
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -13,7 +13,7 @@
 
 /// What operators may set.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Time to live of the leader's grant, in ms.
     pub leader_ttl_ms: u64,
     /// How long a machine without tasks is kept, in seconds.
@@ -27,15 +27,21 @@
     pub use_spot: bool,
 }
 
-impl Default for Operator {
+impl Default for OperatorSettings {
     fn default() -> Self {
-        Operator { leader_ttl_ms: 2_500, idle_keep_s: 45.0, silent_return_s: None, max_machines: None, use_spot: true }
+        OperatorSettings {
+            leader_ttl_ms: 2_500,
+            idle_keep_s: 45.0,
+            silent_return_s: None,
+            max_machines: None,
+            use_spot: true,
+        }
     }
 }
 
 /// Why a file of operators' settings is refused.
 #[derive(Debug, thiserror::Error)]
-pub enum OperatorError {
+pub enum OperatorSettingsError {
     /// The file can't be read.
     #[error("{path}: {source}")]
     Read {
@@ -50,13 +56,13 @@
         /// Path of the file.
         path: String,
         /// What is wrong with the text.
-        source: InvalidOperator,
+        source: InvalidOperatorSettings,
     },
 }
 
 /// What is wrong with the text of operators' settings.
 #[derive(Debug, thiserror::Error)]
-pub enum InvalidOperator {
+pub enum InvalidOperatorSettings {
     /// The built-in schema can't be decoded.
     #[error(transparent)]
     Schema(#[from] prost_reflect::DescriptorError),
@@ -75,25 +81,26 @@
     LeaderTtl(u32),
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Reads a file of operators' settings.
-    pub fn load(path: &Path) -> Result<Operator, OperatorError> {
+    pub fn load(path: &Path) -> Result<OperatorSettings, OperatorSettingsError> {
         let shown = path.display().to_string();
-        let text = fs::read_to_string(path).map_err(|source| OperatorError::Read { path: shown.clone(), source })?;
-        Operator::parse(&text).map_err(|source| OperatorError::Form { path: shown, source })
+        let text =
+            fs::read_to_string(path).map_err(|source| OperatorSettingsError::Read { path: shown.clone(), source })?;
+        OperatorSettings::parse(&text).map_err(|source| OperatorSettingsError::Form { path: shown, source })
     }
 
     /// Parses operators' settings; what is not set has its default.
-    pub fn parse(text: &str) -> Result<Operator, InvalidOperator> {
+    pub fn parse(text: &str) -> Result<OperatorSettings, InvalidOperatorSettings> {
         let message = parse_message(text)?;
         let number = |name: &str| {
             let field = message.has_field_by_name(name).then(|| message.get_field_by_name(name)).flatten();
             field.and_then(|value| value.as_u32())
         };
-        let mut operator = Operator::default();
+        let mut operator = OperatorSettings::default();
         if let Some(ttl_ms) = number("leader_ttl_ms") {
             if !LEADER_TTL_MS.contains(&ttl_ms) {
-                return Err(InvalidOperator::LeaderTtl(ttl_ms));
+                return Err(InvalidOperatorSettings::LeaderTtl(ttl_ms));
             }
             operator.leader_ttl_ms = u64::from(ttl_ms);
         }
@@ -113,12 +120,13 @@
     }
 }
 
-fn parse_message(text: &str) -> Result<DynamicMessage, InvalidOperator> {
+fn parse_message(text: &str) -> Result<DynamicMessage, InvalidOperatorSettings> {
     let schema = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
     let pool = DescriptorPool::decode(&schema[..])?;
-    let descriptor = pool.get_message_by_name("shedhook.Operator").ok_or(InvalidOperator::SchemaWithoutOperator)?;
+    let descriptor =
+        pool.get_message_by_name("shedhook.Operator").ok_or(InvalidOperatorSettings::SchemaWithoutOperator)?;
     DynamicMessage::parse_text_format(descriptor, text)
-        .map_err(|error| InvalidOperator::Syntax(single_line(&error.to_string())))
+        .map_err(|error| InvalidOperatorSettings::Syntax(single_line(&error.to_string())))
 }
 
 #[cfg(test)]
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -37,7 +37,7 @@
     /// The clocks that it last received from its peers.
     pub echoes: Vec<Echo>,
     /// Milliseconds since the sender last renewed a worker's lease without leading.
-    pub no_renewal_ms: u64,
+    pub since_leaderless_renewal_ms: u64,
     /// From the leader: task counts of jobs that changed lately, for display.
     pub counts: Vec<Count>,
 }
@@ -101,7 +101,7 @@
 impl Gossip {
     /// The entry of `echoes` that announces which frame types the sender reads:
     /// it names no peer, so the first version ignores it.
-    pub fn reads_mark() -> Echo {
+    pub fn supported_frames_marker() -> Echo {
         Echo { of: String::new(), nonce: u64::from(NOTICE), clock_ms: 0 }
     }
 
@@ -161,11 +161,11 @@
 
 impl FrameOrder {
     /// Whether a frame is newer than all that were seen.
-    pub fn is_news(&mut self, gossip: &Gossip) -> bool {
+    pub fn is_newer(&mut self, gossip: &Gossip) -> bool {
         if gossip.nonce == self.nonce {
-            let is_news = gossip.count > self.count;
+            let is_newer = gossip.count > self.count;
             self.count = self.count.max(gossip.count);
-            return is_news;
+            return is_newer;
         }
         if self.earlier_starts.contains(&gossip.nonce) {
             return false;
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -12,7 +12,7 @@
 pub(super) use self::error::single_line;
 pub use self::{
     error::SettingsError,
-    limits::{CloudLimits, LimitPhase, NextLimits, ProcessLimits, StateLimits, StateRates},
+    limits::{CloudLimits, LimitPhase, NextLimits, ProcessLimits, StoreLimits, StoreRates},
     quota::{Objective, ObjectiveKind, Team},
     validation::{InvalidValue, Requirement},
 };
@@ -24,29 +24,29 @@
     pub label: String,
     /// Zone that it runs in.
     #[serde(rename = "domain")]
-    pub domain: String,
+    pub zone: String,
     /// Address for users, workers and health probes.
     pub client_listen: SocketAddr,
     /// Address for peers.
     pub cluster_listen: SocketAddr,
     /// The other controllers.
     #[serde(rename = "seeds", default)]
-    pub seeds: Vec<Seed>,
+    pub peer_settings: Vec<PeerSettings>,
     /// Addresses of the cloud and of the key-value store.
     #[serde(rename = "outside")]
-    pub outside: Outside,
+    pub service_addresses: ServiceAddresses,
     /// What is the same for all controllers.
-    pub cluster: Cluster,
+    pub cluster: ClusterSettings,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Seed {
+pub struct PeerSettings {
     /// Name of the controller.
     pub label: String,
     /// Zone that it runs in; empty if the file names none.
     #[serde(rename = "domain", default)]
-    pub domain: String,
+    pub zone: String,
     /// Address at which it listens for peers.
     #[serde(rename = "endpoint")]
     pub endpoint: SocketAddr,
@@ -54,7 +54,7 @@
 
 /// Addresses of the outside services.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Outside {
+pub struct ServiceAddresses {
     /// The cloud.
     pub cloud: SocketAddr,
     /// The key-value store.
@@ -63,7 +63,7 @@
 
 /// Settings of the whole cluster, the same for all controllers.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Cluster {
+pub struct ClusterSettings {
     /// Names of the zones.
     #[serde(default)]
     pub zones: Vec<String>,
@@ -79,14 +79,14 @@
     /// Times of the workers' interface.
     pub workers: WorkerSettings,
     /// Limits of the key-value store.
-    pub state: StateLimits,
+    pub state: StoreLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// Limits of each controller's process.
     pub limits: ProcessLimits,
 }
 
-impl Cluster {
+impl ClusterSettings {
     /// Whether nothing is guaranteed to this team, while something is to another.
     pub fn is_best_effort(&self, team: &str) -> bool {
         let mut guaranteed = self.teams.iter().filter(|known| known.has_guarantee()).peekable();
@@ -99,7 +99,7 @@
 pub struct WorkerSettings {
     /// Interval of a worker's heartbeats.
     #[serde(rename = "report_s")]
-    pub report_s: f64,
+    pub heartbeat_interval_s: f64,
     /// Duration of a worker's lease: without an answer for this long, it stops its tasks.
     pub lease_s: f64,
     /// How long a worker waits for the other members of a gang to start.
--- a/src/protocol/settings/limits.rs
+++ b/src/protocol/settings/limits.rs
@@ -4,7 +4,7 @@
 
 /// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateLimits {
+pub struct StoreLimits {
     /// Requests per second.
     pub rps: f64,
     /// Writes per second.
@@ -18,7 +18,7 @@
     pub next: Option<NextLimits>,
 }
 
-/// Limits that will replace those of [`StateLimits`]; None: unchanged.
+/// Limits that will replace those of [`StoreLimits`]; None: unchanged.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextLimits {
     /// Requests per second.
@@ -36,20 +36,20 @@
 pub enum LimitPhase {
     /// Those in force at the start.
     Current,
-    /// Those of [`StateLimits::next`], as far as they are lower.
+    /// Those of [`StoreLimits::next`], as far as they are lower.
     Lowered,
 }
 
 /// The key-value store's limits per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StateRates {
+pub struct StoreRates {
     /// Requests of any kind.
     pub requests: f64,
     /// Writes.
     pub writes: f64,
 }
 
-impl StateLimits {
+impl StoreLimits {
     fn lower(&self, next: fn(&NextLimits) -> Option<f64>, current: f64) -> f64 {
         self.next.as_ref().and_then(next).map_or(current, |next| next.min(current))
     }
@@ -68,10 +68,10 @@
     }
 
     /// The rates that are allowed in a phase.
-    pub fn rates(&self, phase: LimitPhase) -> StateRates {
+    pub fn rates(&self, phase: LimitPhase) -> StoreRates {
         match phase {
-            LimitPhase::Current => StateRates { requests: self.rps, writes: self.write_rps },
-            LimitPhase::Lowered => StateRates {
+            LimitPhase::Current => StoreRates { requests: self.rps, writes: self.write_rps },
+            LimitPhase::Lowered => StoreRates {
                 requests: self.lower(|next| next.rps, self.rps),
                 writes: self.lower(|next| next.write_rps, self.write_rps),
             },
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use super::{Cluster, NextLimits, Settings, Team};
+use super::{ClusterSettings, NextLimits, Settings, Team};
 
 /// Seconds by which `cancel_s` must exceed `lease_s`. With less, no lease could
 /// be renewed without outliving a cancellation.
@@ -88,10 +88,10 @@
     }
 }
 
-impl Cluster {
+impl ClusterSettings {
     fn validate(&self) -> Result<(), InvalidValue> {
         let workers = &self.workers;
-        require_positive("cluster.workers.report_s", workers.report_s)?;
+        require_positive("cluster.workers.report_s", workers.heartbeat_interval_s)?;
         require_positive("cluster.workers.lease_s", workers.lease_s)?;
         require_positive("cluster.workers.gang_wait_s", workers.gang_wait_s)?;
         require_positive("cluster.workers.gang_peer_s", workers.gang_peer_s)?;
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -20,7 +20,7 @@
 /// One write of a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 #[serde(untagged)]
-pub enum Op {
+pub enum WriteOperation {
     /// Sets the value of a key. On the wire an operation with `write`.
     Put {
         /// The key. On the wire: `write`.
@@ -28,11 +28,11 @@
         key: String,
         /// The new value.
         #[serde(rename = "v")]
-        v: Value,
+        value: Value,
         /// The grant that the key is attached to, if any: the key is removed when
         /// the grant expires or is revoked.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
-        permit: Option<GrantId>,
+        grant: Option<GrantId>,
     },
     /// Removes a key. On the wire an operation with `drop`.
     Delete {
@@ -44,12 +44,12 @@
 
 /// Writes that are applied together, if all conditions hold.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Default)]
-pub struct Txn {
+pub struct Transaction {
     /// All must hold for any write to be applied. On the wire: `if`.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
     /// The writes, applied together.
-    pub writes: Vec<Op>,
+    pub writes: Vec<WriteOperation>,
 }
 
 /// The answer to a transaction: the revision of the store after it.
@@ -74,25 +74,25 @@
 
 /// A key with its value.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct Pair {
+pub struct KeyValue {
     /// The key.
     pub key: String,
     /// Its value.
     #[serde(rename = "v")]
-    pub v: Value,
+    pub value: Value,
     /// Revision of the key's last write.
     #[serde(rename = "stamp")]
     pub revision: Revision,
     /// The grant that the key is attached to; `None`: it is attached to none.
     #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
-    pub permit: Option<GrantId>,
+    pub grant: Option<GrantId>,
 }
 
 /// A part of a listing, in the order of the keys.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Page {
     /// The keys with their values.
-    pub pairs: Vec<Pair>,
+    pub pairs: Vec<KeyValue>,
     /// Whether more keys follow after the last one.
     #[serde(default)]
     pub truncated: bool,
@@ -103,10 +103,10 @@
 
 /// The answer to a request for a grant.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct Permit {
+pub struct GrantResponse {
     /// The new grant.
     #[serde(rename = "permit")]
-    pub permit: GrantId,
+    pub grant: GrantId,
 }
 
 /// Asks for a grant, which expires unless it is renewed within its time to live.
@@ -139,7 +139,7 @@
     pub drop: Option<String>,
     /// The value that was written; `None` for a removal.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
-    pub v: Option<Value>,
+    pub value: Option<Value>,
     /// Revision of the change.
     #[serde(rename = "stamp")]
     pub revision: Revision,
--- a/src/protocol/tests/jobs.rs
+++ b/src/protocol/tests/jobs.rs
@@ -1,7 +1,7 @@
 use ciborium::{cbor, Value};
 
 use super::*;
-use crate::protocol::{cbor, names::Tables};
+use crate::protocol::{cbor, names::Interners};
 
 /// A valid submission of a gang that needs GPUs.
 pub fn sample() -> Value {
@@ -74,21 +74,21 @@
     ];
     for (field, v, want) in cases {
         let shown = format!("{field} = {v:?}");
-        let mut tables = Tables::default();
-        tables.teams.intern("vision");
-        tables.types.intern("g8");
+        let mut interners = Interners::default();
+        interners.teams.intern("vision");
+        interners.types.intern("g8");
         let got = match cbor::decode::<Submission>(&with(field, v)) {
             Err(_) => Want::Bad,
-            Ok(s) => match s.validate(&mut tables, SubmissionSource::User) {
+            Ok(s) => match s.validate(&mut interners, SubmissionSource::User) {
                 Ok(_) => Want::Fine,
-                Err(Refusal::Malformed(_)) => Want::Bad,
-                Err(Refusal::NeverRuns(_)) => Want::Never,
+                Err(SubmissionError::Malformed(_)) => Want::Bad,
+                Err(SubmissionError::Infeasible(_)) => Want::Never,
             },
         };
         assert_eq!(got, want, "{shown}");
     }
     for bytes in [&b""[..], b"\xff\xff", b"\x01", b"\x80"] {
         let s = cbor::decode::<Submission>(bytes);
-        assert!(!s.is_ok_and(|s| s.validate(&mut Tables::default(), SubmissionSource::User).is_ok()), "{bytes:?}");
+        assert!(!s.is_ok_and(|s| s.validate(&mut Interners::default(), SubmissionSource::User).is_ok()), "{bytes:?}");
     }
 }
--- a/src/protocol/tests/peers.rs
+++ b/src/protocol/tests/peers.rs
@@ -14,7 +14,7 @@
         commits_used: 1.0,
         clock_ms: 40,
         echoes: vec![Echo { of: "b".into(), nonce: 9, clock_ms: 17 }],
-        no_renewal_ms: 12,
+        since_leaderless_renewal_ms: 12,
         counts: vec![Count { job: "j-1".into(), done: 2, running: 3 }],
     }
 }
@@ -44,7 +44,7 @@
 fn who_reads_notices() {
     let mut g = gossip(7, 1);
     assert!(!g.reads_notices());
-    g.echoes.push(Gossip::reads_mark());
+    g.echoes.push(Gossip::supported_frames_marker());
     assert!(g.reads_notices());
     assert_eq!(g.echoes.iter().filter(|e| !e.of.is_empty()).count(), 1);
 }
@@ -57,6 +57,6 @@
     for (nonce, count, news) in
         [(5, 1, true), (5, 3, true), (5, 2, false), (5, 3, false), (6, 1, true), (5, 4, false), (6, 2, true)]
     {
-        assert_eq!(o.is_news(&gossip(nonce, count)), news, "{nonce} {count}");
+        assert_eq!(o.is_newer(&gossip(nonce, count)), news, "{nonce} {count}");
     }
 }
--- a/src/protocol/tests/settings.rs
+++ b/src/protocol/tests/settings.rs
@@ -1,4 +1,4 @@
-use super::{LimitPhase, ObjectiveKind, Settings, StateRates};
+use super::{LimitPhase, ObjectiveKind, Settings, StoreRates};
 
 /// A settings file with a field that is unknown.
 pub const SAMPLE: &str = r#"
@@ -90,7 +90,7 @@
 
 #[test]
 fn the_smaller_of_both_limits() {
-    let rates = |requests, writes| StateRates { requests, writes };
+    let rates = |requests, writes| StoreRates { requests, writes };
     // (next, value, operations, rates later)
     let cases = [
         ("", 16.0, 24, rates(100.0, 30.0)),
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -35,7 +35,7 @@
     pub token: FencingToken,
     /// For a spot machine that is being reclaimed: seconds until it is taken away.
     #[serde(rename = "warningS", default, deserialize_with = "optional_number")]
-    pub notice_s: Option<f64>,
+    pub reclaim_notice_s: Option<f64>,
     /// Attempts on the machine, also ended ones that are not reaped yet. On the wire: `pieces`.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
@@ -104,7 +104,7 @@
     Error,
     /// Not started: the machine lacks free resources. On the wire: `full`.
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientResources,
     /// Not started: another attempt of the task is on the machine.
     #[serde(rename = "busy")]
     Busy,
@@ -157,7 +157,7 @@
 
 impl WorkerCommand {
     /// Whether both orders stop the same attempt, whatever the grace period.
-    pub fn same_halt(&self, other: &WorkerCommand) -> bool {
+    pub fn stops_same_attempt(&self, other: &WorkerCommand) -> bool {
         match (self, other) {
             (
                 WorkerCommand::Halt { task, attempt, .. },
@@ -198,7 +198,7 @@
 pub struct Redirect<'a> {
     /// Label of the leader; None if no leader is known. On the wire: `boss`.
     #[serde(rename = "boss", skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<&'a str>,
+    pub leader: Option<&'a str>,
 }
 
 /// Splits the name of a task, such as `j-000412/3`, into its job and number.
--- a/src/storage/job_cache/dependencies.rs
+++ b/src/storage/job_cache/dependencies.rs
@@ -108,7 +108,7 @@
     }
 
     fn dependencies_mut(&mut self, index: JobIndex) -> &mut Dependencies {
-        let entry = &mut self.jobs[index.at()];
+        let entry = &mut self.jobs[index.as_usize()];
         entry.dependencies.get_or_insert_with(|| Box::new(Dependencies::new(entry.at_ms, entry.spec.as_deref())))
     }
 
@@ -118,7 +118,7 @@
         let needs_cancelled = self.is_pending(index) && self.link_prereqs(index, prereqs);
         self.link_waiting_dependents(index);
         if needs_cancelled {
-            let entry = &mut self.jobs[index.at()];
+            let entry = &mut self.jobs[index.as_usize()];
             entry.status = JobStatus::Cancelled;
             entry.record = None;
         } else if self.get(index).dependencies.is_some() && self.is_pending(index) {
@@ -198,7 +198,7 @@
     /// A job's end is recorded: dependents that waited for it alone may start.
     pub(super) fn release_dependents(&mut self, index: JobIndex) {
         let end_ms = self.get(index).at_ms;
-        let Some(ended) = self.jobs[index.at()].dependencies.take() else { return };
+        let Some(ended) = self.jobs[index.as_usize()].dependencies.take() else { return };
         for dependent in ended.dependents {
             if !self.is_pending(dependent) {
                 continue;
@@ -218,9 +218,9 @@
     pub(super) fn cancel_dependents(&mut self, index: JobIndex) {
         let mut stack = vec![index];
         while let Some(cancelled) = stack.pop() {
-            let Some(dependencies) = self.jobs[cancelled.at()].dependencies.take() else { continue };
+            let Some(dependencies) = self.jobs[cancelled.as_usize()].dependencies.take() else { continue };
             for dependent in dependencies.dependents {
-                let entry = &mut self.jobs[dependent.at()];
+                let entry = &mut self.jobs[dependent.as_usize()];
                 if entry.status != JobStatus::Pending {
                     continue;
                 }
--- a/src/storage/job_cache/mod.rs
+++ b/src/storage/job_cache/mod.rs
@@ -11,11 +11,11 @@
 use ciborium::Value;
 
 use self::dependencies::Dependencies;
-use super::records::{job_key, to_value, JobRecord, JobStatus, JOBS};
+use super::records::{job_key, to_value, JobRecord, JobStatus, JOB_KEY_PREFIX};
 use crate::protocol::{
     ids::Revision,
-    jobs::{JobSpec, Kind, SubmissionSource},
-    names::{index_type, Tables},
+    jobs::{JobKind, JobSpec, SubmissionSource},
+    names::{index_type, Interners},
     store::{Changes, Page},
 };
 
@@ -102,7 +102,7 @@
 
     /// The entry of a known job.
     pub fn get(&self, index: JobIndex) -> &JobEntry {
-        &self.jobs[index.at()]
+        &self.jobs[index.as_usize()]
     }
 
     /// Number of known jobs.
@@ -124,14 +124,14 @@
     pub fn take_changed(&mut self) -> Vec<JobIndex> {
         let changed = std::mem::take(&mut self.changed);
         for index in &changed {
-            self.jobs[index.at()].is_listed_as_changed = false;
+            self.jobs[index.as_usize()].is_listed_as_changed = false;
         }
         changed
     }
 
     /// Whether the job is a service, as far as its specification is known.
     pub fn is_service(&self, index: JobIndex) -> bool {
-        self.get(index).spec.as_ref().is_some_and(|spec| spec.kind == Kind::Service)
+        self.get(index).spec.as_ref().is_some_and(|spec| spec.kind == JobKind::Service)
     }
 
     fn is_pending(&self, index: JobIndex) -> bool {
@@ -139,16 +139,16 @@
     }
 
     fn note_changed(&mut self, index: JobIndex) {
-        let entry = &mut self.jobs[index.at()];
+        let entry = &mut self.jobs[index.as_usize()];
         if !std::mem::replace(&mut entry.is_listed_as_changed, true) {
             self.changed.push(index);
         }
     }
 
     /// Takes the leader's task counts, for display.
-    pub fn show(&mut self, id: &str, done: u32, running: u32) {
+    pub fn set_progress(&mut self, id: &str, done: u32, running: u32) {
         if let Some(index) = self.find(id) {
-            let entry = &mut self.jobs[index.at()];
+            let entry = &mut self.jobs[index.as_usize()];
             entry.done = done.min(entry.tasks);
             entry.running = running.min(entry.tasks);
         }
@@ -157,12 +157,12 @@
     /// Takes one page of the first read. Changes are watched from the first
     /// page's revision on: what later pages show besides is applied twice,
     /// which does no harm.
-    pub fn page(&mut self, page: &Page, first: bool, tables: &mut Tables) {
+    pub fn apply_page(&mut self, page: &Page, first: bool, interners: &mut Interners) {
         if first {
             self.store_revision = page.store_revision;
         }
         for pair in &page.pairs {
-            self.put(&pair.key, &pair.v, pair.revision, tables);
+            self.put(&pair.key, &pair.value, pair.revision, interners);
         }
         if !page.truncated {
             self.loaded = true;
@@ -170,10 +170,10 @@
     }
 
     /// Takes the answer to a read of changes.
-    pub fn apply(&mut self, changes: &Changes, tables: &mut Tables) {
+    pub fn apply_changes(&mut self, changes: &Changes, interners: &mut Interners) {
         for change in &changes.events {
-            if let (Some(key), Some(value)) = (&change.write, &change.v) {
-                self.put(key, value, change.revision, tables);
+            if let (Some(key), Some(value)) = (&change.write, &change.value) {
+                self.put(key, value, change.revision, interners);
             }
         }
         // Two reads may be in flight; the older answer must not lower the revision.
@@ -182,11 +182,11 @@
 
     /// Another controller told a user that a job is cancelled: its record has
     /// this revision, whether it was read here yet or not.
-    pub fn cancelled_elsewhere(&mut self, id: &str, revision: Revision, tables: &mut Tables) {
-        let Some(entry) = self.find(id).map(|index| &self.jobs[index.at()]) else { return };
+    pub fn apply_peer_cancellation(&mut self, id: &str, revision: Revision, interners: &mut Interners) {
+        let Some(entry) = self.find(id).map(|index| &self.jobs[index.as_usize()]) else { return };
         let Some(record) = entry.record.clone().filter(|_| entry.status == JobStatus::Pending) else { return };
         let record = JobRecord { status: JobStatus::Cancelled, ..(*record).clone() };
-        self.put(&job_key(id), &to_value(&record), revision, tables);
+        self.put(&job_key(id), &to_value(&record), revision, interners);
     }
 
     /// The changes asked for are no longer kept: everything must be read again.
@@ -195,8 +195,8 @@
     }
 
     /// Takes one record; keys that are no job's and older revisions are ignored.
-    pub fn put(&mut self, key: &str, value: &Value, revision: Revision, tables: &mut Tables) -> Option<JobIndex> {
-        let id = key.strip_prefix(JOBS)?;
+    pub fn put(&mut self, key: &str, value: &Value, revision: Revision, interners: &mut Interners) -> Option<JobIndex> {
+        let id = key.strip_prefix(JOB_KEY_PREFIX)?;
         let known = self.find(id);
         if known.is_some_and(|index| self.get(index).revision >= revision) {
             return known;
@@ -211,7 +211,7 @@
         let index = known.unwrap_or_else(|| self.insert(id, &record));
         let was_pending = self.is_pending(index);
         let prereqs = if known.is_none() { record.submission.prereqs().to_vec() } else { Vec::new() };
-        self.update(index, record, revision, tables);
+        self.update(index, record, revision, interners);
         self.note_changed(index);
         if known.is_none() {
             self.link(index, prereqs);
@@ -234,8 +234,8 @@
         index
     }
 
-    fn update(&mut self, index: JobIndex, record: JobRecord, revision: Revision, tables: &mut Tables) {
-        let entry = &mut self.jobs[index.at()];
+    fn update(&mut self, index: JobIndex, record: JobRecord, revision: Revision, interners: &mut Interners) {
+        let entry = &mut self.jobs[index.as_usize()];
         // Guard: done and cancelled are final, so no later record turns them
         // back; nor does a pending record of a job that needs a cancelled one.
         if entry.status == JobStatus::Pending {
@@ -245,7 +245,7 @@
         // A leader may have resharded its tasks.
         entry.chunk = record.chunk.max(1);
         if entry.status != JobStatus::Done && entry.spec.is_none() {
-            match record.submission.validate(tables, SubmissionSource::Record) {
+            match record.submission.validate(interners, SubmissionSource::Record) {
                 Ok(spec) => entry.spec = Some(Rc::new(spec)),
                 Err(error) if entry.status == JobStatus::Pending => {
                     tracing::error!(job = &*entry.id, %error, "invalid job record");
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -6,5 +6,3 @@
 pub mod read_barrier;
 pub mod records;
 pub mod versions;
-
-pub use self::rate_limit as budget;
--- a/src/storage/rate_limit.rs
+++ b/src/storage/rate_limit.rs
@@ -7,8 +7,8 @@
 mod token_bucket;
 
 pub use self::{
-    allotment::{share, BudgetRole},
-    token_bucket::{Budget, RateLimited, Urgency},
+    allotment::{allotted_rate, LimitUser},
+    token_bucket::{RateLimited, RateLimiter, Urgency},
 };
 
 #[cfg(test)]
--- a/src/storage/rate_limit/allotment.rs
+++ b/src/storage/rate_limit/allotment.rs
@@ -13,7 +13,7 @@
 
 /// Who uses a part of a limit that all controllers share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BudgetRole {
+pub enum LimitUser {
     /// The leader's own work.
     Leader,
     /// Users' requests at one of so many controllers.
@@ -25,10 +25,10 @@
 ///
 /// `others` is what each of the other users uses per second, or `None` for a
 /// controller that was not heard lately, which is assumed to use its whole share.
-pub fn share(limit: f64, part: BudgetRole, others: &[Option<f64>]) -> f64 {
+pub fn allotted_rate(limit: f64, part: LimitUser, others: &[Option<f64>]) -> f64 {
     let guaranteed = match part {
-        BudgetRole::Leader => LEADER_SHARE,
-        BudgetRole::Users(controllers) => USERS_SHARE / controllers.max(1) as f64,
+        LimitUser::Leader => LEADER_SHARE,
+        LimitUser::Users(controllers) => USERS_SHARE / controllers.max(1) as f64,
     };
     let assumed_when_silent = limit * USERS_SHARE / (others.len() + 1) as f64;
     let used: f64 =
--- a/src/storage/rate_limit/token_bucket.rs
+++ b/src/storage/rate_limit/token_bucket.rs
@@ -51,7 +51,7 @@
 
 /// A token bucket. Times are in ms on the steady clock.
 #[derive(Debug, Clone)]
-pub struct Budget {
+pub struct RateLimiter {
     /// Tokens per second.
     rate: f64,
     /// Most tokens that the bucket holds.
@@ -68,10 +68,10 @@
     used: f64,
 }
 
-impl Budget {
+impl RateLimiter {
     /// A full bucket: `rate` tokens per second, at most `burst` at once.
-    pub fn new(rate: f64, burst: f64) -> Budget {
-        Budget { rate, burst, level: burst, filled_at: 0, spent: 0.0, spent_since: 0, used: 0.0 }
+    pub fn new(rate: f64, burst: f64) -> RateLimiter {
+        RateLimiter { rate, burst, level: burst, filled_at: 0, spent: 0.0, spent_since: 0, used: 0.0 }
     }
 
     /// The moving average of what was taken per second, measured up to `now`.
--- a/src/storage/read_barrier.rs
+++ b/src/storage/read_barrier.rs
@@ -33,7 +33,7 @@
 
 impl<W> ReadBarrier<W> {
     /// Adds a request.
-    pub fn join(&mut self, now: u64, waiter: W) {
+    pub fn enqueue(&mut self, now: u64, waiter: W) {
         self.queued_waiters.push(Queued { since: now, waiter });
     }
 
@@ -53,26 +53,26 @@
     }
 
     /// Whether a read should be sent now. The caller must then call
-    /// [`sent`](Self::sent), and [`ended`](Self::ended) when the read is over.
-    pub fn due(&self, now: u64) -> bool {
+    /// [`read_sent`](Self::read_sent), and [`read_finished`](Self::read_finished) when the read is over.
+    pub fn is_read_due(&self, now: u64) -> bool {
         !self.in_flight && !self.queued_waiters.is_empty() && now >= self.not_before
     }
 
     /// A read was sent for all queued requests; the next one keeps a gap of `gap_ms`.
-    pub fn sent(&mut self, now: u64, gap_ms: u64) {
+    pub fn read_sent(&mut self, now: u64, gap_ms: u64) {
         self.in_flight = true;
         self.not_before = now + gap_ms;
         self.in_flight_waiters = std::mem::take(&mut self.queued_waiters);
     }
 
     /// The read is over: returns the requests that it was sent for.
-    pub fn ended(&mut self) -> Vec<W> {
+    pub fn read_finished(&mut self) -> Vec<W> {
         self.in_flight = false;
         std::mem::take(&mut self.in_flight_waiters).into_iter().map(|queued| queued.waiter).collect()
     }
 
     /// Removes and returns the requests that have waited longer than `max_ms`.
-    pub fn overdue(&mut self, now: u64, max_ms: u64) -> Vec<W> {
+    pub fn take_overdue(&mut self, now: u64, max_ms: u64) -> Vec<W> {
         let mut overdue = Vec::new();
         for list in [&mut self.queued_waiters, &mut self.in_flight_waiters] {
             for queued in std::mem::take(list) {
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -17,7 +17,7 @@
 pub use self::{
     chunk::{chunk_size, is_done, pack_done, AssignmentRecord, ChunkRecord},
     json_size::json_size,
-    keys::{chunk_key, job_key, renewal_key, split_chunk_key, JOBS, LEADER, TASKS},
+    keys::{chunk_key, job_key, renewal_key, split_chunk_key, CHUNK_KEY_PREFIX, JOB_KEY_PREFIX, LEADER_KEY},
 };
 use crate::protocol::jobs::Submission;
 
--- a/src/storage/tests/job_cache.rs
+++ b/src/storage/tests/job_cache.rs
@@ -8,7 +8,7 @@
 }
 
 fn change(status: JobStatus, revision: Revision) -> Changes {
-    let c = Change { write: Some(job_key("j-000412")), drop: None, v: Some(record(status)), revision };
+    let c = Change { write: Some(job_key("j-000412")), drop: None, value: Some(record(status)), revision };
     Changes { store_revision: revision, events: vec![c] }
 }
 
@@ -24,10 +24,10 @@
     ];
     for (n, case) in cases.iter().enumerate() {
         let mut m = JobCache::default();
-        let mut t = Tables::default();
+        let mut t = Interners::default();
         let mut top = 0;
         for (status, revision, want) in *case {
-            m.apply(&change(*status, Revision(*revision)), &mut t);
+            m.apply_changes(&change(*status, Revision(*revision)), &mut t);
             top = top.max(*revision);
             let index = m.find("j-000412").expect("known");
             assert_eq!(m.get(index).status, *want, "case {n}");
@@ -51,15 +51,15 @@
         (None, 7, None, None),
     ];
     for (n, (before, told_stamp, after, want)) in cases.into_iter().enumerate() {
-        let (mut m, mut t) = (JobCache::default(), Tables::default());
-        let read = |m: &mut JobCache, t: &mut Tables, r: Option<(JobStatus, u64)>| {
+        let (mut m, mut t) = (JobCache::default(), Interners::default());
+        let read = |m: &mut JobCache, t: &mut Interners, r: Option<(JobStatus, u64)>| {
             if let Some((status, revision)) = r {
-                m.apply(&change(status, Revision(revision)), t);
+                m.apply_changes(&change(status, Revision(revision)), t);
             }
         };
         read(&mut m, &mut t, before);
         m.take_changed();
-        m.cancelled_elsewhere("j-000412", Revision(told_stamp), &mut t);
+        m.apply_peer_cancellation("j-000412", Revision(told_stamp), &mut t);
         let first = matches!(before, Some((Pending, _)));
         assert_eq!(m.take_changed().len(), usize::from(first), "case {n}: the leader is told once");
         read(&mut m, &mut t, after);
@@ -70,6 +70,6 @@
 #[test]
 fn a_record_that_cannot_be_read_is_left_out() {
     let mut m = JobCache::default();
-    assert_eq!(m.put("j/j-1", &Value::Text("?".into()), Revision(3), &mut Tables::default()), None);
+    assert_eq!(m.put("j/j-1", &Value::Text("?".into()), Revision(3), &mut Interners::default()), None);
     assert!(m.is_empty());
 }
--- a/src/storage/tests/rate_limit.rs
+++ b/src/storage/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-use super::{share, Budget, BudgetRole, RateLimited, Urgency};
+use super::{allotted_rate, LimitUser, RateLimited, RateLimiter, Urgency};
 
 #[test]
 fn budget_table() {
@@ -16,17 +16,17 @@
         (100_000, 50.0, Urgency::Commit, true), // more than the bucket: from a full one
         (100_000, 1.0, Urgency::Cancel, false),
     ];
-    let mut bucket = Budget::new(10.0, 10.0);
+    let mut bucket = RateLimiter::new(10.0, 10.0);
     for (number, (at, amount, urgency, want)) in cases.into_iter().enumerate() {
         assert_eq!(bucket.take(at, amount, urgency).is_ok(), want, "case {number}");
     }
     // Guard: a swarm of submissions of a team without a guarantee had those of
     // the other teams refused.
-    let mut bucket = Budget::new(10.0, 10.0);
+    let mut bucket = RateLimiter::new(10.0, 10.0);
     let taken = (0..20).filter(|_| bucket.take(0, 1.0, Urgency::BestEffortSubmit).is_ok()).count();
     assert_eq!(taken, 7);
     assert!((0..1).all(|_| bucket.take(0, 1.0, Urgency::Submit).is_ok()), "the rest is left to the others");
-    let mut bucket = Budget::new(10.0, 10.0);
+    let mut bucket = RateLimiter::new(10.0, 10.0);
     bucket.refused(0);
     assert_eq!(bucket.take(0, 1.0, Urgency::Cancel), Err(RateLimited { retry_after_ms: 100 }));
 }
@@ -36,21 +36,21 @@
 #[test]
 fn shares_follow_need() {
     let (idle, silent) = (Some(0.0), None);
-    let (leader, users) = (BudgetRole::Leader, BudgetRole::Users(5));
+    let (leader, users) = (LimitUser::Leader, LimitUser::Users(5));
     // (part, others, at least, at most), of a limit of 100
-    let cases: [(BudgetRole, &[Option<f64>], f64, f64); 6] = [
+    let cases: [(LimitUser, &[Option<f64>], f64, f64); 6] = [
         (leader, &[idle; 4], 90.0, 95.0),
         (leader, &[silent; 4], 70.0, 72.0),
         (leader, &[Some(30.0); 4], 50.0, 50.0),
         (users, &[Some(60.0), idle, idle, idle], 30.0, 35.0),
         (users, &[Some(95.0), idle, idle, idle], 6.0, 6.0),
-        (BudgetRole::Users(1), &[], 90.0, 95.0),
+        (LimitUser::Users(1), &[], 90.0, 95.0),
     ];
     for (part, others, least, most) in cases {
-        let got = share(100.0, part, others);
+        let got = allotted_rate(100.0, part, others);
         assert!((least..=most).contains(&got), "{part:?} {others:?}: {got}");
     }
-    let mut bucket = Budget::new(100.0, 100.0);
+    let mut bucket = RateLimiter::new(100.0, 100.0);
     for ms in 0..50 {
         let _ = bucket.take(ms * 100, 2.0, Urgency::Submit);
         bucket.used(ms * 100);
--- a/src/storage/tests/versions.rs
+++ b/src/storage/tests/versions.rs
@@ -1,10 +1,10 @@
 use ciborium::Value;
 
-use super::{Evidence, VersionRecord, VERSION};
+use super::{VersionEvidence, VersionRecord, VERSION};
 use crate::{
     protocol::{
         ids::Revision,
-        store::{Page, Pair},
+        store::{KeyValue, Page},
     },
     storage::records::to_value,
 };
@@ -30,10 +30,10 @@
         (vec![vec![("version/a", new()), ("version/b/x", new())]], false),
     ];
     for (number, (pages, want)) in cases.into_iter().enumerate() {
-        let mut evidence = Evidence::new(["a", "b"].into_iter());
+        let mut evidence = VersionEvidence::new(["a", "b"].into_iter());
         for keys in pages {
-            let pair = |(k, v): (&str, Value)| Pair { key: k.into(), v, revision: Revision(3), permit: None };
-            evidence.saw(&Page {
+            let pair = |(k, v): (&str, Value)| KeyValue { key: k.into(), value: v, revision: Revision(3), grant: None };
+            evidence.record_listing(&Page {
                 pairs: keys.into_iter().map(pair).collect(),
                 truncated: false,
                 store_revision: Revision(9),
--- a/src/storage/versions.rs
+++ b/src/storage/versions.rs
@@ -12,13 +12,13 @@
 use crate::protocol::store::Page;
 
 /// Prefix of the version keys.
-pub const VERSIONS: &str = "version/";
+pub const VERSION_KEY_PREFIX: &str = "version/";
 /// This version. 2 is the first with job dependencies; older ones write no key.
 pub const VERSION: u64 = 2;
 
 /// The version key of a controller.
 pub fn version_key(label: &str) -> String {
-    format!("{VERSIONS}{label}")
+    format!("{VERSION_KEY_PREFIX}{label}")
 }
 
 /// Value of a version key.
@@ -35,29 +35,29 @@
 /// Evidence that no controller runs an older version: a controller whose key was
 /// read has been upgraded, and is not rolled back while the key exists.
 #[derive(Debug, Default)]
-pub struct Evidence {
+pub struct VersionEvidence {
     /// Labels of all controllers.
     labels: BTreeSet<String>,
     /// Labels of those not known to run this version.
     missing: BTreeSet<String>,
 }
 
-impl Evidence {
+impl VersionEvidence {
     /// No evidence yet about the controllers with these labels.
-    pub fn new<'a>(labels: impl Iterator<Item = &'a str>) -> Evidence {
+    pub fn new<'a>(labels: impl Iterator<Item = &'a str>) -> VersionEvidence {
         let labels: BTreeSet<String> = labels.map(str::to_owned).collect();
-        Evidence { missing: labels.clone(), labels }
+        VersionEvidence { missing: labels.clone(), labels }
     }
 
     /// Takes a complete listing of the version keys.
     ///
     /// Guard: a controller that can't be reached might run an older version, so
     /// only keys that were read count as evidence.
-    pub fn saw(&mut self, page: &Page) {
+    pub fn record_listing(&mut self, page: &Page) {
         self.missing = self.labels.clone();
         for pair in &page.pairs {
-            let Some(label) = pair.key.strip_prefix(VERSIONS) else { continue };
-            if pair.v.deserialized::<VersionRecord>().is_ok_and(|record| record.version >= VERSION) {
+            let Some(label) = pair.key.strip_prefix(VERSION_KEY_PREFIX) else { continue };
+            if pair.value.deserialized::<VersionRecord>().is_ok_and(|record| record.version >= VERSION) {
                 self.missing.remove(label);
             }
         }
@@ -69,7 +69,7 @@
     }
 
     /// Number of controllers not known to run this version.
-    pub fn missing(&self) -> usize {
+    pub fn missing_count(&self) -> usize {
         self.missing.len()
     }
 }
--- a/src/transport/descriptors.rs
+++ b/src/transport/descriptors.rs
@@ -19,7 +19,7 @@
 ///
 /// Guard: the usual soft limit of 1,024 is below the sockets that a controller
 /// of a large fleet is allowed; beyond it, connections of workers would fail.
-pub fn allow_descriptors(sockets: usize) -> DescriptorLimit {
+pub fn raise_descriptor_limit(sockets: usize) -> DescriptorLimit {
     let needed = sockets as u64 + OTHER_DESCRIPTORS;
     let limit = getrlimit(Resource::Nofile);
     // `None`: there is no limit.
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -8,4 +8,4 @@
 pub mod net;
 
 pub use http::{Method, Reply, Request};
-pub use net::{Call, CallError, ConnId, Event, Limits, ListenerKind, Net};
+pub use net::{Call, CallError, ConnectionId, Event, Limits, ListenerKind, Net};
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -21,7 +21,7 @@
 use calloop::{EventLoop, LoopHandle};
 
 pub use self::{
-    connection::ConnId,
+    connection::ConnectionId,
     event::Event,
     limits::Limits,
     outgoing::{Call, CallError},
@@ -43,8 +43,8 @@
     handle: LoopHandle<'static, Net>,
     start: Instant,
     limits: Limits,
-    connections: HashMap<ConnId, Connection>,
-    next_id: ConnId,
+    connections: HashMap<ConnectionId, Connection>,
+    next_id: ConnectionId,
     /// Idle connections to services.
     pool: ConnectionPool,
     /// Links to peers, by number.
@@ -66,7 +66,7 @@
             start: Instant::now(),
             limits,
             connections: HashMap::new(),
-            next_id: ConnId::FIRST,
+            next_id: ConnectionId::FIRST,
             pool: ConnectionPool::default(),
             links: Vec::new(),
             events: VecDeque::new(),
@@ -82,7 +82,7 @@
     }
 
     /// The next event that was queued.
-    pub fn pop(&mut self) -> Option<Event> {
+    pub fn next_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
@@ -109,7 +109,7 @@
     /// waits in its sockets is old, and its senders have given up: requests and
     /// frames are dropped, and calls count as unanswered.
     pub fn drop_stale_io(&mut self) {
-        let ids: Vec<ConnId> = self.connections.keys().copied().collect();
+        let ids: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for id in ids {
             self.close(id);
         }
@@ -131,7 +131,7 @@
             return;
         }
         self.next_sweep = now + SWEEP_INTERVAL_MS;
-        let late: Vec<ConnId> = self
+        let late: Vec<ConnectionId> = self
             .connections
             .iter()
             .filter(|(_, connection)| match connection.role {
--- a/src/transport/net/connection.rs
+++ b/src/transport/net/connection.rs
@@ -10,13 +10,13 @@
 
 /// Identifies a connection for the life of the process; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ConnId(u64);
+pub struct ConnectionId(u64);
 
-impl ConnId {
-    pub(super) const FIRST: ConnId = ConnId(1);
+impl ConnectionId {
+    pub(super) const FIRST: ConnectionId = ConnectionId(1);
 
-    pub(super) fn next(self) -> ConnId {
-        ConnId(self.0 + 1)
+    pub(super) fn next(self) -> ConnectionId {
+        ConnectionId(self.0 + 1)
     }
 }
 
--- a/src/transport/net/event.rs
+++ b/src/transport/net/event.rs
@@ -1,6 +1,6 @@
 //! What the sockets report to the owner of [`Net`](super::Net).
 
-use super::{CallError, ConnId};
+use super::{CallError, ConnectionId};
 use crate::transport::http::{Reply, Request};
 
 /// What happened on the sockets.
@@ -9,7 +9,7 @@
     /// A client's request, to be answered by [`Net::respond`](super::Net::respond).
     Request {
         /// The client's connection.
-        conn: ConnId,
+        conn: ConnectionId,
         /// The request.
         req: Request,
     },
--- a/src/transport/net/lifecycle.rs
+++ b/src/transport/net/lifecycle.rs
@@ -6,7 +6,7 @@
 use calloop::{generic::Generic, Interest, Mode, PostAction};
 
 use super::{
-    connection::{ConnId, Connection, Disposition, ReadOutcome, Role},
+    connection::{Connection, ConnectionId, Disposition, ReadOutcome, Role},
     CallError, Event, Net,
 };
 
@@ -18,7 +18,7 @@
         role: Role,
         connecting: bool,
         deadline: u64,
-    ) -> Option<ConnId> {
+    ) -> Option<ConnectionId> {
         let id = self.next_id;
         self.next_id = id.next();
         let stream = Rc::new(stream);
@@ -41,7 +41,7 @@
     }
 
     /// Handles readiness of a connection's socket.
-    pub(super) fn ready(&mut self, id: ConnId, readable: bool, writable: bool) {
+    pub(super) fn ready(&mut self, id: ConnectionId, readable: bool, writable: bool) {
         if let Some(connection) = self.connections.get_mut(&id).filter(|connection| connection.connecting) {
             if !(writable || readable) {
                 return;
@@ -60,11 +60,11 @@
         }
     }
 
-    fn flush(&mut self, id: ConnId) -> Disposition {
+    fn flush(&mut self, id: ConnectionId) -> Disposition {
         self.connections.get_mut(&id).map_or(Disposition::Keep, Connection::flush)
     }
 
-    fn read(&mut self, id: ConnId) -> Disposition {
+    fn read(&mut self, id: ConnectionId) -> Disposition {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
             if Net::floods_while_busy(connection) {
@@ -86,7 +86,7 @@
     }
 
     /// Takes complete messages out of a connection's input.
-    pub(super) fn parse(&mut self, id: ConnId) -> Disposition {
+    pub(super) fn parse(&mut self, id: ConnectionId) -> Disposition {
         let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
         match connection.role {
             Role::Server { answering: true, .. } => Disposition::Keep,
@@ -101,7 +101,7 @@
         }
     }
 
-    pub(super) fn close(&mut self, id: ConnId) {
+    pub(super) fn close(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.remove(&id) else { return };
         self.handle.remove(connection.token);
         match connection.role {
--- a/src/transport/net/outgoing.rs
+++ b/src/transport/net/outgoing.rs
@@ -8,7 +8,7 @@
 };
 
 use super::{
-    connection::{ConnId, Disposition, Role},
+    connection::{ConnectionId, Disposition, Role},
     Event, Net,
 };
 use crate::transport::http::{self, Method, Parsed};
@@ -49,20 +49,20 @@
 
 /// A connection that became idle at a time.
 struct IdleConnection {
-    id: ConnId,
+    id: ConnectionId,
     since: u64,
 }
 
 /// Idle connections by service, and in the order in which they became idle.
 #[derive(Default)]
 pub(super) struct ConnectionPool {
-    by_service: HashMap<SocketAddr, Vec<ConnId>>,
+    by_service: HashMap<SocketAddr, Vec<ConnectionId>>,
     /// Longest idle first; some may be in use again.
     oldest_first: VecDeque<IdleConnection>,
 }
 
 impl ConnectionPool {
-    fn take(&mut self, service: SocketAddr) -> Option<ConnId> {
+    fn take(&mut self, service: SocketAddr) -> Option<ConnectionId> {
         self.by_service.get_mut(&service).and_then(Vec::pop)
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// Forgets a connection that was closed.
-    pub fn remove(&mut self, service: SocketAddr, id: ConnId) {
+    pub fn remove(&mut self, service: SocketAddr, id: ConnectionId) {
         if let Some(connections) = self.by_service.get_mut(&service) {
             connections.retain(|&other| other != id);
         }
@@ -124,7 +124,7 @@
         }
     }
 
-    fn open_client_connection(&mut self, service: SocketAddr, deadline: u64) -> Option<ConnId> {
+    fn open_client_connection(&mut self, service: SocketAddr, deadline: u64) -> Option<ConnectionId> {
         if self.connections.len() >= self.limits.sockets {
             self.free_sockets();
         }
@@ -135,7 +135,7 @@
 
     /// Parses the reply to a call; its connection is kept for the next one if
     /// it can be reused.
-    pub(super) fn parse_reply(&mut self, id: ConnId) -> Disposition {
+    pub(super) fn parse_reply(&mut self, id: ConnectionId) -> Disposition {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
         let Role::Client { service, tag, sent } = &mut connection.role else { return Disposition::Keep };
--- a/src/transport/net/peer_links.rs
+++ b/src/transport/net/peer_links.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use super::{
-    connection::{ConnId, Connection, Disposition, Role},
+    connection::{Connection, ConnectionId, Disposition, Role},
     outgoing::dial,
     Event, Net,
 };
@@ -24,7 +24,7 @@
 /// A link to one peer; it is connected when a frame is to be sent.
 pub(super) struct PeerLink {
     dest: SocketAddr,
-    connection: Option<ConnId>,
+    connection: Option<ConnectionId>,
     retry_at: u64,
 }
 
@@ -57,7 +57,7 @@
     }
 
     /// The connection of a link, which is opened unless an attempt failed just now.
-    fn link_connection(&mut self, link: usize) -> Option<ConnId> {
+    fn link_connection(&mut self, link: usize) -> Option<ConnectionId> {
         let now = self.now();
         let peer_link = self.links.get_mut(link)?;
         if let Some(id) = peer_link.connection {
@@ -83,7 +83,7 @@
     }
 
     /// Takes the complete frames out of a peer's input.
-    pub(super) fn parse_frames(&mut self, id: ConnId) -> Disposition {
+    pub(super) fn parse_frames(&mut self, id: ConnectionId) -> Disposition {
         let deadline = self.now() + self.limits.idle_ms;
         let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
         connection.deadline = deadline;
--- a/src/transport/net/server.rs
+++ b/src/transport/net/server.rs
@@ -8,7 +8,7 @@
 use calloop::{generic::Generic, Interest, Mode, PostAction};
 
 use super::{
-    connection::{ConnId, Connection, Disposition, Role},
+    connection::{Connection, ConnectionId, Disposition, Role},
     Event, Net,
 };
 use crate::transport::http::{self, Parsed};
@@ -105,7 +105,7 @@
     fn close_stale_server_connections(&mut self, now: u64) -> bool {
         // A served connection's deadline is `idle_ms` after its last request.
         let stale_deadline = now + self.limits.idle_ms.saturating_sub(self.limits.stale_ms);
-        let mut stale: Vec<(u64, ConnId)> = self
+        let mut stale: Vec<(u64, ConnectionId)> = self
             .connections
             .iter()
             .filter(|(_, connection)| connection.awaits_request() && connection.deadline <= stale_deadline)
@@ -123,7 +123,7 @@
     }
 
     /// Parses the request of a served connection that is not busy.
-    pub(super) fn parse_request(&mut self, id: ConnId) -> Disposition {
+    pub(super) fn parse_request(&mut self, id: ConnectionId) -> Disposition {
         let deadline = self.now() + self.limits.idle_ms;
         let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
         let Role::Server { answering, close_after_reply } = &mut connection.role else { return Disposition::Keep };
@@ -148,7 +148,7 @@
     }
 
     /// Answers a served request. Unknown connections (closed meanwhile) are ignored.
-    pub fn respond(&mut self, conn: ConnId, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
+    pub fn respond(&mut self, conn: ConnectionId, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
         let deadline = self.now() + self.limits.idle_ms;
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         let Role::Server { answering, close_after_reply } = &mut connection.role else { return };
@@ -172,7 +172,7 @@
     /// Guard: there may be more workers than sockets. While sockets are scarce,
     /// the worker is also told to close the connection, which admits another;
     /// it connects again for its next heartbeat.
-    pub fn respond_heartbeat(&mut self, conn: ConnId, status: u16, body: &[u8]) {
+    pub fn respond_to_heartbeat(&mut self, conn: ConnectionId, status: u16, body: &[u8]) {
         if self.connections.len() > self.limits.crowded() {
             if let Some(Connection { role: Role::Server { close_after_reply, .. }, .. }) =
                 self.connections.get_mut(&conn)
@@ -184,7 +184,7 @@
     }
 
     /// Whether the client of this connection is still connected, as far as is known.
-    pub fn is_open(&self, conn: ConnId) -> bool {
+    pub fn is_open(&self, conn: ConnectionId) -> bool {
         self.connections.contains_key(&conn)
     }
 }
--- a/src/transport/tests/descriptors.rs
+++ b/src/transport/tests/descriptors.rs
@@ -1,6 +1,6 @@
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 
-use super::{allow_descriptors, DescriptorLimit, OTHER_DESCRIPTORS};
+use super::{raise_descriptor_limit, DescriptorLimit, OTHER_DESCRIPTORS};
 
 /// Guard: a controller that may use 4,500 sockets found no descriptor for most
 /// of them. The hard limit stays as it is.
@@ -12,11 +12,11 @@
     let sockets = 4_500;
     let needed = sockets + OTHER_DESCRIPTORS;
     let expected = if needed <= maximum { DescriptorLimit::Enough } else { DescriptorLimit::TooLow(maximum) };
-    assert_eq!(allow_descriptors(sockets as usize), expected);
+    assert_eq!(raise_descriptor_limit(sockets as usize), expected);
     let raised = getrlimit(Resource::Nofile);
     assert_eq!(raised.current, Some(needed.min(maximum)));
     assert_eq!(raised.maximum, original.maximum);
-    assert_eq!(allow_descriptors(10), DescriptorLimit::Enough, "never lowered");
+    assert_eq!(raise_descriptor_limit(10), DescriptorLimit::Enough, "never lowered");
     assert_eq!(getrlimit(Resource::Nofile).current, raised.current);
     setrlimit(Resource::Nofile, original).unwrap();
 }
--- a/src/transport/tests/net.rs
+++ b/src/transport/tests/net.rs
@@ -27,12 +27,12 @@
         let until = self.net.now() + ms;
         while self.net.now() < until {
             self.net.turn(&mut self.event_loop, Duration::from_millis(5)).unwrap();
-            while let Some(event) = self.net.pop() {
+            while let Some(event) = self.net.next_event() {
                 if let Event::Request { conn, req } = event {
                     if req.path == "/now" {
                         self.net.respond(conn, 200, None, b"");
                     } else if req.path == "/report" {
-                        self.net.respond_heartbeat(conn, 200, b"");
+                        self.net.respond_to_heartbeat(conn, 200, b"");
                     }
                 }
             }
@@ -123,7 +123,7 @@
     }
     server.net.drop_stale_io();
     let mut events = Vec::new();
-    while let Some(event) = server.net.pop() {
+    while let Some(event) = server.net.next_event() {
         events.push(event);
     }
     assert!(matches!(&events[..], [Event::Reply { tag: 7, result: Err(CallError::Unknown) }]), "{events:?}");
--- a/tests/combined_failures/partitions.rs
+++ b/tests/combined_failures/partitions.rs
@@ -24,7 +24,7 @@
         worker.terminate();
     }
     sim.cloud.settings.capacity = 6;
-    sim.controller.settings.silent_ms = 8_500;
+    sim.controller.settings.heartbeat_timeout_ms = 8_500;
     sim.elect();
     sim.run(12_000);
     // One of the other zone hangs past its lease meanwhile.
--- a/tests/combined_failures/random_faults.rs
+++ b/tests/combined_failures/random_faults.rs
@@ -11,9 +11,9 @@
 /// cancelled is done or runs, and none waits for 90 s beside room.
 #[test]
 fn failures_combined_at_random() {
-    let seeds: u64 = std::env::var("COMBINED_FAILURE_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(32);
+    let peer_settings: u64 = std::env::var("COMBINED_FAILURE_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(32);
     let mut failed = Vec::new();
-    for seed in 0..seeds {
+    for seed in 0..peer_settings {
         if std::panic::catch_unwind(|| play_random_faults(seed)).is_err() {
             failed.push(seed);
         }
@@ -28,7 +28,7 @@
     sim.workers.settings.image_fetch_ms = [200, 1_000, 3_000][sim.random_below(3)];
     sim.workers.settings.gang_semantics = !seed.is_multiple_of(3);
     if seed.is_multiple_of(2) {
-        sim.controller.settings.silent_ms = 8_500;
+        sim.controller.settings.heartbeat_timeout_ms = 8_500;
     }
     sim.elect();
     for n in 0..14u32 {
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -10,14 +10,14 @@
         cbor,
         ids::{Attempt, Incarnation, Revision},
         jobs::Submission,
-        names::Tables,
+        names::Interners,
         peers::{self, Cancelled, Count, Echo, Frame, Gossip, Notice},
-        store::{Page, Pair},
+        store::{KeyValue, Page},
     },
     storage::{
         job_cache::JobCache,
         records::{to_value, AssignmentRecord, ChunkRecord, JobRecord, JobStatus, LeaderRecord},
-        versions::{version_key, Evidence, VersionRecord, VERSION, VERSIONS},
+        versions::{version_key, VersionEvidence, VersionRecord, VERSION, VERSION_KEY_PREFIX},
     },
 };
 
@@ -86,7 +86,7 @@
     {
         let mut job_cache = JobCache::default();
         let value: Value = cbor::decode(&lines[name]).unwrap();
-        let index = job_cache.put("j/j-000412", &value, Revision(7), &mut Tables::default()).unwrap();
+        let index = job_cache.put("j/j-000412", &value, Revision(7), &mut Interners::default()).unwrap();
         assert_eq!(
             (
                 job_cache.get(index).status,
@@ -133,11 +133,11 @@
         commits_used: 0.0,
         clock_ms: 55_000,
         echoes: vec![Echo { of: "n-1".into(), nonce: 5, clock_ms: 6 }],
-        no_renewal_ms: 1 << 41,
+        since_leaderless_renewal_ms: 1 << 41,
         counts: vec![Count { job: "j-000001".into(), done: 1, running: 0 }],
     };
     let mut marked = frame.clone();
-    marked.echoes.push(Gossip::reads_mark());
+    marked.echoes.push(Gossip::supported_frames_marker());
     vec![
         ("job/pending", job(submission(), JobStatus::Pending, 1_780_000_000_000, 28)),
         ("job/cancelled", job(submission(), JobStatus::Cancelled, 1_780_000_000_000, 28)),
@@ -174,14 +174,15 @@
 #[test]
 fn production_never_meets_the_versions_keys() {
     for prefix in ["leader", "j/", "t/"] {
-        assert!(!VERSIONS.starts_with(prefix) && !prefix.starts_with(VERSIONS));
+        assert!(!VERSION_KEY_PREFIX.starts_with(prefix) && !prefix.starts_with(VERSION_KEY_PREFIX));
     }
 }
 
 // ---- ddfa46b ---------------------------------------------------------------
 
 fn page_of(key: &str, bytes: &[u8]) -> Page {
-    let pair = Pair { key: key.to_owned(), v: cbor::decode(bytes).unwrap(), revision: Revision(7), permit: None };
+    let pair =
+        KeyValue { key: key.to_owned(), value: cbor::decode(bytes).unwrap(), revision: Revision(7), grant: None };
     Page { pairs: vec![pair], truncated: false, store_revision: Revision(7) }
 }
 
@@ -195,7 +196,7 @@
     }
     // The record of a submission, with its prerequisites, each named once.
     let mut submitted: Submission = cbor::decode(&submission).unwrap();
-    submitted.fold_prereqs();
+    submitted.remove_duplicate_prereqs();
     assert_eq!(submitted.prereqs(), ["j-000398", "j-000405"]);
     let waiting: JobRecord = record(&lines["job/waiting"]);
     assert_eq!((&waiting.submission, waiting.status, waiting.chunk), (&submitted, JobStatus::Pending, 128));
@@ -222,7 +223,7 @@
     for (name, status, waits) in forms {
         let mut job_cache = JobCache::default();
         let value: Value = cbor::decode(&lines[name]).unwrap();
-        let index = job_cache.put("j/j-000731", &value, Revision(7), &mut Tables::default()).unwrap();
+        let index = job_cache.put("j/j-000731", &value, Revision(7), &mut Interners::default()).unwrap();
         let job = job_cache.get(index);
         assert_eq!((job.status, job.tasks, job.chunk, job_cache.waits(index)), (status, 6, 128, waits), "{name}");
     }
@@ -242,9 +243,9 @@
     assert_eq!(notice, Notice { from: "n-2".into(), cancelled: all });
     // Its key is evidence that it takes prerequisites.
     let key = version_key("n-2");
-    let mut evidence = Evidence::new(["n-2"].into_iter());
+    let mut evidence = VersionEvidence::new(["n-2"].into_iter());
     assert!(!evidence.is_complete());
-    evidence.saw(&page_of(&key, &lines[&key]));
+    evidence.record_listing(&page_of(&key, &lines[&key]));
     assert!(evidence.is_complete());
 }
 
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -12,7 +12,7 @@
 
 use ciborium::Value;
 use loopback_cluster::{
-    cluster::Cluster,
+    cluster::ClusterSettings,
     controllers::{Controller, Shared},
     http::{call, code, Response},
     key_value_store::StoredValue,
@@ -23,7 +23,7 @@
 use shedhook::protocol::{
     cbor as body,
     ids::{Attempt, FencingToken, Incarnation, Revision, SequenceNumber},
-    store::{Condition, Op, Txn},
+    store::{Condition, Transaction, WriteOperation},
     workers::{Heartbeat, TaskState, TaskStatus},
 };
 
@@ -38,7 +38,7 @@
 fn nobody_renews_what_may_be_cancelled() {
     const LEASE_S: u32 = 4;
     const CANCEL_S: u32 = 14;
-    let mut cluster = Cluster::start("cancelled", &Shared { lease_s: LEASE_S, cancel_s: CANCEL_S, next: None });
+    let mut cluster = ClusterSettings::start("cancelled", &Shared { lease_s: LEASE_S, cancel_s: CANCEL_S, next: None });
     for id in ["j-100001", "j-100002", "j-100003", "j-100004"] {
         let accepted = || {
             call(cluster.nodes[0].client, "POST", "/api/jobs", &job(id, "service", 2))
@@ -85,9 +85,9 @@
                 *value = Value::Text("c".into());
             }
         }
-        let txn = Txn {
+        let txn = Transaction {
             conditions: vec![Condition { key: key.into(), revision: Revision(revision) }],
-            writes: vec![Op::Put { key: key.into(), v: record, permit: None }],
+            writes: vec![WriteOperation::Put { key: key.into(), value: record, grant: None }],
         };
         assert_eq!(store.apply(txn).status, 200);
         Instant::now()
@@ -108,7 +108,7 @@
             incarnation: Incarnation(1),
             sequence: SequenceNumber(1),
             token: FencingToken(token),
-            notice_s: None,
+            reclaim_notice_s: None,
             tasks,
         };
         body::encode(&heartbeat)
@@ -157,7 +157,7 @@
 
 #[test]
 fn three_controllers_serve_fail_and_return() {
-    let mut cluster = Cluster::start("loopback", &SHARED);
+    let mut cluster = ClusterSettings::start("loopback", &SHARED);
     let (worker_state, shut) = (cluster.worker.clone(), cluster.gates.clone());
     let nodes = &mut cluster.nodes;
     let first = nodes[0].client;
@@ -265,7 +265,7 @@
 /// accepted; `tests/upgrade.rs` does the same with one that is there, and old.
 #[test]
 fn pipelines_over_the_wire() {
-    let mut cluster = Cluster::prepare("pipelines", &SHARED);
+    let mut cluster = ClusterSettings::prepare("pipelines", &SHARED);
     let nodes = &mut cluster.nodes;
     nodes[0].start();
     nodes[1].start();
@@ -347,7 +347,7 @@
 /// then, or didn't know the job yet, called a running job pending for ever.
 #[test]
 fn a_restarted_controller_learns_what_runs() {
-    let mut cluster = Cluster::start("what-runs", &SHARED);
+    let mut cluster = ClusterSettings::start("what-runs", &SHARED);
     let at = cluster.nodes[0].client;
     wait_for("accepted", || call(at, "POST", "/api/jobs", &job("j-100001", "service", 1)).filter(Response::is_success));
     wait_for("its task runs", || (cluster.runs("j-100001") == 1).then_some(()));
--- a/tests/loopback_cluster/cluster.rs
+++ b/tests/loopback_cluster/cluster.rs
@@ -24,7 +24,7 @@
 
 const CONTROLLERS: usize = 3;
 
-pub struct Cluster {
+pub struct ClusterSettings {
     pub store: Arc<Mutex<Store>>,
     /// Of each controller.
     pub gates: Vec<Arc<AccessGate>>,
@@ -38,15 +38,15 @@
     dir: PathBuf,
 }
 
-impl Cluster {
+impl ClusterSettings {
     /// With controllers of this version, ready.
-    pub fn start(name: &str, shared: &Shared) -> Cluster {
-        Cluster::start_as(name, shared, this_version())
+    pub fn start(name: &str, shared: &Shared) -> ClusterSettings {
+        ClusterSettings::start_as(name, shared, this_version())
     }
 
     /// With controllers that run a program, ready.
-    pub fn start_as(name: &str, shared: &Shared, program: &Path) -> Cluster {
-        let mut cluster = Cluster::prepare(name, shared);
+    pub fn start_as(name: &str, shared: &Shared, program: &Path) -> ClusterSettings {
+        let mut cluster = ClusterSettings::prepare(name, shared);
         for node in &mut cluster.nodes {
             node.start_as(program);
         }
@@ -56,7 +56,7 @@
     }
 
     /// With controllers that aren't started, and a worker that reports to none.
-    pub fn prepare(name: &str, shared: &Shared) -> Cluster {
+    pub fn prepare(name: &str, shared: &Shared) -> ClusterSettings {
         let store = Arc::new(Mutex::new(Store::default()));
         let gates: Vec<Arc<AccessGate>> = (0..CONTROLLERS).map(|_| Arc::default()).collect();
         let address = |gate: &Arc<AccessGate>| Addresses::new(serve_store(store.clone(), gate.clone()));
@@ -67,7 +67,7 @@
         let cloud = serve_cloud(addr);
         let dir = std::env::temp_dir().join(format!("shedhook-{name}-{}", std::process::id()));
         let nodes = controllers(&dir, &addresses, cloud, shared);
-        Cluster { store, gates, worker, nodes, reports_to, addresses, cloud, stop, dir }
+        ClusterSettings { store, gates, worker, nodes, reports_to, addresses, cloud, stop, dir }
     }
 
     /// The worker reports to the controllers from now on.
@@ -104,7 +104,7 @@
     }
 }
 
-impl Drop for Cluster {
+impl Drop for ClusterSettings {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = fs::remove_dir_all(&self.dir);
--- a/tests/loopback_cluster/history.rs
+++ b/tests/loopback_cluster/history.rs
@@ -36,7 +36,7 @@
         let store = self.cluster.store.lock().unwrap();
         let mut done = BTreeMap::new();
         for entry in &store.log {
-            let (Some(key), Some(value)) = (&entry.change.write, &entry.change.v) else { continue };
+            let (Some(key), Some(value)) = (&entry.change.write, &entry.change.value) else { continue };
             let Some(id) = key.strip_prefix("j/") else { continue };
             if text_field(value, "st") == Some("d") {
                 done.entry(id.to_owned()).or_insert(entry.at);
--- a/tests/loopback_cluster/key_value_store.rs
+++ b/tests/loopback_cluster/key_value_store.rs
@@ -15,7 +15,7 @@
 use shedhook::protocol::{
     cbor as body,
     ids::{GrantId, Revision},
-    store::{Change, Changes, GrantRequest, Op, Page, Pair, Txn},
+    store::{Change, Changes, GrantRequest, KeyValue, Page, Transaction, WriteOperation},
 };
 
 use super::{
@@ -27,7 +27,7 @@
 /// Conditions of a transaction, for each write that it may have.
 const CONDITIONS_PER_WRITE: usize = 4;
 /// Prefix of the jobs' keys.
-const JOBS: &str = "j/";
+const JOB_KEY_PREFIX: &str = "j/";
 /// How often an open watch looks for changes.
 const WATCH_GAP: Duration = Duration::from_millis(10);
 /// How often a read that gets no answer looks whether that is over.
@@ -49,7 +49,7 @@
     pub value: Value,
     pub revision: u64,
     /// The key is deleted when this lease ends.
-    pub permit: Option<GrantId>,
+    pub grant: Option<GrantId>,
 }
 
 /// A lease of keys.
@@ -90,12 +90,12 @@
 
 impl Store {
     /// Applies a transaction whole or not at all.
-    pub fn apply(&mut self, txn: Txn) -> Response {
+    pub fn apply(&mut self, txn: Transaction) -> Response {
         if self.is_too_large(&txn) {
             self.too_large += 1;
             return Response::error(400, "too large");
         }
-        let is_expired = |op: &Op| matches!(op, Op::Put { permit: Some(id), .. } if !self.grants.contains_key(id));
+        let is_expired = |op: &WriteOperation| matches!(op, WriteOperation::Put { grant: Some(id), .. } if !self.grants.contains_key(id));
         if txn.writes.iter().any(is_expired) {
             return Response::error(400, "no such lease");
         }
@@ -107,13 +107,13 @@
         let revision = self.revision;
         for op in txn.writes {
             let change = match op {
-                Op::Put { key, v, permit } => {
-                    self.keys.insert(key.clone(), StoredValue { value: v.clone(), revision, permit });
-                    Change { write: Some(key), drop: None, v: Some(v), revision: Revision(revision) }
+                WriteOperation::Put { key, value: v, grant } => {
+                    self.keys.insert(key.clone(), StoredValue { value: v.clone(), revision, grant });
+                    Change { write: Some(key), drop: None, value: Some(v), revision: Revision(revision) }
                 }
-                Op::Delete { key } => {
+                WriteOperation::Delete { key } => {
                     self.keys.remove(&key);
-                    Change { write: None, drop: Some(key), v: None, revision: Revision(revision) }
+                    Change { write: None, drop: Some(key), value: None, revision: Revision(revision) }
                 }
             };
             self.write_log(change);
@@ -121,14 +121,14 @@
         Response::encoded(200, &cbor!({"epoch" => revision}).unwrap())
     }
 
-    fn failed_conditions(&self, txn: &Txn) -> Vec<String> {
+    fn failed_conditions(&self, txn: &Transaction) -> Vec<String> {
         let revision_of = |key: &str| self.keys.get(key).map_or(0, |stored| stored.revision);
         let failed = txn.conditions.iter().filter(|condition| revision_of(&condition.key) != condition.revision.0);
         failed.map(|condition| condition.key.clone()).collect()
     }
 
-    fn is_too_large(&self, txn: &Txn) -> bool {
-        let value_too_large = |op: &Op| matches!(op, Op::Put { v, .. } if json_size(v) > self.limits.value_kb * KB);
+    fn is_too_large(&self, txn: &Transaction) -> bool {
+        let value_too_large = |op: &WriteOperation| matches!(op, WriteOperation::Put { value: v, .. } if json_size(v) > self.limits.value_kb * KB);
         txn.writes.len() > self.limits.txn_ops
             || txn.conditions.len() > CONDITIONS_PER_WRITE * self.limits.txn_ops
             || txn.writes.iter().any(value_too_large)
@@ -161,12 +161,12 @@
 
     fn end_grant(&mut self, id: GrantId) {
         self.grants.remove(&id);
-        let held = self.keys.iter().filter(|(_, stored)| stored.permit == Some(id));
+        let held = self.keys.iter().filter(|(_, stored)| stored.grant == Some(id));
         let keys: Vec<String> = held.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.revision += 1;
             self.keys.remove(&key);
-            self.write_log(Change { write: None, drop: Some(key), v: None, revision: Revision(self.revision) });
+            self.write_log(Change { write: None, drop: Some(key), value: None, revision: Revision(self.revision) });
         }
     }
 
@@ -175,15 +175,15 @@
     }
 
     fn page(&self, prefix: &str, from: &str) -> Page {
-        let pairs: Vec<Pair> = self
+        let pairs: Vec<KeyValue> = self
             .keys
             .iter()
             .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > from)
-            .map(|(key, stored)| Pair {
+            .map(|(key, stored)| KeyValue {
                 key: key.clone(),
-                v: stored.value.clone(),
+                value: stored.value.clone(),
                 revision: Revision(stored.revision),
-                permit: stored.permit,
+                grant: stored.grant,
             })
             .collect();
         Page { pairs, truncated: false, store_revision: Revision(self.revision) }
@@ -219,7 +219,7 @@
     }
 
     fn is_blind_for(&self, prefix: &str) -> bool {
-        prefix == JOBS && self.blind.load(Ordering::Relaxed)
+        prefix == JOB_KEY_PREFIX && self.blind.load(Ordering::Relaxed)
     }
 }
 
@@ -229,7 +229,7 @@
         if gate.is_shut() {
             return Response::empty(503);
         }
-        while path.starts_with("/changes?under=j/") && gate.is_blind_for(JOBS) {
+        while path.starts_with("/changes?under=j/") && gate.is_blind_for(JOB_KEY_PREFIX) {
             thread::sleep(BLIND_GAP);
         }
         let prefix = query(path, "under").unwrap_or("");
--- a/tests/loopback_cluster/worker.rs
+++ b/tests/loopback_cluster/worker.rs
@@ -122,7 +122,7 @@
             incarnation: Incarnation(1),
             sequence: SequenceNumber(self.sequence),
             token: FencingToken(self.token),
-            notice_s: None,
+            reclaim_notice_s: None,
             tasks: self.tasks.iter().map(|task| task.status.clone()).collect(),
         }
     }
--- a/tests/pipelines/job_cache.rs
+++ b/tests/pipelines/job_cache.rs
@@ -7,7 +7,7 @@
     protocol::{
         ids::Revision,
         jobs::{Priority, Submission},
-        names::Tables,
+        names::Interners,
         store::{Change, Changes},
     },
     storage::{
@@ -27,7 +27,7 @@
     Change {
         write: Some(job_key(id)),
         drop: None,
-        v: Some(record(submission, status, at_ms)),
+        value: Some(record(submission, status, at_ms)),
         revision: Revision(revision),
     }
 }
@@ -59,9 +59,9 @@
     for round in 0..500 {
         let mut job_cache = JobCache::default();
         for change in &all {
-            job_cache.apply(
+            job_cache.apply_changes(
                 &Changes { store_revision: change.revision, events: vec![change.clone()] },
-                &mut Tables::default(),
+                &mut Interners::default(),
             );
         }
         let shown: Vec<JobStatus> =
@@ -81,7 +81,7 @@
 fn a_derived_cancellation_stays() {
     let (one, two) = (after("j-1", "batch", 1, &[]), after("j-2", "batch", 1, &["j-1"]));
     let mut job_cache = JobCache::default();
-    let mut tables = Tables::default();
+    let mut interners = Interners::default();
     let steps = [
         (change(&one, JobStatus::Pending, 1, 1), JobStatus::Pending),
         (change(&two, JobStatus::Pending, 1, 2), JobStatus::Pending),
@@ -90,7 +90,8 @@
         (change(&two, JobStatus::Done, 1, 5), JobStatus::Cancelled),
     ];
     for (change, want) in steps {
-        job_cache.apply(&Changes { store_revision: change.revision, events: vec![change.clone()] }, &mut tables);
+        job_cache
+            .apply_changes(&Changes { store_revision: change.revision, events: vec![change.clone()] }, &mut interners);
         if let Some(index) = job_cache.find("j-2") {
             assert_eq!(job_cache.get(index).status, want, "after {}", change.revision);
         }
@@ -111,12 +112,12 @@
         with(after("j-3", "batch", 1, &["j-1"]), "low", Some(500.0)),
         with(after("j-4", "batch", 1, &["j-2", "j-3"]), "high", Some(100.0)),
     ];
-    let mut tables = Tables::default();
+    let mut interners = Interners::default();
     for order in [[0, 1, 2, 3], [3, 2, 1, 0], [1, 3, 0, 2]] {
         let mut job_cache = JobCache::default();
         for n in order {
             let change = change(&jobs[n], JobStatus::Pending, 1_000, n as u64 + 1);
-            job_cache.apply(&Changes { store_revision: change.revision, events: vec![change] }, &mut tables);
+            job_cache.apply_changes(&Changes { store_revision: change.revision, events: vec![change] }, &mut interners);
         }
         let got: Vec<(Priority, Option<f64>, Option<f64>)> = (1..=4)
             .map(|n| job_cache.effective_spec(job_cache.find(&format!("j-{n}")).unwrap()).unwrap())
@@ -133,7 +134,7 @@
         // The deadline counts from the submission, however long it waited.
         for (n, end) in [(0, 31_000), (1, 41_000), (2, 36_000)] {
             let change = change(&jobs[n], JobStatus::Done, end, 10 + n as u64);
-            job_cache.apply(&Changes { store_revision: change.revision, events: vec![change] }, &mut tables);
+            job_cache.apply_changes(&Changes { store_revision: change.revision, events: vec![change] }, &mut interners);
         }
         let last = job_cache.find("j-4").unwrap();
         let spec = job_cache.effective_spec(last).unwrap();
@@ -173,13 +174,14 @@
                 if backwards {
                     events.reverse();
                 }
-                let (mut job_cache, mut tables) = (JobCache::default(), Tables::default());
+                let (mut job_cache, mut interners) = (JobCache::default(), Interners::default());
                 let began = Instant::now();
-                job_cache.apply(&Changes { store_revision: Revision(10_000), events }, &mut tables);
+                job_cache.apply_changes(&Changes { store_revision: Revision(10_000), events }, &mut interners);
                 let loaded = began.elapsed();
                 job_cache.take_changed();
                 let change = change(&subs[0], end, 1, 20_000);
-                job_cache.apply(&Changes { store_revision: Revision(20_000), events: vec![change] }, &mut tables);
+                job_cache
+                    .apply_changes(&Changes { store_revision: Revision(20_000), events: vec![change] }, &mut interners);
                 let took = began.elapsed();
                 let changed = job_cache.take_changed().len();
                 eprintln!(
--- a/tests/pipelines/urgency.rs
+++ b/tests/pipelines/urgency.rs
@@ -46,7 +46,10 @@
     // What was counted under one priority was taken back under the same.
     let leader = sim.leader();
     for host in &leader.cluster().snapshot().hosts {
-        assert!(host.low.iter().all(|r| !r.any()) && !host.soon.any(), "left over on a machine");
+        assert!(
+            host.used_by_priority.iter().all(|r| !r.is_nonzero()) && !host.stopping.is_nonzero(),
+            "left over on a machine"
+        );
     }
     sim.check("raised");
 }
--- a/tests/safety_rules/scale.rs
+++ b/tests/safety_rules/scale.rs
@@ -1,7 +1,7 @@
 //! Thousands of machines: the cost of work, in machines examined and records
 //! written, and what fails at that size.
 
-use shedhook::{coordination::snapshot::LOOK, storage::records::JobStatus};
+use shedhook::{coordination::snapshot::HOSTS_EXAMINED_MAX, storage::records::JobStatus};
 
 use crate::simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS};
 
@@ -23,7 +23,7 @@
     sim.workers.settings.run_step_ms = 700;
     sim.elect();
     sim.run(8_000);
-    let looked = |sim: &Simulation| sim.leader().cluster().snapshot().looked;
+    let looked = |sim: &Simulation| sim.leader().cluster().snapshot().hosts_examined;
     let written = |sim: &Simulation| sim.write_budgets().written();
     assert_eq!((looked(&sim), written(&sim)), (0, 0), "nobody asked for anything");
 
@@ -49,7 +49,7 @@
     // A task is looked for on a sample, whatever the number of machines; most
     // find their place beside another of their job.
     let per_task = looked(&sim) / tasks as u64;
-    assert!(per_task <= 2 * LOOK as u64, "{per_task} machines looked at for a task");
+    assert!(per_task <= 2 * HOSTS_EXAMINED_MAX as u64, "{per_task} machines looked at for a task");
     // Submitted, placed, some ends, done, dropped: not a write for each task.
     let per_job = written(&sim) as f64 / (SERVICES + ARRAYS) as f64;
     assert!(per_job < 7.0, "{per_job} writes a job");
@@ -83,7 +83,7 @@
     let mut sim = Simulation::new(4, MACHINES);
     sim.users.tasks_per_chunk = 64;
     sim.cloud.settings.capacity = 1;
-    sim.controller.settings.silent_ms = 8_500;
+    sim.controller.settings.heartbeat_timeout_ms = 8_500;
     sim.elect();
     sim.run(8_000);
     for n in 0..SERVICES {
@@ -116,7 +116,7 @@
     sim.run(LEASE_MS * 2);
     unharmed(&sim, "a zone was cut off");
 
-    let looked = |sim: &Simulation| sim.leader().cluster().snapshot().looked;
+    let looked = |sim: &Simulation| sim.leader().cluster().snapshot().hosts_examined;
     let before = looked(&sim);
     for n in 0..200 {
         sim.submit(submission(&format!("j-{}", 1_000 + n), "batch", 20), 5_000);
@@ -124,6 +124,6 @@
     let done = |sim: &Simulation| (0..200).all(|n| sim.status(&format!("j-{}", 1_000 + n)) == JobStatus::Done);
     sim.run_until("a burst of submissions is served", 60_000, done);
     let per_task = (looked(&sim) - before) / (200 * 20);
-    assert!(per_task <= 2 * LOOK as u64, "{per_task} machines looked at for a task");
+    assert!(per_task <= 2 * HOSTS_EXAMINED_MAX as u64, "{per_task} machines looked at for a task");
     sim.check("thousands of machines through failures");
 }
--- a/tests/safety_rules/unreachable_machines.rs
+++ b/tests/safety_rules/unreachable_machines.rs
@@ -8,7 +8,7 @@
 /// start elsewhere long before its lease is over.
 pub fn dead_machine_is_released(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 1;
-    sim.controller.settings.silent_ms = 8_500;
+    sim.controller.settings.heartbeat_timeout_ms = 8_500;
     sim.add_workers(4);
     sim.elect();
     sim.run(20_000);
@@ -23,7 +23,7 @@
 /// lasts, nor when it ends under a new leader and they come back one by one.
 pub fn partitioned_machines_are_kept(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 1;
-    sim.controller.settings.silent_ms = 8_500;
+    sim.controller.settings.heartbeat_timeout_ms = 8_500;
     sim.add_workers(6);
     sim.elect();
     sim.run(20_000);
@@ -43,7 +43,7 @@
 /// receiving later.
 pub fn machine_that_receives_nothing(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 1;
-    sim.controller.settings.silent_ms = 8_500;
+    sim.controller.settings.heartbeat_timeout_ms = 8_500;
     sim.add_workers(4);
     sim.workers[7].faults.inbound_lost = true;
     sim.elect();
@@ -97,7 +97,7 @@
 /// runs twice when they go on, and no more machines come than went.
 pub fn many_machines_hang(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 40;
-    sim.controller.settings.silent_ms = 8_500;
+    sim.controller.settings.heartbeat_timeout_ms = 8_500;
     sim.add_workers(20);
     sim.elect();
     sim.run(20_000);
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -5,8 +5,8 @@
 use shedhook::{
     coordination::model::{MachineTypeSpec, Millis, Resources, Term},
     protocol::{
-        cloud::{HostList, HostState, ListedHost, RentRequest},
-        names::Tables,
+        cloud::{HostList, HostState, ListedHost, ProvisionRequest},
+        names::Interners,
     },
 };
 
@@ -93,21 +93,21 @@
         self.has_offered
     }
 
-    pub(super) fn machine_types(&self, tables: &Tables) -> Vec<MachineTypeSpec> {
+    pub(super) fn machine_types(&self, interners: &Interners) -> Vec<MachineTypeSpec> {
         let machine_type = MachineTypeSpec {
-            index: tables.types.find(MACHINE_TYPE).unwrap(),
+            index: interners.types.find(MACHINE_TYPE).unwrap(),
             capacity: Resources { cpus: 8.0, gpus: 4.0, memory_gb: 64.0 },
             cache_gb: 50.0,
             fetch_gb_per_s: 1.0,
             price: 1.0,
             spot_price: self.settings.spot_price,
             boot_s: 5.0,
-            zones: ZONES.iter().map(|zone| tables.zones.find(zone).unwrap()).collect(),
+            zones: ZONES.iter().map(|zone| interners.zones.find(zone).unwrap()).collect(),
         };
         let mut types = vec![machine_type.clone()];
         if self.settings.offers_cheap_type {
             types.push(MachineTypeSpec {
-                index: tables.types.find(CHEAP_MACHINE_TYPE).unwrap(),
+                index: interners.types.find(CHEAP_MACHINE_TYPE).unwrap(),
                 capacity: Resources { gpus: 0.0, ..machine_type.capacity },
                 price: machine_type.price / 10.0,
                 spot_price: machine_type.spot_price / 10.0,
@@ -134,7 +134,7 @@
         &mut self,
         now: Millis,
         term: Term,
-        request: &RentRequest,
+        request: &ProvisionRequest,
         workers: &mut SimulatedWorkers,
     ) -> Option<Vec<String>> {
         self.requests.push(RentalRequest { at: now, term, name: request.request.clone(), spot: request.spot });
--- a/tests/simulation/commits.rs
+++ b/tests/simulation/commits.rs
@@ -2,7 +2,7 @@
 
 use shedhook::{
     coordination::{effects::CommitOutcome, model::Term},
-    protocol::{ids::Revision, store::Txn},
+    protocol::{ids::Revision, store::Transaction},
     storage::records,
 };
 
@@ -15,7 +15,7 @@
 const TRANSACTION_CONDITIONS_MAX: usize = 32;
 
 /// What is wrong with a transaction of the leader whose key has this revision.
-fn transaction_violations(now: u64, transaction: &Txn, leadership: Revision) -> Vec<String> {
+fn transaction_violations(now: u64, transaction: &Transaction, leadership: Revision) -> Vec<String> {
     let mut violations = Vec::new();
     let writes = transaction.writes.len();
     if writes > TRANSACTION_WRITES_MAX || transaction.conditions.len() > TRANSACTION_CONDITIONS_MAX {
@@ -24,7 +24,7 @@
     let is_fenced = transaction
         .conditions
         .iter()
-        .any(|condition| condition.key == records::LEADER && condition.revision == leadership);
+        .any(|condition| condition.key == records::LEADER_KEY && condition.revision == leadership);
     if !is_fenced {
         violations.push(format!("a transaction that any later leader would let through, at {now}"));
     }
@@ -32,9 +32,9 @@
 }
 
 impl SimulatedStore {
-    pub(super) fn commit(&mut self, transaction: &Txn) -> CommitOutcome {
+    pub(super) fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
         match self.apply(transaction) {
-            Ok(store_revision) => CommitOutcome::Done(store_revision),
+            Ok(store_revision) => CommitOutcome::Applied(store_revision),
             Err(failed) => CommitOutcome::Conflict(failed),
         }
     }
@@ -82,7 +82,7 @@
     }
 
     /// Carries a transaction to the store, through the faults of both ways.
-    fn send_transaction(&mut self, transaction: Txn, term: Term) {
+    fn send_transaction(&mut self, transaction: Transaction, term: Term) {
         let now = self.now;
         let conditions = &mut self.store.conditions;
         if conditions.transactions_left == Some(0) || conditions.refuses_leader {
