--- a/tests/simulation/controller.rs
+++ b/tests/simulation/controller.rs
@@ -7,12 +7,12 @@
         leader::Leader,
         lease_renewal::TimeSpan,
         model::{CallId, MachineIndex, MachineTypeSpec, Millis, Term},
-        RentOutcome,
+        ScaleOutOutcome,
     },
     protocol::{
         cloud::HostList,
-        names::Tables,
-        store::{Changes, Op, Txn},
+        names::Interners,
+        store::{Changes, Transaction, WriteOperation},
         workers::{Heartbeat, HeartbeatResponse},
     },
     storage::{
@@ -42,7 +42,7 @@
     pub settings: ControllerSettings,
     leader: Option<Leader>,
     job_cache: JobCache,
-    tables: Tables,
+    interners: Interners,
     pending_read: Option<PendingRead>,
     /// When another controller last renewed a worker's lease.
     last_peer_renewal: Millis,
@@ -52,21 +52,21 @@
 
 impl SimulatedController {
     pub(super) fn new() -> SimulatedController {
-        let mut tables = Tables::default();
+        let mut interners = Interners::default();
         for team in ["red", "blue"] {
-            tables.teams.intern(team);
+            interners.teams.intern(team);
         }
         for machine_type in [MACHINE_TYPE, CHEAP_MACHINE_TYPE] {
-            tables.types.intern(machine_type);
+            interners.types.intern(machine_type);
         }
         for zone in ZONES {
-            tables.zones.intern(zone);
+            interners.zones.intern(zone);
         }
         SimulatedController {
             settings: ControllerSettings::default(),
             leader: None,
             job_cache: JobCache::default(),
-            tables,
+            interners,
             pending_read: None,
             last_peer_renewal: 0,
             transactions: 0,
@@ -96,8 +96,8 @@
         &self.job_cache
     }
 
-    pub(super) fn tables(&self) -> &Tables {
-        &self.tables
+    pub(super) fn interners(&self) -> &Interners {
+        &self.interners
     }
 
     /// The term of the present leader, or the lowest one.
@@ -122,10 +122,10 @@
     fn lead(&mut self, now: Millis, term: Term, nonce: u64, types: Vec<MachineTypeSpec>, store: &SimulatedStore) {
         let mut leader = Leader::new(self.settings.leader_config(), term, nonce, now, types);
         self.job_cache = JobCache::default();
-        self.job_cache.page(&store.page(records::JOBS), true, &mut self.tables);
+        self.job_cache.apply_page(&store.page(records::JOB_KEY_PREFIX), true, &mut self.interners);
         self.job_cache.take_changed();
-        for pair in store.page(records::TASKS).pairs {
-            leader.load(now, now, &pair, &self.job_cache, &mut self.tables);
+        for pair in store.page(records::CHUNK_KEY_PREFIX).pairs {
+            leader.load(now, now, &pair, &self.job_cache, &mut self.interners);
         }
         leader.loaded(now, now, &self.job_cache);
         self.leader = Some(leader);
@@ -140,17 +140,17 @@
         let term = self.term();
         if store.conditions.read_latency_max_ms == 0 {
             self.pending_read = None;
-            let changes = store.changes(records::JOBS, self.job_cache.store_revision());
-            self.job_cache.apply(&changes, &mut self.tables);
+            let changes = store.changes(records::JOB_KEY_PREFIX, self.job_cache.store_revision());
+            self.job_cache.apply_changes(&changes, &mut self.interners);
             return true;
         }
         let is_answered = |read: &mut PendingRead| read.term == term && read.answered_at <= now;
         if let Some(read) = self.pending_read.take_if(is_answered) {
-            self.job_cache.apply(&read.changes, &mut self.tables);
+            self.job_cache.apply_changes(&read.changes, &mut self.interners);
         }
         if self.pending_read.as_ref().is_none_or(|read| read.term != term) {
             let answered_at = now + random.delay(0..store.conditions.read_latency_max_ms);
-            let changes = store.changes(records::JOBS, self.job_cache.store_revision());
+            let changes = store.changes(records::JOB_KEY_PREFIX, self.job_cache.store_revision());
             self.pending_read = Some(PendingRead { answered_at, term, changes });
         }
         false
@@ -174,7 +174,7 @@
         leader.set_may_reshard(self.settings.may_reshard);
         leader.sweep(now);
         if has_cloud {
-            leader.autoscale(now, &self.tables);
+            leader.autoscale(now, &self.interners);
         }
         leader.run_scheduling_cycle(now);
     }
@@ -199,12 +199,12 @@
     }
 
     /// The leader's next transaction, in the form that its version writes.
-    pub(super) fn next_transaction(&mut self, now: Millis, allowance: &CommitAllowance) -> Option<Txn> {
+    pub(super) fn next_transaction(&mut self, now: Millis, allowance: &CommitAllowance) -> Option<Transaction> {
         let leader = self.leader.as_mut()?;
         if !leader.has_writes(now, allowance.spare) {
             return None;
         }
-        let mut transaction = leader.commit(now, allowance.writes, allowance.spare, &self.tables)?;
+        let mut transaction = leader.commit(now, allowance.writes, allowance.spare, &self.interners)?;
         if self.settings.writes_old_form {
             to_old_form(&mut transaction);
         }
@@ -229,8 +229,8 @@
     /// Delivers a heartbeat and returns the answer, if the leader gives one.
     pub(super) fn heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) -> Option<HeartbeatResponse> {
         let leader = self.leader.as_mut()?;
-        match leader.heartbeat(now, heartbeat, &self.job_cache, &mut self.tables) {
-            HeartbeatOutcome::Ok(response) => Some(response),
+        match leader.heartbeat(now, heartbeat, &self.job_cache, &mut self.interners) {
+            HeartbeatOutcome::Accepted(response) => Some(response),
             _ => None,
         }
     }
@@ -238,40 +238,40 @@
     pub(super) fn direct_call_result(&mut self, now: Millis, call: DirectCall, outcome: DirectCallOutcome) {
         let DirectCall { machine, call, term } = call;
         if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term() == term) {
-            leader.direct_call_result(now, machine, call, outcome, &self.job_cache, &mut self.tables);
+            leader.direct_call_result(now, machine, call, outcome, &self.job_cache, &mut self.interners);
         }
     }
 
     pub(super) fn probed(&mut self, now: Millis, machine: MachineIndex, heartbeat: Option<&Heartbeat>) {
         if let Some(leader) = &mut self.leader {
-            leader.probed(now, machine, heartbeat, &self.job_cache, &mut self.tables);
+            leader.probe_finished(now, machine, heartbeat, &self.job_cache, &mut self.interners);
         }
     }
 
-    pub(super) fn rented(&mut self, now: Millis, call: CallId, outcome: RentOutcome) {
+    pub(super) fn rented(&mut self, now: Millis, call: CallId, outcome: ScaleOutOutcome) {
         if let Some(leader) = &mut self.leader {
-            leader.rented(now, call, outcome);
+            leader.scale_out_finished(now, call, outcome);
         }
     }
 
     pub(super) fn returned(&mut self, now: Millis, call: CallId) {
         if let Some(leader) = &mut self.leader {
-            leader.returned(now, call, true);
+            leader.scale_in_finished(now, call, true);
         }
     }
 
     pub(super) fn listed(&mut self, now: Millis, call: CallId, list: Option<&HostList>) {
         if let Some(leader) = &mut self.leader {
-            leader.listed(now, call, list, &mut self.tables);
+            leader.machines_listed(now, call, list, &mut self.interners);
         }
     }
 }
 
 /// Removes the time from the ends of jobs, which the version before did not write.
-fn to_old_form(transaction: &mut Txn) {
+fn to_old_form(transaction: &mut Transaction) {
     for write in &mut transaction.writes {
-        let Op::Put { key, v, .. } = write else { continue };
-        if !key.starts_with(records::JOBS) {
+        let WriteOperation::Put { key, value: v, .. } = write else { continue };
+        if !key.starts_with(records::JOB_KEY_PREFIX) {
             continue;
         }
         let record = v.deserialized::<JobRecord>().unwrap();
@@ -285,7 +285,7 @@
     pub fn elect(&mut self) {
         let revision = self.store.acquire_leadership();
         let nonce = self.random.nonce();
-        let types = self.cloud.machine_types(self.controller.tables());
+        let types = self.cloud.machine_types(self.controller.interners());
         self.controller.lead(self.now, Term(revision), nonce, types, &self.store);
     }
 
--- a/tests/simulation/controller_settings.rs
+++ b/tests/simulation/controller_settings.rs
@@ -33,7 +33,7 @@
     /// From the next election on.
     pub quotas: TeamQuotas,
     /// A machine that is silent for so long is replaced.
-    pub silent_ms: Millis,
+    pub heartbeat_timeout_ms: Millis,
     /// The announced limit of a value in bytes.
     pub value_bytes_max: usize,
     /// The size of values that fit later too, in bytes.
@@ -59,7 +59,7 @@
     fn default() -> ControllerSettings {
         ControllerSettings {
             quotas: TeamQuotas::default(),
-            silent_ms: NEVER_MS,
+            heartbeat_timeout_ms: NEVER_MS,
             value_bytes_max: usize::MAX,
             value_bytes_fit: usize::MAX,
             tasks_per_chunk_fit: u32::MAX,
@@ -81,14 +81,14 @@
             heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
             gang_peer_s: 8.0,
             txn_ops: TRANSACTION_WRITES_MAX,
-            value_max: self.value_bytes_max,
-            value_fit: self.value_bytes_fit,
-            chunk_fit: self.tasks_per_chunk_fit,
-            list_lag_ms: 1_000,
+            max_value_bytes: self.value_bytes_max,
+            reduced_max_value_bytes: self.value_bytes_fit,
+            reduced_chunk_size: self.tasks_per_chunk_fit,
+            host_list_delay_ms: 1_000,
             teams: self.quotas.limits(),
             objectives: Vec::new(),
-            idle_keep_ms: NEVER_MS,
-            silent_ms: self.silent_ms,
+            min_idle_ms: NEVER_MS,
+            heartbeat_timeout_ms: self.heartbeat_timeout_ms,
             max_machines: usize::MAX,
             use_spot: true,
         }
--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -5,9 +5,9 @@
     coordination::{
         effects::{DirectCallOutcome, Effect},
         model::MachineIndex,
-        RentOutcome,
+        ScaleOutOutcome,
     },
-    protocol::{cloud::RentRequest, workers::DirectCommandRequest},
+    protocol::{cloud::ProvisionRequest, workers::DirectCommandRequest},
 };
 
 use super::{
@@ -24,17 +24,17 @@
                 let call = DirectCall { machine, call, term: self.controller.term() };
                 self.send_command(call, req);
             }
-            Effect::Rent { call, req } => {
+            Effect::ScaleOut { call, req } => {
                 let outcome = self.rent(&req);
                 self.controller.rented(now, call, outcome);
             }
-            Effect::Return { call, ids } => {
+            Effect::ScaleIn { call, ids } => {
                 let returned = self.workers.iter_mut().filter(|worker| ids.contains(&worker.id));
                 returned.for_each(Worker::terminate);
                 self.controller.returned(now, call);
             }
             Effect::Probe { machine, .. } => self.probe(machine),
-            Effect::List { call, from } => {
+            Effect::ListMachines { call, from } => {
                 let list = self.cloud.list(now, from.as_deref(), &self.workers);
                 self.controller.listed(now, call, list.as_ref());
             }
@@ -82,12 +82,12 @@
         self.controller.direct_call_result(now, call, outcome);
     }
 
-    fn rent(&mut self, request: &RentRequest) -> RentOutcome {
+    fn rent(&mut self, request: &ProvisionRequest) -> ScaleOutOutcome {
         let rented = self.cloud.rent(self.now, self.controller.term(), request, &mut self.workers);
         if self.random.chance(self.network.rates.lost_rental_answer) {
-            return RentOutcome::Again;
+            return ScaleOutOutcome::Retry;
         }
-        rented.map_or(RentOutcome::NoCapacity, RentOutcome::Rented)
+        rented.map_or(ScaleOutOutcome::NoCapacity, ScaleOutOutcome::Provisioned)
     }
 
     fn probe(&mut self, machine: MachineIndex) {
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -7,7 +7,7 @@
         model::{CallId, MachineIndex, Millis, Term},
     },
     protocol::{
-        store::Txn,
+        store::Transaction,
         workers::{DirectCommandRequest, Heartbeat},
     },
 };
@@ -42,10 +42,10 @@
     },
     Heartbeat(Heartbeat),
     /// A transaction whose answer nobody waits for.
-    Transaction(Txn),
+    Transaction(Transaction),
     /// Carried out when it comes, and answered later still.
     SlowTransaction {
-        transaction: Txn,
+        transaction: Transaction,
         term: Term,
     },
     TransactionAnswer {
--- a/tests/simulation/queries.rs
+++ b/tests/simulation/queries.rs
@@ -10,7 +10,7 @@
 impl Simulation {
     /// How long a controller that is not leading may renew workers' leases.
     pub fn longest_renewal_by_peer() -> Millis {
-        lease_renewal::most_ms(CANCEL_MS as f64 / 1000.0, LEASE_MS as f64 / 1000.0)
+        lease_renewal::leaderless_window_ms(CANCEL_MS as f64 / 1000.0, LEASE_MS as f64 / 1000.0)
     }
 
     /// The present virtual time.
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -8,7 +8,7 @@
     coordination::model::Millis,
     protocol::{
         ids::Revision,
-        store::{Change, Changes, Op, Page, Pair, Txn},
+        store::{Change, Changes, KeyValue, Page, Transaction, WriteOperation},
     },
     storage::records::{self, ChunkRecord, JobRecord},
 };
@@ -51,8 +51,8 @@
 
 impl StoreConditions {
     /// Whether a value or the number of writes exceeds the present limits.
-    pub(super) fn is_too_large(&self, transaction: &Txn) -> bool {
-        let too_large = |write: &Op| matches!(write, Op::Put { v, .. } if records::json_size(v) > self.value_bytes_max);
+    pub(super) fn is_too_large(&self, transaction: &Transaction) -> bool {
+        let too_large = |write: &WriteOperation| matches!(write, WriteOperation::Put { value: v, .. } if records::json_size(v) > self.value_bytes_max);
         transaction.writes.len() > self.operations_max || transaction.writes.iter().any(too_large)
     }
 }
@@ -68,7 +68,7 @@
 
 impl SimulatedStore {
     /// Applies a transaction, or returns the keys whose conditions failed.
-    pub(super) fn apply(&mut self, transaction: &Txn) -> Result<Revision, Vec<String>> {
+    pub(super) fn apply(&mut self, transaction: &Transaction) -> Result<Revision, Vec<String>> {
         let failed: Vec<String> = transaction
             .conditions
             .iter()
@@ -81,13 +81,13 @@
         let revision = self.advance();
         for write in &transaction.writes {
             match write {
-                Op::Put { key, v, .. } => {
+                WriteOperation::Put { key, value: v, .. } => {
                     self.values.insert(key.clone(), StoredValue { value: v.clone(), revision });
-                    self.log.push(Change { write: Some(key.clone()), drop: None, v: Some(v.clone()), revision });
+                    self.log.push(Change { write: Some(key.clone()), drop: None, value: Some(v.clone()), revision });
                 }
-                Op::Delete { key } => {
+                WriteOperation::Delete { key } => {
                     self.values.remove(key);
-                    self.log.push(Change { write: None, drop: Some(key.clone()), v: None, revision });
+                    self.log.push(Change { write: None, drop: Some(key.clone()), value: None, revision });
                 }
             }
         }
@@ -96,19 +96,19 @@
 
     /// Writes one value without conditions.
     pub(super) fn put(&mut self, key: String, value: Value) {
-        let writes = vec![Op::Put { key, v: value, permit: None }];
-        self.apply(&Txn { conditions: vec![], writes }).unwrap();
+        let writes = vec![WriteOperation::Put { key, value, grant: None }];
+        self.apply(&Transaction { conditions: vec![], writes }).unwrap();
     }
 
     /// The key of the leadership changes hands: returns its new revision.
     pub(super) fn acquire_leadership(&mut self) -> Revision {
         let revision = self.advance();
-        self.values.insert(records::LEADER.into(), StoredValue { value: Value::Null, revision });
+        self.values.insert(records::LEADER_KEY.into(), StoredValue { value: Value::Null, revision });
         revision
     }
 
     pub(super) fn leadership_revision(&self) -> Revision {
-        self.values[records::LEADER].revision
+        self.values[records::LEADER_KEY].revision
     }
 
     pub(super) fn get(&self, key: &str) -> Option<&StoredValue> {
@@ -129,13 +129,13 @@
 
     /// The keys of all records that say where tasks are.
     pub fn chunk_keys(&self) -> Vec<&String> {
-        self.values.keys().filter(|key| key.starts_with(records::TASKS)).collect()
+        self.values.keys().filter(|key| key.starts_with(records::CHUNK_KEY_PREFIX)).collect()
     }
 
     /// Throws away the records that say where tasks are, without a trace in the log.
     pub fn lose_chunk_records(&mut self) {
         self.records_lost = true;
-        self.values.retain(|key, _| !key.starts_with(records::TASKS));
+        self.values.retain(|key, _| !key.starts_with(records::CHUNK_KEY_PREFIX));
     }
 
     /// This case threw records away.
@@ -148,11 +148,11 @@
             .values
             .iter()
             .filter(|(key, _)| key.starts_with(prefix))
-            .map(|(key, stored)| Pair {
+            .map(|(key, stored)| KeyValue {
                 key: key.clone(),
-                v: stored.value.clone(),
+                value: stored.value.clone(),
                 revision: stored.revision,
-                permit: None,
+                grant: None,
             })
             .collect();
         Page { pairs, truncated: false, store_revision: self.revision }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -221,7 +221,7 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             token: self.token,
-            notice_s: None,
+            reclaim_notice_s: None,
             tasks: self.tasks.iter().map(WorkerTask::status).collect(),
         }
     }
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -248,7 +248,7 @@
         let full = self[worker].live_tasks().count() >= self.settings.slots;
         let Transition { state, why } = match (busy, full) {
             (true, _) => Transition::exit(ExitReason::Busy),
-            (_, true) => Transition::exit(ExitReason::NoRoom),
+            (_, true) => Transition::exit(ExitReason::InsufficientResources),
             _ => Transition::to(TaskState::Fetching),
         };
         self.relaunches_of_completed += usize::from(self.has_completed(task));
--- a/tests/simulation/write_budget.rs
+++ b/tests/simulation/write_budget.rs
@@ -2,7 +2,7 @@
 
 use shedhook::{
     coordination::model::Millis,
-    storage::budget::{share, Budget, BudgetRole, Urgency},
+    storage::rate_limit::{allotted_rate, LimitUser, RateLimiter, Urgency},
 };
 
 /// Part of the limit that a controller's users have at first, and at least.
@@ -16,8 +16,8 @@
 
 /// A controller's shares of the store's writes.
 struct ControllerBudgets {
-    users: Budget,
-    commits: Budget,
+    users: RateLimiter,
+    commits: RateLimiter,
 }
 
 /// What a controller used of its shares, a second.
@@ -38,19 +38,20 @@
 pub struct WriteBudgets {
     limit: f64,
     controllers: Vec<ControllerBudgets>,
-    store: Budget,
+    store: RateLimiter,
     written: usize,
     refused: usize,
 }
 
 impl WriteBudgets {
     pub(super) fn new(limit: f64, controllers: usize) -> WriteBudgets {
-        let budget = |part| Budget::new(limit * part, limit * part);
-        let of_controller = |_| ControllerBudgets { users: budget(USERS_SHARE), commits: budget(COMMITS_SHARE) };
+        let rate_limit = |part| RateLimiter::new(limit * part, limit * part);
+        let of_controller =
+            |_| ControllerBudgets { users: rate_limit(USERS_SHARE), commits: rate_limit(COMMITS_SHARE) };
         WriteBudgets {
             limit,
             controllers: (0..controllers).map(of_controller).collect(),
-            store: Budget::new(limit, limit),
+            store: RateLimiter::new(limit, limit),
             written: 0,
             refused: 0,
         }
@@ -81,11 +82,11 @@
             };
             let mut all = of_others(|usage| usage.users + usage.commits);
             all.push(Some(usage[own].commits));
-            let users_share = share(self.limit, BudgetRole::Users(count), &all);
+            let users_share = allotted_rate(self.limit, LimitUser::Users(count), &all);
             budgets.users.set(users_share, self.limit * USERS_SHARE);
             let mut users = of_others(|usage| usage.users);
             users.push(Some(usage[own].users));
-            let commits_share = share(self.limit, BudgetRole::Leader, &users);
+            let commits_share = allotted_rate(self.limit, LimitUser::Leader, &users);
             budgets.commits.set(commits_share, self.limit * COMMITS_SHARE);
         }
     }
