--- a/src/storage/job_cache/mod.rs
+++ b/src/storage/job_cache/mod.rs
@@ -2,28 +2,26 @@
 //!
 //! Two rules hold whatever the order in which records arrive: a job that was
 //! seen as done or cancelled keeps that status, and a job that needs a cancelled
-//! one is cancelled. `dependencies` derives the latter.
+//! one is cancelled. `links` derives the latter.
 
 mod dependencies;
+mod index;
+mod links;
 
 use std::{collections::HashMap, rc::Rc};
 
 use ciborium::Value;
 
 use self::dependencies::Dependencies;
+pub use self::index::JobIndex;
 use super::records::{job_key, to_value, JobRecord, JobStatus, JOB_KEY_PREFIX};
 use crate::protocol::{
     ids::Revision,
     jobs::{JobKind, JobSpec, SubmissionSource},
-    names::{index_type, Interners},
+    names::Interners,
     store::{Changes, Page},
 };
 
-index_type!(
-    /// Dense index of a job in this process.
-    JobIndex
-);
-
 /// What is known of one job.
 #[derive(Debug, Clone)]
 pub struct JobEntry {
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,5 +1,6 @@
 //! HTTP/1.1 messages: parsed with `httparse`, and written. No I/O here.
 
+mod error;
 mod framing;
 mod message;
 mod parse;
@@ -7,8 +8,9 @@
 mod write;
 
 pub use self::{
+    error::HttpError,
     message::{Method, Reply, Request},
-    parse::{parse_reply, parse_request, HttpError, Parsed, MAX_HEAD, MAX_REPLY_BODY, MAX_REQUEST_BODY},
+    parse::{parse_reply, parse_request, Parsed, MAX_HEAD, MAX_REPLY_BODY, MAX_REQUEST_BODY},
     status::reason,
     write::{write_reply, write_request},
 };
--- a/src/transport/http/framing.rs
+++ b/src/transport/http/framing.rs
@@ -1,11 +1,16 @@
 //! Where the body of a message ends, and whether the connection is closed then.
 
-use super::parse::HttpError;
+use super::error::HttpError;
 
 /// Longest line with the size of a chunk, in bytes.
 const MAX_CHUNK_SIZE_LINE: usize = 32;
 /// Line end after the data of each chunk.
 const CRLF: &[u8] = b"\r\n";
+/// HTTP/1.0, where connections are closed by default, as `httparse` numbers it.
+const HTTP_1_0: u8 = 0;
+/// HTTP/1.1, as `httparse` numbers it.
+pub(super) const HTTP_1_1: u8 = 1;
+
 /// What the header fields say about the body and the connection.
 pub(super) struct Framing {
     /// Value of `Content-Length`, in bytes.
@@ -22,11 +27,6 @@
     pub end: usize,
 }
 
-/// HTTP/1.0, where connections are closed by default, as `httparse` numbers it.
-const HTTP_1_0: u8 = 0;
-/// HTTP/1.1, as `httparse` numbers it.
-pub(super) const HTTP_1_1: u8 = 1;
-
 impl Framing {
     pub fn parse(headers: &[httparse::Header<'_>], version: u8) -> Result<Framing, HttpError> {
         let mut framing = Framing { length: None, chunked: false, close: version == HTTP_1_0 };
--- a/src/transport/http/parse.rs
+++ b/src/transport/http/parse.rs
@@ -1,9 +1,9 @@
 //! Parsing of requests and replies, with limits on their sizes.
 
 use super::{
+    error::HttpError,
     framing::{Framing, HTTP_1_1},
     message::{Reply, Request},
-    status,
 };
 
 /// Largest request body a client may send, in bytes.
@@ -25,31 +25,6 @@
     Whole(T, usize),
 }
 
-/// Why bytes are refused as a message.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum HttpError {
-    /// The bytes are no message of HTTP/1.1.
-    #[error("not HTTP/1.1")]
-    Malformed,
-    /// The head exceeds its limit.
-    #[error("head too long")]
-    HeadTooLong,
-    /// The body exceeds its limit.
-    #[error("body too long")]
-    BodyTooLong,
-}
-
-impl HttpError {
-    /// The status that the client is answered with.
-    pub fn status(self) -> u16 {
-        match self {
-            HttpError::Malformed => status::BAD_REQUEST,
-            HttpError::HeadTooLong => status::HEADERS_TOO_LARGE,
-            HttpError::BodyTooLong => status::CONTENT_TOO_LARGE,
-        }
-    }
-}
-
 /// Parses the request at the start of `buffer`.
 pub fn parse_request(buffer: &[u8]) -> Result<Parsed<Request>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -4,12 +4,16 @@
 //! out after each turn of the loop. Every connection has a deadline, every
 //! buffer a bound. Times are in ms of [`Net::now`].
 
+mod call;
 mod connection;
+mod dial;
 mod event;
 mod lifecycle;
 mod limits;
 mod outgoing;
+mod peer_link;
 mod peer_links;
+mod pool;
 mod server;
 
 use std::{
@@ -21,16 +25,16 @@
 use calloop::{EventLoop, LoopHandle};
 
 pub use self::{
+    call::{Call, CallError},
     connection::ConnectionId,
     event::Event,
     limits::Limits,
-    outgoing::{Call, CallError},
     server::ListenerKind,
 };
 use self::{
     connection::{Connection, Role},
-    outgoing::ConnectionPool,
-    peer_links::PeerLink,
+    peer_link::PeerLink,
+    pool::ConnectionPool,
 };
 
 /// Bytes read from a socket at a time.
@@ -135,7 +139,7 @@
             .connections
             .iter()
             .filter(|(_, connection)| match connection.role {
-                Role::PeerOutbound { .. } => peer_links::is_broken(connection, now),
+                Role::PeerOutbound { .. } => peer_link::is_broken(connection, now),
                 _ => now >= connection.deadline,
             })
             .map(|(&id, _)| id)
--- a/src/transport/net/peer_links.rs
+++ b/src/transport/net/peer_links.rs
@@ -4,16 +4,14 @@
 use std::net::SocketAddr;
 
 use super::{
-    connection::{Connection, ConnectionId, Disposition, Role},
-    outgoing::dial,
+    connection::{ConnectionId, Disposition, Role},
+    dial::dial,
+    peer_link::{PeerLink, MAX_LINK_QUEUE},
     Event, Net,
 };
 
 /// Largest content of a frame, in bytes; a longer one is taken for garbage.
 const MAX_FRAME: usize = 512 * 1024;
-/// Bytes that may wait on a link; above it frames are dropped, and a link that
-/// does not drain is closed.
-const MAX_LINK_QUEUE: usize = 256 * 1024;
 /// Pause, in ms, between two attempts to connect to a peer.
 const LINK_RETRY_MS: u64 = 400;
 /// A link must be established within this time, in ms.
@@ -21,19 +19,6 @@
 /// Bytes of a frame's length.
 const LENGTH_BYTES: usize = 4;
 
-/// A link to one peer; it is connected when a frame is to be sent.
-pub(super) struct PeerLink {
-    dest: SocketAddr,
-    connection: Option<ConnectionId>,
-    retry_at: u64,
-}
-
-/// Whether a link must be closed: it could not connect, or it doesn't drain. A
-/// working link has no deadline.
-pub(super) fn is_broken(connection: &Connection, now: u64) -> bool {
-    (connection.connecting && now >= connection.deadline) || connection.unsent() > MAX_LINK_QUEUE
-}
-
 impl Net {
     /// Adds a link to a peer and returns its number.
     pub fn add_link(&mut self, dest: SocketAddr) -> usize {
