--- a/src/controller/election_driver.rs
+++ b/src/controller/election_driver.rs
@@ -33,7 +33,7 @@
     /// Sends the next request if one is due.
     pub fn tick(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
         if let Some(action) = self.election.tick(now) {
-            self.perform(net, client, action);
+            self.perform(net, client, &action);
         }
     }
 
@@ -46,10 +46,10 @@
         }
     }
 
-    fn perform(&self, net: &mut Net, client: &mut ServiceClient, action: Action) {
+    fn perform(&self, net: &mut Net, client: &mut ServiceClient, action: &Action) {
         let now = net.now();
         client.budgets().charge_read(now);
-        match action {
+        match *action {
             Action::RequestGrant => {
                 let request = StoreRequest::create_grant(self.election.ttl_ms(), STORE_TIMEOUT_MS);
                 client.send_to_store(net, PendingCall::Election(ElectionCall::CreateGrant), request);
--- a/src/controller/instance/heartbeats.rs
+++ b/src/controller/instance/heartbeats.rs
@@ -90,7 +90,7 @@
     }
 
     /// Renews a worker's lease. Tasks that are known as cancelled are stopped,
-    /// which any controller may order; all others go on.
+    /// which any controller may command; all others go on.
     fn renew_without_leader(&mut self, net: &mut Net, conn: ConnectionId, now: Millis, heartbeat: &Heartbeat) {
         // Guard: recorded before the answer is sent, so that no leader counts the
         // lease as expired.
--- a/src/controller/leadership/config.rs
+++ b/src/controller/leadership/config.rs
@@ -15,7 +15,7 @@
 
 const BYTES_PER_KB: f64 = 1024.0;
 const MS_PER_S: f64 = 1000.0;
-/// Heartbeat intervals, and ms besides, after which a silent machine is returned
+/// Heartbeat intervals, and ms besides, after which a silent machine is released
 /// to the cloud unless operators set another time.
 const SILENT_HEARTBEAT_INTERVALS: Millis = 2;
 const SILENT_GRACE_MS: Millis = 2_500;
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -32,8 +32,8 @@
 
 /// Pause, in ms, between two scheduling cycles that are needed.
 const CYCLE_GAP_MS: Millis = 40;
-/// The same while writes are scarce: a scheduling cycle then places more at a time, so that
-/// each write carries more.
+/// The same while writes are scarce: a scheduling cycle then places more at a
+/// time, so that each write carries more.
 const SCARCE_CYCLE_GAP_MS: Millis = 300;
 /// Longest time, in ms, without a scheduling cycle.
 const MAX_CYCLE_GAP_MS: Millis = 1_000;
--- a/src/controller/renewal_key.rs
+++ b/src/controller/renewal_key.rs
@@ -44,14 +44,14 @@
     /// Sends the next request if one is due.
     pub fn tick(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
         if let Some(action) = self.right.tick(now) {
-            self.perform(net, client, action);
+            self.perform(net, client, &action);
         }
     }
 
-    fn perform(&self, net: &mut Net, client: &mut ServiceClient, action: Action) {
+    fn perform(&self, net: &mut Net, client: &mut ServiceClient, action: &Action) {
         let now = net.now();
         client.budgets().charge_read(now);
-        match action {
+        match *action {
             Action::RequestGrant => {
                 let request = StoreRequest::create_grant(self.right.ttl_ms(), STORE_TIMEOUT_MS);
                 client.send_to_store(net, PendingCall::RenewalKey(RenewalKeyCall::CreateGrant), request);
--- a/src/controller/run.rs
+++ b/src/controller/run.rs
@@ -56,7 +56,7 @@
 }
 
 /// Runs one controller until the process ends.
-pub fn run(settings: Settings, operator: OperatorSettings) -> Result<(), ControllerError> {
+pub fn run(settings: &Settings, operator: OperatorSettings) -> Result<(), ControllerError> {
     let mut event_loop: EventLoop<'static, Net> = EventLoop::try_new()?;
     let cluster = &settings.cluster;
     let stale_ms = stale_ms(&cluster.workers);
@@ -71,7 +71,7 @@
         net.listen(addr, kind).map_err(|source| ControllerError::Listen { addr, source })?;
     }
     tracing::info!(label = &*settings.label, zone = &*settings.zone, "started");
-    let mut controller = Controller::new(&settings, operator, &mut net);
+    let mut controller = Controller::new(settings, operator, &mut net);
     let mut last_turn = net.now();
     loop {
         controller.tick(&mut net);
--- a/src/controller/tests/instance.rs
+++ b/src/controller/tests/instance.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Guard: a worker that answered a probe, or didn't, counted as the key-value store.
+/// Guard: a worker's answer to a probe, or its absence, counted as the key-value store's.
 /// In an outage a leader that probes then seemed to be served, and its peers, who
 /// weren't, took themselves for cut off alone and became unready.
 #[test]
@@ -104,7 +104,7 @@
     }
 }
 
-/// Guard: a controller that had lost key-value store and peers sent its
+/// Guard: a controller that had lost the key-value store and its peers sent its
 /// workers to a leader that was long gone.
 #[test]
 fn workers_are_sent_only_to_a_leader_that_is_there() {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Guard: while all records are read anew, changes since the first page don't
+/// Guard: while all records are read again, changes since the first page don't
 /// show what later pages hold: they are neither knowledge of cancellations nor
 /// a read for users.
 #[test]
@@ -165,7 +165,7 @@
         assert_eq!(controller.apply_job_changes(NOW, &changes(status)), counts, "case {i}");
         assert_eq!(controller.renewal_key.may_renew(NOW + 10), counts, "case {i}");
     }
-    // Too old a place to read on from: all is read anew, and until then nothing counts.
+    // Too old a place to read on from: all is read again, and until then nothing counts.
     controller.jobs.cache_mut().apply_page(&page(false), true, &mut controller.names);
     assert!(!controller.apply_job_changes(NOW, &changes(410)) && !controller.jobs.cache().loaded());
     assert!(!controller.apply_job_changes(NOW, &changes(200)) && !controller.renewal_key.may_renew(NOW + 10));
--- a/src/controller/tests/peers.rs
+++ b/src/controller/tests/peers.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Task counts of strangers and of late frames are not shown.
+/// Task counts of unknown senders and of late frames are not shown.
 #[test]
 fn only_news_of_known_peers_counts() {
     let mut peers = peers();
--- a/src/controller/users/barrier.rs
+++ b/src/controller/users/barrier.rs
@@ -72,13 +72,14 @@
                 Some(index) => context.respond_known_job(conn, index),
                 None => self.respond_unavailable(context, conn),
             },
-            WaitingRequest::Refuse { conn, id, status, reason } => match context.find(&id) {
-                Some(index) => context.respond_known_job(conn, index),
-                None => {
+            WaitingRequest::Refuse { conn, id, status, reason } => {
+                if let Some(index) = context.find(&id) {
+                    context.respond_known_job(conn, index);
+                } else {
                     tracing::info!(job = &*id, reason, "submission rejected as infeasible");
                     context.respond_empty(conn, status);
                 }
-            },
+            }
             WaitingRequest::Dependent(write) => match context.find(&write.id) {
                 Some(index) => context.respond_known_job(write.conn, index),
                 None => self.create_or_refuse(context, write),
--- a/src/main.rs
+++ b/src/main.rs
@@ -79,7 +79,7 @@
         println!("settings of {} are fine", settings.label);
         return ExitCode::SUCCESS;
     }
-    match controller::run(settings, operator) {
+    match controller::run(&settings, operator) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!(%error, "controller failed");
--- a/src/protocol/cbor.rs
+++ b/src/protocol/cbor.rs
@@ -8,7 +8,7 @@
 /// Deepest nesting that is decoded; a deeper body is refused, so that it can't
 /// exhaust the stack.
 const MAX_DEPTH: usize = 64;
-/// Room reserved for an encoded body, in bytes; most fit without growing.
+/// Capacity reserved for an encoded body, in bytes; most fit without growing.
 const TYPICAL_BODY: usize = 128;
 
 /// A body that can't be decoded.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,4 +1,4 @@
-//! The interface of the cloud: machine types, and renting and returning hosts.
+//! The interface of the cloud: machine types, and scaling out and in (renting and returning hosts).
 
 use serde::{Deserialize, Serialize};
 
--- a/src/protocol/jobs/submission.rs
+++ b/src/protocol/jobs/submission.rs
@@ -82,6 +82,7 @@
     pub prereqs: Option<Vec<String>>,
 }
 
+/// For `skip_serializing_if`, which passes a reference to the field.
 fn has_no_prereqs(prereqs: &Option<Vec<String>>) -> bool {
     prereqs.as_ref().is_none_or(Vec::is_empty)
 }
--- a/src/protocol/jobs/validation.rs
+++ b/src/protocol/jobs/validation.rs
@@ -67,7 +67,7 @@
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-fn text<'a>(value: &'a Option<String>, field: &'static str) -> Result<&'a str, SubmissionError> {
+fn text<'a>(value: Option<&'a str>, field: &'static str) -> Result<&'a str, SubmissionError> {
     match value {
         Some(name) if is_name(name) => Ok(name),
         _ => Err(SubmissionError::Malformed(field)),
@@ -77,22 +77,22 @@
 impl Submission {
     /// Validates the fields and interns the names.
     ///
-    /// An unknown team, or a job that is its own prerequisite, is reported as
+    /// An unknown team, or a job that is its own prerequisite, is refused as
     /// [`SubmissionError::Infeasible`], but only if no field is malformed.
     pub fn validate(&self, interners: &mut Interners, source: SubmissionSource) -> Result<JobSpec, SubmissionError> {
-        let id = text(&self.name_id, "nameId")?;
+        let id = text(self.name_id.as_deref(), "nameId")?;
         if !is_valid_job_id(id) {
             return Err(SubmissionError::Malformed("nameId"));
         }
-        let class = text(&self.class, "lane")?;
-        let team = text(&self.team, "owner")?;
-        let kind = required(JobKind::parse(text(&self.kind, "shape")?), "shape")?;
-        let priority = required(Priority::parse(text(&self.priority, "rank")?), "rank")?;
+        let class = text(self.class.as_deref(), "lane")?;
+        let team = text(self.team.as_deref(), "owner")?;
+        let kind = required(JobKind::parse(text(self.kind.as_deref(), "shape")?), "shape")?;
+        let priority = required(Priority::parse(text(self.priority.as_deref(), "rank")?), "rank")?;
         let tasks = self.task_count()?;
         let cpus = amount(self.cpus, "cpus")?;
         let gpus = amount(self.gpus, "cards")?;
         let memory_gb = amount(self.memory_gb, "memoryGb")?;
-        let image = text(&self.image, "bundle")?;
+        let image = text(self.image.as_deref(), "bundle")?;
         let image_gb = amount(self.image_gb, "imageGb")?;
         let types = self.allowed_types(interners, source)?;
         let zone = self.allowed_zone(interners, source)?;
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -18,7 +18,7 @@
     pub leader_ttl_ms: u64,
     /// How long a machine without tasks is kept, in seconds.
     pub idle_keep_s: f64,
-    /// Silence, in seconds, after which a machine is returned to the cloud; `None`:
+    /// Silence, in seconds, after which a machine is released to the cloud; `None`:
     /// the controller chooses.
     pub silent_return_s: Option<f64>,
     /// Most machines rented at once; `None`: no limit.
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -51,7 +51,7 @@
 fn require(
     holds: bool,
     setting: &'static str,
-    value: impl ToString,
+    value: &impl ToString,
     requirement: Requirement,
 ) -> Result<(), InvalidValue> {
     if holds {
@@ -66,19 +66,19 @@
 }
 
 fn require_positive(setting: &'static str, amount: f64) -> Result<(), InvalidValue> {
-    require(is_positive(amount), setting, amount, Requirement::Positive)
+    require(is_positive(amount), setting, &amount, Requirement::Positive)
 }
 
 fn require_not_negative(setting: &'static str, amount: f64) -> Result<(), InvalidValue> {
-    require(amount.is_finite() && amount >= 0.0, setting, amount, Requirement::NotNegative)
+    require(amount.is_finite() && amount >= 0.0, setting, &amount, Requirement::NotNegative)
 }
 
 fn require_at_least(setting: &'static str, count: usize, least: usize) -> Result<(), InvalidValue> {
-    require(count >= least, setting, count, Requirement::AtLeast(least as f64))
+    require(count >= least, setting, &count, Requirement::AtLeast(least as f64))
 }
 
 fn require_not_empty(setting: &'static str, text: &str) -> Result<(), InvalidValue> {
-    require(!text.is_empty(), setting, "\"\"", Requirement::NotEmpty)
+    require(!text.is_empty(), setting, &"\"\"", Requirement::NotEmpty)
 }
 
 impl Settings {
@@ -99,7 +99,7 @@
         let least_cancel_s = workers.lease_s + MIN_CANCEL_MARGIN_S;
         let is_cancel_late_enough = workers.cancel_s >= least_cancel_s;
         let requirement = Requirement::AtLeast(least_cancel_s);
-        require(is_cancel_late_enough, "cluster.workers.cancel_s", workers.cancel_s, requirement)?;
+        require(is_cancel_late_enough, "cluster.workers.cancel_s", &workers.cancel_s, requirement)?;
         require_positive("cluster.state.rps", self.state.rps)?;
         require_positive("cluster.state.write_rps", self.state.write_rps)?;
         require_positive("cluster.state.value_kb", self.state.value_kb)?;
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,6 +1,6 @@
 //! The interface of the key-value store: conditional transactions (compare and
-//! swap), listings and watches of prefixes, and grants, which are leases with a
-//! time to live that keys can be attached to.
+//! swap), listings and watches of prefixes, and grants, the store's leases:
+//! each has a time to live, and the keys attached to it are removed when it expires.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -90,7 +90,7 @@
     /// The task completed.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by order. On the wire: `halted`.
+    /// Stopped by command. On the wire: `halted`.
     #[serde(rename = "halted")]
     Stopped,
     /// Another task of its gang is gone.
@@ -156,7 +156,7 @@
 }
 
 impl WorkerCommand {
-    /// Whether both orders stop the same attempt, whatever the grace period.
+    /// Whether both commands stop the same attempt, whatever the grace period.
     pub fn stops_same_attempt(&self, other: &WorkerCommand) -> bool {
         match (self, other) {
             (
@@ -179,13 +179,13 @@
     pub commands: Vec<WorkerCommand>,
 }
 
-/// Orders that the leader sends to a worker without waiting for its heartbeat.
+/// Commands that the leader sends to a worker without waiting for its heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DirectCommandRequest {
     /// Fencing token of the leader. On the wire: `baton`.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// The worker's incarnation that the orders are meant for. On the wire: `shift`.
+    /// The worker's incarnation that the commands are meant for. On the wire: `shift`.
     #[serde(rename = "shift")]
     pub incarnation: Incarnation,
     /// What the worker is to do, in order.
@@ -193,7 +193,7 @@
     pub commands: Vec<WorkerCommand>,
 }
 
-/// The answer to a heartbeat that this controller doesn't serve: whom to report to.
+/// The answer to a heartbeat that this controller doesn't serve: whom to send heartbeats to.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Redirect<'a> {
     /// Label of the leader; None if no leader is known. On the wire: `boss`.
--- a/src/storage/tests/rate_limit.rs
+++ b/src/storage/tests/rate_limit.rs
@@ -20,7 +20,7 @@
     for (number, (at, amount, urgency, want)) in cases.into_iter().enumerate() {
         assert_eq!(bucket.take(at, amount, urgency).is_ok(), want, "case {number}");
     }
-    // Guard: a swarm of submissions of a team without a guarantee had those of
+    // Guard: a flood of submissions of a team without a guarantee had those of
     // the other teams refused.
     let mut bucket = RateLimiter::new(10.0, 10.0);
     let taken = (0..20).filter(|_| bucket.take(0, 1.0, Urgency::BestEffortSubmit).is_ok()).count();
--- a/src/transport/http/parse.rs
+++ b/src/transport/http/parse.rs
@@ -32,8 +32,7 @@
     let head_end = match head.parse(buffer) {
         Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD => length,
         Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(Parsed::Partial),
-        Ok(_) => return Err(HttpError::HeadTooLong),
-        Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLong),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLong),
         Err(_) => return Err(HttpError::Malformed),
     };
     let framing = Framing::parse(head.headers, head.version.unwrap_or(HTTP_1_1))?;
--- a/src/transport/http/write.rs
+++ b/src/transport/http/write.rs
@@ -4,7 +4,7 @@
 
 use super::status;
 
-/// Room reserved for the head of a message, in bytes; most fit without growing.
+/// Capacity reserved for the head of a message, in bytes; most fit without growing.
 const TYPICAL_HEAD: usize = 160;
 
 /// Appends a reply with a CBOR body to `out`.
--- a/src/transport/net/event.rs
+++ b/src/transport/net/event.rs
@@ -1,4 +1,4 @@
-//! What the sockets report to the owner of [`Net`](super::Net).
+//! What the event loop tells the owner of [`Net`](super::Net).
 
 use super::{CallError, ConnectionId};
 use crate::transport::http::{Reply, Request};
--- a/src/transport/net/outgoing.rs
+++ b/src/transport/net/outgoing.rs
@@ -17,7 +17,7 @@
 
 impl Net {
     /// Sends a request. Its outcome, a failure included, comes as [`Event::Reply`].
-    pub fn call(&mut self, call: Call) {
+    pub fn call(&mut self, call: &Call) {
         let deadline = self.now() + call.timeout_ms;
         let connection_id = match self.pool.take(call.dest) {
             Some(id) => Some(id),
--- a/src/transport/tests/net.rs
+++ b/src/transport/tests/net.rs
@@ -112,7 +112,7 @@
     let mut server = start_server(Limits { sockets: 64, idle_ms: 60_000, head_ms: 5_000, stale_ms: 30_000 });
     let other = TcpListener::bind("127.0.0.1:0").unwrap();
     let dest = other.local_addr().unwrap();
-    server.net.call(Call { dest, method: Method::Get, path: "/".into(), body: vec![], timeout_ms: 60_000, tag: 7 });
+    server.net.call(&Call { dest, method: Method::Get, path: "/".into(), body: vec![], timeout_ms: 60_000, tag: 7 });
     server.turn(50);
     let (mut far, _) = other.accept().unwrap();
     far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
--- a/tests/combined_failures/heartbeats.rs
+++ b/tests/combined_failures/heartbeats.rs
@@ -11,9 +11,9 @@
 };
 
 /// Guard: heartbeats are ordered by incarnation and number, and one of an
-/// incarnation that is over frees nothing and brings nothing back. Copies from before the
-/// launch, from an earlier attempt and from an earlier incarnation come in the
-/// wrong order, to the leader that knows better and to one that doesn't.
+/// incarnation that is over frees nothing and brings nothing back. Copies from
+/// before the launch, from an earlier attempt and from an earlier incarnation
+/// come in the wrong order, to the leader that knows better and to one that doesn't.
 pub fn stale_heartbeats_after_newer_ones(sim: &mut Simulation) {
     sim.run(4_000);
     let mut old = sim.latest_heartbeats();
@@ -51,8 +51,8 @@
     assert_eq!((sim.assignments("j-1", 4), sim.starts()), (there, starts), "the next leader believed them");
 }
 
-/// Guard: an incarnation whose lease was counted out is never listened to again. A
-/// heartbeat is delayed until the new leader has counted out its sender and
+/// Guard: an incarnation whose lease expired is never listened to again. A
+/// heartbeat is delayed until the new leader has seen its sender's lease expire and
 /// started its tasks elsewhere; it brings none of them back.
 pub fn heartbeat_delayed_until_a_new_leader_has_acted(sim: &mut Simulation) {
     sim.workers.iter_mut().skip(2).for_each(|worker| worker.dead = true);
--- a/tests/combined_failures/leader_changes.rs
+++ b/tests/combined_failures/leader_changes.rs
@@ -9,7 +9,7 @@
 
 /// Guard: to a new leader, a place it read from the records is taken for a
 /// whole lease from its own start, heard or not. One machine can't be reached,
-/// one hears no answer; there is room elsewhere.
+/// one hears no answer; there is free capacity elsewhere.
 pub fn failover_while_machines_are_unreachable(sim: &mut Simulation) {
     sim.run(LEASE_MS * 2);
     sim.submit(submission("j-1", "batch", 6), 90_000);
@@ -99,7 +99,7 @@
     for n in 0..5usize {
         sim.run_until("the next one ends", 60_000, |sim| sim.workers.completed_count() > n);
         sim.network.rates = FaultRates { unanswered_transaction: 30, ..FaultRates::default() };
-        // Reported, answered, perhaps written; then that leader is no more.
+        // Sent in a heartbeat, answered, perhaps written; then that leader is no more.
         sim.run([100, 700, 1_200, 4_000, 8_500][n]);
         sim.elect();
         sim.network.rates = FaultRates::default();
--- a/tests/combined_failures/partitions.rs
+++ b/tests/combined_failures/partitions.rs
@@ -4,8 +4,8 @@
 
 use crate::simulation::{submission, Simulation, SubmissionBuilder, CANCEL_MS, LEASE_MS};
 
-/// Guard: what is bound to a zone is started in that zone only, also when all that zone's machines are lost at once and
-/// others have room.
+/// Guard: what is bound to a zone is started in that zone only, also when all
+/// machines of that zone are lost at once and others have free capacity.
 pub fn zone_bound_jobs_lose_their_machines(sim: &mut Simulation) {
     sim.add_worker("a");
     sim.add_worker("b");
@@ -39,8 +39,8 @@
 
 /// Guard: what another controller may have kept counts for the new leader, and
 /// what it may keep ends in time for what is cancelled through the new one.
-/// The old controller is partitioned from the key-value store and the other controllers,
-/// but half of the workers still reach it, and commands reach them.
+/// The old controller is partitioned from the key-value store and the other
+/// controllers, but half of the workers still reach it, and commands reach them.
 pub fn partitioned_leader_whom_workers_still_reach(sim: &mut Simulation) {
     sim.add_workers(4);
     sim.submit(submission("j-1", "batch", 8), 400_000);
@@ -71,7 +71,7 @@
     sim.run_until_settled("the old leader's workers", 150_000);
 }
 
-/// Guard: a zone's leases are counted out only for time that the controller
+/// Guard: a zone's leases count as expired only for time that the controller
 /// inside has spoken for. The zone is cut for longer than a lease, its
 /// controller keeps some of that; a gang bound to it and a spread service run
 /// there, and both lose nothing to the other zone while they may still run.
--- a/tests/combined_failures/random_faults.rs
+++ b/tests/combined_failures/random_faults.rs
@@ -8,7 +8,7 @@
 
 /// All faults by chance with fixed seeds, two and three at a time: nothing
 /// breaks a rule, and once they are over every job that was accepted and not
-/// cancelled is done or runs, and none waits for 90 s beside room.
+/// cancelled is done or runs, and none waits for 90 s beside free capacity.
 #[test]
 fn failures_combined_at_random() {
     let peer_settings: u64 = std::env::var("COMBINED_FAILURE_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(32);
--- a/tests/combined_failures/slow_network.rs
+++ b/tests/combined_failures/slow_network.rs
@@ -31,7 +31,7 @@
         let free = [sim.add_worker("a"), sim.add_worker("b")];
         sim.run(4_000);
         sim.workers[at].faults.hung = false;
-        // It reports before it comes to what was queued.
+        // It sends a heartbeat before it comes to what was queued.
         sim.network.delay_commands_for(at, sim.now() + 900);
         sim.run_until("runs", 90_000, |sim| sim.all_running(&id, 2));
         sim.run(5_000);
@@ -43,7 +43,7 @@
 }
 
 /// Guard: nothing is launched before its record is written, however long that
-/// takes. The service is slow, then refuses the leader, then everybody, for longer
+/// takes. The store is slow, then refuses the leader, then everybody, for longer
 /// than a cancelled task may run on; users cancel all the while.
 pub fn slow_store_refuses_the_leader_then_everybody(sim: &mut Simulation) {
     sim.store.conditions.transaction_latency_max_ms = 1_900;
@@ -121,7 +121,7 @@
         })
         .count()
     };
-    // More urgent work than there is room for, all the while.
+    // More urgent work than there is free capacity for, all the while.
     let mut n = 1_000;
     while sim.now() < from + 240_000 {
         sim.submit(of(high(&format!("j-{n}"), "batch", 2, 4.0), "urgent"), 3_000);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The state service lowers its limits without notice: nothing loops, and no
+//! The key-value store lowers its limits without notice: nothing loops, and no
 //! job is lost.
 
 mod simulation;
@@ -40,7 +40,7 @@
     move |sim| ids.iter().all(|id| sim.status(id) == JobStatus::Done)
 }
 
-/// Guard: a full record of before is too large for ever. What runs goes on,
+/// Guard: a full record of before stays too large. What runs goes on,
 /// what isn't placed yet is placed in parts.
 fn limits_lowered_while_an_array_runs(sim: &mut Simulation) {
     sim.workers.settings.run_step_ms = 2_000;
@@ -52,7 +52,7 @@
     sim.run_until("done", 200_000, done(&["j-1", "j-2", "j-3"]));
 }
 
-/// Guard: a gang whose record can't be written is divided anew.
+/// Guard: a gang whose record can't be written is resharded.
 fn limits_lowered_before_a_gang_starts(sim: &mut Simulation) {
     sim.controller.settings.may_reshard = true;
     sim.store.conditions.value_bytes_max = KB;
@@ -70,7 +70,7 @@
     sim.controller.settings.may_reshard = true;
     sim.submit(small("j-1", "ensemble", 60), 20_000);
     let gone = sim.add_worker("a");
-    // It runs on under the old division; lost, it is divided anew.
+    // It runs on in the old chunks; lost, it is resharded.
     sim.run_until("runs", 20_000, |sim| sim.worker_running("j-1/59").is_some());
     sim.store.conditions.value_bytes_max = KB;
     let gone = sim.workers.iter().position(|worker| worker.id == gone).unwrap();
@@ -82,7 +82,7 @@
     assert!(sim.controller.too_large() <= 1, "{} refused", sim.controller.too_large());
 }
 
-/// Guard: while an old controller may be there, no division is changed.
+/// Guard: while an old controller may be there, no job is resharded.
 fn no_resharding_while_an_old_controller_may_run(sim: &mut Simulation) {
     sim.store.conditions.value_bytes_max = KB;
     sim.submit(small("j-1", "ensemble", 60), 5_000);
@@ -95,13 +95,13 @@
     sim.run_until("done", 60_000, done(&["j-1"]));
 }
 
-/// The leader has met the lower limit; what it writes next is the new division.
+/// The leader has met the lower limit; what it writes next is in the new chunks.
 fn run_until_limits_are_refused(sim: &mut Simulation, id: &str, kind: &str) {
     sim.controller.settings.may_reshard = true;
     sim.store.conditions.value_bytes_max = KB;
     let before = sim.controller.too_large();
     sim.submit(small(id, kind, 60), 5_000);
-    // With budget to spare it may be divided before anything is refused.
+    // With budget to spare it may be resharded before anything is refused.
     sim.run_until("refused", 20_000, |sim| sim.controller.too_large() > before || chunk_of(sim, id) != 64);
 }
 
@@ -123,7 +123,7 @@
     sim.run_until("done", 120_000, done(&["j-1"]));
 }
 
-/// Guard: nothing is placed while it isn't known which division holds.
+/// Guard: nothing is placed while it isn't known which chunks hold.
 fn answers_are_lost_during_resharding(sim: &mut Simulation) {
     for id in ["j-1", "j-2", "j-3", "j-4", "j-5", "j-6"] {
         sim.elect();
@@ -149,7 +149,7 @@
             sim.network.rates = FaultRates::default();
         }
     }
-    // Running ones: the division is written, and nobody heard so.
+    // Running ones: the resharding is written, but its answer is lost.
     for n in 0..8 {
         let id = format!("j-7{n}");
         sim.controller.settings.may_reshard = false;
@@ -171,7 +171,7 @@
     assert!(left.is_empty(), "records of jobs that are over: {left:?}");
 }
 
-/// What runs goes on under the new division; a replica that is lost is replaced.
+/// What runs goes on in the new chunks; a replica that is lost is replaced.
 fn running_service_is_resharded(sim: &mut Simulation) {
     sim.controller.settings.may_reshard = true;
     sim.workers.settings.slots = 6;
@@ -192,14 +192,14 @@
     assert!(sim.worker_running("j-1/49").is_some());
 }
 
-/// Guard: the answer to the division is lost. What ends until it is known
+/// Guard: the answer to the resharding is lost. What ends until it is known
 /// counts as unwritten, and nothing more is placed.
 fn resharding_goes_unanswered(sim: &mut Simulation) {
     sim.workers.settings.slots = 8;
     sim.workers.settings.run_step_ms = 300;
     for (n, id) in ["j-1", "j-2", "j-3", "j-4", "j-5", "j-6"].into_iter().enumerate() {
         sim.controller.settings.may_reshard = false;
-        // More than there is room for, until machines come.
+        // More than there is free capacity for, until machines come.
         let job = small(id, "batch", 60).with_cpus(1.0);
         sim.submit(job, 3_000 + 500 * n as u64);
         sim.run(4_500);
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -12,7 +12,7 @@
 
 use ciborium::Value;
 use loopback_cluster::{
-    cluster::ClusterSettings,
+    cluster::LoopbackCluster,
     controllers::{Controller, Shared},
     http::{call, code, Response},
     key_value_store::StoredValue,
@@ -38,7 +38,7 @@
 fn nobody_renews_what_may_be_cancelled() {
     const LEASE_S: u32 = 4;
     const CANCEL_S: u32 = 14;
-    let mut cluster = ClusterSettings::start("cancelled", &Shared { lease_s: LEASE_S, cancel_s: CANCEL_S, next: None });
+    let mut cluster = LoopbackCluster::start("cancelled", &Shared { lease_s: LEASE_S, cancel_s: CANCEL_S, next: None });
     for id in ["j-100001", "j-100002", "j-100003", "j-100004"] {
         let accepted = || {
             call(cluster.nodes[0].client, "POST", "/api/jobs", &job(id, "service", 2))
@@ -130,7 +130,7 @@
     wait_for("what it reads of is gone", || (cluster.runs("j-100002") == 0).then_some(()));
     assert_eq!((cluster.runs("j-100003"), cluster.runs("j-100004")), (2, 2), "nothing else is");
 
-    // The leader dies, a cancellation is confirmed, and the service is away before
+    // The leader dies, a cancellation is confirmed, and the store is away before
     // there is a next one: whoever keeps the lease ends what is cancelled.
     let leader = cluster.leader();
     let other = cluster.nodes[(leader + 1) % 3].client;
@@ -157,7 +157,7 @@
 
 #[test]
 fn three_controllers_serve_fail_and_return() {
-    let mut cluster = ClusterSettings::start("loopback", &SHARED);
+    let mut cluster = LoopbackCluster::start("loopback", &SHARED);
     let (worker_state, shut) = (cluster.worker.clone(), cluster.gates.clone());
     let nodes = &mut cluster.nodes;
     let first = nodes[0].client;
@@ -220,7 +220,7 @@
         assert_eq!(code(call(node.client, "POST", "/api/jobs", &job("j-000002", "batch", 2))), Some(200));
     }
 
-    // The leader keeps its workers, but has neither the state service nor peers:
+    // The leader keeps its workers, but has neither the key-value store nor peers:
     // it acts for nobody, says so at once, and sends workers to nobody.
     let heartbeat = |worker: &Arc<Mutex<Worker>>| body::encode(&worker.lock().unwrap().heartbeat());
     let leads = |node: &Controller| {
@@ -265,7 +265,7 @@
 /// accepted; `tests/upgrade.rs` does the same with one that is there, and old.
 #[test]
 fn pipelines_over_the_wire() {
-    let mut cluster = ClusterSettings::prepare("pipelines", &SHARED);
+    let mut cluster = LoopbackCluster::prepare("pipelines", &SHARED);
     let nodes = &mut cluster.nodes;
     nodes[0].start();
     nodes[1].start();
@@ -347,7 +347,7 @@
 /// then, or didn't know the job yet, called a running job pending for ever.
 #[test]
 fn a_restarted_controller_learns_what_runs() {
-    let mut cluster = ClusterSettings::start("what-runs", &SHARED);
+    let mut cluster = LoopbackCluster::start("what-runs", &SHARED);
     let at = cluster.nodes[0].client;
     wait_for("accepted", || call(at, "POST", "/api/jobs", &job("j-100001", "service", 1)).filter(Response::is_success));
     wait_for("its task runs", || (cluster.runs("j-100001") == 1).then_some(()));
--- a/tests/loopback_cluster/cluster.rs
+++ b/tests/loopback_cluster/cluster.rs
@@ -24,29 +24,30 @@
 
 const CONTROLLERS: usize = 3;
 
-pub struct ClusterSettings {
+/// Controller processes, the stand-ins for the outside services, and one worker.
+pub struct LoopbackCluster {
     pub store: Arc<Mutex<Store>>,
-    /// Of each controller.
+    /// Each controller's access to the store.
     pub gates: Vec<Arc<AccessGate>>,
     pub worker: Arc<Mutex<Worker>>,
     pub nodes: Vec<Controller>,
-    /// Where the worker reports to.
-    reports_to: Arc<Mutex<Vec<SocketAddr>>>,
+    /// The controllers that the worker sends heartbeats to.
+    heartbeat_targets: Arc<Mutex<Vec<SocketAddr>>>,
     addresses: Vec<Addresses>,
     cloud: SocketAddr,
     stop: Arc<AtomicBool>,
     dir: PathBuf,
 }
 
-impl ClusterSettings {
+impl LoopbackCluster {
     /// With controllers of this version, ready.
-    pub fn start(name: &str, shared: &Shared) -> ClusterSettings {
-        ClusterSettings::start_as(name, shared, this_version())
+    pub fn start(name: &str, shared: &Shared) -> LoopbackCluster {
+        LoopbackCluster::start_as(name, shared, this_version())
     }
 
     /// With controllers that run a program, ready.
-    pub fn start_as(name: &str, shared: &Shared, program: &Path) -> ClusterSettings {
-        let mut cluster = ClusterSettings::prepare(name, shared);
+    pub fn start_as(name: &str, shared: &Shared, program: &Path) -> LoopbackCluster {
+        let mut cluster = LoopbackCluster::prepare(name, shared);
         for node in &mut cluster.nodes {
             node.start_as(program);
         }
@@ -55,24 +56,24 @@
         cluster
     }
 
-    /// With controllers that aren't started, and a worker that reports to none.
-    pub fn prepare(name: &str, shared: &Shared) -> ClusterSettings {
+    /// With controllers that aren't started, and a worker that sends heartbeats to none.
+    pub fn prepare(name: &str, shared: &Shared) -> LoopbackCluster {
         let store = Arc::new(Mutex::new(Store::default()));
         let gates: Vec<Arc<AccessGate>> = (0..CONTROLLERS).map(|_| Arc::default()).collect();
         let address = |gate: &Arc<AccessGate>| Addresses::new(serve_store(store.clone(), gate.clone()));
         let addresses: Vec<Addresses> = gates.iter().map(address).collect();
-        let reports_to = Arc::new(Mutex::new(Vec::new()));
+        let heartbeat_targets = Arc::new(Mutex::new(Vec::new()));
         let stop = Arc::new(AtomicBool::new(false));
-        let WorkerHandle { addr, state: worker } = start_worker(reports_to.clone(), stop.clone());
+        let WorkerHandle { addr, state: worker } = start_worker(heartbeat_targets.clone(), stop.clone());
         let cloud = serve_cloud(addr);
         let dir = std::env::temp_dir().join(format!("shedhook-{name}-{}", std::process::id()));
         let nodes = controllers(&dir, &addresses, cloud, shared);
-        ClusterSettings { store, gates, worker, nodes, reports_to, addresses, cloud, stop, dir }
+        LoopbackCluster { store, gates, worker, nodes, heartbeat_targets, addresses, cloud, stop, dir }
     }
 
-    /// The worker reports to the controllers from now on.
+    /// The worker sends heartbeats to the controllers from now on.
     pub fn receive_heartbeats(&self) {
-        *self.reports_to.lock().unwrap() = self.nodes.iter().map(|node| node.client).collect();
+        *self.heartbeat_targets.lock().unwrap() = self.nodes.iter().map(|node| node.client).collect();
     }
 
     pub fn wait_until_ready(&self) {
@@ -87,7 +88,7 @@
         self.nodes = controllers(&self.dir, &self.addresses, self.cloud, shared);
     }
 
-    /// Whoever answers the worker's reports.
+    /// Whoever answers the worker's heartbeats.
     pub fn leader(&self) -> usize {
         wait_for("a leader", || {
             let heartbeat = body::encode(&self.worker.lock().unwrap().heartbeat());
@@ -104,7 +105,7 @@
     }
 }
 
-impl Drop for ClusterSettings {
+impl Drop for LoopbackCluster {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = fs::remove_dir_all(&self.dir);
--- a/tests/loopback_cluster/controllers.rs
+++ b/tests/loopback_cluster/controllers.rs
@@ -78,7 +78,7 @@
     pub next: Option<Limits>,
 }
 
-/// Where a controller listens, and where it finds the state service.
+/// Where a controller listens, and where it finds the key-value store.
 pub struct Addresses {
     client: SocketAddr,
     cluster: SocketAddr,
--- a/tests/loopback_cluster/key_value_store.rs
+++ b/tests/loopback_cluster/key_value_store.rs
@@ -95,7 +95,10 @@
             self.too_large += 1;
             return Response::error(400, "too large");
         }
-        let is_expired = |op: &WriteOperation| matches!(op, WriteOperation::Put { grant: Some(id), .. } if !self.grants.contains_key(id));
+        let is_expired = |op: &WriteOperation| match op {
+            WriteOperation::Put { grant: Some(id), .. } => !self.grants.contains_key(id),
+            _ => false,
+        };
         if txn.writes.iter().any(is_expired) {
             return Response::error(400, "no such lease");
         }
@@ -128,7 +131,10 @@
     }
 
     fn is_too_large(&self, txn: &Transaction) -> bool {
-        let value_too_large = |op: &WriteOperation| matches!(op, WriteOperation::Put { value: v, .. } if json_size(v) > self.limits.value_kb * KB);
+        let value_too_large = |op: &WriteOperation| match op {
+            WriteOperation::Put { value, .. } => json_size(value) > self.limits.value_kb * KB,
+            _ => false,
+        };
         txn.writes.len() > self.limits.txn_ops
             || txn.conditions.len() > CONDITIONS_PER_WRITE * self.limits.txn_ops
             || txn.writes.iter().any(value_too_large)
@@ -204,7 +210,7 @@
     parameters.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
 }
 
-/// One door to the store, for one controller.
+/// One controller's access to the store.
 #[derive(Default)]
 pub struct AccessGate {
     /// Whoever uses it is refused.
--- a/tests/loopback_cluster/upgrade.rs
+++ b/tests/loopback_cluster/upgrade.rs
@@ -11,7 +11,7 @@
 
 use super::{
     answer_watch::AnswerWatch,
-    cluster::ClusterSettings,
+    cluster::LoopbackCluster,
     controllers::{this_version, Shared},
     http::Response,
     users::{abort, ids, is_ready, job, status, status_word, submit, with},
@@ -59,7 +59,7 @@
 
 /// A cluster whose controllers have versions, and the jobs accepted by it.
 pub struct Upgrade {
-    pub cluster: ClusterSettings,
+    pub cluster: LoopbackCluster,
     pub versions: [Version; 3],
     pub accepted: BTreeMap<String, Accepted>,
     pub watch: AnswerWatch,
@@ -68,7 +68,7 @@
 impl Upgrade {
     /// All controllers run the production version.
     pub fn start(name: &str, shared: &Shared) -> Upgrade {
-        let cluster = ClusterSettings::start_as(name, shared, production());
+        let cluster = LoopbackCluster::start_as(name, shared, production());
         let watch = AnswerWatch::start(cluster.nodes.iter().map(|node| node.client).collect());
         Upgrade { cluster, versions: [Version::Production; 3], accepted: BTreeMap::new(), watch }
     }
--- a/tests/loopback_cluster/worker.rs
+++ b/tests/loopback_cluster/worker.rs
@@ -179,7 +179,7 @@
     pub state: Arc<Mutex<Worker>>,
 }
 
-/// Starts a worker that reports to the controllers in turn until `stop`.
+/// Starts a worker that sends heartbeats to the controllers in turn until `stop`.
 pub fn start_worker(controllers: Arc<Mutex<Vec<SocketAddr>>>, stop: Arc<AtomicBool>) -> WorkerHandle {
     let state = Arc::new(Mutex::new(Worker::new()));
     let shared = state.clone();
--- a/tests/pipelines/job_cache.rs
+++ b/tests/pipelines/job_cache.rs
@@ -187,7 +187,7 @@
                 eprintln!(
                     "{what}, backwards {backwards}: loaded in {loaded:?}, {end:?} at {took:?}, {changed} changed"
                 );
-                // Of an unoptimized build, with room for a busy machine.
+                // Of an unoptimized build, with a margin for a busy machine.
                 assert!(took < Duration::from_secs(5), "{what} took {took:?}");
                 let first = shape.iter().filter(|p| p.contains(&name(0))).count();
                 if end == JobStatus::Done {
--- a/tests/pipelines/urgency.rs
+++ b/tests/pipelines/urgency.rs
@@ -1,4 +1,5 @@
-//! Order, renting and preemption: what a job inherits from its dependents, and from when its wait counts.
+//! Order, scaling out and preemption: what a job inherits from its dependents,
+//! and from when its wait counts.
 
 use shedhook::{
     protocol::jobs::{Priority, Submission},
--- a/tests/safety_rules/autoscaling.rs
+++ b/tests/safety_rules/autoscaling.rs
@@ -1,10 +1,10 @@
-//! Renting: idempotent requests, and machines in the zones that need them.
+//! Scaling out: idempotent requests, and machines in the zones that need them.
 
 use shedhook::storage::records::JobStatus;
 
 use crate::simulation::{submission, FaultRates, Simulation, SubmissionBuilder, LEASE_MS};
 
-/// Guard: a rental that went unanswered is asked for again by the same name,
+/// Guard: a scale-out request that went unanswered is asked for again by the same name,
 /// and no later leader uses a name of an earlier one.
 pub fn rental_requests_are_idempotent(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 6;
@@ -74,7 +74,7 @@
     sim.cloud.settings.capacity = 1;
     sim.cloud.settings.list_page = 3;
     sim.cloud.settings.refuses_every_second_page = true;
-    // They are known by the list alone, and never report: each is released.
+    // They are known by the list alone, and never send a heartbeat: each is released.
     sim.workers[4..].iter_mut().for_each(|worker| worker.faults.partitioned = true);
     sim.elect();
     sim.submit(submission("j-1", "batch", 1), 1_000);
--- a/tests/safety_rules/heartbeats.rs
+++ b/tests/safety_rules/heartbeats.rs
@@ -35,7 +35,7 @@
 }
 
 /// Guard: heartbeats are ordered by incarnation and number; what is older than what
-/// is known, or of an incarnation that was counted out, changes nothing.
+/// is known, or of an incarnation whose lease has expired, changes nothing.
 pub fn stale_heartbeats_are_ignored(sim: &mut Simulation) {
     sim.submit(submission("j-0", "batch", 1), 1_000);
     sim.submit(submission("j-1", "batch", 1).with_zone("nowhere"), 1_000);
--- a/tests/safety_rules/large_jobs.rs
+++ b/tests/safety_rules/large_jobs.rs
@@ -32,7 +32,7 @@
 pub fn largest_gang_starts_in_time(sim: &mut Simulation) {
     sim.submit(submission("j-1", "ensemble", 4).with_cpus(4.0).with_one_zone(true), 100_000);
     sim.submit(submission("j-2", "batch", 400).with_priority("low").with_cpus(4.0), 1_000);
-    // Always more small work than there is room for, a moment earlier.
+    // Always more small work than there is free capacity for, a moment earlier.
     for n in 0..60 {
         let mut job = submission(&format!("j-{}", 100 + n), "batch", 8);
         (job.cpus, job.estimate_s) = (Some(4.0), Some(5.0));
@@ -51,7 +51,7 @@
     sim.run_until("low priority begins", 245_000 - (sim.now() - 1_000), began);
 }
 
-/// Guard: when more is due than there is room for, gangs of one machine took
+/// Guard: when more is due than there is free capacity for, gangs of one machine took
 /// every one that a larger gang could begin to collect, and it came last; one
 /// gang in each zone collects its machines at a time.
 pub fn largest_gangs_start_in_time_in_a_backlog(sim: &mut Simulation) {
--- a/tests/safety_rules/random_faults.rs
+++ b/tests/safety_rules/random_faults.rs
@@ -14,7 +14,8 @@
         sim.cloud.settings.capacity = 12;
         sim.workers.settings.image_fetch_ms = [200, 1_000][sim.random_below(2)];
         if seed % 2 == 0 {
-            sim.controller.settings.heartbeat_timeout_ms = 8_500; // machines that are silent or can't receive are returned
+            // Machines that are silent or can't receive are released.
+            sim.controller.settings.heartbeat_timeout_ms = 8_500;
         }
         sim.network.rates = FaultRates {
             late_command: 10,
--- a/tests/safety_rules/scale.rs
+++ b/tests/safety_rules/scale.rs
@@ -12,8 +12,8 @@
 
 /// Work is counted in machines looked at and records written, not by the clock.
 ///
-/// Guard: each scheduling cycle, heartbeat and sweep looked at every machine, place and job;
-/// every end rewrote its job's record; fixed shares of the writes left half of
+/// Guard: each scheduling cycle, heartbeat and sweep looked at every machine,
+/// place and job; every end rewrote its job's record; fixed shares of the writes left half of
 /// them unused while submissions were refused.
 #[test]
 fn thousands_of_machines_and_five_controllers() {
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: rents machines, lists them, and answers a repeated request as before.
+//! The cloud: rents machines out, lists them, and answers a repeated request as before.
 
 use std::collections::HashMap;
 
@@ -24,7 +24,7 @@
 /// The zones of the cloud.
 pub const ZONES: [&str; 2] = ["a", "b"];
 
-/// A rental as the cloud was asked for it; the name makes it idempotent.
+/// A scale-out as the cloud was asked for it; the name makes it idempotent.
 pub struct RentalRequest {
     pub at: Millis,
     pub term: Term,
--- a/tests/simulation/delivery.rs
+++ b/tests/simulation/delivery.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// One step of a worker: its tasks go on, and it reports what changed.
+    /// One step of a worker: its tasks go on, and it sends what changed in a heartbeat.
     pub(super) fn advance_worker(&mut self, worker: usize) {
         let now = self.now;
         if !self.workers[worker].begin_step(now) {
--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -1,5 +1,5 @@
-//! What the library's leader asks for: commands and probes to workers, rentals
-//! and releases of machines, and the cloud's list.
+//! What the library's leader asks for: commands and probes to workers, scale-out
+//! and scale-in, and the cloud's list.
 
 use shedhook::{
     coordination::{
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -85,7 +85,7 @@
     pub very_late_heartbeat: u32,
     /// A heartbeat does not arrive now, but some seconds later, unanswered.
     pub delayed_heartbeat: u32,
-    /// A rental's answer is lost.
+    /// The answer to a scale-out is lost.
     pub lost_rental_answer: u32,
 }
 
--- a/tests/simulation/progress.rs
+++ b/tests/simulation/progress.rs
@@ -39,7 +39,8 @@
 }
 
 impl Simulation {
-    /// Runs for so long; no job is left waiting for 90 s while there is room.
+    /// Runs for so long; no job is left waiting for 90 s while there is
+    /// free capacity for it.
     pub fn run_without_starvation(&mut self, name: &str, ids: &[String], ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
@@ -108,7 +109,7 @@
         used + job.submission.gpus.unwrap() * needed as f64 > gpus_max
     }
 
-    /// Whether the zones have room for so many tasks, as the job may use them.
+    /// Whether the zones have free capacity for so many tasks, as the job may use them.
     fn zones_fit(&self, id: &str, job: &SubmittedJob, needed: usize) -> bool {
         let [a, b] = ZONES.map(|zone| self.zone_capacity(id, job, zone));
         if job.submission.one_zone == Some(true) {
--- a/tests/simulation/queries.rs
+++ b/tests/simulation/queries.rs
@@ -1,4 +1,4 @@
-//! What test cases ask of the simulation: where tasks run, and what was reported.
+//! What test cases ask of the simulation: where tasks run, and what heartbeats said.
 
 use shedhook::{
     coordination::{lease_renewal, model::Millis},
@@ -44,7 +44,7 @@
         self.assignments(id, tasks).iter().all(Option::is_none)
     }
 
-    /// What every worker last could have reported.
+    /// The last heartbeat that each worker could have sent.
     pub fn latest_heartbeats(&self) -> Vec<Heartbeat> {
         self.workers.iter().map(|worker| worker.latest_heartbeat()).collect()
     }
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -52,7 +52,10 @@
 impl StoreConditions {
     /// Whether a value or the number of writes exceeds the present limits.
     pub(super) fn is_too_large(&self, transaction: &Transaction) -> bool {
-        let too_large = |write: &WriteOperation| matches!(write, WriteOperation::Put { value: v, .. } if records::json_size(v) > self.value_bytes_max);
+        let too_large = |write: &WriteOperation| match write {
+            WriteOperation::Put { value, .. } => records::json_size(value) > self.value_bytes_max,
+            _ => false,
+        };
         transaction.writes.len() > self.operations_max || transaction.writes.iter().any(too_large)
     }
 }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -10,7 +10,7 @@
 
 use super::{HEARTBEAT_INTERVAL_MS, LEASE_MS};
 
-/// A changed state is reported so long after the last heartbeat, at the soonest.
+/// A changed state is sent so long after the last heartbeat, at the soonest.
 const CHANGE_DELAY_MS: Millis = 500;
 
 #[derive(Debug, Clone)]
@@ -210,7 +210,7 @@
         self.latest_heartbeat()
     }
 
-    /// What it last could have reported, without sending anything.
+    /// The last heartbeat that it could have sent, without sending anything.
     pub fn latest_heartbeat(&self) -> Heartbeat {
         Heartbeat {
             machine: self.id.clone(),
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -8,7 +8,7 @@
 
 use ciborium::Value;
 use loopback_cluster::{
-    cluster::ClusterSettings,
+    cluster::LoopbackCluster,
     controllers::Shared,
     http::{call, code, Response},
     key_value_store::Limits,
@@ -362,7 +362,7 @@
 /// is there, nothing is accepted that has some.
 #[test]
 fn nothing_with_prerequisites_beside_a_version_without_them() {
-    let mut cluster = ClusterSettings::start_as("before-pipelines", &SHARED, without_pipelines());
+    let mut cluster = LoopbackCluster::start_as("before-pipelines", &SHARED, without_pipelines());
     let at = cluster.nodes[0].client;
     wait_for("taken", || (submit(at, &job("j-000001", "batch", 3))?.status == 201).then_some(()));
     wait_for("done", || (status(at, "j-000001")? == "done").then_some(()));
