--- a/src/coordination/autoscaler/boot_delays.rs
+++ b/src/coordination/autoscaler/boot_delays.rs
@@ -66,7 +66,7 @@
         let machine = cluster.machine(index);
         let boot_s = cluster.type_of(machine).map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s);
         let timeout_ms = (boot_s * self.timeout_factor(machine, index) + BOOT_TIMEOUT_SLACK_S) * 1000.0;
-        let since = machine.provisioned_at.max(cluster.started);
+        let since = machine.provisioned_at.max(cluster.started());
         (now - since) as f64 > timeout_ms
     }
 
--- a/src/coordination/autoscaler/consolidation.rs
+++ b/src/coordination/autoscaler/consolidation.rs
@@ -55,9 +55,9 @@
 
 /// Whether there was no unmet demand lately, and no machine is being drained.
 fn may_consolidate(now: Millis, cluster: &ClusterState) -> bool {
-    let is_starting = now < cluster.started + START_DELAY_MS;
+    let is_starting = now < cluster.started() + START_DELAY_MS;
     let is_draining = |machine: &Machine| machine.cordoned && !machine.load.assignments.is_empty();
-    !cluster.backlog.has_recent_unmet_demand(now) && !is_starting && !cluster.machines.iter().any(is_draining)
+    !cluster.has_recent_unmet_demand(now) && !is_starting && !cluster.machines.iter().any(is_draining)
 }
 
 /// Machines that may be drained, the most expensive first.
@@ -91,7 +91,7 @@
 
 /// Whether something has lasted long enough to be changed again.
 fn has_settled(now: Millis, cluster: &ClusterState, since: Option<Millis>) -> bool {
-    since.is_some_and(|since| now > since + cluster.config.min_idle_ms)
+    since.is_some_and(|since| now > since + cluster.config().min_idle_ms)
 }
 
 /// Whether an assignment is a service replica without GPUs that has been running
@@ -118,7 +118,7 @@
         machine_type.price_of(job.spec.spot) / f64::from(request.count_fitting_in(&machine_type.capacity).max(1))
     };
     cluster
-        .types
+        .types()
         .iter()
         .filter(|machine_type| request.fits_in(&machine_type.capacity) && job.spec.allows_type(machine_type.index))
         .map(price_per_task)
--- a/src/coordination/autoscaler/drain.rs
+++ b/src/coordination/autoscaler/drain.rs
@@ -20,5 +20,5 @@
         cluster.halt(now, assignment, grace_s);
     }
     cluster.refresh(now, index);
-    cluster.cycle_needed = true;
+    cluster.request_scheduling_cycle();
 }
--- a/src/coordination/autoscaler/failure_detector.rs
+++ b/src/coordination/autoscaler/failure_detector.rs
@@ -150,7 +150,7 @@
     /// have stopped their heartbeats too. If its zone has no others, those of all
     /// zones are taken instead, after twice the time.
     fn is_confirmed_by_others(&self, suspect: &Machine) -> bool {
-        let config = &self.cluster.config;
+        let config = self.cluster.config();
         let last_contact = last_contact_or_start(self.cluster, suspect);
         let due = last_contact + config.heartbeat_interval_ms * 5 / 4 + HEARTBEAT_DUE_SLACK_MS;
         let zone = Some(suspect.zone);
--- a/src/coordination/autoscaler/offer_selection.rs
+++ b/src/coordination/autoscaler/offer_selection.rs
@@ -85,7 +85,7 @@
 ) -> Option<RatedOffer> {
     let mut cheapest_cost = f64::INFINITY;
     let mut best: Option<RatedOffer> = None;
-    for machine_type in &cluster.types {
+    for machine_type in cluster.types() {
         for &zone in machine_type.zones.iter().filter(|zone| demand.zone.is_none_or(|only| only == **zone)) {
             for spot in [false, true] {
                 let Some(candidate) = rate_offer(cluster, machine_type, zone, spot, demand) else { continue };
@@ -113,7 +113,7 @@
     demand: &OfferDemand<'_>,
 ) -> Option<RatedOffer> {
     let spec = demand.spec;
-    if spot && !(spec.spot && cluster.config.use_spot) {
+    if spot && !(spec.spot && cluster.config().use_spot) {
         return None;
     }
     let tasks_per_machine = Resources::of(spec).count_fitting_in(&machine_type.capacity);
--- a/src/coordination/autoscaler/pending_capacity.rs
+++ b/src/coordination/autoscaler/pending_capacity.rs
@@ -40,7 +40,7 @@
             }
         }
         for request in requested {
-            if let Some(machine_type) = request.offer.type_spec(&cluster.types) {
+            if let Some(machine_type) = request.offer.type_spec(cluster.types()) {
                 pending_capacity.add(request.offer, machine_type.capacity, request.machines);
             }
         }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -53,7 +53,7 @@
                 cluster.machines[index.as_usize()].release_retry_at = now + FAILED_RETRY_DELAY_MS;
             }
         }
-        cluster.cycle_needed = true;
+        cluster.request_scheduling_cycle();
     }
 }
 
--- a/src/coordination/autoscaler/scale_out_plan.rs
+++ b/src/coordination/autoscaler/scale_out_plan.rs
@@ -58,7 +58,7 @@
             unmet_tasks_by_class: unmet_tasks_by_class(cluster),
             planned: Vec::new(),
         };
-        for &unmet in cluster.backlog.unmet.iter().take(JOBS_PER_STEP) {
+        for &unmet in cluster.unmet_demand().iter().take(JOBS_PER_STEP) {
             plan.add_job(unmet);
             if plan.is_full() {
                 break;
@@ -97,11 +97,11 @@
         });
         let mut unmet_tasks = zone_demand.tasks - allotted;
         for _ in 0..OFFERS_PER_JOB {
-            if unmet_tasks == 0 || self.is_full() || self.total_machines >= self.cluster.config.max_machines {
+            if unmet_tasks == 0 || self.is_full() || self.total_machines >= self.cluster.config().max_machines {
                 break;
             }
             let Some(selected) = self.select_offer(job, zone_demand, unmet_tasks) else { break };
-            let Some(machine_type) = selected.offer.type_spec(&self.cluster.types) else { break };
+            let Some(machine_type) = selected.offer.type_spec(self.cluster.types()) else { break };
             let machines = self.machines_for(unmet_tasks, &selected);
             self.pending_capacity.add(selected.offer, machine_type.capacity, machines);
             unmet_tasks -= self.pending_capacity.allot(&request, unmet_tasks, |offer| *offer == selected.offer);
@@ -127,7 +127,7 @@
 
     /// How many machines of an offer to request for the tasks.
     fn machines_for(&self, tasks: u32, selected: &RatedOffer) -> u32 {
-        let allowed = (self.cluster.config.max_machines - self.total_machines) as u32;
+        let allowed = (self.cluster.config().max_machines - self.total_machines) as u32;
         tasks.div_ceil(selected.tasks_per_machine).min(MACHINES_REQUESTED_PER_CALL).min(allowed)
     }
 
@@ -148,7 +148,7 @@
 
 fn unmet_tasks_by_class(cluster: &ClusterState) -> HashMap<ClassIndex, u32> {
     let mut unmet_tasks: HashMap<ClassIndex, u32> = HashMap::new();
-    for unmet in &cluster.backlog.unmet {
+    for unmet in cluster.unmet_demand() {
         if let Some(job) = cluster.job(unmet.job) {
             *unmet_tasks.entry(job.spec.class).or_default() += unmet.tasks;
         }
--- a/src/coordination/autoscaler/unmet_demand.rs
+++ b/src/coordination/autoscaler/unmet_demand.rs
@@ -17,13 +17,13 @@
 /// a machine at all.
 pub fn record_unmet_demand(now: Millis, cluster: &mut ClusterState) {
     let mut usable_types: Vec<MachineTypeIndex> = Vec::new();
-    for unmet in &cluster.backlog.unmet {
+    for unmet in cluster.unmet_demand() {
         let Some(job) = cluster.job(unmet.job) else { continue };
         if !is_started_best_effort(cluster, job) {
             usable_types.extend(types_usable_by(cluster, job));
         }
     }
-    cluster.backlog.record_unmet_for(now, usable_types);
+    cluster.record_unmet_demand_for(now, usable_types);
 }
 
 fn is_started_best_effort(cluster: &ClusterState, job: &Job) -> bool {
@@ -36,5 +36,5 @@
     let is_usable = move |machine_type: &&MachineTypeSpec| {
         job.spec.allows_type(machine_type.index) && request.fits_in(&machine_type.capacity)
     };
-    cluster.types.iter().filter(is_usable).map(|machine_type| machine_type.index)
+    cluster.types().iter().filter(is_usable).map(|machine_type| machine_type.index)
 }
--- a/src/coordination/autoscaler/zone_demand.rs
+++ b/src/coordination/autoscaler/zone_demand.rs
@@ -81,7 +81,7 @@
     fn allowed_zones(&self) -> Vec<ZoneIndex> {
         let spec = self.spec;
         let mut zones: Vec<ZoneIndex> = Vec::new();
-        let allowed_types = self.cluster.types.iter().filter(|machine_type| spec.allows_type(machine_type.index));
+        let allowed_types = self.cluster.types().iter().filter(|machine_type| spec.allows_type(machine_type.index));
         for zone in allowed_types.flat_map(|machine_type| machine_type.zones.iter().copied()) {
             if !zones.contains(&zone) && spec.zone.is_none_or(|only| only == zone) {
                 zones.push(zone);
--- a/src/coordination/cluster/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -87,7 +87,7 @@
     pub fn release_assignment(&mut self, index: AssignmentIndex, reason: ReleaseReason) -> Option<Assignment> {
         let assignment = self.assignments.remove(index)?;
         self.machines[assignment.machine.as_usize()].load.assignments.retain(|&other| other != index);
-        self.cycle_needed = true;
+        self.cycle_requested = true;
         if self.job(assignment.job).is_some() {
             self.release_from_job(&assignment, reason);
             self.progress_feed.mark_changed(assignment.job);
@@ -152,7 +152,7 @@
 
     /// Has the machines of those of the assignments that are `wanted` looked at,
     /// for commands to be sent.
-    pub(in crate::coordination) fn schedule_dispatch(
+    pub(in crate::coordination) fn schedule_dispatch_for(
         &mut self,
         now: Millis,
         assignments: Vec<AssignmentIndex>,
@@ -166,6 +166,21 @@
         }
     }
 
+    /// Has those tasks on a machine launched again, as the same attempt, that its
+    /// worker had shown and that `is_missing` now.
+    pub(in crate::coordination) fn relaunch_missing_tasks(
+        &mut self,
+        machine: MachineIndex,
+        is_missing: impl Fn(AssignmentIndex) -> bool,
+    ) {
+        for &index in &self.machines[machine.as_usize()].load.assignments {
+            let Some(assignment) = self.assignments.get_mut(index) else { continue };
+            if is_missing(index) && matches!(assignment.state, AssignmentState::Seen(_)) {
+                assignment.state = AssignmentState::Wanted;
+            }
+        }
+    }
+
     /// Whether a command with the assignment's launch is unanswered.
     pub fn is_launch_in_flight(&self, assignment: &Assignment) -> bool {
         let call = &self.machines[assignment.machine.as_usize()].commands.direct_call;
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -36,7 +36,7 @@
             (true, JobStatus::Done) => self.finish(index),
             (false, JobStatus::Cancelled | JobStatus::Done) => {}
         }
-        self.cycle_needed = true;
+        self.cycle_requested = true;
     }
 
     /// The record of an unfinished job changed.
--- a/src/coordination/cluster/machines.rs
+++ b/src/coordination/cluster/machines.rs
@@ -4,6 +4,7 @@
 use crate::{
     coordination::model::{Machine, MachineIndex, MachineLifecycle, MachineTypeSpec, Millis},
     protocol::{ids::Incarnation, names::ZoneIndex},
+    storage::job_cache::JobIndex,
 };
 
 /// A machine with GPUs is expensive per CPU beyond this many times the cheapest.
@@ -38,11 +39,20 @@
             },
         };
         let was_open = self.snapshot.hosts.get(index.as_usize()).is_some_and(|host| host.schedulable);
-        self.cycle_needed |= open && !was_open;
+        self.cycle_requested |= open && !was_open;
         self.snapshot.move_to(index.as_usize(), pool);
         self.snapshot.set_schedulable(index.as_usize(), open && pool.is_some(), gpu_only);
     }
 
+    /// The machine has fetched, or is fetching, the image of the job.
+    pub(in crate::coordination) fn record_cached_image(&mut self, machine: MachineIndex, job: JobIndex) {
+        let Some(job) = self.jobs.get(job) else { return };
+        if let Some(host) = self.snapshot.hosts.get_mut(machine.as_usize()) {
+            let cache_gb = host.pool.map_or(0.0, |pool| self.snapshot.pools[pool].cache_gb);
+            host.note_image(job.spec.image, job.spec.image_gb, cache_gb);
+        }
+    }
+
     fn takes_new_tasks(&self, now: Millis, machine: &Machine) -> bool {
         let heartbeat_limit_ms = 2 * self.config.heartbeat_interval_ms + HEARTBEAT_SLACK_MS;
         machine.lifecycle == MachineLifecycle::Up
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -43,46 +43,50 @@
     snapshot::ClusterSnapshot,
 };
 use crate::{
-    protocol::{ids::Attempt, names::TeamIndex},
+    protocol::{
+        ids::Attempt,
+        jobs::JobSpec,
+        names::{MachineTypeIndex, TeamIndex},
+    },
     storage::job_cache::JobIndex,
 };
 
 /// What the leader knows of jobs and machines, and what it wants to run where.
 pub struct ClusterState {
     /// Settings of this leadership.
-    pub(in crate::coordination) config: Config,
+    config: Config,
     /// Identifies this leadership.
-    pub(in crate::coordination) term: Term,
+    term: Term,
     /// Time of the latest event.
-    pub(in crate::coordination) last_event_at: Millis,
+    last_event_at: Millis,
     /// When this leadership began.
-    pub(in crate::coordination) started: Millis,
+    started: Millis,
     /// All records are read.
-    pub(in crate::coordination) loaded: bool,
+    loaded: bool,
     /// Jobs that are not over, or whose tasks are still somewhere.
     pub(in crate::coordination) jobs: JobTable,
     /// Jobs whose progress is to be published.
-    pub(in crate::coordination) progress_feed: ProgressFeed,
+    progress_feed: ProgressFeed,
     /// All machines known so far.
     pub(in crate::coordination) machines: MachineRegistry,
     /// Machine types that may be rented.
-    pub(in crate::coordination) types: Vec<MachineTypeSpec>,
+    types: Vec<MachineTypeSpec>,
     /// Tasks that are, or may be, on a machine.
-    pub(in crate::coordination) assignments: AssignmentTable,
+    assignments: AssignmentTable,
     /// The latest attempt of any job.
     last_attempt: Attempt,
     /// Free capacity of the machines, as trials see it.
     pub(in crate::coordination) snapshot: ClusterSnapshot,
     /// In use by each team, unproven assignments included.
-    pub(in crate::coordination) team_used: TeamUsage,
+    team_used: TeamUsage,
     /// Observed run times against their owners' estimates.
-    pub(in crate::coordination) run_times: RunTimeEstimates,
+    run_times: RunTimeEstimates,
     /// Work that found no free capacity.
-    pub(in crate::coordination) backlog: Backlog,
+    backlog: Backlog,
     /// Something changed that may let a waiting job be placed.
-    pub(in crate::coordination) cycle_needed: bool,
+    cycle_requested: bool,
     /// Machines that may have to be sent a command, and when to look.
-    pub(in crate::coordination) dispatch_queue: DispatchQueue,
+    dispatch_queue: DispatchQueue,
     /// What is known of the records in the key-value store.
     pub(in crate::coordination) records: RecordState,
 }
@@ -112,13 +116,122 @@
             team_used: TeamUsage::new(config.teams.len()),
             run_times: RunTimeEstimates::default(),
             backlog: Backlog::new(now),
-            cycle_needed: true,
+            cycle_requested: true,
             dispatch_queue: DispatchQueue::default(),
             records: RecordState::new(config.max_value_bytes),
             config,
         }
     }
 
+    /// Settings of this leadership.
+    pub(in crate::coordination) fn config(&self) -> &Config {
+        &self.config
+    }
+
+    /// Identifies this leadership.
+    pub(in crate::coordination) fn term(&self) -> Term {
+        self.term
+    }
+
+    /// When this leadership began.
+    pub(in crate::coordination) fn started(&self) -> Millis {
+        self.started
+    }
+
+    /// Whether all records are read.
+    pub(in crate::coordination) fn is_loaded(&self) -> bool {
+        self.loaded
+    }
+
+    /// All records are read.
+    pub(in crate::coordination) fn mark_loaded(&mut self) {
+        self.loaded = true;
+    }
+
+    /// An event is processed now.
+    pub(in crate::coordination) fn record_event_at(&mut self, now: Millis) {
+        self.last_event_at = now;
+    }
+
+    /// Whether something changed since the last scheduling cycle that may let a
+    /// waiting job be placed.
+    pub(in crate::coordination) fn is_cycle_requested(&self) -> bool {
+        self.cycle_requested
+    }
+
+    /// Something changed that may let a waiting job be placed.
+    pub(in crate::coordination) fn request_scheduling_cycle(&mut self) {
+        self.cycle_requested = true;
+    }
+
+    /// A scheduling cycle begins, which takes in all changes so far.
+    pub(in crate::coordination) fn clear_cycle_request(&mut self) {
+        self.cycle_requested = false;
+    }
+
+    /// Has a machine looked at for commands to be sent once `at` is reached.
+    pub(in crate::coordination) fn schedule_dispatch(&mut self, at: Millis, machine: MachineIndex) {
+        self.dispatch_queue.schedule(at, machine);
+    }
+
+    /// Removes and returns the first machine that is due to be looked at for
+    /// commands to be sent.
+    pub(in crate::coordination) fn next_due_dispatch(&mut self, now: Millis) -> Option<MachineIndex> {
+        self.dispatch_queue.pop_due(now)
+    }
+
+    /// A job's progress may have changed and is to be published.
+    pub(in crate::coordination) fn record_progress(&mut self, job: JobIndex) {
+        self.progress_feed.mark_changed(job);
+    }
+
+    /// Expected run time of a task in seconds, corrected by what its class showed so far.
+    pub(in crate::coordination) fn expected_run_s(&self, spec: &JobSpec) -> f64 {
+        self.run_times.expected_s(spec)
+    }
+
+    /// Takes in how long a task of a job that ran to its end took, in seconds.
+    pub(in crate::coordination) fn observe_run_time(&mut self, job: JobIndex, ran_s: f64) {
+        if let Some(job) = self.jobs.get(job) {
+            self.run_times.observe(&job.spec, ran_s);
+        }
+    }
+
+    /// Work that found no free capacity in the last scheduling cycle, in its order.
+    pub(in crate::coordination) fn unmet_demand(&self) -> &[UnmetDemand] {
+        &self.backlog.unmet
+    }
+
+    /// A scheduling cycle ended with this work unplaced.
+    pub(in crate::coordination) fn set_unmet_demand(&mut self, unmet: Vec<UnmetDemand>) {
+        self.backlog.unmet = unmet;
+    }
+
+    /// There is unmet demand that machines of these types could meet.
+    pub(in crate::coordination) fn record_unmet_demand_for(&mut self, now: Millis, types: Vec<MachineTypeIndex>) {
+        self.backlog.record_unmet_for(now, types);
+    }
+
+    /// Whether there was unmet demand lately that some machine type could meet.
+    pub(in crate::coordination) fn has_recent_unmet_demand(&self, now: Millis) -> bool {
+        self.backlog.has_recent_unmet_demand(now)
+    }
+
+    /// As [`ClusterState::assignment`], to be changed.
+    pub(in crate::coordination) fn assignment_mut(&mut self, index: AssignmentIndex) -> Option<&mut Assignment> {
+        self.assignments.get_mut(index)
+    }
+
+    /// Machine types that may be rented.
+    pub(in crate::coordination) fn types(&self) -> &[MachineTypeSpec] {
+        &self.types
+    }
+
+    /// How many teams there are.
+    pub(in crate::coordination) fn team_count(&self) -> usize {
+        self.team_used.len()
+    }
+
     /// A job that is not over, or whose tasks are still somewhere.
     pub fn job(&self, index: JobIndex) -> Option<&Job> {
         self.jobs.get(index)
--- a/src/coordination/commits/applied.rs
+++ b/src/coordination/commits/applied.rs
@@ -35,7 +35,7 @@
     // A gang's launches wait for the last of its records.
     let launchable =
         if job.spec.kind == JobKind::Gang { job.assignments() } else { job.assignments_of_chunk(written.chunk) };
-    cluster.schedule_dispatch(now, launchable, |assignment| assignment.state == AssignmentState::Wanted);
+    cluster.schedule_dispatch_for(now, launchable, |assignment| assignment.state == AssignmentState::Wanted);
 }
 
 /// A job was recorded as completed, with this revision.
--- a/src/coordination/commits/outcomes.rs
+++ b/src/coordination/commits/outcomes.rs
@@ -145,9 +145,9 @@
     /// The first refusal shows that the store's lower limits hold; what fits
     /// them and is refused all the same is cut smaller, and in the end left out.
     fn too_large(&mut self, now: Millis, mut in_flight: InFlightTransaction, cluster: &mut ClusterState) {
-        if cluster.records.value_limit > cluster.config.reduced_max_value_bytes {
-            tracing::warn!(value_bytes = cluster.config.reduced_max_value_bytes, "value size limit lowered");
-            cluster.records.value_limit = cluster.config.reduced_max_value_bytes;
+        if cluster.records.value_limit > cluster.config().reduced_max_value_bytes {
+            tracing::warn!(value_bytes = cluster.config().reduced_max_value_bytes, "value size limit lowered");
+            cluster.records.value_limit = cluster.config().reduced_max_value_bytes;
             self.pause_until(now + REFUSED_PAUSE_MS);
         } else {
             self.pause_until(now + TOO_LARGE_PAUSE_MS);
@@ -206,7 +206,7 @@
     for written in chunks {
         cluster.remove_if_finished(written.job);
     }
-    cluster.cycle_needed = true;
+    cluster.request_scheduling_cycle();
 }
 
 /// Leaves out, for a while, what is refused as too large even as the only write.
--- a/src/coordination/commits/pipeline.rs
+++ b/src/coordination/commits/pipeline.rs
@@ -116,7 +116,7 @@
 
     /// Most writes of a transaction, whatever the request budget allows.
     fn max_ops(&self, cluster: &ClusterState) -> usize {
-        cluster.config.txn_ops.min(self.accepted_ops)
+        cluster.config().txn_ops.min(self.accepted_ops)
     }
 
     /// A transaction that reshards a job, if one is to be resharded.
@@ -166,7 +166,7 @@
         }
         // Guard: whoever leads by the time it is applied, only this
         // leadership's writes count.
-        builder.require(records::LEADER_KEY.to_owned(), cluster.term.0);
+        builder.require(records::LEADER_KEY.to_owned(), cluster.term().0);
         let tag = builder.tag();
         let (transaction, contents) = builder.build();
         Some(self.send(cluster, transaction, contents, tag))
--- a/src/coordination/commits/resharding.rs
+++ b/src/coordination/commits/resharding.rs
@@ -71,18 +71,18 @@
             return None;
         }
         // Until it must be done, it takes nothing from what somebody waits for.
-        let is_required = cluster.records.value_limit <= cluster.config.reduced_max_value_bytes;
+        let is_required = cluster.records.value_limit <= cluster.config().reduced_max_value_bytes;
         if !(is_required || has_spare) || now < self.not_before {
             return None;
         }
-        let values_per_transaction = TRANSACTION_BYTES_LIMIT / cluster.config.reduced_max_value_bytes.max(1);
+        let values_per_transaction = TRANSACTION_BYTES_LIMIT / cluster.config().reduced_max_value_bytes.max(1);
         let max_writes = max_ops.min(values_per_transaction).max(1);
         cluster.active_jobs().find(|job| {
             job.records.oversized_record.is_some()
                 && job.status == JobStatus::Pending
                 && !job.records.stale
                 && !job.all_done()
-                && write_count(job, cluster.config.reduced_chunk_size) < max_writes
+                && write_count(job, cluster.config().reduced_chunk_size) < max_writes
         })
     }
 
@@ -120,7 +120,7 @@
     record: &JobRecord,
     tag: TransactionTag,
 ) -> (Transaction, TransactionContents) {
-    let chunk_size = cluster.config.reduced_chunk_size;
+    let chunk_size = cluster.config().reduced_chunk_size;
     let record = JobRecord { chunk: chunk_size, ..record.clone() };
     let job_key = records::job_key(&job.id);
     let mut transaction = Transaction::default();
@@ -144,7 +144,7 @@
         transaction.conditions.push(Condition { key, revision });
     }
     // Guard: as for every transaction, only this leadership's writes count.
-    transaction.conditions.push(Condition { key: records::LEADER_KEY.to_owned(), revision: cluster.term.0 });
+    transaction.conditions.push(Condition { key: records::LEADER_KEY.to_owned(), revision: cluster.term().0 });
     let versions = job.records.chunks.iter().map(|chunk| chunk.version).collect();
     let plan = ReshardPlan { job: job.index, slots: job.tasks.slots.clone(), versions, written_chunks };
     (transaction, TransactionContents { reshard: Some(plan), ..TransactionContents::default() })
@@ -152,14 +152,14 @@
 
 /// The resharded records of a job were written, with this revision.
 pub fn reshard_applied(cluster: &mut ClusterState, now: Millis, plan: &ReshardPlan, revision: Revision) {
-    let chunk_size = cluster.config.reduced_chunk_size;
+    let chunk_size = cluster.config().reduced_chunk_size;
     let Some(job) = cluster.job_mut(plan.job) else { return };
     job.records.revision = job.records.revision.max(revision);
     job.records.recorded_chunk_size = chunk_size;
     job.records.unwritten_since = None;
     cluster.apply_sharding(plan.job, chunk_size, Some(AppliedPlan { plan, revision }));
     let Some(job) = cluster.job(plan.job) else { return };
-    cluster.schedule_dispatch(now, job.assignments(), |_| true);
+    cluster.schedule_dispatch_for(now, job.assignments(), |_| true);
     cluster.remove_if_finished(plan.job);
 }
 
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -76,7 +76,7 @@
 
     /// All records are read. `wall_ms`: time of day, in ms since the Unix epoch.
     pub fn loaded(&mut self, now: Millis, wall_ms: u64, job_cache: &JobCache) {
-        self.cluster.loaded = true;
+        self.cluster.mark_loaded();
         self.commits.set_wall_clock(now, wall_ms);
         for index in job_cache.all() {
             if job_cache.get(index).status == JobStatus::Pending && self.cluster.job(index).is_none() {
@@ -90,7 +90,7 @@
         }
         let placed: u32 = self.cluster.active_jobs().map(|job| job.tasks.placed).sum();
         tracing::info!(jobs = self.cluster.jobs.len(), placed, "records loaded");
-        self.cluster.cycle_needed = true;
+        self.cluster.request_scheduling_cycle();
     }
 }
 
@@ -109,7 +109,7 @@
         let new = NewAssignment { job, task, machine, incarnation, attempt, zone };
         let Some(assignment_index) = cluster.add_assignment(now, new) else { continue };
         // Its launch may have been sent by an earlier leader.
-        if let Some(assignment) = cluster.assignments.get_mut(assignment_index) {
+        if let Some(assignment) = cluster.assignment_mut(assignment_index) {
             assignment.sent = Some(now);
             assignment.inherited = true;
         }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -64,17 +64,17 @@
 
     /// The leadership's term.
     pub fn term(&self) -> Term {
-        self.cluster.term
+        self.cluster.term()
     }
 
     /// When this leadership began.
     pub fn started(&self) -> Millis {
-        self.cluster.started
+        self.cluster.started()
     }
 
     /// Whether all records are read.
     pub fn is_loaded(&self) -> bool {
-        self.cluster.loaded
+        self.cluster.is_loaded()
     }
 
     /// What the leader knows of jobs and machines.
@@ -84,12 +84,12 @@
 
     /// Whether something changed since the last scheduling cycle that may let a job be placed.
     pub fn is_cycle_pending(&self) -> bool {
-        self.cluster.cycle_needed
+        self.cluster.is_cycle_requested()
     }
 
     /// Whether a scheduling cycle is due: something changed, or the longest gap is over.
     pub fn is_cycle_due(&self, now: Millis, min_gap_ms: Millis, max_gap_ms: Millis) -> bool {
-        self.scheduler.is_cycle_due(now, self.cluster.cycle_needed, min_gap_ms, max_gap_ms)
+        self.scheduler.is_cycle_due(now, self.cluster.is_cycle_requested(), min_gap_ms, max_gap_ms)
     }
 
     /// Tries to place every waiting job.
@@ -127,7 +127,7 @@
     /// Whether the count in some worker's fencing token is nearly used up: the
     /// next leadership begins a new one.
     pub fn tokens_exhausted(&self) -> bool {
-        let term = self.cluster.term;
+        let term = self.cluster.term();
         self.cluster.machines.iter().any(|machine| term.raise_count(machine.fence.token) > TOKEN_RAISE_LIMIT)
     }
 }
--- a/src/coordination/leader/sweep.rs
+++ b/src/coordination/leader/sweep.rs
@@ -21,7 +21,7 @@
             return;
         }
         self.next_sweep = now + SWEEP_MS;
-        self.cluster.last_event_at = now;
+        self.cluster.record_event_at(now);
         for n in 0..self.cluster.machines.len() {
             let index = MachineIndex(n as u32);
             if self.cluster.machines[n].lifecycle == MachineLifecycle::Gone {
@@ -52,7 +52,7 @@
             gpus = totals.capacity.gpus.round(),
             gpus_free = totals.free.gpus.round(),
             jobs = self.cluster.jobs.len(),
-            waiting_jobs = self.cluster.backlog.unmet.len(),
+            waiting_jobs = self.cluster.unmet_demand().len(),
             transactions = written.transactions,
             placements = written.placements,
             exits = written.exits,
--- a/src/coordination/scheduler/best_effort.rs
+++ b/src/coordination/scheduler/best_effort.rs
@@ -78,7 +78,7 @@
 
 /// CPUs that best-effort teams use.
 fn best_effort_use(cluster: &ClusterState) -> f64 {
-    let teams = (0..cluster.team_used.len() as u32).map(TeamIndex);
+    let teams = (0..cluster.team_count() as u32).map(TeamIndex);
     teams.filter(|&team| cluster.is_best_effort(team)).map(|team| cluster.used_by_team(team).cpus).sum()
 }
 
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -80,7 +80,7 @@
     /// Ends the cycle: releases what it reserved and publishes the unmet demand.
     pub fn finish(self) {
         self.cluster.snapshot.release(0);
-        self.cluster.backlog.unmet = self.unmet;
+        self.cluster.set_unmet_demand(self.unmet);
     }
 
     /// Places a job's waiting tasks, or makes or reserves capacity for them.
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -42,12 +42,12 @@
 
     /// Tries to place every waiting job.
     pub fn run_cycle(&mut self, cluster: &mut ClusterState, now: Millis) {
-        cluster.cycle_needed = false;
+        cluster.clear_cycle_request();
         self.last_cycle = now;
         quota::mark_jobs_within_guarantee(cluster);
         let queue = queue::scheduling_order(cluster, now);
         if queue.is_empty() {
-            cluster.backlog.unmet = Vec::new();
+            cluster.set_unmet_demand(Vec::new());
             return;
         }
         self.gpu_demand.observe(now, cluster.active_jobs());
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -160,7 +160,7 @@
 /// there is too little for all. Jobs that missed every objective go by age.
 fn urgency(cluster: &ClusterState, now: Millis, job: &Job) -> Urgency {
     let age_s = job.age_s(now);
-    let run_s = cluster.run_times.expected_s(&job.spec);
+    let run_s = cluster.expected_run_s(&job.spec);
     let fetch_s = (job.spec.image_gb / ASSUMED_FETCH_GB_PER_S).min(ASSUMED_FETCH_MAX_S);
     let optimistic_end_s = age_s + OPTIMISTIC_RUN_SHARE * run_s + fetch_s.min(OPTIMISTIC_FETCH_MAX_S);
     for (position, objective) in objectives_of(cluster, job).enumerate() {
@@ -182,7 +182,7 @@
 fn objectives_of<'a>(cluster: &'a ClusterState, job: &'a Job) -> impl Iterator<Item = Objective> + 'a {
     let deadlines = [job.spec.deadline_s, job.spec.overdue_s].into_iter().flatten();
     let own = deadlines.map(|within_s| Objective { milestone: Milestone::End, within_s });
-    let of_class = cluster.config.objectives.iter().filter(|objective| objective.class == job.spec.class);
+    let of_class = cluster.config().objectives.iter().filter(|objective| objective.class == job.spec.class);
     own.chain(of_class.map(|objective| Objective {
         milestone: if objective.start { Milestone::Start } else { Milestone::End },
         within_s: objective.within_s,
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -12,12 +12,12 @@
 /// it together with their team's earlier unfinished jobs. Where no amount is set
 /// for CPUs, only work that asks for GPUs can be within it.
 pub fn mark_jobs_within_guarantee(cluster: &mut ClusterState) {
-    let mut demand_by_team: Vec<Resources> = vec![Resources::default(); cluster.config.teams.len()];
+    let mut demand_by_team: Vec<Resources> = vec![Resources::default(); cluster.config().teams.len()];
     for index in pending_jobs_oldest_first(cluster) {
-        let Some(job) = cluster.jobs.get_mut(index) else { continue };
-        let team = job.spec.team.as_usize();
-        let Some(team_demand) = demand_by_team.get_mut(team) else { continue };
-        let limits = cluster.config.teams.get(team).copied().unwrap_or_default();
+        let Some(team) = cluster.job(index).map(|job| job.spec.team) else { continue };
+        let Some(team_demand) = demand_by_team.get_mut(team.as_usize()) else { continue };
+        let limits = cluster.team_limits(team);
+        let Some(job) = cluster.job_mut(index) else { continue };
         let unfinished = f64::from(job.spec.tasks - job.tasks.done.min(job.spec.tasks));
         *team_demand += Resources::of(&job.spec) * unfinished;
         job.within_guarantee = is_within_guarantee(job, &limits, team_demand);
--- a/src/coordination/scheduler/task_selection.rs
+++ b/src/coordination/scheduler/task_selection.rs
@@ -65,14 +65,14 @@
 impl ChunkCapacity {
     /// `None`: the job's chunks are not restricted.
     fn of(cluster: &ClusterState, job: &Job) -> Option<ChunkCapacity> {
-        let limit_is_normal = cluster.records.value_limit > cluster.config.reduced_max_value_bytes;
+        let limit_is_normal = cluster.records.value_limit > cluster.config().reduced_max_value_bytes;
         if limit_is_normal
-            || job.records.chunk_size <= cluster.config.reduced_chunk_size
+            || job.records.chunk_size <= cluster.config().reduced_chunk_size
             || job.spec.kind == JobKind::Gang
         {
             return None;
         }
-        let left_plus_one = vec![cluster.config.reduced_chunk_size + 1; job.records.chunks.len()];
+        let left_plus_one = vec![cluster.config().reduced_chunk_size + 1; job.records.chunks.len()];
         let mut capacity = ChunkCapacity { left_plus_one };
         for (task, slot) in job.tasks.slots.iter().enumerate() {
             if matches!(slot, Slot::Assigned(_)) {
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -130,7 +130,7 @@
 }
 
 fn mark_sent(cluster: &mut ClusterState, now: Millis, index: AssignmentIndex) {
-    let Some(assignment) = cluster.assignments.get_mut(index) else { return };
+    let Some(assignment) = cluster.assignment_mut(index) else { return };
     match &mut assignment.halt {
         Some(halt) => halt.sent = Some(now),
         None => assignment.sent = Some(now),
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -26,7 +26,7 @@
 
 /// Sends new commands directly to the workers that may need some.
 pub fn dispatch(cluster: &mut ClusterState, outbox: &mut Outbox, now: Millis) {
-    while let Some(index) = cluster.dispatch_queue.pop_due(now) {
+    while let Some(index) = cluster.next_due_dispatch(now) {
         dispatch_to(cluster, outbox, now, index);
     }
 }
@@ -38,11 +38,11 @@
     }
     let paused_until = machine.commands.direct_call_after();
     if now < paused_until {
-        cluster.dispatch_queue.schedule(paused_until, index);
+        cluster.schedule_dispatch(paused_until, index);
         return;
     }
     let Some(addr) = machine.addr else { return };
-    let contact_limit_ms = CONTACT_LIMIT_INTERVALS * cluster.config.heartbeat_interval_ms;
+    let contact_limit_ms = CONTACT_LIMIT_INTERVALS * cluster.config().heartbeat_interval_ms;
     // A token that the worker has not acknowledged yet is delivered by the response
     // to its heartbeat first; a worker without contact is sent nothing.
     if !machine.is_fenced() || !machine.heartbeats.contacted_within(now, contact_limit_ms) {
@@ -59,7 +59,7 @@
     let req =
         DirectCommandRequest { token: machine.fence.token, incarnation: machine.heartbeats.incarnation, commands };
     outbox.send(Effect::Do { machine: index, call, addr, req });
-    cluster.dispatch_queue.schedule(now + RESEND_MS + RESEND_SLACK_MS, index);
+    cluster.schedule_dispatch(now + RESEND_MS + RESEND_SLACK_MS, index);
 }
 
 fn needs_direct_call(machine: &Machine) -> bool {
@@ -90,9 +90,8 @@
     outcome: DirectCallOutcome,
 ) -> Result<(), Superseded> {
     let now = context.now;
-    let commands = &mut cluster.machines[index.as_usize()].commands;
-    let Some(completed) = commands.end_direct_call(call) else { return Ok(()) };
-    cluster.dispatch_queue.schedule(now, index);
+    let Some(completed) = cluster.machines[index.as_usize()].commands.end_direct_call(call) else { return Ok(()) };
+    cluster.schedule_dispatch(now, index);
     match outcome {
         DirectCallOutcome::Executed(heartbeat) => {
             heartbeats::apply_call_response(cluster, context, index, &heartbeat)?;
@@ -102,9 +101,11 @@
             // Not executed: its launches may be sent again at once.
             mark_unsent(cluster, &completed.launches);
         }
-        DirectCallOutcome::NotSent => commands.pause_direct_calls(now + NOT_SENT_PAUSE_MS),
+        DirectCallOutcome::NotSent => {
+            cluster.machines[index.as_usize()].commands.pause_direct_calls(now + NOT_SENT_PAUSE_MS);
+        }
         DirectCallOutcome::Unknown => {
-            commands.pause_direct_calls(now + UNANSWERED_PAUSE_MS);
+            cluster.machines[index.as_usize()].commands.pause_direct_calls(now + UNANSWERED_PAUSE_MS);
             if !completed.launches.is_empty() {
                 raise_fence(cluster, now, index);
             }
@@ -117,7 +118,7 @@
     for launch in launches {
         let slot = cluster.job(launch.job).and_then(|job| job.tasks.slots.get(launch.task as usize).copied());
         let Some(Slot::Assigned(assignment_index)) = slot else { continue };
-        let assignment = cluster.assignments.get_mut(assignment_index);
+        let assignment = cluster.assignment_mut(assignment_index);
         if let Some(assignment) = assignment.filter(|assignment| assignment.attempt == launch.attempt) {
             assignment.sent = None;
         }
--- a/src/coordination/workers/exited_tasks.rs
+++ b/src/coordination/workers/exited_tasks.rs
@@ -95,7 +95,5 @@
         return;
     }
     let ran_s = (now - running_since) as f64 / 1000.0;
-    if let Some(job) = cluster.jobs.get(assignment.job) {
-        cluster.run_times.observe(&job.spec, ran_s);
-    }
+    cluster.observe_run_time(assignment.job, ran_s);
 }
--- a/src/coordination/workers/failure_attribution.rs
+++ b/src/coordination/workers/failure_attribution.rs
@@ -84,7 +84,7 @@
 
 /// Marks jobs as sound of which a task has run for longer than any that failed.
 fn mark_sound_jobs(cluster: &mut ClusterState, now: Millis) {
-    let slack_ms = 2 * cluster.config.heartbeat_interval_ms;
+    let slack_ms = 2 * cluster.config().heartbeat_interval_ms;
     let outlasts = |job: &Job| {
         let limit_ms = job.failures.longest_run_ms + slack_ms;
         let assignments = job.assignments().into_iter().filter_map(|index| cluster.assignment(index));
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -46,10 +46,10 @@
     if is_stale(machine, heartbeat) {
         return HeartbeatOutcome::Stale;
     }
-    cluster.last_event_at = now;
     machine.heartbeats.lease_renewed = now;
     let is_newer = machine.heartbeats.is_outdated_by(heartbeat.incarnation, heartbeat.sequence);
-    let commands = if cluster.loaded && is_newer {
+    cluster.record_event_at(now);
+    let commands = if cluster.is_loaded() && is_newer {
         record_acknowledgement(cluster, now, index, heartbeat.token);
         apply(cluster, context, index, heartbeat);
         response_commands(cluster, context, index, heartbeat)
@@ -113,7 +113,7 @@
 /// heartbeat, assigned by a record, or launched by a command in flight.
 pub fn may_hold_tasks(cluster: &ClusterState, heartbeat: &Heartbeat) -> bool {
     let is_listed = heartbeat.tasks.iter().any(|task| task.state != TaskState::Exited);
-    if is_listed || !cluster.loaded {
+    if is_listed || !cluster.is_loaded() {
         return true;
     }
     let Some(index) = cluster.machines.find(&heartbeat.machine) else { return false };
@@ -130,7 +130,7 @@
 
 /// Records what a periodic heartbeat shows of our earlier responses.
 fn record_acknowledgement(cluster: &mut ClusterState, now: Millis, index: MachineIndex, token: FencingToken) {
-    let min_gap_ms = cluster.config.heartbeat_interval_ms / 2;
+    let min_gap_ms = cluster.config().heartbeat_interval_ms / 2;
     let machine = &mut cluster.machines[index.as_usize()];
     machine.heartbeats.last_heartbeat = Some(now);
     // The worker received or lost our last response before it sent this.
--- a/src/coordination/workers/lease_expiry.rs
+++ b/src/coordination/workers/lease_expiry.rs
@@ -38,7 +38,7 @@
     pub fn expire(&self, cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
         let machine = cluster.machine(index);
         let is_empty = machine.load.assignments.is_empty() && machine.commands.pending_reaps.is_empty();
-        if is_empty || !self.is_expired(&cluster.config, now, machine) {
+        if is_empty || !self.is_expired(cluster.config(), now, machine) {
             return;
         }
         tracing::warn!(machine = &*machine.id, tasks = machine.load.assignments.len(), "worker lease expired");
--- a/src/coordination/workers/machine_status.rs
+++ b/src/coordination/workers/machine_status.rs
@@ -26,14 +26,17 @@
     machine.spot = heartbeat.spot;
     machine.heartbeats.record_contact(now, heartbeat.sequence);
     machine.fence.record_acknowledged_token(heartbeat.token);
-    if machine.lifecycle == MachineLifecycle::Booting {
+    let is_newly_up = machine.lifecycle == MachineLifecycle::Booting;
+    if is_newly_up {
         mark_up(machine, now, heartbeat);
-        cluster.cycle_needed = true;
     }
-    if let Some(reclaim_notice_s) = heartbeat.reclaim_notice_s.filter(|_| machine.spot_notice_until.is_none()) {
+    let new_notice_s = heartbeat.reclaim_notice_s.filter(|_| machine.spot_notice_until.is_none());
+    if let Some(reclaim_notice_s) = new_notice_s {
         tracing::info!(machine = &*machine.id, reclaim_notice_s, "spot interruption notice received");
         machine.spot_notice_until = Some(now + (reclaim_notice_s.clamp(0.0, NOTICE_MAX_S) * 1000.0) as Millis);
-        cluster.cycle_needed = true;
+    }
+    if is_newly_up || new_notice_s.is_some() {
+        cluster.request_scheduling_cycle();
     }
 }
 
@@ -57,5 +60,5 @@
         tracing::info!(machine = &*machine.id, %incarnation, "new worker incarnation");
     }
     cluster.release_machine_assignments(index, Some(incarnation));
-    cluster.cycle_needed = true;
+    cluster.request_scheduling_cycle();
 }
--- a/src/coordination/workers/probes.rs
+++ b/src/coordination/workers/probes.rs
@@ -18,7 +18,7 @@
 /// Probes a worker whose heartbeat is overdue. A missing answer proves nothing, but
 /// lets the machine be released sooner, which does.
 pub fn probe_if_overdue(cluster: &mut ClusterState, outbox: &mut Outbox, now: Millis, index: MachineIndex) {
-    let overdue_ms = cluster.config.heartbeat_interval_ms * 5 / 4 + OVERDUE_SLACK_MS;
+    let overdue_ms = cluster.config().heartbeat_interval_ms * 5 / 4 + OVERDUE_SLACK_MS;
     let machine = &mut cluster.machines[index.as_usize()];
     let heartbeats = &mut machine.heartbeats;
     let is_overdue = heartbeats.last_contact.is_some() && !heartbeats.contacted_within(now, overdue_ms);
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -6,9 +6,7 @@
 use crate::{
     coordination::{
         cluster::{ClusterState, NewAssignment, ReleaseReason},
-        model::{
-            Assignment, AssignmentIndex, AssignmentState, ExitRecord, Job, MachineIndex, Millis, PendingReap, Slot,
-        },
+        model::{Assignment, AssignmentIndex, ExitRecord, Job, MachineIndex, Millis, PendingReap, Slot},
     },
     protocol::{
         ids::Attempt,
@@ -124,8 +122,8 @@
             if let Some(job) = self.cluster.job_mut(task.job) {
                 record = complete_pending_task(job, task.number);
             }
-            self.cluster.progress_feed.mark_changed(task.job);
-            self.cluster.cycle_needed = true;
+            self.cluster.record_progress(task.job);
+            self.cluster.request_scheduling_cycle();
         }
         if is_exit_final {
             self.add_pending_reap(task, record);
@@ -217,13 +215,8 @@
 
     /// Tasks that were lost though still wanted are launched again, as the same attempt.
     fn relaunch_missing_tasks(&mut self) {
-        let assigned = self.cluster.machines[self.machine.as_usize()].load.assignments.iter();
-        for &assignment_index in assigned.filter(|index| !self.listed_assignments.contains(index)) {
-            let Some(assignment) = self.cluster.assignments.get_mut(assignment_index) else { continue };
-            if matches!(assignment.state, AssignmentState::Seen(_)) {
-                assignment.state = AssignmentState::Wanted;
-            }
-        }
+        let listed = &self.listed_assignments;
+        self.cluster.relaunch_missing_tasks(self.machine, |index| !listed.contains(&index));
     }
 }
 
--- a/src/coordination/workers/task_progress.rs
+++ b/src/coordination/workers/task_progress.rs
@@ -4,10 +4,9 @@
 use crate::{
     coordination::{
         cluster::ClusterState,
-        model::{seconds, Assignment, AssignmentIndex, AssignmentState, Job, MachineIndex, Millis},
+        model::{seconds, AssignmentIndex, AssignmentState, Job, Millis},
     },
     protocol::workers::{ExitReason, TaskState, TaskStatus},
-    storage::job_cache::JobIndex,
 };
 
 /// Applies the listed state of a task to its assignment.
@@ -20,7 +19,7 @@
 }
 
 fn apply_state(cluster: &mut ClusterState, now: Millis, index: AssignmentIndex, state: TaskState) {
-    let Some(assignment) = cluster.assignments.get_mut(index) else { return };
+    let Some(assignment) = cluster.assignment_mut(index) else { return };
     let previous = std::mem::replace(&mut assignment.state, AssignmentState::Seen(state));
     if previous == assignment.state {
         return;
@@ -31,40 +30,36 @@
     }
     let was_running = previous == AssignmentState::Seen(TaskState::Running);
     let (job_index, machine) = (assignment.job, assignment.machine);
-    let Some(job) = cluster.jobs.get_mut(job_index) else { return };
+    let assigned_at = (!assignment.inherited).then_some(assignment.assigned_at);
+    let Some(job) = cluster.job_mut(job_index) else { return };
     match (was_running, is_running) {
-        (false, true) => count_running_task(now, job, assignment),
+        (false, true) => count_running_task(now, job, assigned_at),
         (true, false) => job.tasks.running = job.tasks.running.saturating_sub(1),
         _ => {}
     }
-    cluster.progress_feed.mark_changed(job_index);
-    record_cached_image(cluster, machine, job_index);
+    cluster.record_progress(job_index);
+    cluster.record_cached_image(machine, job_index);
 }
 
-fn count_running_task(now: Millis, job: &mut Job, assignment: &Assignment) {
+/// Counts a task that began to run. `assigned_at`: if this leader assigned it.
+fn count_running_task(now: Millis, job: &mut Job, assigned_at: Option<Millis>) {
     job.tasks.running += 1;
-    if job.tasks.running + job.tasks.done == 1 && !assignment.inherited {
-        log_first_start(now, job, assignment.assigned_at);
-    }
-}
-
-/// The machine has fetched, or is fetching, the image of the job.
-fn record_cached_image(cluster: &mut ClusterState, machine: MachineIndex, job: JobIndex) {
-    let Some(job) = cluster.jobs.get(job) else { return };
-    if let Some(host) = cluster.snapshot.hosts.get_mut(machine.as_usize()) {
-        let cache_gb = host.pool.map_or(0.0, |pool| cluster.snapshot.pools[pool].cache_gb);
-        host.note_image(job.spec.image, job.spec.image_gb, cache_gb);
+    let is_first = job.tasks.running + job.tasks.done == 1;
+    if let Some(assigned_at) = assigned_at.filter(|_| is_first) {
+        log_first_start(now, job, assigned_at);
     }
 }
 
 fn apply_exit(cluster: &mut ClusterState, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
-    let Some(assignment) = cluster.assignments.get_mut(index) else { return };
-    if assignment.state == AssignmentState::Seen(TaskState::Running) {
-        if let Some(job) = cluster.jobs.get_mut(assignment.job) {
+    let Some(assignment) = cluster.assignment_mut(index) else { return };
+    let ended = AssignmentState::Ended(status.why.unwrap_or(ExitReason::Other));
+    let previous = std::mem::replace(&mut assignment.state, ended);
+    let job_index = assignment.job;
+    if previous == AssignmentState::Seen(TaskState::Running) {
+        if let Some(job) = cluster.job_mut(job_index) {
             job.tasks.running = job.tasks.running.saturating_sub(1);
         }
     }
-    assignment.state = AssignmentState::Ended(status.why.unwrap_or(ExitReason::Other));
     exited_tasks::release(cluster, now, index, status);
 }
 
