--- a/src/coordination/autoscaler/boot_delays.rs
+++ b/src/coordination/autoscaler/boot_delays.rs
@@ -91,7 +91,7 @@
 
 fn statistics_by_type(now: Millis, cluster: &ClusterState) -> HashMap<MachineTypeIndex, BootStatistics> {
     let mut by_type: HashMap<MachineTypeIndex, BootStatistics> = HashMap::new();
-    for machine in &cluster.machines {
+    for machine in cluster.machines() {
         let Some(machine_type) = cluster.type_of(machine) else { continue };
         let statistics = by_type.entry(machine_type.index).or_default();
         match machine.lifecycle {
--- a/src/coordination/autoscaler/consolidation.rs
+++ b/src/coordination/autoscaler/consolidation.rs
@@ -41,28 +41,28 @@
     }
     let candidates = candidates(now, cluster);
     headroom::reserve_all_headroom(cluster, now);
-    let headroom_only = cluster.snapshot.reservations();
+    let headroom_only = cluster.snapshot().reservations();
     for candidate in candidates.into_iter().take(CANDIDATES_PER_STEP) {
         let is_movable = reserve_for_replicas_of(cluster, candidate.machine);
-        cluster.snapshot.release(headroom_only);
+        cluster.snapshot_mut().release(headroom_only);
         if is_movable {
             drain(now, cluster, &candidate);
             break;
         }
     }
-    cluster.snapshot.release(0);
+    cluster.snapshot_mut().release(0);
 }
 
 /// Whether there was no unmet demand lately, and no machine is being drained.
 fn may_consolidate(now: Millis, cluster: &ClusterState) -> bool {
     let is_starting = now < cluster.started() + START_DELAY_MS;
     let is_draining = |machine: &Machine| machine.cordoned && !machine.load.assignments.is_empty();
-    !cluster.has_recent_unmet_demand(now) && !is_starting && !cluster.machines.iter().any(is_draining)
+    !cluster.has_recent_unmet_demand(now) && !is_starting && !cluster.machines().iter().any(is_draining)
 }
 
 /// Machines that may be drained, the most expensive first.
 fn candidates(now: Millis, cluster: &ClusterState) -> Vec<Candidate> {
-    let drainable = cluster.machines.iter().enumerate().filter(|(_, machine)| may_be_drained(now, cluster, machine));
+    let drainable = cluster.machines().iter().enumerate().filter(|(_, machine)| may_be_drained(now, cluster, machine));
     let mut candidates: Vec<Candidate> = drainable
         .map(|(n, machine)| Candidate {
             machine: MachineIndex(n as u32),
@@ -151,7 +151,7 @@
     let spec = job.spec.clone();
     let task = assignment.task;
     let zone_used = zone_used_by_others(&job.tasks.zone_used, assignment);
-    let outcome = cluster.snapshot.trial(&TrialRequest {
+    let outcome = cluster.snapshot_mut().trial(&TrialRequest {
         spec: &spec,
         tasks: &[task],
         min: 1,
@@ -161,10 +161,10 @@
         hosts: HostFilter::BusyOnly,
     });
     for placement in &outcome.placements {
-        cluster.snapshot.reserve(placement.host, Resources::of(&spec), Resources::default());
+        cluster.snapshot_mut().reserve(placement.host, Resources::of(&spec), Resources::default());
     }
     outcome.status == PlacementStatus::Success
-        && outcome.placements.iter().all(|placement| cluster.snapshot.hosts[placement.host].has_image(spec.image))
+        && outcome.placements.iter().all(|placement| cluster.snapshot().hosts[placement.host].has_image(spec.image))
 }
 
 /// Number of the job's other assignments by zone: they stay where they are.
--- a/src/coordination/autoscaler/drain.rs
+++ b/src/coordination/autoscaler/drain.rs
@@ -13,7 +13,7 @@
     index: MachineIndex,
     grace_s: impl Fn(&ClusterState, AssignmentIndex) -> f64,
 ) {
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     machine.cordoned = true;
     for assignment in machine.load.assignments.clone() {
         let grace_s = grace_s(cluster, assignment);
--- a/src/coordination/autoscaler/failure_detector.rs
+++ b/src/coordination/autoscaler/failure_detector.rs
@@ -49,10 +49,10 @@
     /// machine is suspected.
     fn new(now: Millis, cluster: &ClusterState) -> ContactTimesByZone {
         let mut by_zone = ContactTimesByZone::default();
-        if !cluster.machines.iter().any(|machine| is_suspected(now, cluster, machine)) {
+        if !cluster.machines().iter().any(|machine| is_suspected(now, cluster, machine)) {
             return by_zone;
         }
-        for machine in cluster.machines.iter().filter(|machine| is_heartbeat_expected(machine)) {
+        for machine in cluster.machines().iter().filter(|machine| is_heartbeat_expected(machine)) {
             for zone in [None, Some(machine.zone)] {
                 by_zone.0.entry(zone).or_default().0.push(machine.heartbeats.last_contact.unwrap_or(0));
             }
@@ -88,7 +88,7 @@
         let mut acknowledgements = Acknowledgements::default();
         let is_in_contact =
             |machine: &&Machine| machine.lifecycle == MachineLifecycle::Up && has_recent_contact(now, cluster, machine);
-        for machine in cluster.machines.iter().filter(is_in_contact) {
+        for machine in cluster.machines().iter().filter(is_in_contact) {
             acknowledgements.in_contact += 1;
             acknowledgements.acknowledging += usize::from(machine.fence.unacknowledged_heartbeats == 0);
         }
--- a/src/coordination/autoscaler/gpu_reclaim.rs
+++ b/src/coordination/autoscaler/gpu_reclaim.rs
@@ -19,8 +19,8 @@
 /// Guard: such tasks may run for minutes, one after another: the machine they
 /// keep up costs as much as if it were provisioned for them.
 pub fn drain_best_effort_machines(now: Millis, cluster: &mut ClusterState) {
-    let drained: Vec<MachineIndex> = (0..cluster.machines.len() as u32)
-        .map(MachineIndex)
+    let drained: Vec<MachineIndex> = cluster
+        .machine_indices()
         .filter(|&index| holds_only_best_effort_work(cluster, index))
         .take(DRAINS_PER_STEP)
         .collect();
@@ -37,7 +37,7 @@
 
 fn holds_only_best_effort_work(cluster: &ClusterState, index: MachineIndex) -> bool {
     let machine = cluster.machine(index);
-    let is_reserved_for_gpu_work = cluster.snapshot.hosts.get(index.as_usize()).is_some_and(|host| host.gpu_only);
+    let is_reserved_for_gpu_work = cluster.snapshot().hosts.get(index.as_usize()).is_some_and(|host| host.gpu_only);
     let may_be_drained = machine.lifecycle == MachineLifecycle::Up && !machine.cordoned && machine.is_fenced();
     if !is_reserved_for_gpu_work || !may_be_drained || machine.load.assignments.is_empty() {
         return false;
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -91,9 +91,9 @@
 /// Updates the cluster state with what the cloud says of one machine.
 fn reconcile_host(now: Millis, host: &ListedHost, cluster: &mut ClusterState, interners: &mut Interners) {
     let zone = interners.zones.intern(&host.zone);
-    let is_known = cluster.machines.find(&host.id).is_some();
+    let is_known = cluster.find_machine(&host.id).is_some();
     let index = cluster.find_or_add_machine(now, &host.id, zone);
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     if machine.lifecycle == MachineLifecycle::Gone {
         return; // The list is older than the confirmed release.
     }
--- a/src/coordination/autoscaler/pending_capacity.rs
+++ b/src/coordination/autoscaler/pending_capacity.rs
@@ -28,7 +28,7 @@
     /// The capacity of all machines that are booting or `requested`.
     pub fn new(now: Millis, cluster: &ClusterState, requested: &[OfferQuantity]) -> PendingCapacity {
         let mut pending_capacity = PendingCapacity::default();
-        for machine in &cluster.machines {
+        for machine in cluster.machines() {
             if machine.lifecycle != MachineLifecycle::Booting || !machine.load.assignments.is_empty() {
                 continue;
             }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -50,7 +50,7 @@
             if is_released {
                 mark_gone(now, index, cluster);
             } else {
-                cluster.machines[index.as_usize()].release_retry_at = now + FAILED_RETRY_DELAY_MS;
+                cluster.machine_mut(index).release_retry_at = now + FAILED_RETRY_DELAY_MS;
             }
         }
         cluster.request_scheduling_cycle();
@@ -58,7 +58,7 @@
 }
 
 fn mark_releasing(now: Millis, decision: &ScaleInDecision, cluster: &mut ClusterState) {
-    let machine = &mut cluster.machines[decision.machine.as_usize()];
+    let machine = cluster.machine_mut(decision.machine);
     if machine.lifecycle != MachineLifecycle::Releasing {
         tracing::info!(
             machine = &*machine.id,
@@ -75,7 +75,7 @@
 /// A released machine and everything on it are gone.
 fn mark_gone(now: Millis, index: MachineIndex, cluster: &mut ClusterState) {
     cluster.release_machine_assignments(index, None);
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     machine.lifecycle = MachineLifecycle::Gone;
     machine.commands.direct_call = None;
     cluster.refresh(now, index);
--- a/src/coordination/autoscaler/scale_in_policy.rs
+++ b/src/coordination/autoscaler/scale_in_policy.rs
@@ -79,7 +79,7 @@
 
     /// The machines to be released now, at most as many as one call may release.
     pub fn machines_to_release(&self) -> Vec<ScaleInDecision> {
-        let indices = (0..self.cluster.machines.len() as u32).map(MachineIndex);
+        let indices = self.cluster.machine_indices();
         let decisions = indices.filter_map(|machine| {
             let reason = self.reason_to_release(machine)?;
             Some(ScaleInDecision { machine, reason })
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -113,7 +113,7 @@
     /// Without a list it isn't known which machines there are; and if there are
     /// any, their heartbeats show how much of them is free.
     fn may_request(&self, now: Millis, cluster: &ClusterState, inventory: &Inventory) -> bool {
-        let first_heartbeats_ms = if cluster.machines.is_empty() { 0 } else { FIRST_HEARTBEATS_MS };
+        let first_heartbeats_ms = if cluster.machines().is_empty() { 0 } else { FIRST_HEARTBEATS_MS };
         inventory.has_received_page()
             && now >= cluster.started() + first_heartbeats_ms
             && self.in_flight.len() < CALLS_IN_FLIGHT_MAX
@@ -187,7 +187,7 @@
 /// heartbeat showed it before.
 fn add_machine(now: Millis, name: &str, offer: Offer, cluster: &mut ClusterState) {
     let index = cluster.find_or_add_machine(now, name, offer.zone);
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     machine.machine_type = machine.machine_type.or(Some(offer.machine_type));
     machine.spot = offer.spot;
     machine.zone = offer.zone;
--- a/src/coordination/autoscaler/scale_out_plan.rs
+++ b/src/coordination/autoscaler/scale_out_plan.rs
@@ -143,7 +143,7 @@
 /// Number of machines that are up or booting.
 fn held_machines(cluster: &ClusterState) -> usize {
     let is_held = |lifecycle| !matches!(lifecycle, MachineLifecycle::Gone | MachineLifecycle::Releasing);
-    cluster.machines.iter().filter(|machine| is_held(machine.lifecycle)).count()
+    cluster.machines().iter().filter(|machine| is_held(machine.lifecycle)).count()
 }
 
 fn unmet_tasks_by_class(cluster: &ClusterState) -> HashMap<ClassIndex, u32> {
--- a/src/coordination/autoscaler/zone_demand.rs
+++ b/src/coordination/autoscaler/zone_demand.rs
@@ -99,7 +99,7 @@
         }
         let request = Resources::of(self.spec);
         let mut free = 0;
-        self.cluster.snapshot.candidates(self.spec, Some(zone), CapacityKind::FreeOrStopping, |_, host, _| {
+        self.cluster.snapshot().candidates(self.spec, Some(zone), CapacityKind::FreeOrStopping, |_, host, _| {
             free = (free + request.count_fitting_in(&host.capacity(CapacityKind::FreeOrStopping))).min(limit);
         });
         free
--- a/src/coordination/autoscaler/zone_health.rs
+++ b/src/coordination/autoscaler/zone_health.rs
@@ -32,7 +32,7 @@
     /// should send heartbeats were in contact lately.
     pub fn update(&mut self, now: Millis, cluster: &ClusterState) {
         let mut zones: HashMap<ZoneIndex, ContactCount> = HashMap::new();
-        for machine in cluster.machines.iter().filter(|machine| is_heartbeat_expected(machine)) {
+        for machine in cluster.machines().iter().filter(|machine| is_heartbeat_expected(machine)) {
             let count = zones.entry(machine.zone).or_default();
             count.recent += u32::from(has_recent_contact(now, cluster, machine));
             count.expected += 1;
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -21,7 +21,7 @@
 mod team_usage;
 
 use self::{
-    assignment_table::AssignmentTable, backlog::Backlog, dispatch_queue::DispatchQueue,
+    assignment_table::AssignmentTable, backlog::Backlog, dispatch_queue::DispatchQueue, job_table::JobTable,
     machine_registry::MachineRegistry, progress_feed::ProgressFeed, team_usage::TeamUsage,
 };
 pub use self::{
@@ -32,7 +32,6 @@
 };
 pub(in crate::coordination) use self::{
     backlog::RECENT_UNMET_DEMAND_MS,
-    job_table::JobTable,
     records::{ObsoleteRecord, RecordState},
     sharding::{AppliedPlan, ReshardPlan},
 };
@@ -64,11 +63,11 @@
     /// All records are read.
     loaded: bool,
     /// Jobs that are not over, or whose tasks are still somewhere.
-    pub(in crate::coordination) jobs: JobTable,
+    jobs: JobTable,
     /// Jobs whose progress is to be published.
     progress_feed: ProgressFeed,
     /// All machines known so far.
-    pub(in crate::coordination) machines: MachineRegistry,
+    machines: MachineRegistry,
     /// Machine types that may be rented.
     types: Vec<MachineTypeSpec>,
     /// Tasks that are, or may be, on a machine.
@@ -76,7 +75,7 @@
     /// The latest attempt of any job.
     last_attempt: Attempt,
     /// Free capacity of the machines, as trials see it.
-    pub(in crate::coordination) snapshot: ClusterSnapshot,
+    snapshot: ClusterSnapshot,
     /// In use by each team, unproven assignments included.
     team_used: TeamUsage,
     /// Observed run times against their owners' estimates.
@@ -88,7 +87,7 @@
     /// Machines that may have to be sent a command, and when to look.
     dispatch_queue: DispatchQueue,
     /// What is known of the records in the key-value store.
-    pub(in crate::coordination) records: RecordState,
+    records: RecordState,
 }
 
 impl ClusterState {
@@ -217,6 +216,21 @@
         self.backlog.has_recent_unmet_demand(now)
     }
 
+    /// Largest value, in bytes, that the key-value store is known to take.
+    pub(in crate::coordination) fn value_limit(&self) -> usize {
+        self.records.value_limit()
+    }
+
+    /// What is known of the records in the key-value store.
+    pub(in crate::coordination) fn records_mut(&mut self) -> &mut RecordState {
+        &mut self.records
+    }
+
+    /// Whether any record waits to be deleted.
+    pub(in crate::coordination) fn has_obsolete_records(&self) -> bool {
+        self.records.has_obsolete()
+    }
+
     /// As [`ClusterState::assignment`], to be changed.
     pub(in crate::coordination) fn assignment_mut(&mut self, index: AssignmentIndex) -> Option<&mut Assignment> {
         self.assignments.get_mut(index)
@@ -247,6 +261,11 @@
         self.jobs.iter()
     }
 
+    /// How many jobs are active.
+    pub(in crate::coordination) fn active_job_count(&self) -> usize {
+        self.jobs.len()
+    }
+
     /// An assignment that was not released yet.
     pub fn assignment(&self, index: AssignmentIndex) -> Option<&Assignment> {
         self.assignments.get(index)
@@ -257,11 +276,36 @@
         &self.snapshot
     }
 
+    /// As [`ClusterState::snapshot`], to reserve capacity and to try placements.
+    pub(in crate::coordination) fn snapshot_mut(&mut self) -> &mut ClusterSnapshot {
+        &mut self.snapshot
+    }
+
     /// A machine; machines are never forgotten, only marked as gone.
     pub fn machine(&self, index: MachineIndex) -> &Machine {
         &self.machines[index.as_usize()]
     }
 
+    /// As [`ClusterState::machine`], to be changed.
+    pub(in crate::coordination) fn machine_mut(&mut self, index: MachineIndex) -> &mut Machine {
+        &mut self.machines[index.as_usize()]
+    }
+
+    /// All machines known so far, in the order of their indices.
+    pub(in crate::coordination) fn machines(&self) -> &[Machine] {
+        &self.machines
+    }
+
+    /// Indices of all machines known so far.
+    pub(in crate::coordination) fn machine_indices(&self) -> impl Iterator<Item = MachineIndex> {
+        (0..self.machines.len() as u32).map(MachineIndex)
+    }
+
+    /// The machine of this name, if it is known.
+    pub(in crate::coordination) fn find_machine(&self, name: &str) -> Option<MachineIndex> {
+        self.machines.find(name)
+    }
+
     /// The description of a machine's type, if it is known.
     pub fn type_of(&self, machine: &Machine) -> Option<&MachineTypeSpec> {
         let machine_type = machine.machine_type?;
--- a/src/coordination/cluster/records.rs
+++ b/src/coordination/cluster/records.rs
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub(in crate::coordination) struct RecordState {
     /// Largest value, in bytes, that the key-value store is known to take.
-    pub value_limit: usize,
+    value_limit: usize,
     /// Jobs of which a transaction whose outcome is not settled writes records.
     in_flight: HashSet<JobIndex>,
     /// Records that wait to be deleted.
@@ -29,6 +29,16 @@
         RecordState { value_limit, in_flight: HashSet::new(), obsolete: VecDeque::new() }
     }
 
+    /// Largest value, in bytes, that the key-value store is known to take.
+    pub fn value_limit(&self) -> usize {
+        self.value_limit
+    }
+
+    /// The key-value store has shown that it takes values of at most `limit` bytes.
+    pub fn set_value_limit(&mut self, limit: usize) {
+        self.value_limit = limit;
+    }
+
     /// A transaction is under way that writes records of these jobs.
     pub fn set_in_flight(&mut self, jobs: HashSet<JobIndex>) {
         self.in_flight = jobs;
--- a/src/coordination/commits/job_records.rs
+++ b/src/coordination/commits/job_records.rs
@@ -105,7 +105,7 @@
         let bytes = records::json_size(&value);
         // Guard: what is too large is never sent again as it is; it would
         // be refused for ever.
-        if bytes > self.cluster.records.value_limit {
+        if bytes > self.cluster.value_limit() {
             builder.oversized_chunks.push(OversizedChunk { job: job.index, chunk });
             return false;
         }
--- a/src/coordination/commits/outcomes.rs
+++ b/src/coordination/commits/outcomes.rs
@@ -145,9 +145,10 @@
     /// The first refusal shows that the store's lower limits hold; what fits
     /// them and is refused all the same is cut smaller, and in the end left out.
     fn too_large(&mut self, now: Millis, mut in_flight: InFlightTransaction, cluster: &mut ClusterState) {
-        if cluster.records.value_limit > cluster.config().reduced_max_value_bytes {
-            tracing::warn!(value_bytes = cluster.config().reduced_max_value_bytes, "value size limit lowered");
-            cluster.records.value_limit = cluster.config().reduced_max_value_bytes;
+        let reduced_limit = cluster.config().reduced_max_value_bytes;
+        if cluster.value_limit() > reduced_limit {
+            tracing::warn!(value_bytes = reduced_limit, "value size limit lowered");
+            cluster.records_mut().set_value_limit(reduced_limit);
             self.pause_until(now + REFUSED_PAUSE_MS);
         } else {
             self.pause_until(now + TOO_LARGE_PAUSE_MS);
@@ -196,7 +197,7 @@
     }
     for key in &in_flight.contents.deleted_keys {
         let revision = in_flight.expected_revision(key);
-        cluster.records.delete_later(ObsoleteRecord { key: key.clone(), revision });
+        cluster.records_mut().delete_later(ObsoleteRecord { key: key.clone(), revision });
     }
     settled(cluster, &in_flight.contents.chunks);
 }
--- a/src/coordination/commits/pipeline.rs
+++ b/src/coordination/commits/pipeline.rs
@@ -91,7 +91,7 @@
         let max_ops = self.max_ops(cluster);
         self.resharding.is_due(now, max_ops, has_spare, cluster)
             || self.in_flight.is_some()
-            || (has_spare && cluster.records.has_obsolete())
+            || (has_spare && cluster.has_obsolete_records())
             || cluster.active_jobs().any(|job| WritePriority::of(job, now, has_spare).is_some())
     }
 
@@ -159,7 +159,7 @@
             shrink_chunk(cluster, now, oversized);
         }
         if has_spare {
-            self.obsolete_record_deletion.add_deletes(now, &mut cluster.records, &mut builder);
+            self.obsolete_record_deletion.add_deletes(now, cluster.records_mut(), &mut builder);
         }
         if builder.is_empty() {
             return None;
@@ -192,13 +192,13 @@
 
     /// Keeps a transaction that is not settled yet.
     pub(super) fn keep_in_flight(&mut self, cluster: &mut ClusterState, in_flight: InFlightTransaction) {
-        cluster.records.set_in_flight(in_flight.contents.jobs());
+        cluster.records_mut().set_in_flight(in_flight.contents.jobs());
         self.in_flight = Some(in_flight);
     }
 
     /// Removes the transaction that is not settled yet, to settle it.
     pub(super) fn take_in_flight(&mut self, cluster: &mut ClusterState) -> Option<InFlightTransaction> {
-        cluster.records.clear_in_flight();
+        cluster.records_mut().clear_in_flight();
         self.in_flight.take()
     }
 
--- a/src/coordination/commits/resharding.rs
+++ b/src/coordination/commits/resharding.rs
@@ -71,7 +71,7 @@
             return None;
         }
         // Until it must be done, it takes nothing from what somebody waits for.
-        let is_required = cluster.records.value_limit <= cluster.config().reduced_max_value_bytes;
+        let is_required = cluster.value_limit() <= cluster.config().reduced_max_value_bytes;
         if !(is_required || has_spare) || now < self.not_before {
             return None;
         }
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -28,7 +28,7 @@
         let Some(index) = job_cache.find(id) else { return };
         if job_cache.get(index).status == JobStatus::Done {
             let obsolete = ObsoleteRecord { key: pair.key.clone(), revision: pair.revision };
-            self.cluster.records.delete_later(obsolete);
+            self.cluster.records_mut().delete_later(obsolete);
             return;
         }
         if !self.add_job_of_record(now, wall_ms, index, &pair.key, job_cache) {
@@ -83,13 +83,13 @@
                 self.job_update(now, wall_ms, index, job_cache);
             }
         }
-        for index in self.cluster.jobs.indices().to_vec() {
+        for index in self.cluster.active_jobs().map(|job| job.index).collect::<Vec<_>>() {
             if job_cache.get(index).status == JobStatus::Cancelled {
                 self.cluster.stop_job(now, index, 0.0);
             }
         }
         let placed: u32 = self.cluster.active_jobs().map(|job| job.tasks.placed).sum();
-        tracing::info!(jobs = self.cluster.jobs.len(), placed, "records loaded");
+        tracing::info!(jobs = self.cluster.active_job_count(), placed, "records loaded");
         self.cluster.request_scheduling_cycle();
     }
 }
@@ -105,7 +105,7 @@
     for AssignmentRecord(task, machine_id, incarnation, attempt, zone_name) in assignments {
         let zone = interners.zones.intern(&zone_name);
         let machine = cluster.find_or_add_machine(now, &machine_id, zone);
-        cluster.machines[machine.as_usize()].heartbeats.lease_renewed = now;
+        cluster.machine_mut(machine).heartbeats.lease_renewed = now;
         let new = NewAssignment { job, task, machine, incarnation, attempt, zone };
         let Some(assignment_index) = cluster.add_assignment(now, new) else { continue };
         // Its launch may have been sent by an earlier leader.
--- a/src/coordination/leader/sweep.rs
+++ b/src/coordination/leader/sweep.rs
@@ -22,9 +22,8 @@
         }
         self.next_sweep = now + SWEEP_MS;
         self.cluster.record_event_at(now);
-        for n in 0..self.cluster.machines.len() {
-            let index = MachineIndex(n as u32);
-            if self.cluster.machines[n].lifecycle == MachineLifecycle::Gone {
+        for index in self.cluster.machine_indices() {
+            if self.cluster.machine(index).lifecycle == MachineLifecycle::Gone {
                 continue;
             }
             self.workers.expire_lease(&mut self.cluster, now, index);
@@ -42,7 +41,7 @@
     /// Logs what there is, what of it is in use, what waits, and what was
     /// written since the last summary.
     fn log_summary(&mut self) {
-        let totals = CapacityTotals::of(&self.cluster.snapshot);
+        let totals = CapacityTotals::of(self.cluster.snapshot());
         let written = self.commits.take_statistics();
         tracing::info!(
             machines_up = totals.machines,
@@ -51,7 +50,7 @@
             cpus_free = totals.free.cpus.round(),
             gpus = totals.capacity.gpus.round(),
             gpus_free = totals.free.gpus.round(),
-            jobs = self.cluster.jobs.len(),
+            jobs = self.cluster.active_job_count(),
             waiting_jobs = self.cluster.unmet_demand().len(),
             transactions = written.transactions,
             placements = written.placements,
@@ -65,7 +64,7 @@
 
     /// Notes since when a machine, or its GPUs, have had nothing to do.
     fn update_idle_since(&mut self, now: Millis, index: MachineIndex) {
-        let machine = &mut self.cluster.machines[index.as_usize()];
+        let machine = self.cluster.machine_mut(index);
         if machine.lifecycle != MachineLifecycle::Up {
             return;
         }
--- a/src/coordination/scheduler/best_effort.rs
+++ b/src/coordination/scheduler/best_effort.rs
@@ -42,7 +42,7 @@
     /// others waited until they ended.
     pub fn new(cluster: &ClusterState, now: Millis) -> BestEffortBudget {
         let (mut free, mut capacity) = (0.0, 0.0);
-        for pool in pools_for_arrays(&cluster.snapshot) {
+        for pool in pools_for_arrays(cluster.snapshot()) {
             free += pool.free.cpus;
             capacity += pool.capacity.cpus * pool.members.len() as f64;
         }
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -72,14 +72,14 @@
             headroom: Some(headroom::expected_replicas(cluster, now)),
             infeasible: InfeasibleShapes::default(),
             best_effort: BestEffortBudget::new(cluster, now),
-            gang_reservations: GangReservations { count: 0, max: cluster.snapshot.zone_count() },
+            gang_reservations: GangReservations { count: 0, max: cluster.snapshot().zone_count() },
             cluster,
         }
     }
 
     /// Ends the cycle: releases what it reserved and publishes the unmet demand.
     pub fn finish(self) {
-        self.cluster.snapshot.release(0);
+        self.cluster.snapshot_mut().release(0);
         self.cluster.set_unmet_demand(self.unmet);
     }
 
@@ -103,9 +103,9 @@
             return;
         }
         self.record_unmet(index, request.wanted - placed);
-        let reservations = self.cluster.snapshot.reservations();
+        let reservations = self.cluster.snapshot().reservations();
         self.reclaim_capacity(index, &request.tasks[placed..]);
-        let reserved_nothing = self.cluster.snapshot.reservations() == reservations;
+        let reserved_nothing = self.cluster.snapshot().reservations() == reservations;
         let is_overdue_gang = request.spec.kind == JobKind::Gang && request.is_overdue;
         if is_overdue_gang && reserved_nothing && self.gang_reservations.may_reserve() {
             self.reserve_for_gang(&request);
@@ -138,7 +138,7 @@
             wanted,
             tasks,
             zone_used: job.tasks.zone_used.clone(),
-            avoid: task_selection::avoided_machines(job, &self.cluster.machines),
+            avoid: task_selection::avoided_machines(job, self.cluster.machines()),
             is_best_effort,
             is_overdue,
         })
@@ -149,7 +149,7 @@
         if request.tasks.is_empty() || self.infeasible.is_infeasible_now(&request.spec) {
             return 0;
         }
-        let outcome = self.cluster.snapshot.trial(&TrialRequest {
+        let outcome = self.cluster.snapshot_mut().trial(&TrialRequest {
             spec: &request.spec,
             tasks: &request.tasks,
             min: min_tasks(&request.spec, request.tasks.len()),
@@ -230,11 +230,11 @@
         let Some(job) = self.cluster.job(index) else { return 0 };
         let spec = job.spec.clone();
         let zone_used = job.tasks.zone_used.clone();
-        if !self.cluster.snapshot.has_stopping_tasks() || self.infeasible.is_infeasible_later(&spec) {
+        if !self.cluster.snapshot().has_stopping_tasks() || self.infeasible.is_infeasible_later(&spec) {
             return 0;
         }
         let min = min_tasks(&spec, tasks.len());
-        let outcome = self.cluster.snapshot.trial(&TrialRequest::later(&spec, tasks, min, &zone_used));
+        let outcome = self.cluster.snapshot_mut().trial(&TrialRequest::later(&spec, tasks, min, &zone_used));
         self.reserve(&spec, &outcome.placements);
         if outcome.status != PlacementStatus::Success && uses_no_zone(&zone_used) {
             self.infeasible.add_later(spec);
@@ -248,7 +248,7 @@
     fn reserve_for_gang(&mut self, request: &PlacementRequest) {
         let spec = &request.spec;
         let trial = TrialRequest::later(spec, &request.tasks, 1, &request.zone_used);
-        let outcome = self.cluster.snapshot.trial(&trial);
+        let outcome = self.cluster.snapshot_mut().trial(&trial);
         self.reserve(spec, &outcome.placements);
         if !outcome.placements.is_empty() {
             self.gang_reservations.count += 1;
@@ -257,7 +257,7 @@
 
     fn reserve(&mut self, spec: &JobSpec, placements: &[TaskPlacement]) {
         for placement in placements {
-            self.cluster.snapshot.reserve(placement.host, Resources::of(spec), Resources::default());
+            self.cluster.snapshot_mut().reserve(placement.host, Resources::of(spec), Resources::default());
         }
     }
 }
--- a/src/coordination/scheduler/headroom.rs
+++ b/src/coordination/scheduler/headroom.rs
@@ -55,9 +55,9 @@
 pub fn reserve_headroom(cluster: &mut ClusterState, expected: &ExpectedReplicas) {
     let spec = &expected.spec;
     let tasks: Vec<u32> = (0..expected.replicas as u32).collect();
-    let outcome = cluster.snapshot.trial(&TrialRequest::later(spec, &tasks, 1, &[]));
+    let outcome = cluster.snapshot_mut().trial(&TrialRequest::later(spec, &tasks, 1, &[]));
     for placement in &outcome.placements {
-        cluster.snapshot.reserve(placement.host, Resources::of(spec), Resources::default());
+        cluster.snapshot_mut().reserve(placement.host, Resources::of(spec), Resources::default());
     }
 }
 
--- a/src/coordination/scheduler/preemption/mod.rs
+++ b/src/coordination/scheduler/preemption/mod.rs
@@ -75,14 +75,14 @@
         JobKind::Array => tasks.len().min(ARRAY_TASKS_PER_CYCLE),
         JobKind::Gang | JobKind::Service => tasks.len(),
     };
-    let sample_start = samples.advance(cluster.machines.len());
+    let sample_start = samples.advance(cluster.machines().len());
     let plans_by_zone = spec.one_zone && !has_zone && task_count > 1;
-    let zones = if plans_by_zone { each_zone(&cluster.snapshot) } else { vec![None] };
+    let zones = if plans_by_zone { each_zone(cluster.snapshot()) } else { vec![None] };
     let planner = PreemptionPlanner { now, job: index, sample_start };
     let Some(plan) = best_plan(cluster, &planner, task_count, zones) else { return false };
     let stopped = plan.victims.into_iter().filter(|&victim| stop_victim(cluster, now, victim, &spec)).count();
     for &host in &plan.hosts {
-        cluster.snapshot.reserve(host, Resources::of(&spec), Resources::default());
+        cluster.snapshot_mut().reserve(host, Resources::of(&spec), Resources::default());
     }
     if stopped > 0 {
         tracing::info!(job_index = index.0, preempted_tasks = stopped, tasks = plan.hosts.len(), "tasks preempted");
--- a/src/coordination/scheduler/preemption/planner.rs
+++ b/src/coordination/scheduler/preemption/planner.rs
@@ -74,11 +74,11 @@
         task_count: usize,
         zone: Option<ZoneIndex>,
     ) -> Option<PreemptionPlan> {
-        let reservations = cluster.snapshot.reservations();
+        let reservations = cluster.snapshot().reservations();
         let plan = self.plan_with_reservations(cluster, task_count, zone);
         // What is stopped counts as such by itself; the capacity is reserved
         // again once a plan is chosen.
-        cluster.snapshot.release(reservations);
+        cluster.snapshot_mut().release(reservations);
         plan.filter(|plan| !plan.hosts.is_empty())
     }
 
@@ -92,7 +92,7 @@
         let job = cluster.job(self.job)?;
         let spec = job.spec.clone();
         let mut zone_used = job.tasks.zone_used.clone();
-        let sample = cluster.snapshot.sample(&spec, zone, self.sample_start, MACHINES_SAMPLED);
+        let sample = cluster.snapshot().sample(&spec, zone, self.sample_start, MACHINES_SAMPLED);
         let mut plan = PreemptionPlan::default();
         for _ in 0..task_count {
             let search = HostSearch {
@@ -104,7 +104,7 @@
                 planned_victims: &plan.victims,
             };
             let cheapest = search.cheapest();
-            cluster.snapshot.hosts_examined += sample.len() as u64;
+            cluster.snapshot_mut().hosts_examined += sample.len() as u64;
             let Some(preemption) = cheapest else {
                 if spec.kind == JobKind::Gang {
                     return None;
@@ -112,7 +112,7 @@
                 break;
             };
             count_in_zone(&mut zone_used, cluster.machine(MachineIndex(preemption.host as u32)).zone);
-            cluster.snapshot.reserve(preemption.host, Resources::of(&spec), preemption.freed);
+            cluster.snapshot_mut().reserve(preemption.host, Resources::of(&spec), preemption.freed);
             plan.add(preemption);
         }
         Some(plan)
@@ -130,7 +130,7 @@
 impl HostSearch<'_> {
     /// The preemption that costs least on the machines of the sample.
     fn cheapest(&self) -> Option<HostPreemption> {
-        let snapshot = &self.cluster.snapshot;
+        let snapshot = self.cluster.snapshot();
         let mut cheapest: Option<HostPreemption> = None;
         let feasible = self.sample.iter().filter_map(|&host_index| {
             let host = &snapshot.hosts[host_index];
--- a/src/coordination/scheduler/task_selection.rs
+++ b/src/coordination/scheduler/task_selection.rs
@@ -65,7 +65,7 @@
 impl ChunkCapacity {
     /// `None`: the job's chunks are not restricted.
     fn of(cluster: &ClusterState, job: &Job) -> Option<ChunkCapacity> {
-        let limit_is_normal = cluster.records.value_limit > cluster.config().reduced_max_value_bytes;
+        let limit_is_normal = cluster.value_limit() > cluster.config().reduced_max_value_bytes;
         if limit_is_normal
             || job.records.chunk_size <= cluster.config().reduced_chunk_size
             || job.spec.kind == JobKind::Gang
--- a/src/coordination/tests/commits.rs
+++ b/src/coordination/tests/commits.rs
@@ -245,7 +245,7 @@
     f.assign(9);
     assert_eq!(f.next(NOW, URGENT).unwrap().writes.len(), 2);
     assert!(f.finish(NOW, CommitOutcome::TooLarge));
-    assert_eq!(f.cluster.records.value_limit, 4_096, "the store's lower limits hold");
+    assert_eq!(f.cluster.value_limit(), 4_096, "the store's lower limits hold");
     assert_eq!(f.next(NOW + 150, URGENT).unwrap().writes.len(), 2);
     assert!(f.finish(NOW + 150, CommitOutcome::TooLarge));
     assert!(!f.commits.may_send(NOW + 1_149) && f.commits.may_send(NOW + 1_150));
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -54,7 +54,7 @@
     }
     let launches = commands.iter().filter_map(|command| launch_of(cluster, index, command)).collect();
     let call = outbox.next_call();
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     machine.commands.direct_call = Some(DirectCall { id: call, launches });
     let req =
         DirectCommandRequest { token: machine.fence.token, incarnation: machine.heartbeats.incarnation, commands };
@@ -90,7 +90,7 @@
     outcome: DirectCallOutcome,
 ) -> Result<(), Superseded> {
     let now = context.now;
-    let Some(completed) = cluster.machines[index.as_usize()].commands.end_direct_call(call) else { return Ok(()) };
+    let Some(completed) = cluster.machine_mut(index).commands.end_direct_call(call) else { return Ok(()) };
     cluster.schedule_dispatch(now, index);
     match outcome {
         DirectCallOutcome::Executed(heartbeat) => {
@@ -102,10 +102,10 @@
             mark_unsent(cluster, &completed.launches);
         }
         DirectCallOutcome::NotSent => {
-            cluster.machines[index.as_usize()].commands.pause_direct_calls(now + NOT_SENT_PAUSE_MS);
+            cluster.machine_mut(index).commands.pause_direct_calls(now + NOT_SENT_PAUSE_MS);
         }
         DirectCallOutcome::Unknown => {
-            cluster.machines[index.as_usize()].commands.pause_direct_calls(now + UNANSWERED_PAUSE_MS);
+            cluster.machine_mut(index).commands.pause_direct_calls(now + UNANSWERED_PAUSE_MS);
             if !completed.launches.is_empty() {
                 raise_fence(cluster, now, index);
             }
@@ -128,7 +128,7 @@
 /// Guard: launches that went unanswered may arrive at any later time. The raised
 /// token fences them, once the worker has acknowledged it.
 fn raise_fence(cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     machine.fence.raise();
     tracing::debug!(
         machine = &*machine.id,
--- a/src/coordination/workers/exited_tasks.rs
+++ b/src/coordination/workers/exited_tasks.rs
@@ -24,7 +24,7 @@
     let fate = if reason == ExitReason::Done { ReleaseReason::Done } else { ReleaseReason::Unfinished };
     let Some(assignment) = cluster.release_assignment(index, fate) else { return };
     let record = record_of_exit(cluster, &assignment);
-    let machine = &mut cluster.machines[assignment.machine.as_usize()];
+    let machine = cluster.machine_mut(assignment.machine);
     machine.commands.add_pending_reap(status, assignment.job, record);
     if fate == ReleaseReason::Done {
         observe_run_time(cluster, now, &assignment);
@@ -68,7 +68,7 @@
 ) {
     match reason {
         ExitReason::InsufficientResources | ExitReason::Busy => {
-            let machine = &mut cluster.machines[assignment.machine.as_usize()];
+            let machine = cluster.machine_mut(assignment.machine);
             tracing::info!(task, machine = &*machine.id, ?reason, "task start refused");
             machine.unschedulable_until = now + REFUSED_START_PAUSE_MS;
             cluster.refresh(now, assignment.machine);
--- a/src/coordination/workers/failure_attribution.rs
+++ b/src/coordination/workers/failure_attribution.rs
@@ -6,8 +6,8 @@
 
 use crate::{
     coordination::{
-        cluster::{ClusterState, JobTable},
-        model::{Assignment, Job, JobFailures, Machine, MachineIndex, Millis, TaskFailure},
+        cluster::ClusterState,
+        model::{Assignment, Job, JobFailures, MachineIndex, Millis, TaskFailure},
     },
     storage::job_cache::JobIndex,
 };
@@ -48,7 +48,7 @@
 }
 
 fn pause_machine(cluster: &mut ClusterState, now: Millis, machine_index: MachineIndex, job: JobIndex) {
-    let machine = &mut cluster.machines[machine_index.as_usize()];
+    let machine = cluster.machine_mut(machine_index);
     machine.recent_failures.retain(|failure| failure.job != job);
     machine.recent_failures.push(TaskFailure { job, at: now, job_is_healthy: false });
     let doublings = machine.recent_failures.len() as u32 - 1;
@@ -76,8 +76,10 @@
         }
         self.next_evaluation = now + EVALUATION_INTERVAL_MS;
         mark_sound_jobs(cluster, now);
-        for machine in cluster.machines.iter_mut().filter(|machine| !machine.recent_failures.is_empty()) {
-            cordon_if_faulty(&cluster.jobs, machine, now);
+        for index in cluster.machine_indices() {
+            if !cluster.machine(index).recent_failures.is_empty() {
+                cordon_if_faulty(cluster, index, now);
+            }
         }
     }
 }
@@ -99,12 +101,15 @@
     }
 }
 
-fn cordon_if_faulty(jobs: &JobTable, machine: &mut Machine, now: Millis) {
-    machine.recent_failures.retain(|failure| now < failure.at + FAILURE_MEMORY_MS);
-    for failure in &mut machine.recent_failures {
-        let job = jobs.get(failure.job);
+fn cordon_if_faulty(cluster: &mut ClusterState, index: MachineIndex, now: Millis) {
+    let mut recent_failures = std::mem::take(&mut cluster.machine_mut(index).recent_failures);
+    recent_failures.retain(|failure| now < failure.at + FAILURE_MEMORY_MS);
+    for failure in &mut recent_failures {
+        let job = cluster.job(failure.job);
         failure.job_is_healthy |= job.is_some_and(|job| job.failures.job_is_healthy);
     }
+    let machine = cluster.machine_mut(index);
+    machine.recent_failures = recent_failures;
     let sound_jobs = machine.recent_failures.iter().filter(|failure| failure.job_is_healthy).count();
     if sound_jobs >= FAULTY_MACHINE_JOBS && !machine.cordoned {
         machine.cordoned = true;
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -39,7 +39,7 @@
     let now = context.now;
     let zone = context.interners.zones.intern(&heartbeat.zone);
     let index = cluster.find_or_add_machine(now, &heartbeat.machine, zone);
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     if heartbeat.token > machine.fence.token {
         return HeartbeatOutcome::Superseded;
     }
@@ -104,8 +104,8 @@
 /// Records that the response made for a machine's latest heartbeat is not sent
 /// after all.
 pub fn response_not_sent(cluster: &mut ClusterState, machine: &str) {
-    if let Some(index) = cluster.machines.find(machine) {
-        cluster.machines[index.as_usize()].fence.response_not_sent();
+    if let Some(index) = cluster.find_machine(machine) {
+        cluster.machine_mut(index).fence.response_not_sent();
     }
 }
 
@@ -116,7 +116,7 @@
     if is_listed || !cluster.is_loaded() {
         return true;
     }
-    let Some(index) = cluster.machines.find(&heartbeat.machine) else { return false };
+    let Some(index) = cluster.find_machine(&heartbeat.machine) else { return false };
     let machine = cluster.machine(index);
     !machine.load.assignments.is_empty() || !machine.has_no_launch_in_flight()
 }
@@ -131,7 +131,7 @@
 /// Records what a periodic heartbeat shows of our earlier responses.
 fn record_acknowledgement(cluster: &mut ClusterState, now: Millis, index: MachineIndex, token: FencingToken) {
     let min_gap_ms = cluster.config().heartbeat_interval_ms / 2;
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     machine.heartbeats.last_heartbeat = Some(now);
     // The worker received or lost our last response before it sent this.
     machine.commands.set_launch_in_response(false);
@@ -150,7 +150,7 @@
     others.retain(|command| !response.iter().any(|halt| halt.stops_same_attempt(command)));
     response.append(&mut others);
 
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     let has_launch = response.iter().any(|command| matches!(command, WorkerCommand::Launch { .. }));
     machine.commands.set_launch_in_response(has_launch);
     if response.iter().any(|command| matches!(command, WorkerCommand::Reap { .. })) {
--- a/src/coordination/workers/lease_expiry.rs
+++ b/src/coordination/workers/lease_expiry.rs
@@ -43,7 +43,7 @@
         }
         tracing::warn!(machine = &*machine.id, tasks = machine.load.assignments.len(), "worker lease expired");
         let last_assigned = last_assigned_incarnation(cluster, machine);
-        cluster.machines[index.as_usize()].heartbeats.expire(last_assigned);
+        cluster.machine_mut(index).heartbeats.expire(last_assigned);
         cluster.release_machine_assignments(index, None);
     }
 
--- a/src/coordination/workers/machine_status.rs
+++ b/src/coordination/workers/machine_status.rs
@@ -20,7 +20,7 @@
     interners: &mut Interners,
 ) {
     let machine_type = interners.types.intern(&heartbeat.machine_type);
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     machine.addr = heartbeat.addr.parse().ok().or(machine.addr);
     machine.machine_type = Some(machine_type);
     machine.spot = heartbeat.spot;
@@ -54,7 +54,7 @@
 
 /// Begins a new incarnation: the worker killed and forgot all tasks of the former one.
 pub fn begin_incarnation(cluster: &mut ClusterState, now: Millis, index: MachineIndex, incarnation: Incarnation) {
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     let previous = machine.heartbeats.begin_incarnation(now, incarnation);
     if previous != Incarnation::NONE {
         tracing::info!(machine = &*machine.id, %incarnation, "new worker incarnation");
--- a/src/coordination/workers/probes.rs
+++ b/src/coordination/workers/probes.rs
@@ -19,7 +19,7 @@
 /// lets the machine be released sooner, which does.
 pub fn probe_if_overdue(cluster: &mut ClusterState, outbox: &mut Outbox, now: Millis, index: MachineIndex) {
     let overdue_ms = cluster.config().heartbeat_interval_ms * 5 / 4 + OVERDUE_SLACK_MS;
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     let heartbeats = &mut machine.heartbeats;
     let is_overdue = heartbeats.last_contact.is_some() && !heartbeats.contacted_within(now, overdue_ms);
     let may_probe = machine.lifecycle == MachineLifecycle::Up
@@ -42,7 +42,7 @@
     index: MachineIndex,
     heartbeat: Option<&Heartbeat>,
 ) {
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     machine.heartbeats.end_probe();
     let Some(heartbeat) = heartbeat else {
         machine.heartbeats.failed_probes += 1;
--- a/src/coordination/workers/reachability.rs
+++ b/src/coordination/workers/reachability.rs
@@ -35,7 +35,7 @@
     pub fn is_unreached(&self, cluster: &ClusterState, now: Millis, for_ms: Millis) -> bool {
         let window_ms = for_ms.max(cluster.config().heartbeat_interval_ms * 3 / 2);
         let (mut expected, mut reached) = (0, 0);
-        for machine in cluster.machines.iter().filter(|machine| should_send_heartbeats(machine)) {
+        for machine in cluster.machines().iter().filter(|machine| should_send_heartbeats(machine)) {
             expected += 1;
             reached += usize::from(machine.heartbeats.heartbeat_within(now, window_ms));
         }
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -177,14 +177,14 @@
     }
 
     fn add_pending_reap(&mut self, task: &ListedTask<'_>, record: ExitRecord) {
-        let commands = &mut self.cluster.machines[self.machine.as_usize()].commands;
+        let commands = &mut self.cluster.machine_mut(self.machine).commands;
         commands.add_pending_reap(task.status, task.job, record);
     }
 
     /// Exits that are no longer listed were reaped.
     fn forget_reaped_exits(&mut self) {
         let listed = &self.listed_exits;
-        let exits = &mut self.cluster.machines[self.machine.as_usize()].commands.pending_reaps;
+        let exits = &mut self.cluster.machine_mut(self.machine).commands.pending_reaps;
         exits.retain(|exit| listed.contains(&TaskAttempt::from(exit)));
     }
 
