--- a/src/coordination/autoscaler/consolidation.rs
+++ b/src/coordination/autoscaler/consolidation.rs
@@ -160,9 +160,8 @@
         capacity: CapacityKind::Free,
         hosts: HostFilter::BusyOnly,
     });
-    for placement in &outcome.placements {
-        cluster.snapshot_mut().reserve(placement.host, Resources::of(&spec), Resources::default());
-    }
+    let hosts = outcome.placements.iter().map(|placement| placement.host);
+    cluster.snapshot_mut().reserve_for_tasks(&spec, hosts);
     outcome.status == PlacementStatus::Success
         && outcome.placements.iter().all(|placement| cluster.snapshot().hosts[placement.host].has_image(spec.image))
 }
--- a/src/coordination/autoscaler/gpu_reclaim.rs
+++ b/src/coordination/autoscaler/gpu_reclaim.rs
@@ -4,8 +4,7 @@
 use crate::{
     coordination::{
         cluster::ClusterState,
-        model::{AssignmentIndex, Job, MachineIndex, MachineLifecycle, Millis},
-        workers::SAVE_MARGIN_S,
+        model::{AssignmentIndex, Job, MachineIndex, MachineLifecycle, Millis, SAVE_MARGIN_S},
     },
     protocol::jobs::JobKind,
 };
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -58,7 +58,7 @@
 /// How a worker's heartbeat is answered.
 #[derive(Debug)]
 pub enum HeartbeatOutcome {
-    /// Accepted: this renews the worker's lease and carries orders.
+    /// Accepted: this renews the worker's lease and carries commands.
     Accepted(HeartbeatResponse),
     /// Ignored: it is older than one heard before, or from a machine that is gone.
     Stale,
--- a/src/coordination/leader/sweep.rs
+++ b/src/coordination/leader/sweep.rs
@@ -7,13 +7,13 @@
     workers::probes,
 };
 
-/// Interval of the checks: short against leases and heartbeat interval.
+/// Interval of the checks: short compared with leases and the heartbeat interval.
 const SWEEP_MS: Millis = 250;
 /// Interval of the summary in the logs.
 pub(in crate::coordination) const SUMMARY_MS: Millis = 10_000;
 
 impl Leader {
-    /// Checks every machine for what only time tells: leases that ran out,
+    /// Checks every machine for what only time tells: leases that expired,
     /// heartbeats that are overdue, machines that have nothing to do or may take
     /// nothing new.
     pub fn sweep(&mut self, now: Millis) {
--- a/src/coordination/model/job/mod.rs
+++ b/src/coordination/model/job/mod.rs
@@ -30,7 +30,7 @@
     /// Since when it may run, on the leader's steady clock; may lie before the
     /// clock's start.
     pub since: i64,
-    /// Since when it waits without room, for preemption, rentals and the logs.
+    /// Since when it waits without free capacity, for preemption, scale-out and the logs.
     pub waiting_since: Millis,
     /// None of its tasks are to be assigned before.
     pub not_before: Millis,
@@ -162,7 +162,7 @@
         (now as i64 - self.wait.since) as f64 / 1000.0
     }
 
-    /// Milliseconds since it began to wait for room; negative if that lies ahead.
+    /// Milliseconds since it began to wait for free capacity; negative if that lies ahead.
     pub fn waited_ms(&self, now: Millis) -> i64 {
         now as i64 - self.wait.waiting_since as i64
     }
--- a/src/coordination/model/mod.rs
+++ b/src/coordination/model/mod.rs
@@ -30,6 +30,9 @@
 /// are counted").
 pub const START_COUNTS_MS: Millis = 30_000;
 
+/// Grace period given to a task beyond the time it needs to save, in seconds.
+pub const SAVE_MARGIN_S: f64 = 2.0;
+
 /// Converts a duration in milliseconds to seconds.
 pub fn seconds(duration_ms: Millis) -> f64 {
     duration_ms as f64 / 1000.0
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -14,7 +14,7 @@
 use crate::{
     coordination::{
         cluster::{ClusterState, NewAssignment, UnmetDemand},
-        model::{MachineIndex, Millis, Resources},
+        model::{MachineIndex, Millis},
         snapshot::CapacityKind,
     },
     protocol::jobs::{JobKind, JobSpec},
@@ -256,9 +256,8 @@
     }
 
     fn reserve(&mut self, spec: &JobSpec, placements: &[TaskPlacement]) {
-        for placement in placements {
-            self.cluster.snapshot_mut().reserve(placement.host, Resources::of(spec), Resources::default());
-        }
+        let hosts = placements.iter().map(|placement| placement.host);
+        self.cluster.snapshot_mut().reserve_for_tasks(spec, hosts);
     }
 }
 
--- a/src/coordination/scheduler/headroom.rs
+++ b/src/coordination/scheduler/headroom.rs
@@ -3,11 +3,7 @@
 use std::rc::Rc;
 
 use crate::{
-    coordination::{
-        cluster::ClusterState,
-        model::{Millis, Resources},
-        scheduler::trial::TrialRequest,
-    },
+    coordination::{cluster::ClusterState, model::Millis, scheduler::trial::TrialRequest},
     protocol::jobs::{JobKind, JobSpec, Priority},
     storage::records::JobStatus,
 };
@@ -56,9 +52,8 @@
     let spec = &expected.spec;
     let tasks: Vec<u32> = (0..expected.replicas as u32).collect();
     let outcome = cluster.snapshot_mut().trial(&TrialRequest::later(spec, &tasks, 1, &[]));
-    for placement in &outcome.placements {
-        cluster.snapshot_mut().reserve(placement.host, Resources::of(spec), Resources::default());
-    }
+    let hosts = outcome.placements.iter().map(|placement| placement.host);
+    cluster.snapshot_mut().reserve_for_tasks(spec, hosts);
 }
 
 /// Reserves capacity for all replicas that are expected next, until the
--- a/src/coordination/scheduler/preemption/mod.rs
+++ b/src/coordination/scheduler/preemption/mod.rs
@@ -8,9 +8,8 @@
 use crate::{
     coordination::{
         cluster::ClusterState,
-        model::{AssignmentIndex, Job, Millis, Resources},
+        model::{AssignmentIndex, Job, Millis, SAVE_MARGIN_S},
         snapshot::ClusterSnapshot,
-        workers::SAVE_MARGIN_S,
     },
     protocol::{
         jobs::{JobKind, JobSpec, Priority},
@@ -81,9 +80,7 @@
     let planner = PreemptionPlanner { now, job: index, sample_start };
     let Some(plan) = best_plan(cluster, &planner, task_count, zones) else { return false };
     let stopped = plan.victims.into_iter().filter(|&victim| stop_victim(cluster, now, victim, &spec)).count();
-    for &host in &plan.hosts {
-        cluster.snapshot_mut().reserve(host, Resources::of(&spec), Resources::default());
-    }
+    cluster.snapshot_mut().reserve_for_tasks(&spec, plan.hosts.iter().copied());
     if stopped > 0 {
         tracing::info!(job_index = index.0, preempted_tasks = stopped, tasks = plan.hosts.len(), "tasks preempted");
     }
--- a/src/coordination/scheduler/preemption/victims.rs
+++ b/src/coordination/scheduler/preemption/victims.rs
@@ -4,10 +4,10 @@
     coordination::{
         cluster::ClusterState,
         model::{
-            Assignment, AssignmentIndex, AssignmentState, Job, Millis, Resources, RESOURCE_TOLERANCE, START_COUNTS_MS,
+            Assignment, AssignmentIndex, AssignmentState, Job, Millis, Resources, RESOURCE_TOLERANCE, SAVE_MARGIN_S,
+            START_COUNTS_MS,
         },
         scheduler::queue::is_overdue,
-        workers::SAVE_MARGIN_S,
     },
     protocol::jobs::{JobKind, Priority},
     storage::records::JobStatus,
--- a/src/coordination/snapshot/mod.rs
+++ b/src/coordination/snapshot/mod.rs
@@ -112,14 +112,15 @@
         }
     }
 
-    /// Changes a machine and keeps the indices in step.
-    pub fn change(&mut self, host_index: usize, change: impl FnOnce(&mut Host)) {
+    /// Changes a machine and keeps the indices in step. Returns what `change` does.
+    pub fn change<T>(&mut self, host_index: usize, change: impl FnOnce(&mut Host) -> T) -> T {
         if self.hosts.len() <= host_index {
             self.hosts.resize_with(host_index + 1, Host::default);
         }
         self.unindex(host_index);
-        change(&mut self.hosts[host_index]);
+        let result = change(&mut self.hosts[host_index]);
         self.index(host_index);
+        result
     }
 
     /// Moves a machine to this pool, or to none. Its assignments stay.
@@ -195,6 +196,35 @@
         self.change(host_index, |host| host.account(spec, LoadChange::Removed));
     }
 
+    /// Reserves capacity until it is released: first what is about to be free, then
+    /// what is free now, so that no later job takes it. `also_freed`: what else
+    /// is about to be free there.
+    pub fn reserve(&mut self, host_index: usize, need: Resources, also_freed: Resources) {
+        let reservation = self.change(host_index, |host| Reservation::make(host_index, host, need, also_freed));
+        self.reservations.push(reservation);
+    }
+
+    /// Reserves capacity for one task of `spec` on each of the machines, in order.
+    /// A machine is named once for each of its tasks.
+    pub fn reserve_for_tasks(&mut self, spec: &JobSpec, host_indices: impl IntoIterator<Item = usize>) {
+        for host_index in host_indices {
+            self.reserve(host_index, Resources::of(spec), Resources::default());
+        }
+    }
+
+    /// Releases all reservations after the first `keep`.
+    pub fn release(&mut self, keep: usize) {
+        while self.reservations.len() > keep {
+            let Some(reservation) = self.reservations.pop() else { return };
+            self.change(reservation.host_index(), |host| reservation.undo(host));
+        }
+    }
+
+    /// The number of reservations.
+    pub fn reservations(&self) -> usize {
+        self.reservations.len()
+    }
+
     /// Whether a task is being stopped on any machine.
     pub fn has_stopping_tasks(&self) -> bool {
         !self.stopping_hosts.is_empty()
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -2,8 +2,7 @@
 
 use super::{
     commands::{self, CommandMessage, RESEND_MS},
-    heartbeats::{self, HeartbeatContext},
-    Superseded,
+    heartbeats::{self, HeartbeatContext, Superseded},
 };
 use crate::{
     coordination::{
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -4,7 +4,7 @@
     commands::{self, stop_commands_for_cancelled, CommandMessage},
     machine_status,
     reconciliation::Reconciliation,
-    spot_interruption, Superseded,
+    spot_interruption,
 };
 use crate::{
     coordination::{
@@ -30,6 +30,11 @@
     pub interners: &'a mut Interners,
 }
 
+/// A worker has seen a higher fencing token than this leader's: another
+/// controller leads.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Superseded;
+
 /// Processes a periodic heartbeat and makes the response.
 pub fn process(
     cluster: &mut ClusterState,
@@ -122,7 +127,7 @@
 }
 
 /// Guard: a heartbeat that was delayed, from an incarnation whose lease is known to
-/// have expired, or from a machine that was returned, says nothing about what runs
+/// have expired, or from a machine that was released, says nothing about what runs
 /// now.
 fn is_stale(machine: &Machine, heartbeat: &Heartbeat) -> bool {
     machine.lifecycle == MachineLifecycle::Gone || machine.heartbeats.is_expired(heartbeat.incarnation)
--- a/src/coordination/workers/mod.rs
+++ b/src/coordination/workers/mod.rs
@@ -18,7 +18,7 @@
 mod spot_interruption;
 mod task_progress;
 
-pub use self::{commands::stop_commands_for_cancelled, spot_interruption::SAVE_MARGIN_S};
+pub use self::commands::stop_commands_for_cancelled;
 use self::{
     failure_attribution::FailureAttribution, heartbeats::HeartbeatContext, lease_expiry::LeaseExpiry,
     reachability::Reachability,
@@ -31,11 +31,6 @@
 };
 use crate::protocol::workers::Heartbeat;
 
-/// A worker has seen a higher fencing token than this leader's: another
-/// controller leads.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Superseded;
-
 /// The components that keep state of their own between events.
 #[derive(Debug)]
 pub struct WorkerControl {
--- a/src/coordination/workers/spot_interruption.rs
+++ b/src/coordination/workers/spot_interruption.rs
@@ -3,7 +3,7 @@
 use crate::{
     coordination::{
         cluster::ClusterState,
-        model::{MachineIndex, Millis},
+        model::{MachineIndex, Millis, SAVE_MARGIN_S},
     },
     protocol::jobs::JobKind,
 };
@@ -11,8 +11,6 @@
 /// Share of a task's saving time that a notice must leave for it: notices come
 /// at half their nominal time too, so saving begins while it lasts.
 const SAVE_SHARE: f64 = 0.8;
-/// Grace period given to a task beyond the time it needs to save, in seconds.
-pub const SAVE_MARGIN_S: f64 = 2.0;
 
 /// Halts the tasks on a machine with an interruption notice that can save a
 /// checkpoint in the time left.
