--- a/src/coordination/cluster/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Releases all assignments of a machine, as their tasks are provably gone; with `before_incarnation`, only
-    /// what was assigned in an earlier incarnation.
+    /// Releases all assignments of a machine, as their tasks are provably gone;
+    /// with `before_incarnation`, only those made for an earlier incarnation.
     pub fn release_machine_assignments(&mut self, index: MachineIndex, before_incarnation: Option<Incarnation>) {
         for assignment_index in self.machines[index.as_usize()].load.assignments.clone() {
             let Some(assignment) = self.assignments.get(assignment_index) else { continue };
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -14,7 +14,7 @@
 /// A call to a worker or to the cloud that is to be made.
 #[derive(Debug, Clone)]
 pub enum Effect {
-    /// POST /do: a command sent straight to a worker.
+    /// POST /do: a command sent directly to a worker.
     Do {
         /// The machine of the worker.
         machine: MachineIndex,
@@ -60,13 +60,13 @@
 pub enum HeartbeatOutcome {
     /// Accepted: this renews the worker's lease and carries commands.
     Accepted(HeartbeatResponse),
-    /// Ignored: it is older than one heard before, or from a machine that is gone.
+    /// Ignored: it is older than one received before, or from a machine that is gone.
     Stale,
     /// The worker has seen a higher token than any of ours.
     Superseded,
 }
 
-/// How a command sent straight to a worker ended.
+/// How a command sent directly to a worker ended.
 #[derive(Debug)]
 pub enum DirectCallOutcome {
     /// Executed; the worker's heartbeat after it.
--- a/src/coordination/model/assignment.rs
+++ b/src/coordination/model/assignment.rs
@@ -52,9 +52,9 @@
     pub state: AssignmentState,
     /// When its launch was last sent.
     pub sent: Option<Millis>,
-    /// When the leader first heard that it runs; None: it has not.
+    /// When a heartbeat first showed that it runs; `None`: none has.
     pub running_since: Option<Millis>,
-    /// The halt of the task; None: it is not to be stopped.
+    /// The halt of the task; `None`: it is not to be stopped.
     pub halt: Option<Halt>,
     /// When the assignment was made.
     pub assigned_at: Millis,
@@ -113,7 +113,7 @@
     pub attempt: Attempt,
 }
 
-/// A command that was sent straight to a worker and is not answered yet.
+/// A command that was sent directly to a worker and is not answered yet.
 #[derive(Debug, Clone)]
 pub struct DirectCall {
     /// Number of the call, unique within the leadership.
