--- a/src/coordination/autoscaler/drain.rs
+++ b/src/coordination/autoscaler/drain.rs
@@ -13,12 +13,12 @@
     index: MachineIndex,
     grace_s: impl Fn(&ClusterState, AssignmentIndex) -> f64,
 ) {
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     machine.cordoned = true;
     for assignment in machine.load.assignments.clone() {
         let grace_s = grace_s(cluster, assignment);
         cluster.halt(now, assignment, grace_s);
     }
     cluster.refresh(now, index);
-    cluster.cycle_needed = true;
+    cluster.request_scheduling_cycle();
 }
--- a/src/coordination/autoscaler/pending_capacity.rs
+++ b/src/coordination/autoscaler/pending_capacity.rs
@@ -28,7 +28,7 @@
     /// The capacity of all machines that are booting or `requested`.
     pub fn new(now: Millis, cluster: &ClusterState, requested: &[OfferQuantity]) -> PendingCapacity {
         let mut pending_capacity = PendingCapacity::default();
-        for machine in &cluster.machines {
+        for machine in cluster.machines() {
             if machine.lifecycle != MachineLifecycle::Booting || !machine.load.assignments.is_empty() {
                 continue;
             }
@@ -40,7 +40,7 @@
             }
         }
         for request in requested {
-            if let Some(machine_type) = request.offer.type_spec(&cluster.types) {
+            if let Some(machine_type) = request.offer.type_spec(cluster.types()) {
                 pending_capacity.add(request.offer, machine_type.capacity, request.machines);
             }
         }
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -10,8 +10,10 @@
 mod backlog;
 mod config;
 mod dispatch_queue;
+mod follow_up;
 mod job_table;
 mod jobs;
+mod leadership;
 mod machine_registry;
 mod machines;
 mod progress_feed;
@@ -21,18 +23,16 @@
 mod team_usage;
 
 use self::{
-    assignment_table::AssignmentTable, backlog::Backlog, dispatch_queue::DispatchQueue,
-    machine_registry::MachineRegistry, progress_feed::ProgressFeed, team_usage::TeamUsage,
+    assignment_table::AssignmentTable, backlog::Backlog, dispatch_queue::DispatchQueue, job_table::JobTable,
+    machine_registry::MachineRegistry, progress_feed::ProgressFeed, run_times::RunTimeEstimates, team_usage::TeamUsage,
 };
 pub use self::{
     assignments::{NewAssignment, ReleaseReason},
     backlog::UnmetDemand,
     config::{Config, ServiceObjective},
-    run_times::RunTimeEstimates,
 };
 pub(in crate::coordination) use self::{
     backlog::RECENT_UNMET_DEMAND_MS,
-    job_table::JobTable,
     records::{ObsoleteRecord, RecordState},
     sharding::{AppliedPlan, ReshardPlan},
 };
@@ -50,41 +50,41 @@
 /// What the leader knows of jobs and machines, and what it wants to run where.
 pub struct ClusterState {
     /// Settings of this leadership.
-    pub(in crate::coordination) config: Config,
+    config: Config,
     /// Identifies this leadership.
-    pub(in crate::coordination) term: Term,
+    term: Term,
     /// Time of the latest event.
-    pub(in crate::coordination) last_event_at: Millis,
+    last_event_at: Millis,
     /// When this leadership began.
-    pub(in crate::coordination) started: Millis,
+    started: Millis,
     /// All records are read.
-    pub(in crate::coordination) loaded: bool,
+    loaded: bool,
     /// Jobs that are not over, or whose tasks are still somewhere.
-    pub(in crate::coordination) jobs: JobTable,
+    jobs: JobTable,
     /// Jobs whose progress is to be published.
-    pub(in crate::coordination) progress_feed: ProgressFeed,
+    progress_feed: ProgressFeed,
     /// All machines known so far.
-    pub(in crate::coordination) machines: MachineRegistry,
+    machines: MachineRegistry,
     /// Machine types that may be rented.
-    pub(in crate::coordination) types: Vec<MachineTypeSpec>,
+    types: Vec<MachineTypeSpec>,
     /// Tasks that are, or may be, on a machine.
-    pub(in crate::coordination) assignments: AssignmentTable,
+    assignments: AssignmentTable,
     /// The latest attempt of any job.
     last_attempt: Attempt,
     /// Free capacity of the machines, as trials see it.
-    pub(in crate::coordination) snapshot: ClusterSnapshot,
+    snapshot: ClusterSnapshot,
     /// In use by each team, unproven assignments included.
-    pub(in crate::coordination) team_used: TeamUsage,
+    team_used: TeamUsage,
     /// Observed run times against their owners' estimates.
-    pub(in crate::coordination) run_times: RunTimeEstimates,
+    run_times: RunTimeEstimates,
     /// Work that found no free capacity.
-    pub(in crate::coordination) backlog: Backlog,
+    backlog: Backlog,
     /// Something changed that may let a waiting job be placed.
-    pub(in crate::coordination) cycle_needed: bool,
+    cycle_requested: bool,
     /// Machines that may have to be sent a command, and when to look.
-    pub(in crate::coordination) dispatch_queue: DispatchQueue,
+    dispatch_queue: DispatchQueue,
     /// What is known of the records in the key-value store.
-    pub(in crate::coordination) records: RecordState,
+    records: RecordState,
 }
 
 impl ClusterState {
@@ -112,13 +112,28 @@
             team_used: TeamUsage::new(config.teams.len()),
             run_times: RunTimeEstimates::default(),
             backlog: Backlog::new(now),
-            cycle_needed: true,
+            cycle_requested: true,
             dispatch_queue: DispatchQueue::default(),
             records: RecordState::new(config.max_value_bytes),
             config,
         }
     }
 
+    /// As [`ClusterState::assignment`], to be changed.
+    pub(in crate::coordination) fn assignment_mut(&mut self, index: AssignmentIndex) -> Option<&mut Assignment> {
+        self.assignments.get_mut(index)
+    }
+
+    /// Machine types that may be rented.
+    pub(in crate::coordination) fn types(&self) -> &[MachineTypeSpec] {
+        &self.types
+    }
+
+    /// How many teams there are.
+    pub(in crate::coordination) fn team_count(&self) -> usize {
+        self.team_used.len()
+    }
+
     /// A job that is not over, or whose tasks are still somewhere.
     pub fn job(&self, index: JobIndex) -> Option<&Job> {
         self.jobs.get(index)
@@ -134,6 +149,11 @@
         self.jobs.iter()
     }
 
+    /// How many jobs are active.
+    pub(in crate::coordination) fn active_job_count(&self) -> usize {
+        self.jobs.len()
+    }
+
     /// An assignment that was not released yet.
     pub fn assignment(&self, index: AssignmentIndex) -> Option<&Assignment> {
         self.assignments.get(index)
@@ -144,11 +164,36 @@
         &self.snapshot
     }
 
+    /// As [`ClusterState::snapshot`], to reserve capacity and to try placements.
+    pub(in crate::coordination) fn snapshot_mut(&mut self) -> &mut ClusterSnapshot {
+        &mut self.snapshot
+    }
+
     /// A machine; machines are never forgotten, only marked as gone.
     pub fn machine(&self, index: MachineIndex) -> &Machine {
         &self.machines[index.as_usize()]
     }
 
+    /// As [`ClusterState::machine`], to be changed.
+    pub(in crate::coordination) fn machine_mut(&mut self, index: MachineIndex) -> &mut Machine {
+        &mut self.machines[index.as_usize()]
+    }
+
+    /// All machines known so far, in the order of their indices.
+    pub(in crate::coordination) fn machines(&self) -> &[Machine] {
+        &self.machines
+    }
+
+    /// Indices of all machines known so far.
+    pub(in crate::coordination) fn machine_indices(&self) -> impl Iterator<Item = MachineIndex> {
+        (0..self.machines.len() as u32).map(MachineIndex)
+    }
+
+    /// The machine of this name, if it is known.
+    pub(in crate::coordination) fn find_machine(&self, name: &str) -> Option<MachineIndex> {
+        self.machines.find(name)
+    }
+
     /// The description of a machine's type, if it is known.
     pub fn type_of(&self, machine: &Machine) -> Option<&MachineTypeSpec> {
         let machine_type = machine.machine_type?;
--- a/src/coordination/commits/pipeline.rs
+++ b/src/coordination/commits/pipeline.rs
@@ -91,7 +91,7 @@
         let max_ops = self.max_ops(cluster);
         self.resharding.is_due(now, max_ops, has_spare, cluster)
             || self.in_flight.is_some()
-            || (has_spare && cluster.records.has_obsolete())
+            || (has_spare && cluster.has_obsolete_records())
             || cluster.active_jobs().any(|job| WritePriority::of(job, now, has_spare).is_some())
     }
 
@@ -116,7 +116,7 @@
 
     /// Most writes of a transaction, whatever the request budget allows.
     fn max_ops(&self, cluster: &ClusterState) -> usize {
-        cluster.config.txn_ops.min(self.accepted_ops)
+        cluster.config().txn_ops.min(self.accepted_ops)
     }
 
     /// A transaction that reshards a job, if one is to be resharded.
@@ -159,14 +159,14 @@
             shrink_chunk(cluster, now, oversized);
         }
         if has_spare {
-            self.obsolete_record_deletion.add_deletes(now, &mut cluster.records, &mut builder);
+            self.obsolete_record_deletion.add_deletes(now, cluster.records_mut(), &mut builder);
         }
         if builder.is_empty() {
             return None;
         }
         // Guard: whoever leads by the time it is applied, only this
         // leadership's writes count.
-        builder.require(records::LEADER_KEY.to_owned(), cluster.term.0);
+        builder.require(records::LEADER_KEY.to_owned(), cluster.term().0);
         let tag = builder.tag();
         let (transaction, contents) = builder.build();
         Some(self.send(cluster, transaction, contents, tag))
@@ -192,13 +192,13 @@
 
     /// Keeps a transaction that is not settled yet.
     pub(super) fn keep_in_flight(&mut self, cluster: &mut ClusterState, in_flight: InFlightTransaction) {
-        cluster.records.set_in_flight(in_flight.contents.jobs());
+        cluster.records_mut().set_in_flight(in_flight.contents.jobs());
         self.in_flight = Some(in_flight);
     }
 
     /// Removes the transaction that is not settled yet, to settle it.
     pub(super) fn take_in_flight(&mut self, cluster: &mut ClusterState) -> Option<InFlightTransaction> {
-        cluster.records.clear_in_flight();
+        cluster.records_mut().clear_in_flight();
         self.in_flight.take()
     }
 
--- a/src/coordination/scheduler/best_effort.rs
+++ b/src/coordination/scheduler/best_effort.rs
@@ -42,7 +42,7 @@
     /// others waited until they ended.
     pub fn new(cluster: &ClusterState, now: Millis) -> BestEffortBudget {
         let (mut free, mut capacity) = (0.0, 0.0);
-        for pool in pools_for_arrays(&cluster.snapshot) {
+        for pool in pools_for_arrays(cluster.snapshot()) {
             free += pool.free.cpus;
             capacity += pool.capacity.cpus * pool.members.len() as f64;
         }
@@ -78,7 +78,7 @@
 
 /// CPUs that best-effort teams use.
 fn best_effort_use(cluster: &ClusterState) -> f64 {
-    let teams = (0..cluster.team_used.len() as u32).map(TeamIndex);
+    let teams = (0..cluster.team_count() as u32).map(TeamIndex);
     teams.filter(|&team| cluster.is_best_effort(team)).map(|team| cluster.used_by_team(team).cpus).sum()
 }
 
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -4,7 +4,7 @@
     commands::{self, stop_commands_for_cancelled, CommandMessage},
     machine_status,
     reconciliation::Reconciliation,
-    spot_interruption, Superseded,
+    spot_interruption,
 };
 use crate::{
     coordination::{
@@ -30,6 +30,11 @@
     pub interners: &'a mut Interners,
 }
 
+/// A worker has seen a higher fencing token than this leader's: another
+/// controller leads.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Superseded;
+
 /// Processes a periodic heartbeat and makes the response.
 pub fn process(
     cluster: &mut ClusterState,
@@ -39,17 +44,17 @@
     let now = context.now;
     let zone = context.interners.zones.intern(&heartbeat.zone);
     let index = cluster.find_or_add_machine(now, &heartbeat.machine, zone);
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     if heartbeat.token > machine.fence.token {
         return HeartbeatOutcome::Superseded;
     }
     if is_stale(machine, heartbeat) {
         return HeartbeatOutcome::Stale;
     }
-    cluster.last_event_at = now;
     machine.heartbeats.lease_renewed = now;
     let is_newer = machine.heartbeats.is_outdated_by(heartbeat.incarnation, heartbeat.sequence);
-    let commands = if cluster.loaded && is_newer {
+    cluster.record_event_at(now);
+    let commands = if cluster.is_loaded() && is_newer {
         record_acknowledgement(cluster, now, index, heartbeat.token);
         apply(cluster, context, index, heartbeat);
         response_commands(cluster, context, index, heartbeat)
@@ -104,8 +109,8 @@
 /// Records that the response made for a machine's latest heartbeat is not sent
 /// after all.
 pub fn response_not_sent(cluster: &mut ClusterState, machine: &str) {
-    if let Some(index) = cluster.machines.find(machine) {
-        cluster.machines[index.as_usize()].fence.response_not_sent();
+    if let Some(index) = cluster.find_machine(machine) {
+        cluster.machine_mut(index).fence.response_not_sent();
     }
 }
 
@@ -113,16 +118,16 @@
 /// heartbeat, assigned by a record, or launched by a command in flight.
 pub fn may_hold_tasks(cluster: &ClusterState, heartbeat: &Heartbeat) -> bool {
     let is_listed = heartbeat.tasks.iter().any(|task| task.state != TaskState::Exited);
-    if is_listed || !cluster.loaded {
+    if is_listed || !cluster.is_loaded() {
         return true;
     }
-    let Some(index) = cluster.machines.find(&heartbeat.machine) else { return false };
+    let Some(index) = cluster.find_machine(&heartbeat.machine) else { return false };
     let machine = cluster.machine(index);
     !machine.load.assignments.is_empty() || !machine.has_no_launch_in_flight()
 }
 
 /// Guard: a heartbeat that was delayed, from an incarnation whose lease is known to
-/// have expired, or from a machine that was returned, says nothing about what runs
+/// have expired, or from a machine that was released, says nothing about what runs
 /// now.
 fn is_stale(machine: &Machine, heartbeat: &Heartbeat) -> bool {
     machine.lifecycle == MachineLifecycle::Gone || machine.heartbeats.is_expired(heartbeat.incarnation)
@@ -130,8 +135,8 @@
 
 /// Records what a periodic heartbeat shows of our earlier responses.
 fn record_acknowledgement(cluster: &mut ClusterState, now: Millis, index: MachineIndex, token: FencingToken) {
-    let min_gap_ms = cluster.config.heartbeat_interval_ms / 2;
-    let machine = &mut cluster.machines[index.as_usize()];
+    let min_gap_ms = cluster.config().heartbeat_interval_ms / 2;
+    let machine = cluster.machine_mut(index);
     machine.heartbeats.last_heartbeat = Some(now);
     // The worker received or lost our last response before it sent this.
     machine.commands.set_launch_in_response(false);
@@ -150,7 +155,7 @@
     others.retain(|command| !response.iter().any(|halt| halt.stops_same_attempt(command)));
     response.append(&mut others);
 
-    let machine = &mut cluster.machines[index.as_usize()];
+    let machine = cluster.machine_mut(index);
     let has_launch = response.iter().any(|command| matches!(command, WorkerCommand::Launch { .. }));
     machine.commands.set_launch_in_response(has_launch);
     if response.iter().any(|command| matches!(command, WorkerCommand::Reap { .. })) {
