--- a/src/controller/tests/instance.rs
+++ b/src/controller/tests/instance.rs
@@ -165,7 +165,7 @@
         assert_eq!(controller.apply_job_changes(NOW, &changes(status)), counts, "case {i}");
         assert_eq!(controller.renewal_key.may_renew(NOW + 10), counts, "case {i}");
     }
-    // Too old a place to read on from: all is read again, and until then nothing counts.
+    // Too old a revision to read on from: all is read again, and until then nothing counts.
     controller.jobs.cache_mut().apply_page(&page(false), true, &mut controller.names);
     assert!(!controller.apply_job_changes(NOW, &changes(410)) && !controller.jobs.cache().loaded());
     assert!(!controller.apply_job_changes(NOW, &changes(200)) && !controller.renewal_key.may_renew(NOW + 10));
--- a/src/transport/net/peer_links.rs
+++ b/src/transport/net/peer_links.rs
@@ -10,7 +10,7 @@
     Event, Net,
 };
 
-/// Largest content of a frame, in bytes; a longer one is taken for garbage.
+/// Largest content of a frame, in bytes; a longer one is invalid.
 const MAX_FRAME: usize = 512 * 1024;
 /// Pause, in ms, between two attempts to connect to a peer.
 const LINK_RETRY_MS: u64 = 400;
--- a/src/transport/net/server.rs
+++ b/src/transport/net/server.rs
@@ -23,7 +23,7 @@
 /// request. Requests are never pipelined, so a client that sends more is closed.
 const MAX_PENDING_INPUT: usize = http::MAX_REQUEST_BODY + http::MAX_HEAD;
 
-/// What is spoken on the connections of a listener.
+/// The protocol of a listener's connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenerKind {
     /// HTTP requests of users, workers and health probes.
--- a/tests/combined_failures/leader_changes.rs
+++ b/tests/combined_failures/leader_changes.rs
@@ -7,7 +7,7 @@
     simulation::{submission, FaultRates, Simulation, SubmissionBuilder, HEARTBEAT_INTERVAL_MS, LEASE_MS},
 };
 
-/// Guard: to a new leader, a place it read from the records is taken for a
+/// Guard: to a new leader, an assignment it read from the records is kept for a
 /// whole lease from its own start, heard or not. One machine can't be reached,
 /// one hears no answer; there is free capacity elsewhere.
 pub fn failover_while_machines_are_unreachable(sim: &mut Simulation) {
@@ -61,7 +61,7 @@
     assert_eq!(sim.starts(), starts, "nothing moves once they stop changing");
 }
 
-/// Guard: a place that the leader before wrote counts as launched, whether it
+/// Guard: an assignment that the leader before wrote counts as launched, whether it
 /// was or not; only an end, an incarnation or the lease frees it. The second leader
 /// ends within a fraction of a second, all are away, and one returns.
 pub fn repeated_failover_with_launches_in_flight(sim: &mut Simulation) {
@@ -108,7 +108,7 @@
     assert_eq!((sim.starts(), sim.workers.relaunches_of_completed()), (5, 0), "what had ended was started again");
 }
 
-/// Guard: a place whose launch the leader before may have sent is not given up
+/// Guard: an assignment that the leader before may have launched is not given up
 /// because its job is cancelled; it counts for its team until its end is
 /// proven. The team is at its limit, its machines can't be asked, the leader
 /// changes, and a cancellation falls into that period.
--- a/tests/combined_failures/partitions.rs
+++ b/tests/combined_failures/partitions.rs
@@ -97,7 +97,7 @@
     sim.run(LEASE_MS);
 }
 
-/// Guard: a new incarnation ends all places of the one before, also those that
+/// Guard: a new incarnation ends all assignments of the one before, also those that
 /// only the records tell of. All controllers are away for longer than a lease;
 /// one machine hangs over it all, one restarts meanwhile.
 pub fn no_controller_for_longer_than_a_lease(sim: &mut Simulation) {
--- a/tests/combined_failures/slow_network.rs
+++ b/tests/combined_failures/slow_network.rs
@@ -7,8 +7,8 @@
     simulation::{submission, FaultRates, Simulation, SubmissionBuilder, CANCEL_MS, LEASE_MS},
 };
 
-/// Guard: a launch without an answer is fenced by a raised token, and a place
-/// is taken until the worker has shown that token. The machine hangs with the
+/// Guard: a launch without an answer is fenced by a raised token, and its
+/// assignment is kept until the worker has shown that token. The machine hangs with the
 /// command queued, the task is stopped meanwhile, and the machine goes on
 /// within its lease, and once more past it.
 pub fn delayed_command_to_a_machine_that_resumes(sim: &mut Simulation) {
--- a/tests/safety_rules/heartbeats.rs
+++ b/tests/safety_rules/heartbeats.rs
@@ -11,7 +11,7 @@
 use crate::simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS};
 
 /// Guard: a heartbeat from before the launch, delivered to the next leader, does
-/// not list the task; that must not free its place.
+/// not list the task; that must not end its assignment.
 pub fn late_heartbeat_from_before_the_launch(sim: &mut Simulation) {
     sim.run(4_000);
     let early = sim.latest_heartbeats();
--- a/tests/safety_rules/launches.rs
+++ b/tests/safety_rules/launches.rs
@@ -31,8 +31,8 @@
     sim.run(200_000);
 }
 
-/// Guard: the new leader counts a place as taken until the worker's lease is
-/// over, though the worker never said that it has the task.
+/// Guard: the new leader keeps an assignment until the worker's lease has
+/// expired, though the worker never said that it has the task.
 pub fn late_command_to_a_hung_worker(sim: &mut Simulation) {
     sim.submit(submission("j-1", "service", 1), 0);
     sim.run_until("launched", 8_000, |sim| sim.workers.iter().any(|worker| !worker.tasks.is_empty()));
--- a/tests/safety_rules/placement.rs
+++ b/tests/safety_rules/placement.rs
@@ -2,7 +2,7 @@
 
 use crate::simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS};
 
-/// Guard: the limit counts places whose tasks may still be there.
+/// Guard: the limit counts assignments whose tasks may still be running.
 pub fn quota_counts_tasks_of_a_silent_machine(sim: &mut Simulation) {
     sim.controller.settings.quotas.red_gpus_max = Some(4.0);
     sim.elect();
--- a/tests/safety_rules/scale.rs
+++ b/tests/safety_rules/scale.rs
@@ -13,7 +13,7 @@
 /// Work is counted in machines looked at and records written, not by the clock.
 ///
 /// Guard: each scheduling cycle, heartbeat and sweep looked at every machine,
-/// place and job; every end rewrote its job's record; fixed shares of the writes left half of
+/// assignment and job; every end rewrote its job's record; fixed shares of the writes left half of
 /// them unused while submissions were refused.
 #[test]
 fn thousands_of_machines_and_five_controllers() {
@@ -47,7 +47,7 @@
     assert!(refused <= 3, "{refused} submissions refused at a fifteenth of the limit");
     assert!(sim.write_budgets().refused() == 0, "the service itself refused");
     // A task is looked for on a sample, whatever the number of machines; most
-    // find their place beside another of their job.
+    // are placed beside another of their job.
     let per_task = looked(&sim) / tasks as u64;
     assert!(per_task <= 2 * HOSTS_EXAMINED_MAX as u64, "{per_task} machines looked at for a task");
     // Submitted, placed, some ends, done, dropped: not a write for each task.
