--- a/src/coordination/ephemeral_key.rs
+++ b/src/coordination/ephemeral_key.rs
@@ -1,7 +1,7 @@
 //! An ephemeral key: a key of the key-value store that is attached to a grant,
 //! and is removed by the store when the grant expires.
 //!
-//! [`EphemeralKey`] decides which call to the store comes next: it asks for the
+//! `EphemeralKey` decides which call to the store comes next: it asks for the
 //! grant, writes the key under it, and renews it. At most one call is in
 //! flight. The election of a leader and the renewal of leases without a
 //! leader each hold one such key, and add when to write it and what it permits.
--- a/src/coordination/scheduler/trial/mod.rs
+++ b/src/coordination/scheduler/trial/mod.rs
@@ -3,7 +3,7 @@
 //! A job is a tree, as in the paper on gang scheduling: the root is the job, its
 //! children are zones or tasks. Children are walked greedily in a fixed order,
 //! without backtracking; after each child the node is judged by four counts
-//! (PAPER, "GangScheduling Plugin Changes" and "Recursive Scheduling Cycle
+//! (PAPER, "`GangScheduling` Plugin Changes" and "Recursive Scheduling Cycle
 //! Execution"). What a failed subtree assumed is forgotten in reverse order.
 
 mod score;
--- a/src/coordination/snapshot/host.rs
+++ b/src/coordination/snapshot/host.rs
@@ -36,7 +36,7 @@
     pub images: Vec<CachedImage>,
     /// Service replicas on it: a machine that dies takes them all.
     pub services: u32,
-    /// Used by CPU work that [can't be preempted well](is_costly_to_preempt).
+    /// Used by CPU work that can't be preempted well (`is_costly_to_preempt`).
     pub used_by_costly_to_preempt: Resources,
 }
 
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -8,7 +8,7 @@
     coordination::{
         cluster::ClusterState,
         effects::{DirectCallOutcome, Effect, Outbox},
-        model::{CallId, DirectCall, LaunchId, Machine, MachineIndex, MachineLifecycle, Millis, Slot},
+        model::{Assignment, CallId, DirectCall, LaunchId, Machine, MachineIndex, MachineLifecycle, Millis, Slot},
     },
     protocol::workers::{split_task, DirectCommandRequest, WorkerCommand},
 };
@@ -76,7 +76,7 @@
         .iter()
         .filter_map(|&assignment_index| cluster.assignment(assignment_index))
         .find(|assignment| assignment.task == task && assignment.attempt == *attempt)
-        .map(|assignment| assignment.launch_id())
+        .map(Assignment::launch_id)
 }
 
 /// Processes the outcome of a direct call. Calls that are no longer in flight are
--- a/src/protocol/jobs/submission.rs
+++ b/src/protocol/jobs/submission.rs
@@ -83,6 +83,7 @@
 }
 
 /// For `skip_serializing_if`, which passes a reference to the field.
+#[allow(clippy::ref_option, reason = "serde prescribes the signature")]
 fn has_no_prereqs(prereqs: &Option<Vec<String>>) -> bool {
     prereqs.as_ref().is_none_or(Vec::is_empty)
 }
