--- a/src/coordination/cluster/assignment_table.rs
+++ b/src/coordination/cluster/assignment_table.rs
@@ -4,7 +4,7 @@
 
 /// All assignments, by a dense index.
 #[derive(Debug, Default)]
-pub(in crate::coordination) struct AssignmentTable {
+pub(super) struct AssignmentTable {
     entries: Vec<Option<Assignment>>,
     /// Free entries, the next to be used last.
     free: Vec<AssignmentIndex>,
--- a/src/coordination/cluster/backlog.rs
+++ b/src/coordination/cluster/backlog.rs
@@ -19,7 +19,7 @@
 
 /// Unmet demand of the last scheduling cycle, and when there last was any.
 #[derive(Debug)]
-pub(in crate::coordination) struct Backlog {
+pub(super) struct Backlog {
     /// When the leadership began.
     leader_since: Millis,
     /// The unmet demand, in the order of the last scheduling cycle.
--- a/src/coordination/cluster/dispatch_queue.rs
+++ b/src/coordination/cluster/dispatch_queue.rs
@@ -6,7 +6,7 @@
 
 /// Queue of machines ordered by time, then by index.
 #[derive(Debug, Default)]
-pub(in crate::coordination) struct DispatchQueue(BTreeSet<DispatchEntry>);
+pub(super) struct DispatchQueue(BTreeSet<DispatchEntry>);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DispatchEntry {
--- a/src/coordination/cluster/job_table.rs
+++ b/src/coordination/cluster/job_table.rs
@@ -4,7 +4,7 @@
 
 /// The active jobs: those that are not over, or whose tasks are still somewhere.
 #[derive(Debug, Default)]
-pub(in crate::coordination) struct JobTable {
+pub(super) struct JobTable {
     /// By index; `None`: not known, or over and removed.
     entries: Vec<Option<Job>>,
     /// Indices of the jobs, in the order in which they came.
--- a/src/coordination/cluster/machine_registry.rs
+++ b/src/coordination/cluster/machine_registry.rs
@@ -10,7 +10,7 @@
 /// All machines known so far. None is ever removed, so an index stays valid;
 /// as a slice it can be read and its machines changed, but not shortened.
 #[derive(Debug, Default)]
-pub(in crate::coordination) struct MachineRegistry {
+pub(super) struct MachineRegistry {
     machines: Vec<Machine>,
     index_by_name: HashMap<String, MachineIndex>,
 }
@@ -43,12 +43,3 @@
         &mut self.machines
     }
 }
-
-impl<'a> IntoIterator for &'a MachineRegistry {
-    type Item = &'a Machine;
-    type IntoIter = std::slice::Iter<'a, Machine>;
-
-    fn into_iter(self) -> Self::IntoIter {
-        self.machines.iter()
-    }
-}
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -24,13 +24,12 @@
 
 use self::{
     assignment_table::AssignmentTable, backlog::Backlog, dispatch_queue::DispatchQueue, job_table::JobTable,
-    machine_registry::MachineRegistry, progress_feed::ProgressFeed, team_usage::TeamUsage,
+    machine_registry::MachineRegistry, progress_feed::ProgressFeed, run_times::RunTimeEstimates, team_usage::TeamUsage,
 };
 pub use self::{
     assignments::{NewAssignment, ReleaseReason},
     backlog::UnmetDemand,
     config::{Config, ServiceObjective},
-    run_times::RunTimeEstimates,
 };
 pub(in crate::coordination) use self::{
     backlog::RECENT_UNMET_DEMAND_MS,
--- a/src/coordination/cluster/progress_feed.rs
+++ b/src/coordination/cluster/progress_feed.rs
@@ -16,7 +16,7 @@
 
 /// Chooses the jobs whose progress goes into the next message.
 #[derive(Debug, Default)]
-pub(in crate::coordination) struct ProgressFeed {
+pub(super) struct ProgressFeed {
     /// Jobs whose progress changed since it was last published.
     changed: HashSet<JobIndex>,
     /// Position among the active jobs from which progress is repeated next.
--- a/src/coordination/cluster/run_times.rs
+++ b/src/coordination/cluster/run_times.rs
@@ -20,7 +20,7 @@
 
 /// Corrections of owners' run-time estimates.
 #[derive(Debug, Default)]
-pub struct RunTimeEstimates {
+pub(super) struct RunTimeEstimates {
     by_class: HashMap<ClassIndex, RatioMean>,
 }
 
--- a/src/coordination/cluster/team_usage.rs
+++ b/src/coordination/cluster/team_usage.rs
@@ -5,7 +5,7 @@
 /// Resources in use by each team; assignments count until it is proven that
 /// their tasks are gone.
 #[derive(Debug)]
-pub(in crate::coordination) struct TeamUsage {
+pub(super) struct TeamUsage {
     used: Vec<Resources>,
 }
 
