--- a/src/controller/leadership/config.rs
+++ b/src/controller/leadership/config.rs
@@ -29,10 +29,10 @@
     let heartbeat_interval_ms = ms(cluster.workers.heartbeat_interval_s);
     let default_silent_ms = heartbeat_interval_ms * SILENT_HEARTBEAT_INTERVALS + SILENT_GRACE_MS;
     Config {
-        lease_ms: ms(cluster.workers.lease_s),
+        worker_lease_ms: ms(cluster.workers.lease_s),
         heartbeat_interval_ms,
         gang_peer_s: cluster.workers.gang_peer_s,
-        txn_ops: cluster.state.fitting_txn_ops(),
+        max_transaction_writes: cluster.state.fitting_txn_ops(),
         max_value_bytes: (cluster.state.value_kb * BYTES_PER_KB) as usize,
         reduced_max_value_bytes: (cluster.state.fitting_value_kb() * BYTES_PER_KB) as usize,
         reduced_chunk_size: chunk_size(cluster),
@@ -61,5 +61,5 @@
         ObjectiveKind::Other => return None,
     };
     let class = names.classes.intern(objective.class.as_ref()?);
-    Some(ServiceObjective { class, start, within_s: objective.within_s? })
+    Some(ServiceObjective { class, applies_to_start: start, within_s: objective.within_s? })
 }
--- a/src/controller/tests/instance.rs
+++ b/src/controller/tests/instance.rs
@@ -37,7 +37,10 @@
         let text = if has_next { SAMPLE.replacen("[cluster.cloud]", NEXT, 1) } else { SAMPLE.to_owned() };
         let mut controller = new_controller(&text, &mut net);
         let config = leader_config(&controller.cluster, &controller.operator, &mut controller.names);
-        assert_eq!((config.txn_ops, config.reduced_max_value_bytes), if has_next { (4, 2_048) } else { (24, 16_384) });
+        assert_eq!(
+            (config.max_transaction_writes, config.reduced_max_value_bytes),
+            if has_next { (4, 2_048) } else { (24, 16_384) }
+        );
         controller.set_budget_shares(1_000, Role::Leader);
         assert_eq!(controller.client.budgets().commit_burst(), before);
         for _ in 0..2 {
--- a/src/coordination/autoscaler/boot_delays.rs
+++ b/src/coordination/autoscaler/boot_delays.rs
@@ -64,9 +64,9 @@
     /// Whether a booting machine is not expected to come up any more.
     pub fn has_boot_timed_out(&self, now: Millis, cluster: &ClusterState, index: MachineIndex) -> bool {
         let machine = cluster.machine(index);
-        let boot_s = cluster.type_of(machine).map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s);
+        let boot_s = cluster.machine_type_of(machine).map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s);
         let timeout_ms = (boot_s * self.timeout_factor(machine, index) + BOOT_TIMEOUT_SLACK_S) * 1000.0;
-        let since = machine.provisioned_at.max(cluster.started());
+        let since = machine.provisioned_at.max(cluster.started_at());
         (now - since) as f64 > timeout_ms
     }
 
@@ -92,7 +92,7 @@
 fn statistics_by_type(now: Millis, cluster: &ClusterState) -> HashMap<MachineTypeIndex, BootStatistics> {
     let mut by_type: HashMap<MachineTypeIndex, BootStatistics> = HashMap::new();
     for machine in cluster.machines() {
-        let Some(machine_type) = cluster.type_of(machine) else { continue };
+        let Some(machine_type) = cluster.machine_type_of(machine) else { continue };
         let statistics = by_type.entry(machine_type.index).or_default();
         match machine.lifecycle {
             MachineLifecycle::Booting if !machine.is_inherited_without_heartbeat() => {
--- a/src/coordination/autoscaler/consolidation.rs
+++ b/src/coordination/autoscaler/consolidation.rs
@@ -41,21 +41,21 @@
     }
     let candidates = candidates(now, cluster);
     headroom::reserve_all_headroom(cluster, now);
-    let headroom_only = cluster.snapshot().reservations();
+    let headroom_only = cluster.snapshot().reservation_count();
     for candidate in candidates.into_iter().take(CANDIDATES_PER_STEP) {
         let is_movable = reserve_for_replicas_of(cluster, candidate.machine);
-        cluster.snapshot_mut().release(headroom_only);
+        cluster.snapshot_mut().truncate_reservations(headroom_only);
         if is_movable {
             drain(now, cluster, &candidate);
             break;
         }
     }
-    cluster.snapshot_mut().release(0);
+    cluster.snapshot_mut().truncate_reservations(0);
 }
 
 /// Whether there was no unmet demand lately, and no machine is being drained.
 fn may_consolidate(now: Millis, cluster: &ClusterState) -> bool {
-    let is_starting = now < cluster.started() + START_DELAY_MS;
+    let is_starting = now < cluster.started_at() + START_DELAY_MS;
     let is_draining = |machine: &Machine| machine.cordoned && !machine.load.assignments.is_empty();
     !cluster.has_recent_unmet_demand(now) && !is_starting && !cluster.machines().iter().any(is_draining)
 }
@@ -86,7 +86,7 @@
 }
 
 fn price_per_hour(cluster: &ClusterState, machine: &Machine) -> f64 {
-    cluster.type_of(machine).map_or(0.0, |machine_type| machine_type.price_of(machine.spot))
+    cluster.machine_type_of(machine).map_or(0.0, |machine_type| machine_type.price_of(machine.spot))
 }
 
 /// Whether something has lasted long enough to be changed again.
@@ -118,7 +118,7 @@
         machine_type.price_of(job.spec.spot) / f64::from(request.count_fitting_in(&machine_type.capacity).max(1))
     };
     cluster
-        .types()
+        .machine_types()
         .iter()
         .filter(|machine_type| request.fits_in(&machine_type.capacity) && job.spec.allows_type(machine_type.index))
         .map(price_per_task)
--- a/src/coordination/autoscaler/contact.rs
+++ b/src/coordination/autoscaler/contact.rs
@@ -32,5 +32,5 @@
 /// When a machine was last in contact. One that this leader had no contact with
 /// yet could have sent a heartbeat within an interval of the leader's start.
 pub fn last_contact_or_start(cluster: &ClusterState, machine: &Machine) -> Millis {
-    machine.heartbeats.last_contact.unwrap_or(cluster.started() + cluster.config().heartbeat_interval_ms)
+    machine.heartbeats.last_contact.unwrap_or(cluster.started_at() + cluster.config().heartbeat_interval_ms)
 }
--- a/src/coordination/autoscaler/drain.rs
+++ b/src/coordination/autoscaler/drain.rs
@@ -19,6 +19,6 @@
         let grace_s = grace_s(cluster, assignment);
         cluster.halt(now, assignment, grace_s);
     }
-    cluster.refresh(now, index);
+    cluster.update_snapshot_host(now, index);
     cluster.request_scheduling_cycle();
 }
--- a/src/coordination/autoscaler/idle_timeout.rs
+++ b/src/coordination/autoscaler/idle_timeout.rs
@@ -19,7 +19,7 @@
 /// How long an idle machine is kept: the longer, the longer provisioning it again takes.
 fn idle_timeout_ms(now: Millis, cluster: &ClusterState, gpu_demand: &GpuDemand, machine: &Machine) -> Millis {
     let startup_s =
-        cluster.type_of(machine).map_or(0.0, |machine_type| expected_startup_s(now, machine_type, gpu_demand));
+        cluster.machine_type_of(machine).map_or(0.0, |machine_type| expected_startup_s(now, machine_type, gpu_demand));
     cluster.config().min_idle_ms.max((startup_s * IDLE_TIMEOUT_FACTOR * 1000.0) as Millis)
 }
 
--- a/src/coordination/autoscaler/offer_selection.rs
+++ b/src/coordination/autoscaler/offer_selection.rs
@@ -85,7 +85,7 @@
 ) -> Option<RatedOffer> {
     let mut cheapest_cost = f64::INFINITY;
     let mut best: Option<RatedOffer> = None;
-    for machine_type in cluster.types() {
+    for machine_type in cluster.machine_types() {
         for &zone in machine_type.zones.iter().filter(|zone| demand.zone.is_none_or(|only| only == **zone)) {
             for spot in [false, true] {
                 let Some(candidate) = rate_offer(cluster, machine_type, zone, spot, demand) else { continue };
--- a/src/coordination/autoscaler/pending_capacity.rs
+++ b/src/coordination/autoscaler/pending_capacity.rs
@@ -32,7 +32,7 @@
             if machine.lifecycle != MachineLifecycle::Booting || !machine.load.assignments.is_empty() {
                 continue;
             }
-            let Some(machine_type) = cluster.type_of(machine) else { continue };
+            let Some(machine_type) = cluster.machine_type_of(machine) else { continue };
             // A machine whose boot is overdue may never come up.
             if !is_boot_overdue(now, machine, machine_type) {
                 let offer = Offer { machine_type: machine_type.index, zone: machine.zone, spot: machine.spot };
@@ -40,7 +40,7 @@
             }
         }
         for request in requested {
-            if let Some(machine_type) = request.offer.type_spec(cluster.types()) {
+            if let Some(machine_type) = request.offer.type_spec(cluster.machine_types()) {
                 pending_capacity.add(request.offer, machine_type.capacity, request.machines);
             }
         }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -69,7 +69,7 @@
     }
     machine.lifecycle = MachineLifecycle::Releasing;
     machine.release_retry_at = now + UNCONFIRMED_RETRY_DELAY_MS;
-    cluster.refresh(now, decision.machine);
+    cluster.update_snapshot_host(now, decision.machine);
 }
 
 /// A released machine and everything on it are gone.
@@ -78,5 +78,5 @@
     let machine = cluster.machine_mut(index);
     machine.lifecycle = MachineLifecycle::Gone;
     machine.commands.direct_call = None;
-    cluster.refresh(now, index);
+    cluster.update_snapshot_host(now, index);
 }
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -115,7 +115,7 @@
     fn may_request(&self, now: Millis, cluster: &ClusterState, inventory: &Inventory) -> bool {
         let first_heartbeats_ms = if cluster.machines().is_empty() { 0 } else { FIRST_HEARTBEATS_MS };
         inventory.has_received_page()
-            && now >= cluster.started() + first_heartbeats_ms
+            && now >= cluster.started_at() + first_heartbeats_ms
             && self.in_flight.len() < CALLS_IN_FLIGHT_MAX
     }
 
--- a/src/coordination/autoscaler/scale_out_plan.rs
+++ b/src/coordination/autoscaler/scale_out_plan.rs
@@ -101,7 +101,7 @@
                 break;
             }
             let Some(selected) = self.select_offer(job, zone_demand, unmet_tasks) else { break };
-            let Some(machine_type) = selected.offer.type_spec(self.cluster.types()) else { break };
+            let Some(machine_type) = selected.offer.type_spec(self.cluster.machine_types()) else { break };
             let machines = self.machines_for(unmet_tasks, &selected);
             self.pending_capacity.add(selected.offer, machine_type.capacity, machines);
             unmet_tasks -= self.pending_capacity.allot(&request, unmet_tasks, |offer| *offer == selected.offer);
--- a/src/coordination/autoscaler/unmet_demand.rs
+++ b/src/coordination/autoscaler/unmet_demand.rs
@@ -36,5 +36,5 @@
     let is_usable = move |machine_type: &&MachineTypeSpec| {
         job.spec.allows_type(machine_type.index) && request.fits_in(&machine_type.capacity)
     };
-    cluster.types().iter().filter(is_usable).map(|machine_type| machine_type.index)
+    cluster.machine_types().iter().filter(is_usable).map(|machine_type| machine_type.index)
 }
--- a/src/coordination/autoscaler/zone_demand.rs
+++ b/src/coordination/autoscaler/zone_demand.rs
@@ -81,7 +81,8 @@
     fn allowed_zones(&self) -> Vec<ZoneIndex> {
         let spec = self.spec;
         let mut zones: Vec<ZoneIndex> = Vec::new();
-        let allowed_types = self.cluster.types().iter().filter(|machine_type| spec.allows_type(machine_type.index));
+        let allowed_types =
+            self.cluster.machine_types().iter().filter(|machine_type| spec.allows_type(machine_type.index));
         for zone in allowed_types.flat_map(|machine_type| machine_type.zones.iter().copied()) {
             if !zones.contains(&zone) && spec.zone.is_none_or(|only| only == zone) {
                 zones.push(zone);
@@ -99,7 +100,7 @@
         }
         let request = Resources::of(self.spec);
         let mut free = 0;
-        self.cluster.snapshot().candidates(self.spec, Some(zone), CapacityKind::FreeOrStopping, |_, host, _| {
+        self.cluster.snapshot().visit_candidates(self.spec, Some(zone), CapacityKind::FreeOrStopping, |_, host, _| {
             free = (free + request.count_fitting_in(&host.capacity(CapacityKind::FreeOrStopping))).min(limit);
         });
         free
--- a/src/coordination/cluster/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -75,7 +75,7 @@
             return None;
         }
         let chunk_version = job.record_assignment(now, new.task, new.zone);
-        self.team_used.add(job.spec.team, Resources::of(&job.spec));
+        self.team_usage.add(job.spec.team, Resources::of(&job.spec));
         self.snapshot.add_task(new.machine.as_usize(), &job.spec);
         let index = self.assignments.insert(new.into_assignment(now, chunk_version));
         job.tasks.slots[new.task as usize] = Slot::Assigned(index);
@@ -107,7 +107,7 @@
             assignment.running_since.is_some_and(|since| self.last_event_at >= since + START_COUNTS_MS);
         job.wait.has_counted_start |= reason == ReleaseReason::Done || ran_long_enough;
         job.record_release(assignment);
-        self.team_used.subtract(job.spec.team, Resources::of(&job.spec));
+        self.team_usage.subtract(job.spec.team, Resources::of(&job.spec));
         self.snapshot.remove_task(machine, &job.spec, assignment.halt.is_some());
         if job.spec.gpus > 0.0 {
             self.machines[machine].load.gpu_assignments -= 1;
@@ -188,7 +188,7 @@
     }
 
     /// Whether the assignment's record is written.
-    pub fn written(&self, assignment: &Assignment) -> bool {
+    pub fn is_record_written(&self, assignment: &Assignment) -> bool {
         self.job(assignment.job).is_some_and(|job| {
             job.records.chunks[job.chunk_of(assignment.task)].committed_version >= assignment.chunk_version
         })
@@ -199,7 +199,7 @@
     /// find every task that may run.
     pub(in crate::coordination) fn may_launch(&self, assignment: &Assignment) -> bool {
         let Some(job) = self.job(assignment.job) else { return false };
-        if assignment.halt.is_some() || job.status != JobStatus::Pending || !self.written(assignment) {
+        if assignment.halt.is_some() || job.status != JobStatus::Pending || !self.is_record_written(assignment) {
             return false;
         }
         !(job.spec.kind == JobKind::Gang && job.has_unwritten_placement())
--- a/src/coordination/cluster/config.rs
+++ b/src/coordination/cluster/config.rs
@@ -9,13 +9,13 @@
 #[derive(Debug, Clone)]
 pub struct Config {
     /// How long a worker's lease lasts, in ms.
-    pub lease_ms: Millis,
+    pub worker_lease_ms: Millis,
     /// The interval of workers' heartbeats, in ms.
     pub heartbeat_interval_ms: Millis,
     /// How long a gang's task waits for the others, in seconds.
     pub gang_peer_s: f64,
     /// Most writes of a transaction that the key-value store accepts.
-    pub txn_ops: usize,
+    pub max_transaction_writes: usize,
     /// Largest value, in bytes, under the key-value store's present limit.
     pub max_value_bytes: usize,
     /// Largest value, in bytes, that fits under its lower limit as well, which may
@@ -45,7 +45,7 @@
     /// The class of jobs that it holds for.
     pub class: ClassIndex,
     /// True: the first tasks run by then; false: all are done.
-    pub start: bool,
+    pub applies_to_start: bool,
     /// The time limit, in seconds.
     pub within_s: f64,
 }
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -17,12 +17,12 @@
 
 /// Greatest age of a job that is believed, in ms (about 35 years): a time of
 /// day that is far off must not overflow what is computed with it.
-const OLDEST_MS: u64 = 1 << 40;
+const MAX_JOB_AGE_MS: u64 = 1 << 40;
 
 impl ClusterState {
     /// Takes a job's record from the job cache, new or changed. `wall_ms`: time of
     /// day, in ms since the Unix epoch.
-    pub fn job_update(&mut self, now: Millis, wall_ms: u64, index: JobIndex, job_cache: &JobCache) {
+    pub fn apply_job_record(&mut self, now: Millis, wall_ms: u64, index: JobIndex, job_cache: &JobCache) {
         match (self.job(index).is_some(), job_cache.get(index).status) {
             // Guard: until the ends of all that it depends on are written, a job
             // takes part in no trial, and holds no part of any limit or guarantee.
@@ -31,16 +31,16 @@
                 let Some(spec) = job_cache.effective_spec(index) else { return };
                 self.add_job(now, wall_ms, index, spec, job_cache);
             }
-            (true, JobStatus::Pending) => self.job_changed(index, job_cache),
-            (true, JobStatus::Cancelled) => self.job_cancelled(now, index, job_cache.get(index).revision),
-            (true, JobStatus::Done) => self.finish(index),
+            (true, JobStatus::Pending) => self.apply_record_change(index, job_cache),
+            (true, JobStatus::Cancelled) => self.apply_cancellation(now, index, job_cache.get(index).revision),
+            (true, JobStatus::Done) => self.complete_job(index),
             (false, JobStatus::Cancelled | JobStatus::Done) => {}
         }
         self.cycle_requested = true;
     }
 
     /// The record of an unfinished job changed.
-    fn job_changed(&mut self, index: JobIndex, job_cache: &JobCache) {
+    fn apply_record_change(&mut self, index: JobIndex, job_cache: &JobCache) {
         let entry = job_cache.get(index);
         if let Some(job) = self.jobs.get_mut(index) {
             job.records.revision = entry.revision;
@@ -49,12 +49,12 @@
         }
         self.adopt_recorded_sharding(index);
         if let Some(spec) = job_cache.effective_spec(index) {
-            self.change_spec(index, spec);
+            self.update_spec(index, spec);
         }
     }
 
     /// A job's record says that it is cancelled; the record has this revision.
-    fn job_cancelled(&mut self, now: Millis, index: JobIndex, revision: Revision) {
+    fn apply_cancellation(&mut self, now: Millis, index: JobIndex, revision: Revision) {
         let Some(job) = self.jobs.get_mut(index) else { return };
         job.records.revision = revision;
         job.records.stale = false;
@@ -67,7 +67,7 @@
     }
 
     /// Jobs that depend on this one changed its priority or its deadline.
-    fn change_spec(&mut self, index: JobIndex, spec: Rc<JobSpec>) {
+    fn update_spec(&mut self, index: JobIndex, spec: Rc<JobSpec>) {
         let Some(job) = self.jobs.get_mut(index) else { return };
         if *job.spec == *spec {
             return;
@@ -99,7 +99,7 @@
         let entry = job_cache.get(index);
         let is_oversized = entry.chunk > self.config.reduced_chunk_size && spec.tasks > self.config.reduced_chunk_size;
         let oversized_record = entry.record.clone().filter(|_| is_oversized);
-        let age_ms = wall_ms.saturating_sub(job_cache.ready_ms(index)).min(OLDEST_MS) as i64;
+        let age_ms = wall_ms.saturating_sub(job_cache.ready_ms(index)).min(MAX_JOB_AGE_MS) as i64;
         self.jobs.insert(Job {
             index,
             id: entry.id.clone(),
@@ -151,7 +151,7 @@
     }
 
     /// Notes which jobs have changes that wait to be written.
-    pub(in crate::coordination) fn note_unwritten_changes(&mut self, now: Millis) {
+    pub(in crate::coordination) fn record_unwritten_changes(&mut self, now: Millis) {
         self.jobs.for_each_mut(|job| {
             if job.records.unwritten_since.is_none() && job.has_unwritten_changes() {
                 job.records.unwritten_since = Some(now);
@@ -169,7 +169,7 @@
     }
 
     /// A job's completion is recorded.
-    pub(in crate::coordination) fn finish(&mut self, index: JobIndex) {
+    pub(in crate::coordination) fn complete_job(&mut self, index: JobIndex) {
         self.attribute_failures_to_machines(index);
         if let Some(job) = self.job_mut(index) {
             job.status = JobStatus::Done;
--- a/src/coordination/cluster/leadership.rs
+++ b/src/coordination/cluster/leadership.rs
@@ -16,8 +16,8 @@
     }
 
     /// When this leadership began.
-    pub(in crate::coordination) fn started(&self) -> Millis {
-        self.started
+    pub(in crate::coordination) fn started_at(&self) -> Millis {
+        self.started_at
     }
 
     /// Whether all records are read.
--- a/src/coordination/cluster/machines.rs
+++ b/src/coordination/cluster/machines.rs
@@ -22,11 +22,11 @@
     }
 
     /// Shows the snapshot what a machine is and whether it takes new tasks.
-    pub fn refresh(&mut self, now: Millis, index: MachineIndex) {
+    pub fn update_snapshot_host(&mut self, now: Millis, index: MachineIndex) {
         let machine = &self.machines[index.as_usize()];
-        let machine_type = if is_present(machine) { self.type_of(machine) } else { None };
+        let machine_type = if is_present(machine) { self.machine_type_of(machine) } else { None };
         let open = self.takes_new_tasks(now, machine);
-        let gpu_only = machine_type.is_some_and(|machine_type| self.reserved_for_gpu_work(now, machine, machine_type));
+        let gpu_only = machine_type.is_some_and(|machine_type| self.takes_only_gpu_tasks(now, machine, machine_type));
         let (zone, spot) = (machine.zone, machine.spot);
         let pool = match machine_type {
             None => None,
@@ -34,13 +34,13 @@
                 Some(pool) => Some(pool),
                 None => {
                     let machine_type = machine_type.clone();
-                    Some(self.snapshot.pool_of(&machine_type, zone, spot))
+                    Some(self.snapshot.find_or_add_pool(&machine_type, zone, spot))
                 }
             },
         };
         let was_open = self.snapshot.hosts.get(index.as_usize()).is_some_and(|host| host.schedulable);
         self.cycle_requested |= open && !was_open;
-        self.snapshot.move_to(index.as_usize(), pool);
+        self.snapshot.set_pool(index.as_usize(), pool);
         self.snapshot.set_schedulable(index.as_usize(), open && pool.is_some(), gpu_only);
     }
 
@@ -49,7 +49,7 @@
         let Some(job) = self.jobs.get(job) else { return };
         if let Some(host) = self.snapshot.hosts.get_mut(machine.as_usize()) {
             let cache_gb = host.pool.map_or(0.0, |pool| self.snapshot.pools[pool].cache_gb);
-            host.note_image(job.spec.image, job.spec.image_gb, cache_gb);
+            host.record_image(job.spec.image, job.spec.image_gb, cache_gb);
         }
     }
 
@@ -71,16 +71,20 @@
 
     /// Whether a machine takes only GPU work: an expensive one whose GPUs are idle,
     /// while no work waits for its type. So it becomes empty and can be released.
-    pub fn reserved_for_gpu_work(&self, now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
+    pub fn takes_only_gpu_tasks(&self, now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
         if machine_type.capacity.gpus <= 0.0
             || machine_type.capacity.cpus <= 0.0
-            || self.backlog.has_recent_unmet_demand_for(now, machine_type.index)
+            || self.unmet_demand.has_recent_unmet_demand_for(now, machine_type.index)
         {
             return false;
         }
         let price_per_cpu = |t: &MachineTypeSpec| t.price_of(machine.spot) / t.capacity.cpus;
-        let cheapest =
-            self.types.iter().filter(|t| t.capacity.cpus > 0.0).map(price_per_cpu).fold(f64::INFINITY, f64::min);
+        let cheapest = self
+            .machine_types
+            .iter()
+            .filter(|t| t.capacity.cpus > 0.0)
+            .map(price_per_cpu)
+            .fold(f64::INFINITY, f64::min);
         machine.load.gpu_idle_since.is_some_and(|since| now > since + RECENT_UNMET_DEMAND_MS)
             && price_per_cpu(machine_type) > GPU_PRICE_FACTOR * cheapest
     }
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -7,34 +7,35 @@
 
 mod assignment_table;
 mod assignments;
-mod backlog;
 mod config;
 mod dispatch_queue;
-mod follow_up;
 mod job_table;
 mod jobs;
 mod leadership;
 mod machine_registry;
 mod machines;
+mod pending_actions;
 mod progress_feed;
 mod records;
 mod run_times;
 mod sharding;
 mod team_usage;
+mod unmet_demand;
 
 use self::{
-    assignment_table::AssignmentTable, backlog::Backlog, dispatch_queue::DispatchQueue, job_table::JobTable,
+    assignment_table::AssignmentTable, dispatch_queue::DispatchQueue, job_table::JobTable,
     machine_registry::MachineRegistry, progress_feed::ProgressFeed, run_times::RunTimeEstimates, team_usage::TeamUsage,
+    unmet_demand::UnmetDemandTracker,
 };
 pub use self::{
     assignments::{NewAssignment, ReleaseReason},
-    backlog::UnmetDemand,
     config::{Config, ServiceObjective},
+    unmet_demand::UnmetDemand,
 };
 pub(in crate::coordination) use self::{
-    backlog::RECENT_UNMET_DEMAND_MS,
     records::{ObsoleteRecord, RecordState},
     sharding::{AppliedPlan, ReshardPlan},
+    unmet_demand::RECENT_UNMET_DEMAND_MS,
 };
 use super::{
     model::{
@@ -56,7 +57,7 @@
     /// Time of the latest event.
     last_event_at: Millis,
     /// When this leadership began.
-    started: Millis,
+    started_at: Millis,
     /// All records are read.
     loaded: bool,
     /// Jobs that are not over, or whose tasks are still somewhere.
@@ -66,7 +67,7 @@
     /// All machines known so far.
     machines: MachineRegistry,
     /// Machine types that may be rented.
-    types: Vec<MachineTypeSpec>,
+    machine_types: Vec<MachineTypeSpec>,
     /// Tasks that are, or may be, on a machine.
     assignments: AssignmentTable,
     /// The latest attempt of any job.
@@ -74,11 +75,11 @@
     /// Free capacity of the machines, as trials see it.
     snapshot: ClusterSnapshot,
     /// In use by each team, unproven assignments included.
-    team_used: TeamUsage,
+    team_usage: TeamUsage,
     /// Observed run times against their owners' estimates.
     run_times: RunTimeEstimates,
     /// Work that found no free capacity.
-    backlog: Backlog,
+    unmet_demand: UnmetDemandTracker,
     /// Something changed that may let a waiting job be placed.
     cycle_requested: bool,
     /// Machines that may have to be sent a command, and when to look.
@@ -95,23 +96,23 @@
         term: Term,
         last_attempt: Attempt,
         now: Millis,
-        types: Vec<MachineTypeSpec>,
+        machine_types: Vec<MachineTypeSpec>,
     ) -> ClusterState {
         ClusterState {
             term,
             last_event_at: now,
-            started: now,
+            started_at: now,
             loaded: false,
             jobs: JobTable::default(),
             progress_feed: ProgressFeed::default(),
             machines: MachineRegistry::default(),
-            types,
+            machine_types,
             assignments: AssignmentTable::default(),
             last_attempt,
             snapshot: ClusterSnapshot::default(),
-            team_used: TeamUsage::new(config.teams.len()),
+            team_usage: TeamUsage::new(config.teams.len()),
             run_times: RunTimeEstimates::default(),
-            backlog: Backlog::new(now),
+            unmet_demand: UnmetDemandTracker::new(now),
             cycle_requested: true,
             dispatch_queue: DispatchQueue::default(),
             records: RecordState::new(config.max_value_bytes),
@@ -125,13 +126,13 @@
     }
 
     /// Machine types that may be rented.
-    pub(in crate::coordination) fn types(&self) -> &[MachineTypeSpec] {
-        &self.types
+    pub(in crate::coordination) fn machine_types(&self) -> &[MachineTypeSpec] {
+        &self.machine_types
     }
 
     /// How many teams there are.
     pub(in crate::coordination) fn team_count(&self) -> usize {
-        self.team_used.len()
+        self.team_usage.len()
     }
 
     /// A job that is not over, or whose tasks are still somewhere.
@@ -195,9 +196,9 @@
     }
 
     /// The description of a machine's type, if it is known.
-    pub fn type_of(&self, machine: &Machine) -> Option<&MachineTypeSpec> {
+    pub fn machine_type_of(&self, machine: &Machine) -> Option<&MachineTypeSpec> {
         let machine_type = machine.machine_type?;
-        self.types.iter().find(|known| known.index == machine_type)
+        self.machine_types.iter().find(|known| known.index == machine_type)
     }
 
     /// The latest attempt of any job.
@@ -212,9 +213,9 @@
     }
 
     /// The cloud's machine types were read again: prices change.
-    pub fn set_types(&mut self, types: &[MachineTypeSpec]) {
-        self.types = types.to_vec();
-        self.snapshot.update_machine_types(types);
+    pub fn set_machine_types(&mut self, machine_types: &[MachineTypeSpec]) {
+        self.machine_types = machine_types.to_vec();
+        self.snapshot.update_machine_types(machine_types);
     }
 
     /// A team's guarantee and limit.
@@ -229,7 +230,7 @@
 
     /// What a team's assignments use.
     pub(in crate::coordination) fn used_by_team(&self, team: TeamIndex) -> Resources {
-        self.team_used.of(team)
+        self.team_usage.of(team)
     }
 }
 
--- a/src/coordination/cluster/follow_up.rs
+++ b/src/coordination/cluster/pending_actions.rs
@@ -55,21 +55,21 @@
 
     /// Work that found no free capacity in the last scheduling cycle, in its order.
     pub(in crate::coordination) fn unmet_demand(&self) -> &[UnmetDemand] {
-        &self.backlog.unmet
+        &self.unmet_demand.unmet
     }
 
     /// A scheduling cycle ended with this work unplaced.
     pub(in crate::coordination) fn set_unmet_demand(&mut self, unmet: Vec<UnmetDemand>) {
-        self.backlog.unmet = unmet;
+        self.unmet_demand.unmet = unmet;
     }
 
     /// There is unmet demand that machines of these types could meet.
     pub(in crate::coordination) fn record_unmet_demand_for(&mut self, now: Millis, types: Vec<MachineTypeIndex>) {
-        self.backlog.record_unmet_for(now, types);
+        self.unmet_demand.record_unmet_for(now, types);
     }
 
     /// Whether there was unmet demand lately that some machine type could meet.
     pub(in crate::coordination) fn has_recent_unmet_demand(&self, now: Millis) -> bool {
-        self.backlog.has_recent_unmet_demand(now)
+        self.unmet_demand.has_recent_unmet_demand(now)
     }
 }
--- a/src/coordination/cluster/progress_feed.rs
+++ b/src/coordination/cluster/progress_feed.rs
@@ -12,7 +12,7 @@
 /// Most jobs per message whose unchanged progress is repeated. With a message
 /// every 0.4 s, some hundred jobs are through within the seconds by which a
 /// user's answer may lag.
-const REPEATED_COUNTS: usize = 60;
+const MAX_REPEATED_COUNTS: usize = 60;
 
 /// Chooses the jobs whose progress goes into the next message.
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
     /// calling a running job pending.
     pub fn take(&mut self, max: usize, jobs: &mut JobTable) -> Vec<Count> {
         let mut counts = self.changed_counts(max, jobs);
-        let repeated = self.repeated_counts(REPEATED_COUNTS.min(max - counts.len()), jobs);
+        let repeated = self.repeated_counts(MAX_REPEATED_COUNTS.min(max - counts.len()), jobs);
         counts.extend(repeated);
         counts
     }
--- a/src/coordination/cluster/run_times.rs
+++ b/src/coordination/cluster/run_times.rs
@@ -5,11 +5,11 @@
 use crate::protocol::{jobs::JobSpec, names::ClassIndex};
 
 /// Bounds of an observed ratio, so that one odd run doesn't spoil the mean.
-const RATIO_MIN: f64 = 0.05;
-const RATIO_MAX: f64 = 20.0;
+const MIN_RATIO: f64 = 0.05;
+const MAX_RATIO: f64 = 20.0;
 /// Runs after which the mean is smoothed instead of exact, so that it follows
 /// a change.
-const SMOOTHED_RUNS: f64 = 20.0;
+const MEAN_WINDOW_RUNS: f64 = 20.0;
 
 /// Mean ratio of observed to estimated run time of one class.
 #[derive(Debug, Clone, Copy)]
@@ -35,9 +35,9 @@
         if spec.estimate_s <= 0.0 {
             return;
         }
-        let ratio = (ran_s / spec.estimate_s).clamp(RATIO_MIN, RATIO_MAX);
+        let ratio = (ran_s / spec.estimate_s).clamp(MIN_RATIO, MAX_RATIO);
         let mean = self.by_class.entry(spec.class).or_insert(RatioMean { ratio: 1.0, runs: 0.0 });
-        let weight = 1.0 / (mean.runs + 1.0).min(SMOOTHED_RUNS);
+        let weight = 1.0 / (mean.runs + 1.0).min(MEAN_WINDOW_RUNS);
         mean.ratio += (ratio - mean.ratio) * weight;
         mean.runs += 1.0;
     }
--- a/src/coordination/cluster/backlog.rs
+++ b/src/coordination/cluster/unmet_demand.rs
@@ -19,7 +19,7 @@
 
 /// Unmet demand of the last scheduling cycle, and when there last was any.
 #[derive(Debug)]
-pub(super) struct Backlog {
+pub(super) struct UnmetDemandTracker {
     /// When the leadership began.
     leader_since: Millis,
     /// The unmet demand, in the order of the last scheduling cycle.
@@ -30,11 +30,11 @@
     last_unmet_by_type: HashMap<MachineTypeIndex, Millis>,
 }
 
-impl Backlog {
+impl UnmetDemandTracker {
     /// The backlog of a leadership that begins now. Since it doesn't know of
     /// earlier demand, it assumes that there was some for all types.
-    pub fn new(now: Millis) -> Backlog {
-        Backlog { leader_since: now, unmet: Vec::new(), last_unmet: now, last_unmet_by_type: HashMap::new() }
+    pub fn new(now: Millis) -> UnmetDemandTracker {
+        UnmetDemandTracker { leader_since: now, unmet: Vec::new(), last_unmet: now, last_unmet_by_type: HashMap::new() }
     }
 
     /// There is unmet demand that machines of these types could meet.
--- a/src/coordination/commits/applied.rs
+++ b/src/coordination/commits/applied.rs
@@ -44,7 +44,7 @@
         job.records.revision = revision;
         log_completion(now, job);
     }
-    cluster.finish(index);
+    cluster.complete_job(index);
 }
 
 fn log_completion(now: Millis, job: &Job) {
--- a/src/coordination/commits/pipeline.rs
+++ b/src/coordination/commits/pipeline.rs
@@ -87,7 +87,7 @@
     /// Whether something is to be written. `has_spare`: there is budget for more
     /// than what is urgent.
     pub fn has_writes(&mut self, now: Millis, has_spare: bool, cluster: &mut ClusterState) -> bool {
-        cluster.note_unwritten_changes(now);
+        cluster.record_unwritten_changes(now);
         let max_ops = self.max_ops(cluster);
         self.resharding.is_due(now, max_ops, has_spare, cluster)
             || self.in_flight.is_some()
@@ -116,7 +116,7 @@
 
     /// Most writes of a transaction, whatever the request budget allows.
     fn max_ops(&self, cluster: &ClusterState) -> usize {
-        cluster.config().txn_ops.min(self.accepted_ops)
+        cluster.config().max_transaction_writes.min(self.accepted_ops)
     }
 
     /// A transaction that reshards a job, if one is to be resharded.
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -69,7 +69,7 @@
 
     /// When this leadership began.
     pub fn started(&self) -> Millis {
-        self.cluster.started()
+        self.cluster.started_at()
     }
 
     /// Whether all records are read.
@@ -104,14 +104,14 @@
 
     /// Takes the cloud's machine types and their prices, which may have changed.
     pub fn set_types(&mut self, types: &[MachineTypeSpec]) {
-        self.cluster.set_types(types);
+        self.cluster.set_machine_types(types);
     }
 
     /// Takes a job's record from the job cache, new or changed. `wall_ms`: time of
     /// day, in ms since the Unix epoch.
     pub fn job_update(&mut self, now: Millis, wall_ms: u64, index: JobIndex, job_cache: &JobCache) {
         self.commits.set_wall_clock(now, wall_ms);
-        self.cluster.job_update(now, wall_ms, index, job_cache);
+        self.cluster.apply_job_record(now, wall_ms, index, job_cache);
     }
 
     /// Progress of at most `max` jobs, to be published.
--- a/src/coordination/leader/sweep.rs
+++ b/src/coordination/leader/sweep.rs
@@ -29,7 +29,7 @@
             self.workers.expire_lease(&mut self.cluster, now, index);
             probes::probe_if_overdue(&mut self.cluster, &mut self.outbox, now, index);
             self.update_idle_since(now, index);
-            self.cluster.refresh(now, index);
+            self.cluster.update_snapshot_host(now, index);
         }
         self.workers.attribute_failures(&mut self.cluster, now);
         if now >= self.next_summary {
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -79,7 +79,7 @@
 
     /// Ends the cycle: releases what it reserved and publishes the unmet demand.
     pub fn finish(self) {
-        self.cluster.snapshot_mut().release(0);
+        self.cluster.snapshot_mut().truncate_reservations(0);
         self.cluster.set_unmet_demand(self.unmet);
     }
 
@@ -103,9 +103,9 @@
             return;
         }
         self.record_unmet(index, request.wanted - placed);
-        let reservations = self.cluster.snapshot().reservations();
+        let reservations = self.cluster.snapshot().reservation_count();
         self.reclaim_capacity(index, &request.tasks[placed..]);
-        let reserved_nothing = self.cluster.snapshot().reservations() == reservations;
+        let reserved_nothing = self.cluster.snapshot().reservation_count() == reservations;
         let is_overdue_gang = request.spec.kind == JobKind::Gang && request.is_overdue;
         if is_overdue_gang && reserved_nothing && self.gang_reservations.may_reserve() {
             self.reserve_for_gang(&request);
--- a/src/coordination/scheduler/gpu_demand.rs
+++ b/src/coordination/scheduler/gpu_demand.rs
@@ -50,7 +50,7 @@
     /// GPU work seen recently may need.
     pub fn protect_gpu_capacity(&self, pools: &mut [Pool]) {
         for pool in pools {
-            pool.protected_for_gpu_work = if pool.capacity.gpus <= 0.0 { None } else { self.largest_need_in(pool) };
+            pool.reserved_for_gpu_tasks = if pool.capacity.gpus <= 0.0 { None } else { self.largest_need_in(pool) };
         }
     }
 
--- a/src/coordination/scheduler/preemption/planner.rs
+++ b/src/coordination/scheduler/preemption/planner.rs
@@ -74,11 +74,11 @@
         task_count: usize,
         zone: Option<ZoneIndex>,
     ) -> Option<PreemptionPlan> {
-        let reservations = cluster.snapshot().reservations();
+        let reservations = cluster.snapshot().reservation_count();
         let plan = self.plan_with_reservations(cluster, task_count, zone);
         // What is stopped counts as such by itself; the capacity is reserved
         // again once a plan is chosen.
-        cluster.snapshot_mut().release(reservations);
+        cluster.snapshot_mut().truncate_reservations(reservations);
         plan.filter(|plan| !plan.hosts.is_empty())
     }
 
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -184,7 +184,7 @@
     let own = deadlines.map(|within_s| Objective { milestone: Milestone::End, within_s });
     let of_class = cluster.config().objectives.iter().filter(|objective| objective.class == job.spec.class);
     own.chain(of_class.map(|objective| Objective {
-        milestone: if objective.start { Milestone::Start } else { Milestone::End },
+        milestone: if objective.applies_to_start { Milestone::Start } else { Milestone::End },
         within_s: objective.within_s,
     }))
 }
--- a/src/coordination/scheduler/trial/tree.rs
+++ b/src/coordination/scheduler/trial/tree.rs
@@ -165,7 +165,7 @@
     /// Forgets assumed placements, the last one first.
     fn forget_all(&mut self, placements: &[TaskPlacement]) {
         for placement in placements.iter().rev() {
-            self.snapshot.forget(placement.host, self.request.spec);
+            self.snapshot.remove_assumed(placement.host, self.request.spec);
         }
     }
 
@@ -173,15 +173,16 @@
     fn best_host(&mut self, zone: Option<ZoneIndex>) -> Option<usize> {
         let request = self.request;
         let mut best: Option<ScoredHost> = None;
-        let examined = self.snapshot.candidates(request.spec, zone, request.capacity, |host_index, host, pool| {
-            if !is_eligible(request, host_index, host) {
-                return;
-            }
-            let score = host_score(pool, host, request.spec);
-            if best.is_none_or(|best| score > best.score) {
-                best = Some(ScoredHost { score, host: host_index });
-            }
-        });
+        let examined =
+            self.snapshot.visit_candidates(request.spec, zone, request.capacity, |host_index, host, pool| {
+                if !is_eligible(request, host_index, host) {
+                    return;
+                }
+                let score = host_score(pool, host, request.spec);
+                if best.is_none_or(|best| score > best.score) {
+                    best = Some(ScoredHost { score, host: host_index });
+                }
+            });
         self.snapshot.hosts_examined += examined;
         best.map(|best| best.host)
     }
--- a/src/coordination/snapshot/host.rs
+++ b/src/coordination/snapshot/host.rs
@@ -74,7 +74,7 @@
 
     /// Records that an image was fetched or used, and drops those that the cache
     /// evicted for it, least recently used first.
-    pub fn note_image(&mut self, image: ImageIndex, gb: f64, cache_gb: f64) {
+    pub fn record_image(&mut self, image: ImageIndex, gb: f64, cache_gb: f64) {
         if self.images.last().is_some_and(|cached| cached.image == image) {
             return;
         }
@@ -87,7 +87,7 @@
     }
 
     /// Accounts for one task of the job coming or going.
-    pub fn account(&mut self, spec: &JobSpec, change: LoadChange) {
+    pub fn apply_load_change(&mut self, spec: &JobSpec, change: LoadChange) {
         let sign = match change {
             LoadChange::Added => 1.0,
             LoadChange::Removed => -1.0,
--- a/src/coordination/snapshot/mod.rs
+++ b/src/coordination/snapshot/mod.rs
@@ -55,7 +55,7 @@
     }
 
     /// The pool of machines of this kind, created if there is none.
-    pub fn pool_of(&mut self, machine_type: &MachineTypeSpec, zone: ZoneIndex, spot: bool) -> usize {
+    pub fn find_or_add_pool(&mut self, machine_type: &MachineTypeSpec, zone: ZoneIndex, spot: bool) -> usize {
         if let Some(pool) = self.find_pool(machine_type.index, zone, spot) {
             return pool;
         }
@@ -113,7 +113,7 @@
     }
 
     /// Changes a machine and keeps the indices in step. Returns what `change` does.
-    pub fn change<T>(&mut self, host_index: usize, change: impl FnOnce(&mut Host) -> T) -> T {
+    pub fn update_host<T>(&mut self, host_index: usize, change: impl FnOnce(&mut Host) -> T) -> T {
         if self.hosts.len() <= host_index {
             self.hosts.resize_with(host_index + 1, Host::default);
         }
@@ -124,11 +124,11 @@
     }
 
     /// Moves a machine to this pool, or to none. Its assignments stay.
-    pub fn move_to(&mut self, host_index: usize, pool: Option<usize>) {
+    pub fn set_pool(&mut self, host_index: usize, pool: Option<usize>) {
         if self.hosts.get(host_index).map_or(pool.is_none(), |host| host.pool == pool) {
             return;
         }
-        self.change(host_index, |_| {});
+        self.update_host(host_index, |_| {});
         self.unindex(host_index);
         let previous = self.hosts[host_index].pool;
         if let Some(previous) = previous {
@@ -151,15 +151,15 @@
     /// Sets whether the machine takes new tasks, and whether only GPU work.
     pub fn set_schedulable(&mut self, host_index: usize, schedulable: bool, gpu_only: bool) {
         if self.hosts.get(host_index).is_none_or(|host| (host.schedulable, host.gpu_only) != (schedulable, gpu_only)) {
-            self.change(host_index, |host| (host.schedulable, host.gpu_only) = (schedulable, gpu_only));
+            self.update_host(host_index, |host| (host.schedulable, host.gpu_only) = (schedulable, gpu_only));
         }
     }
 
     /// A task was assigned to the machine.
     pub fn add_task(&mut self, host_index: usize, spec: &JobSpec) {
-        self.change(host_index, |host| {
+        self.update_host(host_index, |host| {
             host.assignments += 1;
-            host.account(spec, LoadChange::Added);
+            host.apply_load_change(spec, LoadChange::Added);
             host.used_by_priority[spec.priority as usize] += Resources::of(spec);
         });
     }
@@ -167,9 +167,9 @@
     /// An assignment to the machine was released; `was_stopping`: its task was
     /// being stopped.
     pub fn remove_task(&mut self, host_index: usize, spec: &JobSpec, was_stopping: bool) {
-        self.change(host_index, |host| {
+        self.update_host(host_index, |host| {
             host.assignments -= 1;
-            host.account(spec, LoadChange::Removed);
+            host.apply_load_change(spec, LoadChange::Removed);
             if was_stopping {
                 host.stopping -= Resources::of(spec);
             } else {
@@ -180,7 +180,7 @@
 
     /// A task on the machine is being stopped.
     pub fn mark_stopping(&mut self, host_index: usize, spec: &JobSpec) {
-        self.change(host_index, |host| {
+        self.update_host(host_index, |host| {
             host.stopping += Resources::of(spec);
             host.used_by_priority[spec.priority as usize] -= Resources::of(spec);
         });
@@ -188,19 +188,19 @@
 
     /// Accounts for a task as if it were on the machine, until it is forgotten.
     pub fn assume(&mut self, host_index: usize, spec: &JobSpec) {
-        self.change(host_index, |host| host.account(spec, LoadChange::Added));
+        self.update_host(host_index, |host| host.apply_load_change(spec, LoadChange::Added));
     }
 
     /// Takes back an assumed task.
-    pub fn forget(&mut self, host_index: usize, spec: &JobSpec) {
-        self.change(host_index, |host| host.account(spec, LoadChange::Removed));
+    pub fn remove_assumed(&mut self, host_index: usize, spec: &JobSpec) {
+        self.update_host(host_index, |host| host.apply_load_change(spec, LoadChange::Removed));
     }
 
     /// Reserves capacity until it is released: first what is about to be free, then
     /// what is free now, so that no later job takes it. `also_freed`: what else
     /// is about to be free there.
     pub fn reserve(&mut self, host_index: usize, need: Resources, also_freed: Resources) {
-        let reservation = self.change(host_index, |host| Reservation::make(host_index, host, need, also_freed));
+        let reservation = self.update_host(host_index, |host| Reservation::make(host_index, host, need, also_freed));
         self.reservations.push(reservation);
     }
 
@@ -213,15 +213,15 @@
     }
 
     /// Releases all reservations after the first `keep`.
-    pub fn release(&mut self, keep: usize) {
+    pub fn truncate_reservations(&mut self, keep: usize) {
         while self.reservations.len() > keep {
             let Some(reservation) = self.reservations.pop() else { return };
-            self.change(reservation.host_index(), |host| reservation.undo(host));
+            self.update_host(reservation.host_index(), |host| reservation.undo(host));
         }
     }
 
     /// The number of reservations.
-    pub fn reservations(&self) -> usize {
+    pub fn reservation_count(&self) -> usize {
         self.reservations.len()
     }
 
--- a/src/coordination/snapshot/pool.rs
+++ b/src/coordination/snapshot/pool.rs
@@ -45,7 +45,7 @@
     pub price: f64,
     /// What recent GPU work that these machines could run asked for: tasks that
     /// are costly to preempt must leave that much free.
-    pub protected_for_gpu_work: Option<Resources>,
+    pub reserved_for_gpu_tasks: Option<Resources>,
     /// The machines of the pool, by their index.
     pub members: BTreeSet<u32>,
     /// Open machines with free capacity, by the free share of the scarcer of CPUs and memory.
@@ -66,7 +66,7 @@
             cache_gb: machine_type.cache_gb,
             fetch_gb_per_s: machine_type.fetch_gb_per_s,
             price: machine_type.price_of(spot),
-            protected_for_gpu_work: None,
+            reserved_for_gpu_tasks: None,
             members: BTreeSet::new(),
             by_free_share: BTreeSet::new(),
             by_gpus: BTreeSet::new(),
@@ -131,17 +131,17 @@
     /// Guard: a replica that stays for hours on a few CPUs of a machine with
     /// GPUs would keep all GPU work off it, and tasks without checkpoints would be
     /// preempted for that work at the loss of all they did.
-    fn blocks_gpu_work(&self, host: &Host, spec: &JobSpec) -> bool {
+    fn blocks_gpu_tasks(&self, host: &Host, spec: &JobSpec) -> bool {
         let need = Resources::of(spec);
         need.gpus <= 0.0
             && is_costly_to_preempt(spec)
             && self
-                .protected_for_gpu_work
+                .reserved_for_gpu_tasks
                 .is_some_and(|protected| !(protected + need + host.used_by_costly_to_preempt).fits_in(&self.capacity))
     }
 
     /// Whether this machine takes new tasks of this job, free capacity aside.
     pub fn host_allows(&self, host: &Host, spec: &JobSpec) -> bool {
-        host.schedulable && !(host.gpu_only && spec.gpus <= 0.0) && !self.blocks_gpu_work(host, spec)
+        host.schedulable && !(host.gpu_only && spec.gpus <= 0.0) && !self.blocks_gpu_tasks(host, spec)
     }
 }
--- a/src/coordination/snapshot/search.rs
+++ b/src/coordination/snapshot/search.rs
@@ -15,7 +15,7 @@
     /// Visits the machines on which a task fits, those with the least free
     /// capacity first, among at most [`HOSTS_EXAMINED_MAX`] of each pool, and returns how many
     /// were examined.
-    pub fn candidates(
+    pub fn visit_candidates(
         &self,
         spec: &JobSpec,
         zone: Option<ZoneIndex>,
@@ -38,13 +38,13 @@
             }
         }
         if capacity == CapacityKind::FreeOrStopping {
-            examined += self.candidates_with_stopping(spec, zone, visit);
+            examined += self.visit_stopping_candidates(spec, zone, visit);
         }
         examined
     }
 
     /// Visits the machines on which a task fits once what is being stopped is gone.
-    fn candidates_with_stopping(
+    fn visit_stopping_candidates(
         &self,
         spec: &JobSpec,
         zone: Option<ZoneIndex>,
--- a/src/coordination/tests/commits.rs
+++ b/src/coordination/tests/commits.rs
@@ -38,10 +38,10 @@
 
 fn config() -> Config {
     Config {
-        lease_ms: 3_000,
+        worker_lease_ms: 3_000,
         heartbeat_interval_ms: 500,
         gang_peer_s: 8.0,
-        txn_ops: 8,
+        max_transaction_writes: 8,
         max_value_bytes: 16_384,
         reduced_max_value_bytes: 4_096,
         reduced_chunk_size: 4,
@@ -62,7 +62,7 @@
     let mut job_cache = JobCache::default();
     let job = job_cache.put("j/j-1", &records::to_value(&record), JOB_REVISION, &mut interners).unwrap();
     let mut cluster = ClusterState::new(config(), Term(LEADER_REVISION), Attempt(0), NOW, Vec::new());
-    cluster.job_update(NOW, NOW, job, &job_cache);
+    cluster.apply_job_record(NOW, NOW, job, &job_cache);
     interners.zones.intern("z1");
     Fixture { commits: CommitPipeline::new(100), cluster, interners, job }
 }
@@ -70,7 +70,7 @@
 impl Fixture {
     fn assign(&mut self, task: u32) {
         let machine = self.cluster.find_or_add_machine(NOW, "m-1", ZoneIndex(0));
-        self.cluster.refresh(NOW, machine);
+        self.cluster.update_snapshot_host(NOW, machine);
         let (attempt, job) = (self.cluster.next_attempt(), self.job);
         let new = NewAssignment { job, task, machine, incarnation: Incarnation(1), attempt, zone: ZoneIndex(0) };
         self.cluster.add_assignment(NOW, new).expect("a pending task");
--- a/src/coordination/tests/trial.rs
+++ b/src/coordination/tests/trial.rs
@@ -27,9 +27,9 @@
             boot_s: 5.0,
             zones: vec![ZoneIndex(zone)],
         };
-        let pool = p.pool_of(&t, ZoneIndex(zone), spot);
-        p.pools[pool].protected_for_gpu_work = guard;
-        p.move_to(n, Some(pool));
+        let pool = p.find_or_add_pool(&t, ZoneIndex(zone), spot);
+        p.pools[pool].reserved_for_gpu_tasks = guard;
+        p.set_pool(n, Some(pool));
         p.set_schedulable(n, true, false);
     }
     p
@@ -254,7 +254,7 @@
         }
         let full = p.trial(&ask);
         assert!(c.want.0 != Success || full.placements.len() < c.tasks as usize, "{}", c.name);
-        p.release(0);
+        p.truncate_reservations(0);
         assert_eq!(before, room(&p), "{}: released", c.name);
         // Machines that take nothing, and those where everything stops.
         for n in 0..c.hosts.len() {
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -134,5 +134,5 @@
         token = %machine.fence.token,
         "command outcome unknown, fencing token raised"
     );
-    cluster.refresh(now, index);
+    cluster.update_snapshot_host(now, index);
 }
--- a/src/coordination/workers/exited_tasks.rs
+++ b/src/coordination/workers/exited_tasks.rs
@@ -71,7 +71,7 @@
             let machine = cluster.machine_mut(assignment.machine);
             tracing::info!(task, machine = &*machine.id, ?reason, "task start refused");
             machine.unschedulable_until = now + REFUSED_START_PAUSE_MS;
-            cluster.refresh(now, assignment.machine);
+            cluster.update_snapshot_host(now, assignment.machine);
         }
         ExitReason::Unknown => {
             if let Some(job) = cluster.job_mut(assignment.job) {
--- a/src/coordination/workers/failure_attribution.rs
+++ b/src/coordination/workers/failure_attribution.rs
@@ -44,7 +44,7 @@
     if !job.failures.is_job_at_fault() {
         pause_machine(cluster, now, machine_index, job_index);
     }
-    cluster.refresh(now, machine_index);
+    cluster.update_snapshot_host(now, machine_index);
 }
 
 fn pause_machine(cluster: &mut ClusterState, now: Millis, machine_index: MachineIndex, job: JobIndex) {
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -103,7 +103,7 @@
     if cluster.machine(index).spot_notice_until.is_some() {
         spot_interruption::drain(cluster, now, index);
     }
-    cluster.refresh(now, index);
+    cluster.update_snapshot_host(now, index);
 }
 
 /// Records that the response made for a machine's latest heartbeat is not sent
--- a/src/coordination/workers/lease_expiry.rs
+++ b/src/coordination/workers/lease_expiry.rs
@@ -53,7 +53,7 @@
     /// one could have, and only once all of them have confirmed that they renewed
     /// none since. Otherwise a task could still run.
     fn is_expired(&self, config: &Config, now: Millis, machine: &Machine) -> bool {
-        let lease_ms = config.lease_ms + config.lease_ms / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MS;
+        let lease_ms = config.worker_lease_ms + config.worker_lease_ms / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MS;
         let last_renewal = (machine.heartbeats.lease_renewed as i64).max(self.no_peer_renewals.from);
         let end = last_renewal + lease_ms as i64;
         now as i64 >= end && self.no_peer_renewals.to >= end
--- a/src/coordination/workers/reachability.rs
+++ b/src/coordination/workers/reachability.rs
@@ -42,7 +42,7 @@
         if expected == 0 {
             return now > self.last_heartbeat + for_ms;
         }
-        reached * REACHED_DIVISOR < expected && now > cluster.started() + window_ms
+        reached * REACHED_DIVISOR < expected && now > cluster.started_at() + window_ms
     }
 }
 
--- a/tests/simulation/controller_settings.rs
+++ b/tests/simulation/controller_settings.rs
@@ -77,10 +77,10 @@
     /// The settings with which a leader begins.
     pub(super) fn leader_config(&self) -> Config {
         Config {
-            lease_ms: LEASE_MS,
+            worker_lease_ms: LEASE_MS,
             heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
             gang_peer_s: 8.0,
-            txn_ops: TRANSACTION_WRITES_MAX,
+            max_transaction_writes: TRANSACTION_WRITES_MAX,
             max_value_bytes: self.value_bytes_max,
             reduced_max_value_bytes: self.value_bytes_fit,
             reduced_chunk_size: self.tasks_per_chunk_fit,
