--- a/src/coordination/cluster/assignment_table.rs
+++ b/src/coordination/cluster/assignment_table.rs
@@ -1,4 +1,4 @@
-//! The table of assignments, whose freed entries are used again.
+//! The table of assignments, which reuses the indices of released assignments.
 
 use crate::coordination::model::{Assignment, AssignmentIndex};
 
@@ -6,7 +6,7 @@
 #[derive(Debug, Default)]
 pub(super) struct AssignmentTable {
     entries: Vec<Option<Assignment>>,
-    /// Free entries, the next to be used last.
+    /// Indices of free entries; the last one is reused first.
     free: Vec<AssignmentIndex>,
 }
 
--- a/src/coordination/cluster/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -1,5 +1,5 @@
-//! The life of an assignment: it is made, launched once its record is written,
-//! and released on proof that its task is gone.
+//! Lifecycle of an assignment: it is created, launched once its record is
+//! written, and released on proof that its task is gone.
 
 use super::ClusterState;
 use crate::{
@@ -15,7 +15,7 @@
     storage::{job_cache::JobIndex, records::JobStatus},
 };
 
-/// An assignment to be made.
+/// An assignment to be created.
 #[derive(Debug, Clone, Copy)]
 pub struct NewAssignment {
     /// The task's job.
@@ -24,7 +24,7 @@
     pub task: u32,
     /// The machine that it is assigned to.
     pub machine: MachineIndex,
-    /// The worker's incarnation that the assignment is made for.
+    /// Incarnation of the worker for which the assignment is created.
     pub incarnation: Incarnation,
     /// Number of the attempt to run the task.
     pub attempt: Attempt,
@@ -52,22 +52,22 @@
     }
 }
 
-/// What became of a task whose assignment is released.
+/// The state of a task when its assignment is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseReason {
-    /// It completed.
+    /// The task completed.
     Done,
-    /// It has to run again, or for the first time, unless its job is over.
+    /// The task has to run again, or for the first time, unless its job is finished.
     Unfinished,
 }
 
 impl ClusterState {
-    /// Assigns a pending task to a machine. `None`: the task is not pending, or
-    /// its job is being resharded.
+    /// Assigns a pending task to a machine. Returns `None` if the job is not
+    /// active, the job is being resharded, or the task is not pending.
     pub fn add_assignment(&mut self, now: Millis, new: NewAssignment) -> Option<AssignmentIndex> {
         let job = self.jobs.get_mut(new.job)?;
-        // Guard: its chunks are being resharded on the assumption that no task
-        // is assigned meanwhile.
+        // The resharding transaction assumes that no task of the job is assigned
+        // while it is in flight.
         if job.records.resharding {
             return None;
         }
@@ -83,7 +83,8 @@
         Some(index)
     }
 
-    /// Releases an assignment: its task is provably not on the machine, or no longer.
+    /// Releases an assignment. The caller has proof that its task is not on the
+    /// machine, or no longer. Returns `None` if it was released before.
     pub fn release_assignment(&mut self, index: AssignmentIndex, reason: ReleaseReason) -> Option<Assignment> {
         let assignment = self.assignments.remove(index)?;
         self.machines[assignment.machine.as_usize()].load.assignments.retain(|&other| other != index);
@@ -99,7 +100,8 @@
         Some(assignment)
     }
 
-    /// Takes an assignment out of the counts of its job, its team and its machine.
+    /// Subtracts a released assignment from the counts of its job, its team and
+    /// its machine.
     fn release_from_job(&mut self, assignment: &Assignment, reason: ReleaseReason) {
         let Some(job) = self.jobs.get_mut(assignment.job) else { return };
         let machine = assignment.machine.as_usize();
@@ -121,8 +123,9 @@
         }
     }
 
-    /// A gang without one of its tasks can't go on: the others are stopped, and
-    /// it starts again once all of them are gone.
+    /// Stops the other tasks of a gang after one of its assignments is released: a
+    /// gang can't continue without one of its tasks, and starts again once all of
+    /// them are gone.
     fn stop_rest_of_gang(&mut self, released: &Assignment) {
         let Some(job) = self.job(released.job) else { return };
         if job.spec.kind != JobKind::Gang || job.tasks.placed == 0 || job.status != JobStatus::Pending {
@@ -133,8 +136,8 @@
         }
     }
 
-    /// Releases all assignments of a machine, as their tasks are provably gone;
-    /// with `before_incarnation`, only those made for an earlier incarnation.
+    /// Releases all assignments of a machine, as their tasks are proven to be gone;
+    /// with `before_incarnation`, only those created for an earlier incarnation.
     pub fn release_machine_assignments(&mut self, index: MachineIndex, before_incarnation: Option<Incarnation>) {
         for assignment_index in self.machines[index.as_usize()].load.assignments.clone() {
             let Some(assignment) = self.assignments.get(assignment_index) else { continue };
@@ -150,24 +153,24 @@
         self.machines[index.as_usize()].commands.pending_reaps.clear();
     }
 
-    /// Has the machines of those of the assignments that are `wanted` looked at,
-    /// for commands to be sent.
+    /// Schedules a dispatch check, due now, of the machine of each assignment for
+    /// which `needs_dispatch` returns true.
     pub(in crate::coordination) fn schedule_dispatch_for(
         &mut self,
         now: Millis,
         assignments: Vec<AssignmentIndex>,
-        wanted: impl Fn(&Assignment) -> bool,
+        needs_dispatch: impl Fn(&Assignment) -> bool,
     ) {
         for index in assignments {
             let Some(assignment) = self.assignments.get(index) else { continue };
-            if wanted(assignment) {
+            if needs_dispatch(assignment) {
                 self.dispatch_queue.schedule(now, assignment.machine);
             }
         }
     }
 
-    /// Has those tasks on a machine launched again, as the same attempt, that its
-    /// worker had shown and that `is_missing` now.
+    /// Marks for another launch, as the same attempt, those tasks on a machine that
+    /// its worker reported before and for which `is_missing` returns true.
     pub(in crate::coordination) fn relaunch_missing_tasks(
         &mut self,
         machine: MachineIndex,
@@ -181,22 +184,23 @@
         }
     }
 
-    /// Whether a command with the assignment's launch is unanswered.
+    /// Reports whether a command with the assignment's launch has received no
+    /// response yet.
     pub fn is_launch_in_flight(&self, assignment: &Assignment) -> bool {
         let call = &self.machines[assignment.machine.as_usize()].commands.direct_call;
         call.as_ref().is_some_and(|call| call.launches.contains(&assignment.launch_id()))
     }
 
-    /// Whether the assignment's record is written.
+    /// Reports whether the chunk record that contains the assignment is written.
     pub fn is_record_written(&self, assignment: &Assignment) -> bool {
         self.job(assignment.job).is_some_and(|job| {
             job.records.chunks[job.chunk_of(assignment.task)].committed_version >= assignment.chunk_version
         })
     }
 
-    /// Guard: a launch is sent only after its record is written, a gang's only
-    /// after the records of all its tasks are. A leader that takes over must
-    /// find every task that may run.
+    /// Reports whether the assignment's launch may be sent: only after its record is
+    /// written, for a gang only after the records of all its tasks are. Otherwise a
+    /// leader that takes over could miss a task that may run.
     pub(in crate::coordination) fn may_launch(&self, assignment: &Assignment) -> bool {
         let Some(job) = self.job(assignment.job) else { return false };
         if assignment.halt.is_some() || job.status != JobStatus::Pending || !self.is_record_written(assignment) {
--- a/src/coordination/cluster/config.rs
+++ b/src/coordination/cluster/config.rs
@@ -5,46 +5,48 @@
     protocol::names::ClassIndex,
 };
 
-/// Settings of the cluster as a leader gets them when its leadership begins.
+/// Settings of the cluster, fixed when a leadership begins.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// How long a worker's lease lasts, in ms.
+    /// Duration of a worker lease, in ms.
     pub worker_lease_ms: Millis,
-    /// The interval of workers' heartbeats, in ms.
+    /// Interval between a worker's heartbeats, in ms.
     pub heartbeat_interval_ms: Millis,
-    /// How long a gang's task waits for the others, in seconds.
+    /// How long a gang's task waits for the other tasks of the gang, in seconds.
     pub gang_peer_s: f64,
-    /// Most writes of a transaction that the key-value store accepts.
+    /// Maximum number of writes per transaction that the key-value store accepts.
     pub max_transaction_writes: usize,
-    /// Largest value, in bytes, under the key-value store's present limit.
+    /// Maximum size of a value under the key-value store's present limit, in bytes.
     pub max_value_bytes: usize,
-    /// Largest value, in bytes, that fits under its lower limit as well, which may
-    /// replace the present one at any time.
+    /// Maximum size of a value, in bytes, that also fits the store's lower limit,
+    /// which may replace the present one at any time.
     pub reduced_max_value_bytes: usize,
-    /// Tasks per chunk whose record fits under the lower limit.
+    /// Number of tasks per chunk with which a chunk record fits the lower limit.
     pub reduced_chunk_size: u32,
-    /// How old the cloud's list of hosts may be, in ms.
+    /// Maximum age of the data in the cloud's list of hosts, in ms.
     pub host_list_delay_ms: Millis,
-    /// Guarantee and limit of each team, by index of the team.
+    /// Guarantee and limit of each team, by team index.
     pub teams: Vec<TeamLimits>,
     /// Service-level objectives of classes, the shortest time first.
     pub objectives: Vec<ServiceObjective>,
-    /// How long an idle machine is kept at least, in ms.
+    /// Minimum time that an idle machine is kept, in ms.
     pub min_idle_ms: Millis,
-    /// How long after its heartbeat was due a machine is taken to have failed, in ms.
+    /// How long after its heartbeat was due a machine is considered failed, in ms.
     pub heartbeat_timeout_ms: Millis,
-    /// Most machines rented at once; `usize::MAX`: no limit.
+    /// Maximum number of machines provisioned at once; `usize::MAX`: no limit.
     pub max_machines: usize,
-    /// Whether spot machines may be rented.
+    /// Whether spot machines may be provisioned.
     pub use_spot: bool,
 }
 
-/// Service-level objective of a class: its jobs start or end within a time limit.
+/// Service-level objective of a class: its jobs start or complete within a time
+/// limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceObjective {
-    /// The class of jobs that it holds for.
+    /// The class of jobs to which it applies.
     pub class: ClassIndex,
-    /// True: the first tasks run by then; false: all are done.
+    /// True: the first tasks must run within the limit; false: all tasks must
+    /// complete within it.
     pub applies_to_start: bool,
     /// The time limit, in seconds.
     pub within_s: f64,
--- a/src/coordination/cluster/dispatch_queue.rs
+++ b/src/coordination/cluster/dispatch_queue.rs
@@ -1,10 +1,10 @@
-//! Machines that may have to be sent a command, and when to look.
+//! Queue of machines to be checked for commands that are due.
 
 use std::collections::BTreeSet;
 
 use crate::coordination::model::{MachineIndex, Millis};
 
-/// Queue of machines ordered by time, then by index.
+/// Machines to be checked for due commands, ordered by time, then by index.
 #[derive(Debug, Default)]
 pub(super) struct DispatchQueue(BTreeSet<DispatchEntry>);
 
@@ -15,12 +15,12 @@
 }
 
 impl DispatchQueue {
-    /// Has a machine looked at once `at` is reached.
+    /// Schedules a check of a machine at `at`.
     pub fn schedule(&mut self, at: Millis, machine: MachineIndex) {
         self.0.insert(DispatchEntry { at, machine });
     }
 
-    /// Removes and returns the first machine that is due.
+    /// Removes and returns the first machine whose check is due, if any.
     pub fn pop_due(&mut self, now: Millis) -> Option<MachineIndex> {
         let due = *self.0.first().filter(|first| first.at <= now)?;
         self.0.remove(&due);
--- a/src/coordination/cluster/job_table.rs
+++ b/src/coordination/cluster/job_table.rs
@@ -1,43 +1,44 @@
-//! The table of jobs that are not over.
+//! The table of active jobs.
 
 use crate::{coordination::model::Job, storage::job_cache::JobIndex};
 
-/// The active jobs: those that are not over, or whose tasks are still somewhere.
+/// The active jobs: those that are unfinished, or whose tasks still have
+/// assignments.
 #[derive(Debug, Default)]
 pub(super) struct JobTable {
-    /// By index; `None`: not known, or over and removed.
+    /// Jobs by index; `None`: the job is unknown, or was finished and removed.
     entries: Vec<Option<Job>>,
-    /// Indices of the jobs, in the order in which they came.
+    /// Indices of the active jobs, in the order in which they were added.
     active: Vec<JobIndex>,
 }
 
 impl JobTable {
-    /// An active job.
+    /// Returns an active job.
     pub fn get(&self, index: JobIndex) -> Option<&Job> {
         self.entries.get(index.as_usize()).and_then(Option::as_ref)
     }
 
-    /// As [`JobTable::get`], to be changed.
+    /// Returns an active job for modification.
     pub fn get_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
         self.entries.get_mut(index.as_usize()).and_then(Option::as_mut)
     }
 
-    /// Indices of the active jobs, in the order in which they came.
+    /// Returns the indices of the active jobs, in the order in which they were added.
     pub fn indices(&self) -> &[JobIndex] {
         &self.active
     }
 
-    /// The active jobs, in the order in which they came.
+    /// Returns the active jobs in the order in which they were added.
     pub fn iter(&self) -> impl Iterator<Item = &Job> {
         self.active.iter().filter_map(|&index| self.get(index))
     }
 
-    /// How many jobs are active.
+    /// Returns the number of active jobs.
     pub fn len(&self) -> usize {
         self.active.len()
     }
 
-    /// Adds a job, which is active from now on.
+    /// Adds an active job.
     pub fn insert(&mut self, job: Job) {
         let index = job.index;
         if self.entries.len() <= index.as_usize() {
@@ -47,14 +48,14 @@
         self.active.push(index);
     }
 
-    /// Removes a job that is over.
+    /// Removes and returns a finished job.
     pub fn remove(&mut self, index: JobIndex) -> Option<Job> {
         let job = self.entries.get_mut(index.as_usize())?.take()?;
         self.active.retain(|&active| active != index);
         Some(job)
     }
 
-    /// Changes every active job, in the order in which they came.
+    /// Applies `change` to every active job, in the order in which they were added.
     pub fn for_each_mut(&mut self, mut change: impl FnMut(&mut Job)) {
         for &index in &self.active {
             if let Some(job) = self.entries.get_mut(index.as_usize()).and_then(Option::as_mut) {
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -1,4 +1,4 @@
-//! The life of a job: it is added, changes, is stopped, ends and is removed.
+//! Lifecycle of a job: it is added, changed, stopped, completed and removed.
 
 use std::rc::Rc;
 
@@ -15,17 +15,17 @@
     },
 };
 
-/// Greatest age of a job that is believed, in ms (about 35 years): a time of
-/// day that is far off must not overflow what is computed with it.
+/// Maximum age of a job, in ms (about 35 years); a greater age is reduced to it.
+/// Otherwise a wall clock that is far off could overflow the times computed from it.
 const MAX_JOB_AGE_MS: u64 = 1 << 40;
 
 impl ClusterState {
-    /// Takes a job's record from the job cache, new or changed. `wall_ms`: time of
-    /// day, in ms since the Unix epoch.
+    /// Applies a new or changed job record from the job cache. `wall_ms`: the wall
+    /// clock, in ms since the Unix epoch.
     pub fn apply_job_record(&mut self, now: Millis, wall_ms: u64, index: JobIndex, job_cache: &JobCache) {
         match (self.job(index).is_some(), job_cache.get(index).status) {
-            // Guard: until the ends of all that it depends on are written, a job
-            // takes part in no trial, and holds no part of any limit or guarantee.
+            // Until the completion of all its prerequisites is written, a job takes
+            // part in no placement trial and uses no part of any limit or guarantee.
             (false, JobStatus::Pending) if job_cache.waits(index) => return,
             (false, JobStatus::Pending) => {
                 let Some(spec) = job_cache.effective_spec(index) else { return };
@@ -39,7 +39,7 @@
         self.cycle_requested = true;
     }
 
-    /// The record of an unfinished job changed.
+    /// Applies a changed record of an unfinished job.
     fn apply_record_change(&mut self, index: JobIndex, job_cache: &JobCache) {
         let entry = job_cache.get(index);
         if let Some(job) = self.jobs.get_mut(index) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A job's record says that it is cancelled; the record has this revision.
+    /// Applies a cancellation found in a job's record, which has this revision.
     fn apply_cancellation(&mut self, now: Millis, index: JobIndex, revision: Revision) {
         let Some(job) = self.jobs.get_mut(index) else { return };
         job.records.revision = revision;
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Jobs that depend on this one changed its priority or its deadline.
+    /// Replaces the spec of a job whose priority or deadline changed because of the
+    /// jobs that depend on it.
     fn update_spec(&mut self, index: JobIndex, spec: Rc<JobSpec>) {
         let Some(job) = self.jobs.get_mut(index) else { return };
         if *job.spec == *spec {
@@ -77,7 +78,7 @@
             let Some(assignment) = self.assignments.get(assignment_index) else { continue };
             let host = assignment.machine.as_usize();
             let is_stopping = assignment.halt.is_some();
-            // The snapshot counts by priority what may be stopped.
+            // The snapshot accounts by priority for the tasks that may be stopped.
             self.snapshot.remove_task(host, &previous, is_stopping);
             self.snapshot.add_task(host, &spec);
             if is_stopping {
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Adds a job that the job cache shows. Its age is counted from `wall_ms`, the
-    /// time of day in ms since the Unix epoch.
+    /// Adds a job from the job cache. Its age is computed from `wall_ms`, the wall
+    /// clock in ms since the Unix epoch.
     pub(in crate::coordination) fn add_job(
         &mut self,
         now: Millis,
@@ -115,8 +116,8 @@
         });
     }
 
-    /// Stops all of a job's tasks, with this grace period; those that were never
-    /// launched are released at once.
+    /// Stops all tasks of a job, with a grace period of `grace_s` seconds. Tasks that
+    /// were never launched are released immediately.
     pub fn stop_job(&mut self, now: Millis, index: JobIndex, grace_s: f64) {
         let Some(job) = self.job(index) else { return };
         for assignment_index in job.assignments() {
@@ -125,8 +126,9 @@
         self.remove_if_finished(index);
     }
 
-    /// Wants a task stopped, with this grace period; the shorter of two holds. An
-    /// assignment whose launch was never sent is released at once.
+    /// Requests that a task be stopped, with a grace period of `grace_s` seconds; of
+    /// several requests the shortest period takes effect. An assignment whose launch
+    /// was never sent is released immediately.
     pub fn halt(&mut self, now: Millis, index: AssignmentIndex, grace_s: f64) {
         let Some(assignment) = self.assignments.get_mut(index) else { return };
         if assignment.never_launched() {
@@ -150,7 +152,7 @@
         self.dispatch_queue.schedule(now, machine);
     }
 
-    /// Notes which jobs have changes that wait to be written.
+    /// Records since when jobs have had unwritten changes.
     pub(in crate::coordination) fn record_unwritten_changes(&mut self, now: Millis) {
         self.jobs.for_each_mut(|job| {
             if job.records.unwritten_since.is_none() && job.has_unwritten_changes() {
@@ -159,8 +161,8 @@
         });
     }
 
-    /// Removes a job that is over and has no assignments; its chunk records become
-    /// obsolete.
+    /// Removes a job that is finished, has no assignments and is not part of a
+    /// transaction in flight. Its chunk records become obsolete.
     pub(in crate::coordination) fn remove_if_finished(&mut self, index: JobIndex) {
         let Some(job) = self.job(index) else { return };
         if job.status != JobStatus::Pending && job.tasks.placed == 0 && !self.records.is_in_flight(index) {
@@ -168,7 +170,7 @@
         }
     }
 
-    /// A job's completion is recorded.
+    /// Marks a job as done, as its completion is recorded in the key-value store.
     pub(in crate::coordination) fn complete_job(&mut self, index: JobIndex) {
         self.attribute_failures_to_machines(index);
         if let Some(job) = self.job_mut(index) {
@@ -177,8 +179,8 @@
         self.remove_if_finished(index);
     }
 
-    /// A job that failed somewhere has completed: the machines on which it failed
-    /// were at fault.
+    /// Attributes the failures of a job that completed to the machines on which they
+    /// occurred: as the job is not faulty, those machines are.
     pub(in crate::coordination) fn attribute_failures_to_machines(&mut self, index: JobIndex) {
         let Some(job) = self.job(index) else { return };
         for machine in job.failures.machines.clone() {
@@ -200,8 +202,8 @@
         }
     }
 
-    /// Whether a task's exit is recorded, or its job is over: then the worker may
-    /// reap the task.
+    /// Reports whether a task's exit is recorded, or its job is no longer active.
+    /// Only then may the worker reap the task.
     pub(in crate::coordination) fn is_exit_recorded(&self, exit: &PendingReap) -> bool {
         let Some(job) = self.job(exit.job) else { return true };
         match exit.record {
@@ -212,7 +214,8 @@
         }
     }
 
-    /// Progress of at most `max` jobs, to be published to the other controllers.
+    /// Returns the progress of at most `max` jobs, to be published to the other
+    /// controllers.
     pub fn take_progress(&mut self, max: usize) -> Vec<Count> {
         self.progress_feed.take(max, &mut self.jobs)
     }
--- a/src/coordination/cluster/machine_registry.rs
+++ b/src/coordination/cluster/machine_registry.rs
@@ -1,4 +1,4 @@
-//! The machines, by index and by name.
+//! The table of machines, by index and by name.
 
 use std::{
     collections::HashMap,
@@ -7,8 +7,9 @@
 
 use crate::coordination::model::{Machine, MachineIndex};
 
-/// All machines known so far. None is ever removed, so an index stays valid;
-/// as a slice it can be read and its machines changed, but not shortened.
+/// All machines known so far. None is ever removed, so an index stays valid.
+/// Dereferences to a slice, through which machines can be read and modified but
+/// not removed.
 #[derive(Debug, Default)]
 pub(super) struct MachineRegistry {
     machines: Vec<Machine>,
@@ -16,12 +17,12 @@
 }
 
 impl MachineRegistry {
-    /// The machine of this name, if it is known.
+    /// Returns the index of the machine with this name, if it is known.
     pub fn find(&self, name: &str) -> Option<MachineIndex> {
         self.index_by_name.get(name).copied()
     }
 
-    /// Adds a machine whose name is not known yet.
+    /// Adds a machine whose name is not known yet, and returns its index.
     pub fn add(&mut self, machine: Machine) -> MachineIndex {
         let index = MachineIndex(self.machines.len() as u32);
         self.index_by_name.insert(machine.id.clone(), index);
--- a/src/coordination/cluster/machines.rs
+++ b/src/coordination/cluster/machines.rs
@@ -1,4 +1,5 @@
-//! Machines become known, and the snapshot learns which of them take new tasks.
+//! Registers machines, and updates the snapshot with which of them accept new
+//! tasks.
 
 use super::{ClusterState, RECENT_UNMET_DEMAND_MS};
 use crate::{
@@ -7,13 +8,16 @@
     storage::job_cache::JobIndex,
 };
 
-/// A machine with GPUs is expensive per CPU beyond this many times the cheapest.
+/// A machine with GPUs is expensive if its price per CPU exceeds the lowest price
+/// per CPU by more than this factor.
 const GPU_PRICE_FACTOR: f64 = 2.0;
-/// How long after its second missed heartbeat a machine still takes new tasks, in ms.
+/// How long after its second missed heartbeat a machine still accepts new tasks, in
+/// ms.
 const HEARTBEAT_SLACK_MS: Millis = 500;
 
 impl ClusterState {
-    /// The machine of this name, added if it isn't known yet.
+    /// Returns the index of the machine with this name, adding the machine if it is
+    /// not known yet.
     pub fn find_or_add_machine(&mut self, now: Millis, id: &str, zone: ZoneIndex) -> MachineIndex {
         match self.machines.find(id) {
             Some(index) => index,
@@ -21,11 +25,12 @@
         }
     }
 
-    /// Shows the snapshot what a machine is and whether it takes new tasks.
+    /// Updates a machine's pool in the snapshot, and whether it accepts new tasks.
+    /// Requests a scheduling cycle if it accepts them from now on.
     pub fn update_snapshot_host(&mut self, now: Millis, index: MachineIndex) {
         let machine = &self.machines[index.as_usize()];
         let machine_type = if is_present(machine) { self.machine_type_of(machine) } else { None };
-        let open = self.takes_new_tasks(now, machine);
+        let accepts_tasks = self.accepts_new_tasks(now, machine);
         let gpu_only = machine_type.is_some_and(|machine_type| self.takes_only_gpu_tasks(now, machine, machine_type));
         let (zone, spot) = (machine.zone, machine.spot);
         let pool = match machine_type {
@@ -38,13 +43,13 @@
                 }
             },
         };
-        let was_open = self.snapshot.hosts.get(index.as_usize()).is_some_and(|host| host.schedulable);
-        self.cycle_requested |= open && !was_open;
+        let was_schedulable = self.snapshot.hosts.get(index.as_usize()).is_some_and(|host| host.schedulable);
+        self.cycle_requested |= accepts_tasks && !was_schedulable;
         self.snapshot.set_pool(index.as_usize(), pool);
-        self.snapshot.set_schedulable(index.as_usize(), open && pool.is_some(), gpu_only);
+        self.snapshot.set_schedulable(index.as_usize(), accepts_tasks && pool.is_some(), gpu_only);
     }
 
-    /// The machine has fetched, or is fetching, the image of the job.
+    /// Records that a machine has fetched, or is fetching, the image of a job.
     pub(in crate::coordination) fn record_cached_image(&mut self, machine: MachineIndex, job: JobIndex) {
         let Some(job) = self.jobs.get(job) else { return };
         if let Some(host) = self.snapshot.hosts.get_mut(machine.as_usize()) {
@@ -53,15 +58,15 @@
         }
     }
 
-    fn takes_new_tasks(&self, now: Millis, machine: &Machine) -> bool {
+    fn accepts_new_tasks(&self, now: Millis, machine: &Machine) -> bool {
         let heartbeat_limit_ms = 2 * self.config.heartbeat_interval_ms + HEARTBEAT_SLACK_MS;
         machine.lifecycle == MachineLifecycle::Up
-            // Guard: a machine that reaches no controller answers calls, but its
-            // lease is running out: what starts there would soon be lost.
+            // A machine that reaches no controller still responds to calls, but its
+            // worker lease is about to expire: tasks started there would soon be lost.
             && machine.heartbeats.last_heartbeat.is_some_and(|last| now < last + heartbeat_limit_ms)
-            // Guard: it has shown our token, so our answers reach it. A delayed
-            // copy of an old heartbeat, of a machine that was released, say,
-            // can't show it.
+            // The worker has reported this leader's fencing token, so the leader's
+            // responses reach it. A delayed copy of an old heartbeat, for example of a
+            // machine that was released, cannot contain that token.
             && machine.is_fenced()
             && machine.heartbeats.incarnation > machine.heartbeats.expired_incarnation
             && machine.spot_notice_until.is_none()
@@ -69,8 +74,9 @@
             && now >= machine.unschedulable_until
     }
 
-    /// Whether a machine takes only GPU work: an expensive one whose GPUs are idle,
-    /// while no work waits for its type. So it becomes empty and can be released.
+    /// Reports whether a machine accepts only GPU tasks: an expensive machine whose
+    /// GPUs are idle, while there is no recent unmet demand for its type. So it
+    /// becomes empty and can be released.
     pub fn takes_only_gpu_tasks(&self, now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
         if machine_type.capacity.gpus <= 0.0
             || machine_type.capacity.cpus <= 0.0
@@ -90,7 +96,7 @@
     }
 }
 
-/// Whether a machine is rented and its worker has sent a heartbeat.
+/// Reports whether a machine is provisioned and its worker has sent a heartbeat.
 fn is_present(machine: &Machine) -> bool {
     matches!(machine.lifecycle, MachineLifecycle::Up | MachineLifecycle::Releasing)
         && machine.heartbeats.incarnation != Incarnation::NONE
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -1,9 +1,9 @@
-//! The leader's picture of the cluster: jobs, machines, assignments and free
+//! The leader's view of the cluster: jobs, machines, assignments and free
 //! capacity.
 //!
 //! Every change of which task is, or may be, on which machine goes through
-//! [`ClusterState`], which keeps the jobs, the machines, the use of each team and
-//! the free capacity in step.
+//! [`ClusterState`], which keeps the jobs, the machines, the resource usage of
+//! each team and the free capacity consistent with each other.
 
 mod assignment_table;
 mod assignments;
@@ -48,49 +48,51 @@
     storage::job_cache::JobIndex,
 };
 
-/// What the leader knows of jobs and machines, and what it wants to run where.
+/// The jobs and machines that the leader knows, and the desired assignments of
+/// tasks to machines.
 pub struct ClusterState {
     /// Settings of this leadership.
     config: Config,
-    /// Identifies this leadership.
+    /// Term of this leadership.
     term: Term,
-    /// Time of the latest event.
+    /// When the latest event was processed.
     last_event_at: Millis,
     /// When this leadership began.
     started_at: Millis,
-    /// All records are read.
+    /// Whether all records in the key-value store are read.
     loaded: bool,
-    /// Jobs that are not over, or whose tasks are still somewhere.
+    /// Jobs that are unfinished, or whose tasks still have assignments.
     jobs: JobTable,
-    /// Jobs whose progress is to be published.
+    /// Selects the jobs whose progress is to be published.
     progress_feed: ProgressFeed,
-    /// All machines known so far.
+    /// All machines known so far, including those that are gone.
     machines: MachineRegistry,
-    /// Machine types that may be rented.
+    /// Machine types that may be provisioned.
     machine_types: Vec<MachineTypeSpec>,
     /// Tasks that are, or may be, on a machine.
     assignments: AssignmentTable,
-    /// The latest attempt of any job.
+    /// The highest attempt number assigned so far, over all jobs.
     last_attempt: Attempt,
-    /// Free capacity of the machines, as trials see it.
+    /// Free capacity of the machines, on which placements are tried.
     snapshot: ClusterSnapshot,
-    /// In use by each team, unproven assignments included.
+    /// Resource usage of each team, including assignments whose tasks are not proven
+    /// to be on their machines.
     team_usage: TeamUsage,
-    /// Observed run times against their owners' estimates.
+    /// Observed run times relative to the estimates of the submitters.
     run_times: RunTimeEstimates,
-    /// Work that found no free capacity.
+    /// Tasks without free capacity, and when there last were any.
     unmet_demand: UnmetDemandTracker,
-    /// Something changed that may let a waiting job be placed.
+    /// Whether something changed that may allow a waiting job to be placed.
     cycle_requested: bool,
-    /// Machines that may have to be sent a command, and when to look.
+    /// Machines to be checked for commands that are due, and when to check them.
     dispatch_queue: DispatchQueue,
-    /// What is known of the records in the key-value store.
+    /// State of the records in the key-value store.
     records: RecordState,
 }
 
 impl ClusterState {
-    /// The state of a leadership that has read no records yet. Its attempts are
-    /// numbered from above `last_attempt`.
+    /// Creates the state of a leadership that has read no records yet. Its first
+    /// attempt has the number after `last_attempt`.
     pub(in crate::coordination) fn new(
         config: Config,
         term: Term,
@@ -120,115 +122,119 @@
         }
     }
 
-    /// As [`ClusterState::assignment`], to be changed.
+    /// Returns an assignment that was not released yet, for modification.
     pub(in crate::coordination) fn assignment_mut(&mut self, index: AssignmentIndex) -> Option<&mut Assignment> {
         self.assignments.get_mut(index)
     }
 
-    /// Machine types that may be rented.
+    /// Returns the machine types that may be provisioned.
     pub(in crate::coordination) fn machine_types(&self) -> &[MachineTypeSpec] {
         &self.machine_types
     }
 
-    /// How many teams there are.
+    /// Returns the number of teams in the settings.
     pub(in crate::coordination) fn team_count(&self) -> usize {
         self.team_usage.len()
     }
 
-    /// A job that is not over, or whose tasks are still somewhere.
+    /// Returns an active job: one that is unfinished, or whose tasks still have
+    /// assignments. `None`: the job is unknown, not added yet, or removed.
     pub fn job(&self, index: JobIndex) -> Option<&Job> {
         self.jobs.get(index)
     }
 
-    /// As [`ClusterState::job`], to be changed.
+    /// Returns an active job, as [`ClusterState::job`] does, for modification.
     pub fn job_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
         self.jobs.get_mut(index)
     }
 
-    /// The active jobs, in the order in which they came.
+    /// Returns the active jobs in the order in which they were added.
     pub fn active_jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.iter()
     }
 
-    /// How many jobs are active.
+    /// Returns the number of active jobs.
     pub(in crate::coordination) fn active_job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// An assignment that was not released yet.
+    /// Returns an assignment. `None`: it was released.
     pub fn assignment(&self, index: AssignmentIndex) -> Option<&Assignment> {
         self.assignments.get(index)
     }
 
-    /// Free capacity of the machines.
+    /// Returns the free capacity of the machines.
     pub fn snapshot(&self) -> &ClusterSnapshot {
         &self.snapshot
     }
 
-    /// As [`ClusterState::snapshot`], to reserve capacity and to try placements.
+    /// Returns the snapshot for reserving capacity and trying placements.
     pub(in crate::coordination) fn snapshot_mut(&mut self) -> &mut ClusterSnapshot {
         &mut self.snapshot
     }
 
-    /// A machine; machines are never forgotten, only marked as gone.
+    /// Returns a machine. Machines are never removed, only marked as gone, so
+    /// every index stays valid.
     pub fn machine(&self, index: MachineIndex) -> &Machine {
         &self.machines[index.as_usize()]
     }
 
-    /// As [`ClusterState::machine`], to be changed.
+    /// Returns a machine for modification.
     pub(in crate::coordination) fn machine_mut(&mut self, index: MachineIndex) -> &mut Machine {
         &mut self.machines[index.as_usize()]
     }
 
-    /// All machines known so far, in the order of their indices.
+    /// Returns all machines known so far, in the order of their indices.
     pub(in crate::coordination) fn machines(&self) -> &[Machine] {
         &self.machines
     }
 
-    /// Indices of all machines known so far.
+    /// Returns the indices of all machines known so far.
     pub(in crate::coordination) fn machine_indices(&self) -> impl Iterator<Item = MachineIndex> {
         (0..self.machines.len() as u32).map(MachineIndex)
     }
 
-    /// The machine of this name, if it is known.
+    /// Returns the index of the machine with this name, if it is known.
     pub(in crate::coordination) fn find_machine(&self, name: &str) -> Option<MachineIndex> {
         self.machines.find(name)
     }
 
-    /// The description of a machine's type, if it is known.
+    /// Returns the description of a machine's type. `None`: the type is unknown.
     pub fn machine_type_of(&self, machine: &Machine) -> Option<&MachineTypeSpec> {
         let machine_type = machine.machine_type?;
         self.machine_types.iter().find(|known| known.index == machine_type)
     }
 
-    /// The latest attempt of any job.
+    /// Returns the highest attempt number assigned so far, over all jobs.
     pub(in crate::coordination) fn last_attempt(&self) -> Attempt {
         self.last_attempt
     }
 
-    /// A number for an attempt to run a task, higher than any before.
+    /// Returns a new attempt number, higher than all earlier ones.
     pub fn next_attempt(&mut self) -> Attempt {
         self.last_attempt = self.last_attempt.next();
         self.last_attempt
     }
 
-    /// The cloud's machine types were read again: prices change.
+    /// Replaces the machine types after they were read from the cloud again, as
+    /// prices change.
     pub fn set_machine_types(&mut self, machine_types: &[MachineTypeSpec]) {
         self.machine_types = machine_types.to_vec();
         self.snapshot.update_machine_types(machine_types);
     }
 
-    /// A team's guarantee and limit.
+    /// Returns a team's guarantee and limit; for an unknown team, neither.
     pub fn team_limits(&self, team: TeamIndex) -> TeamLimits {
         self.config.teams.get(team.as_usize()).copied().unwrap_or_default()
     }
 
-    /// Whether nothing is guaranteed to a team, while something is to others.
+    /// Reports whether a team is best-effort: it has no guarantee, while another
+    /// team has one.
     pub fn is_best_effort(&self, team: TeamIndex) -> bool {
         !self.team_limits(team).has_guarantee() && self.config.teams.iter().any(TeamLimits::has_guarantee)
     }
 
-    /// What a team's assignments use.
+    /// Returns the resources that a team's assignments use.
     pub(in crate::coordination) fn used_by_team(&self, team: TeamIndex) -> Resources {
         self.team_usage.of(team)
     }
--- a/src/coordination/cluster/progress_feed.rs
+++ b/src/coordination/cluster/progress_feed.rs
@@ -1,4 +1,4 @@
-//! Which jobs' progress is published next to the other controllers.
+//! Selects the jobs whose progress is published next to the other controllers.
 
 use std::collections::HashSet;
 
@@ -9,12 +9,12 @@
     storage::job_cache::JobIndex,
 };
 
-/// Most jobs per message whose unchanged progress is repeated. With a message
-/// every 0.4 s, some hundred jobs are through within the seconds by which a
-/// user's answer may lag.
+/// Maximum number of jobs per message whose unchanged progress is repeated. With a
+/// message every 0.4 s, some hundred jobs are covered within the seconds by which
+/// the response to a user may be out of date.
 const MAX_REPEATED_COUNTS: usize = 60;
 
-/// Chooses the jobs whose progress goes into the next message.
+/// Selects the jobs whose progress is included in the next message.
 #[derive(Debug, Default)]
 pub(super) struct ProgressFeed {
     /// Jobs whose progress changed since it was last published.
@@ -24,15 +24,15 @@
 }
 
 impl ProgressFeed {
-    /// A job's progress may have changed.
+    /// Records that a job's progress may have changed.
     pub fn mark_changed(&mut self, job: JobIndex) {
         self.changed.insert(job);
     }
 
-    /// Progress of at most `max` jobs: of those that changed since the last
-    /// call, and again of some others that have begun. Guard: a controller that
-    /// missed the first message, or didn't know the job then, would go on
-    /// calling a running job pending.
+    /// Returns the progress of at most `max` jobs: those whose progress changed
+    /// since the last call, and again some others that have started. Without the
+    /// repetition, a controller that missed the first message, or did not know the
+    /// job at that time, would continue to report a running job as pending.
     pub fn take(&mut self, max: usize, jobs: &mut JobTable) -> Vec<Count> {
         let mut counts = self.changed_counts(max, jobs);
         let repeated = self.repeated_counts(MAX_REPEATED_COUNTS.min(max - counts.len()), jobs);
@@ -49,23 +49,24 @@
             let progress = JobProgress { done: job.tasks.done, running: job.tasks.running };
             if job.published != progress {
                 job.published = progress;
-                counts.push(count_of(job));
+                counts.push(to_count(job));
             }
         }
         counts
     }
 
-    /// The next jobs in turn, of all that are active.
+    /// Returns the progress of the next jobs in turn, of all that are active and
+    /// have started. Examines at most `max` jobs.
     fn repeated_counts(&mut self, max: usize, jobs: &JobTable) -> Vec<Count> {
         let active = jobs.indices();
-        let looked_at = max.min(active.len());
+        let examined = max.min(active.len());
         let from = self.next_repeated;
-        self.next_repeated = from.wrapping_add(looked_at);
-        let next = (0..looked_at).filter_map(|n| jobs.get(active[from.wrapping_add(n) % active.len()]));
-        next.filter(|job| job.tasks.done + job.tasks.running > 0).map(count_of).collect()
+        self.next_repeated = from.wrapping_add(examined);
+        let next = (0..examined).filter_map(|n| jobs.get(active[from.wrapping_add(n) % active.len()]));
+        next.filter(|job| job.tasks.done + job.tasks.running > 0).map(to_count).collect()
     }
 }
 
-fn count_of(job: &Job) -> Count {
+fn to_count(job: &Job) -> Count {
     Count { job: job.id.to_string(), done: job.tasks.done, running: job.tasks.running }
 }
--- a/src/coordination/cluster/records.rs
+++ b/src/coordination/cluster/records.rs
@@ -1,70 +1,72 @@
-//! What is known of the records in the key-value store, besides what each job keeps.
+//! State of the records in the key-value store, apart from what each job keeps
+//! itself.
 
 use std::collections::{HashSet, VecDeque};
 
 use crate::{protocol::ids::Revision, storage::job_cache::JobIndex};
 
-/// A record to be deleted, as no job needs it any more. It is deleted only at the
-/// revision that is known here.
+/// A record to be deleted, as no job needs it any more. It is deleted only if it
+/// still has this revision.
 #[derive(Debug)]
 pub(in crate::coordination) struct ObsoleteRecord {
     pub key: String,
     pub revision: Revision,
 }
 
-/// The records of all jobs together.
+/// State shared by the records of all jobs.
 #[derive(Debug)]
 pub(in crate::coordination) struct RecordState {
-    /// Largest value, in bytes, that the key-value store is known to take.
+    /// Maximum size of a value, in bytes, that the key-value store is known to accept.
     value_limit: usize,
-    /// Jobs of which a transaction whose outcome is not settled writes records.
+    /// Jobs whose records are written by a transaction whose outcome is not settled.
     in_flight: HashSet<JobIndex>,
     /// Records that wait to be deleted.
     obsolete: VecDeque<ObsoleteRecord>,
 }
 
 impl RecordState {
-    /// No transaction is under way, and no record is obsolete.
+    /// Creates a state without a transaction in flight and without obsolete records.
     pub fn new(value_limit: usize) -> RecordState {
         RecordState { value_limit, in_flight: HashSet::new(), obsolete: VecDeque::new() }
     }
 
-    /// Largest value, in bytes, that the key-value store is known to take.
+    /// Returns the maximum size of a value, in bytes, that the key-value store is
+    /// known to accept.
     pub fn value_limit(&self) -> usize {
         self.value_limit
     }
 
-    /// The key-value store has shown that it takes values of at most `limit` bytes.
+    /// Records that the key-value store accepts values of at most `limit` bytes.
     pub fn set_value_limit(&mut self, limit: usize) {
         self.value_limit = limit;
     }
 
-    /// A transaction is under way that writes records of these jobs.
+    /// Records that a transaction in flight writes records of these jobs.
     pub fn set_in_flight(&mut self, jobs: HashSet<JobIndex>) {
         self.in_flight = jobs;
     }
 
-    /// No transaction is under way any more.
+    /// Records that no transaction is in flight any more.
     pub fn clear_in_flight(&mut self) {
         self.in_flight.clear();
     }
 
-    /// Whether the transaction under way writes records of this job.
+    /// Reports whether the transaction in flight writes records of this job.
     pub fn is_in_flight(&self, job: JobIndex) -> bool {
         self.in_flight.contains(&job)
     }
 
-    /// Has a record deleted when there is budget to spare.
+    /// Queues a record for deletion once there is spare write budget.
     pub fn delete_later(&mut self, record: ObsoleteRecord) {
         self.obsolete.push_back(record);
     }
 
-    /// Whether any record waits to be deleted.
+    /// Reports whether any record waits to be deleted.
     pub fn has_obsolete(&self) -> bool {
         !self.obsolete.is_empty()
     }
 
-    /// The record to be deleted next.
+    /// Removes and returns the record to be deleted next.
     pub fn pop_obsolete(&mut self) -> Option<ObsoleteRecord> {
         self.obsolete.pop_front()
     }
--- a/src/coordination/cluster/run_times.rs
+++ b/src/coordination/cluster/run_times.rs
@@ -1,14 +1,15 @@
-//! Observed run times against owners' estimates, by class.
+//! Observed run times relative to the submitters' estimates, by class.
 
 use std::collections::HashMap;
 
 use crate::protocol::{jobs::JobSpec, names::ClassIndex};
 
-/// Bounds of an observed ratio, so that one odd run doesn't spoil the mean.
+/// Lower bound of an observed ratio, so that one outlier does not distort the mean.
 const MIN_RATIO: f64 = 0.05;
+/// Upper bound of an observed ratio, for the same reason.
 const MAX_RATIO: f64 = 20.0;
-/// Runs after which the mean is smoothed instead of exact, so that it follows
-/// a change.
+/// Number of runs after which the mean is exponentially smoothed instead of exact,
+/// so that it follows a change.
 const MEAN_WINDOW_RUNS: f64 = 20.0;
 
 /// Mean ratio of observed to estimated run time of one class.
@@ -18,19 +19,20 @@
     runs: f64,
 }
 
-/// Corrections of owners' run-time estimates.
+/// Corrections of the submitters' run-time estimates.
 #[derive(Debug, Default)]
 pub(super) struct RunTimeEstimates {
     by_class: HashMap<ClassIndex, RatioMean>,
 }
 
 impl RunTimeEstimates {
-    /// Expected run time of a task, corrected by what its class showed so far.
+    /// Returns the expected run time of a task in seconds: its estimate, corrected
+    /// by the mean ratio of its class.
     pub fn expected_s(&self, spec: &JobSpec) -> f64 {
         spec.estimate_s * self.by_class.get(&spec.class).map_or(1.0, |mean| mean.ratio)
     }
 
-    /// Takes in how long a task that ran to its end took.
+    /// Records the run time, in seconds, of a task that ran to completion.
     pub fn observe(&mut self, spec: &JobSpec, ran_s: f64) {
         if spec.estimate_s <= 0.0 {
             return;
--- a/src/coordination/cluster/sharding.rs
+++ b/src/coordination/cluster/sharding.rs
@@ -1,5 +1,5 @@
-//! How the tasks of a job are split into chunks, each with a record of its own.
-//! Resharding changes the number of tasks per chunk.
+//! Splits the tasks of a job into chunks, each with its own record. Resharding
+//! changes the number of tasks per chunk.
 
 use super::ClusterState;
 use crate::{
@@ -8,28 +8,29 @@
     storage::job_cache::JobIndex,
 };
 
-/// A job that is being resharded, as it was when its transaction was built.
+/// State of a job that is being resharded, at the time when the transaction was
+/// built.
 #[derive(Debug)]
 pub(in crate::coordination) struct ReshardPlan {
     pub job: JobIndex,
-    /// Where each task stood, by task number.
+    /// The slot of each task, by task number.
     pub slots: Vec<Slot>,
     /// Versions of the old chunks.
     pub versions: Vec<u64>,
-    /// The new chunks that get a record, by chunk number.
+    /// Numbers of the new chunks for which a record is written.
     pub written_chunks: Vec<usize>,
 }
 
-/// A job that was resharded, and the revision that its new records have.
+/// A resharding that was applied, and the revision of the new records.
 pub(in crate::coordination) struct AppliedPlan<'a> {
     pub plan: &'a ReshardPlan,
     pub revision: Revision,
 }
 
 impl ClusterState {
-    /// Reshards a job whose record gives another chunk size than is known here:
-    /// a transaction that was never answered was applied. All chunks are written
-    /// once more under that size.
+    /// Reshards a job whose record has another chunk size than the one known here: a
+    /// transaction to which no response was received was applied. All chunks are
+    /// written again with the recorded size.
     pub(in crate::coordination) fn adopt_recorded_sharding(&mut self, index: JobIndex) {
         let Some(job) = self.job(index) else { return };
         if job.records.recorded_chunk_size != job.records.chunk_size && !job.records.resharding {
@@ -37,8 +38,8 @@
         }
     }
 
-    /// Splits a job's tasks into chunks of `size`. `applied`: what of it is
-    /// written; otherwise all of it counts as unwritten.
+    /// Splits a job's tasks into chunks of `size` tasks. `applied`: the resharding
+    /// that wrote the new chunks; `None`: all of them are considered unwritten.
     pub(in crate::coordination) fn apply_sharding(
         &mut self,
         index: JobIndex,
@@ -59,8 +60,8 @@
         self.renumber_unreaped_exits(index, applied.as_ref());
     }
 
-    /// Guard: an end is not reaped before it is written, under the new chunks
-    /// either.
+    /// Updates the chunk and version that each unreaped exit of a job waits for.
+    /// Otherwise, after resharding, an exit could be reaped before it is written.
     fn renumber_unreaped_exits(&mut self, index: JobIndex, applied: Option<&AppliedPlan<'_>>) {
         let Some(job) = self.jobs.get(index) else { return };
         let exits = self.machines.iter_mut().flat_map(|machine| &mut machine.commands.pending_reaps);
@@ -77,7 +78,8 @@
     }
 }
 
-/// Gives a job new chunks of `size` tasks. `applied`: what of them is written.
+/// Replaces a job's chunks by new ones of `size` tasks. `applied`: the
+/// resharding that wrote the new chunks.
 fn replace_chunks(job: &mut Job, size: u32, applied: Option<&AppliedPlan<'_>>) {
     job.records.oversized_record = None;
     job.records.resharding = false;
@@ -92,7 +94,8 @@
     }
 }
 
-/// Guard: what changed while the transaction was under way isn't written yet.
+/// Marks the tasks that changed while the transaction was in flight, as those
+/// changes are not written yet.
 fn mark_changed_since(job: &mut Job, plan: &ReshardPlan) {
     for task in 0..job.spec.tasks {
         if plan.slots[task as usize] != job.tasks.slots[task as usize] {
@@ -101,7 +104,7 @@
     }
 }
 
-/// Every chunk with a task that is assigned or done is to be written.
+/// Marks every chunk with an assigned or completed task as unwritten.
 fn mark_all_unwritten(job: &mut Job) {
     for task in 0..job.spec.tasks {
         if job.tasks.slots[task as usize] != Slot::Pending {
--- a/src/coordination/cluster/team_usage.rs
+++ b/src/coordination/cluster/team_usage.rs
@@ -1,38 +1,38 @@
-//! What each team's assignments use.
+//! Resource usage of each team.
 
 use crate::{coordination::model::Resources, protocol::names::TeamIndex};
 
-/// Resources in use by each team; assignments count until it is proven that
-/// their tasks are gone.
+/// Resources in use by each team. An assignment is included until it is proven
+/// that its task is gone.
 #[derive(Debug)]
 pub(super) struct TeamUsage {
     used: Vec<Resources>,
 }
 
 impl TeamUsage {
-    /// None of the teams uses anything.
+    /// Creates a table of `teams` teams that use no resources.
     pub fn new(teams: usize) -> TeamUsage {
         TeamUsage { used: vec![Resources::default(); teams] }
     }
 
-    /// How many teams there are.
+    /// Returns the number of teams.
     pub fn len(&self) -> usize {
         self.used.len()
     }
 
-    /// What a team uses.
+    /// Returns the resources that a team uses; none for an unknown team.
     pub fn of(&self, team: TeamIndex) -> Resources {
         self.used.get(team.as_usize()).copied().unwrap_or_default()
     }
 
-    /// A team uses this much more.
+    /// Adds resources to a team's usage. An unknown team is ignored.
     pub fn add(&mut self, team: TeamIndex, resources: Resources) {
         if let Some(used) = self.used.get_mut(team.as_usize()) {
             *used += resources;
         }
     }
 
-    /// A team uses this much less.
+    /// Subtracts resources from a team's usage. An unknown team is ignored.
     pub fn subtract(&mut self, team: TeamIndex, resources: Resources) {
         if let Some(used) = self.used.get_mut(team.as_usize()) {
             *used -= resources;
--- a/src/coordination/snapshot/host.rs
+++ b/src/coordination/snapshot/host.rs
@@ -1,4 +1,4 @@
-//! One machine's capacity and what uses it.
+//! One machine's capacity and resource usage.
 
 use crate::{
     coordination::model::Resources,
@@ -8,58 +8,60 @@
     },
 };
 
-/// An image in a machine's cache.
+/// An image in a machine's cache, with its size in GB.
 #[derive(Debug, Clone, Copy)]
 pub struct CachedImage {
     pub image: ImageIndex,
     pub gb: f64,
 }
 
-/// One machine's capacity and what uses it.
+/// One machine's capacity and resource usage.
 #[derive(Debug, Clone, Default)]
 pub struct Host {
-    /// Index of its pool. `None`: not up, or of an unknown type.
+    /// Index of its pool. `None`: the machine is not up, or its type is unknown.
     pub pool: Option<usize>,
-    /// Whether it may take new tasks at all.
+    /// Whether it accepts new tasks at all.
     pub schedulable: bool,
-    /// Whether it takes GPU work only, so that it becomes empty when there is none.
+    /// Whether it accepts only GPU tasks, so that it becomes empty when there are
+    /// none.
     pub gpu_only: bool,
-    /// Tasks assigned to it.
+    /// Number of tasks assigned to it.
     pub assignments: u32,
-    /// Free for new tasks.
+    /// Capacity that is free for new tasks.
     pub free: Resources,
-    /// What the tasks that are being stopped will free.
+    /// Capacity that the tasks being stopped will free.
     pub stopping: Resources,
-    /// Used by tasks that are not being stopped, by priority.
+    /// Capacity used by tasks that are not being stopped, by priority.
     pub used_by_priority: [Resources; 4],
-    /// Images it holds or fetches, most recent last.
+    /// Images that it holds or fetches, the most recently used last.
     pub images: Vec<CachedImage>,
-    /// Service replicas on it: a machine that dies takes them all.
+    /// Number of service replicas on it: all of them are lost if the machine fails.
     pub services: u32,
-    /// Used by CPU work that can't be preempted well (`is_costly_to_preempt`).
+    /// Capacity used by tasks without GPUs that are costly to preempt (see
+    /// `is_costly_to_preempt`).
     pub used_by_costly_to_preempt: Resources,
 }
 
-/// Which of a machine's capacity counts.
+/// Which part of a machine's capacity is taken into account.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CapacityKind {
-    /// What is free now.
+    /// Capacity that is free now.
     Free,
-    /// What is free once the tasks that are being stopped are gone.
+    /// Capacity that is free once the tasks being stopped have exited.
     FreeOrStopping,
 }
 
 /// Whether a task's load is added to a machine or removed from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadChange {
-    /// A task comes to the machine.
+    /// A task is added to the machine.
     Added,
-    /// A task leaves the machine.
+    /// A task is removed from the machine.
     Removed,
 }
 
 impl Host {
-    /// The machine's capacity of this kind.
+    /// Returns the machine's capacity of this kind.
     pub fn capacity(&self, kind: CapacityKind) -> Resources {
         match kind {
             CapacityKind::Free => self.free,
@@ -67,13 +69,13 @@
         }
     }
 
-    /// Whether the machine holds or fetches the image.
+    /// Reports whether the machine holds or fetches the image.
     pub fn has_image(&self, image: ImageIndex) -> bool {
         self.images.iter().any(|cached| cached.image == image)
     }
 
-    /// Records that an image was fetched or used, and drops those that the cache
-    /// evicted for it, least recently used first.
+    /// Records that an image of `gb` GB was fetched or used, and removes the images
+    /// that a cache of `cache_gb` GB evicts for it, least recently used first.
     pub fn record_image(&mut self, image: ImageIndex, gb: f64, cache_gb: f64) {
         if self.images.last().is_some_and(|cached| cached.image == image) {
             return;
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Accounts for one task of the job coming or going.
+    /// Accounts for one task of the job being added or removed.
     pub fn apply_load_change(&mut self, spec: &JobSpec, change: LoadChange) {
         let sign = match change {
             LoadChange::Added => 1.0,
@@ -106,7 +108,8 @@
     }
 }
 
-/// Whether the job's tasks are not preempted, or only at the loss of all they did.
+/// Reports whether preempting the job's tasks is ruled out, or loses all of their
+/// progress.
 pub fn is_costly_to_preempt(spec: &JobSpec) -> bool {
     spec.priority == Priority::Production || spec.checkpoint_s <= 0.0
 }
--- a/src/coordination/snapshot/mod.rs
+++ b/src/coordination/snapshot/mod.rs
@@ -1,9 +1,9 @@
 //! The cluster snapshot: the machines' capacity, on which placements are tried.
 //!
-//! It is kept up to date as assignments come and go, and indexed by machine
+//! It is updated as assignments are added and released, and indexed by machine
 //! type, zone and free capacity, so that a search examines a few machines and
-//! not all of them. A trial assumes tasks on it and forgets them again;
-//! [`ClusterSnapshot::reserve`] keeps capacity for a job until the end of a
+//! not all of them. A trial adds assumed tasks to it and removes them again;
+//! [`ClusterSnapshot::reserve`] reserves capacity for a job until the end of a
 //! scheduling cycle.
 
 mod host;
@@ -25,27 +25,28 @@
     names::{MachineTypeIndex, ZoneIndex},
 };
 
-/// The capacity of all machines, grouped into pools of machines that are alike.
+/// The capacity of all machines, grouped into pools by type, zone and billing kind.
 #[derive(Debug, Default)]
 pub struct ClusterSnapshot {
     /// One entry per machine, at the machine's index.
     pub hosts: Vec<Host>,
-    /// The pools, in the order in which they were first needed.
+    /// The pools, in order of creation.
     pub pools: Vec<Pool>,
-    /// Machines on which something is being stopped.
+    /// Machines on which tasks are being stopped.
     stopping_hosts: BTreeSet<u32>,
     reservations: Vec<Reservation>,
-    /// Machines examined so far: the measure of a search's work.
+    /// Number of machines examined so far, which measures the cost of searches.
     pub hosts_examined: u64,
 }
 
 impl ClusterSnapshot {
-    /// The pool of machines of this kind, if there is one.
+    /// Returns the index of the pool with this type, zone and billing kind, if there
+    /// is one.
     pub fn find_pool(&self, machine_type: MachineTypeIndex, zone: ZoneIndex, spot: bool) -> Option<usize> {
         self.pools.iter().position(|pool| pool.machine_type == machine_type && pool.zone == zone && pool.spot == spot)
     }
 
-    /// The number of zones in which there are machines.
+    /// Returns the number of zones in which there are machines.
     pub fn zone_count(&self) -> usize {
         let mut zones: Vec<ZoneIndex> =
             self.pools.iter().filter(|pool| !pool.members.is_empty()).map(|pool| pool.zone).collect();
@@ -54,7 +55,8 @@
         zones.len()
     }
 
-    /// The pool of machines of this kind, created if there is none.
+    /// Returns the index of the pool with this type, zone and billing kind, creating
+    /// the pool if there is none.
     pub fn find_or_add_pool(&mut self, machine_type: &MachineTypeSpec, zone: ZoneIndex, spot: bool) -> usize {
         if let Some(pool) = self.find_pool(machine_type.index, zone, spot) {
             return pool;
@@ -63,7 +65,7 @@
         self.pools.len() - 1
     }
 
-    /// Applies changed machine types: prices change; capacities may, in principle.
+    /// Applies changed machine types. Prices change; capacities may, in principle.
     pub fn update_machine_types(&mut self, types: &[MachineTypeSpec]) {
         for pool_index in 0..self.pools.len() {
             let pool = &mut self.pools[pool_index];
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Removes a machine from the indices, as it must be before it changes.
+    /// Removes a machine from the indices, as is required before it is changed.
     fn unindex(&mut self, host_index: usize) {
         let host = &self.hosts[host_index];
         let Some(pool) = host.pool else { return };
@@ -112,7 +114,8 @@
         }
     }
 
-    /// Changes a machine and keeps the indices in step. Returns what `change` does.
+    /// Applies `change` to a machine and updates the indices. Returns the result of
+    /// `change`.
     pub fn update_host<T>(&mut self, host_index: usize, change: impl FnOnce(&mut Host) -> T) -> T {
         if self.hosts.len() <= host_index {
             self.hosts.resize_with(host_index + 1, Host::default);
@@ -123,7 +126,8 @@
         result
     }
 
-    /// Moves a machine to this pool, or to none. Its assignments stay.
+    /// Moves a machine to a pool, or to none, and adjusts its free capacity. Its
+    /// assignments stay.
     pub fn set_pool(&mut self, host_index: usize, pool: Option<usize>) {
         if self.hosts.get(host_index).map_or(pool.is_none(), |host| host.pool == pool) {
             return;
@@ -148,14 +152,14 @@
         pool.map_or(Resources::default(), |pool| self.pools[pool].capacity)
     }
 
-    /// Sets whether the machine takes new tasks, and whether only GPU work.
+    /// Sets whether the machine accepts new tasks, and whether only GPU tasks.
     pub fn set_schedulable(&mut self, host_index: usize, schedulable: bool, gpu_only: bool) {
         if self.hosts.get(host_index).is_none_or(|host| (host.schedulable, host.gpu_only) != (schedulable, gpu_only)) {
             self.update_host(host_index, |host| (host.schedulable, host.gpu_only) = (schedulable, gpu_only));
         }
     }
 
-    /// A task was assigned to the machine.
+    /// Adds a task that was assigned to the machine.
     pub fn add_task(&mut self, host_index: usize, spec: &JobSpec) {
         self.update_host(host_index, |host| {
             host.assignments += 1;
@@ -164,8 +168,8 @@
         });
     }
 
-    /// An assignment to the machine was released; `was_stopping`: its task was
-    /// being stopped.
+    /// Removes a task whose assignment to the machine was released. `was_stopping`:
+    /// the task was being stopped.
     pub fn remove_task(&mut self, host_index: usize, spec: &JobSpec, was_stopping: bool) {
         self.update_host(host_index, |host| {
             host.assignments -= 1;
@@ -178,7 +182,7 @@
         });
     }
 
-    /// A task on the machine is being stopped.
+    /// Marks one task on the machine as being stopped.
     pub fn mark_stopping(&mut self, host_index: usize, spec: &JobSpec) {
         self.update_host(host_index, |host| {
             host.stopping += Resources::of(spec);
@@ -186,33 +190,35 @@
         });
     }
 
-    /// Accounts for a task as if it were on the machine, until it is forgotten.
+    /// Accounts for a task as if it were on the machine, until
+    /// [`ClusterSnapshot::remove_assumed`].
     pub fn assume(&mut self, host_index: usize, spec: &JobSpec) {
         self.update_host(host_index, |host| host.apply_load_change(spec, LoadChange::Added));
     }
 
-    /// Takes back an assumed task.
+    /// Removes an assumed task.
     pub fn remove_assumed(&mut self, host_index: usize, spec: &JobSpec) {
         self.update_host(host_index, |host| host.apply_load_change(spec, LoadChange::Removed));
     }
 
-    /// Reserves capacity until it is released: first what is about to be free, then
-    /// what is free now, so that no later job takes it. `also_freed`: what else
-    /// is about to be free there.
+    /// Reserves capacity until [`ClusterSnapshot::truncate_reservations`], so that no
+    /// later job takes it: first from the capacity that is about to be free, then
+    /// from what is free now. `also_freed`: further capacity that is about to be free
+    /// there.
     pub fn reserve(&mut self, host_index: usize, need: Resources, also_freed: Resources) {
         let reservation = self.update_host(host_index, |host| Reservation::make(host_index, host, need, also_freed));
         self.reservations.push(reservation);
     }
 
     /// Reserves capacity for one task of `spec` on each of the machines, in order.
-    /// A machine is named once for each of its tasks.
+    /// A machine occurs once for each of its tasks.
     pub fn reserve_for_tasks(&mut self, spec: &JobSpec, host_indices: impl IntoIterator<Item = usize>) {
         for host_index in host_indices {
             self.reserve(host_index, Resources::of(spec), Resources::default());
         }
     }
 
-    /// Releases all reservations after the first `keep`.
+    /// Releases all reservations but the first `keep`.
     pub fn truncate_reservations(&mut self, keep: usize) {
         while self.reservations.len() > keep {
             let Some(reservation) = self.reservations.pop() else { return };
@@ -220,12 +226,12 @@
         }
     }
 
-    /// The number of reservations.
+    /// Returns the number of reservations.
     pub fn reservation_count(&self) -> usize {
         self.reservations.len()
     }
 
-    /// Whether a task is being stopped on any machine.
+    /// Reports whether a task is being stopped on any machine.
     pub fn has_stopping_tasks(&self) -> bool {
         !self.stopping_hosts.is_empty()
     }
--- a/src/coordination/snapshot/pool.rs
+++ b/src/coordination/snapshot/pool.rs
@@ -11,12 +11,13 @@
     },
 };
 
-/// Steps into which the index divides a machine's share of free CPUs and memory.
+/// Number of steps into which the index divides a machine's free share of CPUs and
+/// memory.
 const SHARE_STEPS: f64 = 1e4;
-/// Steps into which the index divides one GPU.
+/// Number of steps into which the index divides one GPU.
 const GPU_STEPS: f64 = 100.0;
-/// Added before an index key is cut to a whole number, so that a rounding
-/// error doesn't lower it by a step.
+/// Added before an index key is truncated to an integer, so that a rounding error
+/// does not lower the key by a step.
 const KEY_TOLERANCE: f64 = 0.01;
 
 /// A machine in an index, ordered by its key.
@@ -43,16 +44,18 @@
     pub fetch_gb_per_s: f64,
     /// Price per hour of one machine.
     pub price: f64,
-    /// What recent GPU work that these machines could run asked for: tasks that
-    /// are costly to preempt must leave that much free.
+    /// Resources that recent GPU tasks requested, of those that these machines could
+    /// run: tasks that are costly to preempt must leave as much free. `None`: nothing
+    /// is reserved.
     pub reserved_for_gpu_tasks: Option<Resources>,
-    /// The machines of the pool, by their index.
+    /// Indices of the machines of the pool.
     pub members: BTreeSet<u32>,
-    /// Open machines with free capacity, by the free share of the scarcer of CPUs and memory.
+    /// Schedulable machines with free capacity, by the free share of the scarcer of
+    /// CPUs and memory.
     by_free_share: BTreeSet<IndexEntry>,
-    /// Open machines with free GPUs, by their number.
+    /// Schedulable machines with free GPUs, by the number of free GPUs.
     by_gpus: BTreeSet<IndexEntry>,
-    /// Free on all open machines together.
+    /// Free capacity of all schedulable machines together.
     pub free: Resources,
 }
 
@@ -103,7 +106,8 @@
         self.free -= free.clamp_to_zero();
     }
 
-    /// Open machines that `need` may fit on, those with the least free capacity first.
+    /// Returns the schedulable machines on which `need` may fit, those with the least
+    /// free capacity first.
     pub(in crate::coordination) fn hosts_that_may_fit(
         &self,
         need: &Resources,
@@ -112,7 +116,7 @@
         let (index, least_key) = if needs_gpus {
             (&self.by_gpus, Pool::gpu_key(need).saturating_sub(1))
         } else {
-            // Whatever fits has at least the smaller of the two shares free.
+            // A machine on which `need` fits has at least the smaller of the two shares free.
             let share = |need: f64, capacity: f64| if capacity > 0.0 { need / capacity } else { 1.0 };
             let smaller = share(need.cpus, self.capacity.cpus).min(share(need.memory_gb, self.capacity.memory_gb));
             (&self.by_free_share, (smaller * SHARE_STEPS) as u32)
@@ -120,7 +124,7 @@
         index.range(IndexEntry { key: least_key, host: 0 }..).map(|entry| entry.host as usize)
     }
 
-    /// Whether tasks of this job may run on machines of this pool at all.
+    /// Reports whether tasks of this job may run on machines of this pool at all.
     pub fn allows(&self, spec: &JobSpec) -> bool {
         spec.allows_type(self.machine_type)
             && spec.zone.is_none_or(|zone| zone == self.zone)
@@ -128,9 +132,10 @@
             && Resources::of(spec).fits_in(&self.capacity)
     }
 
-    /// Guard: a replica that stays for hours on a few CPUs of a machine with
-    /// GPUs would keep all GPU work off it, and tasks without checkpoints would be
-    /// preempted for that work at the loss of all they did.
+    /// Reports whether a task without GPUs would block GPU tasks on this machine. A
+    /// replica that runs for hours on a few CPUs of a machine with GPUs would keep all
+    /// GPU tasks off it, and tasks without checkpoints would be preempted for GPU
+    /// tasks and lose all of their progress.
     fn blocks_gpu_tasks(&self, host: &Host, spec: &JobSpec) -> bool {
         let need = Resources::of(spec);
         need.gpus <= 0.0
@@ -140,7 +145,8 @@
                 .is_some_and(|protected| !(protected + need + host.used_by_costly_to_preempt).fits_in(&self.capacity))
     }
 
-    /// Whether this machine takes new tasks of this job, free capacity aside.
+    /// Reports whether this machine accepts new tasks of this job, regardless of its
+    /// free capacity.
     pub fn host_allows(&self, host: &Host, spec: &JobSpec) -> bool {
         host.schedulable && !(host.gpu_only && spec.gpus <= 0.0) && !self.blocks_gpu_tasks(host, spec)
     }
--- a/src/coordination/snapshot/reservations.rs
+++ b/src/coordination/snapshot/reservations.rs
@@ -3,7 +3,8 @@
 use super::host::Host;
 use crate::coordination::model::Resources;
 
-/// Capacity reserved on one machine, taken off what is free and off what will be.
+/// Capacity reserved on one machine, subtracted from the capacity that is free now
+/// and from the capacity that will be free.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::coordination) struct Reservation {
     host_index: usize,
@@ -12,9 +13,9 @@
 }
 
 impl Reservation {
-    /// Takes `need` off the capacity of a machine: first off what is about to be
-    /// free, then off what is free now. `also_freed`: what else is about to be
-    /// free there.
+    /// Subtracts `need` from the capacity of a machine: first from the capacity that
+    /// is about to be free, then from what is free now. `also_freed`: further
+    /// capacity that is about to be free there.
     pub fn make(host_index: usize, host: &mut Host, need: Resources, also_freed: Resources) -> Reservation {
         let from_stopping = need.min((host.stopping + also_freed).clamp_to_zero());
         let reservation = Reservation { host_index, free: need - from_stopping, stopping: from_stopping - also_freed };
@@ -23,12 +24,12 @@
         reservation
     }
 
-    /// The machine's index.
+    /// Returns the machine's index.
     pub fn host_index(&self) -> usize {
         self.host_index
     }
 
-    /// Gives the capacity back to its machine.
+    /// Returns the reserved capacity to its machine.
     pub fn undo(&self, host: &mut Host) {
         host.stopping += self.stopping;
         host.free += self.free;
--- a/src/coordination/snapshot/search.rs
+++ b/src/coordination/snapshot/search.rs
@@ -1,4 +1,4 @@
-//! Searches for machines on the snapshot.
+//! Searches the snapshot for machines.
 
 use super::{CapacityKind, ClusterSnapshot, Host, Pool};
 use crate::{
@@ -6,15 +6,16 @@
     protocol::{jobs::JobSpec, names::ZoneIndex},
 };
 
-/// Most machines of one pool examined for one task.
+/// Maximum number of machines of one pool that are examined for one task.
 pub const HOSTS_EXAMINED_MAX: usize = 192;
-/// Most machines with tasks being stopped examined for one task.
+/// Maximum number of machines with tasks being stopped that are examined for one
+/// task.
 const STOPPING_HOSTS_EXAMINED_MAX: usize = 2 * HOSTS_EXAMINED_MAX;
 
 impl ClusterSnapshot {
-    /// Visits the machines on which a task fits, those with the least free
-    /// capacity first, among at most [`HOSTS_EXAMINED_MAX`] of each pool, and returns how many
-    /// were examined.
+    /// Calls `visit` for the machines on which a task fits, those with the least free
+    /// capacity first, among at most [`HOSTS_EXAMINED_MAX`] machines of each pool.
+    /// Returns the number of machines examined.
     pub fn visit_candidates(
         &self,
         spec: &JobSpec,
@@ -43,7 +44,8 @@
         examined
     }
 
-    /// Visits the machines on which a task fits once what is being stopped is gone.
+    /// Calls `visit` for the machines on which a task fits once the tasks being
+    /// stopped have exited. Returns the number of machines examined.
     fn visit_stopping_candidates(
         &self,
         spec: &JobSpec,
@@ -67,8 +69,9 @@
         examined
     }
 
-    /// A sample of the machines this job may use, whatever is on them: at most
-    /// `limit` of each pool, beginning at machine `first` and wrapping around.
+    /// Returns a sample of the machines that this job may use, whatever tasks are on
+    /// them: at most `limit` machines of each pool, beginning at machine `first` and
+    /// wrapping around.
     pub fn sample(&self, spec: &JobSpec, zone: Option<ZoneIndex>, first: u32, limit: usize) -> Vec<usize> {
         let mut sample = Vec::new();
         for pool in &self.pools {
--- a/src/coordination/tests/cluster.rs
+++ b/src/coordination/tests/cluster.rs
@@ -38,20 +38,24 @@
 }
 
 #[test]
-fn a_new_job_has_pending_tasks_in_chunks_of_which_none_is_written() {
+fn new_job_has_pending_tasks_and_no_unwritten_chunks() {
     let job = job(3);
     assert_eq!(job.records.chunks.len(), 3, "10 tasks in chunks of 4");
     assert!(!job.has_unwritten_changes() && !job.all_done());
-    assert_eq!((job.tasks.pending.first(), job.tasks.pending.last()), (Some(&9), Some(&0)), "the next one is last");
+    assert_eq!(
+        (job.tasks.pending.first(), job.tasks.pending.last()),
+        (Some(&9), Some(&0)),
+        "the task to be assigned next is last"
+    );
     assert_eq!((job.age_s(1_000), job.waited_ms(1_400)), (2.5, 400));
 }
 
 #[test]
-fn jobs_are_listed_in_the_order_in_which_they_came() {
+fn job_table_lists_jobs_in_insertion_order() {
     let mut jobs = table(&[5, 0, 9]);
     let listed = |jobs: &JobTable| jobs.iter().map(|job| job.index.0).collect::<Vec<_>>();
     assert_eq!((listed(&jobs), jobs.len()), (vec![5, 0, 9], 3));
-    assert!(jobs.get(JobIndex(4)).is_none() && jobs.get(JobIndex(10)).is_none(), "not known");
+    assert!(jobs.get(JobIndex(4)).is_none() && jobs.get(JobIndex(10)).is_none(), "unknown jobs");
     assert_eq!(jobs.remove(JobIndex(0)).map(|job| job.index), Some(JobIndex(0)));
     assert!(jobs.remove(JobIndex(0)).is_none() && jobs.get(JobIndex(0)).is_none());
     assert_eq!(listed(&jobs), [5, 9]);
@@ -66,7 +70,7 @@
 }
 
 #[test]
-fn machines_are_found_by_index_and_by_name() {
+fn added_machines_are_found_by_index_and_by_name() {
     let mut machines = MachineRegistry::default();
     assert!(machines.is_empty() && machines.find("m-1").is_none());
     assert_eq!(machines.add(machine("m-1")), MachineIndex(0));
@@ -77,7 +81,7 @@
 }
 
 #[test]
-fn use_of_teams_is_added_and_subtracted() {
+fn team_usage_is_added_and_subtracted() {
     let (red, unknown) = (TeamIndex(1), TeamIndex(2));
     let resources = Resources { cpus: 2.0, gpus: 1.0, memory_gb: 8.0 };
     let mut usage = TeamUsage::new(2);
@@ -87,23 +91,23 @@
     usage.add(unknown, resources);
     assert_eq!(usage.len(), 2);
     assert_eq!((usage.of(red).cpus, usage.of(red).gpus, usage.of(TeamIndex(0)).cpus), (2.0, 1.0, 0.0));
-    assert_eq!(usage.of(unknown).cpus, 0.0, "no team of the settings");
+    assert_eq!(usage.of(unknown).cpus, 0.0, "team that is not in the settings");
 }
 
 #[test]
-fn changed_progress_is_published_once_and_repeated_in_turn() {
+fn changed_progress_is_published_once_then_repeated_in_turn() {
     let mut jobs = table(&[0, 1, 2]);
     let mut feed = ProgressFeed::default();
     let take = |feed: &mut ProgressFeed, jobs: &mut JobTable, max| {
         feed.take(max, jobs).into_iter().map(|count| (count.job, count.done, count.running)).collect::<Vec<_>>()
     };
     feed.mark_changed(JobIndex(0));
-    assert_eq!(take(&mut feed, &mut jobs, 1), [], "marked, but as published");
+    assert_eq!(take(&mut feed, &mut jobs, 1), [], "marked as changed, but equal to the published progress");
     jobs.get_mut(JobIndex(1)).unwrap().tasks.running = 2;
     feed.mark_changed(JobIndex(1));
     assert_eq!(take(&mut feed, &mut jobs, 1), [("j-1".to_owned(), 0, 2)]);
-    // Nothing changed: of two jobs at a time, those that have begun are repeated.
-    assert_eq!(take(&mut feed, &mut jobs, 2), [("j-1".to_owned(), 0, 2)], "jobs 1 and 2: job 0 had its turn");
-    assert_eq!(take(&mut feed, &mut jobs, 2), [("j-1".to_owned(), 0, 2)], "jobs 0 and 1");
-    assert_eq!(take(&mut feed, &mut jobs, 2), [], "jobs 2 and 0");
+    // Nothing changed: of the next two jobs, those that have started are repeated.
+    assert_eq!(take(&mut feed, &mut jobs, 2), [("j-1".to_owned(), 0, 2)], "jobs 1 and 2 examined, job 0 was before");
+    assert_eq!(take(&mut feed, &mut jobs, 2), [("j-1".to_owned(), 0, 2)], "jobs 0 and 1 examined");
+    assert_eq!(take(&mut feed, &mut jobs, 2), [], "jobs 2 and 0 examined");
 }
--- a/src/coordination/tests/snapshot.rs
+++ b/src/coordination/tests/snapshot.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn images_fall_out_oldest_first() {
-    let mut h = Host::default();
-    for (i, gb) in [(1, 4.0), (2, 4.0), (1, 4.0), (3, 4.0)] {
-        h.record_image(ImageIndex(i), gb, 10.0);
+fn least_recently_used_image_is_evicted_first() {
+    let mut host = Host::default();
+    for (image, gb) in [(1, 4.0), (2, 4.0), (1, 4.0), (3, 4.0)] {
+        host.record_image(ImageIndex(image), gb, 10.0);
     }
-    assert!(h.has_image(ImageIndex(1)) && h.has_image(ImageIndex(3)) && !h.has_image(ImageIndex(2)));
+    assert!(host.has_image(ImageIndex(1)) && host.has_image(ImageIndex(3)) && !host.has_image(ImageIndex(2)));
 }
