--- a/src/coordination/scheduler/best_effort.rs
+++ b/src/coordination/scheduler/best_effort.rs
@@ -15,7 +15,7 @@
 
 /// Work that arrived within this time is expected again within as long: about
 /// the time that a new machine takes to boot.
-const EXPECTED_AGAIN_MS: i64 = 30_000;
+const ARRIVAL_WINDOW_MS: i64 = 30_000;
 /// Share of the CPUs that best-effort work may take as it comes: it must not
 /// starve beside capacity that is kept for others.
 const BEST_EFFORT_SHARE: f64 = 0.4;
@@ -49,18 +49,18 @@
         // Guard: where others ask for more than they then use, what is kept for
         // them would stand idle.
         let reserved = expected_cpus(cluster, now).min(RESERVED_SHARE_MAX * capacity);
-        let short_of_share = BEST_EFFORT_SHARE * capacity - best_effort_use(cluster);
-        BestEffortBudget { cpus: (free - reserved).max(short_of_share).max(0.0) }
+        let share_left = BEST_EFFORT_SHARE * capacity - best_effort_cpus_used(cluster);
+        BestEffortBudget { cpus: (free - reserved).max(share_left).max(0.0) }
     }
 
     /// How many tasks of a best-effort job may be placed now.
     pub fn task_limit(&self, now: Millis, job: &Job) -> usize {
-        let fitting = (self.cpus / job.spec.cpus.max(RESOURCE_TOLERANCE)) as usize;
+        let tasks_within_budget = (self.cpus / job.spec.cpus.max(RESOURCE_TOLERANCE)) as usize;
         let has_waited = !job.wait.ever_assigned || now >= job.statistics.last_assigned + LONGEST_WAIT_MS;
         if has_waited {
-            fitting.max((job.spec.tasks / LONG_WAIT_DIVISOR).max(LONG_WAIT_TASKS_MIN) as usize)
+            tasks_within_budget.max((job.spec.tasks / LONG_WAIT_DIVISOR).max(LONG_WAIT_TASKS_MIN) as usize)
         } else {
-            fitting
+            tasks_within_budget
         }
     }
 
@@ -77,7 +77,7 @@
 }
 
 /// CPUs that best-effort teams use.
-fn best_effort_use(cluster: &ClusterState) -> f64 {
+fn best_effort_cpus_used(cluster: &ClusterState) -> f64 {
     let teams = (0..cluster.team_count() as u32).map(TeamIndex);
     teams.filter(|&team| cluster.is_best_effort(team)).map(|team| cluster.used_by_team(team).cpus).sum()
 }
@@ -85,18 +85,18 @@
 /// Pools of machines without GPUs; all pools, where there are no such machines.
 fn pools_for_arrays(snapshot: &ClusterSnapshot) -> Vec<&Pool> {
     let pools = snapshot.pools.iter().filter(|pool| !pool.members.is_empty());
-    let (with_gpus, without): (Vec<&Pool>, Vec<&Pool>) =
+    let (with_gpus, without_gpus): (Vec<&Pool>, Vec<&Pool>) =
         pools.partition(|pool| pool.capacity.gpus > RESOURCE_TOLERANCE);
-    if without.is_empty() {
+    if without_gpus.is_empty() {
         with_gpus
     } else {
-        without
+        without_gpus
     }
 }
 
 /// CPUs that arrays of teams with a guarantee may be expected to ask for.
 fn expected_cpus(cluster: &ClusterState, now: Millis) -> f64 {
-    let arrived_recently = |job: &&Job| now as i64 - job.wait.since < EXPECTED_AGAIN_MS;
+    let arrived_recently = |job: &&Job| now as i64 - job.wait.since < ARRIVAL_WINDOW_MS;
     cluster
         .active_jobs()
         .filter(|job| job.status == JobStatus::Pending && job.spec.kind == JobKind::Array)
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -7,7 +7,7 @@
     headroom::{self, ExpectedReplicas},
     infeasible::InfeasibleShapes,
     preemption::{self, SampleCursor},
-    queue::is_overdue_unplaced,
+    queue::is_starved_unplaced,
     task_selection,
     trial::{HostFilter, PlacementStatus, TaskPlacement, TrialRequest},
 };
@@ -59,7 +59,7 @@
     avoid: Vec<MachineIndex>,
     is_best_effort: bool,
     /// Overdue, with no task assigned.
-    is_overdue: bool,
+    is_starved: bool,
 }
 
 impl<'a> SchedulingCycle<'a> {
@@ -106,8 +106,8 @@
         let reservations = self.cluster.snapshot().reservations();
         self.reclaim_capacity(index, &request.tasks[placed..]);
         let reserved_nothing = self.cluster.snapshot().reservations() == reservations;
-        let is_overdue_gang = request.spec.kind == JobKind::Gang && request.is_overdue;
-        if is_overdue_gang && reserved_nothing && self.gang_reservations.may_reserve() {
+        let is_starved_gang = request.spec.kind == JobKind::Gang && request.is_starved;
+        if is_starved_gang && reserved_nothing && self.gang_reservations.may_reserve() {
             self.reserve_for_gang(&request);
         }
     }
@@ -122,8 +122,8 @@
     /// What a job asks for; `None` if none of its tasks may be placed.
     fn placement_request(&self, index: JobIndex) -> Option<PlacementRequest> {
         let job = self.cluster.job(index)?;
-        let is_overdue = is_overdue_unplaced(self.now, job);
-        let mut tasks = task_selection::tasks_to_place(self.cluster, job, is_overdue);
+        let is_starved = is_starved_unplaced(self.now, job);
+        let mut tasks = task_selection::tasks_to_place(self.cluster, job, is_starved);
         let wanted = tasks.len();
         if wanted == 0 {
             return None;
@@ -140,7 +140,7 @@
             zone_used: job.tasks.zone_used.clone(),
             avoid: task_selection::avoided_machines(job, self.cluster.machines()),
             is_best_effort,
-            is_overdue,
+            is_starved,
         })
     }
 
@@ -160,7 +160,7 @@
         });
         if outcome.status != PlacementStatus::Success {
             if request.is_unrestricted() {
-                self.infeasible.add_now(request.spec.clone());
+                self.infeasible.add_infeasible_now(request.spec.clone());
             }
             return 0;
         }
@@ -190,8 +190,8 @@
     /// Records tasks that found no free capacity. Those of a job that fails
     /// everywhere don't count as demand.
     fn record_unmet(&mut self, index: JobIndex, tasks: usize) {
-        let is_at_fault = self.cluster.job(index).is_some_and(|job| job.failures.is_job_at_fault());
-        if !is_at_fault {
+        let is_faulty = self.cluster.job(index).is_some_and(|job| job.failures.is_job_at_fault());
+        if !is_faulty {
             self.unmet.push(UnmetDemand { job: index, tasks: tasks as u32 });
         }
     }
@@ -230,14 +230,15 @@
         let Some(job) = self.cluster.job(index) else { return 0 };
         let spec = job.spec.clone();
         let zone_used = job.tasks.zone_used.clone();
-        if !self.cluster.snapshot().has_stopping_tasks() || self.infeasible.is_infeasible_later(&spec) {
+        if !self.cluster.snapshot().has_stopping_tasks() || self.infeasible.is_infeasible_after_stops(&spec) {
             return 0;
         }
         let min = min_tasks(&spec, tasks.len());
-        let outcome = self.cluster.snapshot_mut().trial(&TrialRequest::later(&spec, tasks, min, &zone_used));
+        let trial = TrialRequest::with_stopping_capacity(&spec, tasks, min, &zone_used);
+        let outcome = self.cluster.snapshot_mut().trial(&trial);
         self.reserve(&spec, &outcome.placements);
         if outcome.status != PlacementStatus::Success && uses_no_zone(&zone_used) {
-            self.infeasible.add_later(spec);
+            self.infeasible.add_infeasible_after_stops(spec);
         }
         outcome.placements.len()
     }
@@ -247,7 +248,7 @@
     /// against all jobs after it, cycle by cycle, until there is enough.
     fn reserve_for_gang(&mut self, request: &PlacementRequest) {
         let spec = &request.spec;
-        let trial = TrialRequest::later(spec, &request.tasks, 1, &request.zone_used);
+        let trial = TrialRequest::with_stopping_capacity(spec, &request.tasks, 1, &request.zone_used);
         let outcome = self.cluster.snapshot_mut().trial(&trial);
         self.reserve(spec, &outcome.placements);
         if !outcome.placements.is_empty() {
--- a/src/coordination/scheduler/gpu_demand.rs
+++ b/src/coordination/scheduler/gpu_demand.rs
@@ -65,10 +65,10 @@
     }
 
     fn observe_job(&mut self, now: Millis, job: &Job) {
-        let is_same = |shape: &&mut GpuShape| {
+        let has_same_shape = |shape: &&mut GpuShape| {
             Resources::of(&shape.spec) == Resources::of(&job.spec) && shape.spec.types == job.spec.types
         };
-        if let Some(shape) = self.shapes.iter_mut().find(is_same) {
+        if let Some(shape) = self.shapes.iter_mut().find(has_same_shape) {
             shape.last_seen = now;
             shape.latest_arrival = shape.latest_arrival.max(job.wait.since);
         } else if self.shapes.len() < SHAPE_LIMIT {
--- a/src/coordination/scheduler/headroom.rs
+++ b/src/coordination/scheduler/headroom.rs
@@ -51,7 +51,7 @@
 pub fn reserve_headroom(cluster: &mut ClusterState, expected: &ExpectedReplicas) {
     let spec = &expected.spec;
     let tasks: Vec<u32> = (0..expected.replicas as u32).collect();
-    let outcome = cluster.snapshot_mut().trial(&TrialRequest::later(spec, &tasks, 1, &[]));
+    let outcome = cluster.snapshot_mut().trial(&TrialRequest::with_stopping_capacity(spec, &tasks, 1, &[]));
     let hosts = outcome.placements.iter().map(|placement| placement.host);
     cluster.snapshot_mut().reserve_for_tasks(spec, hosts);
 }
--- a/src/coordination/scheduler/infeasible.rs
+++ b/src/coordination/scheduler/infeasible.rs
@@ -12,7 +12,7 @@
     /// They don't fit now.
     now: Vec<Rc<JobSpec>>,
     /// They don't fit even once the tasks being stopped are gone.
-    later: Vec<Rc<JobSpec>>,
+    after_stops: Vec<Rc<JobSpec>>,
 }
 
 impl InfeasibleShapes {
@@ -22,18 +22,18 @@
     }
 
     /// Whether tasks of this shape can't fit even once the tasks being stopped are gone.
-    pub fn is_infeasible_later(&self, spec: &JobSpec) -> bool {
-        self.later.iter().any(|failed| is_at_least_as_hard(spec, failed))
+    pub fn is_infeasible_after_stops(&self, spec: &JobSpec) -> bool {
+        self.after_stops.iter().any(|failed| is_at_least_as_hard(spec, failed))
     }
 
     /// A shape that doesn't fit now.
-    pub fn add_now(&mut self, spec: Rc<JobSpec>) {
+    pub fn add_infeasible_now(&mut self, spec: Rc<JobSpec>) {
         self.now.push(spec);
     }
 
     /// A shape that doesn't fit even once the tasks being stopped are gone.
-    pub fn add_later(&mut self, spec: Rc<JobSpec>) {
-        self.later.push(spec);
+    pub fn add_infeasible_after_stops(&mut self, spec: Rc<JobSpec>) {
+        self.after_stops.push(spec);
     }
 }
 
--- a/src/coordination/scheduler/preemption/mod.rs
+++ b/src/coordination/scheduler/preemption/mod.rs
@@ -19,7 +19,7 @@
 };
 
 /// How long work of normal priority waits before others' work is preempted for it.
-const PREEMPTION_PATIENCE_MS: i64 = 10_000;
+const PREEMPTION_DELAY_MS: i64 = 10_000;
 /// Tasks of one array for which others are preempted in one scheduling cycle.
 const ARRAY_TASKS_PER_CYCLE: usize = 4;
 /// The next sample of machines begins at the last start times this...
@@ -53,7 +53,7 @@
     }
     match job.spec.priority {
         Priority::Production | Priority::High => true,
-        Priority::Normal => job.waited_ms(now) >= PREEMPTION_PATIENCE_MS,
+        Priority::Normal => job.waited_ms(now) >= PREEMPTION_DELAY_MS,
         Priority::Low => false,
     }
 }
--- a/src/coordination/scheduler/preemption/planner.rs
+++ b/src/coordination/scheduler/preemption/planner.rs
@@ -179,7 +179,7 @@
         if need.fits_in(&available) {
             break;
         }
-        if !frees_what_is_missing(&victim.freed, need, &available) {
+        if !frees_missing_resource(&victim.freed, need, &available) {
             continue;
         }
         available += victim.freed;
@@ -191,7 +191,7 @@
 }
 
 /// Whether a victim uses some resource of which too little is available.
-fn frees_what_is_missing(freed: &Resources, need: &Resources, available: &Resources) -> bool {
+fn frees_missing_resource(freed: &Resources, need: &Resources, available: &Resources) -> bool {
     (freed.gpus > 0.0 && available.gpus < need.gpus)
         || (freed.cpus > 0.0 && available.cpus + RESOURCE_TOLERANCE < need.cpus)
         || (freed.memory_gb > 0.0 && available.memory_gb + RESOURCE_TOLERANCE < need.memory_gb)
@@ -215,9 +215,9 @@
 
 /// Whether a task would fit if all were stopped that may be at best.
 fn may_free_enough(job: &Job, host: &Host) -> bool {
-    let stoppable = if job.within_guarantee { PRIORITY_COUNT } else { job.spec.priority as usize };
-    let at_best = host.used_by_priority[..stoppable]
+    let stoppable_priorities = if job.within_guarantee { PRIORITY_COUNT } else { job.spec.priority as usize };
+    let max_available = host.used_by_priority[..stoppable_priorities]
         .iter()
         .fold(host.capacity(CapacityKind::FreeOrStopping), |sum, used| sum + *used);
-    Resources::of(&job.spec).fits_in(&at_best)
+    Resources::of(&job.spec).fits_in(&max_available)
 }
--- a/src/coordination/scheduler/preemption/victims.rs
+++ b/src/coordination/scheduler/preemption/victims.rs
@@ -7,7 +7,7 @@
             Assignment, AssignmentIndex, AssignmentState, Job, Millis, Resources, RESOURCE_TOLERANCE, SAVE_MARGIN_S,
             START_COUNTS_MS,
         },
-        scheduler::queue::is_overdue,
+        scheduler::queue::is_starved,
     },
     protocol::jobs::{JobKind, Priority},
     storage::records::JobStatus,
@@ -15,12 +15,12 @@
 
 /// How long a job within its team's guarantee waits before capacity that others
 /// borrowed is reclaimed: some may come back by itself.
-const RECLAIM_PATIENCE_MS: i64 = 12_000;
+const RECLAIM_DELAY_MS: i64 = 12_000;
 /// Seconds that stopping any task costs.
 const STOP_COST_S: f64 = 5.0;
 /// Seconds that stopping a task soon after its start costs in addition: such a
 /// start doesn't count, and its users waited for nothing.
-const FRESH_START_COST_S: f64 = 60.0;
+const RECENT_START_COST_S: f64 = 60.0;
 
 /// A task that may be preempted.
 pub struct Victim {
@@ -69,11 +69,11 @@
         let ran_s = self.ran_s(assignment);
         // Guard: an overdue job that was let start at last is not stopped before
         // its start counts; otherwise it might never.
-        let is_fresh = ran_s * 1000.0 < START_COUNTS_MS as f64;
-        if self.preemptor.spec.priority < Priority::Production && is_overdue(self.now, job) && is_fresh {
+        let is_recent_start = ran_s * 1000.0 < START_COUNTS_MS as f64;
+        if self.preemptor.spec.priority < Priority::Production && is_starved(self.now, job) && is_recent_start {
             return None;
         }
-        let cost = stop_cost_s(job, ran_s, is_fresh);
+        let cost = stop_cost_s(job, ran_s, is_recent_start);
         Some(Victim { assignment: index, freed: Resources::of(&job.spec), cost })
     }
 
@@ -86,7 +86,7 @@
     /// is guaranteed.
     fn may_reclaim_from(&self, job: &Job) -> bool {
         let preemptor = self.preemptor;
-        let has_waited = preemptor.waited_ms(self.now) >= RECLAIM_PATIENCE_MS;
+        let has_waited = preemptor.waited_ms(self.now) >= RECLAIM_DELAY_MS;
         if !preemptor.within_guarantee || !has_waited || job.spec.team == preemptor.spec.team {
             return false;
         }
@@ -100,14 +100,14 @@
 }
 
 /// What stopping a task that ran for `ran_s` costs, in seconds.
-fn stop_cost_s(job: &Job, ran_s: f64, is_fresh: bool) -> f64 {
+fn stop_cost_s(job: &Job, ran_s: f64, is_recent_start: bool) -> f64 {
     let spec = &job.spec;
     let lost_s =
         if spec.checkpoint_s > 0.0 { ran_s.min(spec.checkpoint_s).min(spec.save_s + SAVE_MARGIN_S) } else { ran_s };
-    let fresh_cost_s = if is_fresh && spec.priority > Priority::Low { FRESH_START_COST_S } else { 0.0 };
+    let recent_start_cost_s = if is_recent_start && spec.priority > Priority::Low { RECENT_START_COST_S } else { 0.0 };
     // A gang is stopped as a whole.
     let stopped_tasks = if spec.kind == JobKind::Gang { f64::from(job.tasks.placed) } else { 1.0 };
-    (STOP_COST_S + priority_cost_s(spec.priority) + lost_s + fresh_cost_s) * stopped_tasks
+    (STOP_COST_S + priority_cost_s(spec.priority) + lost_s + recent_start_cost_s) * stopped_tasks
 }
 
 /// What stopping a task costs for its priority, in seconds.
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -16,7 +16,7 @@
 
 /// Users are promised that a job starts within four minutes: a job that has
 /// waited this long without a start goes before all but services.
-const OVERDUE_S: f64 = 150.0;
+const STARVATION_AGE_S: f64 = 150.0;
 /// Among overdue jobs, the largest of a class goes as if it had waited this
 /// much longer.
 const LARGEST_JOB_BONUS_S: f64 = 60.0;
@@ -32,13 +32,13 @@
 /// A GPU counts as this many CPUs in the amount of a job's work.
 const CPUS_PER_GPU: f64 = 8.0;
 /// Least CPUs that a task counts as.
-const CPUS_MIN: f64 = 0.1;
+const TASK_CPUS_MIN: f64 = 0.1;
 
 /// Jobs of an earlier tier go first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum PriorityTier {
     Production,
-    Overdue,
+    Starved,
     High,
     Normal,
     Low,
@@ -123,13 +123,13 @@
 fn queue_position(cluster: &ClusterState, now: Millis, job: &Job, largest_of_class: u32) -> QueuePosition {
     let tier = match job.spec.priority {
         Priority::Production => PriorityTier::Production,
-        _ if is_overdue_unplaced(now, job) => PriorityTier::Overdue,
+        _ if is_starved_unplaced(now, job) => PriorityTier::Starved,
         Priority::High => PriorityTier::High,
         Priority::Normal => PriorityTier::Normal,
         Priority::Low => PriorityTier::Low,
     };
-    let (quota_class, urgency) = if tier == PriorityTier::Overdue {
-        (QuotaClass::WithinGuarantee, overdue_urgency(now, job, largest_of_class))
+    let (quota_class, urgency) = if tier == PriorityTier::Starved {
+        (QuotaClass::WithinGuarantee, starved_urgency(now, job, largest_of_class))
     } else {
         (quota_class(cluster, job), urgency(cluster, now, job))
     };
@@ -140,7 +140,7 @@
 ///
 /// Guard: when more is overdue than there is capacity for, the largest job of a
 /// class, the hardest to place, would come too late.
-fn overdue_urgency(now: Millis, job: &Job, largest_of_class: u32) -> Urgency {
+fn starved_urgency(now: Millis, job: &Job, largest_of_class: u32) -> Urgency {
     let share_of_largest = f64::from(job.spec.tasks) / f64::from(largest_of_class.max(1));
     Urgency { missed_objectives: 0, cost: -job.age_s(now) - LARGEST_JOB_BONUS_S * share_of_largest }
 }
@@ -170,7 +170,7 @@
             Milestone::End => optimistic_end_s,
         };
         if reached_s <= objective.within_s {
-            let cpus = (job.spec.cpus + CPUS_PER_GPU * job.spec.gpus).max(CPUS_MIN);
+            let cpus = (job.spec.cpus + CPUS_PER_GPU * job.spec.gpus).max(TASK_CPUS_MIN);
             let work = job.tasks.pending.len() as f64 * run_s * cpus;
             return Urgency { missed_objectives: position as u32, cost: work };
         }
@@ -191,11 +191,11 @@
 
 /// Whether the job has tasks that may be assigned now.
 fn is_ready(now: Millis, job: &Job) -> bool {
-    let has_work = job.status == JobStatus::Pending && !job.tasks.pending.is_empty();
-    let is_held_back = now < job.wait.not_before || job.records.stale || job.records.resharding;
+    let has_pending_tasks = job.status == JobStatus::Pending && !job.tasks.pending.is_empty();
+    let is_blocked = now < job.wait.not_before || job.records.stale || job.records.resharding;
     // A gang starts again only once all tasks of its old attempt are gone.
     let is_partly_placed_gang = job.spec.kind == JobKind::Gang && job.tasks.placed > 0;
-    has_work && !is_held_back && !is_partly_placed_gang
+    has_pending_tasks && !is_blocked && !is_partly_placed_gang
 }
 
 /// Whether nothing of the job has run long enough to count as a start, and by
@@ -203,11 +203,11 @@
 ///
 /// Guard: a job that fails everywhere would go before all others for as long as
 /// it is wanted.
-pub fn is_overdue(now: Millis, job: &Job) -> bool {
-    !job.wait.has_counted_start && job.age_s(now) >= OVERDUE_S && !job.failures.is_job_at_fault()
+pub fn is_starved(now: Millis, job: &Job) -> bool {
+    !job.wait.has_counted_start && job.age_s(now) >= STARVATION_AGE_S && !job.failures.is_job_at_fault()
 }
 
 /// Whether the job is overdue and none of its tasks is even assigned.
-pub fn is_overdue_unplaced(now: Millis, job: &Job) -> bool {
-    job.tasks.placed == 0 && is_overdue(now, job)
+pub fn is_starved_unplaced(now: Millis, job: &Job) -> bool {
+    job.tasks.placed == 0 && is_starved(now, job)
 }
--- a/src/coordination/scheduler/task_selection.rs
+++ b/src/coordination/scheduler/task_selection.rs
@@ -14,19 +14,19 @@
 const TASKS_PER_CYCLE: usize = 256;
 /// An overdue array is started with this fraction of its tasks: the aim is that
 /// it begins, not that all of it goes before all other jobs.
-const OVERDUE_ARRAY_DIVISOR: u32 = 16;
+const STARVED_ARRAY_DIVISOR: u32 = 16;
 /// Tasks with which a job that fails everywhere is retried.
 const TASKS_PER_RETRY: usize = 1;
 /// After failures on this many machines, the machines aren't the reason.
 const FAILED_MACHINES_MAX: usize = 4;
 
 /// The tasks of a job that this scheduling cycle tries to place, in order.
-pub fn tasks_to_place(cluster: &ClusterState, job: &Job, is_overdue_unplaced: bool) -> Vec<u32> {
+pub fn tasks_to_place(cluster: &ClusterState, job: &Job, is_starved_unplaced: bool) -> Vec<u32> {
     let pending = job.tasks.pending.len();
     let is_gang = job.spec.kind == JobKind::Gang;
     let within_quota =
         cluster.team_limits(job.spec.team).tasks_within_limit(&job.spec, &cluster.used_by_team(job.spec.team)) as usize;
-    let limit = pending.min(within_quota).min(task_limit(job, is_overdue_unplaced));
+    let limit = pending.min(within_quota).min(task_limit(job, is_starved_unplaced));
     if limit == 0 || (is_gang && limit < pending) {
         tracing::debug!(job = &*job.id, tasks_within_quota = within_quota, "team quota reached");
         return Vec::new();
@@ -34,18 +34,18 @@
     let next_tasks = job.tasks.pending.iter().rev().copied();
     match ChunkCapacity::of(cluster, job) {
         None => next_tasks.take(limit).collect(),
-        Some(mut capacity) => next_tasks.filter(|&task| capacity.take_for(job, task)).take(limit).collect(),
+        Some(mut capacity) => next_tasks.filter(|&task| capacity.try_take(job, task)).take(limit).collect(),
     }
 }
 
 /// Most tasks of the job that one cycle may place, the team's quota aside.
-fn task_limit(job: &Job, is_overdue_unplaced: bool) -> usize {
+fn task_limit(job: &Job, is_starved_unplaced: bool) -> usize {
     let mut limit = TASKS_PER_CYCLE;
     if job.spec.kind == JobKind::Gang {
         return limit.max(job.tasks.pending.len());
     }
-    if is_overdue_unplaced && job.spec.kind == JobKind::Array {
-        limit = limit.min((job.spec.tasks / OVERDUE_ARRAY_DIVISOR).max(1) as usize);
+    if is_starved_unplaced && job.spec.kind == JobKind::Array {
+        limit = limit.min((job.spec.tasks / STARVED_ARRAY_DIVISOR).max(1) as usize);
     }
     if job.failures.is_job_at_fault() {
         limit = limit.min(TASKS_PER_RETRY);
@@ -59,7 +59,7 @@
 /// assignments at a time as can be written under the present one.
 struct ChunkCapacity {
     /// By chunk: how many more assignments fit, plus one.
-    left_plus_one: Vec<u32>,
+    remaining_plus_one: Vec<u32>,
 }
 
 impl ChunkCapacity {
@@ -72,21 +72,21 @@
         {
             return None;
         }
-        let left_plus_one = vec![cluster.config().reduced_chunk_size + 1; job.records.chunks.len()];
-        let mut capacity = ChunkCapacity { left_plus_one };
+        let remaining_plus_one = vec![cluster.config().reduced_chunk_size + 1; job.records.chunks.len()];
+        let mut capacity = ChunkCapacity { remaining_plus_one };
         for (task, slot) in job.tasks.slots.iter().enumerate() {
             if matches!(slot, Slot::Assigned(_)) {
-                capacity.take_for(job, task as u32);
+                capacity.try_take(job, task as u32);
             }
         }
         Some(capacity)
     }
 
     /// Takes capacity for one assignment; false: there is none left.
-    fn take_for(&mut self, job: &Job, task: u32) -> bool {
-        let left = &mut self.left_plus_one[job.chunk_of(task)];
-        *left = left.saturating_sub(1);
-        *left > 0
+    fn try_take(&mut self, job: &Job, task: u32) -> bool {
+        let remaining = &mut self.remaining_plus_one[job.chunk_of(task)];
+        *remaining = remaining.saturating_sub(1);
+        *remaining > 0
     }
 }
 
--- a/src/coordination/scheduler/trial/mod.rs
+++ b/src/coordination/scheduler/trial/mod.rs
@@ -85,7 +85,12 @@
 
 impl<'a> TrialRequest<'a> {
     /// Asks for as many tasks as fit once the tasks being stopped are gone.
-    pub fn later(spec: &'a JobSpec, tasks: &'a [u32], min: usize, zone_used: &'a [u32]) -> TrialRequest<'a> {
+    pub fn with_stopping_capacity(
+        spec: &'a JobSpec,
+        tasks: &'a [u32],
+        min: usize,
+        zone_used: &'a [u32],
+    ) -> TrialRequest<'a> {
         TrialRequest {
             spec,
             tasks,
--- a/src/coordination/scheduler/trial/tree.rs
+++ b/src/coordination/scheduler/trial/tree.rs
@@ -23,7 +23,7 @@
     pub fn trial(&mut self, request: &TrialRequest<'_>) -> TrialResult {
         let mut trial = Trial { snapshot: self, request };
         let outcome = trial.try_root();
-        trial.forget_all(&outcome.placements);
+        trial.remove_assumed(&outcome.placements);
         outcome
     }
 }
@@ -72,8 +72,8 @@
         let mut placements: Vec<TaskPlacement> = Vec::new();
         let mut preemptable = 0;
         for (position, &task) in tasks.iter().enumerate() {
-            let same = placements.last().map(|placement| placement.host).filter(|&host| self.takes_another(host));
-            match same.or_else(|| self.best_host(zone)) {
+            let same_host = placements.last().map(|placement| placement.host).filter(|&host| self.fits_another(host));
+            match same_host.or_else(|| self.best_host(zone)) {
                 Some(host) => {
                     self.snapshot.assume(host, self.request.spec);
                     placements.push(TaskPlacement { task, host });
@@ -84,7 +84,7 @@
                 }
             }
         }
-        self.judge_placements(placements, min, preemptable)
+        self.evaluate(placements, min, preemptable)
     }
 
     /// A node with one child per candidate zone; the feasible one with the
@@ -107,8 +107,8 @@
                 status = outcome.status;
                 continue;
             }
-            let score = self.score_of(&outcome.placements);
-            self.forget_all(&outcome.placements);
+            let score = self.placements_score(&outcome.placements);
+            self.remove_assumed(&outcome.placements);
             if best.as_ref().is_none_or(|best| score > best.score) {
                 best = Some(ScoredOutcome { score, outcome });
             }
@@ -130,40 +130,41 @@
         let limits: Vec<usize> = zones.iter().map(|&zone| spread_limit(request, zone)).collect();
         let all_or_nothing = request.min == request.tasks.len();
         let mut placements: Vec<TaskPlacement> = Vec::new();
-        let mut rest = request.tasks;
+        let mut remaining = request.tasks;
         let mut preemptable = 0;
         for (position, zone) in zones.iter().enumerate() {
-            let part = &rest[..rest.len().min(limits[position])];
-            if part.is_empty() {
+            let zone_tasks = &remaining[..remaining.len().min(limits[position])];
+            if zone_tasks.is_empty() {
                 continue;
             }
             // What later zones can't take must be placed here.
-            let later: usize = limits[position + 1..].iter().sum();
-            let min = if all_or_nothing { rest.len().saturating_sub(later).min(part.len()) } else { 1 };
-            let outcome = self.try_tasks(part, min, Some(*zone));
+            let later_limit: usize = limits[position + 1..].iter().sum();
+            let min =
+                if all_or_nothing { remaining.len().saturating_sub(later_limit).min(zone_tasks.len()) } else { 1 };
+            let outcome = self.try_tasks(zone_tasks, min, Some(*zone));
             if outcome.status != PlacementStatus::Success {
-                preemptable += part.len();
+                preemptable += zone_tasks.len();
                 continue;
             }
             // What doesn't fit here moves on to the next zone.
-            rest = &rest[outcome.placements.len()..];
+            remaining = &remaining[outcome.placements.len()..];
             placements.extend(outcome.placements);
         }
-        self.judge_placements(placements, request.min, preemptable.max(rest.len()))
+        self.evaluate(placements, request.min, preemptable.max(remaining.len()))
     }
 
     /// Judges a node by what was placed; what a failed one assumed is forgotten.
-    fn judge_placements(&mut self, mut placements: Vec<TaskPlacement>, min: usize, preemptable: usize) -> TrialResult {
+    fn evaluate(&mut self, mut placements: Vec<TaskPlacement>, min: usize, preemptable: usize) -> TrialResult {
         let status = PlacementStatus::from_counts(min, placements.len(), 0, preemptable);
         if status != PlacementStatus::Success {
-            self.forget_all(&placements);
+            self.remove_assumed(&placements);
             placements.clear();
         }
         TrialResult { status, placements }
     }
 
     /// Forgets assumed placements, the last one first.
-    fn forget_all(&mut self, placements: &[TaskPlacement]) {
+    fn remove_assumed(&mut self, placements: &[TaskPlacement]) {
         for placement in placements.iter().rev() {
             self.snapshot.forget(placement.host, self.request.spec);
         }
@@ -187,7 +188,7 @@
     }
 
     /// Whether the machine that the job's last task took takes one more of them.
-    fn takes_another(&self, host_index: usize) -> bool {
+    fn fits_another(&self, host_index: usize) -> bool {
         let spec = self.request.spec;
         let host = &self.snapshot.hosts[host_index];
         spec.kind != JobKind::Service
@@ -213,12 +214,12 @@
     }
 
     /// Score of the zone in which these placements are assumed.
-    fn score_of(&self, placements: &[TaskPlacement]) -> f64 {
-        let score_of_pick = |placement: &TaskPlacement| {
+    fn placements_score(&self, placements: &[TaskPlacement]) -> f64 {
+        let host_score_of = |placement: &TaskPlacement| {
             let host = &self.snapshot.hosts[placement.host];
             host.pool.map_or(0.0, |pool| host_score(&self.snapshot.pools[pool], host, self.request.spec))
         };
-        zone_score(placements.iter().map(score_of_pick))
+        zone_score(placements.iter().map(host_score_of))
     }
 }
 
