--- a/src/coordination/scheduler/best_effort.rs
+++ b/src/coordination/scheduler/best_effort.rs
@@ -1,4 +1,4 @@
-//! How many CPUs best-effort work, that of teams without a guarantee, may take.
+//! CPU budget of best-effort arrays: arrays of teams without a guarantee.
 
 use crate::{
     coordination::{
@@ -13,47 +13,47 @@
     storage::records::JobStatus,
 };
 
-/// Work that arrived within this time is expected again within as long: about
-/// the time that a new machine takes to boot.
+/// Jobs that arrived within this window are expected to arrive again within a
+/// window of the same length: about the time that a new machine takes to boot.
 const ARRIVAL_WINDOW_MS: i64 = 30_000;
-/// Share of the CPUs that best-effort work may take as it comes: it must not
-/// starve beside capacity that is kept for others.
+/// Share of the CPUs that best-effort jobs may use even if that leaves less than
+/// is reserved for others: they must not starve while capacity is reserved.
 const BEST_EFFORT_SHARE: f64 = 0.4;
-/// Largest share of the CPUs that is kept free of best-effort work.
+/// Largest share of the CPUs that is reserved against best-effort jobs.
 const RESERVED_SHARE_MAX: f64 = 0.15;
-/// A best-effort job that got no capacity for this long gets some all the same:
-/// none may be left waiting beside free capacity.
+/// A best-effort job to which no task was assigned for this long may place some
+/// tasks beyond the budget: no job may be left waiting beside free capacity.
 const LONGEST_WAIT_MS: Millis = 60_000;
-/// The fraction of its tasks that it gets then...
+/// After a long wait, a job may place its task count divided by this number...
 const LONG_WAIT_DIVISOR: u32 = 64;
-/// ...but at least so many: small jobs get all that they ask for.
+/// ...but at least this many tasks: small jobs may place all of theirs.
 const LONG_WAIT_TASKS_MIN: u32 = 64;
 
-/// CPUs that best-effort work may still take in a scheduling cycle.
+/// CPUs that best-effort jobs may still take in a scheduling cycle.
 pub struct BestEffortBudget {
     cpus: f64,
 }
 
 impl BestEffortBudget {
-    /// The budget of a scheduling cycle that begins now.
+    /// Computes the budget of a scheduling cycle that begins now.
     ///
-    /// Guard: best-effort tasks may run for minutes, and work of the same
-    /// priority can't preempt them: they took all free capacity as it came, and
-    /// others waited until they ended.
+    /// Best-effort tasks may run for minutes, and jobs of the same priority can't
+    /// preempt them. Without a budget they take all free capacity as soon as it
+    /// appears, and other jobs wait until they exit.
     pub fn new(cluster: &ClusterState, now: Millis) -> BestEffortBudget {
         let (mut free, mut capacity) = (0.0, 0.0);
         for pool in pools_for_arrays(cluster.snapshot()) {
             free += pool.free.cpus;
             capacity += pool.capacity.cpus * pool.members.len() as f64;
         }
-        // Guard: where others ask for more than they then use, what is kept for
-        // them would stand idle.
+        // Limited, because capacity reserved for others would stand idle where
+        // they request more than they then use.
         let reserved = expected_cpus(cluster, now).min(RESERVED_SHARE_MAX * capacity);
         let share_left = BEST_EFFORT_SHARE * capacity - best_effort_cpus_used(cluster);
         BestEffortBudget { cpus: (free - reserved).max(share_left).max(0.0) }
     }
 
-    /// How many tasks of a best-effort job may be placed now.
+    /// Returns how many tasks of a best-effort job may be placed now.
     pub fn task_limit(&self, now: Millis, job: &Job) -> usize {
         let tasks_within_budget = (self.cpus / job.spec.cpus.max(RESOURCE_TOLERANCE)) as usize;
         let has_waited = !job.wait.ever_assigned || now >= job.statistics.last_assigned + LONGEST_WAIT_MS;
@@ -64,25 +64,26 @@
         }
     }
 
-    /// Takes the CPUs of placed tasks off the budget.
+    /// Deducts the CPUs of placed tasks from the budget.
     pub fn charge(&mut self, tasks: usize, spec: &JobSpec) {
         self.cpus -= tasks as f64 * spec.cpus;
     }
 }
 
-/// Whether a job gets only what others leave: an array of a team to which
-/// nothing is guaranteed.
+/// Reports whether a job gets only the capacity that other jobs leave: an array
+/// of a team without a guarantee.
 pub fn is_best_effort_array(cluster: &ClusterState, job: &Job) -> bool {
     job.spec.kind == JobKind::Array && cluster.is_best_effort(job.spec.team)
 }
 
-/// CPUs that best-effort teams use.
+/// Returns the CPUs that best-effort teams use.
 fn best_effort_cpus_used(cluster: &ClusterState) -> f64 {
     let teams = (0..cluster.team_count() as u32).map(TeamIndex);
     teams.filter(|&team| cluster.is_best_effort(team)).map(|team| cluster.used_by_team(team).cpus).sum()
 }
 
-/// Pools of machines without GPUs; all pools, where there are no such machines.
+/// Returns the non-empty pools of machines without GPUs, or all non-empty pools
+/// if there are no such machines.
 fn pools_for_arrays(snapshot: &ClusterSnapshot) -> Vec<&Pool> {
     let pools = snapshot.pools.iter().filter(|pool| !pool.members.is_empty());
     let (with_gpus, without_gpus): (Vec<&Pool>, Vec<&Pool>) =
@@ -94,7 +95,7 @@
     }
 }
 
-/// CPUs that arrays of teams with a guarantee may be expected to ask for.
+/// Returns the CPUs that arrays of teams with a guarantee are expected to request.
 fn expected_cpus(cluster: &ClusterState, now: Millis) -> f64 {
     let arrived_recently = |job: &&Job| now as i64 - job.wait.since < ARRIVAL_WINDOW_MS;
     cluster
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -1,4 +1,4 @@
-//! One scheduling cycle: places the waiting jobs one after the other.
+//! One scheduling cycle: places the waiting jobs one after another.
 
 use std::rc::Rc;
 
@@ -21,12 +21,12 @@
     storage::job_cache::JobIndex,
 };
 
-/// Pause after tasks were preempted for a job before more are.
+/// Pause after tasks were preempted for a job before more are preempted for it.
 const PREEMPTED_PAUSE_MS: Millis = 1_000;
-/// Pause after nothing could be preempted for a job.
+/// Pause before the next attempt after nothing could be preempted for a job.
 const NOTHING_PREEMPTED_PAUSE_MS: Millis = 2_000;
 
-/// A scheduling cycle in progress, and what it keeps from one job to the next.
+/// A scheduling cycle in progress, with the state carried from one job to the next.
 pub struct SchedulingCycle<'a> {
     cluster: &'a mut ClusterState,
     preemption_samples: &'a mut SampleCursor,
@@ -40,30 +40,31 @@
     gang_reservations: GangReservations,
 }
 
-/// Counts the gangs that collect machines: at most one for each zone at a time.
+/// Counts the gangs for which capacity is reserved in this cycle: at most one for
+/// each zone of the cluster.
 struct GangReservations {
     count: usize,
     max: usize,
 }
 
-/// What one job asks of the cycle.
+/// The tasks of one job that the cycle tries to place.
 struct PlacementRequest {
     job: JobIndex,
     spec: Rc<JobSpec>,
-    /// How many tasks the job would place if it were not best-effort work.
+    /// How many tasks the job would place without the best-effort budget.
     wanted: usize,
     /// The tasks to place, in order.
     tasks: Vec<u32>,
     zone_used: Vec<u32>,
-    /// Machines on which its tasks failed.
+    /// Machines on which tasks of the job failed.
     avoid: Vec<MachineIndex>,
     is_best_effort: bool,
-    /// Overdue, with no task assigned.
+    /// Whether the job is starved and none of its tasks is assigned.
     is_starved: bool,
 }
 
 impl<'a> SchedulingCycle<'a> {
-    /// A cycle that has placed nothing yet.
+    /// Creates a cycle that has placed nothing yet.
     pub fn new(cluster: &'a mut ClusterState, preemption_samples: &'a mut SampleCursor, now: Millis) -> Self {
         SchedulingCycle {
             now,
@@ -77,18 +78,19 @@
         }
     }
 
-    /// Ends the cycle: releases what it reserved and publishes the unmet demand.
+    /// Ends the cycle: releases its reservations and publishes the unmet demand.
     pub fn finish(self) {
         self.cluster.snapshot_mut().release(0);
         self.cluster.set_unmet_demand(self.unmet);
     }
 
-    /// Places a job's waiting tasks, or makes or reserves capacity for them.
+    /// Places a job's waiting tasks; for those that don't fit, reserves capacity
+    /// or preempts other tasks.
     pub fn schedule_job(&mut self, index: JobIndex) {
         let Some(job) = self.cluster.job(index) else { return };
         if job.spec.kind != JobKind::Service {
-            // Services come first in the queue; what follows leaves capacity
-            // for the replicas that are expected next.
+            // Services come first in the queue; the jobs after them leave
+            // capacity for the replicas that are expected next.
             self.reserve_headroom();
         }
         let Some(request) = self.placement_request(index) else { return };
@@ -112,14 +114,14 @@
         }
     }
 
-    /// Reserves capacity for the expected replicas, once in a cycle.
+    /// Reserves capacity for the expected replicas, once per cycle.
     fn reserve_headroom(&mut self) {
         for expected in self.headroom.take().into_iter().flatten() {
             headroom::reserve_headroom(self.cluster, &expected);
         }
     }
 
-    /// What a job asks for; `None` if none of its tasks may be placed.
+    /// Returns the tasks of a job to place; `None` if none may be placed.
     fn placement_request(&self, index: JobIndex) -> Option<PlacementRequest> {
         let job = self.cluster.job(index)?;
         let is_starved = is_starved_unplaced(self.now, job);
@@ -144,7 +146,7 @@
         })
     }
 
-    /// Assigns the tasks that fit now and returns their number.
+    /// Assigns the tasks that fit now and returns their count.
     fn place(&mut self, request: &PlacementRequest) -> usize {
         if request.tasks.is_empty() || self.infeasible.is_infeasible_now(&request.spec) {
             return 0;
@@ -187,8 +189,8 @@
         }
     }
 
-    /// Records tasks that found no free capacity. Those of a job that fails
-    /// everywhere don't count as demand.
+    /// Records tasks that found no free capacity. Tasks of a job that fails on
+    /// every machine are not included in the demand.
     fn record_unmet(&mut self, index: JobIndex, tasks: usize) {
         let is_faulty = self.cluster.job(index).is_some_and(|job| job.failures.is_job_at_fault());
         if !is_faulty {
@@ -196,8 +198,8 @@
         }
     }
 
-    /// Reserves the capacity that tasks being stopped will leave for tasks that
-    /// don't fit now, or preempts others for them.
+    /// Reserves the capacity that tasks being stopped will free for tasks that
+    /// don't fit now, or preempts other tasks for them.
     fn reclaim_capacity(&mut self, index: JobIndex, tasks: &[u32]) {
         let Some(job) = self.cluster.job(index) else { return };
         if tasks.is_empty() || !preemption::may_preempt(self.now, job) {
@@ -224,8 +226,8 @@
         }
     }
 
-    /// Reserves capacity that tasks being stopped will leave, and returns for
-    /// how many of `tasks` there was some.
+    /// Reserves capacity that tasks being stopped will free, and returns for how
+    /// many of `tasks` it was reserved.
     fn reserve_stopping_capacity(&mut self, index: JobIndex, tasks: &[u32]) -> usize {
         let Some(job) = self.cluster.job(index) else { return 0 };
         let spec = job.spec.clone();
@@ -243,9 +245,10 @@
         outcome.placements.len()
     }
 
-    /// Guard: smaller work takes every machine that a large gang could begin to
-    /// collect. The capacity that there is for a gang that is overdue is reserved
-    /// against all jobs after it, cycle by cycle, until there is enough.
+    /// Reserves the available capacity for a starved gang, so that no later job in
+    /// the queue takes it. Each cycle does so again, until the whole gang fits.
+    /// Without this, smaller jobs take every machine that becomes free, and a large
+    /// gang never finds enough of them at once.
     fn reserve_for_gang(&mut self, request: &PlacementRequest) {
         let spec = &request.spec;
         let trial = TrialRequest::with_stopping_capacity(spec, &request.tasks, 1, &request.zone_used);
@@ -269,13 +272,14 @@
 }
 
 impl PlacementRequest {
-    /// Whether nothing but the job's shape restricts where its tasks may go.
+    /// Reports whether the job's shape alone restricts where its tasks may be
+    /// placed.
     fn is_unrestricted(&self) -> bool {
         self.avoid.is_empty() && uses_no_zone(&self.zone_used)
     }
 }
 
-/// How many of a job's tasks must be placed together.
+/// Returns how many of a job's tasks must be placed together.
 fn min_tasks(spec: &JobSpec, tasks: usize) -> usize {
     match spec.kind {
         JobKind::Gang => tasks,
--- a/src/coordination/scheduler/gpu_demand.rs
+++ b/src/coordination/scheduler/gpu_demand.rs
@@ -1,4 +1,4 @@
-//! GPU demand: which shapes of GPU work were seen in the last minutes.
+//! GPU demand: the shapes of the GPU jobs seen in the last minutes.
 
 use std::rc::Rc;
 
@@ -10,35 +10,38 @@
     protocol::jobs::JobSpec,
 };
 
-/// GPU work is expected again for this long after it was last seen.
+/// How long GPU jobs of a shape are expected again after one was last seen.
 const RETENTION_MS: Millis = 900_000;
-/// Most shapes kept, so that unusual jobs can't grow the list without bound.
+/// Maximum number of shapes kept, so that unusual jobs can't grow the list
+/// without bound.
 const SHAPE_LIMIT: usize = 32;
 
-/// GPU work that asks for the same resources and machine types.
+/// GPU jobs that request the same resources and machine types.
 #[derive(Debug)]
 pub struct GpuShape {
     /// One job of this shape.
     pub spec: Rc<JobSpec>,
-    /// When there last was an unfinished job of this shape.
+    /// When an unfinished job of this shape last existed.
     last_seen: Millis,
-    /// When the latest job of this shape became ready.
+    /// When the latest job of this shape became ready, in milliseconds on the
+    /// monotonic clock; negative if that was before the clock's start.
     pub latest_arrival: i64,
 }
 
-/// The shapes of GPU work seen recently.
+/// The shapes of the GPU jobs seen recently.
 #[derive(Debug, Default)]
 pub struct GpuDemand {
     shapes: Vec<GpuShape>,
 }
 
 impl GpuDemand {
-    /// The shapes seen recently, each once.
+    /// Returns the shapes seen recently, each once.
     pub fn shapes(&self) -> &[GpuShape] {
         &self.shapes
     }
 
-    /// Adds the shapes of the unfinished jobs, and drops those not seen for long.
+    /// Adds the shapes of the unfinished jobs, and drops shapes last seen longer
+    /// than the retention time ago.
     pub fn observe<'a>(&mut self, now: Millis, jobs: impl Iterator<Item = &'a Job>) {
         self.shapes.retain(|shape| now < shape.last_seen + RETENTION_MS);
         for job in jobs.filter(|job| job.spec.gpus > 0.0) {
@@ -47,14 +50,15 @@
     }
 
     /// Sets on each pool of GPU machines how much of a machine's capacity the
-    /// GPU work seen recently may need.
+    /// GPU jobs seen recently may need.
     pub fn protect_gpu_capacity(&self, pools: &mut [Pool]) {
         for pool in pools {
             pool.protected_for_gpu_work = if pool.capacity.gpus <= 0.0 { None } else { self.largest_need_in(pool) };
         }
     }
 
-    /// The largest need, by resource, of the GPU work that can run in the pool.
+    /// Returns the largest request, by resource, of the GPU jobs that can run in
+    /// the pool; `None` if there are no such jobs.
     fn largest_need_in(&self, pool: &Pool) -> Option<Resources> {
         let may_use_pool = |shape: &&GpuShape| {
             shape.spec.allows_type(pool.machine_type)
--- a/src/coordination/scheduler/headroom.rs
+++ b/src/coordination/scheduler/headroom.rs
@@ -10,10 +10,10 @@
 
 /// Window over which the arrival rate of replicas is measured.
 const ARRIVAL_WINDOW_S: f64 = 120.0;
-/// Capacity is reserved for as many as arrive in this time: about what a new
-/// machine takes to boot.
+/// Capacity is reserved for the replicas expected to arrive within this time:
+/// about the time that a new machine takes to boot.
 const LEAD_TIME_S: f64 = 30.0;
-/// Most replicas of one class that capacity is reserved for.
+/// Maximum number of replicas of one class for which capacity is reserved.
 const REPLICAS_MAX: usize = 4;
 
 /// Replicas of one class that are expected soon.
@@ -28,8 +28,9 @@
     replicas: f64,
 }
 
-/// Classes of the unfinished production services, and how many replicas of each
-/// may be expected within the time that a new machine takes to boot.
+/// Returns the classes of the unfinished production services, with the number of
+/// replicas of each that are expected within the time that a new machine takes to
+/// boot.
 pub fn expected_replicas(cluster: &ClusterState, now: Millis) -> Vec<ExpectedReplicas> {
     let mut arrivals: Vec<RecentArrivals> = Vec::new();
     for job in cluster.active_jobs() {
@@ -47,7 +48,7 @@
     arrivals.into_iter().map(RecentArrivals::expected).collect()
 }
 
-/// Reserves capacity for replicas until the reservations are released.
+/// Reserves capacity for replicas of one class, until the reservations are released.
 pub fn reserve_headroom(cluster: &mut ClusterState, expected: &ExpectedReplicas) {
     let spec = &expected.spec;
     let tasks: Vec<u32> = (0..expected.replicas as u32).collect();
--- a/src/coordination/scheduler/infeasible.rs
+++ b/src/coordination/scheduler/infeasible.rs
@@ -1,43 +1,45 @@
-//! Shapes of work that a scheduling cycle found infeasible.
+//! Shapes of tasks that a scheduling cycle found infeasible.
 
 use std::rc::Rc;
 
 use crate::protocol::jobs::{JobKind, JobSpec};
 
-/// Shapes for which a scheduling cycle found no capacity at all. What is free
-/// only shrinks within a cycle, so work that is at least as hard to place isn't
-/// tried again.
+/// Shapes for which a scheduling cycle found no capacity at all. Free capacity
+/// only shrinks within a cycle, so tasks that are at least as hard to place are
+/// not tried again.
 #[derive(Default)]
 pub struct InfeasibleShapes {
-    /// They don't fit now.
+    /// Shapes that don't fit now.
     now: Vec<Rc<JobSpec>>,
-    /// They don't fit even once the tasks being stopped are gone.
+    /// Shapes that don't fit even after the tasks being stopped have exited.
     after_stops: Vec<Rc<JobSpec>>,
 }
 
 impl InfeasibleShapes {
-    /// Whether tasks of this shape can't fit now.
+    /// Reports whether tasks of this shape can't fit now.
     pub fn is_infeasible_now(&self, spec: &JobSpec) -> bool {
         self.now.iter().any(|failed| is_at_least_as_hard(spec, failed))
     }
 
-    /// Whether tasks of this shape can't fit even once the tasks being stopped are gone.
+    /// Reports whether tasks of this shape can't fit even after the tasks being
+    /// stopped have exited.
     pub fn is_infeasible_after_stops(&self, spec: &JobSpec) -> bool {
         self.after_stops.iter().any(|failed| is_at_least_as_hard(spec, failed))
     }
 
-    /// A shape that doesn't fit now.
+    /// Records a shape that doesn't fit now.
     pub fn add_infeasible_now(&mut self, spec: Rc<JobSpec>) {
         self.now.push(spec);
     }
 
-    /// A shape that doesn't fit even once the tasks being stopped are gone.
+    /// Records a shape that doesn't fit even after the tasks being stopped have
+    /// exited.
     pub fn add_infeasible_after_stops(&mut self, spec: Rc<JobSpec>) {
         self.after_stops.push(spec);
     }
 }
 
-/// Whether `spec` can't fit where `failed` didn't.
+/// Reports whether `spec` can't fit where `failed` didn't.
 fn is_at_least_as_hard(spec: &JobSpec, failed: &JobSpec) -> bool {
     let needs_as_many_at_once =
         failed.kind != JobKind::Gang || (spec.kind == JobKind::Gang && spec.tasks >= failed.tasks);
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! [`Scheduler`] runs scheduling cycles over the [`ClusterState`]. Each cycle
 //! walks the waiting jobs in queue order, tries to place every job on the
-//! [`ClusterSnapshot`](super::snapshot::ClusterSnapshot), turns what was found
-//! into assignments, and preempts other tasks where that is allowed.
+//! [`ClusterSnapshot`](super::snapshot::ClusterSnapshot), turns the placements
+//! found into assignments, and preempts other tasks where that is allowed.
 
 mod best_effort;
 mod cycle;
@@ -19,7 +19,7 @@
 use self::{cycle::SchedulingCycle, gpu_demand::GpuDemand, preemption::SampleCursor};
 use super::{cluster::ClusterState, model::Millis};
 
-/// What the scheduler keeps from one cycle to the next.
+/// The scheduler's state that lasts from one cycle to the next.
 #[derive(Debug, Default)]
 pub struct Scheduler {
     last_cycle: Millis,
@@ -28,19 +28,19 @@
 }
 
 impl Scheduler {
-    /// The GPU work seen recently.
+    /// Returns the GPU demand seen recently.
     pub fn gpu_demand(&self) -> &GpuDemand {
         &self.gpu_demand
     }
 
-    /// Whether a scheduling cycle is due: one is needed and the last began at
-    /// least `min_gap_ms` ago, or the last began `max_gap_ms` ago.
+    /// Reports whether a scheduling cycle is due: one is needed and the last began
+    /// at least `min_gap_ms` ago, or the last began at least `max_gap_ms` ago.
     pub fn is_cycle_due(&self, now: Millis, cycle_needed: bool, min_gap_ms: Millis, max_gap_ms: Millis) -> bool {
         let gap_ms = now.saturating_sub(self.last_cycle);
         (cycle_needed && gap_ms >= min_gap_ms) || gap_ms >= max_gap_ms
     }
 
-    /// Tries to place every waiting job.
+    /// Runs one scheduling cycle, which tries to place every waiting job.
     pub fn run_cycle(&mut self, cluster: &mut ClusterState, now: Millis) {
         cluster.clear_cycle_request();
         self.last_cycle = now;
--- a/src/coordination/scheduler/preemption/mod.rs
+++ b/src/coordination/scheduler/preemption/mod.rs
@@ -1,5 +1,5 @@
-//! Preemption: tasks are stopped so that a job of higher priority, or one
-//! within its team's guarantee, gets capacity.
+//! Preemption: stops tasks so that a job of higher priority, or one within its
+//! team's guarantee, gets capacity.
 
 mod planner;
 mod victims;
@@ -18,16 +18,17 @@
     storage::job_cache::JobIndex,
 };
 
-/// How long work of normal priority waits before others' work is preempted for it.
+/// How long a job of normal priority waits before other tasks are preempted for it.
 const PREEMPTION_DELAY_MS: i64 = 10_000;
-/// Tasks of one array for which others are preempted in one scheduling cycle.
+/// Maximum number of tasks of one array for which others are preempted in one
+/// scheduling cycle.
 const ARRAY_TASKS_PER_CYCLE: usize = 4;
 /// The next sample of machines begins at the last start times this...
 const CURSOR_MULTIPLIER: u32 = 5;
 /// ...plus this, modulo the number of machines: so that samples differ.
 const CURSOR_INCREMENT: u32 = 101;
 
-/// Where the samples of machines that preemption looks at begin.
+/// The machine at which the latest sample of machines for preemption began.
 #[derive(Debug, Default)]
 pub struct SampleCursor {
     start: u32,
@@ -42,9 +43,10 @@
     }
 }
 
-/// Whether other work may be preempted for this job by now.
+/// Reports whether other tasks may be preempted for this job now.
 pub fn may_preempt(now: Millis, job: &Job) -> bool {
-    // Guard: what fails everywhere would have others stopped again and again.
+    // A job that fails on every machine would preempt other tasks again and
+    // again.
     if job.failures.is_job_at_fault() {
         return false;
     }
@@ -58,8 +60,8 @@
     }
 }
 
-/// Preempts other work so that `tasks` of a job get capacity, and reserves what
-/// is freed for them. True if something was stopped.
+/// Preempts other tasks so that `tasks` of a job get capacity, and reserves the
+/// freed capacity for them. Returns whether any task was stopped.
 pub fn preempt(
     cluster: &mut ClusterState,
     samples: &mut SampleCursor,
@@ -87,11 +89,13 @@
     stopped > 0
 }
 
-/// The plan for the most tasks and, among those, the one that costs least.
+/// Returns the plan that makes capacity for the most tasks and, among those, the
+/// one with the lowest cost.
 ///
-/// Guard: a gang that must be in one zone went to that of its first task's
-/// cheapest machine, and waited when that had too few. Each zone is planned
-/// for by itself; the feasible plan that costs least wins.
+/// A gang that must be in one zone is planned for each zone separately, and the
+/// feasible plan with the lowest cost wins. A single plan would choose the zone of
+/// the machine that is cheapest for the first task, and the gang would wait if that
+/// zone had too few machines.
 fn best_plan(
     cluster: &mut ClusterState,
     planner: &PreemptionPlanner,
@@ -109,7 +113,8 @@
     zones.into_iter().map(Some).collect()
 }
 
-/// Stops a task, or its whole gang. False: it is gone already.
+/// Stops a task, or its whole gang. Returns false if its assignment no longer
+/// exists.
 fn stop_victim(cluster: &mut ClusterState, now: Millis, victim: AssignmentIndex, preemptor: &JobSpec) -> bool {
     let Some(assignment) = cluster.assignment(victim) else { return false };
     let job_index = assignment.job;
--- a/src/coordination/scheduler/preemption/planner.rs
+++ b/src/coordination/scheduler/preemption/planner.rs
@@ -1,4 +1,4 @@
-//! Plans which tasks are preempted, and on which machines.
+//! Plans which tasks to preempt, and on which machines.
 
 use super::victims::{Victim, VictimSelector};
 use crate::{
@@ -17,25 +17,26 @@
 
 /// Machines of each pool sampled for one plan.
 const MACHINES_SAMPLED: usize = 256;
-/// Those of them whose tasks are examined for one task.
+/// Sampled machines whose assignments are examined to place one task.
 const MACHINES_EXAMINED: usize = 64;
-/// Priorities by which a machine's use is counted.
+/// Number of priorities by which a machine's used capacity is counted.
 const PRIORITY_COUNT: usize = 4;
-/// A fetch on a machine without the image costs this many times its seconds.
+/// On a machine without the image, the plan's cost rises by the expected fetch
+/// time in seconds times this factor.
 const FETCH_COST_FACTOR: f64 = 2.0;
 
-/// The machines for a job's tasks, and what is preempted there.
+/// The machines for a job's tasks, and the tasks preempted there.
 #[derive(Default)]
 pub struct PreemptionPlan {
-    /// Cost of all that is preempted, in seconds.
+    /// Cost of the whole plan, in seconds.
     pub cost: f64,
     /// The machines, one entry for each task.
     pub hosts: Vec<usize>,
-    /// The assignments to be stopped.
+    /// The assignments to stop.
     pub victims: Vec<AssignmentIndex>,
 }
 
-/// What is preempted on one machine so that one task fits there.
+/// The preemption on one machine that lets one task fit there.
 struct HostPreemption {
     host: usize,
     cost: f64,
@@ -50,9 +51,9 @@
     preemptor: &'a Job,
     /// The machines to search, by their index.
     sample: &'a [usize],
-    /// The job's assignments by zone, those planned included.
+    /// The job's assignments by zone, including those planned.
     zone_used: &'a [u32],
-    /// Assignments that the plan stops already.
+    /// Assignments that the plan already stops.
     planned_victims: &'a [AssignmentIndex],
 }
 
@@ -66,8 +67,9 @@
 }
 
 impl PreemptionPlanner {
-    /// What is preempted, and where, so that `task_count` tasks fit; in `zone`
-    /// only, if one is given. `None`: not enough may be preempted.
+    /// Returns the preemptions that let `task_count` tasks fit, or as many as
+    /// possible of a job that isn't a gang; in `zone` only, if one is given.
+    /// `None` if too little may be preempted.
     pub fn plan(
         &self,
         cluster: &mut ClusterState,
@@ -76,13 +78,14 @@
     ) -> Option<PreemptionPlan> {
         let reservations = cluster.snapshot().reservations();
         let plan = self.plan_with_reservations(cluster, task_count, zone);
-        // What is stopped counts as such by itself; the capacity is reserved
-        // again once a plan is chosen.
+        // Victims are accounted for as stopping when they are stopped; the
+        // capacity is reserved again after a plan is chosen.
         cluster.snapshot_mut().release(reservations);
         plan.filter(|plan| !plan.hosts.is_empty())
     }
 
-    /// As [`PreemptionPlanner::plan`], but what is planned stays reserved.
+    /// Returns the same plan as [`PreemptionPlanner::plan`], but leaves the planned
+    /// capacity reserved.
     fn plan_with_reservations(
         &self,
         cluster: &mut ClusterState,
@@ -128,7 +131,8 @@
 }
 
 impl HostSearch<'_> {
-    /// The preemption that costs least on the machines of the sample.
+    /// Returns the preemption with the lowest cost on the machines of the sample;
+    /// `None` if there is none that lets the task fit.
     fn cheapest(&self) -> Option<HostPreemption> {
         let snapshot = self.cluster.snapshot();
         let mut cheapest: Option<HostPreemption> = None;
@@ -146,13 +150,15 @@
         cheapest
     }
 
-    /// Whether a task would be allowed on the machine, and would fit if all were
-    /// stopped that may be at best.
+    /// Reports whether a task would be allowed in the machine's zone, and would fit
+    /// on the machine if all tasks of lower priority (for a job within its guarantee,
+    /// all tasks) were stopped.
     fn may_fit(&self, host: &Host, pool: &Pool) -> bool {
         zone_allows(&self.preemptor.spec, pool.zone, self.zone_used) && may_free_enough(self.preemptor, host)
     }
 
-    /// What is stopped on one machine so that a task fits there.
+    /// Returns the preemption on one machine that lets a task fit there; `None` if
+    /// it doesn't fit even then.
     fn preemption_on(&self, host_index: usize, host: &Host, pool: &Pool) -> Option<HostPreemption> {
         let spec = &self.preemptor.spec;
         let assignments = &self.cluster.machine(MachineIndex(host_index as u32)).load.assignments;
@@ -171,7 +177,7 @@
     }
 }
 
-/// Takes victims in order until the task fits. `None`: it doesn't fit even then.
+/// Chooses victims in order until the task fits. `None` if it doesn't fit even then.
 fn choose_victims(need: &Resources, available: Resources, victims: Vec<Victim>, host: usize) -> Option<HostPreemption> {
     let mut available = available;
     let mut preemption = HostPreemption { host, cost: 0.0, victims: Vec::new(), freed: Resources::default() };
@@ -190,7 +196,7 @@
     need.fits_in(&available).then_some(preemption)
 }
 
-/// Whether a victim uses some resource of which too little is available.
+/// Reports whether a victim uses a resource of which too little is available.
 fn frees_missing_resource(freed: &Resources, need: &Resources, available: &Resources) -> bool {
     (freed.gpus > 0.0 && available.gpus < need.gpus)
         || (freed.cpus > 0.0 && available.cpus + RESOURCE_TOLERANCE < need.cpus)
@@ -204,7 +210,7 @@
     zone_used[zone.as_usize()] += 1;
 }
 
-/// Whether one more task of the job may be in this zone.
+/// Reports whether one more task of the job may be placed in this zone.
 fn zone_allows(spec: &JobSpec, zone: ZoneIndex, zone_used: &[u32]) -> bool {
     let here = zone_used.get(zone.as_usize()).copied().unwrap_or(0);
     let elsewhere = zone_used.iter().sum::<u32>() - here;
@@ -213,7 +219,8 @@
     !is_other_zone && !is_full
 }
 
-/// Whether a task would fit if all were stopped that may be at best.
+/// Reports whether a task would fit if all tasks of lower priority (for a job
+/// within its guarantee, all tasks) on the machine were stopped.
 fn may_free_enough(job: &Job, host: &Host) -> bool {
     let stoppable_priorities = if job.within_guarantee { PRIORITY_COUNT } else { job.spec.priority as usize };
     let max_available = host.used_by_priority[..stoppable_priorities]
--- a/src/coordination/scheduler/preemption/victims.rs
+++ b/src/coordination/scheduler/preemption/victims.rs
@@ -1,4 +1,4 @@
-//! Which tasks may be preempted for a job, and what that costs.
+//! Selection of the tasks that may be preempted for a job, and their cost.
 
 use crate::{
     coordination::{
@@ -14,20 +14,20 @@
 };
 
 /// How long a job within its team's guarantee waits before capacity that others
-/// borrowed is reclaimed: some may come back by itself.
+/// borrowed is reclaimed: some may become free without preemption.
 const RECLAIM_DELAY_MS: i64 = 12_000;
-/// Seconds that stopping any task costs.
+/// Base cost of stopping any task, in seconds.
 const STOP_COST_S: f64 = 5.0;
-/// Seconds that stopping a task soon after its start costs in addition: such a
-/// start doesn't count, and its users waited for nothing.
+/// Additional cost of stopping a task soon after its start, in seconds: such a
+/// start is not counted as one, and its users have waited in vain.
 const RECENT_START_COST_S: f64 = 60.0;
 
 /// A task that may be preempted.
 pub struct Victim {
     pub assignment: AssignmentIndex,
-    /// What it would free.
+    /// The resources that stopping it would free.
     pub freed: Resources,
-    /// What stopping it costs, in seconds.
+    /// Cost of stopping it, in seconds.
     pub cost: f64,
 }
 
@@ -40,8 +40,8 @@
 }
 
 impl VictimSelector<'_> {
-    /// The tasks among `assignments` that may be preempted and aren't yet, the
-    /// cheapest first.
+    /// Returns the tasks among `assignments` that may be preempted and are not
+    /// among those already chosen, in ascending order of cost.
     pub fn victims_among(&self, assignments: &[AssignmentIndex], already_chosen: &[AssignmentIndex]) -> Vec<Victim> {
         let mut victims: Vec<Victim> = assignments
             .iter()
@@ -52,7 +52,7 @@
         victims
     }
 
-    /// A task as a victim, or `None` when the preemptor may not stop it.
+    /// Returns a task as a victim, or `None` if the preemptor may not stop it.
     fn victim(&self, index: AssignmentIndex) -> Option<Victim> {
         let assignment = self.cluster.assignment(index)?;
         if assignment.halt.is_some() || matches!(assignment.state, AssignmentState::Ended(_)) {
@@ -67,8 +67,8 @@
             return None;
         }
         let ran_s = self.ran_s(assignment);
-        // Guard: an overdue job that was let start at last is not stopped before
-        // its start counts; otherwise it might never.
+        // A starved job that eventually started is not stopped before it has run
+        // long enough to count as started; otherwise it might never reach that.
         let is_recent_start = ran_s * 1000.0 < START_COUNTS_MS as f64;
         if self.preemptor.spec.priority < Priority::Production && is_starved(self.now, job) && is_recent_start {
             return None;
@@ -77,13 +77,14 @@
         Some(Victim { assignment: index, freed: Resources::of(&job.spec), cost })
     }
 
-    /// Seconds that the task has been running.
+    /// Returns the seconds for which the task has been running; 0 if it isn't.
     fn ran_s(&self, assignment: &Assignment) -> f64 {
         assignment.running_since.map_or(0.0, |since| (self.now - since) as f64 / 1000.0)
     }
 
-    /// Whether a job's team uses more than its guarantee, of what the preemptor
-    /// is guaranteed.
+    /// Reports whether the preemptor, within its team's guarantee, may reclaim
+    /// capacity from a job: the job's team uses more than its own guarantee of a
+    /// resource that the preemptor needs.
     fn may_reclaim_from(&self, job: &Job) -> bool {
         let preemptor = self.preemptor;
         let has_waited = preemptor.waited_ms(self.now) >= RECLAIM_DELAY_MS;
@@ -99,7 +100,7 @@
     }
 }
 
-/// What stopping a task that ran for `ran_s` costs, in seconds.
+/// Returns the cost, in seconds, of stopping a task that ran for `ran_s`.
 fn stop_cost_s(job: &Job, ran_s: f64, is_recent_start: bool) -> f64 {
     let spec = &job.spec;
     let lost_s =
@@ -110,7 +111,8 @@
     (STOP_COST_S + priority_cost_s(spec.priority) + lost_s + recent_start_cost_s) * stopped_tasks
 }
 
-/// What stopping a task costs for its priority, in seconds.
+/// Returns the part of the cost of stopping a task that its priority determines,
+/// in seconds.
 fn priority_cost_s(priority: Priority) -> f64 {
     match priority {
         Priority::Low => 0.0,
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -14,27 +14,29 @@
     storage::{job_cache::JobIndex, records::JobStatus},
 };
 
-/// Users are promised that a job starts within four minutes: a job that has
-/// waited this long without a start goes before all but services.
+/// Age at which a job without a start counts as starved and goes before all jobs
+/// but services. Users are promised that a job starts within four minutes.
 const STARVATION_AGE_S: f64 = 150.0;
-/// Among overdue jobs, the largest of a class goes as if it had waited this
-/// much longer.
+/// Among starved jobs, the largest job of a class is ordered as if it had waited
+/// this much longer.
 const LARGEST_JOB_BONUS_S: f64 = 60.0;
-/// A job is given up for an objective only when it would miss it even if its run
-/// took just this share of the estimate: estimates are often twice too high.
+/// A job is treated as having missed an objective only when it would miss it even
+/// if its run took just this share of the estimate: estimates are often twice too
+/// high.
 const OPTIMISTIC_RUN_SHARE: f64 = 0.4;
 /// Image fetch rate assumed before a machine is chosen, in GB per second.
 const ASSUMED_FETCH_GB_PER_S: f64 = 0.5;
 /// Longest image fetch assumed before a machine is chosen, in seconds.
 const ASSUMED_FETCH_MAX_S: f64 = 30.0;
-/// Most of the fetch that counts against an objective: often the image is cached.
+/// Longest image fetch, in seconds, that is taken into account when an objective is
+/// checked: often the image is cached.
 const OPTIMISTIC_FETCH_MAX_S: f64 = 5.0;
-/// A GPU counts as this many CPUs in the amount of a job's work.
+/// Number of CPUs to which one GPU is equivalent in the amount of a job's work.
 const CPUS_PER_GPU: f64 = 8.0;
-/// Least CPUs that a task counts as.
+/// Minimum number of CPUs per task in the amount of a job's work.
 const TASK_CPUS_MIN: f64 = 0.1;
 
-/// Jobs of an earlier tier go first.
+/// The first ordering criterion of the queue; jobs of an earlier tier go first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum PriorityTier {
     Production,
@@ -44,22 +46,22 @@
     Low,
 }
 
-/// How a job relates to its team's guaranteed quota; within a tier, the earlier
-/// goes first.
+/// How a job relates to its team's guaranteed quota; within a tier, jobs of an
+/// earlier class go first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum QuotaClass {
     WithinGuarantee,
     AboveGuarantee,
-    /// Nothing is guaranteed to its team: it gets what the others leave.
+    /// The job's team has no guarantee: the job gets the capacity that others leave.
     BestEffort,
 }
 
-/// A job's place among those of its tier and quota class: the smaller goes first.
+/// A job's rank among the jobs of its tier and quota class; smaller values go first.
 #[derive(Debug, Clone, Copy)]
 struct Urgency {
-    /// Objectives that it has missed already.
+    /// Number of objectives that the job has already missed; `u32::MAX` for all.
     missed_objectives: u32,
-    /// Its work in CPU seconds or, negated, its age in seconds.
+    /// The job's work in CPU seconds or, negated, its age in seconds.
     cost: f64,
 }
 
@@ -82,7 +84,7 @@
     }
 }
 
-/// What an objective is about.
+/// The event that an objective limits.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Milestone {
     Start,
@@ -96,9 +98,9 @@
     within_s: f64,
 }
 
-/// The jobs that may be placed now, in the order in which they are tried:
-/// services first; then jobs that are overdue, the oldest first; then by
-/// priority, work within its team's guarantee before other work.
+/// Returns the jobs that may be placed now, in the order in which they are tried:
+/// services first; then starved jobs, the oldest first; then by priority, jobs
+/// within their team's guarantee before other jobs.
 pub fn scheduling_order(cluster: &ClusterState, now: Millis) -> Vec<JobIndex> {
     let largest = largest_by_class(cluster);
     let mut queue: Vec<QueuePosition> = cluster
@@ -110,7 +112,7 @@
     queue.into_iter().map(|position| position.job).collect()
 }
 
-/// The task count of the largest unfinished job of each class.
+/// Returns the task count of the largest unfinished job of each class.
 fn largest_by_class(cluster: &ClusterState) -> HashMap<ClassIndex, u32> {
     let mut largest: HashMap<ClassIndex, u32> = HashMap::new();
     for job in cluster.active_jobs() {
@@ -136,10 +138,10 @@
     QueuePosition { tier, quota_class, urgency, job: job.index }
 }
 
-/// Overdue jobs go by age.
+/// Ranks starved jobs by age, with a bonus for large jobs of their class.
 ///
-/// Guard: when more is overdue than there is capacity for, the largest job of a
-/// class, the hardest to place, would come too late.
+/// Without the bonus, the largest job of a class, which is the hardest to place,
+/// would start too late when more jobs are starved than there is capacity for.
 fn starved_urgency(now: Millis, job: &Job, largest_of_class: u32) -> Urgency {
     let share_of_largest = f64::from(job.spec.tasks) / f64::from(largest_of_class.max(1));
     Urgency { missed_objectives: 0, cost: -job.age_s(now) - LARGEST_JOB_BONUS_S * share_of_largest }
@@ -155,9 +157,10 @@
     }
 }
 
-/// Among equals, jobs whose objective can still be met come before those that
-/// have missed it, and small ones before large ones: so most are in time when
-/// there is too little for all. Jobs that missed every objective go by age.
+/// Ranks the jobs of a tier and quota class: jobs whose objective can still be met
+/// come before those that have missed it, and small ones before large ones, so that
+/// most are in time when there is too little capacity for all. Jobs that missed
+/// every objective are ordered by age.
 fn urgency(cluster: &ClusterState, now: Millis, job: &Job) -> Urgency {
     let age_s = job.age_s(now);
     let run_s = cluster.expected_run_s(&job.spec);
@@ -178,7 +181,8 @@
     Urgency { missed_objectives: u32::MAX, cost: -age_s }
 }
 
-/// The job's own deadlines, then the objectives of its class.
+/// Returns the job's own deadline and extended deadline, then the objectives of its
+/// class.
 fn objectives_of<'a>(cluster: &'a ClusterState, job: &'a Job) -> impl Iterator<Item = Objective> + 'a {
     let deadlines = [job.spec.deadline_s, job.spec.overdue_s].into_iter().flatten();
     let own = deadlines.map(|within_s| Objective { milestone: Milestone::End, within_s });
@@ -189,25 +193,25 @@
     }))
 }
 
-/// Whether the job has tasks that may be assigned now.
+/// Reports whether the job has tasks that may be assigned now.
 fn is_ready(now: Millis, job: &Job) -> bool {
     let has_pending_tasks = job.status == JobStatus::Pending && !job.tasks.pending.is_empty();
     let is_blocked = now < job.wait.not_before || job.records.stale || job.records.resharding;
-    // A gang starts again only once all tasks of its old attempt are gone.
+    // A gang starts again only after all tasks of its previous attempt have exited.
     let is_partly_placed_gang = job.spec.kind == JobKind::Gang && job.tasks.placed > 0;
     has_pending_tasks && !is_blocked && !is_partly_placed_gang
 }
 
-/// Whether nothing of the job has run long enough to count as a start, and by
-/// now it should have.
+/// Reports whether the job is starved: it has waited for the starvation age, and
+/// none of its tasks has run long enough to count as a start.
 ///
-/// Guard: a job that fails everywhere would go before all others for as long as
-/// it is wanted.
+/// Faulty jobs are excluded: a job that fails on every machine would otherwise go
+/// before all other jobs for as long as it is unfinished.
 pub fn is_starved(now: Millis, job: &Job) -> bool {
     !job.wait.has_counted_start && job.age_s(now) >= STARVATION_AGE_S && !job.failures.is_job_at_fault()
 }
 
-/// Whether the job is overdue and none of its tasks is even assigned.
+/// Reports whether the job is starved and none of its tasks is assigned.
 pub fn is_starved_unplaced(now: Millis, job: &Job) -> bool {
     job.tasks.placed == 0 && is_starved(now, job)
 }
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -1,4 +1,4 @@
-//! Which waiting jobs are within their team's guaranteed quota.
+//! Determines which waiting jobs are within their team's guaranteed quota.
 
 use crate::{
     coordination::{
@@ -9,8 +9,8 @@
 };
 
 /// Marks the jobs that are within their team's guarantee: those that fit into
-/// it together with their team's earlier unfinished jobs. Where no amount is set
-/// for CPUs, only work that asks for GPUs can be within it.
+/// it together with their team's earlier unfinished jobs. If the guarantee sets no
+/// amount of CPUs, only jobs that request GPUs can be within it.
 pub fn mark_jobs_within_guarantee(cluster: &mut ClusterState) {
     let mut demand_by_team: Vec<Resources> = vec![Resources::default(); cluster.config().teams.len()];
     for index in pending_jobs_oldest_first(cluster) {
@@ -31,7 +31,8 @@
     jobs
 }
 
-/// Whether a team's demand up to and including this job is within its guarantee.
+/// Reports whether a team's demand up to and including this job is within its
+/// guarantee.
 fn is_within_guarantee(job: &Job, limits: &TeamLimits, team_demand: &Resources) -> bool {
     let cpus_fit = limits.cpus.is_none_or(|guaranteed| team_demand.cpus <= guaranteed + RESOURCE_TOLERANCE);
     let gpus_fit = match limits.gpus {
--- a/src/coordination/scheduler/task_selection.rs
+++ b/src/coordination/scheduler/task_selection.rs
@@ -1,5 +1,5 @@
-//! Which of a job's tasks a scheduling cycle tries to place, and which machines
-//! it avoids for them.
+//! Selects the tasks of a job that a scheduling cycle tries to place, and the
+//! machines that it avoids for them.
 
 use crate::{
     coordination::{
@@ -9,18 +9,18 @@
     protocol::jobs::JobKind,
 };
 
-/// Most tasks of one job assigned in one scheduling cycle, so that a large job
-/// doesn't stall the others.
+/// Maximum number of tasks of one job assigned in one scheduling cycle, so that a
+/// large job doesn't stall the others.
 const TASKS_PER_CYCLE: usize = 256;
-/// An overdue array is started with this fraction of its tasks: the aim is that
-/// it begins, not that all of it goes before all other jobs.
+/// A starved array is started with its task count divided by this number: the aim
+/// is that it starts, not that all of its tasks go before all other jobs.
 const STARVED_ARRAY_DIVISOR: u32 = 16;
-/// Tasks with which a job that fails everywhere is retried.
+/// Number of tasks with which a job that fails on every machine is retried.
 const TASKS_PER_RETRY: usize = 1;
-/// After failures on this many machines, the machines aren't the reason.
+/// After failures on this many machines, the machines are not considered the cause.
 const FAILED_MACHINES_MAX: usize = 4;
 
-/// The tasks of a job that this scheduling cycle tries to place, in order.
+/// Returns the tasks of a job that this scheduling cycle tries to place, in order.
 pub fn tasks_to_place(cluster: &ClusterState, job: &Job, is_starved_unplaced: bool) -> Vec<u32> {
     let pending = job.tasks.pending.len();
     let is_gang = job.spec.kind == JobKind::Gang;
@@ -38,7 +38,8 @@
     }
 }
 
-/// Most tasks of the job that one cycle may place, the team's quota aside.
+/// Returns the maximum number of the job's tasks that one cycle may place, apart
+/// from the team's quota.
 fn task_limit(job: &Job, is_starved_unplaced: bool) -> usize {
     let mut limit = TASKS_PER_CYCLE;
     if job.spec.kind == JobKind::Gang {
@@ -53,17 +54,18 @@
     limit
 }
 
-/// How many more assignments each chunk record can hold.
+/// Tracks how many more assignments each chunk record can hold.
 ///
-/// Guard: chunks that were sized for a larger limit take only as many
-/// assignments at a time as can be written under the present one.
+/// Chunks that were sized for a larger limit on values of the store take only as
+/// many assignments at a time as can be written under the present limit.
 struct ChunkCapacity {
-    /// By chunk: how many more assignments fit, plus one.
+    /// For each chunk, the number of assignments that still fit, plus one.
     remaining_plus_one: Vec<u32>,
 }
 
 impl ChunkCapacity {
-    /// `None`: the job's chunks are not restricted.
+    /// Returns the remaining capacity of the job's chunks; `None` if they are not
+    /// restricted.
     fn of(cluster: &ClusterState, job: &Job) -> Option<ChunkCapacity> {
         let limit_is_normal = cluster.value_limit() > cluster.config().reduced_max_value_bytes;
         if limit_is_normal
@@ -82,7 +84,7 @@
         Some(capacity)
     }
 
-    /// Takes capacity for one assignment; false: there is none left.
+    /// Takes capacity for one assignment. Returns false if none is left.
     fn try_take(&mut self, job: &Job, task: u32) -> bool {
         let remaining = &mut self.remaining_plus_one[job.chunk_of(task)];
         *remaining = remaining.saturating_sub(1);
@@ -90,8 +92,9 @@
     }
 }
 
-/// Machines on which the job's tasks failed. Once they failed nearly
-/// everywhere, the machines aren't the reason and none is avoided.
+/// Returns the machines to avoid: those on which the job's tasks failed. If they
+/// failed on many machines or on at least half of those that are up, the machines
+/// are not considered the cause and none is avoided.
 pub fn avoided_machines(job: &Job, machines: &[Machine]) -> Vec<MachineIndex> {
     let failed_on = &job.failures.machines;
     if failed_on.is_empty() {
--- a/src/coordination/scheduler/trial/mod.rs
+++ b/src/coordination/scheduler/trial/mod.rs
@@ -1,10 +1,11 @@
 //! Trial placement of one job on a snapshot of the machines.
 //!
 //! A job is a tree, as in the paper on gang scheduling: the root is the job, its
-//! children are zones or tasks. Children are walked greedily in a fixed order,
-//! without backtracking; after each child the node is judged by four counts
-//! (PAPER, "`GangScheduling` Plugin Changes" and "Recursive Scheduling Cycle
-//! Execution"). What a failed subtree assumed is forgotten in reverse order.
+//! children are zones or tasks. Children are visited greedily in a fixed order,
+//! without backtracking; after each child the node's status is derived from four
+//! counts (PAPER, "`GangScheduling` Plugin Changes" and "Recursive Scheduling Cycle
+//! Execution"). The placements assumed by a failed subtree are removed in reverse
+//! order.
 
 mod score;
 mod tree;
@@ -18,21 +19,21 @@
 /// Result of a node of the tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementStatus {
-    /// There is capacity for all that it needs.
+    /// Enough children of the node are placed.
     Success,
-    /// Children that were not tried yet may still make it succeed.
+    /// The node may still succeed with children that have not been tried yet.
     Wait,
-    /// It would succeed if tasks were preempted.
+    /// The node would succeed if tasks were preempted.
     Unschedulable,
-    /// It can't succeed even then.
+    /// The node can't succeed even if tasks were preempted.
     Unresolvable,
 }
 
 impl PlacementStatus {
-    /// The result of a node from the counts of its children: `needed` must be
-    /// placed; `placed` are, `untried` may be, and `preemptable` would be if
-    /// other tasks were preempted. Children that can't fit at all are in none
-    /// of the counts.
+    /// Returns the result of a node from the counts of its children: `needed` must
+    /// be placed; `placed` are placed, `untried` may be, and `preemptable` would be
+    /// if other tasks were preempted. Children that can't fit at all are in none of
+    /// the counts.
     pub fn from_counts(needed: usize, placed: usize, untried: usize, preemptable: usize) -> PlacementStatus {
         if placed >= needed {
             PlacementStatus::Success
@@ -60,31 +61,33 @@
 pub enum HostFilter {
     /// All machines that take new tasks.
     Any,
-    /// Only machines that hold something, and that are not to become empty.
+    /// Only machines that have assignments and do not take GPU tasks only (those
+    /// are meant to become empty).
     BusyOnly,
 }
 
-/// What a job asks of a trial.
+/// The parameters of a trial of one job.
 #[derive(Debug, Clone)]
 pub struct TrialRequest<'a> {
-    /// The job.
+    /// Specification of the job whose tasks are placed.
     pub spec: &'a JobSpec,
     /// Tasks to place, in order.
     pub tasks: &'a [u32],
-    /// How many of them must be placed.
+    /// Minimum number of tasks that must be placed for the trial to succeed.
     pub min: usize,
-    /// The job's assigned tasks, by zone.
+    /// Number of the job's assigned tasks in each zone.
     pub zone_used: &'a [u32],
-    /// Machines on which its tasks failed.
+    /// Machines that must not be used, because the job's tasks failed on them.
     pub avoid: &'a [MachineIndex],
-    /// Which capacity of a machine counts.
+    /// Which capacity of a machine is available to the trial.
     pub capacity: CapacityKind,
     /// Which machines may be used.
     pub hosts: HostFilter,
 }
 
 impl<'a> TrialRequest<'a> {
-    /// Asks for as many tasks as fit once the tasks being stopped are gone.
+    /// Creates a request to place as many tasks as fit after the tasks being stopped
+    /// have exited, at least `min`.
     pub fn with_stopping_capacity(
         spec: &'a JobSpec,
         tasks: &'a [u32],
@@ -103,12 +106,12 @@
     }
 }
 
-/// What a trial found.
+/// The outcome of a trial.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrialResult {
     /// Result of the root.
     pub status: PlacementStatus,
-    /// The machines found, one per task; empty unless the root succeeds.
+    /// The placements found, one per task; empty unless the root succeeds.
     pub placements: Vec<TaskPlacement>,
 }
 
--- a/src/coordination/scheduler/trial/score.rs
+++ b/src/coordination/scheduler/trial/score.rs
@@ -8,27 +8,28 @@
     protocol::jobs::{JobKind, JobSpec},
 };
 
-/// Longest image fetch, in seconds, that counts against a machine: beyond it,
-/// how long the fetch takes makes no difference.
+/// Longest image fetch, in seconds, that is taken into account: beyond it, how
+/// long the fetch takes makes no difference.
 const LONGEST_FETCH_S: f64 = 60.0;
 /// Slowest fetch rate assumed, in GB per second, so that a type without one
 /// doesn't lead to a division by zero.
 pub const SLOWEST_FETCH_GB_PER_S: f64 = 0.01;
-/// Seconds that a machine with a cached image gains beyond the fetch it saves.
+/// Bonus, in seconds, for a machine with a cached image, in addition to the fetch
+/// time saved.
 const CACHED_IMAGE_BONUS_S: f64 = 1.0;
-/// Seconds held against CPU work on a machine with GPUs: they would stand idle.
+/// Penalty, in seconds, for a CPU task on a machine with GPUs: they would stand idle.
 pub const IDLE_GPU_PENALTY_S: f64 = 90.0;
-/// Seconds that an exact fit gains over an empty machine.
+/// Bonus, in seconds, for an exact fit as compared with an empty machine.
 const BEST_FIT_BONUS_S: f64 = 3.0;
-/// Seconds held against a service replica per replica already on the machine.
+/// Penalty, in seconds, for a service replica per replica already on the machine.
 const SHARED_MACHINE_PENALTY_S: f64 = 2.0;
-/// Seconds held against a task without checkpoints on a spot machine.
+/// Penalty, in seconds, for a task without checkpoints on a spot machine.
 const SPOT_LOSS_PENALTY_S: f64 = 2.0;
-/// Weight of one more task placed against all that [`host_score`] counts.
+/// Weight of one more placed task; outweighs any [`host_score`].
 const TASK_WEIGHT: f64 = 1e6;
 
-/// Score of a machine for one task: the seconds that a start there is worth
-/// against a start elsewhere.
+/// Returns the score of a machine for one task, in seconds: by how much a start
+/// there is preferable to a start on another machine.
 pub fn host_score(pool: &Pool, host: &Host, spec: &JobSpec) -> f64 {
     let need = Resources::of(spec);
     let mut score = 0.0;
@@ -37,7 +38,7 @@
     if need.gpus <= 0.0 && pool.capacity.gpus > 0.0 {
         score -= IDLE_GPU_PENALTY_S;
     }
-    // Best fit: leave whole machines free.
+    // Best fit: keeps whole machines free.
     if pool.capacity.cpus > 0.0 {
         score += BEST_FIT_BONUS_S * (1.0 - (host.free.cpus - need.cpus).max(0.0) / pool.capacity.cpus);
     }
@@ -50,8 +51,8 @@
     score
 }
 
-/// Score of a zone from the scores of the machines found there: the number of
-/// tasks placed first, then the average score of their machines.
+/// Returns the score of a zone from the scores of the machines found there: the
+/// number of tasks placed first, then the average score of their machines.
 pub fn zone_score(host_scores: impl ExactSizeIterator<Item = f64>) -> f64 {
     let tasks = host_scores.len();
     let sum: f64 = host_scores.sum();
--- a/src/coordination/scheduler/trial/tree.rs
+++ b/src/coordination/scheduler/trial/tree.rs
@@ -1,4 +1,4 @@
-//! The walk over a job's tree.
+//! The greedy search over a job's tree of zones and tasks.
 
 use std::cmp::Reverse;
 
@@ -14,12 +14,13 @@
     protocol::{jobs::JobKind, names::ZoneIndex},
 };
 
-/// Tasks of one shape that a pool's capacity is counted up to.
+/// Maximum number of tasks of one shape counted as fitting in one pool.
 const TASK_COUNT_LIMIT: u32 = 1_000_000;
 
 impl ClusterSnapshot {
     /// Tries to place a job's whole tree, and leaves the snapshot as it was: the
-    /// caller turns what was found into assignments, or reserves it.
+    /// caller turns the placements found into assignments, or reserves capacity for
+    /// them.
     pub fn trial(&mut self, request: &TrialRequest<'_>) -> TrialResult {
         let mut trial = Trial { snapshot: self, request };
         let outcome = trial.try_root();
@@ -41,7 +42,7 @@
     host: usize,
 }
 
-/// What was found in a zone, and its score.
+/// The result of a trial in one zone, and its score.
 struct ScoredOutcome {
     score: f64,
     outcome: TrialResult,
@@ -64,10 +65,10 @@
         }
     }
 
-    /// A node whose children are tasks. They are alike, so the first that
-    /// doesn't fit speaks for the rest, and a machine that was best for one
-    /// takes as many as fit. None of them is unresolvable: preemption may make
-    /// each fit. On success the placements stay assumed.
+    /// Tries a node whose children are tasks. They are alike: if one doesn't fit,
+    /// the remaining ones don't fit either, and a machine that was best for one is
+    /// used for as many as fit there. None of them is unresolvable: preemption may
+    /// let each of them fit. On success the placements stay assumed.
     fn try_tasks(&mut self, tasks: &[u32], min: usize, zone: Option<ZoneIndex>) -> TrialResult {
         let mut placements: Vec<TaskPlacement> = Vec::new();
         let mut preemptable = 0;
@@ -87,7 +88,7 @@
         self.evaluate(placements, min, preemptable)
     }
 
-    /// A node with one child per candidate zone; the feasible one with the
+    /// Tries a node with one child per candidate zone; the feasible zone with the
     /// highest score wins.
     fn try_one_zone(&mut self) -> TrialResult {
         let zone_used = self.request.zone_used;
@@ -122,8 +123,8 @@
         outcome
     }
 
-    /// A node with one child per zone, the one with the most capacity first;
-    /// each takes at most what the spread rule allows in a zone.
+    /// Tries a node with one child per zone, those with the most free capacity first;
+    /// each zone takes at most as many tasks as the spread rule allows.
     fn try_spread(&mut self) -> TrialResult {
         let request = self.request;
         let zones = self.zones_by_capacity();
@@ -137,7 +138,7 @@
             if zone_tasks.is_empty() {
                 continue;
             }
-            // What later zones can't take must be placed here.
+            // Tasks that later zones can't take must be placed in this one.
             let later_limit: usize = limits[position + 1..].iter().sum();
             let min =
                 if all_or_nothing { remaining.len().saturating_sub(later_limit).min(zone_tasks.len()) } else { 1 };
@@ -146,14 +147,15 @@
                 preemptable += zone_tasks.len();
                 continue;
             }
-            // What doesn't fit here moves on to the next zone.
+            // Tasks that don't fit in this zone are tried in the next one.
             remaining = &remaining[outcome.placements.len()..];
             placements.extend(outcome.placements);
         }
         self.evaluate(placements, request.min, preemptable.max(remaining.len()))
     }
 
-    /// Judges a node by what was placed; what a failed one assumed is forgotten.
+    /// Derives the result of a node from its placements, and removes those assumed
+    /// by a failed node.
     fn evaluate(&mut self, mut placements: Vec<TaskPlacement>, min: usize, preemptable: usize) -> TrialResult {
         let status = PlacementStatus::from_counts(min, placements.len(), 0, preemptable);
         if status != PlacementStatus::Success {
@@ -163,14 +165,14 @@
         TrialResult { status, placements }
     }
 
-    /// Forgets assumed placements, the last one first.
+    /// Removes assumed placements from the snapshot, the last one first.
     fn remove_assumed(&mut self, placements: &[TaskPlacement]) {
         for placement in placements.iter().rev() {
             self.snapshot.forget(placement.host, self.request.spec);
         }
     }
 
-    /// The feasible machine with the highest score.
+    /// Returns the feasible machine with the highest score; `None` if there is none.
     fn best_host(&mut self, zone: Option<ZoneIndex>) -> Option<usize> {
         let request = self.request;
         let mut best: Option<ScoredHost> = None;
@@ -187,7 +189,8 @@
         best.map(|best| best.host)
     }
 
-    /// Whether the machine that the job's last task took takes one more of them.
+    /// Reports whether one more task of the job fits on the machine on which its
+    /// last task was placed. Never so for service replicas.
     fn fits_another(&self, host_index: usize) -> bool {
         let spec = self.request.spec;
         let host = &self.snapshot.hosts[host_index];
@@ -196,8 +199,8 @@
             && host.pool.is_some_and(|pool| self.snapshot.pools[pool].host_allows(host, spec))
     }
 
-    /// Zones with machines that the job may use, those with the most free
-    /// capacity first.
+    /// Returns the zones with machines that the job may use, those with the most
+    /// free capacity first.
     fn zones_by_capacity(&self) -> Vec<ZoneIndex> {
         let spec = self.request.spec;
         let need = Resources::of(spec);
@@ -213,7 +216,7 @@
         zones.into_iter().map(|capacity| capacity.zone).collect()
     }
 
-    /// Score of the zone in which these placements are assumed.
+    /// Returns the score of the zone in which these placements are assumed.
     fn placements_score(&self, placements: &[TaskPlacement]) -> f64 {
         let host_score_of = |placement: &TaskPlacement| {
             let host = &self.snapshot.hosts[placement.host];
@@ -223,7 +226,7 @@
     }
 }
 
-/// Whether the request allows a machine, capacity aside.
+/// Reports whether the request allows a machine, regardless of its capacity.
 fn is_eligible(request: &TrialRequest<'_>, host_index: usize, host: &Host) -> bool {
     let is_avoided = request.avoid.contains(&MachineIndex(host_index as u32));
     let passes_filter = match request.hosts {
@@ -233,7 +236,7 @@
     passes_filter && !is_avoided
 }
 
-/// How many more of the job's tasks the spread rule allows in a zone.
+/// Returns how many more of the job's tasks the spread rule allows in a zone.
 fn spread_limit(request: &TrialRequest<'_>, zone: ZoneIndex) -> usize {
     let used = request.zone_used.get(zone.as_usize()).copied().unwrap_or(0);
     request.spec.zone_cap().saturating_sub(used) as usize
--- a/src/coordination/tests/trial.rs
+++ b/src/coordination/tests/trial.rs
@@ -10,14 +10,14 @@
     },
 };
 
-/// A machine of a case: zone, CPUs, GPUs, spot, what GPU work needs there.
+/// A machine of a case: zone, CPUs, GPUs, spot, capacity protected for GPU work.
 type Machine = (u32, f64, f64, bool, Option<Resources>);
 
 fn snapshot(machines: &[Machine]) -> ClusterSnapshot {
-    let mut p = ClusterSnapshot::default();
-    for (n, &(zone, cpus, gpus, spot, guard)) in machines.iter().enumerate() {
-        let t = MachineTypeSpec {
-            // One type for each size; those of a case without GPUs are type 0.
+    let mut snapshot = ClusterSnapshot::default();
+    for (host, &(zone, cpus, gpus, spot, protected)) in machines.iter().enumerate() {
+        let machine_type = MachineTypeSpec {
+            // All machines are of type 0; machines of different sizes are in different zones.
             index: MachineTypeIndex(0),
             capacity: Resources { cpus, gpus, memory_gb: 100.0 },
             cache_gb: 50.0,
@@ -27,18 +27,18 @@
             boot_s: 5.0,
             zones: vec![ZoneIndex(zone)],
         };
-        let pool = p.pool_of(&t, ZoneIndex(zone), spot);
-        p.pools[pool].protected_for_gpu_work = guard;
-        p.move_to(n, Some(pool));
-        p.set_schedulable(n, true, false);
+        let pool = snapshot.pool_of(&machine_type, ZoneIndex(zone), spot);
+        snapshot.pools[pool].protected_for_gpu_work = protected;
+        snapshot.move_to(host, Some(pool));
+        snapshot.set_schedulable(host, true, false);
     }
-    p
+    snapshot
 }
 
 #[test]
-fn the_four_results() {
+fn status_of_a_node_follows_from_the_counts_of_its_children() {
     use PlacementStatus::*;
-    // (M, S, R, U, result)
+    // (needed, placed, untried, preemptable, status)
     let cases = [
         (2, 2, 0, 0, Success),
         (0, 0, 0, 0, Success),
@@ -49,13 +49,17 @@
         (2, 1, 0, 0, Unresolvable),
         (5, 1, 1, 2, Unresolvable),
     ];
-    for (m, s, r, u, want) in cases {
-        assert_eq!(PlacementStatus::from_counts(m, s, r, u), want, "M={m} S={s} R={r} U={u}");
+    for (needed, placed, untried, preemptable, status) in cases {
+        assert_eq!(
+            PlacementStatus::from_counts(needed, placed, untried, preemptable),
+            status,
+            "needed={needed} placed={placed} untried={untried} preemptable={preemptable}"
+        );
     }
 }
 
 #[test]
-fn trees_table() {
+fn trial_places_as_many_tasks_as_allowed_and_leaves_the_snapshot_unchanged() {
     use PlacementStatus::*;
     struct Case {
         name: &'static str,
@@ -65,220 +69,230 @@
         min: usize,
         change: fn(&mut JobSpec),
         zone_used: Vec<u32>,
-        want: (PlacementStatus, usize),
+        expected: (PlacementStatus, usize),
     }
-    let two = || vec![(0, 8.0, 0.0, false, None), (1, 4.0, 0.0, false, None)];
-    let spot = (0, 8.0, 0.0, true, None);
-    let gpu = (0, 8.0, 4.0, false, Some(Resources { cpus: 5.0, gpus: 4.0, memory_gb: 1.0 }));
-    let prod: fn(&mut JobSpec) = |s| s.priority = Priority::Production;
+    let two_machines = || vec![(0, 8.0, 0.0, false, None), (1, 4.0, 0.0, false, None)];
+    let spot_machine = (0, 8.0, 0.0, true, None);
+    let gpu_machine = (0, 8.0, 4.0, false, Some(Resources { cpus: 5.0, gpus: 4.0, memory_gb: 1.0 }));
+    let set_production: fn(&mut JobSpec) = |spec| spec.priority = Priority::Production;
     let cases = vec![
         Case {
-            name: "array takes what fits",
-            hosts: two(),
+            name: "array is placed as far as it fits",
+            hosts: two_machines(),
             kind: JobKind::Array,
             tasks: 9,
             min: 1,
             change: |_| {},
             zone_used: vec![0, 0],
-            want: (Success, 6),
+            expected: (Success, 6),
         },
         Case {
-            name: "gang all",
-            hosts: two(),
+            name: "gang that fits is placed whole",
+            hosts: two_machines(),
             kind: JobKind::Gang,
             tasks: 6,
             min: 6,
             change: |_| {},
             zone_used: vec![0, 0],
-            want: (Success, 6),
+            expected: (Success, 6),
         },
         Case {
-            name: "gang or nothing",
-            hosts: two(),
+            name: "gang that does not fit is not placed in part",
+            hosts: two_machines(),
             kind: JobKind::Gang,
             tasks: 7,
             min: 7,
             change: |_| {},
             zone_used: vec![0, 0],
-            want: (Unschedulable, 0),
+            expected: (Unschedulable, 0),
         },
         Case {
-            name: "one zone",
-            hosts: two(),
+            name: "one-zone gang does not fit in any zone",
+            hosts: two_machines(),
             kind: JobKind::Gang,
             tasks: 5,
             min: 5,
-            change: |s| s.one_zone = true,
+            change: |spec| spec.one_zone = true,
             zone_used: vec![0, 0],
-            want: (Unschedulable, 0),
+            expected: (Unschedulable, 0),
         },
         Case {
-            name: "one zone fits",
-            hosts: two(),
+            name: "one-zone gang fits in one zone",
+            hosts: two_machines(),
             kind: JobKind::Gang,
             tasks: 4,
             min: 4,
-            change: |s| s.one_zone = true,
+            change: |spec| spec.one_zone = true,
             zone_used: vec![0, 0],
-            want: (Success, 4),
+            expected: (Success, 4),
         },
-        // Guard: an old attempt still in the other zone binds the job there.
+        // A task of an earlier attempt is still in zone 1, so the job must stay there.
         Case {
-            name: "one zone held",
-            hosts: two(),
+            name: "one-zone job stays in the zone of its assigned tasks",
+            hosts: two_machines(),
             kind: JobKind::Array,
             tasks: 4,
             min: 1,
-            change: |s| s.one_zone = true,
+            change: |spec| spec.one_zone = true,
             zone_used: vec![0, 1],
-            want: (Success, 2),
+            expected: (Success, 2),
         },
         Case {
-            name: "spread",
-            hosts: two(),
+            name: "spread service uses both zones",
+            hosts: two_machines(),
             kind: JobKind::Service,
             tasks: 5,
             min: 1,
-            change: |s| s.spread = true,
+            change: |spec| spec.spread = true,
             zone_used: vec![0, 0],
-            want: (Success, 5),
+            expected: (Success, 5),
         },
-        // Guard: tasks that are already somewhere count against the half.
+        // A zone may hold half of the tasks, including those already assigned there.
         Case {
-            name: "spread held",
-            hosts: two(),
+            name: "assigned tasks are included in the spread limit",
+            hosts: two_machines(),
             kind: JobKind::Service,
             tasks: 5,
             min: 1,
-            change: |s| s.spread = true,
+            change: |spec| spec.spread = true,
             zone_used: vec![3, 0],
-            want: (Success, 2),
+            expected: (Success, 2),
         },
         Case {
-            name: "spread gang",
-            hosts: two(),
+            name: "spread gang does not fit within the zone limits",
+            hosts: two_machines(),
             kind: JobKind::Gang,
             tasks: 6,
             min: 6,
-            change: |s| s.spread = true,
+            change: |spec| spec.spread = true,
             zone_used: vec![0, 0],
-            want: (Unschedulable, 0),
+            expected: (Unschedulable, 0),
         },
         Case {
-            name: "no such type",
-            hosts: two(),
+            name: "no machine of an allowed type",
+            hosts: two_machines(),
             kind: JobKind::Array,
             tasks: 1,
             min: 1,
-            change: |s| s.types = Some(vec![MachineTypeIndex(7)]),
+            change: |spec| spec.types = Some(vec![MachineTypeIndex(7)]),
             zone_used: vec![0, 0],
-            want: (Unschedulable, 0),
+            expected: (Unschedulable, 0),
         },
         Case {
-            name: "only zone 1",
-            hosts: two(),
+            name: "job restricted to zone 1",
+            hosts: two_machines(),
             kind: JobKind::Array,
             tasks: 9,
             min: 1,
-            change: |s| s.zone = Some(ZoneIndex(1)),
+            change: |spec| spec.zone = Some(ZoneIndex(1)),
             zone_used: vec![0, 0],
-            want: (Success, 2),
+            expected: (Success, 2),
         },
         Case {
-            name: "no spot",
-            hosts: vec![spot],
+            name: "job without spot on a spot machine",
+            hosts: vec![spot_machine],
             kind: JobKind::Array,
             tasks: 1,
             min: 1,
-            change: |s| s.spot = false,
+            change: |spec| spec.spot = false,
             zone_used: vec![0],
-            want: (Unschedulable, 0),
+            expected: (Unschedulable, 0),
         },
-        // Guard: replicas left no GPU machine to the work that needs one.
+        // Without the protection, replicas take all GPU machines from the jobs that need one.
         Case {
-            name: "guarded",
-            hosts: vec![gpu],
+            name: "production service leaves the capacity protected for GPU work",
+            hosts: vec![gpu_machine],
             kind: JobKind::Service,
             tasks: 2,
             min: 1,
-            change: prod,
+            change: set_production,
             zone_used: vec![0],
-            want: (Success, 1),
+            expected: (Success, 1),
         },
         Case {
-            name: "guarded, saves",
-            hosts: vec![gpu],
+            name: "array with checkpoints may use capacity protected for GPU work",
+            hosts: vec![gpu_machine],
             kind: JobKind::Array,
             tasks: 5,
             min: 1,
-            change: |s| s.checkpoint_s = 5.0,
+            change: |spec| spec.checkpoint_s = 5.0,
             zone_used: vec![0],
-            want: (Success, 4),
+            expected: (Success, 4),
         },
         Case {
-            name: "more than a machine has",
-            hosts: two(),
+            name: "task larger than any machine",
+            hosts: two_machines(),
             kind: JobKind::Array,
             tasks: 1,
             min: 1,
-            change: |s| s.cpus = 9.0,
+            change: |spec| spec.cpus = 9.0,
             zone_used: vec![0],
-            want: (Unschedulable, 0),
+            expected: (Unschedulable, 0),
         },
     ];
-    for c in cases {
-        let mut s = spec(c.kind, Priority::Normal, c.tasks, 2.0);
-        (c.change)(&mut s);
-        let mut p = snapshot(&c.hosts);
-        let room = |p: &ClusterSnapshot| p.hosts.iter().map(|h| (h.free, h.stopping)).collect::<Vec<_>>();
-        let before = room(&p);
-        let tasks: Vec<u32> = (0..c.tasks).collect();
-        let mut ask = TrialRequest {
-            spec: &s,
+    for case in cases {
+        let name = case.name;
+        let mut spec = spec(case.kind, Priority::Normal, case.tasks, 2.0);
+        (case.change)(&mut spec);
+        let mut snapshot = snapshot(&case.hosts);
+        let capacities = |snapshot: &ClusterSnapshot| {
+            snapshot.hosts.iter().map(|host| (host.free, host.stopping)).collect::<Vec<_>>()
+        };
+        let before = capacities(&snapshot);
+        let tasks: Vec<u32> = (0..case.tasks).collect();
+        let mut request = TrialRequest {
+            spec: &spec,
             tasks: &tasks,
-            min: c.min,
-            zone_used: &c.zone_used,
+            min: case.min,
+            zone_used: &case.zone_used,
             avoid: &[],
             capacity: CapacityKind::Free,
             hosts: HostFilter::Any,
         };
-        let out = p.trial(&ask);
-        assert_eq!((out.status, out.placements.len()), c.want, "{}", c.name);
-        assert_eq!(before, room(&p), "{}: taken back", c.name);
-        let mut seen: Vec<u32> = out.placements.iter().map(|p| p.task).collect();
-        seen.dedup();
-        assert_eq!(seen.len(), out.placements.len(), "{}: each task once", c.name);
-        // What is reserved is nobody else's until it is released.
-        for pick in &out.placements {
-            p.reserve(pick.host, Resources::of(&s), Resources::default());
+        let outcome = snapshot.trial(&request);
+        assert_eq!((outcome.status, outcome.placements.len()), case.expected, "{name}: first trial");
+        assert_eq!(before, capacities(&snapshot), "{name}: the trial changed the snapshot");
+        let mut placed_tasks: Vec<u32> = outcome.placements.iter().map(|placement| placement.task).collect();
+        placed_tasks.dedup();
+        assert_eq!(placed_tasks.len(), outcome.placements.len(), "{name}: a task was placed twice");
+        // Reserved capacity is not available to other trials until it is released.
+        for placement in &outcome.placements {
+            snapshot.reserve(placement.host, Resources::of(&spec), Resources::default());
         }
-        let full = p.trial(&ask);
-        assert!(c.want.0 != Success || full.placements.len() < c.tasks as usize, "{}", c.name);
-        p.release(0);
-        assert_eq!(before, room(&p), "{}: released", c.name);
-        // Machines that take nothing, and those where everything stops.
-        for n in 0..c.hosts.len() {
-            p.set_schedulable(n, false, false);
+        let with_reservations = snapshot.trial(&request);
+        assert!(
+            case.expected.0 != Success || with_reservations.placements.len() < case.tasks as usize,
+            "{name}: reserved capacity was used"
+        );
+        snapshot.release(0);
+        assert_eq!(before, capacities(&snapshot), "{name}: the release did not restore the capacity");
+        // Unschedulable machines, and machines on which all tasks are being stopped.
+        for host in 0..case.hosts.len() {
+            snapshot.set_schedulable(host, false, false);
         }
-        assert_eq!(p.trial(&ask).placements.len(), 0, "{}: closed", c.name);
-        for n in 0..c.hosts.len() {
-            p.set_schedulable(n, true, false);
+        assert_eq!(snapshot.trial(&request).placements.len(), 0, "{name}: unschedulable machines were used");
+        for host in 0..case.hosts.len() {
+            snapshot.set_schedulable(host, true, false);
             for _ in 0..9 {
-                p.add_task(n, &s);
-                p.mark_stopping(n, &s);
+                snapshot.add_task(host, &spec);
+                snapshot.mark_stopping(host, &spec);
             }
         }
-        assert_eq!(p.trial(&ask).placements.len(), 0, "{}: full", c.name);
-        ask.capacity = CapacityKind::FreeOrStopping;
-        let after = p.trial(&ask);
-        if c.hosts.iter().all(|h| h.4.is_none()) {
-            assert_eq!((after.status, after.placements.len()), c.want, "{}: later", c.name);
+        assert_eq!(snapshot.trial(&request).placements.len(), 0, "{name}: full machines were used");
+        request.capacity = CapacityKind::FreeOrStopping;
+        let after_stops = snapshot.trial(&request);
+        if case.hosts.iter().all(|host| host.4.is_none()) {
+            assert_eq!(
+                (after_stops.status, after_stops.placements.len()),
+                case.expected,
+                "{name}: trial with the capacity of stopping tasks"
+            );
         }
-        for n in 0..c.hosts.len() {
+        for host in 0..case.hosts.len() {
             for _ in 0..9 {
-                p.remove_task(n, &s, true);
+                snapshot.remove_task(host, &spec, true);
             }
         }
-        assert_eq!(before, room(&p), "{}: all gone", c.name);
+        assert_eq!(before, capacities(&snapshot), "{name}: removing the tasks did not restore the capacity");
     }
 }
