--- a/src/coordination/scheduler/preemption/victims.rs
+++ b/src/coordination/scheduler/preemption/victims.rs
@@ -1,4 +1,4 @@
-//! Which tasks may be preempted for a job, and what that costs.
+//! Selection of the tasks that may be preempted for a job, and their cost.
 
 use crate::{
     coordination::{
@@ -7,27 +7,27 @@
             Assignment, AssignmentIndex, AssignmentState, Job, Millis, Resources, RESOURCE_TOLERANCE, SAVE_MARGIN_S,
             START_COUNTS_MS,
         },
-        scheduler::queue::is_overdue,
+        scheduler::queue::is_starved,
     },
     protocol::jobs::{JobKind, Priority},
     storage::records::JobStatus,
 };
 
 /// How long a job within its team's guarantee waits before capacity that others
-/// borrowed is reclaimed: some may come back by itself.
-const RECLAIM_PATIENCE_MS: i64 = 12_000;
-/// Seconds that stopping any task costs.
+/// borrowed is reclaimed: some may become free without preemption.
+const RECLAIM_DELAY_MS: i64 = 12_000;
+/// Base cost of stopping any task, in seconds.
 const STOP_COST_S: f64 = 5.0;
-/// Seconds that stopping a task soon after its start costs in addition: such a
-/// start doesn't count, and its users waited for nothing.
-const FRESH_START_COST_S: f64 = 60.0;
+/// Additional cost of stopping a task soon after its start, in seconds: such a
+/// start is not counted as one, and its users have waited in vain.
+const RECENT_START_COST_S: f64 = 60.0;
 
 /// A task that may be preempted.
 pub struct Victim {
     pub assignment: AssignmentIndex,
-    /// What it would free.
+    /// The resources that stopping it would free.
     pub freed: Resources,
-    /// What stopping it costs, in seconds.
+    /// Cost of stopping it, in seconds.
     pub cost: f64,
 }
 
@@ -40,8 +40,8 @@
 }
 
 impl VictimSelector<'_> {
-    /// The tasks among `assignments` that may be preempted and aren't yet, the
-    /// cheapest first.
+    /// Returns the tasks among `assignments` that may be preempted and are not
+    /// among those already chosen, in ascending order of cost.
     pub fn victims_among(&self, assignments: &[AssignmentIndex], already_chosen: &[AssignmentIndex]) -> Vec<Victim> {
         let mut victims: Vec<Victim> = assignments
             .iter()
@@ -52,7 +52,7 @@
         victims
     }
 
-    /// A task as a victim, or `None` when the preemptor may not stop it.
+    /// Returns a task as a victim, or `None` if the preemptor may not stop it.
     fn victim(&self, index: AssignmentIndex) -> Option<Victim> {
         let assignment = self.cluster.assignment(index)?;
         if assignment.halt.is_some() || matches!(assignment.state, AssignmentState::Ended(_)) {
@@ -67,26 +67,27 @@
             return None;
         }
         let ran_s = self.ran_s(assignment);
-        // Guard: an overdue job that was let start at last is not stopped before
-        // its start counts; otherwise it might never.
-        let is_fresh = ran_s * 1000.0 < START_COUNTS_MS as f64;
-        if self.preemptor.spec.priority < Priority::Production && is_overdue(self.now, job) && is_fresh {
+        // A starved job that eventually started is not stopped before it has run
+        // long enough to count as started; otherwise it might never reach that.
+        let is_recent_start = ran_s * 1000.0 < START_COUNTS_MS as f64;
+        if self.preemptor.spec.priority < Priority::Production && is_starved(self.now, job) && is_recent_start {
             return None;
         }
-        let cost = stop_cost_s(job, ran_s, is_fresh);
+        let cost = stop_cost_s(job, ran_s, is_recent_start);
         Some(Victim { assignment: index, freed: Resources::of(&job.spec), cost })
     }
 
-    /// Seconds that the task has been running.
+    /// Returns the seconds for which the task has been running; 0 if it isn't.
     fn ran_s(&self, assignment: &Assignment) -> f64 {
         assignment.running_since.map_or(0.0, |since| (self.now - since) as f64 / 1000.0)
     }
 
-    /// Whether a job's team uses more than its guarantee, of what the preemptor
-    /// is guaranteed.
+    /// Reports whether the preemptor, within its team's guarantee, may reclaim
+    /// capacity from a job: the job's team uses more than its own guarantee of a
+    /// resource that the preemptor needs.
     fn may_reclaim_from(&self, job: &Job) -> bool {
         let preemptor = self.preemptor;
-        let has_waited = preemptor.waited_ms(self.now) >= RECLAIM_PATIENCE_MS;
+        let has_waited = preemptor.waited_ms(self.now) >= RECLAIM_DELAY_MS;
         if !preemptor.within_guarantee || !has_waited || job.spec.team == preemptor.spec.team {
             return false;
         }
@@ -99,18 +100,19 @@
     }
 }
 
-/// What stopping a task that ran for `ran_s` costs, in seconds.
-fn stop_cost_s(job: &Job, ran_s: f64, is_fresh: bool) -> f64 {
+/// Returns the cost, in seconds, of stopping a task that ran for `ran_s`.
+fn stop_cost_s(job: &Job, ran_s: f64, is_recent_start: bool) -> f64 {
     let spec = &job.spec;
     let lost_s =
         if spec.checkpoint_s > 0.0 { ran_s.min(spec.checkpoint_s).min(spec.save_s + SAVE_MARGIN_S) } else { ran_s };
-    let fresh_cost_s = if is_fresh && spec.priority > Priority::Low { FRESH_START_COST_S } else { 0.0 };
+    let recent_start_cost_s = if is_recent_start && spec.priority > Priority::Low { RECENT_START_COST_S } else { 0.0 };
     // A gang is stopped as a whole.
     let stopped_tasks = if spec.kind == JobKind::Gang { f64::from(job.tasks.placed) } else { 1.0 };
-    (STOP_COST_S + priority_cost_s(spec.priority) + lost_s + fresh_cost_s) * stopped_tasks
+    (STOP_COST_S + priority_cost_s(spec.priority) + lost_s + recent_start_cost_s) * stopped_tasks
 }
 
-/// What stopping a task costs for its priority, in seconds.
+/// Returns the part of the cost of stopping a task that its priority determines,
+/// in seconds.
 fn priority_cost_s(priority: Priority) -> f64 {
     match priority {
         Priority::Low => 0.0,
--- a/src/coordination/scheduler/task_selection.rs
+++ b/src/coordination/scheduler/task_selection.rs
@@ -1,5 +1,5 @@
-//! Which of a job's tasks a scheduling cycle tries to place, and which machines
-//! it avoids for them.
+//! Selects the tasks of a job that a scheduling cycle tries to place, and the
+//! machines that it avoids for them.
 
 use crate::{
     coordination::{
@@ -9,24 +9,24 @@
     protocol::jobs::JobKind,
 };
 
-/// Most tasks of one job assigned in one scheduling cycle, so that a large job
-/// doesn't stall the others.
+/// Maximum number of tasks of one job assigned in one scheduling cycle, so that a
+/// large job doesn't stall the others.
 const TASKS_PER_CYCLE: usize = 256;
-/// An overdue array is started with this fraction of its tasks: the aim is that
-/// it begins, not that all of it goes before all other jobs.
-const OVERDUE_ARRAY_DIVISOR: u32 = 16;
-/// Tasks with which a job that fails everywhere is retried.
+/// A starved array is started with its task count divided by this number: the aim
+/// is that it starts, not that all of its tasks go before all other jobs.
+const STARVED_ARRAY_DIVISOR: u32 = 16;
+/// Number of tasks with which a job that fails on every machine is retried.
 const TASKS_PER_RETRY: usize = 1;
-/// After failures on this many machines, the machines aren't the reason.
+/// After failures on this many machines, the machines are not considered the cause.
 const FAILED_MACHINES_MAX: usize = 4;
 
-/// The tasks of a job that this scheduling cycle tries to place, in order.
-pub fn tasks_to_place(cluster: &ClusterState, job: &Job, is_overdue_unplaced: bool) -> Vec<u32> {
+/// Returns the tasks of a job that this scheduling cycle tries to place, in order.
+pub fn tasks_to_place(cluster: &ClusterState, job: &Job, is_starved_unplaced: bool) -> Vec<u32> {
     let pending = job.tasks.pending.len();
     let is_gang = job.spec.kind == JobKind::Gang;
     let within_quota =
         cluster.team_limits(job.spec.team).tasks_within_limit(&job.spec, &cluster.used_by_team(job.spec.team)) as usize;
-    let limit = pending.min(within_quota).min(task_limit(job, is_overdue_unplaced));
+    let limit = pending.min(within_quota).min(task_limit(job, is_starved_unplaced));
     if limit == 0 || (is_gang && limit < pending) {
         tracing::debug!(job = &*job.id, tasks_within_quota = within_quota, "team quota reached");
         return Vec::new();
@@ -34,18 +34,19 @@
     let next_tasks = job.tasks.pending.iter().rev().copied();
     match ChunkCapacity::of(cluster, job) {
         None => next_tasks.take(limit).collect(),
-        Some(mut capacity) => next_tasks.filter(|&task| capacity.take_for(job, task)).take(limit).collect(),
+        Some(mut capacity) => next_tasks.filter(|&task| capacity.try_take(job, task)).take(limit).collect(),
     }
 }
 
-/// Most tasks of the job that one cycle may place, the team's quota aside.
-fn task_limit(job: &Job, is_overdue_unplaced: bool) -> usize {
+/// Returns the maximum number of the job's tasks that one cycle may place, apart
+/// from the team's quota.
+fn task_limit(job: &Job, is_starved_unplaced: bool) -> usize {
     let mut limit = TASKS_PER_CYCLE;
     if job.spec.kind == JobKind::Gang {
         return limit.max(job.tasks.pending.len());
     }
-    if is_overdue_unplaced && job.spec.kind == JobKind::Array {
-        limit = limit.min((job.spec.tasks / OVERDUE_ARRAY_DIVISOR).max(1) as usize);
+    if is_starved_unplaced && job.spec.kind == JobKind::Array {
+        limit = limit.min((job.spec.tasks / STARVED_ARRAY_DIVISOR).max(1) as usize);
     }
     if job.failures.is_job_at_fault() {
         limit = limit.min(TASKS_PER_RETRY);
@@ -53,17 +54,18 @@
     limit
 }
 
-/// How many more assignments each chunk record can hold.
+/// Tracks how many more assignments each chunk record can hold.
 ///
-/// Guard: chunks that were sized for a larger limit take only as many
-/// assignments at a time as can be written under the present one.
+/// Chunks that were sized for a larger limit on values of the store take only as
+/// many assignments at a time as can be written under the present limit.
 struct ChunkCapacity {
-    /// By chunk: how many more assignments fit, plus one.
-    left_plus_one: Vec<u32>,
+    /// For each chunk, the number of assignments that still fit, plus one.
+    remaining_plus_one: Vec<u32>,
 }
 
 impl ChunkCapacity {
-    /// `None`: the job's chunks are not restricted.
+    /// Returns the remaining capacity of the job's chunks; `None` if they are not
+    /// restricted.
     fn of(cluster: &ClusterState, job: &Job) -> Option<ChunkCapacity> {
         let limit_is_normal = cluster.value_limit() > cluster.config().reduced_max_value_bytes;
         if limit_is_normal
@@ -72,26 +74,27 @@
         {
             return None;
         }
-        let left_plus_one = vec![cluster.config().reduced_chunk_size + 1; job.records.chunks.len()];
-        let mut capacity = ChunkCapacity { left_plus_one };
+        let remaining_plus_one = vec![cluster.config().reduced_chunk_size + 1; job.records.chunks.len()];
+        let mut capacity = ChunkCapacity { remaining_plus_one };
         for (task, slot) in job.tasks.slots.iter().enumerate() {
             if matches!(slot, Slot::Assigned(_)) {
-                capacity.take_for(job, task as u32);
+                capacity.try_take(job, task as u32);
             }
         }
         Some(capacity)
     }
 
-    /// Takes capacity for one assignment; false: there is none left.
-    fn take_for(&mut self, job: &Job, task: u32) -> bool {
-        let left = &mut self.left_plus_one[job.chunk_of(task)];
-        *left = left.saturating_sub(1);
-        *left > 0
+    /// Takes capacity for one assignment. Returns false if none is left.
+    fn try_take(&mut self, job: &Job, task: u32) -> bool {
+        let remaining = &mut self.remaining_plus_one[job.chunk_of(task)];
+        *remaining = remaining.saturating_sub(1);
+        *remaining > 0
     }
 }
 
-/// Machines on which the job's tasks failed. Once they failed nearly
-/// everywhere, the machines aren't the reason and none is avoided.
+/// Returns the machines to avoid: those on which the job's tasks failed. If they
+/// failed on many machines or on at least half of those that are up, the machines
+/// are not considered the cause and none is avoided.
 pub fn avoided_machines(job: &Job, machines: &[Machine]) -> Vec<MachineIndex> {
     let failed_on = &job.failures.machines;
     if failed_on.is_empty() {
--- a/src/coordination/scheduler/trial/tree.rs
+++ b/src/coordination/scheduler/trial/tree.rs
@@ -1,4 +1,4 @@
-//! The walk over a job's tree.
+//! The greedy search over a job's tree of zones and tasks.
 
 use std::cmp::Reverse;
 
@@ -14,16 +14,17 @@
     protocol::{jobs::JobKind, names::ZoneIndex},
 };
 
-/// Tasks of one shape that a pool's capacity is counted up to.
+/// Maximum number of tasks of one shape counted as fitting in one pool.
 const TASK_COUNT_LIMIT: u32 = 1_000_000;
 
 impl ClusterSnapshot {
     /// Tries to place a job's whole tree, and leaves the snapshot as it was: the
-    /// caller turns what was found into assignments, or reserves it.
+    /// caller turns the placements found into assignments, or reserves capacity for
+    /// them.
     pub fn trial(&mut self, request: &TrialRequest<'_>) -> TrialResult {
         let mut trial = Trial { snapshot: self, request };
         let outcome = trial.try_root();
-        trial.forget_all(&outcome.placements);
+        trial.remove_assumed(&outcome.placements);
         outcome
     }
 }
@@ -41,7 +42,7 @@
     host: usize,
 }
 
-/// What was found in a zone, and its score.
+/// The result of a trial in one zone, and its score.
 struct ScoredOutcome {
     score: f64,
     outcome: TrialResult,
@@ -64,16 +65,16 @@
         }
     }
 
-    /// A node whose children are tasks. They are alike, so the first that
-    /// doesn't fit speaks for the rest, and a machine that was best for one
-    /// takes as many as fit. None of them is unresolvable: preemption may make
-    /// each fit. On success the placements stay assumed.
+    /// Tries a node whose children are tasks. They are alike: if one doesn't fit,
+    /// the remaining ones don't fit either, and a machine that was best for one is
+    /// used for as many as fit there. None of them is unresolvable: preemption may
+    /// let each of them fit. On success the placements stay assumed.
     fn try_tasks(&mut self, tasks: &[u32], min: usize, zone: Option<ZoneIndex>) -> TrialResult {
         let mut placements: Vec<TaskPlacement> = Vec::new();
         let mut preemptable = 0;
         for (position, &task) in tasks.iter().enumerate() {
-            let same = placements.last().map(|placement| placement.host).filter(|&host| self.takes_another(host));
-            match same.or_else(|| self.best_host(zone)) {
+            let same_host = placements.last().map(|placement| placement.host).filter(|&host| self.fits_another(host));
+            match same_host.or_else(|| self.best_host(zone)) {
                 Some(host) => {
                     self.snapshot.assume(host, self.request.spec);
                     placements.push(TaskPlacement { task, host });
@@ -84,10 +85,10 @@
                 }
             }
         }
-        self.judge_placements(placements, min, preemptable)
+        self.evaluate(placements, min, preemptable)
     }
 
-    /// A node with one child per candidate zone; the feasible one with the
+    /// Tries a node with one child per candidate zone; the feasible zone with the
     /// highest score wins.
     fn try_one_zone(&mut self) -> TrialResult {
         let zone_used = self.request.zone_used;
@@ -107,8 +108,8 @@
                 status = outcome.status;
                 continue;
             }
-            let score = self.score_of(&outcome.placements);
-            self.forget_all(&outcome.placements);
+            let score = self.placements_score(&outcome.placements);
+            self.remove_assumed(&outcome.placements);
             if best.as_ref().is_none_or(|best| score > best.score) {
                 best = Some(ScoredOutcome { score, outcome });
             }
@@ -122,54 +123,56 @@
         outcome
     }
 
-    /// A node with one child per zone, the one with the most capacity first;
-    /// each takes at most what the spread rule allows in a zone.
+    /// Tries a node with one child per zone, those with the most free capacity first;
+    /// each zone takes at most as many tasks as the spread rule allows.
     fn try_spread(&mut self) -> TrialResult {
         let request = self.request;
         let zones = self.zones_by_capacity();
         let limits: Vec<usize> = zones.iter().map(|&zone| spread_limit(request, zone)).collect();
         let all_or_nothing = request.min == request.tasks.len();
         let mut placements: Vec<TaskPlacement> = Vec::new();
-        let mut rest = request.tasks;
+        let mut remaining = request.tasks;
         let mut preemptable = 0;
         for (position, zone) in zones.iter().enumerate() {
-            let part = &rest[..rest.len().min(limits[position])];
-            if part.is_empty() {
+            let zone_tasks = &remaining[..remaining.len().min(limits[position])];
+            if zone_tasks.is_empty() {
                 continue;
             }
-            // What later zones can't take must be placed here.
-            let later: usize = limits[position + 1..].iter().sum();
-            let min = if all_or_nothing { rest.len().saturating_sub(later).min(part.len()) } else { 1 };
-            let outcome = self.try_tasks(part, min, Some(*zone));
+            // Tasks that later zones can't take must be placed in this one.
+            let later_limit: usize = limits[position + 1..].iter().sum();
+            let min =
+                if all_or_nothing { remaining.len().saturating_sub(later_limit).min(zone_tasks.len()) } else { 1 };
+            let outcome = self.try_tasks(zone_tasks, min, Some(*zone));
             if outcome.status != PlacementStatus::Success {
-                preemptable += part.len();
+                preemptable += zone_tasks.len();
                 continue;
             }
-            // What doesn't fit here moves on to the next zone.
-            rest = &rest[outcome.placements.len()..];
+            // Tasks that don't fit in this zone are tried in the next one.
+            remaining = &remaining[outcome.placements.len()..];
             placements.extend(outcome.placements);
         }
-        self.judge_placements(placements, request.min, preemptable.max(rest.len()))
+        self.evaluate(placements, request.min, preemptable.max(remaining.len()))
     }
 
-    /// Judges a node by what was placed; what a failed one assumed is forgotten.
-    fn judge_placements(&mut self, mut placements: Vec<TaskPlacement>, min: usize, preemptable: usize) -> TrialResult {
+    /// Derives the result of a node from its placements, and removes those assumed
+    /// by a failed node.
+    fn evaluate(&mut self, mut placements: Vec<TaskPlacement>, min: usize, preemptable: usize) -> TrialResult {
         let status = PlacementStatus::from_counts(min, placements.len(), 0, preemptable);
         if status != PlacementStatus::Success {
-            self.forget_all(&placements);
+            self.remove_assumed(&placements);
             placements.clear();
         }
         TrialResult { status, placements }
     }
 
-    /// Forgets assumed placements, the last one first.
-    fn forget_all(&mut self, placements: &[TaskPlacement]) {
+    /// Removes assumed placements from the snapshot, the last one first.
+    fn remove_assumed(&mut self, placements: &[TaskPlacement]) {
         for placement in placements.iter().rev() {
             self.snapshot.remove_assumed(placement.host, self.request.spec);
         }
     }
 
-    /// The feasible machine with the highest score.
+    /// Returns the feasible machine with the highest score; `None` if there is none.
     fn best_host(&mut self, zone: Option<ZoneIndex>) -> Option<usize> {
         let request = self.request;
         let mut best: Option<ScoredHost> = None;
@@ -187,8 +190,9 @@
         best.map(|best| best.host)
     }
 
-    /// Whether the machine that the job's last task took takes one more of them.
-    fn takes_another(&self, host_index: usize) -> bool {
+    /// Reports whether one more task of the job fits on the machine on which its
+    /// last task was placed. Never so for service replicas.
+    fn fits_another(&self, host_index: usize) -> bool {
         let spec = self.request.spec;
         let host = &self.snapshot.hosts[host_index];
         spec.kind != JobKind::Service
@@ -196,8 +200,8 @@
             && host.pool.is_some_and(|pool| self.snapshot.pools[pool].host_allows(host, spec))
     }
 
-    /// Zones with machines that the job may use, those with the most free
-    /// capacity first.
+    /// Returns the zones with machines that the job may use, those with the most
+    /// free capacity first.
     fn zones_by_capacity(&self) -> Vec<ZoneIndex> {
         let spec = self.request.spec;
         let need = Resources::of(spec);
@@ -213,17 +217,17 @@
         zones.into_iter().map(|capacity| capacity.zone).collect()
     }
 
-    /// Score of the zone in which these placements are assumed.
-    fn score_of(&self, placements: &[TaskPlacement]) -> f64 {
-        let score_of_pick = |placement: &TaskPlacement| {
+    /// Returns the score of the zone in which these placements are assumed.
+    fn placements_score(&self, placements: &[TaskPlacement]) -> f64 {
+        let host_score_of = |placement: &TaskPlacement| {
             let host = &self.snapshot.hosts[placement.host];
             host.pool.map_or(0.0, |pool| host_score(&self.snapshot.pools[pool], host, self.request.spec))
         };
-        zone_score(placements.iter().map(score_of_pick))
+        zone_score(placements.iter().map(host_score_of))
     }
 }
 
-/// Whether the request allows a machine, capacity aside.
+/// Reports whether the request allows a machine, regardless of its capacity.
 fn is_eligible(request: &TrialRequest<'_>, host_index: usize, host: &Host) -> bool {
     let is_avoided = request.avoid.contains(&MachineIndex(host_index as u32));
     let passes_filter = match request.hosts {
@@ -233,7 +237,7 @@
     passes_filter && !is_avoided
 }
 
-/// How many more of the job's tasks the spread rule allows in a zone.
+/// Returns how many more of the job's tasks the spread rule allows in a zone.
 fn spread_limit(request: &TrialRequest<'_>, zone: ZoneIndex) -> usize {
     let used = request.zone_used.get(zone.as_usize()).copied().unwrap_or(0);
     request.spec.zone_cap().saturating_sub(used) as usize
