--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -137,7 +137,7 @@
             tracing::info!(term = %leader.term(), reason = "fencing tokens exhausted", "stepping down");
             return self.step_down(context, now);
         }
-        let unreached = now > leader.started() + UNREACHED_MS && leader.is_unreached(now, UNREACHED_MS);
+        let unreached = now > leader.started() + UNREACHED_MS && leader.is_isolated_from_workers(now, UNREACHED_MS);
         if unreached && peers.reached_by_workers {
             tracing::warn!(term = %leader.term(), reason = "workers reach only peers", "stepping down");
             self.step_down(context, now);
--- a/src/coordination/autoscaler/boot_delays.rs
+++ b/src/coordination/autoscaler/boot_delays.rs
@@ -95,7 +95,7 @@
         let Some(machine_type) = cluster.type_of(machine) else { continue };
         let statistics = by_type.entry(machine_type.index).or_default();
         match machine.lifecycle {
-            MachineLifecycle::Booting if !machine.is_inherited_without_heartbeat() => {
+            MachineLifecycle::Booting if !machine.is_recovered_without_heartbeat() => {
                 statistics.overdue += u32::from(is_boot_overdue(now, machine, machine_type));
             }
             MachineLifecycle::Up => {
--- a/src/coordination/autoscaler/contact.rs
+++ b/src/coordination/autoscaler/contact.rs
@@ -11,7 +11,7 @@
 /// Whether a machine's worker should send heartbeats: it did, or it holds tasks
 /// that an earlier leader assigned.
 pub fn is_heartbeat_expected(machine: &Machine) -> bool {
-    machine.lifecycle == MachineLifecycle::Up || machine.is_inherited_without_heartbeat()
+    machine.lifecycle == MachineLifecycle::Up || machine.is_recovered_without_heartbeat()
 }
 
 /// Whether a machine was in contact within two heartbeat intervals.
--- a/src/coordination/autoscaler/failure_detector.rs
+++ b/src/coordination/autoscaler/failure_detector.rs
@@ -90,7 +90,7 @@
             |machine: &&Machine| machine.lifecycle == MachineLifecycle::Up && has_recent_contact(now, cluster, machine);
         for machine in cluster.machines().iter().filter(is_in_contact) {
             acknowledgements.in_contact += 1;
-            acknowledgements.acknowledging += usize::from(machine.fence.unacknowledged_heartbeats == 0);
+            acknowledgements.acknowledging += usize::from(machine.token_requirement.unacknowledged_heartbeats == 0);
         }
         acknowledgements
     }
--- a/src/coordination/autoscaler/scale_in_policy.rs
+++ b/src/coordination/autoscaler/scale_in_policy.rs
@@ -95,7 +95,7 @@
         match machine.lifecycle {
             MachineLifecycle::Gone => None,
             MachineLifecycle::Releasing => Some(ScaleInReason::Unconfirmed),
-            MachineLifecycle::Booting if machine.is_inherited_without_heartbeat() => {
+            MachineLifecycle::Booting if machine.is_recovered_without_heartbeat() => {
                 self.failure_detector.has_failed(machine).then_some(ScaleInReason::Failed)
             }
             MachineLifecycle::Booting => {
--- a/src/coordination/cluster/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -5,7 +5,7 @@
 use crate::{
     coordination::model::{
         Assignment, AssignmentIndex, AssignmentState, MachineIndex, MachineLoad, Millis, Resources, Slot,
-        START_COUNTS_MS,
+        EFFECTIVE_START_MS,
     },
     protocol::{
         ids::{Attempt, Incarnation},
@@ -47,7 +47,7 @@
             running_since: None,
             halt: None,
             assigned_at: now,
-            inherited: false,
+            recovered: false,
         }
     }
 }
@@ -104,8 +104,8 @@
         let Some(job) = self.jobs.get_mut(assignment.job) else { return };
         let machine = assignment.machine.as_usize();
         let ran_long_enough =
-            assignment.running_since.is_some_and(|since| self.last_event_at >= since + START_COUNTS_MS);
-        job.wait.has_counted_start |= reason == ReleaseReason::Done || ran_long_enough;
+            assignment.running_since.is_some_and(|since| self.last_event_at >= since + EFFECTIVE_START_MS);
+        job.wait.has_effective_start |= reason == ReleaseReason::Done || ran_long_enough;
         job.record_release(assignment);
         self.team_used.subtract(job.spec.team, Resources::of(&job.spec));
         self.snapshot.remove_task(machine, &job.spec, assignment.halt.is_some());
@@ -175,7 +175,7 @@
     ) {
         for &index in &self.machines[machine.as_usize()].load.assignments {
             let Some(assignment) = self.assignments.get_mut(index) else { continue };
-            if is_missing(index) && matches!(assignment.state, AssignmentState::Seen(_)) {
+            if is_missing(index) && matches!(assignment.state, AssignmentState::Reported(_)) {
                 assignment.state = AssignmentState::Wanted;
             }
         }
--- a/src/coordination/cluster/machines.rs
+++ b/src/coordination/cluster/machines.rs
@@ -64,7 +64,7 @@
             // can't show it.
             && machine.is_fenced()
             && machine.heartbeats.incarnation > machine.heartbeats.expired_incarnation
-            && machine.spot_notice_until.is_none()
+            && machine.spot_interruption_at.is_none()
             && !machine.cordoned
             && now >= machine.unschedulable_until
     }
--- a/src/coordination/commits/applied.rs
+++ b/src/coordination/commits/applied.rs
@@ -48,7 +48,7 @@
 }
 
 fn log_completion(now: Millis, job: &Job) {
-    let last_assigned_after_ms = job.statistics.last_assigned as i64 - job.wait.since;
+    let last_assigned_after_ms = job.statistics.last_assigned as i64 - job.wait.ready_since;
     tracing::info!(
         job = &*job.id,
         age_s = job.age_s(now),
--- a/src/coordination/commits/job_records.rs
+++ b/src/coordination/commits/job_records.rs
@@ -56,7 +56,7 @@
     fn due_jobs(&self) -> Vec<(WritePriority, &Job)> {
         let with_priority = |job| Some((WritePriority::of(job, self.now, self.has_spare)?, job));
         let mut due: Vec<(WritePriority, &Job)> = self.cluster.active_jobs().filter_map(with_priority).collect();
-        due.sort_unstable_by_key(|(priority, job)| (*priority, job.wait.since, job.index));
+        due.sort_unstable_by_key(|(priority, job)| (*priority, job.wait.ready_since, job.index));
         due
     }
 
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -105,13 +105,13 @@
     for AssignmentRecord(task, machine_id, incarnation, attempt, zone_name) in assignments {
         let zone = interners.zones.intern(&zone_name);
         let machine = cluster.find_or_add_machine(now, &machine_id, zone);
-        cluster.machine_mut(machine).heartbeats.lease_renewed = now;
+        cluster.machine_mut(machine).heartbeats.lease_renewed_at = now;
         let new = NewAssignment { job, task, machine, incarnation, attempt, zone };
         let Some(assignment_index) = cluster.add_assignment(now, new) else { continue };
         // Its launch may have been sent by an earlier leader.
         if let Some(assignment) = cluster.assignment_mut(assignment_index) {
             assignment.sent = Some(now);
-            assignment.inherited = true;
+            assignment.recovered = true;
         }
     }
 }
@@ -132,7 +132,7 @@
     }
     job.tasks.done += newly_done;
     job.wait.ever_assigned = true;
-    job.wait.has_counted_start = true;
+    job.wait.has_effective_start = true;
     let slots = &job.tasks.slots;
     job.tasks.pending.retain(|&task| slots[task as usize] == Slot::Pending);
 }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -128,6 +128,9 @@
     /// next leadership begins a new one.
     pub fn tokens_exhausted(&self) -> bool {
         let term = self.cluster.term();
-        self.cluster.machines().iter().any(|machine| term.raise_count(machine.fence.token) > TOKEN_RAISE_LIMIT)
+        self.cluster
+            .machines()
+            .iter()
+            .any(|machine| term.raise_count(machine.token_requirement.token) > TOKEN_RAISE_LIMIT)
     }
 }
--- a/src/coordination/leader/sweep.rs
+++ b/src/coordination/leader/sweep.rs
@@ -27,7 +27,7 @@
                 continue;
             }
             self.workers.expire_lease(&mut self.cluster, now, index);
-            probes::probe_if_overdue(&mut self.cluster, &mut self.outbox, now, index);
+            probes::probe_if_heartbeat_late(&mut self.cluster, &mut self.outbox, now, index);
             self.update_idle_since(now, index);
             self.cluster.refresh(now, index);
         }
--- a/src/coordination/model/assignment.rs
+++ b/src/coordination/model/assignment.rs
@@ -16,10 +16,10 @@
     /// Part of the wanted state; launched once its record is written.
     Wanted,
     /// Listed by its worker in this state.
-    Seen(TaskState),
+    Reported(TaskState),
     /// Ended, but not settled while an earlier command may still arrive and
     /// start it again.
-    Ended(ExitReason),
+    Exited(ExitReason),
 }
 
 /// A task that is to be stopped.
@@ -59,13 +59,13 @@
     /// When the assignment was made.
     pub assigned_at: Millis,
     /// Read from a record: an earlier leader may have sent its launch.
-    pub inherited: bool,
+    pub recovered: bool,
 }
 
 impl Assignment {
     /// Whether no leader can have sent the task's launch yet.
     pub fn never_launched(&self) -> bool {
-        self.state == AssignmentState::Wanted && self.sent.is_none() && !self.inherited
+        self.state == AssignmentState::Wanted && self.sent.is_none() && !self.recovered
     }
 
     /// Identifies the launch of this assignment.
--- a/src/coordination/model/failures.rs
+++ b/src/coordination/model/failures.rs
@@ -37,7 +37,7 @@
     }
 
     /// Whether the job is at fault itself: it fails on every machine, as far as is known.
-    pub fn is_job_at_fault(&self) -> bool {
+    pub fn is_job_faulty(&self) -> bool {
         !self.job_is_healthy && self.machines.len() >= MIN_FAILED_MACHINES
     }
 
--- a/src/coordination/model/job/mod.rs
+++ b/src/coordination/model/job/mod.rs
@@ -29,7 +29,7 @@
 pub struct WaitState {
     /// Since when it may run, on the leader's steady clock; may lie before the
     /// clock's start.
-    pub since: i64,
+    pub ready_since: i64,
     /// Since when it waits without free capacity, for preemption, scale-out and the logs.
     pub waiting_since: Millis,
     /// None of its tasks are to be assigned before.
@@ -37,7 +37,7 @@
     /// No tasks are stopped for it before.
     pub next_preemption: Millis,
     /// A task completed, or ran long enough to count as a start.
-    pub has_counted_start: bool,
+    pub has_effective_start: bool,
     /// At least one of its tasks was assigned before.
     pub ever_assigned: bool,
 }
@@ -46,11 +46,11 @@
     /// A job that may run for `age_ms` already, and of which nothing is assigned yet.
     pub fn new(now: Millis, age_ms: i64) -> WaitState {
         WaitState {
-            since: now as i64 - age_ms,
+            ready_since: now as i64 - age_ms,
             waiting_since: now,
             not_before: 0,
             next_preemption: 0,
-            has_counted_start: false,
+            has_effective_start: false,
             ever_assigned: false,
         }
     }
@@ -142,7 +142,7 @@
         if let Some(used) = self.tasks.zone_used.get_mut(assignment.zone.as_usize()) {
             *used -= 1;
         }
-        if matches!(assignment.state, AssignmentState::Seen(TaskState::Running)) {
+        if matches!(assignment.state, AssignmentState::Reported(TaskState::Running)) {
             self.tasks.running = self.tasks.running.saturating_sub(1);
         }
     }
@@ -159,7 +159,7 @@
 
     /// Seconds since it became ready to run.
     pub fn age_s(&self, now: Millis) -> f64 {
-        (now as i64 - self.wait.since) as f64 / 1000.0
+        (now as i64 - self.wait.ready_since) as f64 / 1000.0
     }
 
     /// Milliseconds since it began to wait for free capacity; negative if that lies ahead.
--- a/src/coordination/model/machine.rs
+++ b/src/coordination/model/machine.rs
@@ -42,7 +42,7 @@
 
 /// Fencing token of a machine, and which tokens its worker has acknowledged.
 #[derive(Debug)]
-pub struct Fence {
+pub struct TokenRequirement {
     /// The token that commands to the machine carry now.
     pub token: FencingToken,
     /// Consecutive heartbeats that do not acknowledge the fence, though a response
@@ -54,19 +54,19 @@
     /// The highest token that the worker has acknowledged.
     acknowledged_token: FencingToken,
     /// A heartbeat was answered since the fence was last raised.
-    answered_since_raised: bool,
+    response_sent_since_raised: bool,
     /// When the last unacknowledged heartbeat was counted; 0: never.
     last_unacknowledged_at: Millis,
 }
 
-impl Fence {
-    fn new(token: FencingToken) -> Fence {
-        Fence {
+impl TokenRequirement {
+    fn new(token: FencingToken) -> TokenRequirement {
+        TokenRequirement {
             token,
             unacknowledged_heartbeats: 0,
             required_token: token,
             acknowledged_token: FencingToken::NONE,
-            answered_since_raised: false,
+            response_sent_since_raised: false,
             last_unacknowledged_at: 0,
         }
     }
@@ -78,10 +78,10 @@
 
     /// Raises the token and requires the worker to acknowledge it, so that no
     /// command sent so far can take effect afterwards.
-    pub fn raise(&mut self) {
+    pub fn raise_and_require_token(&mut self) {
         self.raise_token();
         self.required_token = self.token;
-        self.answered_since_raised = false;
+        self.response_sent_since_raised = false;
     }
 
     /// Records the token that a heartbeat, a command's response or a probe's
@@ -100,17 +100,17 @@
     pub fn count_acknowledgement(&mut self, now: Millis, token: FencingToken, min_gap_ms: Millis) {
         if token >= self.required_token {
             self.unacknowledged_heartbeats = 0;
-        } else if self.answered_since_raised && now >= self.last_unacknowledged_at + min_gap_ms {
+        } else if self.response_sent_since_raised && now >= self.last_unacknowledged_at + min_gap_ms {
             self.unacknowledged_heartbeats += 1;
             self.last_unacknowledged_at = now;
         }
-        self.answered_since_raised = true;
+        self.response_sent_since_raised = true;
     }
 
     /// The response to the last heartbeat is not sent after all: that the worker
     /// never acknowledges it means nothing.
     pub fn response_not_sent(&mut self) {
-        self.answered_since_raised = false;
+        self.response_sent_since_raised = false;
     }
 
     fn is_acknowledged(&self) -> bool {
@@ -130,7 +130,7 @@
     /// When its last periodic heartbeat came.
     pub last_heartbeat: Option<Millis>,
     /// When the last 200 was sent to one of its heartbeats, by any leader.
-    pub lease_renewed: Millis,
+    pub lease_renewed_at: Millis,
     /// Consecutive probes that went unanswered.
     pub failed_probes: u32,
     /// Number of the latest heartbeat within the incarnation.
@@ -146,7 +146,7 @@
             expired_incarnation: Incarnation::NONE,
             last_contact: None,
             last_heartbeat: None,
-            lease_renewed: now,
+            lease_renewed_at: now,
             failed_probes: 0,
             sequence: SequenceNumber::default(),
             probe_in_flight: false,
@@ -175,7 +175,7 @@
     /// Guard: the new incarnation has a lease of its own, from its beginning on,
     /// also where only the response to a probe or a command tells of it.
     pub fn begin_incarnation(&mut self, now: Millis, incarnation: Incarnation) -> Incarnation {
-        self.lease_renewed = self.lease_renewed.max(now);
+        self.lease_renewed_at = self.lease_renewed_at.max(now);
         std::mem::replace(&mut self.incarnation, incarnation)
     }
 
@@ -219,24 +219,29 @@
     /// The direct call in flight, if any.
     pub direct_call: Option<DirectCall>,
     /// No direct call is made before.
-    direct_call_after: Millis,
+    direct_calls_paused_until: Millis,
     /// The response to its last heartbeat carried launches, and no heartbeat came since.
     launch_in_response: bool,
 }
 
 impl CommandState {
     fn new() -> CommandState {
-        CommandState { pending_reaps: Vec::new(), direct_call: None, direct_call_after: 0, launch_in_response: false }
+        CommandState {
+            pending_reaps: Vec::new(),
+            direct_call: None,
+            direct_calls_paused_until: 0,
+            launch_in_response: false,
+        }
     }
 
     /// Until when direct calls are paused; in the past: they are not.
-    pub fn direct_call_after(&self) -> Millis {
-        self.direct_call_after
+    pub fn direct_calls_paused_until(&self) -> Millis {
+        self.direct_calls_paused_until
     }
 
     /// Makes no direct call before `until`.
     pub fn pause_direct_calls(&mut self, until: Millis) {
-        self.direct_call_after = until;
+        self.direct_calls_paused_until = until;
     }
 
     /// Ends the direct call in flight if it has this number.
@@ -303,10 +308,10 @@
     /// Which of its heartbeats were received, its lease, and its probes.
     pub heartbeats: HeartbeatState,
     /// Its fencing token, and which tokens its worker has acknowledged.
-    pub fence: Fence,
+    pub token_requirement: TokenRequirement,
     /// When a spot machine with an interruption notice will be taken away; None:
     /// no notice.
-    pub spot_notice_until: Option<Millis>,
+    pub spot_interruption_at: Option<Millis>,
     /// What is, or may be, on it.
     pub load: MachineLoad,
     /// Commands to it that may still be in flight, and exits to be reaped.
@@ -336,8 +341,8 @@
             spot: false,
             lifecycle: MachineLifecycle::Booting,
             heartbeats: HeartbeatState::new(now),
-            fence: Fence::new(token),
-            spot_notice_until: None,
+            token_requirement: TokenRequirement::new(token),
+            spot_interruption_at: None,
             load: MachineLoad::new(),
             commands: CommandState::new(),
             provisioned_at: now,
@@ -351,12 +356,12 @@
 
     /// Its heartbeats arrive, but our responses don't reach it.
     pub fn is_unreachable(&self) -> bool {
-        self.fence.unacknowledged_heartbeats >= UNACKNOWLEDGED_HEARTBEAT_LIMIT
+        self.token_requirement.unacknowledged_heartbeats >= UNACKNOWLEDGED_HEARTBEAT_LIMIT
     }
 
     /// No command sent before the fence was raised can still take effect.
     pub fn is_fenced(&self) -> bool {
-        self.fence.is_acknowledged()
+        self.token_requirement.is_acknowledged()
     }
 
     /// No command with a launch can still be in flight: what its worker lists, or
@@ -366,7 +371,7 @@
     }
 
     /// Inherited with tasks on it, and without a heartbeat since this leader began.
-    pub fn is_inherited_without_heartbeat(&self) -> bool {
+    pub fn is_recovered_without_heartbeat(&self) -> bool {
         self.lifecycle == MachineLifecycle::Booting && !self.load.assignments.is_empty()
     }
 }
--- a/src/coordination/model/mod.rs
+++ b/src/coordination/model/mod.rs
@@ -17,7 +17,7 @@
     ids::{CallId, Term},
     index::{AssignmentIndex, MachineIndex},
     job::{Chunk, Job, JobProgress, JobRecords, JobStatistics, Slot, TaskTable, WaitState},
-    machine::{CommandState, Fence, HeartbeatState, Machine, MachineLifecycle, MachineLoad, TaskFailure},
+    machine::{CommandState, HeartbeatState, Machine, MachineLifecycle, MachineLoad, TaskFailure, TokenRequirement},
     machine_type::{fits_some_type, MachineTypeSpec},
     resources::{Resources, RESOURCE_TOLERANCE},
     team::TeamLimits,
@@ -28,7 +28,7 @@
 
 /// A task that ran this long counts as started for good (PROTOCOL, "How aims
 /// are counted").
-pub const START_COUNTS_MS: Millis = 30_000;
+pub const EFFECTIVE_START_MS: Millis = 30_000;
 
 /// Grace period given to a task beyond the time it needs to save, in seconds.
 pub const SAVE_MARGIN_S: f64 = 2.0;
--- a/src/coordination/scheduler/best_effort.rs
+++ b/src/coordination/scheduler/best_effort.rs
@@ -96,7 +96,7 @@
 
 /// CPUs that arrays of teams with a guarantee may be expected to ask for.
 fn expected_cpus(cluster: &ClusterState, now: Millis) -> f64 {
-    let arrived_recently = |job: &&Job| now as i64 - job.wait.since < EXPECTED_AGAIN_MS;
+    let arrived_recently = |job: &&Job| now as i64 - job.wait.ready_since < EXPECTED_AGAIN_MS;
     cluster
         .active_jobs()
         .filter(|job| job.status == JobStatus::Pending && job.spec.kind == JobKind::Array)
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -190,7 +190,7 @@
     /// Records tasks that found no free capacity. Those of a job that fails
     /// everywhere don't count as demand.
     fn record_unmet(&mut self, index: JobIndex, tasks: usize) {
-        let is_at_fault = self.cluster.job(index).is_some_and(|job| job.failures.is_job_at_fault());
+        let is_at_fault = self.cluster.job(index).is_some_and(|job| job.failures.is_job_faulty());
         if !is_at_fault {
             self.unmet.push(UnmetDemand { job: index, tasks: tasks as u32 });
         }
--- a/src/coordination/scheduler/gpu_demand.rs
+++ b/src/coordination/scheduler/gpu_demand.rs
@@ -70,9 +70,9 @@
         };
         if let Some(shape) = self.shapes.iter_mut().find(is_same) {
             shape.last_seen = now;
-            shape.latest_arrival = shape.latest_arrival.max(job.wait.since);
+            shape.latest_arrival = shape.latest_arrival.max(job.wait.ready_since);
         } else if self.shapes.len() < SHAPE_LIMIT {
-            self.shapes.push(GpuShape { spec: job.spec.clone(), last_seen: now, latest_arrival: job.wait.since });
+            self.shapes.push(GpuShape { spec: job.spec.clone(), last_seen: now, latest_arrival: job.wait.ready_since });
         }
     }
 }
--- a/src/coordination/scheduler/preemption/mod.rs
+++ b/src/coordination/scheduler/preemption/mod.rs
@@ -45,7 +45,7 @@
 /// Whether other work may be preempted for this job by now.
 pub fn may_preempt(now: Millis, job: &Job) -> bool {
     // Guard: what fails everywhere would have others stopped again and again.
-    if job.failures.is_job_at_fault() {
+    if job.failures.is_job_faulty() {
         return false;
     }
     if job.within_guarantee {
--- a/src/coordination/scheduler/preemption/victims.rs
+++ b/src/coordination/scheduler/preemption/victims.rs
@@ -4,8 +4,8 @@
     coordination::{
         cluster::ClusterState,
         model::{
-            Assignment, AssignmentIndex, AssignmentState, Job, Millis, Resources, RESOURCE_TOLERANCE, SAVE_MARGIN_S,
-            START_COUNTS_MS,
+            Assignment, AssignmentIndex, AssignmentState, Job, Millis, Resources, EFFECTIVE_START_MS,
+            RESOURCE_TOLERANCE, SAVE_MARGIN_S,
         },
         scheduler::queue::is_overdue,
     },
@@ -55,7 +55,7 @@
     /// A task as a victim, or `None` when the preemptor may not stop it.
     fn victim(&self, index: AssignmentIndex) -> Option<Victim> {
         let assignment = self.cluster.assignment(index)?;
-        if assignment.halt.is_some() || matches!(assignment.state, AssignmentState::Ended(_)) {
+        if assignment.halt.is_some() || matches!(assignment.state, AssignmentState::Exited(_)) {
             return None;
         }
         let job = self.cluster.job(assignment.job)?;
@@ -69,7 +69,7 @@
         let ran_s = self.ran_s(assignment);
         // Guard: an overdue job that was let start at last is not stopped before
         // its start counts; otherwise it might never.
-        let is_fresh = ran_s * 1000.0 < START_COUNTS_MS as f64;
+        let is_fresh = ran_s * 1000.0 < EFFECTIVE_START_MS as f64;
         if self.preemptor.spec.priority < Priority::Production && is_overdue(self.now, job) && is_fresh {
             return None;
         }
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -204,7 +204,7 @@
 /// Guard: a job that fails everywhere would go before all others for as long as
 /// it is wanted.
 pub fn is_overdue(now: Millis, job: &Job) -> bool {
-    !job.wait.has_counted_start && job.age_s(now) >= OVERDUE_S && !job.failures.is_job_at_fault()
+    !job.wait.has_effective_start && job.age_s(now) >= OVERDUE_S && !job.failures.is_job_faulty()
 }
 
 /// Whether the job is overdue and none of its tasks is even assigned.
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -27,7 +27,7 @@
 fn pending_jobs_oldest_first(cluster: &ClusterState) -> Vec<JobIndex> {
     let pending = cluster.active_jobs().filter(|job| job.status == JobStatus::Pending);
     let mut jobs: Vec<JobIndex> = pending.map(|job| job.index).collect();
-    jobs.sort_unstable_by_key(|&index| (cluster.job(index).map(|job| job.wait.since), index));
+    jobs.sort_unstable_by_key(|&index| (cluster.job(index).map(|job| job.wait.ready_since), index));
     jobs
 }
 
--- a/src/coordination/scheduler/task_selection.rs
+++ b/src/coordination/scheduler/task_selection.rs
@@ -47,7 +47,7 @@
     if is_overdue_unplaced && job.spec.kind == JobKind::Array {
         limit = limit.min((job.spec.tasks / OVERDUE_ARRAY_DIVISOR).max(1) as usize);
     }
-    if job.failures.is_job_at_fault() {
+    if job.failures.is_job_faulty() {
         limit = limit.min(TASKS_PER_RETRY);
     }
     limit
--- a/src/coordination/tests/machine.rs
+++ b/src/coordination/tests/machine.rs
@@ -17,20 +17,20 @@
 
 /// The worker acknowledges a token in a heartbeat, which is answered.
 fn heartbeat(machine: &mut Machine, now: Millis, token: FencingToken) {
-    machine.fence.count_acknowledgement(now, token, MIN_GAP_MS);
-    machine.fence.record_acknowledged_token(token);
+    machine.token_requirement.count_acknowledgement(now, token, MIN_GAP_MS);
+    machine.token_requirement.record_acknowledged_token(token);
 }
 
 #[test]
-fn fence_holds_once_the_raised_token_is_acknowledged() {
+fn machine_is_fenced_once_required_token_is_acknowledged() {
     let mut machine = machine();
     assert!(!machine.is_fenced(), "no token was acknowledged yet");
     heartbeat(&mut machine, 1_000, FencingToken(10));
     assert!(machine.is_fenced());
-    machine.fence.raise_token();
+    machine.token_requirement.raise_token();
     assert!(machine.is_fenced(), "a token raised for a reap need not be acknowledged");
-    machine.fence.raise();
-    assert_eq!(machine.fence.token, FencingToken(12));
+    machine.token_requirement.raise_and_require_token();
+    assert_eq!(machine.token_requirement.token, FencingToken(12));
     heartbeat(&mut machine, 2_000, FencingToken(11));
     assert!(!machine.is_fenced(), "commands with the former token may be in flight");
     heartbeat(&mut machine, 3_000, FencingToken(12));
@@ -41,14 +41,17 @@
 fn machine_is_unreachable_after_three_unacknowledged_responses() {
     let mut machine = machine();
     heartbeat(&mut machine, 1_000, FencingToken::NONE);
-    assert_eq!(machine.fence.unacknowledged_heartbeats, 0, "nothing was answered before");
+    assert_eq!(machine.token_requirement.unacknowledged_heartbeats, 0, "nothing was answered before");
     for now in [2_000, 2_100, 2_200, 2_300] {
         heartbeat(&mut machine, now, FencingToken::NONE);
     }
-    assert_eq!(machine.fence.unacknowledged_heartbeats, 1, "delayed heartbeats that come together count once");
+    assert_eq!(
+        machine.token_requirement.unacknowledged_heartbeats, 1,
+        "delayed heartbeats that come together count once"
+    );
     heartbeat(&mut machine, 3_000, FencingToken::NONE);
     assert!(!machine.is_unreachable());
-    machine.fence.response_not_sent();
+    machine.token_requirement.response_not_sent();
     heartbeat(&mut machine, 4_000, FencingToken::NONE);
     assert!(!machine.is_unreachable(), "the last heartbeat was not answered");
     heartbeat(&mut machine, 5_000, FencingToken::NONE);
@@ -61,7 +64,7 @@
 fn heartbeats_are_ordered_by_incarnation_then_by_sequence() {
     let mut heartbeats = machine().heartbeats;
     assert_eq!(heartbeats.begin_incarnation(1_000, Incarnation(2)), Incarnation::NONE);
-    assert_eq!(heartbeats.lease_renewed, 1_000);
+    assert_eq!(heartbeats.lease_renewed_at, 1_000);
     heartbeats.record_contact(1_000, SequenceNumber(7));
     assert!(heartbeats.is_outdated_by(Incarnation(2), SequenceNumber(8)));
     assert!(heartbeats.is_outdated_by(Incarnation(3), SequenceNumber(1)));
@@ -75,7 +78,7 @@
 }
 
 #[test]
-fn launches_are_in_flight_until_the_call_and_the_response_end() {
+fn launch_may_be_in_flight_during_direct_call_and_after_response_with_launch() {
     let mut machine = machine();
     heartbeat(&mut machine, 1_000, FencingToken(10));
     assert!(machine.has_no_launch_in_flight());
--- a/src/coordination/tests/model.rs
+++ b/src/coordination/tests/model.rs
@@ -31,27 +31,27 @@
 }
 
 #[test]
-fn limits_table() {
-    let some = |c: f64, g: f64| TeamLimits {
-        cpus_max: (c > 0.0).then_some(c),
-        gpus_max: (g > 0.0).then_some(g),
+fn team_limit_bounds_further_tasks_and_rejects_jobs_that_can_never_fit() {
+    let team_limits = |cpus: f64, gpus: f64| TeamLimits {
+        cpus_max: (cpus > 0.0).then_some(cpus),
+        gpus_max: (gpus > 0.0).then_some(gpus),
         ..TeamLimits::default()
     };
     // (limit, gpus a task, used gpus, tasks more, kind, tasks, ever)
     let cases = [
-        (some(0.0, 0.0), 4.0, 100.0, u32::MAX, JobKind::Gang, 9, true),
-        (some(0.0, 16.0), 4.0, 8.0, 2, JobKind::Gang, 4, true),
-        (some(0.0, 16.0), 4.0, 8.0, 2, JobKind::Gang, 5, false),
-        (some(0.0, 16.0), 4.0, 16.0, 0, JobKind::Array, 50, true),
-        (some(0.0, 3.0), 4.0, 0.0, 0, JobKind::Array, 1, false),
-        (some(0.0, 16.0), 0.0, 16.0, u32::MAX, JobKind::Service, 3, true),
-        (some(5.0, 0.0), 0.0, 0.0, 2, JobKind::Service, 3, false),
+        (team_limits(0.0, 0.0), 4.0, 100.0, u32::MAX, JobKind::Gang, 9, true),
+        (team_limits(0.0, 16.0), 4.0, 8.0, 2, JobKind::Gang, 4, true),
+        (team_limits(0.0, 16.0), 4.0, 8.0, 2, JobKind::Gang, 5, false),
+        (team_limits(0.0, 16.0), 4.0, 16.0, 0, JobKind::Array, 50, true),
+        (team_limits(0.0, 3.0), 4.0, 0.0, 0, JobKind::Array, 1, false),
+        (team_limits(0.0, 16.0), 0.0, 16.0, u32::MAX, JobKind::Service, 3, true),
+        (team_limits(5.0, 0.0), 0.0, 0.0, 2, JobKind::Service, 3, false),
     ];
-    for (i, (limits, gpus, used, room, kind, tasks, ever)) in cases.into_iter().enumerate() {
-        let mut s = spec(kind, Priority::Low, tasks, 2.0);
-        s.gpus = gpus;
+    for (i, (limits, gpus, used, further_tasks, kind, tasks, ever)) in cases.into_iter().enumerate() {
+        let mut job_spec = spec(kind, Priority::Low, tasks, 2.0);
+        job_spec.gpus = gpus;
         let used = Resources { gpus: used, ..Resources::default() };
-        assert_eq!(limits.tasks_within_limit(&s, &used), room, "case {i}");
-        assert_eq!(limits.ever_allows(&s), ever, "case {i}");
+        assert_eq!(limits.tasks_within_limit(&job_spec, &used), further_tasks, "case {i}");
+        assert_eq!(limits.ever_allows(&job_spec), ever, "case {i}");
     }
 }
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -110,7 +110,7 @@
     fn assignment_command(&self, assignment: &Assignment) -> Option<WorkerCommand> {
         let job = self.cluster.job(assignment.job)?;
         let is_current = assignment.incarnation == self.machine.heartbeats.incarnation;
-        if !is_current || matches!(assignment.state, AssignmentState::Ended(_)) {
+        if !is_current || matches!(assignment.state, AssignmentState::Exited(_)) {
             return None;
         }
         let task = || format!("{}/{}", job.id, assignment.task);
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -21,7 +21,7 @@
 /// Pause after a call that could not be sent.
 const NOT_SENT_PAUSE_MS: Millis = 700;
 /// Pause after a call that went unanswered.
-const UNANSWERED_PAUSE_MS: Millis = 1_000;
+const NO_RESPONSE_PAUSE_MS: Millis = 1_000;
 
 /// Sends new commands directly to the workers that may need some.
 pub fn dispatch(cluster: &mut ClusterState, outbox: &mut Outbox, now: Millis) {
@@ -35,7 +35,7 @@
     if !needs_direct_call(machine) {
         return;
     }
-    let paused_until = machine.commands.direct_call_after();
+    let paused_until = machine.commands.direct_calls_paused_until();
     if now < paused_until {
         cluster.schedule_dispatch(paused_until, index);
         return;
@@ -55,8 +55,11 @@
     let call = outbox.next_call();
     let machine = cluster.machine_mut(index);
     machine.commands.direct_call = Some(DirectCall { id: call, launches });
-    let req =
-        DirectCommandRequest { token: machine.fence.token, incarnation: machine.heartbeats.incarnation, commands };
+    let req = DirectCommandRequest {
+        token: machine.token_requirement.token,
+        incarnation: machine.heartbeats.incarnation,
+        commands,
+    };
     outbox.send(Effect::Do { machine: index, call, addr, req });
     cluster.schedule_dispatch(now + RESEND_MS + RESEND_SLACK_MS, index);
 }
@@ -104,9 +107,9 @@
             cluster.machine_mut(index).commands.pause_direct_calls(now + NOT_SENT_PAUSE_MS);
         }
         DirectCallOutcome::Unknown => {
-            cluster.machine_mut(index).commands.pause_direct_calls(now + UNANSWERED_PAUSE_MS);
+            cluster.machine_mut(index).commands.pause_direct_calls(now + NO_RESPONSE_PAUSE_MS);
             if !completed.launches.is_empty() {
-                raise_fence(cluster, now, index);
+                require_new_token(cluster, now, index);
             }
         }
     }
@@ -126,12 +129,12 @@
 
 /// Guard: launches that went unanswered may arrive at any later time. The raised
 /// token fences them, once the worker has acknowledged it.
-fn raise_fence(cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
+fn require_new_token(cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
     let machine = cluster.machine_mut(index);
-    machine.fence.raise();
+    machine.token_requirement.raise_and_require_token();
     tracing::debug!(
         machine = &*machine.id,
-        token = %machine.fence.token,
+        token = %machine.token_requirement.token,
         "command outcome unknown, fencing token raised"
     );
     cluster.refresh(now, index);
--- a/src/coordination/workers/exited_tasks.rs
+++ b/src/coordination/workers/exited_tasks.rs
@@ -21,12 +21,12 @@
         return;
     }
     let reason = status.why.unwrap_or(ExitReason::Other);
-    let fate = if reason == ExitReason::Done { ReleaseReason::Done } else { ReleaseReason::Unfinished };
-    let Some(assignment) = cluster.release_assignment(index, fate) else { return };
-    let record = record_of_exit(cluster, &assignment);
+    let release_reason = if reason == ExitReason::Done { ReleaseReason::Done } else { ReleaseReason::Unfinished };
+    let Some(assignment) = cluster.release_assignment(index, release_reason) else { return };
+    let record = exit_record(cluster, &assignment);
     let machine = cluster.machine_mut(assignment.machine);
     machine.commands.add_pending_reap(status, assignment.job, record);
-    if fate == ReleaseReason::Done {
+    if release_reason == ReleaseReason::Done {
         observe_run_time(cluster, now, &assignment);
     } else {
         tracing::debug!(
@@ -49,7 +49,7 @@
 }
 
 /// The chunk version with which the exit of a released assignment is written.
-fn record_of_exit(cluster: &ClusterState, assignment: &Assignment) -> ExitRecord {
+fn exit_record(cluster: &ClusterState, assignment: &Assignment) -> ExitRecord {
     match cluster.job(assignment.job) {
         Some(job) => {
             let chunk = job.chunk_of(assignment.task);
--- a/src/coordination/workers/failure_attribution.rs
+++ b/src/coordination/workers/failure_attribution.rs
@@ -18,9 +18,9 @@
 /// Longest pause of such a machine.
 const MACHINE_PAUSE_MAX_MS: Millis = 60_000;
 /// How long a failure is remembered at its machine.
-const FAILURE_MEMORY_MS: Millis = 120_000;
+const FAILURE_RETENTION_MS: Millis = 120_000;
 /// Sound jobs that failed on one machine recently after which it counts as faulty.
-const FAULTY_MACHINE_JOBS: usize = 2;
+const FAULTY_MACHINE_MIN_JOBS: usize = 2;
 /// Pause of a job after a failure that is not attributed to it.
 const RETRY_PAUSE_MS: Millis = 300;
 /// First pause of a job that is at fault itself; doubled with each round...
@@ -41,7 +41,7 @@
     job.wait.not_before = now + retry_pause_ms(&job.failures);
     // Guard: a job that fails everywhere would keep healthy machines from
     // taking any work.
-    if !job.failures.is_job_at_fault() {
+    if !job.failures.is_job_faulty() {
         pause_machine(cluster, now, machine_index, job_index);
     }
     cluster.refresh(now, machine_index);
@@ -75,7 +75,7 @@
             return;
         }
         self.next_evaluation = now + EVALUATION_INTERVAL_MS;
-        mark_sound_jobs(cluster, now);
+        mark_healthy_jobs(cluster, now);
         for index in cluster.machine_indices() {
             if !cluster.machine(index).recent_failures.is_empty() {
                 cordon_if_faulty(cluster, index, now);
@@ -85,7 +85,7 @@
 }
 
 /// Marks jobs as sound of which a task has run for longer than any that failed.
-fn mark_sound_jobs(cluster: &mut ClusterState, now: Millis) {
+fn mark_healthy_jobs(cluster: &mut ClusterState, now: Millis) {
     let slack_ms = 2 * cluster.config().heartbeat_interval_ms;
     let outlasts = |job: &Job| {
         let limit_ms = job.failures.longest_run_ms + slack_ms;
@@ -93,8 +93,8 @@
         assignments.filter_map(|assignment| assignment.running_since).any(|since| now > since + limit_ms)
     };
     let suspects = cluster.active_jobs().filter(|job| job.failures.have_unknown_cause());
-    let sound: Vec<JobIndex> = suspects.filter(|job| outlasts(job)).map(|job| job.index).collect();
-    for index in sound {
+    let healthy: Vec<JobIndex> = suspects.filter(|job| outlasts(job)).map(|job| job.index).collect();
+    for index in healthy {
         if let Some(job) = cluster.job_mut(index) {
             job.failures.job_is_healthy = true;
         }
@@ -103,23 +103,23 @@
 
 fn cordon_if_faulty(cluster: &mut ClusterState, index: MachineIndex, now: Millis) {
     let mut recent_failures = std::mem::take(&mut cluster.machine_mut(index).recent_failures);
-    recent_failures.retain(|failure| now < failure.at + FAILURE_MEMORY_MS);
+    recent_failures.retain(|failure| now < failure.at + FAILURE_RETENTION_MS);
     for failure in &mut recent_failures {
         let job = cluster.job(failure.job);
         failure.job_is_healthy |= job.is_some_and(|job| job.failures.job_is_healthy);
     }
     let machine = cluster.machine_mut(index);
     machine.recent_failures = recent_failures;
-    let sound_jobs = machine.recent_failures.iter().filter(|failure| failure.job_is_healthy).count();
-    if sound_jobs >= FAULTY_MACHINE_JOBS && !machine.cordoned {
+    let healthy_jobs = machine.recent_failures.iter().filter(|failure| failure.job_is_healthy).count();
+    if healthy_jobs >= FAULTY_MACHINE_MIN_JOBS && !machine.cordoned {
         machine.cordoned = true;
-        tracing::warn!(machine = &*machine.id, failed_jobs = sound_jobs, "faulty machine cordoned");
+        tracing::warn!(machine = &*machine.id, failed_jobs = healthy_jobs, "faulty machine cordoned");
     }
 }
 
 /// How long a job waits after one of its tasks failed.
 fn retry_pause_ms(failures: &JobFailures) -> Millis {
-    if !failures.is_job_at_fault() {
+    if !failures.is_job_faulty() {
         return RETRY_PAUSE_MS;
     }
     BACKOFF_MS << failures.rounds.saturating_sub(1).min(BACKOFF_DOUBLINGS)
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -45,13 +45,13 @@
     let zone = context.interners.zones.intern(&heartbeat.zone);
     let index = cluster.find_or_add_machine(now, &heartbeat.machine, zone);
     let machine = cluster.machine_mut(index);
-    if heartbeat.token > machine.fence.token {
+    if heartbeat.token > machine.token_requirement.token {
         return HeartbeatOutcome::Superseded;
     }
     if is_stale(machine, heartbeat) {
         return HeartbeatOutcome::Stale;
     }
-    machine.heartbeats.lease_renewed = now;
+    machine.heartbeats.lease_renewed_at = now;
     let is_newer = machine.heartbeats.is_outdated_by(heartbeat.incarnation, heartbeat.sequence);
     cluster.record_event_at(now);
     let commands = if cluster.is_loaded() && is_newer {
@@ -63,7 +63,7 @@
         // state that it sends is left to its next heartbeat.
         stop_commands_for_cancelled(heartbeat, context.job_cache)
     };
-    HeartbeatOutcome::Accepted(HeartbeatResponse { token: cluster.machine(index).fence.token, commands })
+    HeartbeatOutcome::Accepted(HeartbeatResponse { token: cluster.machine(index).token_requirement.token, commands })
 }
 
 /// Applies the heartbeat that a worker sent in response to a direct call.
@@ -74,7 +74,7 @@
     heartbeat: &Heartbeat,
 ) -> Result<(), Superseded> {
     let machine = cluster.machine(index);
-    if heartbeat.token > machine.fence.token {
+    if heartbeat.token > machine.token_requirement.token {
         return Err(Superseded);
     }
     if !is_stale(machine, heartbeat) {
@@ -100,7 +100,7 @@
         machine_status::begin_incarnation(cluster, now, index, heartbeat.incarnation);
     }
     Reconciliation::new(cluster, now, index).run(&heartbeat.tasks, context.job_cache);
-    if cluster.machine(index).spot_notice_until.is_some() {
+    if cluster.machine(index).spot_interruption_at.is_some() {
         spot_interruption::drain(cluster, now, index);
     }
     cluster.refresh(now, index);
@@ -110,7 +110,7 @@
 /// after all.
 pub fn response_not_sent(cluster: &mut ClusterState, machine: &str) {
     if let Some(index) = cluster.find_machine(machine) {
-        cluster.machine_mut(index).fence.response_not_sent();
+        cluster.machine_mut(index).token_requirement.response_not_sent();
     }
 }
 
@@ -140,7 +140,7 @@
     machine.heartbeats.last_heartbeat = Some(now);
     // The worker received or lost our last response before it sent this.
     machine.commands.set_launch_in_response(false);
-    machine.fence.count_acknowledgement(now, token, min_gap_ms);
+    machine.token_requirement.count_acknowledgement(now, token, min_gap_ms);
 }
 
 /// The commands in the response to a heartbeat that was applied.
@@ -162,7 +162,7 @@
         // Guard: once reaped, an attempt is unknown to the worker, and a repeat of
         // the command that launched it would start it again. The reap comes with a
         // higher token than any such command.
-        machine.fence.raise_token();
+        machine.token_requirement.raise_token();
     }
     response
 }
--- a/src/coordination/workers/lease_expiry.rs
+++ b/src/coordination/workers/lease_expiry.rs
@@ -54,9 +54,9 @@
     /// none since. Otherwise a task could still run.
     fn is_expired(&self, config: &Config, now: Millis, machine: &Machine) -> bool {
         let lease_ms = config.lease_ms + config.lease_ms / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MS;
-        let last_renewal = (machine.heartbeats.lease_renewed as i64).max(self.no_peer_renewals.from);
-        let end = last_renewal + lease_ms as i64;
-        now as i64 >= end && self.no_peer_renewals.to >= end
+        let last_renewal = (machine.heartbeats.lease_renewed_at as i64).max(self.no_peer_renewals.from);
+        let lease_end = last_renewal + lease_ms as i64;
+        now as i64 >= lease_end && self.no_peer_renewals.to >= lease_end
     }
 }
 
--- a/src/coordination/workers/machine_status.rs
+++ b/src/coordination/workers/machine_status.rs
@@ -25,15 +25,15 @@
     machine.machine_type = Some(machine_type);
     machine.spot = heartbeat.spot;
     machine.heartbeats.record_contact(now, heartbeat.sequence);
-    machine.fence.record_acknowledged_token(heartbeat.token);
+    machine.token_requirement.record_acknowledged_token(heartbeat.token);
     let is_newly_up = machine.lifecycle == MachineLifecycle::Booting;
     if is_newly_up {
         mark_up(machine, now, heartbeat);
     }
-    let new_notice_s = heartbeat.reclaim_notice_s.filter(|_| machine.spot_notice_until.is_none());
+    let new_notice_s = heartbeat.reclaim_notice_s.filter(|_| machine.spot_interruption_at.is_none());
     if let Some(reclaim_notice_s) = new_notice_s {
         tracing::info!(machine = &*machine.id, reclaim_notice_s, "spot interruption notice received");
-        machine.spot_notice_until = Some(now + (reclaim_notice_s.clamp(0.0, NOTICE_MAX_S) * 1000.0) as Millis);
+        machine.spot_interruption_at = Some(now + (reclaim_notice_s.clamp(0.0, NOTICE_MAX_S) * 1000.0) as Millis);
     }
     if is_newly_up || new_notice_s.is_some() {
         cluster.request_scheduling_cycle();
--- a/src/coordination/workers/probes.rs
+++ b/src/coordination/workers/probes.rs
@@ -11,22 +11,22 @@
 };
 
 /// How late a heartbeat must be, besides a quarter of the interval, for a probe.
-const OVERDUE_SLACK_MS: Millis = 400;
+const LATE_HEARTBEAT_SLACK_MS: Millis = 400;
 /// Consecutive unanswered probes after which a worker is not probed again.
 const FAILED_PROBE_LIMIT: u32 = 3;
 
 /// Probes a worker whose heartbeat is overdue. A missing answer proves nothing, but
 /// lets the machine be released sooner, which does.
-pub fn probe_if_overdue(cluster: &mut ClusterState, outbox: &mut Outbox, now: Millis, index: MachineIndex) {
-    let overdue_ms = cluster.config().heartbeat_interval_ms * 5 / 4 + OVERDUE_SLACK_MS;
+pub fn probe_if_heartbeat_late(cluster: &mut ClusterState, outbox: &mut Outbox, now: Millis, index: MachineIndex) {
+    let max_age_ms = cluster.config().heartbeat_interval_ms * 5 / 4 + LATE_HEARTBEAT_SLACK_MS;
     let machine = cluster.machine_mut(index);
     let heartbeats = &mut machine.heartbeats;
-    let is_overdue = heartbeats.last_contact.is_some() && !heartbeats.contacted_within(now, overdue_ms);
+    let is_heartbeat_late = heartbeats.last_contact.is_some() && !heartbeats.contacted_within(now, max_age_ms);
     let may_probe = machine.lifecycle == MachineLifecycle::Up
         && !heartbeats.is_probing()
         && !machine.load.assignments.is_empty()
         && heartbeats.failed_probes < FAILED_PROBE_LIMIT;
-    if !is_overdue || !may_probe {
+    if !is_heartbeat_late || !may_probe {
         return;
     }
     if let Some(addr) = machine.addr {
--- a/src/coordination/workers/reachability.rs
+++ b/src/coordination/workers/reachability.rs
@@ -7,7 +7,7 @@
 
 /// A leader that is reached by less than one in this many of the workers that
 /// should send heartbeats is disconnected from them.
-const REACHED_DIVISOR: usize = 4;
+const WORKER_CONTACT_DIVISOR: usize = 4;
 
 /// Keeps when any worker last reached this controller.
 #[derive(Debug)]
@@ -32,24 +32,24 @@
     ///
     /// Guard: only newer heartbeats count. Delayed copies of old ones kept a leader
     /// that no worker reached in office, until their leases had expired.
-    pub fn is_unreached(&self, cluster: &ClusterState, now: Millis, for_ms: Millis) -> bool {
+    pub fn is_isolated_from_workers(&self, cluster: &ClusterState, now: Millis, for_ms: Millis) -> bool {
         let window_ms = for_ms.max(cluster.config().heartbeat_interval_ms * 3 / 2);
-        let (mut expected, mut reached) = (0, 0);
+        let (mut expected, mut reporting) = (0, 0);
         for machine in cluster.machines().iter().filter(|machine| should_send_heartbeats(machine)) {
             expected += 1;
-            reached += usize::from(machine.heartbeats.heartbeat_within(now, window_ms));
+            reporting += usize::from(machine.heartbeats.heartbeat_within(now, window_ms));
         }
         if expected == 0 {
             return now > self.last_heartbeat + for_ms;
         }
-        reached * REACHED_DIVISOR < expected && now > cluster.started() + window_ms
+        reporting * WORKER_CONTACT_DIVISOR < expected && now > cluster.started() + window_ms
     }
 }
 
 fn should_send_heartbeats(machine: &Machine) -> bool {
     match machine.lifecycle {
         MachineLifecycle::Up => true,
-        MachineLifecycle::Booting => machine.is_inherited_without_heartbeat(),
+        MachineLifecycle::Booting => machine.is_recovered_without_heartbeat(),
         MachineLifecycle::Releasing | MachineLifecycle::Gone => false,
     }
 }
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -66,7 +66,7 @@
         for status in statuses {
             self.reconcile_task(status, job_cache);
         }
-        self.forget_reaped_exits();
+        self.remove_reaped_exits();
         self.reconcile_missing_tasks();
     }
 
@@ -182,7 +182,7 @@
     }
 
     /// Exits that are no longer listed were reaped.
-    fn forget_reaped_exits(&mut self) {
+    fn remove_reaped_exits(&mut self) {
         let listed = &self.listed_exits;
         let exits = &mut self.cluster.machine_mut(self.machine).commands.pending_reaps;
         exits.retain(|exit| listed.contains(&TaskAttempt::from(exit)));
--- a/src/coordination/workers/spot_interruption.rs
+++ b/src/coordination/workers/spot_interruption.rs
@@ -15,13 +15,13 @@
 /// Halts the tasks on a machine with an interruption notice that can save a
 /// checkpoint in the time left.
 pub fn drain(cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
-    let Some(until) = cluster.machine(index).spot_notice_until else { return };
-    let left_s = until.saturating_sub(now) as f64 / 1000.0;
+    let Some(interruption_at) = cluster.machine(index).spot_interruption_at else { return };
+    let remaining_s = interruption_at.saturating_sub(now) as f64 / 1000.0;
     for assignment_index in cluster.machine(index).load.assignments.clone() {
         let Some(assignment) = cluster.assignment(assignment_index) else { continue };
         let Some(job) = cluster.job(assignment.job) else { continue };
         let save_s = job.spec.save_s;
-        let can_save = job.spec.checkpoint_s > 0.0 && left_s > save_s * SAVE_SHARE;
+        let can_save = job.spec.checkpoint_s > 0.0 && remaining_s > save_s * SAVE_SHARE;
         if !can_save || assignment.halt.is_some() {
             continue;
         }
--- a/src/coordination/workers/task_progress.rs
+++ b/src/coordination/workers/task_progress.rs
@@ -20,7 +20,7 @@
 
 fn apply_state(cluster: &mut ClusterState, now: Millis, index: AssignmentIndex, state: TaskState) {
     let Some(assignment) = cluster.assignment_mut(index) else { return };
-    let previous = std::mem::replace(&mut assignment.state, AssignmentState::Seen(state));
+    let previous = std::mem::replace(&mut assignment.state, AssignmentState::Reported(state));
     if previous == assignment.state {
         return;
     }
@@ -28,9 +28,9 @@
     if is_running && assignment.running_since.is_none() {
         assignment.running_since = Some(now);
     }
-    let was_running = previous == AssignmentState::Seen(TaskState::Running);
+    let was_running = previous == AssignmentState::Reported(TaskState::Running);
     let (job_index, machine) = (assignment.job, assignment.machine);
-    let assigned_at = (!assignment.inherited).then_some(assignment.assigned_at);
+    let assigned_at = (!assignment.recovered).then_some(assignment.assigned_at);
     let Some(job) = cluster.job_mut(job_index) else { return };
     match (was_running, is_running) {
         (false, true) => count_running_task(now, job, assigned_at),
@@ -52,10 +52,10 @@
 
 fn apply_exit(cluster: &mut ClusterState, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
     let Some(assignment) = cluster.assignment_mut(index) else { return };
-    let ended = AssignmentState::Ended(status.why.unwrap_or(ExitReason::Other));
-    let previous = std::mem::replace(&mut assignment.state, ended);
+    let exited = AssignmentState::Exited(status.why.unwrap_or(ExitReason::Other));
+    let previous = std::mem::replace(&mut assignment.state, exited);
     let job_index = assignment.job;
-    if previous == AssignmentState::Seen(TaskState::Running) {
+    if previous == AssignmentState::Reported(TaskState::Running) {
         if let Some(job) = cluster.job_mut(job_index) {
             job.tasks.running = job.tasks.running.saturating_sub(1);
         }
--- a/tests/pipelines/urgency.rs
+++ b/tests/pipelines/urgency.rs
@@ -26,7 +26,7 @@
     for _ in 0..2 {
         let leader = sim.leader();
         let job = leader.cluster().active_jobs().find(|job| &*job.id == "j-2").unwrap();
-        assert_eq!(job.wait.since, rec.at_ms as i64);
+        assert_eq!(job.wait.ready_since, rec.at_ms as i64);
         sim.elect();
     }
 }
