--- a/src/coordination/model/assignment.rs
+++ b/src/coordination/model/assignment.rs
@@ -1,4 +1,4 @@
-//! Assignments of tasks to machines, and what is left of those that ended.
+//! Assignments of tasks to machines, and exited tasks that are still to be reaped.
 
 use super::{CallId, MachineIndex, Millis};
 use crate::{
@@ -10,35 +10,35 @@
     storage::job_cache::JobIndex,
 };
 
-/// How far a task has come on the machine it is assigned to.
+/// Progress of a task on the machine to which it is assigned.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AssignmentState {
     /// Part of the wanted state; launched once its record is written.
     Wanted,
-    /// Listed by its worker in this state.
+    /// The worker lists the task in this state.
     Reported(TaskState),
-    /// Ended, but not settled while an earlier command may still arrive and
-    /// start it again.
+    /// The task exited. The exit is not final while a command sent earlier may still
+    /// arrive and start the task again.
     Exited(ExitReason),
 }
 
-/// A task that is to be stopped.
+/// A request to stop a task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Halt {
-    /// Grace period of the halt, in seconds.
+    /// Grace period given to the task, in seconds.
     pub grace_s: f64,
-    /// When the halt was last sent to the worker.
+    /// When the halt was last sent to the worker; `None`: not sent yet.
     pub sent: Option<Millis>,
 }
 
-/// A task that is, or may be, on a machine.
+/// The assignment of a task to a machine: the task is, or may be, on it.
 #[derive(Debug)]
 pub struct Assignment {
     /// The task's job.
     pub job: JobIndex,
     /// Number of the task within its job.
     pub task: u32,
-    /// The machine that it is assigned to.
+    /// The machine to which the task is assigned.
     pub machine: MachineIndex,
     /// The zone of that machine.
     pub zone: ZoneIndex,
@@ -48,27 +48,28 @@
     pub attempt: Attempt,
     /// Version of its chunk that first contained this assignment.
     pub chunk_version: u64,
-    /// How far the task has come.
+    /// Progress of the task on the machine.
     pub state: AssignmentState,
-    /// When its launch was last sent.
+    /// When the launch of the task was last sent; `None`: not sent, or due to be sent again
+    /// at once.
     pub sent: Option<Millis>,
-    /// When a heartbeat first showed that it runs; `None`: none has.
+    /// When a heartbeat first reported the task as running; `None`: none has.
     pub running_since: Option<Millis>,
-    /// The halt of the task; `None`: it is not to be stopped.
+    /// The request to stop the task; `None`: it is not to be stopped.
     pub halt: Option<Halt>,
     /// When the assignment was made.
     pub assigned_at: Millis,
-    /// Read from a record: an earlier leader may have sent its launch.
+    /// Recovered from a record: an earlier leader may have sent the launch.
     pub recovered: bool,
 }
 
 impl Assignment {
-    /// Whether no leader can have sent the task's launch yet.
+    /// Reports whether no leader can have sent the task's launch yet.
     pub fn never_launched(&self) -> bool {
         self.state == AssignmentState::Wanted && self.sent.is_none() && !self.recovered
     }
 
-    /// Identifies the launch of this assignment.
+    /// Returns the identity of this assignment's launch.
     pub fn launch_id(&self) -> LaunchId {
         LaunchId { job: self.job, task: self.task, attempt: self.attempt }
     }
@@ -77,19 +78,19 @@
 /// Why a worker still lists a task that has no assignment on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitRecord {
-    /// Its end is recorded once this version of its chunk is written.
+    /// The exit is recorded once this version of its chunk is written.
     WrittenWith {
         /// Index of the chunk within its job.
         chunk: usize,
         /// Version of the chunk's wanted state.
         version: u64,
     },
-    /// It runs though no record says so: halted until it ends, then reaped.
+    /// The task runs without a record of it: it is halted until it exits, then reaped.
     Orphaned,
 }
 
-/// A task that its worker still lists and that is to be reaped once its end
-/// is written.
+/// A task that its worker still lists and that is to be reaped once its exit
+/// is recorded.
 #[derive(Debug, Clone)]
 pub struct PendingReap {
     /// Name of the task, as its worker lists it.
@@ -98,7 +99,7 @@
     pub attempt: Attempt,
     /// The task's job.
     pub job: JobIndex,
-    /// Whether its end is or will be recorded.
+    /// Whether and with which chunk version the exit is recorded.
     pub record: ExitRecord,
 }
 
@@ -113,11 +114,11 @@
     pub attempt: Attempt,
 }
 
-/// A command that was sent directly to a worker and is not answered yet.
+/// A direct call to a worker whose response is pending.
 #[derive(Debug, Clone)]
 pub struct DirectCall {
-    /// Number of the call, unique within the leadership.
+    /// Number of the call, unique within the leader's term.
     pub id: CallId,
-    /// The launches that it carries.
+    /// Launches that the call carries.
     pub launches: Vec<LaunchId>,
 }
--- a/src/coordination/model/failures.rs
+++ b/src/coordination/model/failures.rs
@@ -1,30 +1,31 @@
-//! Whether the failures of a job's tasks are the fault of the job itself.
+//! Failures of a job's tasks, and whether the job itself causes them.
 
 use super::{MachineIndex, Millis};
 use crate::protocol::ids::Attempt;
 
-/// A job that failed on this many machines, and succeeded on none, is taken to be
-/// at fault itself.
+/// A job that failed on this many machines, and succeeded on none, is considered
+/// faulty.
 const MIN_FAILED_MACHINES: usize = 2;
 
 /// The failures of one job's tasks.
 #[derive(Debug, Default)]
 pub struct JobFailures {
-    /// Machines on which its tasks failed.
+    /// Machines on which tasks of the job failed, without duplicates.
     pub machines: Vec<MachineIndex>,
-    /// Rounds of attempts that ended in failures.
+    /// Rounds of attempts that failed. Failures of attempts that had begun when the
+    /// current round was counted belong to it.
     pub rounds: u32,
-    /// The longest that a task ran before it failed, in ms.
+    /// Longest run time of a task before it failed, in ms.
     pub longest_run_ms: Millis,
-    /// A task of the job completed, or outlasted those that failed.
+    /// A task of the job completed, or ran for longer than those that failed.
     pub job_is_healthy: bool,
-    /// The latest attempt when the current round was counted.
+    /// The latest attempt of any job when the current round was counted.
     round_attempt: Attempt,
 }
 
 impl JobFailures {
-    /// A task that ran for `ran_ms` failed. `attempt`: its attempt;
-    /// `last_attempt`: the latest one of any job.
+    /// Records that a task failed on `machine` after it ran for `ran_ms`. `attempt`
+    /// is the attempt that failed, `last_attempt` the latest one of any job.
     pub fn record(&mut self, machine: MachineIndex, ran_ms: Millis, attempt: Attempt, last_attempt: Attempt) {
         if !self.machines.contains(&machine) {
             self.machines.push(machine);
@@ -36,12 +37,13 @@
         }
     }
 
-    /// Whether the job is at fault itself: it fails on every machine, as far as is known.
+    /// Reports whether the job is faulty: as far as is known, it fails on every machine.
     pub fn is_job_faulty(&self) -> bool {
         !self.job_is_healthy && self.machines.len() >= MIN_FAILED_MACHINES
     }
 
-    /// Whether tasks failed and the cause is open: the job or the machines.
+    /// Reports whether tasks failed and it is unknown whether the job or the machines
+    /// cause the failures.
     pub fn have_unknown_cause(&self) -> bool {
         !self.job_is_healthy && !self.machines.is_empty()
     }
--- a/src/coordination/model/index.rs
+++ b/src/coordination/model/index.rs
@@ -7,7 +7,7 @@
         pub struct $name(pub u32);
 
         impl $name {
-            /// The index as an offset into its table.
+            /// Returns the index as an offset into its table.
             pub fn as_usize(self) -> usize {
                 self.0 as usize
             }
--- a/src/coordination/model/job/mod.rs
+++ b/src/coordination/model/job/mod.rs
@@ -15,35 +15,39 @@
     storage::{job_cache::JobIndex, records::JobStatus},
 };
 
-/// Task counts of a job, as users see them.
+/// Task counts of a job that users can read.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobProgress {
-    /// Tasks that completed.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks that run now.
+    /// Number of tasks that run now.
     pub running: u32,
 }
 
-/// How long a job has waited, and what holds it back.
+/// Waiting times of a job, and the times before which it is neither started nor
+/// preempts others.
 #[derive(Debug)]
 pub struct WaitState {
-    /// Since when it may run, on the leader's steady clock; may lie before the
-    /// clock's start.
+    /// When the job became ready to run, in ms on the leader's monotonic clock. Negative
+    /// if that was before the clock's start.
     pub ready_since: i64,
-    /// Since when it waits without free capacity, for preemption, scale-out and the logs.
+    /// Since when the job waits without free capacity, for preemption, scale-out and the
+    /// logs.
     pub waiting_since: Millis,
-    /// None of its tasks are to be assigned before.
+    /// No task of the job is assigned before this time.
     pub not_before: Millis,
-    /// No tasks are stopped for it before.
+    /// No tasks are preempted for this job before this time.
     pub next_preemption: Millis,
-    /// A task completed, or ran long enough to count as a start.
+    /// A task of the job completed, or ran for at least
+    /// [`EFFECTIVE_START_MS`](super::EFFECTIVE_START_MS).
     pub has_effective_start: bool,
-    /// At least one of its tasks was assigned before.
+    /// At least one task of the job was assigned before.
     pub ever_assigned: bool,
 }
 
 impl WaitState {
-    /// A job that may run for `age_ms` already, and of which nothing is assigned yet.
+    /// Creates the state of a job that became ready to run `age_ms` ago and of which no
+    /// task is assigned yet.
     pub fn new(now: Millis, age_ms: i64) -> WaitState {
         WaitState {
             ready_since: now as i64 - age_ms,
@@ -56,58 +60,58 @@
     }
 }
 
-/// Counts and times for the logs.
+/// Counts and times of a job for the logs.
 #[derive(Debug)]
 pub struct JobStatistics {
-    /// Tasks stopped by command, for the logs.
+    /// Number of tasks stopped by command.
     pub stop_count: u32,
-    /// Tasks lost with their machine, for the logs.
+    /// Number of tasks lost with their machine.
     pub lost_count: u32,
-    /// When one of its tasks was last assigned, for the logs.
+    /// When a task of the job was last assigned.
     pub last_assigned: Millis,
 }
 
 impl JobStatistics {
-    /// A job that was just added.
+    /// Creates the statistics of a job that was just added.
     pub fn new(now: Millis) -> JobStatistics {
         JobStatistics { stop_count: 0, lost_count: 0, last_assigned: now }
     }
 }
 
-/// A job that is not over, or whose tasks are still somewhere.
+/// A job that is unfinished, or of which tasks may still be on machines.
 #[derive(Debug)]
 pub struct Job {
-    /// Index of the job.
+    /// Index of the job in the job cache.
     pub index: JobIndex,
-    /// Id of the job, as users see it.
+    /// Id of the job in the users' interface.
     pub id: Rc<str>,
-    /// What was submitted.
+    /// The submitted specification.
     pub spec: Rc<JobSpec>,
-    /// How the records of a job in the key-value store compare with its wanted state.
+    /// The records of the job in the key-value store, compared with its wanted state.
     pub records: JobRecords,
-    /// Status according to its record.
+    /// Status according to the job's record.
     pub status: JobStatus,
-    /// How long a job has waited, and what holds it back.
+    /// Waiting times of the job, and what delays its start.
     pub wait: WaitState,
-    /// Where the tasks of a job stand.
+    /// State of the job's tasks.
     pub tasks: TaskTable,
-    /// Failures of its tasks so far.
+    /// Failures of the job's tasks so far.
     pub failures: JobFailures,
     /// The progress last published to the other controllers.
     pub published: JobProgress,
-    /// Within its team's guarantee, as of the last scheduling cycle.
+    /// Whether the job was within its team's guarantee in the last scheduling cycle.
     pub within_guarantee: bool,
     /// Counts and times for the logs.
     pub statistics: JobStatistics,
 }
 
 impl Job {
-    /// Whether every task completed.
+    /// Reports whether every task completed.
     pub fn all_done(&self) -> bool {
         self.tasks.done as usize == self.tasks.slots.len()
     }
 
-    /// The chunk that holds a task.
+    /// Returns the number of the chunk that holds a task.
     pub fn chunk_of(&self, task: u32) -> usize {
         (task / self.records.chunk_size) as usize
     }
@@ -119,7 +123,7 @@
         self.records.chunks[chunk].version
     }
 
-    /// Counts a pending task as assigned. Returns the version of its chunk that
+    /// Records that a pending task was assigned. Returns the version of its chunk that
     /// first contains the assignment.
     pub fn record_assignment(&mut self, now: Millis, task: u32, zone: ZoneIndex) -> u64 {
         let chunk_version = self.mark_task_changed(task);
@@ -135,7 +139,7 @@
         chunk_version
     }
 
-    /// Takes a released assignment out of the counts of its tasks.
+    /// Removes a released assignment from the job's task counts.
     pub fn record_release(&mut self, assignment: &Assignment) {
         self.mark_task_changed(assignment.task);
         self.tasks.placed -= 1;
@@ -147,32 +151,33 @@
         }
     }
 
-    /// Whether any chunk differs from its written record.
+    /// Reports whether any chunk differs from its written record.
     pub fn has_unwritten_changes(&self) -> bool {
         self.records.chunks.iter().any(Chunk::is_dirty)
     }
 
-    /// Whether an assignment waits to be written.
+    /// Reports whether any assignment is not written yet.
     pub fn has_unwritten_placement(&self) -> bool {
         self.records.chunks.iter().any(Chunk::has_unwritten_placement)
     }
 
-    /// Seconds since it became ready to run.
+    /// Returns the seconds since the job became ready to run.
     pub fn age_s(&self, now: Millis) -> f64 {
         (now as i64 - self.wait.ready_since) as f64 / 1000.0
     }
 
-    /// Milliseconds since it began to wait for free capacity; negative if that lies ahead.
+    /// Returns the milliseconds since the job began to wait for free capacity; negative
+    /// if that time is in the future.
     pub fn waited_ms(&self, now: Millis) -> i64 {
         now as i64 - self.wait.waiting_since as i64
     }
 
-    /// All of its assignments, in the order of its tasks.
+    /// Returns all assignments of the job, ordered by task number.
     pub fn assignments(&self) -> Vec<AssignmentIndex> {
         self.tasks.assignments()
     }
 
-    /// The assignments of one chunk's tasks.
+    /// Returns the assignments of one chunk's tasks, ordered by task number.
     pub fn assignments_of_chunk(&self, chunk: usize) -> Vec<AssignmentIndex> {
         let size = self.records.chunk_size as usize;
         self.tasks.assignments_of(chunk * size..(chunk + 1) * size)
--- a/src/coordination/model/job/records.rs
+++ b/src/coordination/model/job/records.rs
@@ -1,7 +1,7 @@
 //! The records of a job in the key-value store, compared with its wanted state.
 //!
-//! The tasks of a job are split into chunks, each with a record of its own, so
-//! that a value stays below the limit of the store.
+//! The tasks of a job are split into chunks, each with its own record, so that each
+//! value stays below the store's size limit.
 
 use std::rc::Rc;
 
@@ -14,54 +14,57 @@
     pub version: u64,
     /// The version that the written record holds.
     pub committed_version: u64,
-    /// The version that last gained an assignment: its launch waits for the write.
+    /// The latest version that added an assignment. The launch is sent only after this
+    /// version is written.
     pub placement_version: u64,
-    /// Revision of the written record; 0: there is none.
+    /// Revision of the written record; 0: there is no record.
     pub revision: Revision,
-    /// Not written before: its value was larger than may be written.
+    /// The record is not written before this time, because its value exceeded the size
+    /// limit.
     pub retry_at: Millis,
 }
 
 impl Chunk {
-    /// Whether the wanted state differs from the written record.
+    /// Reports whether the wanted state differs from the written record.
     pub fn is_dirty(&self) -> bool {
         self.version != self.committed_version
     }
 
-    /// Whether an assignment waits for the record to be written.
+    /// Reports whether the chunk holds an assignment that is not written yet.
     pub fn has_unwritten_placement(&self) -> bool {
         self.placement_version > self.committed_version
     }
 }
 
-/// How the records of a job in the key-value store compare with its wanted state.
+/// The records of a job in the key-value store, compared with its wanted state.
 #[derive(Debug)]
 pub struct JobRecords {
-    /// Revision of its record.
+    /// Revision of the job record.
     pub revision: Revision,
-    /// The revision and the status known here are out of date: a transaction found
-    /// the record changed. Nothing of the job is written or assigned until the job
-    /// cache shows the change.
+    /// The known revision and status are out of date: a transaction found that the
+    /// record had changed. Until the job cache contains the change, nothing of the job
+    /// is written or assigned.
     pub stale: bool,
     /// Tasks per chunk.
     pub chunk_size: u32,
-    /// State of its chunk records, by chunk number.
+    /// State of the chunk records, by chunk number.
     pub chunks: Vec<Chunk>,
-    /// Tasks per chunk according to its record.
+    /// Tasks per chunk according to the job record.
     pub recorded_chunk_size: u32,
-    /// A transaction is under way that reshards the job, that is, splits its tasks
-    /// into smaller chunks. None of its tasks may be assigned meanwhile.
+    /// A transaction is in flight that reshards the job, that is, splits its tasks
+    /// into smaller chunks. Until it completes, no task of the job may be assigned.
     pub resharding: bool,
-    /// Its record, while that splits its tasks into chunks that are too large
-    /// for the key-value store's lower limit.
+    /// The job record, as long as its chunks are too large for the key-value store's
+    /// lower limit; `None`: they are not.
     pub oversized_record: Option<Rc<JobRecord>>,
-    /// Since when changes wait to be written.
+    /// Since when changes wait to be written; `None`: no changes wait.
     pub unwritten_since: Option<Millis>,
 }
 
 impl JobRecords {
-    /// The records of a job of `tasks` tasks, of which no chunk is written yet.
-    /// `oversized_record`: its record, if its chunks are too large for the lower limit.
+    /// Creates the records of a job with `tasks` tasks, of which no chunk is written
+    /// yet. `oversized_record`: the job record, if its chunks are too large for the
+    /// lower limit.
     pub fn new(revision: Revision, chunk_size: u32, tasks: u32, oversized_record: Option<Rc<JobRecord>>) -> JobRecords {
         JobRecords {
             revision,
--- a/src/coordination/model/job/tasks.rs
+++ b/src/coordination/model/job/tasks.rs
@@ -1,39 +1,40 @@
-//! Where the tasks of a job stand.
+//! State of a job's tasks.
 
 use std::ops::Range;
 
 use crate::{coordination::model::AssignmentIndex, protocol::names::ZoneIndex};
 
-/// Where one task of a job stands.
+/// State of one task of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Slot {
     /// Not assigned to any machine.
     Pending,
     /// Completed.
     Done,
-    /// On a machine, or on its way there.
+    /// Assigned to a machine, whether or not it was launched there yet.
     Assigned(AssignmentIndex),
 }
 
-/// Where the tasks of a job stand.
+/// State of a job's tasks, and their counts.
 #[derive(Debug)]
 pub struct TaskTable {
-    /// Where each task stands, by task number.
+    /// State of each task, by task number.
     pub slots: Vec<Slot>,
-    /// Pending task numbers, the next one last.
+    /// Numbers of pending tasks in descending order: the next task to assign is the
+    /// last one.
     pub pending: Vec<u32>,
-    /// Tasks that completed.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks that have an assignment.
+    /// Number of assigned tasks.
     pub placed: u32,
-    /// Tasks that run now.
+    /// Number of tasks that run now.
     pub running: u32,
-    /// Its assignments by zone, if it restricts zones.
+    /// Number of assignments by zone index, if the job restricts zones.
     pub zone_used: Vec<u32>,
 }
 
 impl TaskTable {
-    /// Tasks of which none is assigned yet.
+    /// Creates the table of a job of whose tasks none is assigned yet.
     pub fn new(tasks: u32) -> TaskTable {
         TaskTable {
             slots: vec![Slot::Pending; tasks as usize],
@@ -45,7 +46,7 @@
         }
     }
 
-    /// A task is assigned: it is no longer pending.
+    /// Removes a task from the pending ones because it was assigned.
     pub(super) fn remove_pending(&mut self, assigned: u32) {
         if self.pending.last() == Some(&assigned) {
             self.pending.pop();
@@ -54,14 +55,14 @@
         }
     }
 
-    /// An assigned task completed.
+    /// Records that an assigned task completed.
     pub fn mark_done(&mut self, task: u32) {
         self.slots[task as usize] = Slot::Done;
         self.done += 1;
     }
 
-    /// An assigned task is pending again. The lowest number stays next, so that
-    /// replacements come first.
+    /// Makes an assigned task pending again. The lowest number stays next, so that
+    /// tasks to be replaced are assigned first.
     pub fn mark_pending(&mut self, task: u32) {
         self.slots[task as usize] = Slot::Pending;
         let position = self.pending.partition_point(|&pending| pending > task);
@@ -76,12 +77,13 @@
         self.zone_used[zone.as_usize()] += 1;
     }
 
-    /// All assignments, in the order of their tasks.
+    /// Returns all assignments, ordered by task number.
     pub fn assignments(&self) -> Vec<AssignmentIndex> {
         self.assignments_of(0..self.slots.len())
     }
 
-    /// The assignments of a range of tasks, which may reach beyond the last one.
+    /// Returns the assignments of a range of tasks. The range may extend beyond the last
+    /// task.
     pub fn assignments_of(&self, tasks: Range<usize>) -> Vec<AssignmentIndex> {
         let assigned = |slot: &Slot| match slot {
             Slot::Assigned(assignment) => Some(*assignment),
--- a/src/coordination/model/machine.rs
+++ b/src/coordination/model/machine.rs
@@ -1,4 +1,4 @@
-//! Machines as the leader knows them.
+//! State of machines, as known to the leader.
 
 use std::net::SocketAddr;
 
@@ -12,12 +12,12 @@
     storage::job_cache::JobIndex,
 };
 
-/// Where a machine is between its rental and its return.
+/// Stage of a machine between its provisioning and its release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineLifecycle {
-    /// Rented or listed; its worker has sent no heartbeat yet.
+    /// Provisioned or listed; no heartbeat of its worker was received yet.
     Booting,
-    /// Its worker has sent a heartbeat.
+    /// A heartbeat of its worker was received.
     Up,
     /// Its release was requested from the cloud.
     Releasing,
@@ -25,8 +25,8 @@
     Gone,
 }
 
-/// After this many heartbeats in a row that do not acknowledge our responses, a
-/// machine counts as unable to receive them.
+/// After this many consecutive heartbeats that do not acknowledge this leader's
+/// responses, the machine is considered unable to receive them.
 const UNACKNOWLEDGED_HEARTBEAT_LIMIT: u32 = 3;
 
 /// A failed task, recorded at the machine on which it failed.
@@ -34,28 +34,29 @@
 pub struct TaskFailure {
     /// The job of the task.
     pub job: JobIndex,
-    /// When the leader learned of the failure.
+    /// When the leader received the report of the failure.
     pub at: Millis,
-    /// The job runs well on other machines, so this machine is at fault.
+    /// The job runs successfully on other machines, so this machine is the cause.
     pub job_is_healthy: bool,
 }
 
-/// Fencing token of a machine, and which tokens its worker has acknowledged.
+/// Fencing token of a machine, the token that its worker must acknowledge, and the
+/// token that it has acknowledged.
 #[derive(Debug)]
 pub struct TokenRequirement {
-    /// The token that commands to the machine carry now.
+    /// The token that new commands to the machine carry.
     pub token: FencingToken,
-    /// Consecutive heartbeats that do not acknowledge the fence, though a response
-    /// that carried it was sent.
+    /// Consecutive heartbeats that do not acknowledge the required token, though a
+    /// response that carried it was sent.
     pub unacknowledged_heartbeats: u32,
-    /// The absence or the end of a task proves something only once the worker has
-    /// acknowledged at least this token.
+    /// Until the worker has acknowledged at least this token, the absence or the exit of
+    /// a task is not final.
     required_token: FencingToken,
     /// The highest token that the worker has acknowledged.
     acknowledged_token: FencingToken,
-    /// A heartbeat was answered since the fence was last raised.
+    /// A response was sent to a heartbeat since the required token was last raised.
     response_sent_since_raised: bool,
-    /// When the last unacknowledged heartbeat was counted; 0: never.
+    /// When an unacknowledged heartbeat was last counted; 0: never.
     last_unacknowledged_at: Millis,
 }
 
@@ -76,27 +77,26 @@
         self.token = self.token.next();
     }
 
-    /// Raises the token and requires the worker to acknowledge it, so that no
-    /// command sent so far can take effect afterwards.
+    /// Raises the token and requires the worker to acknowledge it. Once it has, no
+    /// command sent before can take effect.
     pub fn raise_and_require_token(&mut self) {
         self.raise_token();
         self.required_token = self.token;
         self.response_sent_since_raised = false;
     }
 
-    /// Records the token that a heartbeat, a command's response or a probe's
-    /// response carries.
+    /// Records the token in a heartbeat, or in the response to a command or a probe.
     pub fn record_acknowledged_token(&mut self, token: FencingToken) {
         self.acknowledged_token = self.acknowledged_token.max(token);
     }
 
-    /// Counts a heartbeat as acknowledging our earlier responses or not, before it
-    /// is answered. `min_gap_ms`: heartbeats that follow a counted one within this
-    /// time are not counted.
+    /// Records whether a heartbeat acknowledges earlier responses; called before the
+    /// response to it is sent. An unacknowledged heartbeat within `min_gap_ms` after a
+    /// counted one is not counted.
     ///
-    /// Guard: a worker that receives a response shows its token in the next
-    /// heartbeat. One that never does can't be sent any command. Heartbeats that a
-    /// network partition held back come together and count once.
+    /// A worker that receives a response includes its token in the next heartbeat. If it
+    /// never does, no command can be sent to it. Heartbeats that a network partition
+    /// delayed arrive together and are counted once.
     pub fn count_acknowledgement(&mut self, now: Millis, token: FencingToken, min_gap_ms: Millis) {
         if token >= self.required_token {
             self.unacknowledged_heartbeats = 0;
@@ -107,8 +107,8 @@
         self.response_sent_since_raised = true;
     }
 
-    /// The response to the last heartbeat is not sent after all: that the worker
-    /// never acknowledges it means nothing.
+    /// Records that the response to the last heartbeat is not sent. A missing
+    /// acknowledgement of it is not counted.
     pub fn response_not_sent(&mut self) {
         self.response_sent_since_raised = false;
     }
@@ -118,24 +118,27 @@
     }
 }
 
-/// Which heartbeats of a machine were received, its lease, and its probes.
+/// Heartbeats received from a machine, the lease of its worker, and its probes.
 #[derive(Debug)]
 pub struct HeartbeatState {
     /// The latest incarnation of its worker.
     pub incarnation: Incarnation,
-    /// Heartbeats of incarnations up to this one are stale: their lease expired.
+    /// Heartbeats of this incarnation and of earlier ones are stale: their leases
+    /// expired.
     pub expired_incarnation: Incarnation,
-    /// When its last heartbeat came, sent periodically or in response to a call.
+    /// When the last heartbeat was received, periodic or in response to a call; `None`:
+    /// no heartbeat was received.
     pub last_contact: Option<Millis>,
-    /// When its last periodic heartbeat came.
+    /// When the last periodic heartbeat was received; `None`: none was.
     pub last_heartbeat: Option<Millis>,
-    /// When the last 200 was sent to one of its heartbeats, by any leader.
+    /// Latest time at which any leader may have responded 200 to a heartbeat, which
+    /// renews the worker's lease.
     pub lease_renewed_at: Millis,
-    /// Consecutive probes that went unanswered.
+    /// Consecutive probes without a response.
     pub failed_probes: u32,
-    /// Number of the latest heartbeat within the incarnation.
+    /// Sequence number of the latest heartbeat within the incarnation.
     sequence: SequenceNumber,
-    /// A probe is in flight.
+    /// Whether a probe is in flight.
     probe_in_flight: bool,
 }
 
@@ -153,17 +156,17 @@
         }
     }
 
-    /// Whether a heartbeat with these numbers is newer than the latest one.
+    /// Reports whether a heartbeat with these numbers is newer than the latest one.
     pub fn is_outdated_by(&self, incarnation: Incarnation, sequence: SequenceNumber) -> bool {
         (incarnation, sequence) > (self.incarnation, self.sequence)
     }
 
-    /// Whether the lease of this incarnation is known to have expired.
+    /// Reports whether the lease of this incarnation is known to have expired.
     pub fn is_expired(&self, incarnation: Incarnation) -> bool {
         incarnation <= self.expired_incarnation
     }
 
-    /// Records a heartbeat, periodic or in response to a call.
+    /// Records that a heartbeat was received, periodic or in response to a call.
     pub fn record_contact(&mut self, now: Millis, sequence: SequenceNumber) {
         self.sequence = sequence;
         self.last_contact = Some(now);
@@ -172,40 +175,41 @@
 
     /// Begins a new incarnation and returns the previous one.
     ///
-    /// Guard: the new incarnation has a lease of its own, from its beginning on,
-    /// also where only the response to a probe or a command tells of it.
+    /// The new incarnation has its own lease from its start, even if only the response
+    /// to a probe or a command reports it. So the lease is counted from now at least.
     pub fn begin_incarnation(&mut self, now: Millis, incarnation: Incarnation) -> Incarnation {
         self.lease_renewed_at = self.lease_renewed_at.max(now);
         std::mem::replace(&mut self.incarnation, incarnation)
     }
 
-    /// Records that the lease of the worker expired in its latest incarnation, and
-    /// in `last_assigned`, the latest one that tasks were assigned to.
+    /// Records that the worker's lease expired: for its latest incarnation and for
+    /// `last_assigned`, the latest incarnation to which tasks were assigned.
     pub fn expire(&mut self, last_assigned: Incarnation) {
         self.expired_incarnation = self.expired_incarnation.max(self.incarnation).max(last_assigned);
     }
 
-    /// Whether the last heartbeat of any kind came at most `max_age_ms` ago.
+    /// Reports whether the last heartbeat of either kind was received at most
+    /// `max_age_ms` ago.
     pub fn contacted_within(&self, now: Millis, max_age_ms: Millis) -> bool {
         self.last_contact.is_some_and(|contact| now <= contact + max_age_ms)
     }
 
-    /// Whether the last periodic heartbeat came at most `max_age_ms` ago.
+    /// Reports whether the last periodic heartbeat was received at most `max_age_ms` ago.
     pub fn heartbeat_within(&self, now: Millis, max_age_ms: Millis) -> bool {
         self.last_heartbeat.is_some_and(|heartbeat| now <= heartbeat + max_age_ms)
     }
 
-    /// Whether a probe is in flight.
+    /// Reports whether a probe is in flight.
     pub fn is_probing(&self) -> bool {
         self.probe_in_flight
     }
 
-    /// A probe is sent.
+    /// Records that a probe is sent.
     pub fn begin_probe(&mut self) {
         self.probe_in_flight = true;
     }
 
-    /// The probe in flight was answered, or timed out.
+    /// Records that the probe in flight completed or timed out.
     pub fn end_probe(&mut self) {
         self.probe_in_flight = false;
     }
@@ -214,13 +218,14 @@
 /// Commands to a machine that may still be in flight, and exits to be reaped.
 #[derive(Debug)]
 pub struct CommandState {
-    /// Exited tasks that its worker still lists.
+    /// Exited or orphaned tasks that the worker still lists.
     pub pending_reaps: Vec<PendingReap>,
     /// The direct call in flight, if any.
     pub direct_call: Option<DirectCall>,
-    /// No direct call is made before.
+    /// No direct call is made before this time.
     direct_calls_paused_until: Millis,
-    /// The response to its last heartbeat carried launches, and no heartbeat came since.
+    /// The response to the last heartbeat carried launches, and no heartbeat was received
+    /// since.
     launch_in_response: bool,
 }
 
@@ -234,17 +239,18 @@
         }
     }
 
-    /// Until when direct calls are paused; in the past: they are not.
+    /// Returns the time until which direct calls are paused. They are not paused if it is
+    /// in the past.
     pub fn direct_calls_paused_until(&self) -> Millis {
         self.direct_calls_paused_until
     }
 
-    /// Makes no direct call before `until`.
+    /// Pauses direct calls until `until`.
     pub fn pause_direct_calls(&mut self, until: Millis) {
         self.direct_calls_paused_until = until;
     }
 
-    /// Ends the direct call in flight if it has this number.
+    /// Removes and returns the direct call in flight if it has this number.
     pub fn end_direct_call(&mut self, id: CallId) -> Option<DirectCall> {
         self.direct_call.take_if(|call| call.id == id)
     }
@@ -254,33 +260,33 @@
         self.launch_in_response = launch_in_response;
     }
 
-    /// Whether the response to the last heartbeat may still deliver launches.
+    /// Reports whether the response to the last heartbeat may still deliver launches.
     pub fn has_launch_in_response(&self) -> bool {
         self.launch_in_response
     }
 
-    /// Has an attempt reaped that its worker lists without an assignment.
+    /// Adds an attempt that the worker lists without an assignment to those to be reaped.
     pub fn add_pending_reap(&mut self, status: &TaskStatus, job: JobIndex, record: ExitRecord) {
         let (task, attempt) = (status.task.clone(), status.attempt);
         self.pending_reaps.push(PendingReap { task, attempt, job, record });
     }
 
-    /// Whether this attempt is among the exits to be reaped.
+    /// Reports whether this attempt is among those to be reaped.
     pub fn is_pending_reap(&self, task: &str, attempt: Attempt) -> bool {
         self.pending_reaps.iter().any(|exit| exit.task == task && exit.attempt == attempt)
     }
 }
 
-/// What is, or may be, on a machine.
+/// Assignments to a machine, and since when it is idle.
 #[derive(Debug)]
 pub struct MachineLoad {
-    /// The tasks that are, or may be, on it.
+    /// Tasks that are, or may be, on the machine.
     pub assignments: Vec<AssignmentIndex>,
-    /// How many of the assignments use GPUs.
+    /// Number of assignments that use GPUs.
     pub gpu_assignments: u32,
-    /// Since when nothing is on it; None: something is, or it is not up.
+    /// Since when the machine has no assignments; `None`: it has some, or it is not up.
     pub idle_since: Option<Millis>,
-    /// Since when none of its GPUs is in use.
+    /// Since when none of the machine's GPUs is in use; `None`: some are, or it is not up.
     pub gpu_idle_since: Option<Millis>,
 }
 
@@ -290,48 +296,51 @@
     }
 }
 
-/// One machine, rented or inherited from an earlier leader.
+/// One machine, provisioned by this leader or recovered from an earlier one.
 #[derive(Debug)]
 pub struct Machine {
-    /// Name that the cloud gave it.
+    /// Name assigned by the cloud.
     pub id: String,
-    /// Address of its worker; None: not known yet.
+    /// Address of the worker; `None`: not known yet.
     pub addr: Option<SocketAddr>,
-    /// Its type; None: unknown.
+    /// Type of the machine; `None`: not known yet.
     pub machine_type: Option<MachineTypeIndex>,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: ZoneIndex,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Where it is between its rental and its return.
+    /// Stage between provisioning and release.
     pub lifecycle: MachineLifecycle,
-    /// Which of its heartbeats were received, its lease, and its probes.
+    /// Heartbeats received, the worker's lease, and probes.
     pub heartbeats: HeartbeatState,
-    /// Its fencing token, and which tokens its worker has acknowledged.
+    /// Fencing token of the machine, and the token that its worker must acknowledge.
     pub token_requirement: TokenRequirement,
-    /// When a spot machine with an interruption notice will be taken away; None:
-    /// no notice.
+    /// When the cloud will reclaim a spot machine, according to its interruption notice;
+    /// `None`: no notice.
     pub spot_interruption_at: Option<Millis>,
-    /// What is, or may be, on it.
+    /// Assignments to the machine, and since when it is idle.
     pub load: MachineLoad,
-    /// Commands to it that may still be in flight, and exits to be reaped.
+    /// Commands that may still be in flight, and exits to be reaped.
     pub commands: CommandState,
-    /// When it was rented, or first listed or known from a heartbeat or a record.
+    /// When the machine was provisioned, or first listed or known from a heartbeat or a
+    /// record.
     pub provisioned_at: Millis,
-    /// When its worker first sent this leader a heartbeat; None: it has not.
+    /// When this leader received the worker's first heartbeat; `None`: it has received
+    /// none.
     pub up_at: Option<Millis>,
-    /// No new tasks are assigned to it before.
+    /// No new tasks are assigned to the machine before this time.
     pub unschedulable_until: Millis,
-    /// Tasks that failed here recently, one entry per job.
+    /// Recent failures of tasks on the machine, one entry per job.
     pub recent_failures: Vec<TaskFailure>,
-    /// It gets no new tasks and is released once it is empty.
+    /// The machine gets no new tasks and is released once it is empty.
     pub cordoned: bool,
-    /// Its return is not requested before.
+    /// The release of the machine is not requested before this time.
     pub release_retry_at: Millis,
 }
 
 impl Machine {
-    /// A machine that was just rented, listed, or became known from a heartbeat or a record.
+    /// Creates a machine that was just provisioned or listed, or became known from a
+    /// heartbeat or a record.
     pub fn new(id: &str, zone: ZoneIndex, token: FencingToken, now: Millis) -> Machine {
         Machine {
             id: id.to_owned(),
@@ -354,23 +363,25 @@
         }
     }
 
-    /// Its heartbeats arrive, but our responses don't reach it.
+    /// Reports whether the machine's heartbeats are received, but responses don't reach it.
     pub fn is_unreachable(&self) -> bool {
         self.token_requirement.unacknowledged_heartbeats >= UNACKNOWLEDGED_HEARTBEAT_LIMIT
     }
 
-    /// No command sent before the fence was raised can still take effect.
+    /// Reports whether no command sent before the required token was raised can still
+    /// take effect.
     pub fn is_fenced(&self) -> bool {
         self.token_requirement.is_acknowledged()
     }
 
-    /// No command with a launch can still be in flight: what its worker lists, or
-    /// doesn't, is final.
+    /// Reports whether no command with a launch can still be in flight. If so, the tasks
+    /// that the worker lists, or doesn't list, are final.
     pub fn has_no_launch_in_flight(&self) -> bool {
         self.is_fenced() && self.commands.direct_call.is_none() && !self.commands.launch_in_response
     }
 
-    /// Inherited with tasks on it, and without a heartbeat since this leader began.
+    /// Reports whether the machine was recovered from an earlier leader with tasks on it,
+    /// and no heartbeat was received since this leader's term began.
     pub fn is_recovered_without_heartbeat(&self) -> bool {
         self.lifecycle == MachineLifecycle::Booting && !self.load.assignments.is_empty()
     }
--- a/src/coordination/model/machine_type.rs
+++ b/src/coordination/model/machine_type.rs
@@ -1,4 +1,4 @@
-//! Machine types that the cloud offers.
+//! Machine types offered by the cloud.
 
 use super::Resources;
 use crate::protocol::{
@@ -6,10 +6,10 @@
     names::{MachineTypeIndex, ZoneIndex},
 };
 
-/// A machine type as the cloud describes it.
+/// Description of a machine type, as the cloud lists it.
 #[derive(Debug, Clone)]
 pub struct MachineTypeSpec {
-    /// Index of the type.
+    /// Index of the type among the interned names.
     pub index: MachineTypeIndex,
     /// Capacity of one machine.
     pub capacity: Resources,
@@ -17,18 +17,19 @@
     pub cache_gb: f64,
     /// Rate at which a machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Price per hour of a machine on demand.
+    /// Price per hour of an on-demand machine.
     pub price: f64,
-    /// Price per hour as a spot machine; 0: the type has no spot price of its own.
+    /// Price per hour of a spot machine; 0: the type has no separate spot price, and the
+    /// on-demand price applies.
     pub spot_price: f64,
     /// Nominal boot time, in seconds.
     pub boot_s: f64,
-    /// The zones in which the type is offered.
+    /// Zones in which the type is offered.
     pub zones: Vec<ZoneIndex>,
 }
 
 impl MachineTypeSpec {
-    /// Price per hour of a machine, on demand or as a spot machine.
+    /// Returns the price per hour of an on-demand or spot machine.
     pub fn price_of(&self, spot: bool) -> f64 {
         if spot && self.spot_price > 0.0 {
             self.spot_price
@@ -38,7 +39,8 @@
     }
 }
 
-/// Whether one task of this job can ever run on some machine that may be rented.
+/// Reports whether one task of this job can run on a machine of any type that can be
+/// provisioned.
 pub fn fits_some_type(spec: &JobSpec, types: &[MachineTypeSpec]) -> bool {
     types.iter().any(|machine_type| {
         spec.allows_type(machine_type.index)
--- a/src/coordination/model/mod.rs
+++ b/src/coordination/model/mod.rs
@@ -23,14 +23,14 @@
     team::TeamLimits,
 };
 
-/// Milliseconds on this process's steady clock, or a duration in milliseconds.
+/// Milliseconds on this process's monotonic clock, or a duration in milliseconds.
 pub type Millis = u64;
 
-/// A task that ran this long counts as started for good (PROTOCOL, "How aims
-/// are counted").
+/// A job's start is effective once one of its tasks has run this long (PROTOCOL, "How
+/// aims are counted").
 pub const EFFECTIVE_START_MS: Millis = 30_000;
 
-/// Grace period given to a task beyond the time it needs to save, in seconds.
+/// Added to a task's saving time to give its grace period, in seconds.
 pub const SAVE_MARGIN_S: f64 = 2.0;
 
 /// Converts a duration in milliseconds to seconds.
--- a/src/coordination/model/resources.rs
+++ b/src/coordination/model/resources.rs
@@ -4,37 +4,37 @@
 
 use crate::protocol::jobs::JobSpec;
 
-/// An amount of each resource that the scheduler accounts for. Differences may
-/// be negative.
+/// Amount of each resource that the scheduler accounts for. Differences may be
+/// negative.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory, in GB.
     pub memory_gb: f64,
 }
 
-/// Sums of decimal amounts are compared with this much tolerance, so that
-/// rounding errors don't decide whether a task fits.
+/// Tolerance in comparisons of sums of decimal amounts, so that rounding errors don't
+/// decide whether a task fits.
 pub const RESOURCE_TOLERANCE: f64 = 1e-6;
 
 impl Resources {
-    /// What one task of the job requests.
+    /// Returns the resources that one task of the job requests.
     pub fn of(spec: &JobSpec) -> Resources {
         Resources { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
 
-    /// Whether `available` has at least this much of every resource.
+    /// Reports whether `available` has at least this much of every resource.
     pub fn fits_in(&self, available: &Resources) -> bool {
         self.cpus <= available.cpus + RESOURCE_TOLERANCE
             && self.gpus <= available.gpus + RESOURCE_TOLERANCE
             && self.memory_gb <= available.memory_gb + RESOURCE_TOLERANCE
     }
 
-    /// How many times `self` fits into `available`; resources that aren't needed
-    /// don't limit it.
+    /// Returns how many times `self` fits into `available`. Resources of which `self`
+    /// has none don't limit the count; if it has none of any, `u32::MAX` is returned.
     pub fn count_fitting_in(&self, available: &Resources) -> u32 {
         let of_one_resource = |need: f64, have: f64| {
             if need <= RESOURCE_TOLERANCE {
@@ -48,19 +48,19 @@
             .min(of_one_resource(self.memory_gb, available.memory_gb)) as u32
     }
 
-    /// Whether any resource differs from zero.
+    /// Reports whether any resource differs from zero.
     pub fn is_nonzero(&self) -> bool {
         self.cpus.abs() > RESOURCE_TOLERANCE
             || self.gpus.abs() > RESOURCE_TOLERANCE
             || self.memory_gb.abs() > RESOURCE_TOLERANCE
     }
 
-    /// Negative amounts replaced by zero.
+    /// Replaces negative amounts by zero.
     pub fn clamp_to_zero(self) -> Resources {
         Resources { cpus: self.cpus.max(0.0), gpus: self.gpus.max(0.0), memory_gb: self.memory_gb.max(0.0) }
     }
 
-    /// The larger amount of each resource.
+    /// Returns the larger amount of each resource.
     pub fn max(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.max(other.cpus),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The smaller amount of each resource.
+    /// Returns the smaller amount of each resource.
     pub fn min(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
--- a/src/coordination/tests/model.rs
+++ b/src/coordination/tests/model.rs
@@ -4,7 +4,8 @@
     names::{ClassIndex, ImageIndex, TeamIndex},
 };
 
-/// A job of this kind, priority and number of tasks; each needs `cpus` and 1 GB.
+/// Returns a job of this kind, priority and number of tasks, each of which requests
+/// `cpus` CPUs and 1 GB of memory.
 pub fn spec(kind: JobKind, priority: Priority, tasks: u32, cpus: f64) -> JobSpec {
     JobSpec {
         class: ClassIndex(0),
@@ -37,7 +38,7 @@
         gpus_max: (gpus > 0.0).then_some(gpus),
         ..TeamLimits::default()
     };
-    // (limit, gpus a task, used gpus, tasks more, kind, tasks, ever)
+    // (limits, GPUs per task, used GPUs, further tasks allowed, kind, tasks, can ever be admitted)
     let cases = [
         (team_limits(0.0, 0.0), 4.0, 100.0, u32::MAX, JobKind::Gang, 9, true),
         (team_limits(0.0, 16.0), 4.0, 8.0, 2, JobKind::Gang, 4, true),
@@ -47,11 +48,11 @@
         (team_limits(0.0, 16.0), 0.0, 16.0, u32::MAX, JobKind::Service, 3, true),
         (team_limits(5.0, 0.0), 0.0, 0.0, 2, JobKind::Service, 3, false),
     ];
-    for (i, (limits, gpus, used, further_tasks, kind, tasks, ever)) in cases.into_iter().enumerate() {
+    for (i, (limits, gpus, used, further_tasks, kind, tasks, ever_allowed)) in cases.into_iter().enumerate() {
         let mut job_spec = spec(kind, Priority::Low, tasks, 2.0);
         job_spec.gpus = gpus;
         let used = Resources { gpus: used, ..Resources::default() };
         assert_eq!(limits.tasks_within_limit(&job_spec, &used), further_tasks, "case {i}");
-        assert_eq!(limits.ever_allows(&job_spec), ever, "case {i}");
+        assert_eq!(limits.ever_allows(&job_spec), ever_allowed, "case {i}");
     }
 }
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that workers are sent: launch, halt and reap.
+//! Commands to workers: launch, halt and reap.
 
 use crate::{
     coordination::{
@@ -9,27 +9,28 @@
     storage::{job_cache::JobCache, records::JobStatus},
 };
 
-/// Commands in one message: it must stay well below the 64 KiB that workers accept.
+/// Maximum number of commands in one message, which must stay well below the 64 KiB that
+/// workers accept.
 const COMMANDS_PER_MESSAGE: usize = 400;
-/// Exits reaped in one message, so that launches and halts fit too.
+/// Maximum number of exits that one message reaps, so that launches and halts fit too.
 const EXITS_PER_MESSAGE: usize = COMMANDS_PER_MESSAGE / 4;
-/// A command is sent again after this long without effect.
+/// Time without effect after which a command is sent again, in ms.
 pub const RESEND_MS: Millis = 2_500;
 
-/// The messages that carry commands to a worker.
+/// Kind of message that carries commands to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandMessage {
-    /// The response to a heartbeat carries everything that isn't in effect yet.
+    /// The response to a heartbeat. It carries all commands that haven't taken effect yet.
     HeartbeatResponse,
-    /// A direct call carries only what was not sent within [`RESEND_MS`].
+    /// A direct call. It carries only commands that were not sent within [`RESEND_MS`].
     DirectCall,
 }
 
-/// Halts for tasks that run though their jobs are known as cancelled.
+/// Returns halts for the listed tasks whose jobs are known to be cancelled.
 ///
-/// Guard: every 200 to a heartbeat renews a lease, so each carries these halts,
-/// whoever answers, and whether the heartbeat is new or the records are read yet.
-/// Otherwise a cancelled task could run on under a renewed lease.
+/// Every 200 to a heartbeat renews the worker's lease. So each carries these halts,
+/// whichever controller responds, and even if the heartbeat is not new or the records
+/// are not read yet. Otherwise a cancelled task could keep running under a renewed lease.
 pub fn stop_commands_for_cancelled(heartbeat: &Heartbeat, job_cache: &JobCache) -> Vec<WorkerCommand> {
     let is_cancelled = |task: &&TaskStatus| {
         let job = split_task(&task.task).and_then(|(id, _)| job_cache.find(id));
@@ -49,7 +50,7 @@
     let selector = CommandSelector { cluster, machine: cluster.machine(index), now, message };
     let mut commands = match message {
         CommandMessage::HeartbeatResponse => selector.exit_commands(),
-        // Orphaned tasks and exits wait for the response to a heartbeat.
+        // Commands for orphaned and exited tasks are sent with the next heartbeat response.
         CommandMessage::DirectCall => Vec::new(),
     };
     let limit = COMMANDS_PER_MESSAGE.saturating_sub(commands.len());
@@ -76,7 +77,7 @@
 }
 
 impl CommandSelector<'_> {
-    /// Commands for tasks that the worker lists without an assignment.
+    /// Returns commands for tasks that the worker lists without an assignment.
     fn exit_commands(&self) -> Vec<WorkerCommand> {
         if !self.machine.is_fenced() {
             return Vec::new();
@@ -89,7 +90,7 @@
         let (task, attempt) = (&exit.task, exit.attempt);
         let reap = WorkerCommand::Reap { task: task.clone(), attempt };
         if exit.record == ExitRecord::Orphaned {
-            // Halt and reap together: whichever applies takes effect.
+            // Sent together: the halt takes effect if the task runs, the reap if it exited.
             vec![WorkerCommand::Halt { task: task.clone(), attempt, grace_s: 0.0 }, reap]
         } else if self.cluster.is_exit_recorded(exit) {
             vec![reap]
@@ -98,7 +99,8 @@
         }
     }
 
-    /// At most `limit` commands for assigned tasks; the rest comes with the next message.
+    /// Returns at most `limit` commands for assigned tasks; the others are selected for
+    /// the next message.
     fn assignment_commands(&self, limit: usize) -> Vec<SelectedCommand> {
         let select = |&index: &AssignmentIndex| {
             let command = self.assignment_command(self.cluster.assignment(index)?)?;
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -1,4 +1,4 @@
-//! Commands sent directly to workers, between their heartbeats.
+//! Direct calls: commands that are sent to workers between their heartbeats.
 
 use super::{
     commands::{self, CommandMessage, RESEND_MS},
@@ -13,17 +13,18 @@
     protocol::workers::{split_task, DirectCommandRequest, WorkerCommand},
 };
 
-/// Added to [`RESEND_MS`] before a machine is checked again, so that what is to be
-/// sent again is due by then.
+/// Added to [`RESEND_MS`] before a machine is checked again, so that commands to be sent
+/// again are due by then.
 const RESEND_SLACK_MS: Millis = 100;
-/// Heartbeat intervals after which a worker without contact is sent no more commands.
+/// Number of heartbeat intervals without contact after which no more commands are sent
+/// to a worker.
 const CONTACT_LIMIT_INTERVALS: Millis = 3;
-/// Pause after a call that could not be sent.
+/// Pause of direct calls to a machine after a call that could not be sent.
 const NOT_SENT_PAUSE_MS: Millis = 700;
-/// Pause after a call that went unanswered.
+/// Pause of direct calls to a machine after a call without a response.
 const NO_RESPONSE_PAUSE_MS: Millis = 1_000;
 
-/// Sends new commands directly to the workers that may need some.
+/// Makes direct calls to all machines that are due for a check and need commands.
 pub fn dispatch(cluster: &mut ClusterState, outbox: &mut Outbox, now: Millis) {
     while let Some(index) = cluster.next_due_dispatch(now) {
         dispatch_to(cluster, outbox, now, index);
@@ -42,8 +43,8 @@
     }
     let Some(addr) = machine.addr else { return };
     let contact_limit_ms = CONTACT_LIMIT_INTERVALS * cluster.config().heartbeat_interval_ms;
-    // A token that the worker has not acknowledged yet is delivered by the response
-    // to its heartbeat first; a worker without contact is sent nothing.
+    // A token that the worker hasn't acknowledged yet is delivered by a heartbeat
+    // response first. No commands are sent to an unreachable worker.
     if !machine.is_fenced() || !machine.heartbeats.contacted_within(now, contact_limit_ms) {
         return;
     }
@@ -70,7 +71,8 @@
         && machine.lifecycle == MachineLifecycle::Up
 }
 
-/// The launch that a command to this machine carries, if it is one.
+/// Returns the identity of the launch if the command is one, and its task is assigned
+/// to this machine.
 fn launch_of(cluster: &ClusterState, index: MachineIndex, command: &WorkerCommand) -> Option<LaunchId> {
     let WorkerCommand::Launch { task, attempt } = command else { return None };
     let (_, task) = split_task(task)?;
@@ -82,8 +84,8 @@
         .map(Assignment::launch_id)
 }
 
-/// Processes the outcome of a direct call. Calls that are no longer in flight are
-/// ignored.
+/// Processes the outcome of a direct call. Outcomes of calls that are no longer in
+/// flight are ignored.
 pub fn complete(
     cluster: &mut ClusterState,
     context: &mut HeartbeatContext<'_>,
@@ -100,7 +102,7 @@
         }
         DirectCallOutcome::Refused(heartbeat) => {
             heartbeats::apply_call_response(cluster, context, index, &heartbeat)?;
-            // Not executed: its launches may be sent again at once.
+            // The call was not executed, so its launches may be sent again at once.
             mark_unsent(cluster, &completed.launches);
         }
         DirectCallOutcome::NotSent => {
@@ -127,8 +129,8 @@
     }
 }
 
-/// Guard: launches that went unanswered may arrive at any later time. The raised
-/// token fences them, once the worker has acknowledged it.
+/// Raises the token after a call with launches got no response. The launches may arrive
+/// at any later time; once the worker has acknowledged the raised token, it rejects them.
 fn require_new_token(cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
     let machine = cluster.machine_mut(index);
     machine.token_requirement.raise_and_require_token();
--- a/src/coordination/workers/exited_tasks.rs
+++ b/src/coordination/workers/exited_tasks.rs
@@ -1,4 +1,4 @@
-//! Exited tasks: their assignments are released once no earlier command can start
+//! Exited tasks. Their assignments are released once no command sent earlier can start
 //! the task again.
 
 use super::failure_attribution;
@@ -10,8 +10,8 @@
     protocol::workers::{ExitReason, TaskStatus},
 };
 
-/// How long a machine that refused to start a task gets no new ones, and a job
-/// whose task its worker did not know.
+/// Pause of new assignments: to a machine that refused to start a task, and of a job
+/// whose task the worker did not know.
 const REFUSED_START_PAUSE_MS: Millis = 3_000;
 
 /// Releases the assignment of an exited task, unless a command sent earlier could
@@ -34,21 +34,21 @@
             machine = &*machine.id,
             ?reason,
             saved = ?status.saved,
-            "task exited unfinished"
+            "task exited before completion"
         );
         handle_unfinished_exit(cluster, now, &assignment, reason, &status.task);
     }
 }
 
-/// Guard: a launch still in flight could arrive after the reap and start the task a
-/// second time.
+/// Reports whether no launch of the task is in flight. Otherwise the launch could arrive
+/// after the reap and start the task a second time.
 fn is_exit_final(cluster: &ClusterState, index: AssignmentIndex) -> bool {
     let Some(assignment) = cluster.assignment(index) else { return false };
     let machine = cluster.machine(assignment.machine);
     machine.is_fenced() && !cluster.is_launch_in_flight(assignment) && !machine.commands.has_launch_in_response()
 }
 
-/// The chunk version with which the exit of a released assignment is written.
+/// Returns the chunk version with which the exit of a released assignment is written.
 fn exit_record(cluster: &ClusterState, assignment: &Assignment) -> ExitRecord {
     match cluster.job(assignment.job) {
         Some(job) => {
@@ -69,7 +69,7 @@
     match reason {
         ExitReason::InsufficientResources | ExitReason::Busy => {
             let machine = cluster.machine_mut(assignment.machine);
-            tracing::info!(task, machine = &*machine.id, ?reason, "task start refused");
+            tracing::info!(task, machine = &*machine.id, ?reason, "worker refused to start task");
             machine.unschedulable_until = now + REFUSED_START_PAUSE_MS;
             cluster.refresh(now, assignment.machine);
         }
@@ -88,7 +88,7 @@
     }
 }
 
-/// Corrects the run time estimates by a completed task that was not halted.
+/// Updates the run time estimates from a completed task, unless it was halted.
 fn observe_run_time(cluster: &mut ClusterState, now: Millis, assignment: &Assignment) {
     let Some(running_since) = assignment.running_since else { return };
     if assignment.halt.is_some() {
--- a/src/coordination/workers/failure_attribution.rs
+++ b/src/coordination/workers/failure_attribution.rs
@@ -1,8 +1,8 @@
-//! Attribution of task failures: to a faulty machine, or to the job itself.
+//! Attribution of task failures to a faulty machine or to the job itself.
 //!
-//! A job that was submitted with a mistake fails wherever it runs; a faulty
-//! machine fails whatever runs there. Neither can be told from one failure
-//! alone, so each machine is evaluated by how its jobs fare on other machines.
+//! A job that was submitted with an error fails on every machine; on a faulty machine,
+//! every job fails. A single failure doesn't show which of the two is the cause, so
+//! each machine is evaluated by how its jobs run on other machines.
 
 use crate::{
     coordination::{
@@ -12,25 +12,26 @@
     storage::job_cache::JobIndex,
 };
 
-/// How long a machine on which a task failed gets no new tasks; doubled with
-/// each further job that failed there recently.
+/// Time for which a machine on which a task failed gets no new tasks, doubled for each
+/// further job that failed there recently.
 const MACHINE_PAUSE_MS: Millis = 5_000;
-/// Longest pause of such a machine.
+/// Maximum of [`MACHINE_PAUSE_MS`] after doubling.
 const MACHINE_PAUSE_MAX_MS: Millis = 60_000;
-/// How long a failure is remembered at its machine.
+/// Time for which a failure is kept at its machine.
 const FAILURE_RETENTION_MS: Millis = 120_000;
-/// Sound jobs that failed on one machine recently after which it counts as faulty.
+/// A machine is considered faulty once this many healthy jobs failed on it recently.
 const FAULTY_MACHINE_MIN_JOBS: usize = 2;
-/// Pause of a job after a failure that is not attributed to it.
+/// Delay before a job is retried after a failure that is not attributed to it.
 const RETRY_PAUSE_MS: Millis = 300;
-/// First pause of a job that is at fault itself; doubled with each round...
+/// First retry delay of a faulty job, doubled with each round of failures.
 const BACKOFF_MS: Millis = 2_000;
-/// ...up to this many times: it is retried for as long as it is wanted.
+/// Maximum number of doublings of [`BACKOFF_MS`]: a faulty job is retried for as long as
+/// it is wanted.
 const BACKOFF_DOUBLINGS: u32 = 5;
 /// Interval at which failures are evaluated.
 const EVALUATION_INTERVAL_MS: Millis = 2_000;
 
-/// Records a failed task: its job is retried, on other machines at first.
+/// Records a failed task. Its job is retried, at first on other machines.
 pub fn record_failure(cluster: &mut ClusterState, now: Millis, assignment: &Assignment, task: &str) {
     let (machine_index, job_index) = (assignment.machine, assignment.job);
     tracing::info!(task, machine = &*cluster.machine(machine_index).id, "task failed");
@@ -39,8 +40,8 @@
     let ran_ms = assignment.running_since.map_or(0, |since| now.saturating_sub(since));
     job.failures.record(machine_index, ran_ms, assignment.attempt, last_attempt);
     job.wait.not_before = now + retry_pause_ms(&job.failures);
-    // Guard: a job that fails everywhere would keep healthy machines from
-    // taking any work.
+    // Otherwise a job that fails on every machine would keep healthy machines from
+    // getting any tasks.
     if !job.failures.is_job_faulty() {
         pause_machine(cluster, now, machine_index, job_index);
     }
@@ -63,13 +64,13 @@
 }
 
 impl FailureAttribution {
-    /// The first evaluation is due now.
+    /// Creates the evaluation; it is first due at `now`.
     pub fn new(now: Millis) -> FailureAttribution {
         FailureAttribution { next_evaluation: now }
     }
 
-    /// Cordons machines on which several jobs failed that run well elsewhere, if
-    /// the interval has passed.
+    /// Cordons machines on which several jobs failed that run successfully on other
+    /// machines. Does nothing until the interval has passed.
     pub fn evaluate(&mut self, cluster: &mut ClusterState, now: Millis) {
         if now < self.next_evaluation {
             return;
@@ -84,7 +85,7 @@
     }
 }
 
-/// Marks jobs as sound of which a task has run for longer than any that failed.
+/// Marks jobs as healthy if one of their tasks has run for longer than any that failed.
 fn mark_healthy_jobs(cluster: &mut ClusterState, now: Millis) {
     let slack_ms = 2 * cluster.config().heartbeat_interval_ms;
     let outlasts = |job: &Job| {
@@ -117,7 +118,7 @@
     }
 }
 
-/// How long a job waits after one of its tasks failed.
+/// Returns how long a job waits for its retry after one of its tasks failed.
 fn retry_pause_ms(failures: &JobFailures) -> Millis {
     if !failures.is_job_faulty() {
         return RETRY_PAUSE_MS;
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers: processed, acknowledged and answered.
+//! Processing of workers' heartbeats, and the responses to them.
 
 use super::{
     commands::{self, stop_commands_for_cancelled, CommandMessage},
@@ -20,22 +20,22 @@
     storage::job_cache::JobCache,
 };
 
-/// What is needed besides the cluster state to process a heartbeat.
+/// Inputs for processing a heartbeat, besides the cluster state.
 pub struct HeartbeatContext<'a> {
-    /// The present moment.
+    /// Current time on the monotonic clock, in ms.
     pub now: Millis,
-    /// All jobs, also those that are over.
+    /// All jobs, including finished ones.
     pub job_cache: &'a JobCache,
-    /// Names of zones and machine types.
+    /// Interned names of zones and machine types.
     pub interners: &'a mut Interners,
 }
 
-/// A worker has seen a higher fencing token than this leader's: another
-/// controller leads.
+/// Indicates that a worker has received a higher fencing token than this leader's, so
+/// another controller leads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Superseded;
 
-/// Processes a periodic heartbeat and makes the response.
+/// Processes a periodic heartbeat and returns the response.
 pub fn process(
     cluster: &mut ClusterState,
     context: &mut HeartbeatContext<'_>,
@@ -59,8 +59,8 @@
         apply(cluster, context, index, heartbeat);
         response_commands(cluster, context, index, heartbeat)
     } else {
-        // Answering renews the worker's lease. Until the records are read, the
-        // state that it sends is left to its next heartbeat.
+        // The response renews the worker's lease. Until the records are read, the reported
+        // state is not applied; the next heartbeat reports it again.
         stop_commands_for_cancelled(heartbeat, context.job_cache)
     };
     HeartbeatOutcome::Accepted(HeartbeatResponse { token: cluster.machine(index).token_requirement.token, commands })
@@ -83,8 +83,8 @@
     Ok(())
 }
 
-/// Applies a heartbeat if it is newer than the latest one, whether the worker sent
-/// it periodically or in response to a call.
+/// Applies a heartbeat, periodic or in response to a call, if it is newer than the
+/// latest one.
 pub fn apply(
     cluster: &mut ClusterState,
     context: &mut HeartbeatContext<'_>,
@@ -106,16 +106,16 @@
     cluster.refresh(now, index);
 }
 
-/// Records that the response made for a machine's latest heartbeat is not sent
-/// after all.
+/// Records that the response to a machine's latest heartbeat, already prepared, is not
+/// sent.
 pub fn response_not_sent(cluster: &mut ClusterState, machine: &str) {
     if let Some(index) = cluster.find_machine(machine) {
         cluster.machine_mut(index).token_requirement.response_not_sent();
     }
 }
 
-/// Whether a task may be on the machine, or on its way there: listed by the
-/// heartbeat, assigned by a record, or launched by a command in flight.
+/// Reports whether a task may be on the machine, or may be started there: it is listed
+/// by the heartbeat, assigned by a record, or launched by a command in flight.
 pub fn may_hold_tasks(cluster: &ClusterState, heartbeat: &Heartbeat) -> bool {
     let is_listed = heartbeat.tasks.iter().any(|task| task.state != TaskState::Exited);
     if is_listed || !cluster.is_loaded() {
@@ -126,24 +126,25 @@
     !machine.load.assignments.is_empty() || !machine.has_no_launch_in_flight()
 }
 
-/// Guard: a heartbeat that was delayed, from an incarnation whose lease is known to
-/// have expired, or from a machine that was released, says nothing about what runs
-/// now.
+/// Reports whether a heartbeat is stale: a delayed one from an incarnation whose lease is
+/// known to have expired, or one from a machine that was released. It doesn't show which
+/// tasks run now.
 fn is_stale(machine: &Machine, heartbeat: &Heartbeat) -> bool {
     machine.lifecycle == MachineLifecycle::Gone || machine.heartbeats.is_expired(heartbeat.incarnation)
 }
 
-/// Records what a periodic heartbeat shows of our earlier responses.
+/// Records whether a periodic heartbeat acknowledges this leader's earlier responses.
 fn record_acknowledgement(cluster: &mut ClusterState, now: Millis, index: MachineIndex, token: FencingToken) {
     let min_gap_ms = cluster.config().heartbeat_interval_ms / 2;
     let machine = cluster.machine_mut(index);
     machine.heartbeats.last_heartbeat = Some(now);
-    // The worker received or lost our last response before it sent this.
+    // The worker received the last response before it sent this heartbeat, or the
+    // response was lost.
     machine.commands.set_launch_in_response(false);
     machine.token_requirement.count_acknowledgement(now, token, min_gap_ms);
 }
 
-/// The commands in the response to a heartbeat that was applied.
+/// Returns the commands in the response to a heartbeat that was applied.
 fn response_commands(
     cluster: &mut ClusterState,
     context: &HeartbeatContext<'_>,
@@ -159,9 +160,9 @@
     let has_launch = response.iter().any(|command| matches!(command, WorkerCommand::Launch { .. }));
     machine.commands.set_launch_in_response(has_launch);
     if response.iter().any(|command| matches!(command, WorkerCommand::Reap { .. })) {
-        // Guard: once reaped, an attempt is unknown to the worker, and a repeat of
-        // the command that launched it would start it again. The reap comes with a
-        // higher token than any such command.
+        // A worker doesn't know an attempt any more once it is reaped, so a duplicate of
+        // the command that launched it would start it again. The reap is sent with a
+        // higher token than any such command, so the worker rejects the duplicate.
         machine.token_requirement.raise_token();
     }
     response
--- a/src/coordination/workers/lease_expiry.rs
+++ b/src/coordination/workers/lease_expiry.rs
@@ -1,4 +1,4 @@
-//! What the expiry of a worker's lease proves.
+//! Expiry of worker leases, which proves that no task runs on the machine any more.
 
 use crate::{
     coordination::{
@@ -9,15 +9,15 @@
     protocol::ids::Incarnation,
 };
 
-/// The drift of two steady clocks over a lease is at most one part in this many.
+/// Two monotonic clocks drift apart by at most one part in this many over a lease.
 const CLOCK_DRIFT_DIVISOR: Millis = 500;
-/// Added to a lease besides the drift, for a worker that is slow to stop.
+/// Added to a lease in addition to the drift, for workers that are slow to stop.
 const LEASE_MARGIN_MS: Millis = 500;
 
-/// Detects expired leases of workers.
+/// Detects expired worker leases.
 #[derive(Debug)]
 pub struct LeaseExpiry {
-    /// The time in which no other controller renewed any lease.
+    /// Span of time in which no other controller renewed any worker lease.
     no_peer_renewals: TimeSpan,
 }
 
@@ -28,13 +28,13 @@
 }
 
 impl LeaseExpiry {
-    /// Sets the time in which no other controller renewed any lease.
+    /// Sets the span of time in which no other controller renewed any worker lease.
     pub fn set_no_peer_renewals(&mut self, span: TimeSpan) {
         self.no_peer_renewals = span;
     }
 
-    /// Frees a machine if the lease of its worker has expired: nothing can run
-    /// there any more.
+    /// Releases all assignments of a machine if its worker's lease has expired, since no
+    /// task can run there any more.
     pub fn expire(&self, cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
         let machine = cluster.machine(index);
         let is_empty = machine.load.assignments.is_empty() && machine.commands.pending_reaps.is_empty();
@@ -47,11 +47,12 @@
         cluster.release_machine_assignments(index, None);
     }
 
-    /// Guard: counted from the last 200 that any leader could have sent (a new
-    /// leader counts from its own start), both clocks' drift added. Another
-    /// controller may have renewed the lease: then from the last moment at which
-    /// one could have, and only once all of them have confirmed that they renewed
-    /// none since. Otherwise a task could still run.
+    /// Reports whether the lease has expired. The lease runs from the last 200 that any
+    /// leader could have sent (a new leader counts from its own start), and the drift of
+    /// both clocks is added. If another controller may have renewed the lease, it runs
+    /// from the last time at which one could have, and it has expired only once all
+    /// other controllers have confirmed that they renewed none since. Otherwise a task
+    /// could still run.
     fn is_expired(&self, config: &Config, now: Millis, machine: &Machine) -> bool {
         let lease_ms = config.lease_ms + config.lease_ms / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MS;
         let last_renewal = (machine.heartbeats.lease_renewed_at as i64).max(self.no_peer_renewals.from);
@@ -60,7 +61,7 @@
     }
 }
 
-/// The latest incarnation that a task on the machine was assigned to.
+/// Returns the latest incarnation to which a task on the machine was assigned.
 fn last_assigned_incarnation(cluster: &ClusterState, machine: &Machine) -> Incarnation {
     let assignments = machine.load.assignments.iter().filter_map(|&index| cluster.assignment(index));
     assignments.map(|assignment| assignment.incarnation).max().unwrap_or(Incarnation::NONE)
--- a/src/coordination/workers/machine_status.rs
+++ b/src/coordination/workers/machine_status.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat says of the machine itself.
+//! Updates a machine from the status that its heartbeats report.
 
 use crate::{
     coordination::{
@@ -8,10 +8,11 @@
     protocol::{ids::Incarnation, names::Interners, workers::Heartbeat},
 };
 
-/// Longest interruption notice of a spot machine that is believed, in seconds.
+/// Maximum interruption notice of a spot machine that is accepted, in seconds. Longer
+/// ones are reduced to it.
 const NOTICE_MAX_S: f64 = 3600.0;
 
-/// Updates the machine from a newer heartbeat.
+/// Updates the machine from a heartbeat that is newer than the latest one.
 pub fn update(
     cluster: &mut ClusterState,
     now: Millis,
@@ -52,7 +53,8 @@
     );
 }
 
-/// Begins a new incarnation: the worker killed and forgot all tasks of the former one.
+/// Begins a new incarnation. The worker has killed and discarded all tasks of the
+/// previous one, so their assignments are released.
 pub fn begin_incarnation(cluster: &mut ClusterState, now: Millis, index: MachineIndex, incarnation: Incarnation) {
     let machine = cluster.machine_mut(index);
     let previous = machine.heartbeats.begin_incarnation(now, incarnation);
--- a/src/coordination/workers/mod.rs
+++ b/src/coordination/workers/mod.rs
@@ -1,9 +1,9 @@
-//! Control of the workers: heartbeats are answered and reconciled with the
-//! cluster state, commands are sent, and expired leases are detected.
+//! Control of the workers: reconciles heartbeats with the cluster state and responds to
+//! them, sends commands, and detects expired leases.
 //!
-//! Each component takes the [`ClusterState`] that it changes, and the outbox if
-//! it makes calls. What must be kept between events is kept by [`WorkerControl`]
-//! or, for each machine, in the cluster state.
+//! Each component is passed the [`ClusterState`] that it changes, and the outbox if it
+//! makes calls. State that lasts between events is held by [`WorkerControl`] or, for
+//! each machine, in the cluster state.
 
 mod commands;
 pub(in crate::coordination) mod direct_calls;
@@ -31,7 +31,7 @@
 };
 use crate::protocol::workers::Heartbeat;
 
-/// The components that keep state of their own between events.
+/// The components of worker control that keep state between events.
 #[derive(Debug)]
 pub struct WorkerControl {
     reachability: Reachability,
@@ -40,7 +40,7 @@
 }
 
 impl WorkerControl {
-    /// The control of a leadership that begins now.
+    /// Creates the worker control of a leader whose term begins at `now`.
     pub fn new(now: Millis) -> WorkerControl {
         WorkerControl {
             reachability: Reachability::new(now),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Processes a periodic heartbeat and makes the response.
+    /// Processes a periodic heartbeat and returns the response.
     pub fn heartbeat(
         &mut self,
         cluster: &mut ClusterState,
@@ -63,23 +63,23 @@
         outcome
     }
 
-    /// Whether hardly any of the workers that should send heartbeats have reached
-    /// this controller in the last `for_ms`.
+    /// Reports whether, in the last `for_ms`, this controller received heartbeats from only
+    /// few of the workers that should send them.
     pub fn is_isolated_from_workers(&self, cluster: &ClusterState, now: Millis, for_ms: Millis) -> bool {
         self.reachability.is_isolated_from_workers(cluster, now, for_ms)
     }
 
-    /// Sets the time in which no other controller renewed any lease.
+    /// Sets the span of time in which no other controller renewed any worker lease.
     pub fn set_no_peer_renewals(&mut self, span: TimeSpan) {
         self.lease_expiry.set_no_peer_renewals(span);
     }
 
-    /// Frees a machine if the lease of its worker has expired.
+    /// Releases all assignments of a machine if its worker's lease has expired.
     pub fn expire_lease(&self, cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
         self.lease_expiry.expire(cluster, now, index);
     }
 
-    /// Cordons machines that recent task failures show to be faulty.
+    /// Cordons machines that are faulty according to recent task failures.
     pub fn attribute_failures(&mut self, cluster: &mut ClusterState, now: Millis) {
         self.failure_attribution.evaluate(cluster, now);
     }
--- a/src/coordination/workers/probes.rs
+++ b/src/coordination/workers/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of workers whose heartbeats are overdue.
+//! Probes of workers whose heartbeats are late.
 
 use super::heartbeats::{self, HeartbeatContext};
 use crate::{
@@ -10,13 +10,16 @@
     protocol::workers::Heartbeat,
 };
 
-/// How late a heartbeat must be, besides a quarter of the interval, for a probe.
+/// A worker is probed once its heartbeat is late by this much, in addition to a quarter
+/// of the heartbeat interval.
 const LATE_HEARTBEAT_SLACK_MS: Millis = 400;
-/// Consecutive unanswered probes after which a worker is not probed again.
+/// Number of consecutive probes without a response after which a worker is not probed
+/// again.
 const FAILED_PROBE_LIMIT: u32 = 3;
 
-/// Probes a worker whose heartbeat is overdue. A missing answer proves nothing, but
-/// lets the machine be released sooner, which does.
+/// Probes a worker whose heartbeat is late. A missing response proves nothing about its
+/// tasks, but allows the machine to be released sooner, and its release proves that they
+/// have ended.
 pub fn probe_if_heartbeat_late(cluster: &mut ClusterState, outbox: &mut Outbox, now: Millis, index: MachineIndex) {
     let max_age_ms = cluster.config().heartbeat_interval_ms * 5 / 4 + LATE_HEARTBEAT_SLACK_MS;
     let machine = cluster.machine_mut(index);
@@ -35,7 +38,7 @@
     }
 }
 
-/// Processes the outcome of a probe. `None`: it went unanswered.
+/// Processes the outcome of a probe. `None`: no response was received.
 pub fn complete(
     cluster: &mut ClusterState,
     context: &mut HeartbeatContext<'_>,
--- a/src/coordination/workers/reachability.rs
+++ b/src/coordination/workers/reachability.rs
@@ -1,37 +1,39 @@
-//! Whether workers reach this controller.
+//! Detects whether this controller still receives the workers' heartbeats.
 
 use crate::coordination::{
     cluster::ClusterState,
     model::{Machine, MachineLifecycle, Millis},
 };
 
-/// A leader that is reached by less than one in this many of the workers that
-/// should send heartbeats is disconnected from them.
+/// A leader that receives heartbeats of less than one in this many of the workers that
+/// should send them is isolated from the workers.
 const WORKER_CONTACT_DIVISOR: usize = 4;
 
-/// Keeps when any worker last reached this controller.
+/// Keeps track of when this controller last received a heartbeat of any worker.
 #[derive(Debug)]
 pub struct Reachability {
-    /// When any worker last sent a heartbeat that was accepted, or the leadership began.
+    /// When a heartbeat of any worker was last accepted; initially, when the leader's term
+    /// began.
     last_heartbeat: Millis,
 }
 
 impl Reachability {
-    /// A leadership that begins now.
+    /// Creates the state of a leader whose term begins at `now`.
     pub fn new(now: Millis) -> Reachability {
         Reachability { last_heartbeat: now }
     }
 
-    /// A heartbeat of any worker was accepted.
+    /// Records that a heartbeat of any worker was accepted.
     pub fn record_heartbeat(&mut self, now: Millis) {
         self.last_heartbeat = now;
     }
 
-    /// Whether hardly any of the workers that should send heartbeats have reached
-    /// this controller in the last `for_ms`.
+    /// Reports whether, in the last `for_ms`, this controller received heartbeats from only
+    /// few of the workers that should send them.
     ///
-    /// Guard: only newer heartbeats count. Delayed copies of old ones kept a leader
-    /// that no worker reached in office, until their leases had expired.
+    /// Only heartbeats newer than the latest one are taken into account. Delayed copies of
+    /// old heartbeats once kept a leader in office that no worker could reach, until the
+    /// workers' leases had expired.
     pub fn is_isolated_from_workers(&self, cluster: &ClusterState, now: Millis, for_ms: Millis) -> bool {
         let window_ms = for_ms.max(cluster.config().heartbeat_interval_ms * 3 / 2);
         let (mut expected, mut reporting) = (0, 0);
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Tasks that a worker lists are reconciled with the assignments to its machine.
+//! Reconciles the tasks that a worker lists with the assignments to its machine.
 
 use std::collections::HashSet;
 
@@ -18,7 +18,7 @@
     },
 };
 
-/// One attempt to run a task, by the name that workers know.
+/// One attempt to run a task, identified by the task's name in worker messages.
 #[derive(Debug, PartialEq, Eq, Hash)]
 struct TaskAttempt<'a> {
     task: &'a str,
@@ -51,7 +51,7 @@
     now: Millis,
     machine: MachineIndex,
     listed_assignments: Vec<AssignmentIndex>,
-    /// Listed attempts without an assignment, which the worker has still to reap.
+    /// Listed attempts without an assignment, which the worker has not reaped yet.
     listed_exits: HashSet<TaskAttempt<'a>>,
 }
 
@@ -61,7 +61,7 @@
         Reconciliation { cluster, now, machine, listed_assignments: Vec::new(), listed_exits: HashSet::new() }
     }
 
-    /// Reconciles all listed tasks, and the assignments that are not listed.
+    /// Reconciles all listed tasks, then the assignments that are not listed.
     pub fn run(mut self, statuses: &'a [TaskStatus], job_cache: &JobCache) {
         for status in statuses {
             self.reconcile_task(status, job_cache);
@@ -86,7 +86,8 @@
         }
     }
 
-    /// The assignment that this very attempt belongs to.
+    /// Returns the assignment to which the listed attempt belongs, if the machine, the
+    /// attempt and the worker's incarnation all match.
     fn assignment_of(&self, task: &ListedTask<'_>) -> Option<AssignmentIndex> {
         let Some(Slot::Assigned(assignment_index)) = task.slot else { return None };
         let assignment = self.cluster.assignment(assignment_index)?;
@@ -104,13 +105,13 @@
             .assignment(assignment_index)
             .is_some_and(|assignment| assignment.job == task.job && assignment.attempt == task.status.attempt);
         if !is_still_assigned {
-            // Released just now: its exit is to be reaped.
+            // The assignment was released by this update; the exit is to be reaped.
             self.listed_exits.insert(task.status.into());
         }
     }
 
-    /// Reconciles an exited task without an assignment. If the task completed, it
-    /// counts as done all the same.
+    /// Reconciles an exited task without an assignment. If the task completed, it is
+    /// recorded as done nevertheless.
     fn reconcile_unassigned_exit(&mut self, task: &ListedTask<'a>) {
         self.listed_exits.insert(task.status.into());
         if self.is_pending_reap(task) {
@@ -130,13 +131,13 @@
         }
     }
 
-    /// Whether a running task without an assignment may go on.
+    /// Reports whether a running task without an assignment may keep running.
     fn is_wanted(&self, task: &ListedTask<'_>) -> bool {
         task.slot == Some(Slot::Pending)
             && self.cluster.job(task.job).is_some_and(|job| job.status == JobStatus::Pending)
     }
 
-    /// Assigns a wanted task to the machine on which it runs, though no record says so.
+    /// Assigns a wanted task to the machine on which it runs without a record of it.
     fn assign_unrecorded_task(&mut self, task: &ListedTask<'_>) {
         let machine = self.cluster.machine(self.machine);
         let new = NewAssignment {
@@ -151,14 +152,14 @@
             tracing::warn!(
                 task = &*task.status.task,
                 machine = &*self.cluster.machine(self.machine).id,
-                "unrecorded task assigned"
+                "running task without a record assigned to its machine"
             );
             self.listed_assignments.push(assignment_index);
             task_progress::apply(self.cluster, self.now, assignment_index, task.status);
         }
     }
 
-    /// Has a running task that is not wanted halted until it exits, then reaped.
+    /// Schedules a running task that is not wanted to be halted until it exits, then reaped.
     fn stop_orphaned_task(&mut self, task: &ListedTask<'a>) {
         tracing::warn!(
             task = &*task.status.task,
@@ -181,7 +182,7 @@
         commands.add_pending_reap(task.status, task.job, record);
     }
 
-    /// Exits that are no longer listed were reaped.
+    /// Removes exits that are no longer listed, since the worker has reaped them.
     fn remove_reaped_exits(&mut self) {
         let listed = &self.listed_exits;
         let exits = &mut self.cluster.machine_mut(self.machine).commands.pending_reaps;
@@ -190,10 +191,10 @@
 
     /// Handles tasks that are assigned to the machine but aren't listed.
     fn reconcile_missing_tasks(&mut self) {
-        // Guard: absence proves nothing while an earlier command may still arrive;
-        // only a raised token that was acknowledged rules that out. A response to a
-        // heartbeat that carries launches is in flight as well, until the next
-        // heartbeat: the body of a command's response may be older.
+        // While a command sent earlier may still arrive, absence doesn't prove that a task
+        // is gone; only an acknowledged raised token rules that out. A heartbeat response
+        // with launches is also in flight until the next heartbeat is received: the
+        // heartbeat in a direct call's response may be older.
         if !self.cluster.machine(self.machine).has_no_launch_in_flight() {
             return;
         }
@@ -203,7 +204,7 @@
         self.relaunch_missing_tasks();
     }
 
-    /// Assignments to be halted of which nothing runs any more.
+    /// Returns the assignments to be halted whose tasks the worker no longer lists.
     fn missing_halted_assignments(&self) -> Vec<AssignmentIndex> {
         let machine = self.cluster.machine(self.machine);
         let is_halted = |assignment: &Assignment| {
@@ -213,14 +214,15 @@
         missing.filter(|&index| self.cluster.assignment(index).is_some_and(is_halted)).collect()
     }
 
-    /// Tasks that were lost though still wanted are launched again, as the same attempt.
+    /// Launches lost tasks that are still wanted again, as the same attempt.
     fn relaunch_missing_tasks(&mut self) {
         let listed = &self.listed_assignments;
         self.cluster.relaunch_missing_tasks(self.machine, |index| !listed.contains(&index));
     }
 }
 
-/// Marks a task as done that has no assignment.
+/// Marks a task without an assignment as done. Returns the chunk version with which that
+/// is written.
 fn complete_pending_task(job: &mut Job, task: u32) -> ExitRecord {
     job.tasks.slots[task as usize] = Slot::Done;
     job.tasks.pending.retain(|&pending| pending != task);
--- a/src/coordination/workers/spot_interruption.rs
+++ b/src/coordination/workers/spot_interruption.rs
@@ -1,4 +1,4 @@
-//! Spot machines that will be taken away are drained in time.
+//! Drains spot machines that the cloud is about to reclaim.
 
 use crate::{
     coordination::{
@@ -8,12 +8,13 @@
     protocol::jobs::JobKind,
 };
 
-/// Share of a task's saving time that a notice must leave for it: notices come
-/// at half their nominal time too, so saving begins while it lasts.
+/// Share of a task's saving time that must be left of a notice for the task to be
+/// halted. Notices may also come at half their nominal time, so saving begins as long
+/// as this much is left.
 const SAVE_SHARE: f64 = 0.8;
 
-/// Halts the tasks on a machine with an interruption notice that can save a
-/// checkpoint in the time left.
+/// Halts those tasks on a machine with an interruption notice that can save a checkpoint
+/// in the remaining time.
 pub fn drain(cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
     let Some(interruption_at) = cluster.machine(index).spot_interruption_at else { return };
     let remaining_s = interruption_at.saturating_sub(now) as f64 / 1000.0;
--- a/src/coordination/workers/task_progress.rs
+++ b/src/coordination/workers/task_progress.rs
@@ -1,4 +1,4 @@
-//! The state that a worker lists for an assigned task.
+//! Applies the state that a worker lists for an assigned task.
 
 use super::exited_tasks;
 use crate::{
@@ -41,7 +41,8 @@
     cluster.record_cached_image(machine, job_index);
 }
 
-/// Counts a task that began to run. `assigned_at`: if this leader assigned it.
+/// Counts a task that began to run. `assigned_at` is when this leader assigned it;
+/// `None`: an earlier leader did.
 fn count_running_task(now: Millis, job: &mut Job, assigned_at: Option<Millis>) {
     job.tasks.running += 1;
     let is_first = job.tasks.running + job.tasks.done == 1;
