--- a/src/coordination/cluster/machines.rs
+++ b/src/coordination/cluster/machines.rs
@@ -69,7 +69,7 @@
             // machine that was released, cannot contain that token.
             && machine.is_fenced()
             && machine.heartbeats.incarnation > machine.heartbeats.expired_incarnation
-            && machine.spot_notice_until.is_none()
+            && machine.spot_interruption_at.is_none()
             && !machine.cordoned
             && now >= machine.unschedulable_until
     }
--- a/src/coordination/scheduler/best_effort.rs
+++ b/src/coordination/scheduler/best_effort.rs
@@ -97,7 +97,7 @@
 
 /// Returns the CPUs that arrays of teams with a guarantee are expected to request.
 fn expected_cpus(cluster: &ClusterState, now: Millis) -> f64 {
-    let arrived_recently = |job: &&Job| now as i64 - job.wait.since < ARRIVAL_WINDOW_MS;
+    let arrived_recently = |job: &&Job| now as i64 - job.wait.ready_since < ARRIVAL_WINDOW_MS;
     cluster
         .active_jobs()
         .filter(|job| job.status == JobStatus::Pending && job.spec.kind == JobKind::Array)
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -192,7 +192,7 @@
     /// Records tasks that found no free capacity. Tasks of a job that fails on
     /// every machine are not included in the demand.
     fn record_unmet(&mut self, index: JobIndex, tasks: usize) {
-        let is_faulty = self.cluster.job(index).is_some_and(|job| job.failures.is_job_at_fault());
+        let is_faulty = self.cluster.job(index).is_some_and(|job| job.failures.is_job_faulty());
         if !is_faulty {
             self.unmet.push(UnmetDemand { job: index, tasks: tasks as u32 });
         }
--- a/src/coordination/scheduler/preemption/mod.rs
+++ b/src/coordination/scheduler/preemption/mod.rs
@@ -47,7 +47,7 @@
 pub fn may_preempt(now: Millis, job: &Job) -> bool {
     // A job that fails on every machine would preempt other tasks again and
     // again.
-    if job.failures.is_job_at_fault() {
+    if job.failures.is_job_faulty() {
         return false;
     }
     if job.within_guarantee {
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -208,7 +208,7 @@
 /// Faulty jobs are excluded: a job that fails on every machine would otherwise go
 /// before all other jobs for as long as it is unfinished.
 pub fn is_starved(now: Millis, job: &Job) -> bool {
-    !job.wait.has_counted_start && job.age_s(now) >= STARVATION_AGE_S && !job.failures.is_job_at_fault()
+    !job.wait.has_effective_start && job.age_s(now) >= STARVATION_AGE_S && !job.failures.is_job_faulty()
 }
 
 /// Reports whether the job is starved and none of its tasks is assigned.
--- a/src/coordination/scheduler/task_selection.rs
+++ b/src/coordination/scheduler/task_selection.rs
@@ -48,7 +48,7 @@
     if is_starved_unplaced && job.spec.kind == JobKind::Array {
         limit = limit.min((job.spec.tasks / STARVED_ARRAY_DIVISOR).max(1) as usize);
     }
-    if job.failures.is_job_at_fault() {
+    if job.failures.is_job_faulty() {
         limit = limit.min(TASKS_PER_RETRY);
     }
     limit
--- a/src/coordination/workers/machine_status.rs
+++ b/src/coordination/workers/machine_status.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat says of the machine itself.
+//! Updates a machine from the status that its heartbeats report.
 
 use crate::{
     coordination::{
@@ -8,10 +8,11 @@
     protocol::{ids::Incarnation, names::Interners, workers::Heartbeat},
 };
 
-/// Longest interruption notice of a spot machine that is believed, in seconds.
+/// Maximum interruption notice of a spot machine that is accepted, in seconds. Longer
+/// ones are reduced to it.
 const NOTICE_MAX_S: f64 = 3600.0;
 
-/// Updates the machine from a newer heartbeat.
+/// Updates the machine from a heartbeat that is newer than the latest one.
 pub fn update(
     cluster: &mut ClusterState,
     now: Millis,
@@ -25,15 +26,15 @@
     machine.machine_type = Some(machine_type);
     machine.spot = heartbeat.spot;
     machine.heartbeats.record_contact(now, heartbeat.sequence);
-    machine.fence.record_acknowledged_token(heartbeat.token);
+    machine.token_requirement.record_acknowledged_token(heartbeat.token);
     let is_newly_up = machine.lifecycle == MachineLifecycle::Booting;
     if is_newly_up {
         mark_up(machine, now, heartbeat);
     }
-    let new_notice_s = heartbeat.reclaim_notice_s.filter(|_| machine.spot_notice_until.is_none());
+    let new_notice_s = heartbeat.reclaim_notice_s.filter(|_| machine.spot_interruption_at.is_none());
     if let Some(reclaim_notice_s) = new_notice_s {
         tracing::info!(machine = &*machine.id, reclaim_notice_s, "spot interruption notice received");
-        machine.spot_notice_until = Some(now + (reclaim_notice_s.clamp(0.0, NOTICE_MAX_S) * 1000.0) as Millis);
+        machine.spot_interruption_at = Some(now + (reclaim_notice_s.clamp(0.0, NOTICE_MAX_S) * 1000.0) as Millis);
     }
     if is_newly_up || new_notice_s.is_some() {
         cluster.request_scheduling_cycle();
@@ -52,7 +53,8 @@
     );
 }
 
-/// Begins a new incarnation: the worker killed and forgot all tasks of the former one.
+/// Begins a new incarnation. The worker has killed and discarded all tasks of the
+/// previous one, so their assignments are released.
 pub fn begin_incarnation(cluster: &mut ClusterState, now: Millis, index: MachineIndex, incarnation: Incarnation) {
     let machine = cluster.machine_mut(index);
     let previous = machine.heartbeats.begin_incarnation(now, incarnation);
--- a/src/coordination/workers/spot_interruption.rs
+++ b/src/coordination/workers/spot_interruption.rs
@@ -1,4 +1,4 @@
-//! Spot machines that will be taken away are drained in time.
+//! Drains spot machines that the cloud is about to reclaim.
 
 use crate::{
     coordination::{
@@ -8,20 +8,21 @@
     protocol::jobs::JobKind,
 };
 
-/// Share of a task's saving time that a notice must leave for it: notices come
-/// at half their nominal time too, so saving begins while it lasts.
+/// Share of a task's saving time that must be left of a notice for the task to be
+/// halted. Notices may also come at half their nominal time, so saving begins as long
+/// as this much is left.
 const SAVE_SHARE: f64 = 0.8;
 
-/// Halts the tasks on a machine with an interruption notice that can save a
-/// checkpoint in the time left.
+/// Halts those tasks on a machine with an interruption notice that can save a checkpoint
+/// in the remaining time.
 pub fn drain(cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
-    let Some(until) = cluster.machine(index).spot_notice_until else { return };
-    let left_s = until.saturating_sub(now) as f64 / 1000.0;
+    let Some(interruption_at) = cluster.machine(index).spot_interruption_at else { return };
+    let remaining_s = interruption_at.saturating_sub(now) as f64 / 1000.0;
     for assignment_index in cluster.machine(index).load.assignments.clone() {
         let Some(assignment) = cluster.assignment(assignment_index) else { continue };
         let Some(job) = cluster.job(assignment.job) else { continue };
         let save_s = job.spec.save_s;
-        let can_save = job.spec.checkpoint_s > 0.0 && left_s > save_s * SAVE_SHARE;
+        let can_save = job.spec.checkpoint_s > 0.0 && remaining_s > save_s * SAVE_SHARE;
         if !can_save || assignment.halt.is_some() {
             continue;
         }
--- a/src/coordination/workers/task_progress.rs
+++ b/src/coordination/workers/task_progress.rs
@@ -1,4 +1,4 @@
-//! The state that a worker lists for an assigned task.
+//! Applies the state that a worker lists for an assigned task.
 
 use super::exited_tasks;
 use crate::{
@@ -20,7 +20,7 @@
 
 fn apply_state(cluster: &mut ClusterState, now: Millis, index: AssignmentIndex, state: TaskState) {
     let Some(assignment) = cluster.assignment_mut(index) else { return };
-    let previous = std::mem::replace(&mut assignment.state, AssignmentState::Seen(state));
+    let previous = std::mem::replace(&mut assignment.state, AssignmentState::Reported(state));
     if previous == assignment.state {
         return;
     }
@@ -28,9 +28,9 @@
     if is_running && assignment.running_since.is_none() {
         assignment.running_since = Some(now);
     }
-    let was_running = previous == AssignmentState::Seen(TaskState::Running);
+    let was_running = previous == AssignmentState::Reported(TaskState::Running);
     let (job_index, machine) = (assignment.job, assignment.machine);
-    let assigned_at = (!assignment.inherited).then_some(assignment.assigned_at);
+    let assigned_at = (!assignment.recovered).then_some(assignment.assigned_at);
     let Some(job) = cluster.job_mut(job_index) else { return };
     match (was_running, is_running) {
         (false, true) => count_running_task(now, job, assigned_at),
@@ -41,7 +41,8 @@
     cluster.record_cached_image(machine, job_index);
 }
 
-/// Counts a task that began to run. `assigned_at`: if this leader assigned it.
+/// Counts a task that began to run. `assigned_at` is when this leader assigned it;
+/// `None`: an earlier leader did.
 fn count_running_task(now: Millis, job: &mut Job, assigned_at: Option<Millis>) {
     job.tasks.running += 1;
     let is_first = job.tasks.running + job.tasks.done == 1;
@@ -52,10 +53,10 @@
 
 fn apply_exit(cluster: &mut ClusterState, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
     let Some(assignment) = cluster.assignment_mut(index) else { return };
-    let ended = AssignmentState::Ended(status.why.unwrap_or(ExitReason::Other));
-    let previous = std::mem::replace(&mut assignment.state, ended);
+    let exited = AssignmentState::Exited(status.why.unwrap_or(ExitReason::Other));
+    let previous = std::mem::replace(&mut assignment.state, exited);
     let job_index = assignment.job;
-    if previous == AssignmentState::Seen(TaskState::Running) {
+    if previous == AssignmentState::Reported(TaskState::Running) {
         if let Some(job) = cluster.job_mut(job_index) {
             job.tasks.running = job.tasks.running.saturating_sub(1);
         }
