--- a/src/controller/instance/heartbeats.rs
+++ b/src/controller/instance/heartbeats.rs
@@ -32,7 +32,7 @@
         // Guard: the answer must not launch what the job cache shows as cancelled.
         self.leadership.sync_jobs(now, &mut self.jobs);
         let term = self.election.leading(now);
-        match self.leadership.answer_heartbeat(now, term, &heartbeat, &self.jobs, &mut self.names) {
+        match self.leadership.process_heartbeat(now, term, &heartbeat, &self.jobs, &mut self.names) {
             Some(HeartbeatOutcome::Accepted(answer)) => self.send_leader_answer(net, conn, &heartbeat, &answer),
             Some(HeartbeatOutcome::Stale) => net.respond(conn, SERVICE_UNAVAILABLE, None, b""),
             Some(HeartbeatOutcome::Superseded) => {
--- a/src/controller/instance/tick.rs
+++ b/src/controller/instance/tick.rs
@@ -71,7 +71,7 @@
             TimeSpan { from: peers.from.max(self.renewal_key.last_leaderless_renewal() as i64), to: peers.to };
         PeerView {
             all_upgraded: self.versions.is_complete(),
-            reached_by_workers: self.peers.are_reached_by_workers(now),
+            have_worker_contact: self.peers.are_reached_by_workers(now),
             no_renewals,
         }
     }
--- a/src/controller/leadership/commits.rs
+++ b/src/controller/leadership/commits.rs
@@ -28,14 +28,14 @@
         }
         let budgets = context.client.budgets();
         let available = budgets.available_commits(now);
-        let spare = budgets.has_spare_commits(now);
-        if !leader.has_writes(now, spare) {
+        let has_spare_budget = budgets.has_spare_commits(now);
+        if !leader.has_writes(now, has_spare_budget) {
             return;
         }
         if available < 1.0 || budgets.available_reads(now) < 1.0 {
             return;
         }
-        let Some(transaction) = leader.commit(now, available as usize, spare, context.names) else { return };
+        let Some(transaction) = leader.commit(now, available as usize, has_spare_budget, context.names) else { return };
         budgets.charge_commits(now, transaction.writes.len());
         budgets.charge_read(now);
         let request = StoreRequest::transaction(&transaction, STORE_TIMEOUT_MS);
@@ -43,16 +43,22 @@
         if context.election.leading(context.net.now()) == Some(term) {
             context.send_to_store(term, LeaderCall::Commit, request);
         } else {
-            leader.committed(now, CommitOutcome::Refused);
+            leader.transaction_finished(now, CommitOutcome::Refused);
         }
     }
 
     /// The leader's transaction ended.
-    pub(super) fn committed(&mut self, context: &mut LeaderContext, now: Millis, term: Term, result: &CallResult) {
+    pub(super) fn transaction_finished(
+        &mut self,
+        context: &mut LeaderContext,
+        now: Millis,
+        term: Term,
+        result: &CallResult,
+    ) {
         let outcome = commit_outcome(now, result, context.client.budgets());
         let is_conflict = matches!(outcome, CommitOutcome::Conflict(_));
         let Some(leader) = self.leader_of(term) else { return };
-        if !leader.committed(now, outcome) {
+        if !leader.transaction_finished(now, outcome) {
             tracing::warn!(%term, "leadership lost: another leader has written");
             self.step_down(context, now);
         } else if is_conflict {
--- a/src/controller/leadership/config.rs
+++ b/src/controller/leadership/config.rs
@@ -17,30 +17,30 @@
 const MS_PER_S: f64 = 1000.0;
 /// Heartbeat intervals, and ms besides, after which a silent machine is released
 /// to the cloud unless operators set another time.
-const SILENT_HEARTBEAT_INTERVALS: Millis = 2;
-const SILENT_GRACE_MS: Millis = 2_500;
+const HEARTBEAT_TIMEOUT_INTERVALS: Millis = 2;
+const HEARTBEAT_TIMEOUT_GRACE_MS: Millis = 2_500;
 
-fn ms(seconds: f64) -> Millis {
+fn to_ms(seconds: f64) -> Millis {
     (seconds * MS_PER_S) as Millis
 }
 
 /// The configuration of a leader that starts now.
 pub fn leader_config(cluster: &ClusterSettings, operator: &OperatorSettings, names: &mut Interners) -> Config {
-    let heartbeat_interval_ms = ms(cluster.workers.heartbeat_interval_s);
-    let default_silent_ms = heartbeat_interval_ms * SILENT_HEARTBEAT_INTERVALS + SILENT_GRACE_MS;
+    let heartbeat_interval_ms = to_ms(cluster.workers.heartbeat_interval_s);
+    let default_heartbeat_timeout_ms = heartbeat_interval_ms * HEARTBEAT_TIMEOUT_INTERVALS + HEARTBEAT_TIMEOUT_GRACE_MS;
     Config {
-        lease_ms: ms(cluster.workers.lease_s),
+        lease_ms: to_ms(cluster.workers.lease_s),
         heartbeat_interval_ms,
         gang_peer_s: cluster.workers.gang_peer_s,
         txn_ops: cluster.state.fitting_txn_ops(),
         max_value_bytes: (cluster.state.value_kb * BYTES_PER_KB) as usize,
         reduced_max_value_bytes: (cluster.state.fitting_value_kb() * BYTES_PER_KB) as usize,
         reduced_chunk_size: chunk_size(cluster),
-        host_list_delay_ms: ms(cluster.cloud.list_lag_s),
+        host_list_delay_ms: to_ms(cluster.cloud.list_lag_s),
         teams: cluster.teams.iter().map(team_limits).collect(),
         objectives: service_objectives(cluster, names),
-        min_idle_ms: ms(operator.idle_keep_s),
-        heartbeat_timeout_ms: operator.silent_return_s.map_or(default_silent_ms, ms),
+        min_idle_ms: to_ms(operator.idle_keep_s),
+        heartbeat_timeout_ms: operator.silent_return_s.map_or(default_heartbeat_timeout_ms, to_ms),
         max_machines: operator.max_machines.unwrap_or(usize::MAX),
         use_spot: operator.use_spot,
     }
--- a/src/controller/leadership/context.rs
+++ b/src/controller/leadership/context.rs
@@ -48,7 +48,7 @@
     /// All controllers are known to run this version.
     pub all_upgraded: bool,
     /// Workers reach other controllers.
-    pub reached_by_workers: bool,
+    pub have_worker_contact: bool,
     /// The time in which no controller renewed a lease without leading.
     pub no_renewals: TimeSpan,
 }
--- a/src/controller/leadership/effects.rs
+++ b/src/controller/leadership/effects.rs
@@ -33,11 +33,11 @@
 
 /// The leadership that effects are carried out for.
 #[derive(Debug, Clone, Copy)]
-struct Authority {
+struct LeadershipCheck {
     now: Millis,
     term: Term,
     /// It still holds.
-    valid: bool,
+    is_leading: bool,
 }
 
 impl Leadership {
@@ -48,38 +48,38 @@
             let now = context.net.now();
             // Guard: the leadership may end at any time, so it is checked again
             // before each request.
-            let valid = context.election.leading(now) == Some(term);
-            self.carry_out(context, Authority { now, term, valid }, effect);
+            let is_leading = context.election.leading(now) == Some(term);
+            self.carry_out(context, LeadershipCheck { now, term, is_leading }, effect);
         }
     }
 
-    fn carry_out(&mut self, context: &mut LeaderContext, authority: Authority, effect: Effect) {
+    fn carry_out(&mut self, context: &mut LeaderContext, check: LeadershipCheck, effect: Effect) {
         match effect {
-            Effect::Do { machine, call, addr, req } => {
-                self.send_commands(context, authority, machine, call, addr, &req);
+            Effect::DirectCommand { machine, call, addr, request } => {
+                self.send_commands(context, check, machine, call, addr, &request);
             }
-            Effect::ScaleOut { call, req } => self.rent(context, authority, call, &req),
-            Effect::ScaleIn { call, ids } => self.return_hosts(context, authority, call, ids),
+            Effect::ScaleOut { call, request } => self.provision_hosts(context, check, call, &request),
+            Effect::ScaleIn { call, ids } => self.release_hosts(context, check, call, ids),
             Effect::Probe { machine, addr } => {
                 let (path, body, timeout_ms) = ("/status", Vec::new(), PROBE_TIMEOUT_MS);
                 let request = WorkerRequest { addr, method: Method::Get, path, body, timeout_ms };
-                context.send_to_worker(authority.term, LeaderCall::Probe { machine }, request);
+                context.send_to_worker(check.term, LeaderCall::Probe { machine }, request);
             }
-            Effect::ListMachines { call, from } => self.list_hosts(context, authority, call, from.as_deref()),
+            Effect::ListMachines { call, from } => self.list_hosts(context, check, call, from.as_deref()),
         }
     }
 
     fn send_commands(
         &mut self,
         context: &mut LeaderContext,
-        authority: Authority,
+        check: LeadershipCheck,
         machine: MachineIndex,
         call: CallId,
         addr: SocketAddr,
         commands: &DirectCommandRequest,
     ) {
-        let Authority { now, term, valid } = authority;
-        if valid {
+        let LeadershipCheck { now, term, is_leading } = check;
+        if is_leading {
             let (body, timeout_ms) = (cbor::encode(commands), COMMANDS_TIMEOUT_MS);
             let request = WorkerRequest { addr, method: Method::Post, path: "/do", body, timeout_ms };
             context.send_to_worker(term, LeaderCall::Commands { machine, call }, request);
@@ -89,36 +89,41 @@
         }
     }
 
-    fn rent(&mut self, context: &mut LeaderContext, authority: Authority, call: CallId, rent: &ProvisionRequest) {
-        let request = CloudRequest::post("/hosts", cbor::encode(rent));
+    fn provision_hosts(
+        &mut self,
+        context: &mut LeaderContext,
+        check: LeadershipCheck,
+        call: CallId,
+        provision_request: &ProvisionRequest,
+    ) {
+        let request = CloudRequest::post("/hosts", cbor::encode(provision_request));
         let sent =
-            send_to_cloud_if_leading(context, authority, Urgency::Commit, LeaderCall::ProvisionHosts { call }, request);
+            send_to_cloud_if_leading(context, check, Urgency::Commit, LeaderCall::ProvisionHosts { call }, request);
         if let Some(leader) = self.leader.as_mut().filter(|_| !sent) {
-            leader.scale_out_finished(authority.now, call, ScaleOutOutcome::Retry);
+            leader.scale_out_finished(check.now, call, ScaleOutOutcome::Retry);
         }
     }
 
-    fn return_hosts(&mut self, context: &mut LeaderContext, authority: Authority, call: CallId, hosts: Vec<String>) {
+    fn release_hosts(&mut self, context: &mut LeaderContext, check: LeadershipCheck, call: CallId, hosts: Vec<String>) {
         let request = CloudRequest::post("/hosts/return", cbor::encode(&HostNames { hosts }));
         let sent =
-            send_to_cloud_if_leading(context, authority, Urgency::Cancel, LeaderCall::ReleaseHosts { call }, request);
+            send_to_cloud_if_leading(context, check, Urgency::Cancel, LeaderCall::ReleaseHosts { call }, request);
         if let Some(leader) = self.leader.as_mut().filter(|_| !sent) {
-            leader.scale_in_finished(authority.now, call, false);
+            leader.scale_in_finished(check.now, call, false);
         }
     }
 
-    fn list_hosts(&mut self, context: &mut LeaderContext, authority: Authority, call: CallId, from: Option<&str>) {
+    fn list_hosts(&mut self, context: &mut LeaderContext, check: LeadershipCheck, call: CallId, from: Option<&str>) {
         let from = from.map_or(String::new(), |from| format!("from={from}&"));
         let request = CloudRequest::get(format!("/hosts?{from}most={LIST_PAGE_HOSTS}"));
-        let sent =
-            send_to_cloud_if_leading(context, authority, Urgency::Submit, LeaderCall::ListHosts { call }, request);
+        let sent = send_to_cloud_if_leading(context, check, Urgency::Submit, LeaderCall::ListHosts { call }, request);
         if let Some(leader) = self.leader.as_mut().filter(|_| !sent) {
-            leader.machines_listed(authority.now, call, None, context.names);
+            leader.machines_listed(check.now, call, None, context.names);
         }
     }
 
     /// The answer to commands came.
-    pub(super) fn commands_answered(
+    pub(super) fn commands_finished(
         &mut self,
         context: &mut LeaderContext,
         now: Millis,
@@ -184,14 +189,14 @@
 /// allows it. Returns whether it was sent.
 fn send_to_cloud_if_leading(
     context: &mut LeaderContext,
-    authority: Authority,
+    check: LeadershipCheck,
     urgency: Urgency,
     call: LeaderCall,
     request: CloudRequest,
 ) -> bool {
-    let allowed = authority.valid && context.client.budgets().take_cloud(authority.now, urgency);
+    let allowed = check.is_leading && context.client.budgets().take_cloud(check.now, urgency);
     if allowed {
-        context.send_to_cloud(authority.term, call, request);
+        context.send_to_cloud(check.term, call, request);
     }
     allowed
 }
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -38,7 +38,7 @@
 /// Longest time, in ms, without a scheduling cycle.
 const MAX_CYCLE_GAP_MS: Millis = 1_000;
 /// A leader that hardly any worker has reached for this long, in ms, may step down.
-const UNREACHED_MS: Millis = 8_000;
+const WORKER_ISOLATION_MS: Millis = 8_000;
 /// Interval, in ms, of the checks whether to step down: they look at all machines.
 const STEP_DOWN_CHECK_MS: Millis = 500;
 
@@ -106,7 +106,7 @@
         let mut seen = HashSet::new();
         for job in changed {
             if seen.insert(job) {
-                leader.job_update(now, wall_clock_ms(), job, jobs.cache());
+                leader.update_job(now, wall_clock_ms(), job, jobs.cache());
             }
         }
     }
@@ -116,7 +116,7 @@
         let Some(leader) = &mut self.leader else { return };
         leader.set_may_reshard(peers.all_upgraded);
         leader.set_no_peer_renewals(peers.no_renewals);
-        leader.sweep(now);
+        leader.run_periodic_checks(now);
         leader.autoscale(now, context.names);
 
         let scarce = context.client.budgets().are_commits_scarce(now);
@@ -137,8 +137,9 @@
             tracing::info!(term = %leader.term(), reason = "fencing tokens exhausted", "stepping down");
             return self.step_down(context, now);
         }
-        let unreached = now > leader.started() + UNREACHED_MS && leader.is_unreached(now, UNREACHED_MS);
-        if unreached && peers.reached_by_workers {
+        let is_isolated =
+            now > leader.started() + WORKER_ISOLATION_MS && leader.is_isolated_from_workers(now, WORKER_ISOLATION_MS);
+        if is_isolated && peers.have_worker_contact {
             tracing::warn!(term = %leader.term(), reason = "workers reach only peers", "stepping down");
             self.step_down(context, now);
         }
@@ -151,7 +152,7 @@
     }
 
     /// The leader's answer to a worker's heartbeat; None: this controller doesn't lead.
-    pub fn answer_heartbeat(
+    pub fn process_heartbeat(
         &mut self,
         now: Millis,
         term: Option<Term>,
@@ -202,13 +203,13 @@
                     self.task_loading.page_received(context, now, leader, result);
                 }
             }
-            LeaderCall::Commit => self.committed(context, now, term, result),
+            LeaderCall::Commit => self.transaction_finished(context, now, term, result),
             LeaderCall::Resync { key } => {
                 let leader = self.leader.as_mut().filter(|leader| leader.term() == term);
                 self.record_resync.received(now, leader, &key, result);
             }
             LeaderCall::Commands { machine, call } => {
-                self.commands_answered(context, now, term, machine, call, result);
+                self.commands_finished(context, now, term, machine, call, result);
             }
             LeaderCall::Probe { machine } => self.probe_finished(context, now, term, machine, result),
             LeaderCall::ProvisionHosts { call } => self.scale_out_finished(now, term, call, result),
--- a/src/controller/leadership/task_loading.rs
+++ b/src/controller/leadership/task_loading.rs
@@ -81,11 +81,11 @@
         let wall_ms = wall_clock_ms();
         let job_cache = context.jobs.cache();
         for pair in &page.pairs {
-            leader.load(now, wall_ms, pair, job_cache, context.names);
+            leader.load_chunk_record(now, wall_ms, pair, job_cache, context.names);
         }
         match page.pairs.last() {
             Some(last) if page.truncated => self.next_page_from = Some(last.key.clone()),
-            _ => leader.loaded(now, wall_ms, job_cache),
+            _ => leader.finish_loading(now, wall_ms, job_cache),
         }
     }
 }
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -153,7 +153,7 @@
             count = request.count,
             "scale-out requested"
         );
-        outbox.send(Effect::ScaleOut { call: id, req: request.clone() });
+        outbox.send(Effect::ScaleOut { call: id, request: request.clone() });
         self.in_flight.insert(id, call);
     }
 
--- a/src/coordination/commits/in_flight.rs
+++ b/src/coordination/commits/in_flight.rs
@@ -76,7 +76,7 @@
     /// Identifies it.
     pub tag: TransactionTag,
     /// A copy of it went unanswered: that one may have been applied, or may yet be.
-    pub has_unanswered_copy: bool,
+    pub has_copy_without_response: bool,
     /// What is to be done next.
     pub state: TransactionState,
 }
@@ -84,7 +84,13 @@
 impl InFlightTransaction {
     /// A transaction that is being sent for the first time.
     pub fn new(transaction: Transaction, contents: TransactionContents, tag: TransactionTag) -> InFlightTransaction {
-        InFlightTransaction { transaction, contents, tag, has_unanswered_copy: false, state: TransactionState::Sent }
+        InFlightTransaction {
+            transaction,
+            contents,
+            tag,
+            has_copy_without_response: false,
+            state: TransactionState::Sent,
+        }
     }
 
     /// Whether it was sent and is unanswered.
--- a/src/coordination/commits/job_records.rs
+++ b/src/coordination/commits/job_records.rs
@@ -29,7 +29,7 @@
     /// The present time of day, in ms since the Unix epoch.
     pub wall_ms: u64,
     /// There is budget for more than what is urgent.
-    pub has_spare: bool,
+    pub has_spare_budget: bool,
 }
 
 impl JobRecordWriter<'_> {
@@ -54,7 +54,7 @@
 
     /// Jobs with records that are due, in the order in which they are written.
     fn due_jobs(&self) -> Vec<(WritePriority, &Job)> {
-        let with_priority = |job| Some((WritePriority::of(job, self.now, self.has_spare)?, job));
+        let with_priority = |job| Some((WritePriority::of(job, self.now, self.has_spare_budget)?, job));
         let mut due: Vec<(WritePriority, &Job)> = self.cluster.active_jobs().filter_map(with_priority).collect();
         due.sort_unstable_by_key(|(priority, job)| (*priority, job.wait.since, job.index));
         due
@@ -75,7 +75,7 @@
     fn add_due_chunks(&self, job: &Job, priority: WritePriority, builder: &mut TransactionBuilder) -> bool {
         let due = self.due_chunks(job, priority);
         // A job is split only if it alone is more than a transaction takes.
-        if !builder.takes_whole(due.len()) {
+        if !builder.accepts_job_writes(due.len()) {
             return false;
         }
         let ops_left = builder.ops_left();
--- a/src/coordination/commits/outcomes.rs
+++ b/src/coordination/commits/outcomes.rs
@@ -93,7 +93,7 @@
     /// first.
     fn refused(&mut self, now: Millis, mut in_flight: InFlightTransaction, cluster: &mut ClusterState) {
         self.pause_until(now + REFUSED_PAUSE_MS);
-        if in_flight.has_unanswered_copy {
+        if in_flight.has_copy_without_response {
             in_flight.schedule_resend();
             self.keep_in_flight(cluster, in_flight);
         } else {
@@ -106,7 +106,7 @@
     fn unanswered(&mut self, now: Millis, mut in_flight: InFlightTransaction, cluster: &mut ClusterState) {
         self.pause_until(now + UNANSWERED_PAUSE_MS);
         in_flight.schedule_resend();
-        in_flight.has_unanswered_copy = true;
+        in_flight.has_copy_without_response = true;
         self.keep_in_flight(cluster, in_flight);
     }
 
@@ -159,7 +159,7 @@
         }
         // Guard: an earlier copy went unanswered and may have been applied; who
         // wrote last is read first.
-        if in_flight.has_unanswered_copy {
+        if in_flight.has_copy_without_response {
             let keys = in_flight.written_chunk_keys();
             if !keys.is_empty() {
                 in_flight.state = TransactionState::Resync(keys);
--- a/src/coordination/commits/pipeline.rs
+++ b/src/coordination/commits/pipeline.rs
@@ -22,7 +22,7 @@
     /// Most writes of the next transaction.
     pub max_ops: usize,
     /// There is budget for more than what is urgent.
-    pub has_spare: bool,
+    pub has_spare_budget: bool,
 }
 
 /// Writes the cluster state to the key-value store, in one transaction at a time.
@@ -84,15 +84,15 @@
         self.in_flight.as_ref()?.resync_key()
     }
 
-    /// Whether something is to be written. `has_spare`: there is budget for more
+    /// Whether something is to be written. `has_spare_budget`: there is budget for more
     /// than what is urgent.
-    pub fn has_writes(&mut self, now: Millis, has_spare: bool, cluster: &mut ClusterState) -> bool {
+    pub fn has_writes(&mut self, now: Millis, has_spare_budget: bool, cluster: &mut ClusterState) -> bool {
         cluster.note_unwritten_changes(now);
         let max_ops = self.max_ops(cluster);
-        self.resharding.is_due(now, max_ops, has_spare, cluster)
+        self.resharding.is_due(now, max_ops, has_spare_budget, cluster)
             || self.in_flight.is_some()
-            || (has_spare && cluster.has_obsolete_records())
-            || cluster.active_jobs().any(|job| WritePriority::of(job, now, has_spare).is_some())
+            || (has_spare_budget && cluster.has_obsolete_records())
+            || cluster.active_jobs().any(|job| WritePriority::of(job, now, has_spare_budget).is_some())
     }
 
     /// The next transaction: jobs that completed first, then placements by
@@ -127,7 +127,7 @@
         cluster: &mut ClusterState,
         interners: &Interners,
     ) -> Option<Transaction> {
-        let job = self.resharding.candidate(now, self.max_ops(cluster), allowance.has_spare, cluster)?;
+        let job = self.resharding.candidate(now, self.max_ops(cluster), allowance.has_spare_budget, cluster)?;
         let (job_index, record) = (job.index, job.records.oversized_record.as_ref()?);
         let tag = self.last_tag.next();
         let (transaction, contents) = reshard_transaction(cluster, interners, job, record, tag);
@@ -152,13 +152,13 @@
     ) -> Option<Transaction> {
         self.last_tag = self.last_tag.next();
         let mut builder = TransactionBuilder::new(self.last_tag, allowance.max_ops);
-        let has_spare = allowance.has_spare;
+        let has_spare_budget = allowance.has_spare_budget;
         let wall_ms = self.wall_ms(now);
-        JobRecordWriter { cluster, interners, now, wall_ms, has_spare }.add_due_jobs(&mut builder);
+        JobRecordWriter { cluster, interners, now, wall_ms, has_spare_budget }.add_due_jobs(&mut builder);
         for oversized in std::mem::take(&mut builder.oversized_chunks) {
             shrink_chunk(cluster, now, oversized);
         }
-        if has_spare {
+        if has_spare_budget {
             self.obsolete_record_deletion.add_deletes(now, cluster.records_mut(), &mut builder);
         }
         if builder.is_empty() {
--- a/src/coordination/commits/resharding.rs
+++ b/src/coordination/commits/resharding.rs
@@ -46,9 +46,9 @@
     }
 
     /// Whether a job is to be resharded now. `max_ops`: most writes of a
-    /// transaction; `has_spare`: there is budget for more than what is urgent.
-    pub fn is_due(&mut self, now: Millis, max_ops: usize, has_spare: bool, cluster: &ClusterState) -> bool {
-        let is_due = self.candidate(now, max_ops, has_spare, cluster).is_some();
+    /// transaction; `has_spare_budget`: there is budget for more than what is urgent.
+    pub fn is_due(&mut self, now: Millis, max_ops: usize, has_spare_budget: bool, cluster: &ClusterState) -> bool {
+        let is_due = self.candidate(now, max_ops, has_spare_budget, cluster).is_some();
         if !is_due && now >= self.not_before {
             // The search looks at every job: it is not made on every call.
             self.not_before = now + RESHARD_INTERVAL_MS;
@@ -62,7 +62,7 @@
         &self,
         now: Millis,
         max_ops: usize,
-        has_spare: bool,
+        has_spare_budget: bool,
         cluster: &'a ClusterState,
     ) -> Option<&'a Job> {
         // Guard: a controller of the version before would go on with the old
@@ -72,7 +72,7 @@
         }
         // Until it must be done, it takes nothing from what somebody waits for.
         let is_required = cluster.value_limit() <= cluster.config().reduced_max_value_bytes;
-        if !(is_required || has_spare) || now < self.not_before {
+        if !(is_required || has_spare_budget) || now < self.not_before {
             return None;
         }
         let values_per_transaction = TRANSACTION_BYTES_LIMIT / cluster.config().reduced_max_value_bytes.max(1);
--- a/src/coordination/commits/transaction_builder.rs
+++ b/src/coordination/commits/transaction_builder.rs
@@ -66,7 +66,7 @@
     }
 
     /// Whether `writes` more writes fit, or would fit into no transaction at all.
-    pub fn takes_whole(&self, writes: usize) -> bool {
+    pub fn accepts_job_writes(&self, writes: usize) -> bool {
         let ops_left = self.ops_left();
         writes <= ops_left || ops_left >= self.max_ops
     }
--- a/src/coordination/commits/write_priority.rs
+++ b/src/coordination/commits/write_priority.rs
@@ -32,7 +32,7 @@
     /// How urgently a job's records are to be written, if at all. Exits wait for
     /// one another: nothing but the reaping of exited tasks depends on them, and
     /// a later leader learns them from the workers.
-    pub fn of(job: &Job, now: Millis, has_spare: bool) -> Option<WritePriority> {
+    pub fn of(job: &Job, now: Millis, has_spare_budget: bool) -> Option<WritePriority> {
         if job.records.stale || job.records.resharding {
             return None;
         }
@@ -46,7 +46,7 @@
             return Some(WritePriority::of_placement(job.spec.priority));
         }
         let waited_ms = now.saturating_sub(job.records.unwritten_since?);
-        let delay_ms = if has_spare { EXITS_DELAY_SPARE_MS } else { EXITS_DELAY_MS };
+        let delay_ms = if has_spare_budget { EXITS_DELAY_SPARE_MS } else { EXITS_DELAY_MS };
         (waited_ms >= delay_ms).then_some(WritePriority::Exits)
     }
 
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone)]
 pub enum Effect {
     /// POST /do: a command sent directly to a worker.
-    Do {
+    DirectCommand {
         /// The machine of the worker.
         machine: MachineIndex,
         /// Number of the call.
@@ -23,14 +23,14 @@
         /// Address of the worker.
         addr: SocketAddr,
         /// The body of the request.
-        req: DirectCommandRequest,
+        request: DirectCommandRequest,
     },
     /// POST /hosts
     ScaleOut {
         /// Number of the call.
         call: CallId,
         /// The body of the request.
-        req: ProvisionRequest,
+        request: ProvisionRequest,
     },
     /// POST /hosts/return
     ScaleIn {
--- a/src/coordination/leader/commits.rs
+++ b/src/coordination/leader/commits.rs
@@ -33,22 +33,28 @@
         self.commits.resynced(now, key, found, &mut self.cluster);
     }
 
-    /// Whether something is to be written. `spare`: there is budget for more
+    /// Whether something is to be written. `has_spare_budget`: there is budget for more
     /// than what is urgent.
-    pub fn has_writes(&mut self, now: Millis, spare: bool) -> bool {
-        self.commits.has_writes(now, spare, &mut self.cluster)
+    pub fn has_writes(&mut self, now: Millis, has_spare_budget: bool) -> bool {
+        self.commits.has_writes(now, has_spare_budget, &mut self.cluster)
     }
 
     /// The next transaction, of at most `max_ops` writes; an unanswered one is
-    /// sent again as it was. `spare`: there is budget for more than what is urgent.
-    pub fn commit(&mut self, now: Millis, max_ops: usize, spare: bool, interners: &Interners) -> Option<Transaction> {
-        let allowance = WriteAllowance { max_ops, has_spare: spare };
+    /// sent again as it was. `has_spare_budget`: there is budget for more than what is urgent.
+    pub fn commit(
+        &mut self,
+        now: Millis,
+        max_ops: usize,
+        has_spare_budget: bool,
+        interners: &Interners,
+    ) -> Option<Transaction> {
+        let allowance = WriteAllowance { max_ops, has_spare_budget };
         self.commits.next_transaction(now, allowance, &mut self.cluster, interners)
     }
 
     /// Takes the outcome of the transaction that was sent. False: the leadership
     /// is lost.
-    pub fn committed(&mut self, now: Millis, outcome: CommitOutcome) -> bool {
+    pub fn transaction_finished(&mut self, now: Millis, outcome: CommitOutcome) -> bool {
         self.commits.finish(now, outcome, &mut self.cluster).is_ok()
     }
 }
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -16,7 +16,7 @@
 impl Leader {
     /// Takes in a chunk record read at the beginning. `wall_ms`: time of day, in
     /// ms since the Unix epoch.
-    pub fn load(
+    pub fn load_chunk_record(
         &mut self,
         now: Millis,
         wall_ms: u64,
@@ -75,12 +75,12 @@
     }
 
     /// All records are read. `wall_ms`: time of day, in ms since the Unix epoch.
-    pub fn loaded(&mut self, now: Millis, wall_ms: u64, job_cache: &JobCache) {
+    pub fn finish_loading(&mut self, now: Millis, wall_ms: u64, job_cache: &JobCache) {
         self.cluster.mark_loaded();
         self.commits.set_wall_clock(now, wall_ms);
         for index in job_cache.all() {
             if job_cache.get(index).status == JobStatus::Pending && self.cluster.job(index).is_none() {
-                self.job_update(now, wall_ms, index, job_cache);
+                self.update_job(now, wall_ms, index, job_cache);
             }
         }
         for index in self.cluster.active_jobs().map(|job| job.index).collect::<Vec<_>>() {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -12,7 +12,7 @@
 mod cloud;
 mod commits;
 mod loading;
-mod sweep;
+mod periodic_checks;
 mod worker_events;
 
 use super::{
@@ -42,7 +42,7 @@
     pub(in crate::coordination) autoscaler: Autoscaler,
     pub(in crate::coordination) workers: WorkerControl,
     pub(in crate::coordination) outbox: Outbox,
-    next_sweep: Millis,
+    next_periodic_checks: Millis,
     next_summary: Millis,
 }
 
@@ -57,8 +57,8 @@
             autoscaler: Autoscaler::new(nonce, now),
             workers: WorkerControl::new(now),
             outbox: Outbox::default(),
-            next_sweep: now,
-            next_summary: now + sweep::SUMMARY_MS,
+            next_periodic_checks: now,
+            next_summary: now + periodic_checks::SUMMARY_INTERVAL_MS,
         }
     }
 
@@ -109,7 +109,7 @@
 
     /// Takes a job's record from the job cache, new or changed. `wall_ms`: time of
     /// day, in ms since the Unix epoch.
-    pub fn job_update(&mut self, now: Millis, wall_ms: u64, index: JobIndex, job_cache: &JobCache) {
+    pub fn update_job(&mut self, now: Millis, wall_ms: u64, index: JobIndex, job_cache: &JobCache) {
         self.commits.set_wall_clock(now, wall_ms);
         self.cluster.job_update(now, wall_ms, index, job_cache);
     }
--- a/src/coordination/leader/sweep.rs
+++ b/src/coordination/leader/periodic_checks.rs
@@ -8,19 +8,19 @@
 };
 
 /// Interval of the checks: short compared with leases and the heartbeat interval.
-const SWEEP_MS: Millis = 250;
+const PERIODIC_CHECK_INTERVAL_MS: Millis = 250;
 /// Interval of the summary in the logs.
-pub(in crate::coordination) const SUMMARY_MS: Millis = 10_000;
+pub(in crate::coordination) const SUMMARY_INTERVAL_MS: Millis = 10_000;
 
 impl Leader {
     /// Checks every machine for what only time tells: leases that expired,
     /// heartbeats that are overdue, machines that have nothing to do or may take
     /// nothing new.
-    pub fn sweep(&mut self, now: Millis) {
-        if now < self.next_sweep {
+    pub fn run_periodic_checks(&mut self, now: Millis) {
+        if now < self.next_periodic_checks {
             return;
         }
-        self.next_sweep = now + SWEEP_MS;
+        self.next_periodic_checks = now + PERIODIC_CHECK_INTERVAL_MS;
         self.cluster.record_event_at(now);
         for index in self.cluster.machine_indices() {
             if self.cluster.machine(index).lifecycle == MachineLifecycle::Gone {
@@ -33,7 +33,7 @@
         }
         self.workers.attribute_failures(&mut self.cluster, now);
         if now >= self.next_summary {
-            self.next_summary = now + SUMMARY_MS;
+            self.next_summary = now + SUMMARY_INTERVAL_MS;
             self.log_summary();
         }
     }
--- a/src/coordination/leader/worker_events.rs
+++ b/src/coordination/leader/worker_events.rs
@@ -74,7 +74,7 @@
 
     /// Whether hardly any of the workers that should send heartbeats have reached
     /// this controller in the last `for_ms`.
-    pub fn is_unreached(&self, now: Millis, for_ms: Millis) -> bool {
-        self.workers.is_unreached(&self.cluster, now, for_ms)
+    pub fn is_isolated_from_workers(&self, now: Millis, for_ms: Millis) -> bool {
+        self.workers.is_isolated_from_workers(&self.cluster, now, for_ms)
     }
 }
--- a/src/coordination/tests/commits.rs
+++ b/src/coordination/tests/commits.rs
@@ -25,8 +25,8 @@
 const LEADER_REVISION: Revision = Revision(3);
 const FIRST_CHUNK: &str = "t/j-1/000000";
 const SECOND_CHUNK: &str = "t/j-1/000001";
-const URGENT: WriteAllowance = WriteAllowance { max_ops: 8, has_spare: false };
-const SPARE: WriteAllowance = WriteAllowance { max_ops: 8, has_spare: true };
+const URGENT: WriteAllowance = WriteAllowance { max_ops: 8, has_spare_budget: false };
+const SPARE: WriteAllowance = WriteAllowance { max_ops: 8, has_spare_budget: true };
 
 /// A gang of 16 tasks in two chunks, and the pipeline that writes it.
 struct Fixture {
@@ -84,8 +84,8 @@
         self.commits.finish(now, outcome, &mut self.cluster).is_ok()
     }
 
-    fn has_writes(&mut self, now: Millis, has_spare: bool) -> bool {
-        self.commits.has_writes(now, has_spare, &mut self.cluster)
+    fn has_writes(&mut self, now: Millis, has_spare_budget: bool) -> bool {
+        self.commits.has_writes(now, has_spare_budget, &mut self.cluster)
     }
 
     fn resynced(&mut self, now: Millis, key: &str, found: Option<(Value, Revision)>) {
@@ -260,16 +260,16 @@
 #[test]
 fn exits_wait_for_one_another() {
     // (budget to spare, delay)
-    for (has_spare, delay) in [(false, 8_000), (true, 1_500)] {
+    for (has_spare_budget, delay) in [(false, 8_000), (true, 1_500)] {
         let mut f = fixture();
         f.assign(0);
         f.next(NOW, URGENT).unwrap();
         assert!(f.finish(NOW, CommitOutcome::Applied(Revision(8))));
         let assignment = f.cluster.job(f.job).unwrap().assignments()[0];
         f.cluster.release_assignment(assignment, ReleaseReason::Done);
-        assert!(!f.has_writes(NOW, has_spare) && !f.has_writes(NOW + delay - 1, has_spare));
-        assert!(f.has_writes(NOW + delay, has_spare));
-        let allowance = WriteAllowance { has_spare, ..URGENT };
+        assert!(!f.has_writes(NOW, has_spare_budget) && !f.has_writes(NOW + delay - 1, has_spare_budget));
+        assert!(f.has_writes(NOW + delay, has_spare_budget));
+        let allowance = WriteAllowance { has_spare_budget, ..URGENT };
         assert_eq!(written_keys(&f.next(NOW + delay, allowance).unwrap()), [FIRST_CHUNK]);
         assert!(f.finish(NOW + delay, CommitOutcome::Applied(Revision(9))));
         let statistics = f.commits.take_statistics();
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -55,9 +55,9 @@
     let call = outbox.next_call();
     let machine = cluster.machine_mut(index);
     machine.commands.direct_call = Some(DirectCall { id: call, launches });
-    let req =
+    let request =
         DirectCommandRequest { token: machine.fence.token, incarnation: machine.heartbeats.incarnation, commands };
-    outbox.send(Effect::Do { machine: index, call, addr, req });
+    outbox.send(Effect::DirectCommand { machine: index, call, addr, request });
     cluster.schedule_dispatch(now + RESEND_MS + RESEND_SLACK_MS, index);
 }
 
--- a/src/coordination/workers/mod.rs
+++ b/src/coordination/workers/mod.rs
@@ -65,8 +65,8 @@
 
     /// Whether hardly any of the workers that should send heartbeats have reached
     /// this controller in the last `for_ms`.
-    pub fn is_unreached(&self, cluster: &ClusterState, now: Millis, for_ms: Millis) -> bool {
-        self.reachability.is_unreached(cluster, now, for_ms)
+    pub fn is_isolated_from_workers(&self, cluster: &ClusterState, now: Millis, for_ms: Millis) -> bool {
+        self.reachability.is_isolated_from_workers(cluster, now, for_ms)
     }
 
     /// Sets the time in which no other controller renewed any lease.
--- a/src/coordination/workers/reachability.rs
+++ b/src/coordination/workers/reachability.rs
@@ -32,7 +32,7 @@
     ///
     /// Guard: only newer heartbeats count. Delayed copies of old ones kept a leader
     /// that no worker reached in office, until their leases had expired.
-    pub fn is_unreached(&self, cluster: &ClusterState, now: Millis, for_ms: Millis) -> bool {
+    pub fn is_isolated_from_workers(&self, cluster: &ClusterState, now: Millis, for_ms: Millis) -> bool {
         let window_ms = for_ms.max(cluster.config().heartbeat_interval_ms * 3 / 2);
         let (mut expected, mut reached) = (0, 0);
         for machine in cluster.machines().iter().filter(|machine| should_send_heartbeats(machine)) {
--- a/tests/combined_failures/leader_changes.rs
+++ b/tests/combined_failures/leader_changes.rs
@@ -144,23 +144,23 @@
     sim.add_workers(8);
     sim.submit(submission("j-1", "batch", 6), 5_000);
     sim.run(LEASE_MS);
-    let is_unreached = |sim: &Simulation| sim.leader().is_unreached(sim.now(), UNREACHED);
-    assert!(!is_unreached(sim), "all are heard");
+    let is_isolated_from_workers = |sim: &Simulation| sim.leader().is_isolated_from_workers(sim.now(), UNREACHED);
+    assert!(!is_isolated_from_workers(sim), "all are heard");
     let copies = sim.latest_heartbeats();
     sim.run(HEARTBEAT_INTERVAL_MS);
     let cut_workers = sim.workers.len() - 1;
     sim.workers[..4].iter_mut().for_each(|worker| worker.faults.partitioned = true);
     sim.run(UNREACHED + 4_000);
-    assert!(!is_unreached(sim), "most are heard");
+    assert!(!is_isolated_from_workers(sim), "most are heard");
     sim.workers[..cut_workers].iter_mut().for_each(|worker| worker.faults.partitioned = true);
     for _ in 0..6 {
         sim.run(2_000);
         deliver_heartbeats_later(sim, &copies, 0);
     }
-    assert!(is_unreached(sim), "copies of old reports count as workers that were heard");
+    assert!(is_isolated_from_workers(sim), "copies of old reports count as workers that were heard");
     sim.elect();
-    assert!(!is_unreached(sim), "a new leader gives them time to report");
+    assert!(!is_isolated_from_workers(sim), "a new leader gives them time to report");
     sim.workers.iter_mut().for_each(|worker| worker.faults.partitioned = false);
     sim.run(UNREACHED + 4_000);
-    assert!(!is_unreached(sim), "all are heard again");
+    assert!(!is_isolated_from_workers(sim), "all are heard again");
 }
--- a/tests/simulation/controller.rs
+++ b/tests/simulation/controller.rs
@@ -125,9 +125,9 @@
         self.job_cache.apply_page(&store.page(records::JOB_KEY_PREFIX), true, &mut self.interners);
         self.job_cache.take_changed();
         for pair in store.page(records::CHUNK_KEY_PREFIX).pairs {
-            leader.load(now, now, &pair, &self.job_cache, &mut self.interners);
+            leader.load_chunk_record(now, now, &pair, &self.job_cache, &mut self.interners);
         }
-        leader.loaded(now, now, &self.job_cache);
+        leader.finish_loading(now, now, &self.job_cache);
         self.leader = Some(leader);
     }
 
@@ -161,7 +161,7 @@
         let changed = self.job_cache.take_changed();
         let Some(leader) = &mut self.leader else { return };
         for index in changed {
-            leader.job_update(now, now, index, &self.job_cache);
+            leader.update_job(now, now, index, &self.job_cache);
         }
         // Once heard again, those behind the partition say when they last renewed a lease.
         let silent_since = self.settings.peers_silent_since;
@@ -172,7 +172,7 @@
         }
         leader.set_no_peer_renewals(no_peer_renewals);
         leader.set_may_reshard(self.settings.may_reshard);
-        leader.sweep(now);
+        leader.run_periodic_checks(now);
         if has_cloud {
             leader.autoscale(now, &self.interners);
         }
@@ -214,7 +214,7 @@
     /// The leader learns the outcome of its transaction, and steps down if it
     /// has lost the leadership.
     pub(super) fn committed(&mut self, now: Millis, outcome: CommitOutcome) {
-        if self.leader.as_mut().is_some_and(|leader| !leader.committed(now, outcome)) {
+        if self.leader.as_mut().is_some_and(|leader| !leader.transaction_finished(now, outcome)) {
             self.leader = None;
         }
     }
@@ -222,7 +222,7 @@
     /// The leader hears that its transaction failed, or nothing; it goes on.
     pub(super) fn transaction_failed(&mut self, now: Millis, outcome: CommitOutcome) {
         if let Some(leader) = &mut self.leader {
-            leader.committed(now, outcome);
+            leader.transaction_finished(now, outcome);
         }
     }
 
--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -20,12 +20,12 @@
     pub(super) fn perform_effect(&mut self, effect: Effect) {
         let now = self.now;
         match effect {
-            Effect::Do { machine, call, req, .. } => {
+            Effect::DirectCommand { machine, call, request, .. } => {
                 let call = DirectCall { machine, call, term: self.controller.term() };
-                self.send_command(call, req);
+                self.send_command(call, request);
             }
-            Effect::ScaleOut { call, req } => {
-                let outcome = self.rent(&req);
+            Effect::ScaleOut { call, request } => {
+                let outcome = self.rent(&request);
                 self.controller.rented(now, call, outcome);
             }
             Effect::ScaleIn { call, ids } => {
