--- a/src/controller/leadership/commits.rs
+++ b/src/controller/leadership/commits.rs
@@ -1,4 +1,4 @@
-//! The leader's transactions.
+//! Sending of the leader's transactions, and their outcomes.
 
 use super::{LeaderContext, Leadership};
 use crate::{
@@ -39,7 +39,8 @@
         budgets.charge_commits(now, transaction.writes.len());
         budgets.charge_read(now);
         let request = StoreRequest::transaction(&transaction, STORE_TIMEOUT_MS);
-        // Guard: preparing took time, and the leadership may have ended meanwhile.
+        // Preparing the transaction took time: the leadership may have ended in the
+        // meantime.
         if context.election.leading(context.net.now()) == Some(term) {
             context.send_to_store(term, LeaderCall::Commit, request);
         } else {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The leader's transaction ended.
+    /// Processes the result of the leader's transaction.
     pub(super) fn transaction_finished(
         &mut self,
         context: &mut LeaderContext,
@@ -59,10 +60,10 @@
         let is_conflict = matches!(outcome, CommitOutcome::Conflict(_));
         let Some(leader) = self.leader_of(term) else { return };
         if !leader.transaction_finished(now, outcome) {
-            tracing::warn!(%term, "leadership lost: another leader has written");
+            tracing::warn!(%term, "leadership lost: another controller has written the leader's key");
             self.step_down(context, now);
         } else if is_conflict {
-            // Jobs' records changed; they are read before the next transaction.
+            // The records of jobs changed: they are read before the next transaction.
             context.jobs.watch_now(now);
         }
     }
--- a/src/controller/leadership/config.rs
+++ b/src/controller/leadership/config.rs
@@ -1,4 +1,4 @@
-//! The leader's configuration, from the settings.
+//! The leader's configuration, derived from the settings.
 
 use crate::{
     controller::cluster_limits::{chunk_size, team_limits},
@@ -15,16 +15,18 @@
 
 const BYTES_PER_KB: f64 = 1024.0;
 const MS_PER_S: f64 = 1000.0;
-/// Heartbeat intervals, and ms besides, after which a silent machine is released
-/// to the cloud unless operators set another time.
+/// Number of heartbeat intervals that, together with the grace period, make up the
+/// default heartbeat timeout: a machine without heartbeats for that long is released to
+/// the cloud, unless operators set another time.
 const HEARTBEAT_TIMEOUT_INTERVALS: Millis = 2;
+/// Grace period, in ms, that is added to these intervals.
 const HEARTBEAT_TIMEOUT_GRACE_MS: Millis = 2_500;
 
 fn to_ms(seconds: f64) -> Millis {
     (seconds * MS_PER_S) as Millis
 }
 
-/// The configuration of a leader that starts now.
+/// Returns the configuration of a leader that starts with these settings.
 pub fn leader_config(cluster: &ClusterSettings, operator: &OperatorSettings, names: &mut Interners) -> Config {
     let heartbeat_interval_ms = to_ms(cluster.workers.heartbeat_interval_s);
     let default_heartbeat_timeout_ms = heartbeat_interval_ms * HEARTBEAT_TIMEOUT_INTERVALS + HEARTBEAT_TIMEOUT_GRACE_MS;
@@ -46,7 +48,7 @@
     }
 }
 
-/// The objectives that scheduling can serve, the most urgent first.
+/// Returns the objectives that scheduling can serve, the most urgent first.
 fn service_objectives(cluster: &ClusterSettings, names: &mut Interners) -> Vec<ServiceObjective> {
     let mut objectives: Vec<ServiceObjective> =
         cluster.objectives.iter().filter_map(|objective| service_objective(objective, names)).collect();
--- a/src/controller/leadership/context.rs
+++ b/src/controller/leadership/context.rs
@@ -1,4 +1,4 @@
-//! What a leader works with.
+//! The components of the controller that a leader uses.
 
 use crate::{
     controller::{
@@ -11,17 +11,17 @@
     transport::Net,
 };
 
-/// The components that a leader works with.
+/// Mutable access to the components of the controller that a leader uses.
 pub struct LeaderContext<'a> {
-    /// The sockets.
+    /// All sockets of the process.
     pub net: &'a mut Net,
-    /// Requests to the outside services, and their budgets.
+    /// Client of the external services, with the request budgets.
     pub client: &'a mut ServiceClient,
-    /// Tells whether this controller still leads.
+    /// The election, which determines whether this controller still leads.
     pub election: &'a mut ElectionDriver,
-    /// The jobs' records.
+    /// The watch on the job records, with the job cache.
     pub jobs: &'a mut JobWatch,
-    /// Interned names.
+    /// Interned names of teams, job classes, zones, machine types and images.
     pub names: &'a mut Interners,
 }
 
@@ -42,13 +42,13 @@
     }
 }
 
-/// What a leader must know of the other controllers.
+/// The state of the other controllers, as far as a leader needs it.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerView {
     /// All controllers are known to run this version.
     pub all_upgraded: bool,
     /// Workers reach other controllers.
     pub have_worker_contact: bool,
-    /// The time in which no controller renewed a lease without leading.
+    /// The time span in which no controller renewed a worker lease without leading.
     pub no_renewals: TimeSpan,
 }
--- a/src/controller/leadership/effects.rs
+++ b/src/controller/leadership/effects.rs
@@ -24,30 +24,32 @@
 
 /// Timeout, in ms, of commands to a worker.
 const COMMANDS_TIMEOUT_MS: u64 = 2_000;
-/// Timeout, in ms, of a probe: a worker that works answers at once.
+/// Timeout, in ms, of a probe: a working worker responds immediately.
 const PROBE_TIMEOUT_MS: u64 = 700;
-/// Most hosts of one page of the cloud's list.
+/// Maximum number of hosts in one page of the cloud's list.
 const LIST_PAGE_HOSTS: u32 = 500;
-/// Word in the body of a 503 of the cloud that has no such machine to rent.
+/// Word in the body of a 503 response of a cloud that has no capacity for the requested
+/// machines.
 const NO_CAPACITY: &[u8] = b"capacity";
 
-/// The leadership that effects are carried out for.
+/// The result of checking, before an effect is carried out, whether this controller
+/// still leads.
 #[derive(Debug, Clone, Copy)]
 struct LeadershipCheck {
     now: Millis,
     term: Term,
-    /// It still holds.
+    /// This controller still leads in `term`.
     is_leading: bool,
 }
 
 impl Leadership {
-    /// Carries out what the leader decided.
+    /// Carries out the effects that the leader decided on.
     pub(super) fn carry_out_effects(&mut self, context: &mut LeaderContext, term: Term) {
         let Some(leader) = &mut self.leader else { return };
         for effect in leader.take_effects() {
             let now = context.net.now();
-            // Guard: the leadership may end at any time, so it is checked again
-            // before each request.
+            // The leadership may end at any time, so it is checked again before each
+            // request.
             let is_leading = context.election.leading(now) == Some(term);
             self.carry_out(context, LeadershipCheck { now, term, is_leading }, effect);
         }
@@ -122,7 +124,7 @@
         }
     }
 
-    /// The answer to commands came.
+    /// Processes the result of commands sent directly to a worker.
     pub(super) fn commands_finished(
         &mut self,
         context: &mut LeaderContext,
@@ -139,7 +141,7 @@
         }
     }
 
-    /// The answer to a probe came.
+    /// Processes the result of a probe.
     pub(super) fn probe_finished(
         &mut self,
         context: &mut LeaderContext,
@@ -154,7 +156,7 @@
         }
     }
 
-    /// The answer to a scale-out came.
+    /// Processes the result of a scale-out request.
     pub(super) fn scale_out_finished(&mut self, now: Millis, term: Term, call: CallId, result: &CallResult) {
         let outcome = scale_out_outcome(result);
         if let Some(leader) = self.leader_of(term) {
@@ -162,14 +164,14 @@
         }
     }
 
-    /// The answer to a scale-in came.
+    /// Processes the result of a scale-in request.
     pub(super) fn scale_in_finished(&mut self, now: Millis, term: Term, call: CallId, result: &CallResult) {
         if let Some(leader) = self.leader_of(term) {
             leader.scale_in_finished(now, call, status(result) == OK);
         }
     }
 
-    /// A page of the list of hosts came.
+    /// Processes the result of a request for a page of the list of hosts.
     pub(super) fn hosts_listed(
         &mut self,
         context: &mut LeaderContext,
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -1,5 +1,5 @@
-//! What a controller does while it leads: it runs [`Leader`] and carries out what
-//! that decides.
+//! The leadership of a controller: it runs [`Leader`] and carries out the effects that
+//! the leader decides on.
 
 mod commits;
 mod config;
@@ -30,41 +30,41 @@
     protocol::{names::Interners, peers::Count, workers::Heartbeat},
 };
 
-/// Pause, in ms, between two scheduling cycles that are needed.
+/// Minimum pause, in ms, between two scheduling cycles.
 const CYCLE_GAP_MS: Millis = 40;
-/// The same while writes are scarce: a scheduling cycle then places more at a
-/// time, so that each write carries more.
+/// The same pause, in ms, while the write budget is scarce: each scheduling cycle then
+/// places more tasks at once, so that each write carries more of them.
 const SCARCE_CYCLE_GAP_MS: Millis = 300;
 /// Longest time, in ms, without a scheduling cycle.
 const MAX_CYCLE_GAP_MS: Millis = 1_000;
-/// A leader that hardly any worker has reached for this long, in ms, may step down.
+/// Time, in ms, after which a leader that hardly any worker has reached may step down.
 const WORKER_ISOLATION_MS: Millis = 8_000;
-/// Interval, in ms, of the checks whether to step down: they look at all machines.
+/// Interval, in ms, of the checks whether to step down; each visits all machines.
 const STEP_DOWN_CHECK_MS: Millis = 500;
 
-/// The leader, while this controller leads, and the loading of its records.
+/// The leader, while this controller leads, and the reads of its records.
 #[derive(Default)]
 pub struct Leadership {
     leader: Option<Leader>,
     task_loading: TaskLoading,
     record_resync: RecordResync,
-    /// Whether to step down is checked no earlier.
+    /// Earliest time of the next check whether to step down, in ms.
     next_step_down_check: Millis,
 }
 
 impl Leadership {
-    /// The leader; None: this controller doesn't lead.
+    /// Returns the leader; None: this controller doesn't lead.
     pub fn leader(&self) -> Option<&Leader> {
         self.leader.as_ref()
     }
 
-    /// The leader, if it is the one of this term.
+    /// Returns the leader if its term is `term`.
     pub fn leader_of(&mut self, term: Term) -> Option<&mut Leader> {
         self.leader.as_mut().filter(|leader| leader.term() == term)
     }
 
-    /// Ends the leadership unless this controller still holds the leader's key
-    /// under the leadership's term.
+    /// Ends the leadership unless this controller still holds the leader's key under the
+    /// leadership's term. `held`: the term under which it holds the key, if it does.
     pub fn end_unless_held(&mut self, held: Option<Term>) {
         let Some(leader) = &self.leader else { return };
         if held != Some(leader.term()) {
@@ -76,7 +76,7 @@
     /// Begins a leadership.
     pub fn begin(&mut self, now: Millis, term: Term, config: Config, types: Vec<MachineTypeSpec>) {
         tracing::info!(%term, "elected");
-        // The nonce is of this leadership alone, so that names of rental requests
+        // The nonce is unique to this leadership, so that names of scale-out requests
         // never repeat.
         let nonce = rand::random();
         self.leader = Some(Leader::new(config, term, nonce, now, types));
@@ -84,7 +84,7 @@
         self.record_resync.restart();
     }
 
-    /// Does all that is due under a leadership that has begun.
+    /// Performs all work that is due under a leadership that has begun.
     pub fn tick(&mut self, context: &mut LeaderContext, now: Millis, term: Term, peers: &PeerView) {
         self.sync_jobs(now, context.jobs);
         if self.leader.as_ref().is_some_and(|leader| !leader.is_loaded()) {
@@ -99,7 +99,7 @@
         self.step_down_if_unfit(context, now, peers);
     }
 
-    /// Hands changed job records on to the leader.
+    /// Passes changed job records to the leader.
     pub fn sync_jobs(&mut self, now: Millis, jobs: &mut JobWatch) {
         let changed = jobs.cache_mut().take_changed();
         let Some(leader) = &mut self.leader else { return };
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Advances leases, the autoscaler and the schedule.
+    /// Runs the periodic checks, the autoscaler and the scheduler, as they are due.
     fn schedule(&mut self, context: &mut LeaderContext, now: Millis, peers: &PeerView) {
         let Some(leader) = &mut self.leader else { return };
         leader.set_may_reshard(peers.all_upgraded);
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Steps down if another controller, or another leadership, would serve better.
+    /// Steps down if another controller, or a new leadership, would work better.
     fn step_down_if_unfit(&mut self, context: &mut LeaderContext, now: Millis, peers: &PeerView) {
         let Some(leader) = &self.leader else { return };
         if now < self.next_step_down_check {
@@ -145,13 +145,14 @@
         }
     }
 
-    /// Gives up leading, so that another can be elected.
+    /// Ends the leadership, so that another controller can be elected.
     fn step_down(&mut self, context: &mut LeaderContext, now: Millis) {
         context.election.step_down(context.net, now, context.client);
         self.leader = None;
     }
 
-    /// The leader's answer to a worker's heartbeat; None: this controller doesn't lead.
+    /// Processes a worker's heartbeat and returns the leader's decision on it; None: this
+    /// controller doesn't lead in `term`.
     pub fn process_heartbeat(
         &mut self,
         now: Millis,
@@ -164,30 +165,31 @@
         Some(leader.heartbeat(now, heartbeat, jobs.cache(), names))
     }
 
-    /// As [`Leadership::leader`], to be changed.
+    /// Returns mutable access to the leader; None: this controller doesn't lead.
     pub fn leader_mut(&mut self) -> Option<&mut Leader> {
         self.leader.as_mut()
     }
 
-    /// The machine types were read again.
+    /// Passes the machine types, which were read again, to the leader.
     pub fn set_machine_types(&mut self, types: &[MachineTypeSpec]) {
         if let Some(leader) = &mut self.leader {
             leader.set_types(types);
         }
     }
 
-    /// Task counts of up to `max` jobs that changed lately, to be told to peers.
+    /// Removes and returns the task counts of up to `max` recently changed jobs, to be
+    /// sent to peers.
     pub fn take_progress(&mut self, max: usize) -> Vec<Count> {
         self.leader.as_mut().map_or_else(Vec::new, |leader| leader.take_progress(max))
     }
 
-    /// The read of the changes that the job cache may have missed, which precedes
-    /// the loading of the task records, ended; `synced`: they were applied.
+    /// Records the end of the read of changes that the job cache may have missed, which
+    /// precedes the loading of the task records. `synced`: the changes were applied.
     pub fn jobs_synced(&mut self, now: Millis, synced: bool) {
         self.task_loading.jobs_synced(now, synced);
     }
 
-    /// A request of the leader ended.
+    /// Processes the result of a request of the leader.
     pub fn handle_reply(
         &mut self,
         context: &mut LeaderContext,
--- a/src/controller/leadership/record_resync.rs
+++ b/src/controller/leadership/record_resync.rs
@@ -1,5 +1,5 @@
-//! After a transaction whose result is unknown, the leader reads a record again
-//! that the transaction wrote: it shows whether the transaction was applied.
+//! Reads of records after a transaction whose outcome is unknown: a record that the
+//! transaction wrote shows whether the transaction was applied.
 
 use super::context::LeaderContext;
 use crate::{
@@ -16,22 +16,22 @@
     transport::http::status::{NOT_FOUND, OK},
 };
 
-/// Pause, in ms, after a request that failed.
+/// Pause, in ms, after a failed request.
 const RETRY_MS: Millis = 200;
 
-/// When a record is read again.
+/// The schedule of these reads.
 #[derive(Debug, Default)]
 pub(super) struct RecordResync {
     schedule: PollSchedule,
 }
 
 impl RecordResync {
-    /// Starts anew, for a new leadership: no read of it is pending.
+    /// Resets the schedule for a new leadership, which has no read pending.
     pub(super) fn restart(&mut self) {
         self.schedule.end();
     }
 
-    /// Reads a record again, if no such read is pending.
+    /// Reads a record again, if no such read is pending and the budget allows it.
     pub(super) fn refresh(&mut self, context: &mut LeaderContext, now: Millis, term: Term, key: String) {
         if self.schedule.is_due(now) && context.client.budgets().take_read(now, Urgency::Cancel) {
             self.schedule.begin();
@@ -40,7 +40,8 @@
         }
     }
 
-    /// The read ended. `leader`: the one that asked for it, if it still leads.
+    /// Processes the result of a read. `leader`: the leader that requested it; None: its
+    /// leadership has ended.
     pub(super) fn received(&mut self, now: Millis, leader: Option<&mut Leader>, key: &str, result: &CallResult) {
         self.schedule.end();
         let Some(leader) = leader else { return };
--- a/src/controller/leadership/task_loading.rs
+++ b/src/controller/leadership/task_loading.rs
@@ -1,8 +1,8 @@
-//! A new leader loads the task records.
+//! Loading of the task records by a new leader.
 //!
-//! First it reads what the job cache may have missed, then the task records. All
-//! of that is read after the leader's key was written, so that no transaction of
-//! an earlier leader can be applied any more.
+//! The leader first reads the changes that the job cache may have missed, then the task
+//! records. All of them are read after the leader's key was written, so that no
+//! transaction of an earlier leader can still be applied.
 
 use super::context::LeaderContext;
 use crate::{
@@ -21,21 +21,21 @@
     storage::{rate_limit::Urgency, records},
 };
 
-/// Pause, in ms, after a request that failed.
+/// Pause, in ms, after a failed request.
 const RETRY_MS: Millis = 200;
 
-/// How far the task records were loaded.
+/// Progress of the loading of the task records.
 #[derive(Debug, Default)]
 pub(super) struct TaskLoading {
     schedule: PollSchedule,
-    /// The job cache was brought up to date.
+    /// The job cache is up to date.
     jobs_synced: bool,
-    /// Key after which the next page begins; None: the first page is next.
+    /// Key after which the next page starts; None: the first page is next.
     next_page_from: Option<String>,
 }
 
 impl TaskLoading {
-    /// Starts anew, for a new leadership.
+    /// Restarts the loading, for a new leadership.
     pub(super) fn restart(&mut self, now: Millis) {
         self.jobs_synced = false;
         self.next_page_from = None;
@@ -58,14 +58,14 @@
         context.send_to_store(term, LeaderCall::TasksPage, request);
     }
 
-    /// The read of the changes that the job cache may have missed ended; `synced`:
-    /// they were applied.
+    /// Records the end of the read of changes that the job cache may have missed.
+    /// `synced`: the changes were applied.
     pub(super) fn jobs_synced(&mut self, now: Millis, synced: bool) {
         self.jobs_synced = synced;
         self.schedule.end_until(if synced { now } else { now + RETRY_MS });
     }
 
-    /// A page of the task records came, for a leader that is still loading.
+    /// Processes a page of the task records, for a leader that is still loading.
     pub(super) fn page_received(
         &mut self,
         context: &mut LeaderContext,
--- a/src/coordination/commits/applied.rs
+++ b/src/coordination/commits/applied.rs
@@ -1,4 +1,4 @@
-//! Takes the records of an applied transaction into the cluster state.
+//! Updates the cluster state with the records of an applied transaction.
 
 use super::{in_flight::WrittenChunk, statistics::WriteStatistics};
 use crate::{
@@ -10,7 +10,7 @@
     storage::job_cache::JobIndex,
 };
 
-/// A chunk's record was written, with this revision.
+/// Records that a chunk's record was written, and has `revision` now.
 pub fn chunk_applied(
     cluster: &mut ClusterState,
     statistics: &mut WriteStatistics,
@@ -32,13 +32,13 @@
     chunk.committed_version = chunk.committed_version.max(written.version);
     chunk.revision = revision;
     job.records.unwritten_since = None;
-    // A gang's launches wait for the last of its records.
+    // No task of a gang is launched before the last of the gang's records is written.
     let launchable =
         if job.spec.kind == JobKind::Gang { job.assignments() } else { job.assignments_of_chunk(written.chunk) };
     cluster.schedule_dispatch_for(now, launchable, |assignment| assignment.state == AssignmentState::Wanted);
 }
 
-/// A job was recorded as completed, with this revision.
+/// Marks a job as completed; its record has `revision` now.
 pub fn completion_applied(cluster: &mut ClusterState, now: Millis, index: JobIndex, revision: Revision) {
     if let Some(job) = cluster.job_mut(index) {
         job.records.revision = revision;
--- a/src/coordination/commits/in_flight.rs
+++ b/src/coordination/commits/in_flight.rs
@@ -1,4 +1,5 @@
-//! A transaction from when it is sent until its outcome is known for certain.
+//! The state of a transaction between the time it is sent and the time its outcome
+//! is certain.
 
 use std::collections::HashSet;
 
@@ -11,13 +12,14 @@
     storage::{job_cache::JobIndex, records},
 };
 
-/// Identifies a transaction. It is written into each of its chunk records, so
-/// that a leader recognizes its own write when it reads the record again.
+/// Number that identifies a transaction. It is written into each chunk record of
+/// the transaction, so that a leader recognizes its own write when it reads the
+/// record again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TransactionTag(pub u64);
 
 impl TransactionTag {
-    /// The tag of the next transaction.
+    /// Returns the tag of the next transaction.
     pub fn next(self) -> TransactionTag {
         TransactionTag(self.0 + 1)
     }
@@ -34,55 +36,56 @@
     pub version: u64,
 }
 
-/// What of the wanted state a transaction writes.
+/// The parts of the wanted state that a transaction writes.
 #[derive(Debug, Default)]
 pub struct TransactionContents {
-    /// The chunks whose records it writes.
+    /// Chunks whose records the transaction writes.
     pub chunks: Vec<WrittenChunk>,
-    /// Jobs that it records as completed.
+    /// Jobs that the transaction records as completed.
     pub completed_jobs: Vec<JobIndex>,
-    /// Keys of obsolete records that it deletes.
+    /// Keys of obsolete records that the transaction deletes.
     pub deleted_keys: Vec<String>,
-    /// A job whose chunks it reshards.
+    /// Resharding of one job, if the transaction carries it out.
     pub reshard: Option<ReshardPlan>,
 }
 
 impl TransactionContents {
-    /// Jobs of which it writes chunks.
+    /// Returns the jobs whose chunks the transaction writes.
     pub fn jobs(&self) -> HashSet<JobIndex> {
         let written = self.chunks.iter().map(|written| written.job);
         written.chain(self.reshard.iter().map(|plan| plan.job)).collect()
     }
 }
 
-/// What is to be done next to settle a transaction.
+/// The next step that settles a transaction.
 #[derive(Debug)]
 pub enum TransactionState {
-    /// Wait: it was sent and is unanswered.
+    /// Wait for the response: the transaction was sent.
     Sent,
-    /// Send it again as it was.
+    /// Send the transaction again, unchanged.
     Resend,
-    /// Read these keys, the last one first, to learn whether it was applied.
+    /// Read these keys, the last one first, to learn whether the transaction was applied.
     Resync(Vec<String>),
 }
 
 /// A transaction whose outcome is not settled yet.
 #[derive(Debug)]
 pub struct InFlightTransaction {
-    /// What was sent.
+    /// The transaction as sent to the store.
     pub transaction: Transaction,
-    /// What of the wanted state it writes.
+    /// The parts of the wanted state that the transaction writes.
     pub contents: TransactionContents,
-    /// Identifies it.
+    /// Identifies the transaction in the chunk records that it writes.
     pub tag: TransactionTag,
-    /// A copy of it went unanswered: that one may have been applied, or may yet be.
+    /// No response was received to at least one copy of the transaction: that copy may
+    /// have been applied, or may still be applied later.
     pub has_copy_without_response: bool,
-    /// What is to be done next.
+    /// The next step that settles the transaction.
     pub state: TransactionState,
 }
 
 impl InFlightTransaction {
-    /// A transaction that is being sent for the first time.
+    /// Returns the state of a transaction that is sent for the first time.
     pub fn new(transaction: Transaction, contents: TransactionContents, tag: TransactionTag) -> InFlightTransaction {
         InFlightTransaction {
             transaction,
@@ -93,12 +96,12 @@
         }
     }
 
-    /// Whether it was sent and is unanswered.
+    /// Returns whether the transaction was sent and its response is outstanding.
     pub fn is_sent(&self) -> bool {
         matches!(self.state, TransactionState::Sent)
     }
 
-    /// Returns a copy to send, if it is to be sent again.
+    /// Returns a copy to send and marks the transaction as sent, if it must be sent again.
     pub fn resend(&mut self) -> Option<Transaction> {
         if !matches!(self.state, TransactionState::Resend) {
             return None;
@@ -107,14 +110,14 @@
         Some(self.transaction.clone())
     }
 
-    /// An answer came, or none in time: it is to be sent again.
+    /// Schedules another copy of the transaction, after a response or a timeout.
     pub fn schedule_resend(&mut self) {
         if self.is_sent() {
             self.state = TransactionState::Resend;
         }
     }
 
-    /// The key to be read next, to learn whether it was applied.
+    /// Returns the key to read next to learn whether the transaction was applied.
     pub fn resync_key(&self) -> Option<&str> {
         match &self.state {
             TransactionState::Resync(keys) => keys.last().map(String::as_str),
@@ -122,21 +125,21 @@
         }
     }
 
-    /// A key was read again and doesn't hold its write. Returns whether other
-    /// keys are still to be read.
+    /// Records that `key` was read again and doesn't hold this transaction's write.
+    /// Returns whether other keys must still be read.
     pub fn key_resynced(&mut self, key: &str) -> bool {
         let TransactionState::Resync(keys) = &mut self.state else { return false };
         keys.retain(|other| other != key);
         !keys.is_empty()
     }
 
-    /// The revision that it expects of a key.
+    /// Returns the revision that the transaction's conditions require of `key`.
     pub fn expected_revision(&self, key: &str) -> Revision {
         let mut conditions = self.transaction.conditions.iter();
         conditions.find(|condition| condition.key == key).map_or(Revision::ABSENT, |condition| condition.revision)
     }
 
-    /// Keys of the chunk records that it writes.
+    /// Returns the keys of the chunk records that the transaction writes.
     pub fn written_chunk_keys(&self) -> Vec<String> {
         let chunk_key = |op: &WriteOperation| match op {
             WriteOperation::Put { key, .. } if key.starts_with(records::CHUNK_KEY_PREFIX) => Some(key.clone()),
--- a/src/coordination/commits/job_records.rs
+++ b/src/coordination/commits/job_records.rs
@@ -18,17 +18,17 @@
     storage::records::{self, AssignmentRecord, ChunkRecord, JobRecord, JobStatus},
 };
 
-/// Writes the records of jobs as the cluster state wants them.
+/// Writes the records of jobs so that they match the cluster state.
 pub struct JobRecordWriter<'a> {
-    /// The state that is to be written.
+    /// The state to write.
     pub cluster: &'a ClusterState,
-    /// Names of what the cluster state refers to by index.
+    /// Names of the items that the cluster state refers to by index.
     pub interners: &'a Interners,
-    /// The present moment on the steady clock.
+    /// The current time on the monotonic clock, in ms.
     pub now: Millis,
-    /// The present time of day, in ms since the Unix epoch.
+    /// The current wall-clock time, in ms since the Unix epoch.
     pub wall_ms: u64,
-    /// There is budget for more than what is urgent.
+    /// The request budget covers more than the urgent writes.
     pub has_spare_budget: bool,
 }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Jobs with records that are due, in the order in which they are written.
+    /// Returns the jobs with records that are due, in the order in which they are written.
     fn due_jobs(&self) -> Vec<(WritePriority, &Job)> {
         let with_priority = |job| Some((WritePriority::of(job, self.now, self.has_spare_budget)?, job));
         let mut due: Vec<(WritePriority, &Job)> = self.cluster.active_jobs().filter_map(with_priority).collect();
@@ -62,7 +62,7 @@
 
     fn add_completed_job(&self, job: &Job, builder: &mut TransactionBuilder) {
         let submission = Submission { tasks: Some(f64::from(job.spec.tasks)), ..Submission::default() };
-        // The next leader counts from here how long its dependents have waited.
+        // The next leader measures from this time how long the job's dependents have waited.
         let at_ms = self.wall_ms;
         let record = JobRecord { submission, status: JobStatus::Done, at_ms, chunk: job.records.chunk_size };
         let value = records::to_value(&record);
@@ -74,7 +74,7 @@
     /// Adds the job's chunks that are due. Returns whether any was added.
     fn add_due_chunks(&self, job: &Job, priority: WritePriority, builder: &mut TransactionBuilder) -> bool {
         let due = self.due_chunks(job, priority);
-        // A job is split only if it alone is more than a transaction takes.
+        // A job is spread over several transactions only if it exceeds one on its own.
         if !builder.accepts_job_writes(due.len()) {
             return false;
         }
@@ -98,13 +98,13 @@
         chunks.filter(|(_, chunk)| is_due(chunk)).map(|(index, _)| index).collect()
     }
 
-    /// Adds one chunk. Returns whether it was added: it may be too large.
+    /// Adds one chunk. Returns whether it was added; a chunk that is too large is not.
     fn add_chunk(&self, job: &Job, chunk: usize, builder: &mut TransactionBuilder) -> bool {
         let size = job.records.chunk_size as usize;
         let value = chunk_value(self.cluster, self.interners, job, chunk * size..(chunk + 1) * size, builder.tag());
         let bytes = records::json_size(&value);
-        // Guard: what is too large is never sent again as it is; it would
-        // be refused for ever.
+        // A chunk that is too large must not be sent: the store would refuse it
+        // permanently.
         if bytes > self.cluster.value_limit() {
             builder.oversized_chunks.push(OversizedChunk { job: job.index, chunk });
             return false;
@@ -118,7 +118,8 @@
     }
 }
 
-/// The chunk record of a range of a job's tasks; the range may reach beyond the last task.
+/// Returns the chunk record of a range of a job's tasks; the range may extend beyond
+/// the last task.
 pub fn chunk_value(
     cluster: &ClusterState,
     interners: &Interners,
--- a/src/coordination/commits/mod.rs
+++ b/src/coordination/commits/mod.rs
@@ -4,8 +4,8 @@
 //! [`CommitPipeline`] builds the next transaction, keeps it until its outcome is
 //! known, and applies that outcome to the cluster state. A transaction whose
 //! outcome stays unknown is *resynced*: its keys are read again to learn whether
-//! it was applied. A job is *resharded* when its tasks are split into smaller
-//! chunk records, because the store lowered its limit on the size of a value.
+//! it was applied. A job is *resharded* by splitting its tasks into smaller chunk
+//! records, because the store lowered its limit on the size of a value.
 
 mod applied;
 mod in_flight;
--- a/src/coordination/commits/outcomes.rs
+++ b/src/coordination/commits/outcomes.rs
@@ -25,12 +25,14 @@
     },
 };
 
-/// Pause before an unanswered transaction is sent again, in ms.
-const UNANSWERED_PAUSE_MS: Millis = 100;
-/// Pause after a transaction within the lower limits was refused as too large, in ms.
+/// Pause, in ms, before a transaction is sent again to which no response was received.
+const NO_RESPONSE_PAUSE_MS: Millis = 100;
+/// Pause, in ms, after a transaction was refused as too large although it was within
+/// the lower limits.
 const TOO_LARGE_PAUSE_MS: Millis = 1_000;
 
-/// Another controller has written the leader's key: this one leads no longer.
+/// Error of a leader whose key was written by another controller: the leadership has
+/// ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeadershipLost;
 
@@ -43,11 +45,12 @@
 impl std::error::Error for LeadershipLost {}
 
 impl CommitPipeline {
-    /// Takes the outcome of the transaction that was sent.
+    /// Processes the outcome of the transaction that was sent.
     ///
     /// # Errors
     ///
-    /// [`LeadershipLost`] if the transaction failed because of another leader.
+    /// [`LeadershipLost`] if the transaction failed because another controller has
+    /// written the leader's key.
     pub fn finish(
         &mut self,
         now: Millis,
@@ -59,14 +62,14 @@
             CommitOutcome::Applied(revision) => self.applied(now, &in_flight.contents, revision, cluster),
             CommitOutcome::Refused => self.refused(now, in_flight, cluster),
             CommitOutcome::TooLarge => self.too_large(now, in_flight, cluster),
-            CommitOutcome::Unknown => self.unanswered(now, in_flight, cluster),
+            CommitOutcome::Unknown => self.outcome_unknown(now, in_flight, cluster),
             CommitOutcome::Conflict(failed_keys) => return self.conflicted(in_flight, failed_keys, cluster),
         }
         Ok(())
     }
 
-    /// A key asked for by [`CommitPipeline::resync_key`] was read: its value and
-    /// its revision, or `None` if it doesn't exist.
+    /// Processes the read of a key that [`CommitPipeline::resync_key`] returned.
+    /// `found`: its value and its revision; None: the key doesn't exist.
     pub fn resynced(&mut self, now: Millis, key: &str, found: Option<(Value, Revision)>, cluster: &mut ClusterState) {
         let Some(mut in_flight) = self.take_in_flight(cluster) else { return };
         let mut current_revision = Revision::ABSENT;
@@ -74,7 +77,7 @@
             current_revision = revision;
             let record = value.deserialized::<ChunkRecord>().unwrap_or_default();
             if record.tag == in_flight.tag.0 {
-                // It was applied after all: everything in it has this one revision.
+                // The transaction was applied: all records that it wrote have this revision.
                 self.applied(now, &in_flight.contents, revision, cluster);
                 return;
             }
@@ -88,9 +91,9 @@
         abort(cluster, &in_flight);
     }
 
-    /// It was certainly not executed. What it carried is written later, as it is
-    /// by then, unless an earlier copy went unanswered: that one must be settled
-    /// first.
+    /// Processes a refusal: this copy of the transaction was definitely not executed.
+    /// A later transaction writes the same records in their state at that time, unless
+    /// no response was received to an earlier copy: that copy must be settled first.
     fn refused(&mut self, now: Millis, mut in_flight: InFlightTransaction, cluster: &mut ClusterState) {
         self.pause_until(now + REFUSED_PAUSE_MS);
         if in_flight.has_copy_without_response {
@@ -101,16 +104,17 @@
         }
     }
 
-    /// Guard: it may yet be applied. The same transaction again, on the same
-    /// conditions, can be applied only once in all.
-    fn unanswered(&mut self, now: Millis, mut in_flight: InFlightTransaction, cluster: &mut ClusterState) {
-        self.pause_until(now + UNANSWERED_PAUSE_MS);
+    /// Schedules the same transaction again, because the copy that was sent may still
+    /// be applied later. With the same conditions, at most one of the copies can be
+    /// applied.
+    fn outcome_unknown(&mut self, now: Millis, mut in_flight: InFlightTransaction, cluster: &mut ClusterState) {
+        self.pause_until(now + NO_RESPONSE_PAUSE_MS);
         in_flight.schedule_resend();
         in_flight.has_copy_without_response = true;
         self.keep_in_flight(cluster, in_flight);
     }
 
-    /// Its conditions failed at these keys.
+    /// Processes a conflict: the transaction's conditions failed at `failed_keys`.
     fn conflicted(
         &mut self,
         mut in_flight: InFlightTransaction,
@@ -126,8 +130,8 @@
             }
         }
         let deleted_keys = &mut in_flight.contents.deleted_keys;
-        // Keys to be deleted that changed or are gone need no second look: the
-        // next leader deletes what is left of a job that is over.
+        // A key to be deleted that has changed or no longer exists is not read again:
+        // the next leader deletes the remaining records of a finished job.
         let (undeletable, resync): (Vec<String>, Vec<String>) = failed_keys
             .into_iter()
             .filter(|key| key.starts_with(records::CHUNK_KEY_PREFIX))
@@ -142,8 +146,9 @@
         Ok(())
     }
 
-    /// The first refusal shows that the store's lower limits hold; what fits
-    /// them and is refused all the same is cut smaller, and in the end left out.
+    /// Processes a refusal as too large. The first one shows that the store's lower
+    /// limits are in effect. A transaction that is within them and is still refused is
+    /// followed by smaller ones; a single write that is refused is left out.
     fn too_large(&mut self, now: Millis, mut in_flight: InFlightTransaction, cluster: &mut ClusterState) {
         let reduced_limit = cluster.config().reduced_max_value_bytes;
         if cluster.value_limit() > reduced_limit {
@@ -157,8 +162,8 @@
                 leave_out(cluster, now, &in_flight.contents);
             }
         }
-        // Guard: an earlier copy went unanswered and may have been applied; who
-        // wrote last is read first.
+        // No response was received to an earlier copy, which may have been applied:
+        // its keys are read first, to learn which transaction wrote them last.
         if in_flight.has_copy_without_response {
             let keys = in_flight.written_chunk_keys();
             if !keys.is_empty() {
@@ -170,7 +175,7 @@
         abort(cluster, &in_flight);
     }
 
-    /// Everything that it wrote has this revision now.
+    /// Processes an applied transaction: all records that it wrote have `revision` now.
     fn applied(&mut self, now: Millis, contents: &TransactionContents, revision: Revision, cluster: &mut ClusterState) {
         let statistics = self.statistics_mut();
         statistics.transactions += 1;
@@ -185,12 +190,12 @@
         for &index in &contents.completed_jobs {
             completion_applied(cluster, now, index, revision);
         }
-        settled(cluster, &contents.chunks);
+        remove_finished_jobs(cluster, &contents.chunks);
     }
 }
 
-/// A transaction was certainly not applied: what it carried is written later,
-/// as it is by then.
+/// Drops a transaction that was definitely not applied. A later transaction writes the
+/// same records in their state at that time.
 fn abort(cluster: &mut ClusterState, in_flight: &InFlightTransaction) {
     if let Some(plan) = &in_flight.contents.reshard {
         reshard_aborted(cluster, plan);
@@ -199,18 +204,18 @@
         let revision = in_flight.expected_revision(key);
         cluster.records_mut().delete_later(ObsoleteRecord { key: key.clone(), revision });
     }
-    settled(cluster, &in_flight.contents.chunks);
+    remove_finished_jobs(cluster, &in_flight.contents.chunks);
 }
 
-/// A transaction is settled: jobs that were kept for it may be removed.
-fn settled(cluster: &mut ClusterState, chunks: &[WrittenChunk]) {
+/// Removes the finished jobs that were kept only until their transaction was settled.
+fn remove_finished_jobs(cluster: &mut ClusterState, chunks: &[WrittenChunk]) {
     for written in chunks {
         cluster.remove_if_finished(written.job);
     }
     cluster.request_scheduling_cycle();
 }
 
-/// Leaves out, for a while, what is refused as too large even as the only write.
+/// Leaves out, for some time, a write that is refused as too large even on its own.
 fn leave_out(cluster: &mut ClusterState, now: Millis, contents: &TransactionContents) {
     for written in &contents.chunks {
         shrink_chunk(cluster, now, OversizedChunk { job: written.job, chunk: written.chunk });
@@ -223,10 +228,11 @@
     }
 }
 
-/// A job's record changed under a transaction that expected `sent_revision`.
+/// Marks a job as stale whose record changed before a transaction that expected
+/// `sent_revision` was executed.
 fn mark_stale(cluster: &mut ClusterState, id: &str, sent_revision: Revision) {
     for index in active_jobs_with_id(cluster, id) {
-        // Unless the job cache has shown the change already.
+        // If the revision differs, the job cache has shown the change already.
         if let Some(job) = cluster.job_mut(index).filter(|job| job.records.revision == sent_revision) {
             job.records.stale = true;
         }
--- a/src/coordination/commits/oversized.rs
+++ b/src/coordination/commits/oversized.rs
@@ -6,11 +6,11 @@
     model::Millis,
 };
 
-/// How long a chunk that is too large to be written is left out, in ms.
+/// Time, in ms, for which a chunk that is too large to be written is left out.
 const OVERSIZED_RETRY_MS: Millis = 2_000;
 
-/// A chunk can't be written as it is: its assignments that are not written yet
-/// are released, and the rest waits until some of its tasks have exited.
+/// Makes a chunk smaller that is too large to be written: releases its assignments
+/// that are not written yet. The rest waits until some of its tasks have exited.
 pub fn shrink_chunk(cluster: &mut ClusterState, now: Millis, oversized: OversizedChunk) {
     let Some(job) = cluster.job_mut(oversized.job) else { return };
     let retry_at = now + OVERSIZED_RETRY_MS;
--- a/src/coordination/commits/pipeline.rs
+++ b/src/coordination/commits/pipeline.rs
@@ -1,4 +1,4 @@
-//! The leader's transactions: one at a time.
+//! The sequence of the leader's transactions, of which one is in flight at a time.
 
 use super::{
     in_flight::{InFlightTransaction, TransactionContents, TransactionTag},
@@ -16,12 +16,12 @@
     storage::records,
 };
 
-/// How many writes the request budget allows at present.
+/// The writes that the request budget currently allows.
 #[derive(Debug, Clone, Copy)]
 pub struct WriteAllowance {
-    /// Most writes of the next transaction.
+    /// Maximum number of writes in the next transaction.
     pub max_ops: usize,
-    /// There is budget for more than what is urgent.
+    /// The request budget covers more than the urgent writes.
     pub has_spare_budget: bool,
 }
 
@@ -31,19 +31,19 @@
     /// The transaction that is not settled yet.
     in_flight: Option<InFlightTransaction>,
     last_tag: TransactionTag,
-    /// Most writes of a transaction that the store is known to accept.
+    /// Maximum number of writes in a transaction that the store is known to accept.
     accepted_ops: usize,
-    /// No transaction is sent before.
+    /// Earliest time at which a transaction is sent, in ms.
     paused_until: Millis,
     obsolete_record_deletion: ObsoleteRecordDeletion,
     resharding: Resharding,
     statistics: WriteStatistics,
-    /// The time of day minus the steady clock, in ms.
+    /// Wall clock minus monotonic clock, in ms.
     wall_clock_offset_ms: i64,
 }
 
 impl CommitPipeline {
-    /// No transaction was sent yet; their tags begin above `last_tag`.
+    /// Returns a pipeline that has sent no transaction; tags start above `last_tag`.
     pub fn new(last_tag: u64) -> CommitPipeline {
         CommitPipeline {
             in_flight: None,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sets the time of day, in ms since the Unix epoch.
+    /// Sets the wall-clock time, in ms since the Unix epoch.
     pub fn set_wall_clock(&mut self, now: Millis, wall_ms: u64) {
         self.wall_clock_offset_ms = wall_ms as i64 - now as i64;
     }
@@ -67,25 +67,25 @@
         self.resharding.set_enabled(is_enabled);
     }
 
-    /// What was written since the last call.
+    /// Returns the counts of the writes since the last call, and resets them.
     pub fn take_statistics(&mut self) -> WriteStatistics {
         std::mem::take(&mut self.statistics)
     }
 
-    /// Whether a transaction may be sent: none is unanswered, and no pause is
-    /// kept after one that failed.
+    /// Returns whether a transaction may be sent: none awaits its response, and the
+    /// pause after a failed one is over.
     pub fn may_send(&self, now: Millis) -> bool {
         now >= self.paused_until && !self.in_flight.as_ref().is_some_and(InFlightTransaction::is_sent)
     }
 
-    /// A key to read before the next transaction, to learn whether the last one
-    /// was applied; [`CommitPipeline::resynced`] takes its value.
+    /// Returns a key to read before the next transaction, to learn whether the last one
+    /// was applied. [`CommitPipeline::resynced`] processes its value.
     pub fn resync_key(&self) -> Option<&str> {
         self.in_flight.as_ref()?.resync_key()
     }
 
-    /// Whether something is to be written. `has_spare_budget`: there is budget for more
-    /// than what is urgent.
+    /// Returns whether any record must be written. `has_spare_budget`: the request
+    /// budget covers more than the urgent writes.
     pub fn has_writes(&mut self, now: Millis, has_spare_budget: bool, cluster: &mut ClusterState) -> bool {
         cluster.note_unwritten_changes(now);
         let max_ops = self.max_ops(cluster);
@@ -95,9 +95,10 @@
             || cluster.active_jobs().any(|job| WritePriority::of(job, now, has_spare_budget).is_some())
     }
 
-    /// The next transaction: jobs that completed first, then placements by
-    /// priority, then exits that have waited; a job whose chunks don't fit waits
-    /// for the next one. An unanswered transaction is sent again as it was.
+    /// Returns the next transaction. It holds completed jobs first, then placements by
+    /// priority, then exits whose delay is over; a job whose chunks don't fit waits for
+    /// the transaction after it. A transaction without a response is sent again,
+    /// unchanged.
     pub fn next_transaction(
         &mut self,
         now: Millis,
@@ -114,12 +115,13 @@
         resharding.or_else(|| self.record_transaction(now, allowance, cluster, interners))
     }
 
-    /// Most writes of a transaction, whatever the request budget allows.
+    /// Returns the maximum number of writes in a transaction, before the request budget
+    /// is applied.
     fn max_ops(&self, cluster: &ClusterState) -> usize {
         cluster.config().txn_ops.min(self.accepted_ops)
     }
 
-    /// A transaction that reshards a job, if one is to be resharded.
+    /// Returns a transaction that reshards a job, if one is due for resharding.
     fn reshard_transaction(
         &mut self,
         now: Millis,
@@ -142,7 +144,7 @@
         Some(self.send(cluster, transaction, contents, tag))
     }
 
-    /// A transaction that writes and deletes records, if there is anything to write.
+    /// Returns a transaction that writes and deletes records, if any of that is due.
     fn record_transaction(
         &mut self,
         now: Millis,
@@ -164,20 +166,20 @@
         if builder.is_empty() {
             return None;
         }
-        // Guard: whoever leads by the time it is applied, only this
-        // leadership's writes count.
+        // The transaction must fail if another leadership has begun by the time it is
+        // executed: its writes are valid only under this leadership.
         builder.require(records::LEADER_KEY.to_owned(), cluster.term().0);
         let tag = builder.tag();
         let (transaction, contents) = builder.build();
         Some(self.send(cluster, transaction, contents, tag))
     }
 
-    /// The time of day, in ms since the Unix epoch.
+    /// Returns the wall-clock time, in ms since the Unix epoch.
     fn wall_ms(&self, now: Millis) -> u64 {
         (now as i64 + self.wall_clock_offset_ms).max(0) as u64
     }
 
-    /// Notes a transaction as sent and returns the copy to send.
+    /// Records a transaction as sent and returns the copy to send.
     fn send(
         &mut self,
         cluster: &mut ClusterState,
@@ -190,29 +192,29 @@
         copy
     }
 
-    /// Keeps a transaction that is not settled yet.
+    /// Stores a transaction that is not settled yet.
     pub(super) fn keep_in_flight(&mut self, cluster: &mut ClusterState, in_flight: InFlightTransaction) {
         cluster.records_mut().set_in_flight(in_flight.contents.jobs());
         self.in_flight = Some(in_flight);
     }
 
-    /// Removes the transaction that is not settled yet, to settle it.
+    /// Removes and returns the transaction that is not settled yet, to settle it.
     pub(super) fn take_in_flight(&mut self, cluster: &mut ClusterState) -> Option<InFlightTransaction> {
         cluster.records_mut().clear_in_flight();
         self.in_flight.take()
     }
 
-    /// Sends no transaction before this moment.
+    /// Sets the earliest time at which the next transaction is sent, in ms.
     pub(super) fn pause_until(&mut self, until: Millis) {
         self.paused_until = until;
     }
 
-    /// The store refuses transactions of this many writes, or of fewer.
+    /// Halves the limit on writes: the store refused a transaction of `refused_ops` writes.
     pub(super) fn limit_ops_below(&mut self, refused_ops: usize) {
         self.accepted_ops = (refused_ops / 2).max(1);
     }
 
-    /// The counts of what was written.
+    /// Returns the counts of writes, to be updated.
     pub(super) fn statistics_mut(&mut self) -> &mut WriteStatistics {
         &mut self.statistics
     }
--- a/src/coordination/commits/resharding.rs
+++ b/src/coordination/commits/resharding.rs
@@ -1,5 +1,5 @@
-//! Splits the tasks of a job into smaller chunks, once the store lowers its
-//! limit on the size of a value: the old chunks' records might not fit any more.
+//! Splits the tasks of a job into smaller chunks once the store lowers its limit on
+//! the size of a value: the records of the old chunks might exceed the new limit.
 
 use super::{
     in_flight::{TransactionContents, TransactionTag},
@@ -19,10 +19,11 @@
     storage::records::{self, JobRecord, JobStatus},
 };
 
-/// Pause between two jobs that are resharded, and between two searches for one, in ms.
+/// Pause between the resharding of two jobs, and between two searches for a job to
+/// reshard, in ms.
 const RESHARD_INTERVAL_MS: Millis = 200;
 
-/// What becomes of a chunk's record when its job is resharded.
+/// The write to a chunk's record when its job is resharded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ChunkWrite {
     Put,
@@ -30,12 +31,12 @@
     None,
 }
 
-/// Chooses the jobs that are to be resharded, one at a time.
+/// Chooses the jobs to reshard, one at a time.
 #[derive(Debug, Default)]
 pub struct Resharding {
     /// All controllers run a version that can follow a resharded job.
     is_enabled: bool,
-    /// No job is resharded before.
+    /// Earliest time of the next resharding, in ms.
     not_before: Millis,
 }
 
@@ -45,19 +46,20 @@
         self.is_enabled = is_enabled;
     }
 
-    /// Whether a job is to be resharded now. `max_ops`: most writes of a
-    /// transaction; `has_spare_budget`: there is budget for more than what is urgent.
+    /// Returns whether a job must be resharded now. `max_ops`: maximum number of writes
+    /// in a transaction; `has_spare_budget`: the request budget covers more than the
+    /// urgent writes.
     pub fn is_due(&mut self, now: Millis, max_ops: usize, has_spare_budget: bool, cluster: &ClusterState) -> bool {
         let is_due = self.candidate(now, max_ops, has_spare_budget, cluster).is_some();
         if !is_due && now >= self.not_before {
-            // The search looks at every job: it is not made on every call.
+            // The search visits every job, so it isn't repeated on every call.
             self.not_before = now + RESHARD_INTERVAL_MS;
         }
         is_due
     }
 
-    /// An unfinished job whose chunks were sized for a larger limit, and that
-    /// can be resharded in one transaction.
+    /// Returns an unfinished job whose chunks were sized for a larger limit and that can
+    /// be resharded in one transaction.
     pub fn candidate<'a>(
         &self,
         now: Millis,
@@ -65,12 +67,13 @@
         has_spare_budget: bool,
         cluster: &'a ClusterState,
     ) -> Option<&'a Job> {
-        // Guard: a controller of the version before would go on with the old
+        // A controller that runs the previous version would continue with the old
         // chunks once it leads.
         if !self.is_enabled {
             return None;
         }
-        // Until it must be done, it takes nothing from what somebody waits for.
+        // Until resharding is required, it must not use budget needed by writes that a
+        // job or a user waits for.
         let is_required = cluster.value_limit() <= cluster.config().reduced_max_value_bytes;
         if !(is_required || has_spare_budget) || now < self.not_before {
             return None;
@@ -86,18 +89,18 @@
         })
     }
 
-    /// A job is being resharded: the next one has to wait.
+    /// Records that a job is being resharded, so that the next one waits.
     pub fn record_start(&mut self, now: Millis) {
         self.not_before = now + RESHARD_INTERVAL_MS;
     }
 }
 
-/// How many chunk records resharding a job writes or deletes.
+/// Returns the number of chunk records that resharding a job writes or deletes.
 fn write_count(job: &Job, chunk_size: u32) -> usize {
     chunk_writes(job, chunk_size).iter().filter(|write| **write != ChunkWrite::None).count()
 }
 
-/// What becomes of each chunk's record when its job is split into chunks of
+/// Returns the write to each chunk's record when its job is split into chunks of
 /// `chunk_size` tasks.
 fn chunk_writes(job: &Job, chunk_size: u32) -> Vec<ChunkWrite> {
     let chunk_write = |(chunk_number, slots): (usize, &[Slot])| {
@@ -112,7 +115,7 @@
     job.tasks.slots.chunks(chunk_size as usize).enumerate().map(chunk_write).collect()
 }
 
-/// The transaction that reshards a job, and what it writes.
+/// Returns the transaction that reshards a job, and its contents.
 pub fn reshard_transaction(
     cluster: &ClusterState,
     interners: &Interners,
@@ -143,14 +146,14 @@
         let revision = job.records.chunks.get(chunk_number).map_or(Revision::ABSENT, |chunk| chunk.revision);
         transaction.conditions.push(Condition { key, revision });
     }
-    // Guard: as for every transaction, only this leadership's writes count.
+    // As every transaction, this one must fail once another leadership has begun.
     transaction.conditions.push(Condition { key: records::LEADER_KEY.to_owned(), revision: cluster.term().0 });
     let versions = job.records.chunks.iter().map(|chunk| chunk.version).collect();
     let plan = ReshardPlan { job: job.index, slots: job.tasks.slots.clone(), versions, written_chunks };
     (transaction, TransactionContents { reshard: Some(plan), ..TransactionContents::default() })
 }
 
-/// The resharded records of a job were written, with this revision.
+/// Applies the resharding of a job whose records were written with `revision`.
 pub fn reshard_applied(cluster: &mut ClusterState, now: Millis, plan: &ReshardPlan, revision: Revision) {
     let chunk_size = cluster.config().reduced_chunk_size;
     let Some(job) = cluster.job_mut(plan.job) else { return };
@@ -163,7 +166,8 @@
     cluster.remove_if_finished(plan.job);
 }
 
-/// The transaction that reshards a job was certainly not applied.
+/// Reverts to the recorded chunks: the transaction that reshards the job was
+/// definitely not applied.
 pub fn reshard_aborted(cluster: &mut ClusterState, plan: &ReshardPlan) {
     if let Some(job) = cluster.job_mut(plan.job) {
         job.records.resharding = false;
--- a/src/coordination/commits/transaction_builder.rs
+++ b/src/coordination/commits/transaction_builder.rs
@@ -1,4 +1,4 @@
-//! Puts a transaction together, within the limits of the key-value store.
+//! Builds a transaction within the limits of the key-value store.
 
 use ciborium::Value;
 
@@ -12,10 +12,10 @@
     storage::job_cache::JobIndex,
 };
 
-/// Bytes of values after which a transaction takes no more; well below the
-/// largest request that the store accepts.
+/// Total size of the writes, in bytes, above which a transaction accepts no further
+/// write; well below the largest request that the store accepts.
 pub const TRANSACTION_BYTES_LIMIT: usize = 48 * 1024;
-/// Bytes of a write besides its value: its key, its condition and the framing.
+/// Size of a write without its value, in bytes: its key, its condition and the framing.
 const WRITE_OVERHEAD_BYTES: usize = 64;
 
 /// A chunk whose value is too large to be written.
@@ -27,23 +27,23 @@
     pub chunk: usize,
 }
 
-/// A transaction as it is put together.
+/// A transaction that is being built.
 #[derive(Debug)]
 pub struct TransactionBuilder {
     transaction: Transaction,
-    /// What of the wanted state it writes so far.
+    /// The parts of the wanted state that the transaction writes so far.
     pub contents: TransactionContents,
     /// Chunks that were left out because they are too large.
     pub oversized_chunks: Vec<OversizedChunk>,
-    /// Most writes that it may hold.
+    /// Maximum number of writes.
     max_ops: usize,
-    /// Bytes of its writes so far.
+    /// Size of the writes so far, in bytes.
     bytes: usize,
     tag: TransactionTag,
 }
 
 impl TransactionBuilder {
-    /// An empty transaction that may hold `max_ops` writes.
+    /// Returns an empty transaction that may hold up to `max_ops` writes.
     pub fn new(tag: TransactionTag, max_ops: usize) -> TransactionBuilder {
         TransactionBuilder {
             transaction: Transaction::default(),
@@ -55,56 +55,58 @@
         }
     }
 
-    /// The tag of the transaction.
+    /// Returns the tag of the transaction.
     pub fn tag(&self) -> TransactionTag {
         self.tag
     }
 
-    /// How many more writes it may hold.
+    /// Returns how many more writes the transaction may hold.
     pub fn ops_left(&self) -> usize {
         self.max_ops.saturating_sub(self.transaction.writes.len())
     }
 
-    /// Whether `writes` more writes fit, or would fit into no transaction at all.
+    /// Returns whether the transaction accepts the `writes` writes of one job: they fit,
+    /// or the transaction is still empty, so that a job too large for any transaction is
+    /// split.
     pub fn accepts_job_writes(&self, writes: usize) -> bool {
         let ops_left = self.ops_left();
         writes <= ops_left || ops_left >= self.max_ops
     }
 
-    /// Whether its values have reached the limit on the bytes of a transaction.
+    /// Returns whether the writes have reached the limit on the bytes of a transaction.
     pub fn has_reached_byte_limit(&self) -> bool {
         self.bytes > TRANSACTION_BYTES_LIMIT
     }
 
-    /// Whether it takes no further write.
+    /// Returns whether the transaction accepts no further write.
     pub fn is_full(&self) -> bool {
         self.ops_left() == 0 || self.has_reached_byte_limit()
     }
 
-    /// Whether it holds no write.
+    /// Returns whether the transaction holds no write.
     pub fn is_empty(&self) -> bool {
         self.transaction.writes.is_empty()
     }
 
-    /// Adds a write of `value`, which has `value_bytes` bytes in JSON form.
+    /// Adds a write of `value`, which takes `value_bytes` bytes as JSON.
     pub fn put(&mut self, key: String, value: Value, value_bytes: usize) {
         self.bytes += value_bytes + WRITE_OVERHEAD_BYTES;
         self.transaction.writes.push(WriteOperation::Put { key, value, grant: None });
     }
 
-    /// Adds the deletion of a record, provided that it has not changed.
+    /// Adds the deletion of a record, on the condition that the record has not changed.
     pub fn delete(&mut self, record: ObsoleteRecord) {
         self.require(record.key.clone(), record.revision);
         self.transaction.writes.push(WriteOperation::Delete { key: record.key.clone() });
         self.contents.deleted_keys.push(record.key);
     }
 
-    /// Adds the condition that a key has this revision.
+    /// Adds the condition that `key` has `revision`.
     pub fn require(&mut self, key: String, revision: Revision) {
         self.transaction.conditions.push(Condition { key, revision });
     }
 
-    /// The transaction, and what of the wanted state it writes.
+    /// Returns the transaction and its contents.
     pub fn build(self) -> (Transaction, TransactionContents) {
         (self.transaction, self.contents)
     }
--- a/src/coordination/commits/write_priority.rs
+++ b/src/coordination/commits/write_priority.rs
@@ -1,4 +1,4 @@
-//! Which job's records are written first.
+//! The order in which the records of jobs are written.
 
 use crate::{
     coordination::model::{Job, Millis},
@@ -6,38 +6,38 @@
     storage::records::JobStatus,
 };
 
-/// Exits of tasks wait this long for others to be written with them.
-const EXITS_DELAY_MS: Millis = 8_000;
-/// The same when there is budget to spare.
-const EXITS_DELAY_SPARE_MS: Millis = 1_500;
+/// Time, in ms, that exits of tasks wait for further exits to be written with them.
+const EXIT_BATCH_DELAY_MS: Millis = 8_000;
+/// The same delay, in ms, while there is spare request budget.
+const EXIT_BATCH_DELAY_SPARE_BUDGET_MS: Millis = 1_500;
 
-/// How urgently a job's records are to be written, the most urgent first.
+/// Urgency of writing a job's records, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WritePriority {
     /// All tasks of the job completed.
     CompletedJob,
-    /// Launches of a production job wait for their records.
+    /// Launches of a job of production priority wait for their records.
     ProductionPlacement,
-    /// The same of a job of high priority.
+    /// Launches of a job of high priority wait for their records.
     HighPlacement,
-    /// The same of a job of normal priority.
+    /// Launches of a job of normal priority wait for their records.
     NormalPlacement,
-    /// The same of a job of low priority.
+    /// Launches of a job of low priority wait for their records.
     LowPlacement,
     /// Only exits of tasks are unwritten.
     Exits,
 }
 
 impl WritePriority {
-    /// How urgently a job's records are to be written, if at all. Exits wait for
-    /// one another: nothing but the reaping of exited tasks depends on them, and
-    /// a later leader learns them from the workers.
+    /// Returns the urgency of writing a job's records; None: nothing is due. Exits are
+    /// delayed so that several are written together: only the reaping of exited tasks
+    /// depends on their records, and a later leader learns of the exits from the workers.
     pub fn of(job: &Job, now: Millis, has_spare_budget: bool) -> Option<WritePriority> {
         if job.records.stale || job.records.resharding {
             return None;
         }
         if job.status != JobStatus::Pending {
-            return None; // its records are deleted once none of its tasks is left
+            return None; // its records are deleted once none of its tasks remains
         }
         if job.all_done() {
             return Some(WritePriority::CompletedJob);
@@ -46,7 +46,7 @@
             return Some(WritePriority::of_placement(job.spec.priority));
         }
         let waited_ms = now.saturating_sub(job.records.unwritten_since?);
-        let delay_ms = if has_spare_budget { EXITS_DELAY_SPARE_MS } else { EXITS_DELAY_MS };
+        let delay_ms = if has_spare_budget { EXIT_BATCH_DELAY_SPARE_BUDGET_MS } else { EXIT_BATCH_DELAY_MS };
         (waited_ms >= delay_ms).then_some(WritePriority::Exits)
     }
 
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -1,4 +1,4 @@
-//! Calls that the leader asks to be made, and their outcomes.
+//! Calls that the leader requests, and their outcomes.
 
 use std::net::SocketAddr;
 
@@ -11,93 +11,96 @@
     },
 };
 
-/// A call to a worker or to the cloud that is to be made.
+/// A call to a worker or to the cloud that the caller of the leader must make.
 #[derive(Debug, Clone)]
 pub enum Effect {
-    /// POST /do: a command sent directly to a worker.
+    /// POST /do: sends commands directly to a worker.
     DirectCommand {
-        /// The machine of the worker.
+        /// The machine that the worker runs on.
         machine: MachineIndex,
-        /// Number of the call.
+        /// Number of the call, to be returned with its outcome.
         call: CallId,
-        /// Address of the worker.
+        /// Address at which the worker accepts commands.
         addr: SocketAddr,
-        /// The body of the request.
+        /// Body of the request.
         request: DirectCommandRequest,
     },
-    /// POST /hosts
+    /// POST /hosts: provisions machines.
     ScaleOut {
-        /// Number of the call.
+        /// Number of the call, to be returned with its outcome.
         call: CallId,
-        /// The body of the request.
+        /// Body of the request.
         request: ProvisionRequest,
     },
-    /// POST /hosts/return
+    /// POST /hosts/return: releases machines.
     ScaleIn {
-        /// Number of the call.
+        /// Number of the call, to be returned with its outcome.
         call: CallId,
-        /// Names of the machines.
+        /// Names of the machines to release.
         ids: Vec<String>,
     },
-    /// GET /hosts, from one machine's name on.
+    /// GET /hosts: requests a page of the machine list, from one machine's name on.
     ListMachines {
-        /// Number of the call.
+        /// Number of the call, to be returned with its outcome.
         call: CallId,
-        /// The first name to list; None: from the beginning.
+        /// Name of the last machine on the previous page; None: requests the first page.
         from: Option<String>,
     },
-    /// GET /status, of a worker whose heartbeat is overdue.
+    /// GET /status: probes a worker whose heartbeat is late.
     Probe {
-        /// The machine of the worker.
+        /// The machine that the worker runs on.
         machine: MachineIndex,
         /// Address of the worker.
         addr: SocketAddr,
     },
 }
 
-/// How a worker's heartbeat is answered.
+/// The leader's decision on a worker's heartbeat.
 #[derive(Debug)]
 pub enum HeartbeatOutcome {
-    /// Accepted: this renews the worker's lease and carries commands.
+    /// Accepted: the response renews the worker lease and carries commands.
     Accepted(HeartbeatResponse),
-    /// Ignored: it is older than one received before, or from a machine that is gone.
+    /// Ignored: the heartbeat is older than one received before, or its machine no
+    /// longer exists.
     Stale,
-    /// The worker has seen a higher token than any of ours.
+    /// The worker has seen a higher fencing token than any of this leader's.
     Superseded,
 }
 
-/// How a command sent directly to a worker ended.
+/// The outcome of a command sent directly to a worker.
 #[derive(Debug)]
 pub enum DirectCallOutcome {
-    /// Executed; the worker's heartbeat after it.
+    /// Executed; holds the worker's heartbeat after the execution.
     Executed(Heartbeat),
-    /// Refused by the worker; its heartbeat.
+    /// Refused by the worker; holds the worker's heartbeat.
     Refused(Heartbeat),
-    /// Never sent, so certainly not executed.
+    /// Never sent, so definitely not executed.
     NotSent,
-    /// Unanswered: it may have been executed, or may yet be.
+    /// No response received: the command may have been executed, or may still be
+    /// executed later.
     Unknown,
 }
 
-/// How a transaction ended.
+/// The outcome of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitOutcome {
-    /// Applied; the revision that all of its records have now.
+    /// Applied; holds the revision that all of its records have now.
     Applied(Revision),
-    /// Not applied, because these keys had other revisions than expected.
+    /// Not applied, because these keys had revisions other than the expected ones.
     Conflict(Vec<String>),
-    /// Certainly not executed.
+    /// Definitely not executed.
     Refused,
-    /// Not executed, and as it is it never will be.
+    /// Not executed: the store never accepts the transaction in its current size.
     TooLarge,
-    /// May have been executed, or may yet be.
+    /// The transaction may have been executed, or may still be executed later.
     Unknown,
 }
 
-/// Pause after a refusal, in ms, so that a busy service is not asked again at once.
+/// Pause after a refused transaction, in ms, so that a busy store is not called
+/// again immediately.
 pub(in crate::coordination) const REFUSED_PAUSE_MS: Millis = 150;
 
-/// Effects that the leader has decided on, and the numbers of its calls.
+/// Effects that the leader has decided on, and the source of its call numbers.
 #[derive(Debug)]
 pub(in crate::coordination) struct Outbox {
     effects: Vec<Effect>,
@@ -111,13 +114,13 @@
 }
 
 impl Outbox {
-    /// A number for a call, unique within this leadership.
+    /// Returns a new call number, unique within this leadership.
     pub fn next_call(&mut self) -> CallId {
         self.last_call = self.last_call.next();
         self.last_call
     }
 
-    /// Adds an effect.
+    /// Appends an effect.
     pub fn send(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
--- a/src/coordination/leader/commits.rs
+++ b/src/coordination/leader/commits.rs
@@ -1,5 +1,5 @@
-//! The leader's part in commits: each call goes to the commit pipeline, which
-//! works on the cluster state.
+//! The leader's interface to its commits: each call is delegated to the commit
+//! pipeline, together with the cluster state.
 
 use ciborium::Value;
 
@@ -10,37 +10,38 @@
 };
 
 impl Leader {
-    /// Whether all controllers run a version that can follow a resharded job.
+    /// Sets whether all controllers run a version that can follow a resharded job.
     pub fn set_may_reshard(&mut self, may_reshard: bool) {
         self.commits.set_resharding_enabled(may_reshard);
     }
 
-    /// Whether a transaction may be sent: none is unanswered, and no pause is kept
-    /// after one that failed.
+    /// Returns whether a transaction may be sent: none awaits its response, and the
+    /// pause after a failed one is over.
     pub fn may_commit(&self, now: Millis) -> bool {
         self.commits.may_send(now)
     }
 
-    /// A key to read before the next transaction, to learn whether the last one
+    /// Returns a key to read before the next transaction, to learn whether the last one
     /// was applied.
     pub fn resync_key(&self) -> Option<&str> {
         self.commits.resync_key()
     }
 
-    /// A key asked for by [`Leader::resync_key`] was read: its value and its
-    /// revision, or `None` if it doesn't exist.
+    /// Processes the read of a key that [`Leader::resync_key`] returned. `found`: its
+    /// value and its revision; None: the key doesn't exist.
     pub fn resynced(&mut self, now: Millis, key: &str, found: Option<(Value, Revision)>) {
         self.commits.resynced(now, key, found, &mut self.cluster);
     }
 
-    /// Whether something is to be written. `has_spare_budget`: there is budget for more
-    /// than what is urgent.
+    /// Returns whether any record must be written. `has_spare_budget`: the request
+    /// budget covers more than the urgent writes.
     pub fn has_writes(&mut self, now: Millis, has_spare_budget: bool) -> bool {
         self.commits.has_writes(now, has_spare_budget, &mut self.cluster)
     }
 
-    /// The next transaction, of at most `max_ops` writes; an unanswered one is
-    /// sent again as it was. `has_spare_budget`: there is budget for more than what is urgent.
+    /// Returns the next transaction, of at most `max_ops` writes; a transaction without
+    /// a response is sent again, unchanged. `has_spare_budget`: the request budget covers
+    /// more than the urgent writes.
     pub fn commit(
         &mut self,
         now: Millis,
@@ -52,8 +53,8 @@
         self.commits.next_transaction(now, allowance, &mut self.cluster, interners)
     }
 
-    /// Takes the outcome of the transaction that was sent. False: the leadership
-    /// is lost.
+    /// Processes the outcome of the transaction that was sent. Returns false if the
+    /// leadership is lost.
     pub fn transaction_finished(&mut self, now: Millis, outcome: CommitOutcome) -> bool {
         self.commits.finish(now, outcome, &mut self.cluster).is_ok()
     }
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -1,4 +1,4 @@
-//! A new leader reads the records that earlier leaders wrote.
+//! Loading, by a new leader, of the records that earlier leaders wrote.
 
 use super::Leader;
 use crate::{
@@ -14,8 +14,8 @@
 };
 
 impl Leader {
-    /// Takes in a chunk record read at the beginning. `wall_ms`: time of day, in
-    /// ms since the Unix epoch.
+    /// Adds the contents of a chunk record, read at the start of the leadership, to the
+    /// cluster state. `wall_ms`: wall-clock time, in ms since the Unix epoch.
     pub fn load_chunk_record(
         &mut self,
         now: Millis,
@@ -43,7 +43,7 @@
         chunk.revision = pair.revision;
         load_done_tasks(job, chunk_number, &record.done);
         load_assignments(&mut self.cluster, now, index, record.assignments, interners);
-        // What was read is what is written.
+        // The record in the store matches the state just loaded.
         if let Some(job) = self.cluster.job_mut(index) {
             let chunk = &mut job.records.chunks[chunk_number as usize];
             chunk.version = chunk.version.max(1);
@@ -64,8 +64,8 @@
         if self.cluster.job(index).is_some() {
             return true;
         }
-        // Guard: nothing of a job that still waits for others can have been
-        // assigned. Were it so all the same, its assignments must count.
+        // No task of a job with unfinished prerequisites can have been assigned. If
+        // there is an assignment despite that, it must still be included.
         if job_cache.waits(index) {
             tracing::error!(key, "chunk record of a job with unfinished prerequisites");
         }
@@ -74,7 +74,8 @@
         true
     }
 
-    /// All records are read. `wall_ms`: time of day, in ms since the Unix epoch.
+    /// Completes the loading, once all records are read. `wall_ms`: wall-clock time, in
+    /// ms since the Unix epoch.
     pub fn finish_loading(&mut self, now: Millis, wall_ms: u64, job_cache: &JobCache) {
         self.cluster.mark_loaded();
         self.commits.set_wall_clock(now, wall_ms);
@@ -94,7 +95,7 @@
     }
 }
 
-/// Makes the assignments of a chunk record.
+/// Adds the assignments of a chunk record to the cluster state.
 fn load_assignments(
     cluster: &mut ClusterState,
     now: Millis,
@@ -116,7 +117,7 @@
     }
 }
 
-/// Marks the tasks that a chunk record says are done.
+/// Marks the tasks as done that are done according to a chunk record.
 fn load_done_tasks(job: &mut Job, chunk_number: u32, packed_done: &str) {
     let first = chunk_number * job.records.chunk_size;
     let mut newly_done = 0;
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,13 +1,13 @@
-//! The leader: what a controller does while it holds the leader's lease.
+//! The leader: the work of a controller while it holds the leader's lease.
 //!
-//! [`Leader`] composes the components and hands them each event: the cluster
-//! state (what runs where), the commits (its records in the key-value store), the
-//! scheduler, the autoscaler, and the control of the workers.
+//! [`Leader`] composes the components and passes each event to them: the cluster
+//! state (which task runs on which machine), the commits (its records in the key-value
+//! store), the scheduler, the autoscaler, and the control of the workers.
 //!
-//! Safety rests on four rules, each guarded where it is marked in the components:
-//! an assignment is recorded before its launch is sent; it counts as occupied
-//! until something proves that the task is gone; a command that may still be
-//! on its way is fenced by a raised token; reaping follows the written end.
+//! Safety depends on four rules, which comments in the components explain where they
+//! are enforced: an assignment is recorded before its launch is sent; its resources are
+//! counted as occupied until the task is proven to be gone; a command that may still be
+//! in flight is fenced by a raised token; a task is reaped only after its exit is recorded.
 
 mod cloud;
 mod commits;
@@ -30,11 +30,11 @@
     storage::job_cache::{JobCache, JobIndex},
 };
 
-/// Raises of one worker's fencing token after which the leader steps down: well
-/// below what the count in a token can hold.
+/// Number of raises of one worker's fencing token above which the leader steps down:
+/// well below the largest count that a token can hold.
 const TOKEN_RAISE_LIMIT: u64 = 60_000;
 
-/// All that a controller keeps while it leads.
+/// State that a controller holds while it leads.
 pub struct Leader {
     pub(in crate::coordination) cluster: ClusterState,
     commits: CommitPipeline,
@@ -47,8 +47,8 @@
 }
 
 impl Leader {
-    /// A new leadership that has read no records yet. `nonce` is a random number
-    /// that no other leadership has.
+    /// Returns a leader that has read no records yet. `nonce`: a random number, unique
+    /// to this leadership.
     pub fn new(config: Config, term: Term, nonce: u64, now: Millis, types: Vec<MachineTypeSpec>) -> Leader {
         Leader {
             cluster: ClusterState::new(config, term, Attempt(term.first_sequence_number()), now, types),
@@ -62,70 +62,71 @@
         }
     }
 
-    /// The leadership's term.
+    /// Returns the leadership's term.
     pub fn term(&self) -> Term {
         self.cluster.term()
     }
 
-    /// When this leadership began.
+    /// Returns the time at which this leadership began, in ms.
     pub fn started(&self) -> Millis {
         self.cluster.started()
     }
 
-    /// Whether all records are read.
+    /// Returns whether all records are read.
     pub fn is_loaded(&self) -> bool {
         self.cluster.is_loaded()
     }
 
-    /// What the leader knows of jobs and machines.
+    /// Returns the leader's view of jobs and machines.
     pub fn cluster(&self) -> &ClusterState {
         &self.cluster
     }
 
-    /// Whether something changed since the last scheduling cycle that may let a job be placed.
+    /// Returns whether a change since the last scheduling cycle may allow a job to be placed.
     pub fn is_cycle_pending(&self) -> bool {
         self.cluster.is_cycle_requested()
     }
 
-    /// Whether a scheduling cycle is due: something changed, or the longest gap is over.
+    /// Returns whether a scheduling cycle is due: after a change and at least
+    /// `min_gap_ms`, or after `max_gap_ms` without a cycle.
     pub fn is_cycle_due(&self, now: Millis, min_gap_ms: Millis, max_gap_ms: Millis) -> bool {
         self.scheduler.is_cycle_due(now, self.cluster.is_cycle_requested(), min_gap_ms, max_gap_ms)
     }
 
-    /// Tries to place every waiting job.
+    /// Runs a scheduling cycle, which tries to place every waiting job.
     pub fn run_scheduling_cycle(&mut self, now: Millis) {
         self.scheduler.run_cycle(&mut self.cluster, now);
     }
 
-    /// The time in which no other controller renewed any lease.
+    /// Sets the time span in which no other controller renewed any worker lease.
     pub fn set_no_peer_renewals(&mut self, span: TimeSpan) {
         self.workers.set_no_peer_renewals(span);
     }
 
-    /// Takes the cloud's machine types and their prices, which may have changed.
+    /// Sets the cloud's machine types and their prices, which may have changed.
     pub fn set_types(&mut self, types: &[MachineTypeSpec]) {
         self.cluster.set_types(types);
     }
 
-    /// Takes a job's record from the job cache, new or changed. `wall_ms`: time of
-    /// day, in ms since the Unix epoch.
+    /// Applies a new or changed record of a job from the job cache. `wall_ms`: wall-clock
+    /// time, in ms since the Unix epoch.
     pub fn update_job(&mut self, now: Millis, wall_ms: u64, index: JobIndex, job_cache: &JobCache) {
         self.commits.set_wall_clock(now, wall_ms);
         self.cluster.job_update(now, wall_ms, index, job_cache);
     }
 
-    /// Progress of at most `max` jobs, to be published.
+    /// Removes and returns the progress of at most `max` jobs, to be published.
     pub fn take_progress(&mut self, max: usize) -> Vec<Count> {
         self.cluster.take_progress(max)
     }
 
-    /// What is to be done outside the leader, in order.
+    /// Removes and returns the effects to carry out outside the leader, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         self.outbox.take()
     }
 
-    /// Whether the count in some worker's fencing token is nearly used up: the
-    /// next leadership begins a new one.
+    /// Returns whether the raise count in any worker's fencing token is nearly exhausted;
+    /// the next leadership starts a new count.
     pub fn tokens_exhausted(&self) -> bool {
         let term = self.cluster.term();
         self.cluster.machines().iter().any(|machine| term.raise_count(machine.fence.token) > TOKEN_RAISE_LIMIT)
--- a/src/coordination/leader/periodic_checks.rs
+++ b/src/coordination/leader/periodic_checks.rs
@@ -1,4 +1,5 @@
-//! Regular checks for what only time tells, and the summary for the logs.
+//! Periodic checks for conditions that arise from the passage of time, and the summary
+//! in the logs.
 
 use super::Leader;
 use crate::coordination::{
@@ -7,15 +8,15 @@
     workers::probes,
 };
 
-/// Interval of the checks: short compared with leases and the heartbeat interval.
+/// Interval of the checks, in ms: short compared with leases and the heartbeat interval.
 const PERIODIC_CHECK_INTERVAL_MS: Millis = 250;
-/// Interval of the summary in the logs.
+/// Interval of the summary in the logs, in ms.
 pub(in crate::coordination) const SUMMARY_INTERVAL_MS: Millis = 10_000;
 
 impl Leader {
-    /// Checks every machine for what only time tells: leases that expired,
-    /// heartbeats that are overdue, machines that have nothing to do or may take
-    /// nothing new.
+    /// Checks every machine, once per interval, for conditions that arise from the passage
+    /// of time: expired leases, late heartbeats, machines that are idle or may take no new
+    /// tasks.
     pub fn run_periodic_checks(&mut self, now: Millis) {
         if now < self.next_periodic_checks {
             return;
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Logs what there is, what of it is in use, what waits, and what was
-    /// written since the last summary.
+    /// Logs the machines' total and free capacity, the numbers of jobs and of waiting
+    /// jobs, and the counts of the writes since the last summary.
     fn log_summary(&mut self) {
         let totals = CapacityTotals::of(self.cluster.snapshot());
         let written = self.commits.take_statistics();
@@ -62,7 +63,7 @@
         );
     }
 
-    /// Notes since when a machine, or its GPUs, have had nothing to do.
+    /// Records the time since which a machine, or its GPUs, have been idle.
     fn update_idle_since(&mut self, now: Millis, index: MachineIndex) {
         let machine = self.cluster.machine_mut(index);
         if machine.lifecycle != MachineLifecycle::Up {
@@ -77,11 +78,11 @@
     }
 }
 
-/// All machines taken together.
+/// Capacity of all machines together.
 #[derive(Debug, Default)]
 struct CapacityTotals {
     machines: usize,
-    /// Machines that take no new tasks.
+    /// Number of machines that take no new tasks.
     unschedulable_machines: u32,
     capacity: Resources,
     free: Resources,
--- a/src/coordination/leader/worker_events.rs
+++ b/src/coordination/leader/worker_events.rs
@@ -1,4 +1,4 @@
-//! Events of workers, handed to the components that control them.
+//! Events of workers, passed to the components that control the workers.
 
 use super::Leader;
 use crate::{
@@ -28,24 +28,23 @@
         self.workers.heartbeat(&mut self.cluster, &mut context, heartbeat)
     }
 
-    /// Records that the response made for a machine's latest heartbeat is not sent
-    /// after all.
+    /// Records that the response built for a machine's latest heartbeat is not sent.
     pub fn response_not_sent(&mut self, machine: &str) {
         heartbeats::response_not_sent(&mut self.cluster, machine);
     }
 
-    /// Whether a task may be on the machine, or on its way there.
+    /// Returns whether a task may be on the machine, or a launch may be in flight to it.
     pub fn may_hold_tasks(&self, heartbeat: &Heartbeat) -> bool {
         heartbeats::may_hold_tasks(&self.cluster, heartbeat)
     }
 
-    /// Sends new commands directly to the workers that may need some.
+    /// Sends new commands directly to the workers that may need them.
     pub fn dispatch_commands(&mut self, now: Millis) {
         direct_calls::dispatch(&mut self.cluster, &mut self.outbox, now);
     }
 
-    /// Processes the outcome of a direct call. False: a worker showed a higher token
-    /// than ours; another controller leads.
+    /// Processes the outcome of a direct call. Returns false if the worker has seen a
+    /// higher fencing token than this leader's: another controller leads.
     pub fn direct_call_result(
         &mut self,
         now: Millis,
@@ -59,7 +58,7 @@
         direct_calls::complete(&mut self.cluster, &mut context, index, call, outcome).is_ok()
     }
 
-    /// Processes the outcome of a probe. `None`: it went unanswered.
+    /// Processes the outcome of a probe. `heartbeat`: None if no response was received.
     pub fn probe_finished(
         &mut self,
         now: Millis,
@@ -72,8 +71,8 @@
         probes::complete(&mut self.cluster, &mut context, index, heartbeat);
     }
 
-    /// Whether hardly any of the workers that should send heartbeats have reached
-    /// this controller in the last `for_ms`.
+    /// Returns whether hardly any of the workers that should send heartbeats have reached
+    /// this controller in the last `for_ms` ms.
     pub fn is_isolated_from_workers(&self, now: Millis, for_ms: Millis) -> bool {
         self.workers.is_isolated_from_workers(&self.cluster, now, for_ms)
     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,8 +1,8 @@
 //! Leader election and scheduling: which controller leads, and which task runs on
 //! which machine.
 //!
-//! Everything here is deterministic and free of I/O: events and the present moment
-//! go in, effects come out.
+//! All modules here are deterministic and free of I/O: they take events and the
+//! current time as input, and return effects for the caller to perform.
 
 mod autoscaler;
 pub mod cluster;
--- a/src/coordination/tests/commits.rs
+++ b/src/coordination/tests/commits.rs
@@ -107,7 +107,7 @@
 
 fn put(op: &WriteOperation) -> Option<(&str, &Value)> {
     match op {
-        WriteOperation::Put { key, value: v, .. } => Some((key, v)),
+        WriteOperation::Put { key, value, .. } => Some((key, value)),
         WriteOperation::Delete { .. } => None,
     }
 }
@@ -137,13 +137,16 @@
 }
 
 #[test]
-fn placements_are_written_under_the_terms_of_this_leadership() {
-    let mut f = fixture();
-    assert!(!f.has_writes(NOW, false) && f.next(NOW, URGENT).is_none(), "nothing is assigned");
-    f.assign(0);
-    f.assign(9);
-    assert!(f.has_writes(NOW, false));
-    let transaction = f.next(NOW, URGENT).expect("two chunks changed");
+fn placements_are_written_on_condition_of_leader_job_and_chunk_revisions() {
+    let mut fixture = fixture();
+    assert!(
+        !fixture.has_writes(NOW, false) && fixture.next(NOW, URGENT).is_none(),
+        "no task is assigned, so nothing is written"
+    );
+    fixture.assign(0);
+    fixture.assign(9);
+    assert!(fixture.has_writes(NOW, false));
+    let transaction = fixture.next(NOW, URGENT).expect("two chunks changed");
     assert_eq!(written_keys(&transaction), [FIRST_CHUNK, SECOND_CHUNK]);
     assert!(requires(&transaction, records::LEADER_KEY, LEADER_REVISION));
     assert!(requires(&transaction, "j/j-1", JOB_REVISION));
@@ -152,181 +155,188 @@
     );
     let assignments = chunk_record(&transaction, SECOND_CHUNK).assignments;
     assert_eq!(assignments.iter().map(|record| (record.0, record.1.as_str())).collect::<Vec<_>>(), [(9, "m-1")]);
-    assert!(!f.commits.may_send(NOW) && f.next(NOW, URGENT).is_none(), "one transaction at a time");
-    assert!(f.finish(NOW + 20, CommitOutcome::Applied(Revision(8))));
-    assert_eq!((f.chunk_revision(0), f.chunk_revision(1)), (Revision(8), Revision(8)));
-    assert!(!f.has_unwritten_placement() && !f.has_writes(NOW + 20, false));
-    let statistics = f.commits.take_statistics();
+    assert!(!fixture.commits.may_send(NOW) && fixture.next(NOW, URGENT).is_none(), "one transaction at a time");
+    assert!(fixture.finish(NOW + 20, CommitOutcome::Applied(Revision(8))));
+    assert_eq!((fixture.chunk_revision(0), fixture.chunk_revision(1)), (Revision(8), Revision(8)));
+    assert!(!fixture.has_unwritten_placement() && !fixture.has_writes(NOW + 20, false));
+    let statistics = fixture.commits.take_statistics();
     assert_eq!((statistics.transactions, statistics.placements, statistics.exits), (1, 2, 0));
     assert_eq!(statistics.mean_placement_wait_ms(), 20);
-    assert_eq!(f.commits.take_statistics().transactions, 0, "counted once");
+    assert_eq!(fixture.commits.take_statistics().transactions, 0, "each transaction is counted once");
 }
 
 #[test]
-fn a_refused_transaction_is_built_anew_after_a_pause() {
-    let mut f = fixture();
-    f.assign(0);
-    let first = f.next(NOW, URGENT).unwrap();
-    assert!(f.finish(NOW, CommitOutcome::Refused));
-    assert!(!f.commits.may_send(NOW + 149) && f.commits.may_send(NOW + 150));
-    f.assign(1);
-    let second = f.next(NOW + 150, URGENT).unwrap();
+fn refused_transaction_is_rebuilt_after_a_pause() {
+    let mut fixture = fixture();
+    fixture.assign(0);
+    let first = fixture.next(NOW, URGENT).unwrap();
+    assert!(fixture.finish(NOW, CommitOutcome::Refused));
+    assert!(!fixture.commits.may_send(NOW + 149) && fixture.commits.may_send(NOW + 150));
+    fixture.assign(1);
+    let second = fixture.next(NOW + 150, URGENT).unwrap();
     assert_eq!(chunk_record(&second, FIRST_CHUNK).assignments.len(), 2);
     assert!(chunk_record(&second, FIRST_CHUNK).tag > chunk_record(&first, FIRST_CHUNK).tag);
 }
 
-/// Guard: an unanswered transaction may have been applied, or may yet be; it is
-/// sent again as it was until one copy is answered for certain.
+/// A transaction without a response may have been applied, or may still be applied
+/// later: it is sent again, unchanged, until the outcome of one copy is certain.
 #[test]
-fn an_unanswered_transaction_is_sent_again_as_it_was() {
-    let mut f = fixture();
-    f.assign(0);
-    let first = f.next(NOW, URGENT).unwrap();
-    assert!(f.finish(NOW, CommitOutcome::Unknown));
-    assert!(!f.commits.may_send(NOW + 99) && f.commits.may_send(NOW + 100));
-    f.assign(1);
-    assert_eq!(f.next(NOW + 100, URGENT).as_ref(), Some(&first));
-    // That copy is refused; the first one may still be on its way.
-    assert!(f.finish(NOW + 100, CommitOutcome::Refused));
-    assert_eq!(f.next(NOW + 250, URGENT).as_ref(), Some(&first));
-    assert!(f.finish(NOW + 250, CommitOutcome::Applied(Revision(8))));
-    assert!(f.has_unwritten_placement(), "the second assignment is not written yet");
-    let next = f.next(NOW + 250, URGENT).unwrap();
+fn transaction_without_response_is_sent_again_unchanged() {
+    let mut fixture = fixture();
+    fixture.assign(0);
+    let first = fixture.next(NOW, URGENT).unwrap();
+    assert!(fixture.finish(NOW, CommitOutcome::Unknown));
+    assert!(!fixture.commits.may_send(NOW + 99) && fixture.commits.may_send(NOW + 100));
+    fixture.assign(1);
+    assert_eq!(fixture.next(NOW + 100, URGENT).as_ref(), Some(&first));
+    // The second copy is refused; the first one may still be in flight.
+    assert!(fixture.finish(NOW + 100, CommitOutcome::Refused));
+    assert_eq!(fixture.next(NOW + 250, URGENT).as_ref(), Some(&first));
+    assert!(fixture.finish(NOW + 250, CommitOutcome::Applied(Revision(8))));
+    assert!(fixture.has_unwritten_placement(), "the second assignment is not written yet");
+    let next = fixture.next(NOW + 250, URGENT).unwrap();
     assert_eq!(chunk_record(&next, FIRST_CHUNK).assignments.len(), 2);
     assert!(requires(&next, FIRST_CHUNK, Revision(8)));
 }
 
 #[test]
-fn a_conflict_at_the_leaders_key_ends_the_leadership() {
-    let mut f = fixture();
-    f.assign(0);
-    f.next(NOW, URGENT).unwrap();
-    assert!(!f.finish(NOW, CommitOutcome::Conflict(vec![records::LEADER_KEY.to_owned(), FIRST_CHUNK.to_owned()])));
+fn conflict_on_leader_key_ends_the_leadership() {
+    let mut fixture = fixture();
+    fixture.assign(0);
+    fixture.next(NOW, URGENT).unwrap();
+    assert!(!fixture.finish(NOW, CommitOutcome::Conflict(vec![records::LEADER_KEY.to_owned(), FIRST_CHUNK.to_owned()])));
 }
 
 #[test]
-fn a_conflict_at_a_jobs_key_waits_for_the_job_cache() {
-    let mut f = fixture();
-    f.assign(0);
-    f.next(NOW, URGENT).unwrap();
-    assert!(f.finish(NOW, CommitOutcome::Conflict(vec!["j/j-1".to_owned()])));
-    assert!(f.cluster.job(f.job).unwrap().records.stale);
-    assert!(f.next(NOW, URGENT).is_none() && f.commits.resync_key().is_none());
+fn conflict_on_job_key_marks_the_job_stale_and_blocks_its_writes() {
+    let mut fixture = fixture();
+    fixture.assign(0);
+    fixture.next(NOW, URGENT).unwrap();
+    assert!(fixture.finish(NOW, CommitOutcome::Conflict(vec!["j/j-1".to_owned()])));
+    assert!(fixture.cluster.job(fixture.job).unwrap().records.stale);
+    assert!(fixture.next(NOW, URGENT).is_none() && fixture.commits.resync_key().is_none());
 }
 
 #[test]
-fn a_conflict_at_a_chunks_key_is_settled_by_reading_it() {
-    // The key holds: our own write; that of another; nothing.
+fn conflict_on_chunk_key_is_resolved_by_reading_the_key() {
+    // The key holds: this transaction's write; another transaction's write; nothing.
     for case in 0..3 {
-        let mut f = fixture();
-        f.assign(0);
-        let transaction = f.next(NOW, URGENT).unwrap();
-        assert!(f.finish(NOW, CommitOutcome::Conflict(vec![FIRST_CHUNK.to_owned()])));
-        assert_eq!(f.commits.resync_key(), Some(FIRST_CHUNK), "case {case}");
-        assert!(f.next(NOW, URGENT).is_none(), "case {case}: not before it is read");
+        let mut fixture = fixture();
+        fixture.assign(0);
+        let transaction = fixture.next(NOW, URGENT).unwrap();
+        assert!(fixture.finish(NOW, CommitOutcome::Conflict(vec![FIRST_CHUNK.to_owned()])));
+        assert_eq!(fixture.commits.resync_key(), Some(FIRST_CHUNK), "case {case}");
+        assert!(fixture.next(NOW, URGENT).is_none(), "case {case}: no transaction before the key is read");
         let own = chunk_record(&transaction, FIRST_CHUNK);
         let found = match case {
             0 => Some((records::to_value(&own), Revision(8))),
             1 => Some((records::to_value(&ChunkRecord { tag: own.tag + 1, ..own }), Revision(8))),
             _ => None,
         };
-        f.resynced(NOW, FIRST_CHUNK, found);
-        assert_eq!(f.commits.resync_key(), None, "case {case}");
-        assert_eq!(f.has_unwritten_placement(), case != 0, "case {case}");
-        assert_eq!(f.chunk_revision(0), if case == 2 { Revision::ABSENT } else { Revision(8) }, "case {case}");
-        assert_eq!(f.commits.take_statistics().transactions, u32::from(case == 0), "case {case}");
+        fixture.resynced(NOW, FIRST_CHUNK, found);
+        assert_eq!(fixture.commits.resync_key(), None, "case {case}");
+        assert_eq!(fixture.has_unwritten_placement(), case != 0, "case {case}");
+        assert_eq!(fixture.chunk_revision(0), if case == 2 { Revision::ABSENT } else { Revision(8) }, "case {case}");
+        assert_eq!(fixture.commits.take_statistics().transactions, u32::from(case == 0), "case {case}");
     }
 }
 
 #[test]
-fn a_refusal_as_too_large_lowers_the_limits_one_after_the_other() {
-    let mut f = fixture();
-    f.assign(0);
-    f.assign(9);
-    assert_eq!(f.next(NOW, URGENT).unwrap().writes.len(), 2);
-    assert!(f.finish(NOW, CommitOutcome::TooLarge));
-    assert_eq!(f.cluster.value_limit(), 4_096, "the store's lower limits hold");
-    assert_eq!(f.next(NOW + 150, URGENT).unwrap().writes.len(), 2);
-    assert!(f.finish(NOW + 150, CommitOutcome::TooLarge));
-    assert!(!f.commits.may_send(NOW + 1_149) && f.commits.may_send(NOW + 1_150));
-    assert_eq!(f.next(NOW + 1_150, URGENT).unwrap().writes.len(), 1, "half of them");
-    assert!(f.finish(NOW + 1_150, CommitOutcome::TooLarge));
-    // Refused as the only write: its assignment is released for a while, and
-    // with it those of the rest of its gang.
-    let job = f.cluster.job(f.job).unwrap();
+fn refusal_as_too_large_lowers_one_limit_at_a_time() {
+    let mut fixture = fixture();
+    fixture.assign(0);
+    fixture.assign(9);
+    assert_eq!(fixture.next(NOW, URGENT).unwrap().writes.len(), 2);
+    assert!(fixture.finish(NOW, CommitOutcome::TooLarge));
+    assert_eq!(fixture.cluster.value_limit(), 4_096, "the store's lower limits are in effect");
+    assert_eq!(fixture.next(NOW + 150, URGENT).unwrap().writes.len(), 2);
+    assert!(fixture.finish(NOW + 150, CommitOutcome::TooLarge));
+    assert!(!fixture.commits.may_send(NOW + 1_149) && fixture.commits.may_send(NOW + 1_150));
+    assert_eq!(fixture.next(NOW + 1_150, URGENT).unwrap().writes.len(), 1, "half the number of writes");
+    assert!(fixture.finish(NOW + 1_150, CommitOutcome::TooLarge));
+    // Refused as the only write: its assignment is released for some time, and so are
+    // those of the rest of its gang.
+    let job = fixture.cluster.job(fixture.job).unwrap();
     assert_eq!((job.tasks.placed, job.records.chunks[0].retry_at), (0, NOW + 3_150));
 }
 
 #[test]
-fn exits_wait_for_one_another() {
-    // (budget to spare, delay)
+fn exits_are_written_together_after_a_delay() {
+    // (has spare budget, delay in ms)
     for (has_spare_budget, delay) in [(false, 8_000), (true, 1_500)] {
-        let mut f = fixture();
-        f.assign(0);
-        f.next(NOW, URGENT).unwrap();
-        assert!(f.finish(NOW, CommitOutcome::Applied(Revision(8))));
-        let assignment = f.cluster.job(f.job).unwrap().assignments()[0];
-        f.cluster.release_assignment(assignment, ReleaseReason::Done);
-        assert!(!f.has_writes(NOW, has_spare_budget) && !f.has_writes(NOW + delay - 1, has_spare_budget));
-        assert!(f.has_writes(NOW + delay, has_spare_budget));
+        let mut fixture = fixture();
+        fixture.assign(0);
+        fixture.next(NOW, URGENT).unwrap();
+        assert!(fixture.finish(NOW, CommitOutcome::Applied(Revision(8))));
+        let assignment = fixture.cluster.job(fixture.job).unwrap().assignments()[0];
+        fixture.cluster.release_assignment(assignment, ReleaseReason::Done);
+        assert!(!fixture.has_writes(NOW, has_spare_budget) && !fixture.has_writes(NOW + delay - 1, has_spare_budget));
+        assert!(fixture.has_writes(NOW + delay, has_spare_budget));
         let allowance = WriteAllowance { has_spare_budget, ..URGENT };
-        assert_eq!(written_keys(&f.next(NOW + delay, allowance).unwrap()), [FIRST_CHUNK]);
-        assert!(f.finish(NOW + delay, CommitOutcome::Applied(Revision(9))));
-        let statistics = f.commits.take_statistics();
+        assert_eq!(written_keys(&fixture.next(NOW + delay, allowance).unwrap()), [FIRST_CHUNK]);
+        assert!(fixture.finish(NOW + delay, CommitOutcome::Applied(Revision(9))));
+        let statistics = fixture.commits.take_statistics();
         assert_eq!((statistics.placements, statistics.exits), (1, 1));
     }
 }
 
 #[test]
-fn a_completed_job_is_recorded_and_its_chunks_are_deleted() {
-    let mut f = fixture();
-    f.commits.set_wall_clock(NOW, 50_000);
+fn completed_job_is_recorded_and_its_chunks_are_deleted() {
+    let mut fixture = fixture();
+    fixture.commits.set_wall_clock(NOW, 50_000);
     for task in 0..16 {
-        f.assign(task);
+        fixture.assign(task);
     }
-    f.next(NOW, URGENT).unwrap();
-    assert!(f.finish(NOW, CommitOutcome::Applied(Revision(8))));
-    for assignment in f.cluster.job(f.job).unwrap().assignments() {
-        f.cluster.release_assignment(assignment, ReleaseReason::Done);
+    fixture.next(NOW, URGENT).unwrap();
+    assert!(fixture.finish(NOW, CommitOutcome::Applied(Revision(8))));
+    for assignment in fixture.cluster.job(fixture.job).unwrap().assignments() {
+        fixture.cluster.release_assignment(assignment, ReleaseReason::Done);
     }
-    let transaction = f.next(NOW + 10, URGENT).expect("completions wait for nothing");
+    let transaction = fixture.next(NOW + 10, URGENT).expect("completions are written without a delay");
     assert_eq!(written_keys(&transaction), ["j/j-1"]);
     assert!(requires(&transaction, "j/j-1", JOB_REVISION));
     let record: JobRecord = written(&transaction)[0].1.deserialized().unwrap();
     assert_eq!((record.status, record.at_ms), (JobStatus::Done, 50_010));
-    assert!(f.finish(NOW + 10, CommitOutcome::Applied(Revision(9))));
-    assert!(f.cluster.job(f.job).is_none(), "removed");
-    assert!(!f.has_writes(NOW + 10, false) && f.has_writes(NOW + 10, true), "deletions take only what is to spare");
-    let transaction = f.next(NOW + 10, SPARE).unwrap();
+    assert!(fixture.finish(NOW + 10, CommitOutcome::Applied(Revision(9))));
+    assert!(fixture.cluster.job(fixture.job).is_none(), "the completed job is removed");
+    assert!(
+        !fixture.has_writes(NOW + 10, false) && fixture.has_writes(NOW + 10, true),
+        "deletions use only spare budget"
+    );
+    let transaction = fixture.next(NOW + 10, SPARE).unwrap();
     assert_eq!(deleted_keys(&transaction), [FIRST_CHUNK, SECOND_CHUNK]);
     assert!(
         requires(&transaction, FIRST_CHUNK, Revision(8))
             && requires(&transaction, records::LEADER_KEY, LEADER_REVISION)
     );
-    // One key has changed meanwhile: only the other one is tried again, after a pause.
-    assert!(f.finish(NOW + 10, CommitOutcome::Conflict(vec![FIRST_CHUNK.to_owned()])));
-    assert!(f.next(NOW + 809, SPARE).is_none());
-    assert_eq!(deleted_keys(&f.next(NOW + 810, SPARE).unwrap()), [SECOND_CHUNK]);
+    // One key has changed in the meantime: only the deletion of the other one is retried,
+    // after a pause.
+    assert!(fixture.finish(NOW + 10, CommitOutcome::Conflict(vec![FIRST_CHUNK.to_owned()])));
+    assert!(fixture.next(NOW + 809, SPARE).is_none());
+    assert_eq!(deleted_keys(&fixture.next(NOW + 810, SPARE).unwrap()), [SECOND_CHUNK]);
 }
 
 #[test]
-fn a_job_is_resharded_once_all_controllers_can_follow_and_there_is_budget_to_spare() {
-    let mut f = fixture();
-    f.assign(5);
-    f.next(NOW, URGENT).unwrap();
-    assert!(f.finish(NOW, CommitOutcome::Applied(Revision(8))));
-    assert!(!f.has_writes(NOW, true) && f.next(NOW, SPARE).is_none(), "not enabled");
-    f.commits.set_resharding_enabled(true);
-    assert!(f.next(NOW + 200, URGENT).is_none(), "nothing to spare");
-    let transaction = f.next(NOW + 200, SPARE).expect("chunks of 8 tasks become chunks of 4");
+fn job_is_resharded_only_when_enabled_and_with_spare_budget() {
+    let mut fixture = fixture();
+    fixture.assign(5);
+    fixture.next(NOW, URGENT).unwrap();
+    assert!(fixture.finish(NOW, CommitOutcome::Applied(Revision(8))));
+    assert!(!fixture.has_writes(NOW, true) && fixture.next(NOW, SPARE).is_none(), "resharding is not enabled");
+    fixture.commits.set_resharding_enabled(true);
+    assert!(fixture.next(NOW + 200, URGENT).is_none(), "no spare budget");
+    let transaction = fixture.next(NOW + 200, SPARE).expect("chunks of 8 tasks become chunks of 4");
     // Task 5 is in the second of the new chunks; the first one's record is deleted.
     assert_eq!(written_keys(&transaction), ["j/j-1", SECOND_CHUNK]);
     assert_eq!(deleted_keys(&transaction), [FIRST_CHUNK]);
     assert!(requires(&transaction, FIRST_CHUNK, Revision(8)) && requires(&transaction, SECOND_CHUNK, Revision::ABSENT));
     assert!(requires(&transaction, records::LEADER_KEY, LEADER_REVISION));
-    assert!(f.cluster.job(f.job).unwrap().records.resharding, "none of its tasks may be assigned");
-    assert!(f.finish(NOW + 200, CommitOutcome::Applied(Revision(9))));
-    let records = &f.cluster.job(f.job).unwrap().records;
+    assert!(
+        fixture.cluster.job(fixture.job).unwrap().records.resharding,
+        "none of the job's tasks may be assigned during resharding"
+    );
+    assert!(fixture.finish(NOW + 200, CommitOutcome::Applied(Revision(9))));
+    let records = &fixture.cluster.job(fixture.job).unwrap().records;
     assert_eq!((records.chunk_size, records.chunks.len(), records.resharding), (4, 4, false));
     assert_eq!(records.chunks[1].revision, Revision(9));
 }
