--- a/src/controller/leadership/commits.rs
+++ b/src/controller/leadership/commits.rs
@@ -1,4 +1,4 @@
-//! The leader's transactions.
+//! Sending of the leader's transactions, and their outcomes.
 
 use super::{LeaderContext, Leadership};
 use crate::{
@@ -28,35 +28,42 @@
         }
         let budgets = context.client.budgets();
         let available = budgets.available_commits(now);
-        let spare = budgets.has_spare_commits(now);
-        if !leader.has_writes(now, spare) {
+        let has_spare_budget = budgets.has_spare_commits(now);
+        if !leader.has_writes(now, has_spare_budget) {
             return;
         }
         if available < 1.0 || budgets.available_reads(now) < 1.0 {
             return;
         }
-        let Some(transaction) = leader.commit(now, available as usize, spare, context.names) else { return };
+        let Some(transaction) = leader.commit(now, available as usize, has_spare_budget, context.names) else { return };
         budgets.charge_commits(now, transaction.writes.len());
         budgets.charge_read(now);
         let request = StoreRequest::transaction(&transaction, STORE_TIMEOUT_MS);
-        // Guard: preparing took time, and the leadership may have ended meanwhile.
+        // Preparing the transaction took time: the leadership may have ended in the
+        // meantime.
         if context.election.leading(context.net.now()) == Some(term) {
             context.send_to_store(term, LeaderCall::Commit, request);
         } else {
-            leader.committed(now, CommitOutcome::Refused);
+            leader.transaction_finished(now, CommitOutcome::Refused);
         }
     }
 
-    /// The leader's transaction ended.
-    pub(super) fn committed(&mut self, context: &mut LeaderContext, now: Millis, term: Term, result: &CallResult) {
+    /// Processes the result of the leader's transaction.
+    pub(super) fn transaction_finished(
+        &mut self,
+        context: &mut LeaderContext,
+        now: Millis,
+        term: Term,
+        result: &CallResult,
+    ) {
         let outcome = commit_outcome(now, result, context.client.budgets());
         let is_conflict = matches!(outcome, CommitOutcome::Conflict(_));
         let Some(leader) = self.leader_of(term) else { return };
-        if !leader.committed(now, outcome) {
-            tracing::warn!(%term, "leadership lost: another leader has written");
+        if !leader.transaction_finished(now, outcome) {
+            tracing::warn!(%term, "leadership lost: another controller has written the leader's key");
             self.step_down(context, now);
         } else if is_conflict {
-            // Jobs' records changed; they are read before the next transaction.
+            // The records of jobs changed: they are read before the next transaction.
             context.jobs.watch_now(now);
         }
     }
--- a/src/controller/leadership/config.rs
+++ b/src/controller/leadership/config.rs
@@ -1,4 +1,4 @@
-//! The leader's configuration, from the settings.
+//! The leader's configuration, derived from the settings.
 
 use crate::{
     controller::cluster_limits::{chunk_size, team_limits},
@@ -15,38 +15,40 @@
 
 const BYTES_PER_KB: f64 = 1024.0;
 const MS_PER_S: f64 = 1000.0;
-/// Heartbeat intervals, and ms besides, after which a silent machine is released
-/// to the cloud unless operators set another time.
-const SILENT_HEARTBEAT_INTERVALS: Millis = 2;
-const SILENT_GRACE_MS: Millis = 2_500;
+/// Number of heartbeat intervals that, together with the grace period, make up the
+/// default heartbeat timeout: a machine without heartbeats for that long is released to
+/// the cloud, unless operators set another time.
+const HEARTBEAT_TIMEOUT_INTERVALS: Millis = 2;
+/// Grace period, in ms, that is added to these intervals.
+const HEARTBEAT_TIMEOUT_GRACE_MS: Millis = 2_500;
 
-fn ms(seconds: f64) -> Millis {
+fn to_ms(seconds: f64) -> Millis {
     (seconds * MS_PER_S) as Millis
 }
 
-/// The configuration of a leader that starts now.
+/// Returns the configuration of a leader that starts with these settings.
 pub fn leader_config(cluster: &ClusterSettings, operator: &OperatorSettings, names: &mut Interners) -> Config {
-    let heartbeat_interval_ms = ms(cluster.workers.heartbeat_interval_s);
-    let default_silent_ms = heartbeat_interval_ms * SILENT_HEARTBEAT_INTERVALS + SILENT_GRACE_MS;
+    let heartbeat_interval_ms = to_ms(cluster.workers.heartbeat_interval_s);
+    let default_heartbeat_timeout_ms = heartbeat_interval_ms * HEARTBEAT_TIMEOUT_INTERVALS + HEARTBEAT_TIMEOUT_GRACE_MS;
     Config {
-        worker_lease_ms: ms(cluster.workers.lease_s),
+        worker_lease_ms: to_ms(cluster.workers.lease_s),
         heartbeat_interval_ms,
         gang_peer_s: cluster.workers.gang_peer_s,
         max_transaction_writes: cluster.state.fitting_txn_ops(),
         max_value_bytes: (cluster.state.value_kb * BYTES_PER_KB) as usize,
         reduced_max_value_bytes: (cluster.state.fitting_value_kb() * BYTES_PER_KB) as usize,
         reduced_chunk_size: chunk_size(cluster),
-        host_list_delay_ms: ms(cluster.cloud.list_lag_s),
+        host_list_delay_ms: to_ms(cluster.cloud.list_lag_s),
         teams: cluster.teams.iter().map(team_limits).collect(),
         objectives: service_objectives(cluster, names),
-        min_idle_ms: ms(operator.idle_keep_s),
-        heartbeat_timeout_ms: operator.silent_return_s.map_or(default_silent_ms, ms),
+        min_idle_ms: to_ms(operator.idle_keep_s),
+        heartbeat_timeout_ms: operator.silent_return_s.map_or(default_heartbeat_timeout_ms, to_ms),
         max_machines: operator.max_machines.unwrap_or(usize::MAX),
         use_spot: operator.use_spot,
     }
 }
 
-/// The objectives that scheduling can serve, the most urgent first.
+/// Returns the objectives that scheduling can serve, the most urgent first.
 fn service_objectives(cluster: &ClusterSettings, names: &mut Interners) -> Vec<ServiceObjective> {
     let mut objectives: Vec<ServiceObjective> =
         cluster.objectives.iter().filter_map(|objective| service_objective(objective, names)).collect();
