--- a/src/controller/election_driver.rs
+++ b/src/controller/election_driver.rs
@@ -3,8 +3,8 @@
 use super::{
     identity::Identity,
     service_client::{
-        applied_revision, grant_id, grant_renewed, status, CallResult, ElectionCall, PendingCall, ServiceClient,
-        StoreRequest, STORE_TIMEOUT_MS,
+        applied_revision, renewal_outcome, status, store_lease_id, CallResult, ElectionCall, PendingCall,
+        ServiceClient, StoreRequest, STORE_TIMEOUT_MS,
     },
 };
 use crate::{
@@ -39,10 +39,10 @@
 
     /// Gives up leading, if this controller does, so that another can be elected.
     pub fn step_down(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
-        if let Some(grant) = self.election.step_down(now) {
+        if let Some(store_lease) = self.election.step_down(now) {
             client.budgets().charge_read(net.now());
-            let request = StoreRequest::delete_grant(grant, STORE_TIMEOUT_MS);
-            client.send_to_store(net, PendingCall::Election(ElectionCall::DeleteGrant), request);
+            let request = StoreRequest::delete_store_lease(store_lease, STORE_TIMEOUT_MS);
+            client.send_to_store(net, PendingCall::Election(ElectionCall::DeleteStoreLease), request);
         }
     }
 
@@ -50,20 +50,20 @@
         let now = net.now();
         client.budgets().charge_read(now);
         match *action {
-            Action::RequestGrant => {
-                let request = StoreRequest::create_grant(self.election.ttl_ms(), STORE_TIMEOUT_MS);
-                client.send_to_store(net, PendingCall::Election(ElectionCall::CreateGrant), request);
+            Action::RequestStoreLease => {
+                let request = StoreRequest::create_store_lease(self.election.ttl_ms(), STORE_TIMEOUT_MS);
+                client.send_to_store(net, PendingCall::Election(ElectionCall::CreateStoreLease), request);
             }
-            Action::RenewGrant(grant) => {
-                let request = StoreRequest::renew_grant(grant, self.election.renewal_timeout_ms());
-                client.send_to_store(net, PendingCall::Election(ElectionCall::RenewGrant), request);
+            Action::RenewStoreLease(store_lease) => {
+                let request = StoreRequest::renew_store_lease(store_lease, self.election.renewal_timeout_ms());
+                client.send_to_store(net, PendingCall::Election(ElectionCall::RenewStoreLease), request);
             }
-            Action::WriteKey { grant, expected_revision } => {
-                let record = self.election.record(grant);
-                let request = StoreRequest::write_granted_key(
+            Action::WriteKey { store_lease, expected_revision } => {
+                let record = self.election.record(store_lease);
+                let request = StoreRequest::write_leased_key(
                     records::LEADER_KEY.into(),
                     &record,
-                    grant,
+                    store_lease,
                     expected_revision,
                     STORE_TIMEOUT_MS,
                 );
@@ -76,19 +76,19 @@
     /// A request of the election ended.
     pub fn handle_reply(&mut self, now: Millis, call: &ElectionCall, result: &CallResult) {
         match call {
-            ElectionCall::CreateGrant => self.election.granted(now, grant_id(result)),
-            ElectionCall::RenewGrant => self.election.renewed(now, grant_renewed(result)),
-            ElectionCall::ClaimKey => self.claimed(now, result),
-            ElectionCall::DeleteGrant => {}
+            ElectionCall::CreateStoreLease => self.election.handle_store_lease_response(now, store_lease_id(result)),
+            ElectionCall::RenewStoreLease => self.election.handle_renewal_outcome(now, renewal_outcome(result)),
+            ElectionCall::ClaimKey => self.handle_claim_result(now, result),
+            ElectionCall::DeleteStoreLease => {}
         }
     }
 
-    fn claimed(&mut self, now: Millis, result: &CallResult) {
+    fn handle_claim_result(&mut self, now: Millis, result: &CallResult) {
         // The store knows no such grant any more.
         if status(result) == BAD_REQUEST {
-            self.election.grant_lost();
+            self.election.handle_store_lease_expiry();
         }
-        self.election.claimed(now, applied_revision(result));
+        self.election.handle_claim_result(now, applied_revision(result));
     }
 
     /// The leader's key was seen. `record`: None: it doesn't exist. `revision`: of
@@ -98,8 +98,8 @@
     }
 
     /// Term of this controller's leadership, if it may act at this moment.
-    pub fn leading(&self, now: Millis) -> Option<Term> {
-        self.election.leading(now)
+    pub fn leading_term(&self, now: Millis) -> Option<Term> {
+        self.election.leading_term(now)
     }
 
     /// Term of this controller's leadership, even if it may not act just now.
--- a/src/controller/instance/heartbeats.rs
+++ b/src/controller/instance/heartbeats.rs
@@ -27,11 +27,11 @@
         };
         let now = net.now();
         if heartbeat.zone != self.identity.zone {
-            self.renewal_key.record_foreign_heartbeat(now);
+            self.renewal_key.record_other_zone_heartbeat(now);
         }
         // Guard: the answer must not launch what the job cache shows as cancelled.
         self.leadership.sync_jobs(now, &mut self.jobs);
-        let term = self.election.leading(now);
+        let term = self.election.leading_term(now);
         match self.leadership.answer_heartbeat(now, term, &heartbeat, &self.jobs, &mut self.names) {
             Some(HeartbeatOutcome::Accepted(answer)) => self.send_leader_answer(net, conn, &heartbeat, &answer),
             Some(HeartbeatOutcome::Stale) => net.respond(conn, SERVICE_UNAVAILABLE, None, b""),
@@ -69,7 +69,7 @@
         let bytes = cbor::encode(answer);
         let now = net.now();
         let cache_is_recent = self.renewal_key.may_renew(now);
-        let is_leading = self.election.leading(now).is_some();
+        let is_leading = self.election.leading_term(now).is_some();
         let Some(leader) = self.leadership.leader_mut() else {
             return net.respond(conn, SERVICE_UNAVAILABLE, None, b"");
         };
@@ -94,7 +94,7 @@
     fn renew_without_leader(&mut self, net: &mut Net, conn: ConnectionId, now: Millis, heartbeat: &Heartbeat) {
         // Guard: recorded before the answer is sent, so that no leader counts the
         // lease as expired.
-        self.renewal_key.record_renewal(now);
+        self.renewal_key.record_leaderless_renewal(now);
         let commands = stop_commands_for_cancelled(heartbeat, self.jobs.cache());
         let bytes = cbor::encode(&HeartbeatResponse { token: heartbeat.token, commands });
         net.respond_to_heartbeat(conn, OK, &bytes);
--- a/src/controller/instance/mod.rs
+++ b/src/controller/instance/mod.rs
@@ -172,7 +172,7 @@
         if !self.peers.contains(label) {
             return None;
         }
-        let peer_confirms = self.peers.claims_to_lead(now, label);
+        let peer_confirms = self.peers.advertises_leadership(now, label);
         let key_is_current = self.store_health.answered_within(now, LEADER_HINT_STORE_MS);
         (peer_confirms || key_is_current).then_some(label)
     }
@@ -187,7 +187,8 @@
             return false;
         }
         let Some(failing_since) = self.store_health.failing_since() else { return true };
-        now < failing_since + UNREADY_AFTER_MS || !self.peers.show_own_failure(now, now.saturating_sub(failing_since))
+        now < failing_since + UNREADY_AFTER_MS
+            || !self.peers.is_store_failure_local(now, now.saturating_sub(failing_since))
     }
 }
 
--- a/src/controller/instance/tick.rs
+++ b/src/controller/instance/tick.rs
@@ -48,7 +48,7 @@
     /// Does all that is due if this controller leads.
     fn lead(&mut self, net: &mut Net) {
         let now = net.now();
-        let leading = self.election.leading(now);
+        let leading = self.election.leading_term(now);
         self.set_budget_shares(now, Role::from_leading(leading.is_some()));
         self.leadership.end_unless_held(self.election.held_term());
         let Some(term) = leading else { return };
@@ -71,7 +71,7 @@
             TimeSpan { from: peers.from.max(self.renewal_key.last_leaderless_renewal() as i64), to: peers.to };
         PeerView {
             all_upgraded: self.versions.is_complete(),
-            reached_by_workers: self.peers.are_reached_by_workers(now),
+            reached_by_workers: self.peers.have_worker_contact(now),
             no_renewals,
         }
     }
@@ -83,7 +83,7 @@
 
     /// Sends gossip when it is due, then sets the budgets anew.
     fn gossip(&mut self, net: &mut Net, now: Millis) {
-        let leading = self.election.leading(now).is_some();
+        let leading = self.election.leading_term(now).is_some();
         let local_state = || {
             let counts = if leading { self.leadership.take_progress(MAX_GOSSIP_COUNTS) } else { Vec::new() };
             for count in &counts {
--- a/src/controller/leadership/commits.rs
+++ b/src/controller/leadership/commits.rs
@@ -40,7 +40,7 @@
         budgets.charge_read(now);
         let request = StoreRequest::transaction(&transaction, STORE_TIMEOUT_MS);
         // Guard: preparing took time, and the leadership may have ended meanwhile.
-        if context.election.leading(context.net.now()) == Some(term) {
+        if context.election.leading_term(context.net.now()) == Some(term) {
             context.send_to_store(term, LeaderCall::Commit, request);
         } else {
             leader.committed(now, CommitOutcome::Refused);
--- a/src/controller/leadership/effects.rs
+++ b/src/controller/leadership/effects.rs
@@ -48,7 +48,7 @@
             let now = context.net.now();
             // Guard: the leadership may end at any time, so it is checked again
             // before each request.
-            let valid = context.election.leading(now) == Some(term);
+            let valid = context.election.leading_term(now) == Some(term);
             self.carry_out(context, Authority { now, term, valid }, effect);
         }
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -9,7 +9,7 @@
 //! - `store_health`: whether the key-value store serves this controller.
 //! - `peers`: the other controllers, and gossip with them.
 //! - `election_driver`, `renewal_key`: the keys that this controller holds under
-//!   grants, to lead and to renew leases.
+//!   store leases, to lead and to renew leases.
 //! - `leader_key_watch`, `job_watch`, `version_watch`, `machine_types`: what is read
 //!   again and again from the store and the cloud.
 //! - `users`: the API for users, and their requests that wait for the read barrier.
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -5,7 +5,7 @@
 
 use self::{
     outgoing::OutgoingGossip,
-    peer::{Peer, QuietTime},
+    peer::{InactiveSpan, Peer},
 };
 use super::{identity::Identity, service_client::Usage};
 use crate::{
@@ -22,16 +22,16 @@
 
 /// A peer that was not heard for this long, in ms, is assumed to use its whole
 /// share of the budgets.
-const PEER_SILENT_MS: Millis = 2_000;
+const PEER_USAGE_VALID_MS: Millis = 2_000;
 /// For how long, in ms, a peer's statement that it leads is believed.
-const LEADER_STATEMENT_MS: Millis = 1_500;
+const LEADER_STATUS_VALID_MS: Millis = 1_500;
 /// A peer is in contact when it was heard within this time, in ms.
-const PEER_CONTACT_MS: Millis = 2_500;
+const PEER_REACHABLE_MS: Millis = 2_500;
 /// A peer that the key-value store answered this much later, in ms, than it
 /// answered us shows that the failure is ours.
-const SERVED_LATER_MS: Millis = 1_500;
+const LATER_STORE_RESPONSE_MS: Millis = 1_500;
 /// What a peer says of rejected heartbeats counts for this long, in ms.
-const PEER_HEARTBEATS_MS: Millis = 2_000;
+const REJECTION_COUNT_VALID_MS: Millis = 2_000;
 /// Rejected heartbeats at one peer that show that workers are there.
 const MIN_REJECTED_HEARTBEATS: u32 = 2;
 
@@ -55,7 +55,7 @@
 pub struct Peers {
     identity: Identity,
     /// In the order of the settings.
-    list: Vec<Peer>,
+    peers: Vec<Peer>,
     /// For which time each is known to have renewed no lease.
     inactivity: PeerInactivity,
     outgoing: OutgoingGossip,
@@ -64,11 +64,11 @@
 impl Peers {
     /// Peers that were not heard yet, with a link to each.
     pub fn new(identity: Identity, peer_settings: &[PeerSettings], net: &mut Net) -> Peers {
-        let list =
+        let peers =
             peer_settings.iter().map(|seed| Peer::new(seed, &identity.zone, net.add_link(seed.endpoint))).collect();
         Peers {
             identity,
-            list,
+            peers,
             inactivity: PeerInactivity::new(peer_settings.len()),
             outgoing: OutgoingGossip::default(),
         }
@@ -76,7 +76,7 @@
 
     /// Number of controllers, this one included.
     pub fn controller_count(&self) -> usize {
-        self.list.len() + 1
+        self.peers.len() + 1
     }
 
     /// Whether a peer has this label.
@@ -85,18 +85,18 @@
     }
 
     fn find(&self, label: &str) -> Option<&Peer> {
-        self.list.iter().find(|peer| peer.label == label)
+        self.peers.iter().find(|peer| peer.label == label)
     }
 
     /// Takes a peer's gossip. Returns the task counts that it tells; none if the
     /// frame is old, or of no peer.
     pub fn receive_gossip(&mut self, now: Millis, gossip: Gossip) -> Vec<Count> {
-        let Some(index) = self.list.iter().position(|peer| peer.label == gossip.from) else { return Vec::new() };
-        if !self.list[index].update(now, &gossip) {
+        let Some(index) = self.peers.iter().position(|peer| peer.label == gossip.from) else { return Vec::new() };
+        if !self.peers[index].update(now, &gossip) {
             return Vec::new();
         }
-        if let Some(quiet) = QuietTime::stated_in(&gossip, &self.identity, now) {
-            self.inactivity.record_inactive(index, quiet.from, quiet.to);
+        if let Some(inactive) = InactiveSpan::from_gossip(&gossip, &self.identity, now) {
+            self.inactivity.record_inactive(index, inactive.from, inactive.to);
         }
         gossip.counts
     }
@@ -109,7 +109,7 @@
         }
         let gossip = self.gossip(now, local_state());
         let bytes = frames::encode(&Frame::Gossip(gossip));
-        for peer in &self.list {
+        for peer in &self.peers {
             net.send_frame(peer.link, &bytes);
         }
         let cancelled = self.outgoing.repeated_cancellations(now);
@@ -125,7 +125,7 @@
             nonce: self.identity.nonce,
             count: self.outgoing.next_frame_number(),
             state_age_ms: state.store_age_ms,
-            rejected_heartbeats: self.outgoing.recently_rejected(now),
+            rejected_heartbeats: self.outgoing.recent_rejection_count(now),
             leading: state.leading,
             reads_used: state.usage.reads,
             writes_used: state.usage.writes,
@@ -139,7 +139,7 @@
 
     /// The last clock of each peer, and the mark of the frame types read here.
     fn echoes(&self) -> Vec<Echo> {
-        self.list.iter().filter_map(Peer::echo).chain([Gossip::supported_frames_marker()]).collect()
+        self.peers.iter().filter_map(Peer::echo).chain([Gossip::supported_frames_marker()]).collect()
     }
 
     /// Tells peers at once of a cancellation that was confirmed to a user.
@@ -155,7 +155,7 @@
     fn send_notice(&self, net: &mut Net, cancelled: Vec<Cancelled>) {
         let notice = Notice { from: self.identity.label.clone(), cancelled };
         let bytes = frames::encode(&Frame::Notice(notice));
-        for peer in self.list.iter().filter(|peer| peer.reads_notices) {
+        for peer in self.peers.iter().filter(|peer| peer.reads_notices) {
             net.send_frame(peer.link, &bytes);
         }
     }
@@ -166,57 +166,62 @@
     }
 
     /// Whether a peer said a moment ago that it leads.
-    pub fn claims_to_lead(&self, now: Millis, label: &str) -> bool {
-        self.find(label).is_some_and(|peer| peer.leading && peer.heard_within(now, LEADER_STATEMENT_MS))
+    pub fn advertises_leadership(&self, now: Millis, label: &str) -> bool {
+        self.find(label).is_some_and(|peer| peer.leading && peer.frame_received_within(now, LEADER_STATUS_VALID_MS))
     }
 
     /// Whether the peers show that a failure of the key-value store, which has lasted
     /// for `failing_ms`, is this controller's alone: it is in contact with none of
     /// them, or the store answered one of them meanwhile.
-    pub fn show_own_failure(&self, now: Millis, failing_ms: Millis) -> bool {
-        let mut in_contact = self.list.iter().filter(|peer| peer.heard_within(now, PEER_CONTACT_MS)).peekable();
-        if in_contact.peek().is_none() {
-            return !self.list.is_empty();
+    pub fn is_store_failure_local(&self, now: Millis, failing_ms: Millis) -> bool {
+        let mut reachable =
+            self.peers.iter().filter(|peer| peer.frame_received_within(now, PEER_REACHABLE_MS)).peekable();
+        if reachable.peek().is_none() {
+            return !self.peers.is_empty();
         }
-        in_contact.any(|peer| peer.store_age + SERVED_LATER_MS < failing_ms)
+        reachable.any(|peer| peer.store_age_ms + LATER_STORE_RESPONSE_MS < failing_ms)
     }
 
     /// Whether a peer rejects heartbeats, so that workers reach it.
-    pub fn are_reached_by_workers(&self, now: Millis) -> bool {
-        self.list.iter().any(|peer| {
-            peer.heard_within(now, PEER_HEARTBEATS_MS) && peer.rejected_heartbeats >= MIN_REJECTED_HEARTBEATS
+    pub fn have_worker_contact(&self, now: Millis) -> bool {
+        self.peers.iter().any(|peer| {
+            peer.frame_received_within(now, REJECTION_COUNT_VALID_MS)
+                && peer.rejected_heartbeats >= MIN_REJECTED_HEARTBEATS
         })
     }
 
     /// What each peer uses of the key-value store's limits; None: it was not heard lately.
     pub fn recent_usage(&self, now: Millis) -> Vec<Option<Usage>> {
-        self.list.iter().map(|peer| peer.heard_within(now, PEER_SILENT_MS).then_some(peer.usage)).collect()
+        self.peers
+            .iter()
+            .map(|peer| peer.frame_received_within(now, PEER_USAGE_VALID_MS).then_some(peer.usage))
+            .collect()
     }
 
     /// What decides whether leases may be renewed without a leader.
     pub fn contacts(&self) -> Vec<PeerContact> {
-        self.list.iter().map(Peer::contact).collect()
+        self.peers.iter().map(Peer::contact).collect()
     }
 
     /// The renewal keys were listed; `has_key` tells for a peer's label whether its key exists.
     pub fn observe_renewal_keys(&mut self, now: Millis, has_key: impl Fn(&str) -> bool) {
-        for peer in &mut self.list {
-            peer.without_key_since = (!has_key(&peer.label)).then_some(now);
+        for peer in &mut self.peers {
+            peer.renewal_key_absent_since = (!has_key(&peer.label)).then_some(now);
         }
     }
 
     /// A renewal key was written or removed: the first peer whose label matches owns it.
     pub fn observe_renewal_key(&mut self, now: Millis, exists: bool, owns_key: impl Fn(&str) -> bool) {
-        if let Some(peer) = self.list.iter_mut().find(|peer| owns_key(&peer.label)) {
-            peer.without_key_since = (!exists).then_some(now);
+        if let Some(peer) = self.peers.iter_mut().find(|peer| owns_key(&peer.label)) {
+            peer.renewal_key_absent_since = (!exists).then_some(now);
         }
     }
 
     /// A watch sent at `sent` returned: peers that had no renewal key since
     /// before then can't have renewed a lease.
     pub fn record_inactive_without_key(&mut self, sent: Millis) {
-        for (index, peer) in self.list.iter().enumerate() {
-            if let Some(since) = peer.without_key_since {
+        for (index, peer) in self.peers.iter().enumerate() {
+            if let Some(since) = peer.renewal_key_absent_since {
                 self.inactivity.record_inactive(index, since as i64, sent as i64);
             }
         }
--- a/src/controller/peers/outgoing.rs
+++ b/src/controller/peers/outgoing.rs
@@ -61,7 +61,7 @@
     }
 
     /// Number of heartbeats that were rejected in the last seconds.
-    pub(super) fn recently_rejected(&mut self, now: Millis) -> u32 {
+    pub(super) fn recent_rejection_count(&mut self, now: Millis) -> u32 {
         self.rejected_heartbeats.retain(|&rejected_at| now < rejected_at + REJECTED_HEARTBEAT_MS);
         self.rejected_heartbeats.len() as u32
     }
--- a/src/controller/peers/peer.rs
+++ b/src/controller/peers/peer.rs
@@ -14,7 +14,7 @@
 const CLOCK_RATE_MARGIN: f64 = 0.999;
 /// Longest time without renewals that a peer is believed, in ms; more than any
 /// uptime, and safe in signed arithmetic.
-const MAX_QUIET_MS: Millis = 1 << 40;
+const MAX_INACTIVE_MS: Millis = 1 << 40;
 
 /// A reading of a peer's clock.
 #[derive(Debug)]
@@ -32,11 +32,11 @@
     pub(super) link: usize,
     /// It runs in this controller's zone.
     same_zone: bool,
-    order: FrameOrder,
+    frame_order: FrameOrder,
     /// When its last frame was received.
-    last_heard: Option<Millis>,
+    last_received: Option<Millis>,
     /// How long before that the key-value store had answered it.
-    pub(super) store_age: Millis,
+    pub(super) store_age_ms: Millis,
     /// Workers' heartbeats that it rejected lately.
     pub(super) rejected_heartbeats: u32,
     pub(super) leading: bool,
@@ -44,7 +44,7 @@
     /// The clock in its last frame.
     clock: Option<PeerClock>,
     /// Since when it is known to have no key under which it may renew leases.
-    pub(super) without_key_since: Option<Millis>,
+    pub(super) renewal_key_absent_since: Option<Millis>,
     /// It reads notices of cancellations.
     pub(super) reads_notices: bool,
 }
@@ -56,33 +56,33 @@
             label: seed.label.clone(),
             link,
             same_zone: seed.zone == own_zone,
-            order: FrameOrder::default(),
-            last_heard: None,
-            store_age: Millis::MAX,
+            frame_order: FrameOrder::default(),
+            last_received: None,
+            store_age_ms: Millis::MAX,
             rejected_heartbeats: 0,
             leading: false,
             usage: Usage::default(),
             clock: None,
-            without_key_since: None,
+            renewal_key_absent_since: None,
             reads_notices: false,
         }
     }
 
     /// Whether a frame of it was received within the last `within_ms`.
-    pub(super) fn heard_within(&self, now: Millis, within_ms: Millis) -> bool {
-        self.last_heard.is_some_and(|heard| now < heard + within_ms)
+    pub(super) fn frame_received_within(&self, now: Millis, within_ms: Millis) -> bool {
+        self.last_received.is_some_and(|received| now < received + within_ms)
     }
 
     /// Takes the state in a frame. Returns false for a frame that is older than
     /// one that was received before.
     pub(super) fn update(&mut self, now: Millis, gossip: &Gossip) -> bool {
-        if !self.order.is_newer(gossip) {
+        if !self.frame_order.is_newer(gossip) {
             return false;
         }
-        self.last_heard = Some(now);
+        self.last_received = Some(now);
         self.reads_notices = gossip.reads_notices();
         self.clock = Some(PeerClock { nonce: gossip.nonce, clock_ms: gossip.clock_ms });
-        self.store_age = gossip.state_age_ms;
+        self.store_age_ms = gossip.state_age_ms;
         self.rejected_heartbeats = gossip.rejected_heartbeats;
         self.leading = gossip.leading;
         self.usage = Usage { reads: gossip.reads_used, writes: gossip.writes_used, commits: gossip.commits_used };
@@ -97,27 +97,27 @@
 
     /// What decides whether leases may be renewed without a leader.
     pub(super) fn contact(&self) -> PeerContact {
-        PeerContact { same_zone: self.same_zone, last_heard: self.last_heard, store_age_ms: self.store_age }
+        PeerContact { same_zone: self.same_zone, last_received: self.last_received, store_age_ms: self.store_age_ms }
     }
 }
 
 /// A time in which a peer renewed no lease, on this controller's clock in ms.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct QuietTime {
+pub(super) struct InactiveSpan {
     pub(super) from: i64,
     pub(super) to: i64,
 }
 
-impl QuietTime {
+impl InactiveSpan {
     /// The time that a peer vouches for in a frame.
     ///
     /// Guard: a frame may have been delayed for any time. Its statement holds
     /// up to the reading of our own clock that the peer had received when it
     /// sent the frame, not up to when the frame arrived.
-    pub(super) fn stated_in(gossip: &Gossip, identity: &Identity, now: Millis) -> Option<QuietTime> {
+    pub(super) fn from_gossip(gossip: &Gossip, identity: &Identity, now: Millis) -> Option<InactiveSpan> {
         let is_ours = |echo: &&Echo| echo.of == identity.label && echo.nonce == identity.nonce;
         let echo = gossip.echoes.iter().find(is_ours)?;
-        let quiet_ms = (gossip.since_leaderless_renewal_ms.min(MAX_QUIET_MS) as f64 * CLOCK_RATE_MARGIN) as i64;
-        Some(QuietTime { from: now as i64 - quiet_ms, to: echo.clock_ms.min(now) as i64 })
+        let inactive_ms = (gossip.since_leaderless_renewal_ms.min(MAX_INACTIVE_MS) as f64 * CLOCK_RATE_MARGIN) as i64;
+        Some(InactiveSpan { from: now as i64 - inactive_ms, to: echo.clock_ms.min(now) as i64 })
     }
 }
--- a/src/controller/renewal_key.rs
+++ b/src/controller/renewal_key.rs
@@ -6,8 +6,8 @@
 use super::{
     identity::Identity,
     service_client::{
-        applied_revision, grant_id, grant_renewed, status, CallResult, PendingCall, RenewalKeyCall, ServiceClient,
-        StoreRequest, STORE_TIMEOUT_MS,
+        applied_revision, renewal_outcome, status, store_lease_id, CallResult, PendingCall, RenewalKeyCall,
+        ServiceClient, StoreRequest, STORE_TIMEOUT_MS,
     },
 };
 use crate::{
@@ -25,9 +25,9 @@
 #[derive(Debug)]
 pub struct RenewalKey {
     identity: Identity,
-    right: RenewalAuthority,
+    authority: RenewalAuthority,
     /// When a worker of another zone last sent a heartbeat here.
-    last_foreign_heartbeat: Option<Millis>,
+    last_other_zone_heartbeat: Option<Millis>,
 }
 
 impl RenewalKey {
@@ -37,13 +37,14 @@
         // A single controller has no leader but itself to renew leases for.
         let is_single = settings.peer_settings.is_empty();
         let max_ms = if is_single { 0 } else { lease_renewal::leaderless_window_ms(workers.cancel_s, workers.lease_s) };
-        let right = RenewalAuthority::new(lease_renewal::renewal_window_ms(workers.cancel_s, workers.lease_s), max_ms);
-        RenewalKey { identity, right, last_foreign_heartbeat: None }
+        let authority =
+            RenewalAuthority::new(lease_renewal::renewal_window_ms(workers.cancel_s, workers.lease_s), max_ms);
+        RenewalKey { identity, authority, last_other_zone_heartbeat: None }
     }
 
     /// Sends the next request if one is due.
     pub fn tick(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
-        if let Some(action) = self.right.tick(now) {
+        if let Some(action) = self.authority.tick(now) {
             self.perform(net, client, &action);
         }
     }
@@ -52,19 +53,24 @@
         let now = net.now();
         client.budgets().charge_read(now);
         match *action {
-            Action::RequestGrant => {
-                let request = StoreRequest::create_grant(self.right.ttl_ms(), STORE_TIMEOUT_MS);
-                client.send_to_store(net, PendingCall::RenewalKey(RenewalKeyCall::CreateGrant), request);
+            Action::RequestStoreLease => {
+                let request = StoreRequest::create_store_lease(self.authority.ttl_ms(), STORE_TIMEOUT_MS);
+                client.send_to_store(net, PendingCall::RenewalKey(RenewalKeyCall::CreateStoreLease), request);
             }
-            Action::RenewGrant(grant) => {
-                let request = StoreRequest::renew_grant(grant, STORE_TIMEOUT_MS);
-                client.send_to_store(net, PendingCall::RenewalKey(RenewalKeyCall::RenewGrant), request);
+            Action::RenewStoreLease(store_lease) => {
+                let request = StoreRequest::renew_store_lease(store_lease, STORE_TIMEOUT_MS);
+                client.send_to_store(net, PendingCall::RenewalKey(RenewalKeyCall::RenewStoreLease), request);
             }
-            Action::WriteKey { grant, expected_revision } => {
-                let nonce = self.right.key_nonce(self.identity.nonce).unwrap_or(self.identity.nonce);
+            Action::WriteKey { store_lease, expected_revision } => {
+                let nonce = self.authority.key_nonce(self.identity.nonce).unwrap_or(self.identity.nonce);
                 let record = LeaderRecord { label: self.identity.label.clone(), nonce };
-                let request =
-                    StoreRequest::write_granted_key(self.key(), &record, grant, expected_revision, STORE_TIMEOUT_MS);
+                let request = StoreRequest::write_leased_key(
+                    self.key(),
+                    &record,
+                    store_lease,
+                    expected_revision,
+                    STORE_TIMEOUT_MS,
+                );
                 client.budgets().charge_commits(now, 1);
                 client.send_to_store(net, PendingCall::RenewalKey(RenewalKeyCall::WriteKey), request);
             }
@@ -74,18 +80,18 @@
     /// A request for the key ended.
     pub fn handle_reply(&mut self, now: Millis, call: &RenewalKeyCall, result: &CallResult) {
         match call {
-            RenewalKeyCall::CreateGrant => self.right.granted(now, grant_id(result)),
-            RenewalKeyCall::RenewGrant => self.right.renewed(now, grant_renewed(result)),
-            RenewalKeyCall::WriteKey => self.written(now, result),
+            RenewalKeyCall::CreateStoreLease => self.authority.handle_store_lease_response(now, store_lease_id(result)),
+            RenewalKeyCall::RenewStoreLease => self.authority.handle_renewal_outcome(now, renewal_outcome(result)),
+            RenewalKeyCall::WriteKey => self.handle_write_result(now, result),
         }
     }
 
-    fn written(&mut self, now: Millis, result: &CallResult) {
+    fn handle_write_result(&mut self, now: Millis, result: &CallResult) {
         // The store knows no such grant any more.
         if status(result) == BAD_REQUEST {
-            self.right.grant_lost();
+            self.authority.handle_store_lease_expiry();
         }
-        self.right.registered(now, applied_revision(result));
+        self.authority.handle_write_result(now, applied_revision(result));
     }
 
     /// The name of this controller's key.
@@ -97,51 +103,51 @@
     /// of its last write, or [`Revision::ABSENT`].
     pub fn observe_key(&mut self, value: Option<&Value>, key_revision: Revision, store_revision: Revision) {
         let is_ours = value.is_some_and(|value| self.is_own_record(value));
-        self.right.observe_key(key_revision, store_revision, is_ours);
+        self.authority.observe_key(key_revision, store_revision, is_ours);
     }
 
     /// Whether the value of the key belongs to the grant that this controller holds.
     fn is_own_record(&self, value: &Value) -> bool {
         value.deserialized::<LeaderRecord>().is_ok_and(|record| {
-            record.label == self.identity.label && Some(record.nonce) == self.right.key_nonce(self.identity.nonce)
+            record.label == self.identity.label && Some(record.nonce) == self.authority.key_nonce(self.identity.nonce)
         })
     }
 
     /// A read of the jobs' records that was sent at `sent` was applied.
     pub fn record_job_read(&mut self, sent: Millis) {
-        self.right.record_sync(sent);
+        self.authority.record_job_read(sent);
     }
 
     /// For how long, in ms, a read of the jobs' records allows leases to be renewed.
     pub fn read_validity_ms(&self) -> Millis {
-        self.right.renewal_window_ms()
+        self.authority.renewal_window_ms()
     }
 
     /// A worker of another zone sent a heartbeat here.
-    pub fn record_foreign_heartbeat(&mut self, now: Millis) {
-        self.last_foreign_heartbeat = Some(now);
+    pub fn record_other_zone_heartbeat(&mut self, now: Millis) {
+        self.last_other_zone_heartbeat = Some(now);
     }
 
     /// Whether the last read of the jobs' records is recent enough to renew a
     /// lease, by the leader too.
     pub fn may_renew(&self, now: Millis) -> bool {
-        self.right.may_renew(now)
+        self.authority.may_renew(now)
     }
 
     /// Whether leases may be renewed although no leader is in contact.
     pub fn may_renew_without_leader(&self, now: Millis, peers: &[PeerContact]) -> bool {
-        self.right.may_renew_without_leader(now)
-            && is_shared_partition(now, self.right.last_contact(), peers, self.last_foreign_heartbeat)
+        self.authority.may_renew_without_leader(now)
+            && is_shared_partition(now, self.authority.last_store_contact(), peers, self.last_other_zone_heartbeat)
     }
 
     /// A lease is renewed now without leading.
-    pub fn record_renewal(&mut self, now: Millis) {
-        self.right.record_leaderless_renewal(now);
+    pub fn record_leaderless_renewal(&mut self, now: Millis) {
+        self.authority.record_leaderless_renewal(now);
     }
 
     /// When a lease was last renewed without leading; 0: never.
     pub fn last_leaderless_renewal(&self) -> Millis {
-        self.right.last_leaderless_renewal()
+        self.authority.last_leaderless_renewal()
     }
 }
 
--- a/src/controller/service_client/mod.rs
+++ b/src/controller/service_client/mod.rs
@@ -13,7 +13,7 @@
         ElectionCall, JobWrite, JobsCall, LeaderCall, LeaderKeyCall, PendingCall, PendingCalls, RenewalKeyCall,
         UserCall, VersionCall,
     },
-    replies::{applied_revision, body, grant_id, grant_renewed, status, CallResult},
+    replies::{applied_revision, body, renewal_outcome, status, store_lease_id, CallResult},
     requests::{CloudRequest, StoreRequest, WorkerRequest},
 };
 use crate::{
@@ -22,7 +22,7 @@
 };
 
 /// Timeout, in ms, of small requests to the key-value store whose result is
-/// needed soon: grants, the leader's transactions, reads for the read barrier.
+/// needed soon: store leases, the leader's transactions, reads for the read barrier.
 pub const STORE_TIMEOUT_MS: u64 = 1_500;
 /// Timeout, in ms, of requests to the key-value store that are not urgent.
 pub const SLOW_STORE_TIMEOUT_MS: u64 = 2_500;
--- a/src/controller/service_client/pending_call.rs
+++ b/src/controller/service_client/pending_call.rs
@@ -34,17 +34,17 @@
 /// A request of the election.
 #[derive(Debug)]
 pub enum ElectionCall {
-    CreateGrant,
-    RenewGrant,
+    CreateStoreLease,
+    RenewStoreLease,
     ClaimKey,
-    DeleteGrant,
+    DeleteStoreLease,
 }
 
 /// A request for this controller's renewal key.
 #[derive(Debug)]
 pub enum RenewalKeyCall {
-    CreateGrant,
-    RenewGrant,
+    CreateStoreLease,
+    RenewStoreLease,
     WriteKey,
 }
 
--- a/src/controller/service_client/replies.rs
+++ b/src/controller/service_client/replies.rs
@@ -6,8 +6,8 @@
     coordination::ephemeral_key::RenewalOutcome,
     protocol::{
         cbor,
-        ids::{GrantId, Revision},
-        store::{AppliedTransaction, GrantResponse},
+        ids::{Revision, StoreLeaseId},
+        store::{AppliedTransaction, StoreLeaseResponse},
     },
     transport::{
         http::status::{NOT_FOUND, OK},
@@ -35,9 +35,9 @@
     }
 }
 
-/// The number of the grant that a request created; None: it failed.
-pub fn grant_id(result: &CallResult) -> Option<GrantId> {
-    body::<GrantResponse>(result).map(|grant| grant.grant)
+/// The number of the store lease that a request created; None: it failed.
+pub fn store_lease_id(result: &CallResult) -> Option<StoreLeaseId> {
+    body::<StoreLeaseResponse>(result).map(|response| response.store_lease)
 }
 
 /// The revision at which a transaction was applied; None: it failed, or that is not known.
@@ -45,8 +45,8 @@
     body::<AppliedTransaction>(result).map(|applied| applied.store_revision)
 }
 
-/// How the renewal of a grant ended.
-pub fn grant_renewed(result: &CallResult) -> RenewalOutcome {
+/// How the renewal of a store lease ended.
+pub fn renewal_outcome(result: &CallResult) -> RenewalOutcome {
     match status(result) {
         OK => RenewalOutcome::Renewed,
         NOT_FOUND => RenewalOutcome::Expired,
--- a/src/controller/service_client/requests.rs
+++ b/src/controller/service_client/requests.rs
@@ -5,8 +5,8 @@
 use crate::{
     protocol::{
         cbor,
-        ids::{GrantId, Revision},
-        store::{Condition, GrantRequest, Transaction, WriteOperation},
+        ids::{Revision, StoreLeaseId},
+        store::{Condition, StoreLeaseRequest, Transaction, WriteOperation},
     },
     storage::records::{self, LeaderRecord},
     transport::Method,
@@ -55,34 +55,34 @@
         StoreRequest::post("/multi".into(), cbor::encode(transaction), timeout_ms)
     }
 
-    /// Writes a key that is attached to a grant, if its revision is as expected.
-    pub fn write_granted_key(
+    /// Writes a key that is attached to a store lease, if its revision is as expected.
+    pub fn write_leased_key(
         key: String,
         record: &LeaderRecord,
-        grant: GrantId,
+        store_lease: StoreLeaseId,
         expected_revision: Revision,
         timeout_ms: u64,
     ) -> StoreRequest {
         let transaction = Transaction {
             conditions: vec![Condition { key: key.clone(), revision: expected_revision }],
-            writes: vec![WriteOperation::Put { key, value: records::to_value(record), grant: Some(grant) }],
+            writes: vec![WriteOperation::Put { key, value: records::to_value(record), store_lease: Some(store_lease) }],
         };
         StoreRequest::transaction(&transaction, timeout_ms)
     }
 
-    /// Asks for a grant that lasts `ttl_ms` unless it is renewed.
-    pub fn create_grant(ttl_ms: u64, timeout_ms: u64) -> StoreRequest {
-        StoreRequest::post("/grants".into(), cbor::encode(&GrantRequest { ttl_ms }), timeout_ms)
+    /// Asks for a store lease that lasts `ttl_ms` unless it is renewed.
+    pub fn create_store_lease(ttl_ms: u64, timeout_ms: u64) -> StoreRequest {
+        StoreRequest::post("/grants".into(), cbor::encode(&StoreLeaseRequest { ttl_ms }), timeout_ms)
     }
 
-    /// Renews a grant.
-    pub fn renew_grant(grant: GrantId, timeout_ms: u64) -> StoreRequest {
-        StoreRequest::post(format!("/grants/{grant}/renew"), Vec::new(), timeout_ms)
+    /// Renews a store lease.
+    pub fn renew_store_lease(store_lease: StoreLeaseId, timeout_ms: u64) -> StoreRequest {
+        StoreRequest::post(format!("/grants/{store_lease}/renew"), Vec::new(), timeout_ms)
     }
 
-    /// Ends a grant, which removes the keys that are attached to it.
-    pub fn delete_grant(grant: GrantId, timeout_ms: u64) -> StoreRequest {
-        StoreRequest { method: Method::Delete, path: format!("/grants/{grant}"), body: Vec::new(), timeout_ms }
+    /// Ends a store lease, which removes the keys that are attached to it.
+    pub fn delete_store_lease(store_lease: StoreLeaseId, timeout_ms: u64) -> StoreRequest {
+        StoreRequest { method: Method::Delete, path: format!("/grants/{store_lease}"), body: Vec::new(), timeout_ms }
     }
 }
 
--- a/src/controller/tests/election_driver.rs
+++ b/src/controller/tests/election_driver.rs
@@ -2,8 +2,8 @@
 use crate::{
     controller::test_support::{answered, answered_with, identity, new_net, settings_with_peers, SentCalls},
     protocol::{
-        ids::GrantId,
-        store::{AppliedTransaction, GrantResponse},
+        ids::StoreLeaseId,
+        store::{AppliedTransaction, StoreLeaseResponse},
     },
 };
 
@@ -21,23 +21,27 @@
 
     driver.observe_key(0, None, Revision(3));
     driver.tick(&mut net, 0, &mut client);
-    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateGrant)"));
-    driver.handle_reply(10, &ElectionCall::CreateGrant, &answered_with(&GrantResponse { grant: GrantId(4) }));
+    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateStoreLease)"));
+    driver.handle_reply(
+        10,
+        &ElectionCall::CreateStoreLease,
+        &answered_with(&StoreLeaseResponse { store_lease: StoreLeaseId(4) }),
+    );
     driver.tick(&mut net, 10, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(ClaimKey)"));
-    assert_eq!(driver.leading(10), None, "the claim is pending");
+    assert_eq!(driver.leading_term(10), None, "the claim is pending");
     let applied = answered_with(&AppliedTransaction { store_revision: Revision(5) });
     driver.handle_reply(20, &ElectionCall::ClaimKey, &applied);
-    assert_eq!((driver.leading(20), driver.leader()), (Some(Term(Revision(5))), Some("n-0")));
+    assert_eq!((driver.leading_term(20), driver.leader()), (Some(Term(Revision(5))), Some("n-0")));
     assert_eq!(
-        (driver.leading(TTL_MS), driver.held_term()),
+        (driver.leading_term(TTL_MS), driver.held_term()),
         (None, Some(Term(Revision(5)))),
         "the grant may have ended"
     );
 
     driver.step_down(&mut net, 30, &mut client);
-    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(DeleteGrant)"));
-    assert_eq!((driver.leading(30), driver.held_term(), driver.leader()), (None, None, None));
+    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(DeleteStoreLease)"));
+    assert_eq!((driver.leading_term(30), driver.held_term(), driver.leader()), (None, None, None));
 }
 
 /// A claim that the store refuses as under no grant begins with a new grant.
@@ -49,14 +53,18 @@
     let mut driver = ElectionDriver::new(&identity(), TTL_MS);
     driver.observe_key(0, None, Revision(3));
     let mut now = 0;
-    for grant in [4, 5] {
+    for store_lease in [4, 5] {
         driver.tick(&mut net, now, &mut client);
-        assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateGrant)"));
-        driver.handle_reply(now, &ElectionCall::CreateGrant, &answered_with(&GrantResponse { grant: GrantId(grant) }));
+        assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateStoreLease)"));
+        driver.handle_reply(
+            now,
+            &ElectionCall::CreateStoreLease,
+            &answered_with(&StoreLeaseResponse { store_lease: StoreLeaseId(store_lease) }),
+        );
         driver.tick(&mut net, now, &mut client);
         assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(ClaimKey)"));
         driver.handle_reply(now, &ElectionCall::ClaimKey, &answered(400));
-        assert_eq!(driver.leading(now), None);
+        assert_eq!(driver.leading_term(now), None);
         now += 1_000;
     }
 }
--- a/src/controller/tests/gossip.rs
+++ b/src/controller/tests/gossip.rs
@@ -8,6 +8,6 @@
     for n in 0..=MAX_REJECTED_HEARTBEATS as u64 {
         gossip.record_rejected_heartbeat(n / 10);
     }
-    assert_eq!(gossip.recently_rejected(MAX_REJECTED_HEARTBEATS as u64 / 10), MAX_REJECTED_HEARTBEATS as u32);
-    assert_eq!(gossip.recently_rejected(MAX_REJECTED_HEARTBEATS as u64 / 10 + REJECTED_HEARTBEAT_MS), 0);
+    assert_eq!(gossip.recent_rejection_count(MAX_REJECTED_HEARTBEATS as u64 / 10), MAX_REJECTED_HEARTBEATS as u32);
+    assert_eq!(gossip.recent_rejection_count(MAX_REJECTED_HEARTBEATS as u64 / 10 + REJECTED_HEARTBEAT_MS), 0);
 }
--- a/src/controller/tests/job_watch.rs
+++ b/src/controller/tests/job_watch.rs
@@ -5,8 +5,12 @@
 };
 
 fn page(key: Option<&str>, truncated: bool) -> Page {
-    let pair =
-        |key: &str| KeyValue { key: key.to_owned(), value: ciborium::Value::Null, revision: Revision(2), grant: None };
+    let pair = |key: &str| KeyValue {
+        key: key.to_owned(),
+        value: ciborium::Value::Null,
+        revision: Revision(2),
+        store_lease: None,
+    };
     Page { pairs: key.map(pair).into_iter().collect(), truncated, store_revision: Revision(7) }
 }
 
--- a/src/controller/tests/leader_key_watch.rs
+++ b/src/controller/tests/leader_key_watch.rs
@@ -51,8 +51,12 @@
     watch.refresh(&mut net, 0, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Listing)"));
     assert_eq!(sent.next_debug(&mut client), None, "one request at a time");
-    let pair =
-        KeyValue { key: records::LEADER_KEY.to_owned(), value: record("n-1"), revision: Revision(3), grant: None };
+    let pair = KeyValue {
+        key: records::LEADER_KEY.to_owned(),
+        value: record("n-1"),
+        revision: Revision(3),
+        store_lease: None,
+    };
     let page = Page { pairs: vec![pair], truncated: false, store_revision: Revision(7) };
     watch.handle_reply(10, &LeaderKeyCall::Listing, &answered_with(&page), &mut observed.observers());
     assert_eq!(observed.election.leader(), Some("n-1"));
--- a/src/controller/tests/peers.rs
+++ b/src/controller/tests/peers.rs
@@ -35,8 +35,8 @@
     assert_eq!(peers.receive_gossip(1_100, gossip("n-1", 2)), [], "the same frame");
     assert_eq!(peers.receive_gossip(1_100, gossip("n-1", 1)), [], "an earlier frame");
     let usage = Usage { reads: 3.0, writes: 2.0, commits: 1.0 };
-    assert_eq!(peers.recent_usage(1_000 + PEER_SILENT_MS - 1), [Some(usage), None]);
-    assert_eq!(peers.recent_usage(1_000 + PEER_SILENT_MS), [None, None]);
+    assert_eq!(peers.recent_usage(1_000 + PEER_USAGE_VALID_MS - 1), [Some(usage), None]);
+    assert_eq!(peers.recent_usage(1_000 + PEER_USAGE_VALID_MS), [None, None]);
 }
 
 /// Guard: a frame proves that its sender renewed no lease only up to the reading
@@ -92,7 +92,7 @@
         if let Some(heard) = heard {
             peers.receive_gossip(heard, Gossip { state_age_ms, ..gossip("n-1", 1) });
         }
-        assert_eq!(peers.show_own_failure(10_000, failing_ms), want, "{heard:?} {state_age_ms}");
+        assert_eq!(peers.is_store_failure_local(10_000, failing_ms), want, "{heard:?} {state_age_ms}");
     }
 }
 
@@ -101,8 +101,8 @@
 fn rejected_heartbeats_show_where_workers_are() {
     let mut peers = peers();
     peers.receive_gossip(1_000, Gossip { rejected_heartbeats: 1, ..gossip("n-1", 1) });
-    assert!(!peers.are_reached_by_workers(1_100));
+    assert!(!peers.have_worker_contact(1_100));
     peers.receive_gossip(1_200, Gossip { rejected_heartbeats: 2, ..gossip("n-1", 2) });
-    assert!(peers.are_reached_by_workers(1_200 + PEER_HEARTBEATS_MS - 1));
-    assert!(!peers.are_reached_by_workers(1_200 + PEER_HEARTBEATS_MS));
+    assert!(peers.have_worker_contact(1_200 + REJECTION_COUNT_VALID_MS - 1));
+    assert!(!peers.have_worker_contact(1_200 + REJECTION_COUNT_VALID_MS));
 }
--- a/src/controller/tests/renewal_key.rs
+++ b/src/controller/tests/renewal_key.rs
@@ -2,15 +2,15 @@
 use crate::{
     controller::test_support::{answered_with, identity, new_net, settings_with_peers, SentCalls, NONCE},
     protocol::{
-        ids::GrantId,
-        store::{AppliedTransaction, GrantResponse},
+        ids::StoreLeaseId,
+        store::{AppliedTransaction, StoreLeaseResponse},
     },
 };
 
-const GRANT: u64 = 4;
+const STORE_LEASE_ID: u64 = 4;
 
 /// A key that was written under its grant, and read with the jobs' records at `at`.
-fn registered(at: Millis) -> RenewalKey {
+fn key_written(at: Millis) -> RenewalKey {
     let mut net = new_net();
     let settings = settings_with_peers();
     let mut client = ServiceClient::new(&settings);
@@ -20,8 +20,12 @@
     assert_eq!(sent.next_debug(&mut client), None, "the key was not read yet");
     key.observe_key(None, Revision::ABSENT, Revision(3));
     key.tick(&mut net, at, &mut client);
-    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(CreateGrant)"));
-    key.handle_reply(at, &RenewalKeyCall::CreateGrant, &answered_with(&GrantResponse { grant: GrantId(GRANT) }));
+    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(CreateStoreLease)"));
+    key.handle_reply(
+        at,
+        &RenewalKeyCall::CreateStoreLease,
+        &answered_with(&StoreLeaseResponse { store_lease: StoreLeaseId(STORE_LEASE_ID) }),
+    );
     key.tick(&mut net, at, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(WriteKey)"));
     let applied = answered_with(&AppliedTransaction { store_revision: Revision(5) });
@@ -31,7 +35,7 @@
 }
 
 fn silent_peer() -> PeerContact {
-    PeerContact { same_zone: false, last_heard: None, store_age_ms: 0 }
+    PeerContact { same_zone: false, last_received: None, store_age_ms: 0 }
 }
 
 /// Leases are renewed without a leader only while the key is there, out of contact,
@@ -40,17 +44,17 @@
 fn leases_are_renewed_only_out_of_contact() {
     const READ: Millis = 10_000;
     const LATER: Millis = READ + 5_000;
-    let key = registered(READ);
+    let key = key_written(READ);
     assert!(!key.may_renew_without_leader(READ + 100, &[silent_peer()]), "in contact");
     assert!(key.may_renew_without_leader(LATER, &[silent_peer()]));
-    let served = PeerContact { last_heard: Some(LATER), ..silent_peer() };
+    let served = PeerContact { last_received: Some(LATER), ..silent_peer() };
     assert!(!key.may_renew_without_leader(LATER, &[served]), "a peer is served");
 
-    let mut key = registered(READ);
-    key.record_foreign_heartbeat(LATER);
+    let mut key = key_written(READ);
+    key.record_other_zone_heartbeat(LATER);
     assert!(!key.may_renew_without_leader(LATER, &[silent_peer()]), "another zone is reached");
 
-    let mut key = registered(READ);
+    let mut key = key_written(READ);
     key.observe_key(None, Revision::ABSENT, Revision(9));
     assert!(!key.may_renew_without_leader(LATER, &[silent_peer()]), "the key is gone");
 }
@@ -60,13 +64,13 @@
 fn only_a_key_of_this_start_and_grant_counts() {
     let record = |label: &str, nonce| records::to_value(&LeaderRecord { label: label.to_owned(), nonce });
     let cases = [
-        (record("n-0", NONCE + GRANT), true),
+        (record("n-0", NONCE + STORE_LEASE_ID), true),
         (record("n-0", NONCE), false),
-        (record("n-0", NONCE + GRANT + 1), false),
-        (record("n-1", NONCE + GRANT), false),
+        (record("n-0", NONCE + STORE_LEASE_ID + 1), false),
+        (record("n-1", NONCE + STORE_LEASE_ID), false),
     ];
     for (value, counts) in cases {
-        let mut key = registered(10_000);
+        let mut key = key_written(10_000);
         key.observe_key(Some(&value), Revision(9), Revision(9));
         assert_eq!(key.may_renew_without_leader(15_000, &[silent_peer()]), counts, "{value:?}");
     }
--- a/src/controller/tests/requests.rs
+++ b/src/controller/tests/requests.rs
@@ -1,5 +1,5 @@
 use super::{Method, StoreRequest};
-use crate::protocol::ids::{GrantId, Revision};
+use crate::protocol::ids::{Revision, StoreLeaseId};
 
 /// The store's paths are fixed by its interface.
 #[test]
@@ -18,9 +18,9 @@
             "/changes?under=leader&from=7&waitMs=3000",
         ),
         (StoreRequest::transaction(&Default::default(), 5), Method::Post, "/multi"),
-        (StoreRequest::create_grant(9_000, 5), Method::Post, "/grants"),
-        (StoreRequest::renew_grant(GrantId(12), 5), Method::Post, "/grants/12/renew"),
-        (StoreRequest::delete_grant(GrantId(12), 5), Method::Delete, "/grants/12"),
+        (StoreRequest::create_store_lease(9_000, 5), Method::Post, "/grants"),
+        (StoreRequest::renew_store_lease(StoreLeaseId(12), 5), Method::Post, "/grants/12/renew"),
+        (StoreRequest::delete_store_lease(StoreLeaseId(12), 5), Method::Delete, "/grants/12"),
     ];
     for (request, method, path) in cases {
         assert_eq!((request.method as u8, &*request.path, request.timeout_ms), (method as u8, path, 5));
--- a/src/controller/tests/version_watch.rs
+++ b/src/controller/tests/version_watch.rs
@@ -9,7 +9,7 @@
         key: version_key(label),
         value: records::to_value(&VersionRecord { version: VERSION, nonce: 1 }),
         revision: Revision(2),
-        grant: None,
+        store_lease: None,
     };
     answered_with(&Page { pairs: labels.iter().map(pair).collect(), truncated, store_revision: Revision(7) })
 }
--- a/src/controller/users/mod.rs
+++ b/src/controller/users/mod.rs
@@ -103,7 +103,7 @@
         let put = WriteOperation::Put {
             key: records::job_key(&write.id),
             value: records::to_value(&*write.record),
-            grant: None,
+            store_lease: None,
         };
         let transaction = Transaction { conditions, writes: vec![put] };
         let request = StoreRequest::transaction(&transaction, SLOW_STORE_TIMEOUT_MS);
--- a/src/controller/version_watch.rs
+++ b/src/controller/version_watch.rs
@@ -71,10 +71,10 @@
         }
         self.write.begin();
         let record = VersionRecord { version: VERSION, nonce: self.identity.nonce };
-        // Attached to no grant, so that it outlives the process. The write is
+        // Attached to no store lease, so that it outlives the process. The write is
         // unconditional, as it may be applied at any later time.
         let key = version_key(&self.identity.label);
-        let write = WriteOperation::Put { key, value: records::to_value(&record), grant: None };
+        let write = WriteOperation::Put { key, value: records::to_value(&record), store_lease: None };
         let transaction = Transaction { conditions: Vec::new(), writes: vec![write] };
         let request = StoreRequest::transaction(&transaction, SLOW_STORE_TIMEOUT_MS);
         client.send_to_store(net, PendingCall::Version(VersionCall::Write), request);
--- a/src/coordination/commits/resharding.rs
+++ b/src/coordination/commits/resharding.rs
@@ -125,7 +125,7 @@
     let job_key = records::job_key(&job.id);
     let mut transaction = Transaction::default();
     transaction.conditions.push(Condition { key: job_key.clone(), revision: job.records.revision });
-    transaction.writes.push(WriteOperation::Put { key: job_key, value: records::to_value(&record), grant: None });
+    transaction.writes.push(WriteOperation::Put { key: job_key, value: records::to_value(&record), store_lease: None });
     let mut written_chunks = Vec::new();
     for (chunk_number, write) in chunk_writes(job, chunk_size).into_iter().enumerate() {
         let key = records::chunk_key(&job.id, chunk_number as u32);
@@ -136,7 +136,7 @@
                 let size = chunk_size as usize;
                 let tasks = chunk_number * size..(chunk_number + 1) * size;
                 let value = chunk_value(cluster, interners, job, tasks, tag);
-                transaction.writes.push(WriteOperation::Put { key: key.clone(), value, grant: None });
+                transaction.writes.push(WriteOperation::Put { key: key.clone(), value, store_lease: None });
                 written_chunks.push(chunk_number);
             }
         }
--- a/src/coordination/commits/transaction_builder.rs
+++ b/src/coordination/commits/transaction_builder.rs
@@ -89,7 +89,7 @@
     /// Adds a write of `value`, which has `value_bytes` bytes in JSON form.
     pub fn put(&mut self, key: String, value: Value, value_bytes: usize) {
         self.bytes += value_bytes + WRITE_OVERHEAD_BYTES;
-        self.transaction.writes.push(WriteOperation::Put { key, value, grant: None });
+        self.transaction.writes.push(WriteOperation::Put { key, value, store_lease: None });
     }
 
     /// Adds the deletion of a record, provided that it has not changed.
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -9,7 +9,7 @@
     model::{Millis, Term},
 };
 use crate::{
-    protocol::ids::{GrantId, Revision},
+    protocol::ids::{Revision, StoreLeaseId},
     storage::records::LeaderRecord,
 };
 
@@ -68,7 +68,7 @@
     /// The leader's key as last seen, whoever wrote it; `None`: not read yet.
     observed: Option<ObservedKey>,
     /// This controller's grant, and the calls that claim and keep the key.
-    claim: EphemeralKey,
+    key: EphemeralKey,
     renewal_timeout: AdaptiveTimeout,
     /// It doesn't stand for election before.
     paused_until: Millis,
@@ -76,13 +76,13 @@
 
 impl Election {
     /// A controller that has not read the key yet. `nonce` identifies this start
-    /// of the process; `ttl_ms` is the time to live of the leader's grant.
+    /// of the process; `ttl_ms` is the time to live of the leader's store lease.
     pub fn new(label: &str, nonce: u64, ttl_ms: Millis) -> Election {
         Election {
             label: label.to_owned(),
             nonce,
             observed: None,
-            claim: EphemeralKey::new(ttl_ms, RETRY_DELAYS),
+            key: EphemeralKey::new(ttl_ms, RETRY_DELAYS),
             renewal_timeout: AdaptiveTimeout::new(ttl_ms),
             paused_until: 0,
         }
@@ -98,18 +98,18 @@
     /// Guard: a claim that is carried out late, under a grant that was given up
     /// meanwhile, must not be taken for one under the grant that is renewed now:
     /// the key would be removed with the old grant, unnoticed.
-    pub fn record(&self, grant: GrantId) -> LeaderRecord {
-        LeaderRecord { label: self.label.clone(), nonce: self.nonce.wrapping_add(grant.0) }
+    pub fn record(&self, store_lease: StoreLeaseId) -> LeaderRecord {
+        LeaderRecord { label: self.label.clone(), nonce: self.nonce.wrapping_add(store_lease.0) }
     }
 
-    /// Time to live of the leader's grant, in ms.
+    /// Time to live of the leader's store lease, in ms.
     pub fn ttl_ms(&self) -> Millis {
-        self.claim.ttl_ms()
+        self.key.ttl_ms()
     }
 
     /// Term of this controller's leadership, if it may act at this moment.
-    pub fn leading(&self, now: Millis) -> Option<Term> {
-        if self.claim.is_grant_valid(now) {
+    pub fn leading_term(&self, now: Millis) -> Option<Term> {
+        if self.key.is_store_lease_valid(now) {
             self.held_term()
         } else {
             None
@@ -133,68 +133,68 @@
             return;
         }
         if record.is_none() {
-            self.claim.cancel_retry_delay(now);
+            self.key.cancel_retry_delay(now);
         }
         self.observed = Some(ObservedKey { record, revision });
     }
 
     /// The next call to make, if one is due.
     pub fn tick(&mut self, now: Millis) -> Option<Action> {
-        if !self.claim.is_idle() {
+        if !self.key.is_idle() {
             return None;
         }
         if self.own_key_revision().is_some() {
-            return self.claim.renew_if_due(now, self.ttl_ms() / RENEWALS_PER_TTL);
+            return self.key.renew_if_due(now, self.ttl_ms() / RENEWALS_PER_TTL);
         }
-        if self.claim.is_retry_delayed(now) || now < self.paused_until {
+        if self.key.is_retry_delayed(now) || now < self.paused_until {
             return None;
         }
         let expected_revision = self.claimable_revision()?;
-        Some(self.claim.write(now, expected_revision))
+        Some(self.key.write(now, expected_revision))
     }
 
     /// The request for a grant ended. `None`: it failed.
-    pub fn granted(&mut self, now: Millis, grant: Option<GrantId>) {
-        self.claim.granted(now, grant);
+    pub fn handle_store_lease_response(&mut self, now: Millis, store_lease: Option<StoreLeaseId>) {
+        self.key.handle_store_lease_response(now, store_lease);
     }
 
     /// The renewal of the grant ended.
-    pub fn renewed(&mut self, now: Millis, outcome: RenewalOutcome) {
-        let Some(sent) = self.claim.renewed(now, outcome) else { return };
+    pub fn handle_renewal_outcome(&mut self, now: Millis, outcome: RenewalOutcome) {
+        let Some(sent) = self.key.handle_renewal_outcome(now, outcome) else { return };
         let elapsed_ms = now.saturating_sub(sent);
         match outcome {
             RenewalOutcome::Renewed => self.renewal_timeout.record_response(elapsed_ms),
             // The key is removed with the grant; the watch will confirm it.
-            RenewalOutcome::Expired => self.forget_record(),
+            RenewalOutcome::Expired => self.clear_observed_record(),
             RenewalOutcome::Unknown => self.renewal_timeout.record_failure(elapsed_ms),
         }
     }
 
     /// The claim of the key ended: it is ours at `revision`. `None`: lost or
     /// unknown; the watch tells which.
-    pub fn claimed(&mut self, now: Millis, revision: Option<Revision>) {
-        if let Some(revision) = self.claim.written(now, revision) {
-            let record = self.claim.grant().map(|grant| self.record(grant));
+    pub fn handle_claim_result(&mut self, now: Millis, revision: Option<Revision>) {
+        if let Some(revision) = self.key.handle_write_result(now, revision) {
+            let record = self.key.store_lease().map(|store_lease| self.record(store_lease));
             self.observe_key(now, record, revision);
         }
     }
 
     /// The store says that the grant used for a write has expired.
-    pub fn grant_lost(&mut self) {
-        self.claim.forget_grant();
+    pub fn handle_store_lease_expiry(&mut self) {
+        self.key.clear_store_lease();
     }
 
     /// Gives up leadership, and doesn't stand again for a while: workers reach
     /// other controllers, but not this one. Returns the grant, to be revoked.
-    pub fn step_down(&mut self, now: Millis) -> Option<GrantId> {
+    pub fn step_down(&mut self, now: Millis) -> Option<StoreLeaseId> {
         self.paused_until = now + STEP_DOWN_PAUSE_MS;
-        self.forget_record();
-        self.claim.release()
+        self.clear_observed_record();
+        self.key.release()
     }
 
     /// The key's revision, if the key names this start and this grant.
     fn own_key_revision(&self) -> Option<Revision> {
-        let own = self.record(self.claim.grant()?);
+        let own = self.record(self.key.store_lease()?);
         let observed = self.observed.as_ref()?;
         (observed.record.as_ref() == Some(&own)).then_some(observed.revision)
     }
@@ -210,7 +210,7 @@
         }
     }
 
-    fn forget_record(&mut self) {
+    fn clear_observed_record(&mut self) {
         if let Some(observed) = &mut self.observed {
             observed.record = None;
         }
--- a/src/coordination/ephemeral_key.rs
+++ b/src/coordination/ephemeral_key.rs
@@ -1,4 +1,4 @@
-//! An ephemeral key: a key of the key-value store that is attached to a grant,
+//! An ephemeral key: a key of the key-value store that is attached to a store lease,
 //! and is removed by the store when the grant expires.
 //!
 //! `EphemeralKey` decides which call to the store comes next: it asks for the
@@ -11,7 +11,7 @@
 //! it can't have expired the grant before.
 
 use super::model::Millis;
-use crate::protocol::ids::{GrantId, Revision};
+use crate::protocol::ids::{Revision, StoreLeaseId};
 
 /// Two steady clocks may diverge by twice this share of the elapsed time; every
 /// time that is compared across processes is shortened by at least this share.
@@ -27,13 +27,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// `POST /grants`: ask for a new grant.
-    RequestGrant,
+    RequestStoreLease,
     /// `POST /grants/{id}/renew`.
-    RenewGrant(GrantId),
+    RenewStoreLease(StoreLeaseId),
     /// Write the key under the grant, if its revision is as expected.
     WriteKey {
         /// The grant that the key is attached to.
-        grant: GrantId,
+        store_lease: StoreLeaseId,
         /// Revision that the key must have; [`Revision::ABSENT`]: it must not exist.
         expected_revision: Revision,
     },
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PendingCall {
     None,
-    GrantRequest { sent: Millis },
+    StoreLeaseRequest { sent: Millis },
     Renewal { sent: Millis },
     KeyWrite,
 }
@@ -74,9 +74,9 @@
     /// Time to live of the grant.
     ttl_ms: Millis,
     retry_delays: RetryDelays,
-    grant: Option<GrantId>,
+    store_lease: Option<StoreLeaseId>,
     /// The grant exists at least until then.
-    grant_valid_until: Millis,
+    store_lease_valid_until: Millis,
     /// When the last renewal was sent; 0 if it has to be repeated.
     last_renewal: Millis,
     pending: PendingCall,
@@ -90,8 +90,8 @@
         EphemeralKey {
             ttl_ms,
             retry_delays,
-            grant: None,
-            grant_valid_until: 0,
+            store_lease: None,
+            store_lease_valid_until: 0,
             last_renewal: 0,
             pending: PendingCall::None,
             retry_at: 0,
@@ -104,13 +104,13 @@
     }
 
     /// The grant that is held, even if it may have expired by now.
-    pub fn grant(&self) -> Option<GrantId> {
-        self.grant
+    pub fn store_lease(&self) -> Option<StoreLeaseId> {
+        self.store_lease
     }
 
     /// Whether the grant certainly exists at this moment.
-    pub fn is_grant_valid(&self, now: Millis) -> bool {
-        now < self.grant_valid_until
+    pub fn is_store_lease_valid(&self, now: Millis) -> bool {
+        now < self.store_lease_valid_until
     }
 
     /// Whether no call is in flight.
@@ -130,39 +130,39 @@
 
     /// Renews the grant, if `interval_ms` have passed since the last renewal.
     pub fn renew_if_due(&mut self, now: Millis, interval_ms: Millis) -> Option<Action> {
-        let grant = self.grant?;
+        let store_lease = self.store_lease?;
         if now < self.last_renewal + interval_ms || self.is_retry_delayed(now) {
             return None;
         }
         self.last_renewal = now;
         self.pending = PendingCall::Renewal { sent: now };
-        Some(Action::RenewGrant(grant))
+        Some(Action::RenewStoreLease(store_lease))
     }
 
     /// Writes the key; first asks for a new grant, unless the one that is held
     /// lasts long enough.
     pub fn write(&mut self, now: Millis, expected_revision: Revision) -> Action {
-        match self.grant {
-            Some(grant) if now + self.ttl_ms / MIN_REMAINING_DIVISOR < self.grant_valid_until => {
+        match self.store_lease {
+            Some(store_lease) if now + self.ttl_ms / MIN_REMAINING_DIVISOR < self.store_lease_valid_until => {
                 self.pending = PendingCall::KeyWrite;
-                Action::WriteKey { grant, expected_revision }
+                Action::WriteKey { store_lease, expected_revision }
             }
             _ => {
-                self.grant = None;
-                self.pending = PendingCall::GrantRequest { sent: now };
-                Action::RequestGrant
+                self.store_lease = None;
+                self.pending = PendingCall::StoreLeaseRequest { sent: now };
+                Action::RequestStoreLease
             }
         }
     }
 
     /// The request for a grant ended. `None`: it failed.
-    pub fn granted(&mut self, now: Millis, grant: Option<GrantId>) {
-        let PendingCall::GrantRequest { sent } = self.pending else { return };
+    pub fn handle_store_lease_response(&mut self, now: Millis, store_lease: Option<StoreLeaseId>) {
+        let PendingCall::StoreLeaseRequest { sent } = self.pending else { return };
         self.pending = PendingCall::None;
-        match grant {
-            Some(grant) => {
-                self.grant = Some(grant);
-                self.grant_valid_until = self.earliest_expiry(sent);
+        match store_lease {
+            Some(store_lease) => {
+                self.store_lease = Some(store_lease);
+                self.store_lease_valid_until = self.earliest_expiry(sent);
                 self.last_renewal = sent;
             }
             None => self.retry_at = now + self.retry_delays.after_write_ms,
@@ -171,14 +171,14 @@
 
     /// The renewal of the grant ended. Returns when it was sent; `None` if no
     /// renewal was in flight.
-    pub fn renewed(&mut self, now: Millis, outcome: RenewalOutcome) -> Option<Millis> {
+    pub fn handle_renewal_outcome(&mut self, now: Millis, outcome: RenewalOutcome) -> Option<Millis> {
         let PendingCall::Renewal { sent } = self.pending else { return None };
         self.pending = PendingCall::None;
         match outcome {
             RenewalOutcome::Renewed => {
-                self.grant_valid_until = self.grant_valid_until.max(self.earliest_expiry(sent));
+                self.store_lease_valid_until = self.store_lease_valid_until.max(self.earliest_expiry(sent));
             }
-            RenewalOutcome::Expired => self.forget_grant(),
+            RenewalOutcome::Expired => self.clear_store_lease(),
             RenewalOutcome::Unknown => {
                 self.last_renewal = 0;
                 self.retry_at = now + self.retry_delays.after_renewal_ms;
@@ -190,7 +190,7 @@
     /// The write of the key ended, with the revision that it has now. `None`: it
     /// failed, or its outcome is unknown. Returns the revision, if the write was
     /// in flight and succeeded.
-    pub fn written(&mut self, now: Millis, revision: Option<Revision>) -> Option<Revision> {
+    pub fn handle_write_result(&mut self, now: Millis, revision: Option<Revision>) -> Option<Revision> {
         if self.pending != PendingCall::KeyWrite {
             return None;
         }
@@ -202,18 +202,18 @@
     }
 
     /// The store says that the grant has expired.
-    pub fn forget_grant(&mut self) {
-        self.grant = None;
-        self.grant_valid_until = 0;
+    pub fn clear_store_lease(&mut self) {
+        self.store_lease = None;
+        self.store_lease_valid_until = 0;
     }
 
     /// Gives up the grant, and ignores the call in flight. Returns the grant,
     /// which the caller has to revoke.
-    pub fn release(&mut self) -> Option<GrantId> {
-        let grant = self.grant;
-        self.forget_grant();
+    pub fn release(&mut self) -> Option<StoreLeaseId> {
+        let store_lease = self.store_lease;
+        self.clear_store_lease();
         self.pending = PendingCall::None;
-        grant
+        store_lease
     }
 
     /// The earliest time at which a grant may expire that was requested or
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -29,18 +29,18 @@
     ephemeral_key::{Action, EphemeralKey, RenewalOutcome, RetryDelays, CLOCK_DRIFT},
     model::Millis,
 };
-use crate::protocol::ids::{GrantId, Revision};
+use crate::protocol::ids::{Revision, StoreLeaseId};
 
 /// How long a controller is out of contact, in ms, before it renews any lease
 /// without a leader.
-const OUT_OF_CONTACT_MS: Millis = 2_500;
+const STORE_UNREACHABLE_MS: Millis = 2_500;
 /// Subtracted from the time for renewals besides both clocks' drift, in ms: for
 /// answers and heartbeats on their way.
 const MESSAGE_DELAY_MS: f64 = 2_000.0;
 /// A grant outlives the time in which leases may be renewed by this much, in ms.
-const GRANT_MARGIN_MS: Millis = 6_000;
+const STORE_LEASE_MARGIN_MS: Millis = 6_000;
 /// Interval of the grant's renewals, in ms.
-const GRANT_RENEWAL_INTERVAL_MS: Millis = 3_000;
+const STORE_LEASE_RENEWAL_INTERVAL_MS: Millis = 3_000;
 /// Delays after calls that failed or went unanswered.
 const RETRY_DELAYS: RetryDelays = RetryDelays { after_renewal_ms: 1_000, after_write_ms: 1_000 };
 
@@ -56,7 +56,7 @@
 /// renew leases; 0: never.
 pub fn leaderless_window_ms(cancel_s: f64, lease_s: f64) -> Millis {
     let longest = renewal_window_ms(cancel_s, lease_s);
-    if longest >= 2 * OUT_OF_CONTACT_MS {
+    if longest >= 2 * STORE_UNREACHABLE_MS {
         longest
     } else {
         0
@@ -80,12 +80,12 @@
     /// The same without leading; 0: never.
     leaderless_window_ms: Millis,
     /// This controller's grant, and the calls that write and keep the key.
-    registration: EphemeralKey,
+    key: EphemeralKey,
     observed: Option<ObservedKey>,
     /// Whether the key exists, written by this start of the process.
-    registered: bool,
+    is_key_held: bool,
     /// When the last read of the jobs' records that came back was sent.
-    last_sync: Option<Millis>,
+    last_job_read: Option<Millis>,
     /// When a lease was last renewed without leading; 0: never.
     last_leaderless_renewal: Millis,
 }
@@ -94,14 +94,14 @@
     /// `renewal_window_ms`: for any answer, the leader's too; `leaderless_window_ms`: while not leading.
     pub fn new(renewal_window_ms: Millis, leaderless_window_ms: Millis) -> RenewalAuthority {
         // A grant outlives the right to renew leases by one renewal of it and more.
-        let grant_ttl_ms = leaderless_window_ms + GRANT_MARGIN_MS;
+        let store_lease_ttl_ms = leaderless_window_ms + STORE_LEASE_MARGIN_MS;
         RenewalAuthority {
             renewal_window_ms,
             leaderless_window_ms,
-            registration: EphemeralKey::new(grant_ttl_ms, RETRY_DELAYS),
+            key: EphemeralKey::new(store_lease_ttl_ms, RETRY_DELAYS),
             observed: None,
-            registered: false,
-            last_sync: None,
+            is_key_held: false,
+            last_job_read: None,
             last_leaderless_renewal: 0,
         }
     }
@@ -112,7 +112,7 @@
     /// Guard: as with the leader's key, one that was written late under an earlier
     /// grant is removed with that grant, so it doesn't count.
     pub fn key_nonce(&self, nonce: u64) -> Option<u64> {
-        self.registration.grant().map(|grant| nonce.wrapping_add(grant.0))
+        self.key.store_lease().map(|store_lease| nonce.wrapping_add(store_lease.0))
     }
 
     /// How long after the sending of its last read it may answer a worker 200, in ms.
@@ -122,46 +122,46 @@
 
     /// Time to live of the grant, in ms.
     pub fn ttl_ms(&self) -> Millis {
-        self.registration.ttl_ms()
+        self.key.ttl_ms()
     }
 
     /// The next call to make, if one is due.
     pub fn tick(&mut self, now: Millis) -> Option<Action> {
-        if self.leaderless_window_ms == 0 || !self.registration.is_idle() || self.registration.is_retry_delayed(now) {
+        if self.leaderless_window_ms == 0 || !self.key.is_idle() || self.key.is_retry_delayed(now) {
             return None;
         }
         let expected_revision = self.observed?.key_revision;
-        if self.registered && self.registration.grant().is_some() {
-            return self.registration.renew_if_due(now, GRANT_RENEWAL_INTERVAL_MS);
+        if self.is_key_held && self.key.store_lease().is_some() {
+            return self.key.renew_if_due(now, STORE_LEASE_RENEWAL_INTERVAL_MS);
         }
-        Some(self.registration.write(now, expected_revision))
+        Some(self.key.write(now, expected_revision))
     }
 
     /// The request for a grant ended. `None`: it failed.
-    pub fn granted(&mut self, now: Millis, grant: Option<GrantId>) {
-        self.registration.granted(now, grant);
+    pub fn handle_store_lease_response(&mut self, now: Millis, store_lease: Option<StoreLeaseId>) {
+        self.key.handle_store_lease_response(now, store_lease);
     }
 
     /// The renewal of the grant ended.
-    pub fn renewed(&mut self, now: Millis, outcome: RenewalOutcome) {
-        let finished = self.registration.renewed(now, outcome);
+    pub fn handle_renewal_outcome(&mut self, now: Millis, outcome: RenewalOutcome) {
+        let finished = self.key.handle_renewal_outcome(now, outcome);
         if finished.is_some() && outcome == RenewalOutcome::Expired {
-            self.registered = false;
+            self.is_key_held = false;
         }
     }
 
     /// The write of the key ended: it has this revision. `None`: failed or
     /// unknown; the watch tells which.
-    pub fn registered(&mut self, now: Millis, revision: Option<Revision>) {
-        if let Some(revision) = self.registration.written(now, revision) {
+    pub fn handle_write_result(&mut self, now: Millis, revision: Option<Revision>) {
+        if let Some(revision) = self.key.handle_write_result(now, revision) {
             self.observe_key(revision, revision, true);
         }
     }
 
     /// The store says that the grant has expired, and the key with it.
-    pub fn grant_lost(&mut self) {
-        self.registration.forget_grant();
-        self.registered = false;
+    pub fn handle_store_lease_expiry(&mut self) {
+        self.key.clear_store_lease();
+        self.is_key_held = false;
     }
 
     /// The key was seen at a revision of the store: the revision of its last write
@@ -172,17 +172,17 @@
             return;
         }
         self.observed = Some(ObservedKey { key_revision, store_revision });
-        self.registered = is_own && !key_revision.is_absent();
+        self.is_key_held = is_own && !key_revision.is_absent();
     }
 
     /// A read of the jobs' records that was sent at `sent` has come back.
-    pub fn record_sync(&mut self, sent: Millis) {
-        self.last_sync = self.last_sync.max(Some(sent));
+    pub fn record_job_read(&mut self, sent: Millis) {
+        self.last_job_read = self.last_job_read.max(Some(sent));
     }
 
     /// When this controller was last in contact with the store; 0: never.
-    pub fn last_contact(&self) -> Millis {
-        self.last_sync.unwrap_or(0)
+    pub fn last_store_contact(&self) -> Millis {
+        self.last_job_read.unwrap_or(0)
     }
 
     /// A lease is being renewed without leading.
@@ -198,17 +198,17 @@
     /// Guard: a 200 sent now can't let a task outlive a cancellation that this
     /// controller doesn't know of, whether it leads or not.
     pub fn may_renew(&self, now: Millis) -> bool {
-        self.last_sync.is_some_and(|sync| now < sync + self.renewal_window_ms)
+        self.last_job_read.is_some_and(|read| now < read + self.renewal_window_ms)
     }
 
     /// Whether a lease may be renewed without leading: only out of contact, only
     /// for a time, and only while the key exists.
     pub fn may_renew_without_leader(&self, now: Millis) -> bool {
-        let is_out_of_contact = self
-            .last_sync
-            .is_some_and(|sync| now >= sync + OUT_OF_CONTACT_MS && now < sync + self.leaderless_window_ms);
-        let key_exists = self.registered && self.registration.is_grant_valid(now);
-        is_out_of_contact && self.may_renew(now) && key_exists
+        let is_store_unreachable = self
+            .last_job_read
+            .is_some_and(|read| now >= read + STORE_UNREACHABLE_MS && now < read + self.leaderless_window_ms);
+        let key_exists = self.is_key_held && self.key.is_store_lease_valid(now);
+        is_store_unreachable && self.may_renew(now) && key_exists
     }
 }
 
--- a/src/coordination/tests/partition.rs
+++ b/src/coordination/tests/partition.rs
@@ -6,7 +6,7 @@
     const NOW: Millis = 50_000;
     let peer = |same_zone, ago: Option<Millis>, store_age_ms| PeerContact {
         same_zone,
-        last_heard: ago.map(|ago| NOW - ago),
+        last_received: ago.map(|ago| NOW - ago),
         store_age_ms,
     };
     let far = peer(false, None, Millis::MAX);
--- a/src/protocol/ids.rs
+++ b/src/protocol/ids.rs
@@ -52,9 +52,9 @@
 );
 
 number_type!(
-    /// A grant of the key-value store: a lease with a time to live. Keys that
-    /// are attached to a grant are removed when it expires or is revoked.
-    GrantId
+    /// A store lease: a lease of the key-value store with a time to live. Keys that
+    /// are attached to a store lease are removed when it expires or is revoked.
+    StoreLeaseId
 );
 
 impl Revision {
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -7,14 +7,14 @@
 
 use super::settings::single_line;
 
-/// Times to live, in ms, that the leader's grant may have. A shorter one would
+/// Times to live, in ms, that the leader's store lease may have. A shorter one would
 /// not survive a few slow renewals; a longer one would delay every failover.
 const LEADER_TTL_MS: RangeInclusive<u32> = 1_000..=60_000;
 
 /// What operators may set.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorSettings {
-    /// Time to live of the leader's grant, in ms.
+    /// Time to live of the leader's store lease, in ms.
     pub leader_ttl_ms: u64,
     /// How long a machine without tasks is kept, in seconds.
     pub idle_keep_s: f64,
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,11 +1,11 @@
 //! The interface of the key-value store: conditional transactions (compare and
-//! swap), listings and watches of prefixes, and grants, the store's leases:
+//! swap), listings and watches of prefixes, and store leases:
 //! each has a time to live, and the keys attached to it are removed when it expires.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-use crate::protocol::ids::{GrantId, Revision};
+use crate::protocol::ids::{Revision, StoreLeaseId};
 
 /// A condition of a transaction: the key has this revision.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
@@ -29,10 +29,10 @@
         /// The new value.
         #[serde(rename = "v")]
         value: Value,
-        /// The grant that the key is attached to, if any: the key is removed when
-        /// the grant expires or is revoked.
+        /// The store lease that the key is attached to, if any: the key is removed when
+        /// the store lease expires or is revoked.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
-        grant: Option<GrantId>,
+        store_lease: Option<StoreLeaseId>,
     },
     /// Removes a key. On the wire an operation with `drop`.
     Delete {
@@ -83,9 +83,9 @@
     /// Revision of the key's last write.
     #[serde(rename = "stamp")]
     pub revision: Revision,
-    /// The grant that the key is attached to; `None`: it is attached to none.
+    /// The store lease that the key is attached to; `None`: it is attached to none.
     #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
-    pub grant: Option<GrantId>,
+    pub store_lease: Option<StoreLeaseId>,
 }
 
 /// A part of a listing, in the order of the keys.
@@ -101,19 +101,19 @@
     pub store_revision: Revision,
 }
 
-/// The answer to a request for a grant.
+/// The answer to a request for a store lease.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct GrantResponse {
-    /// The new grant.
+pub struct StoreLeaseResponse {
+    /// The new store lease.
     #[serde(rename = "permit")]
-    pub grant: GrantId,
+    pub store_lease: StoreLeaseId,
 }
 
-/// Asks for a grant, which expires unless it is renewed within its time to live.
+/// Asks for a store lease, which expires unless it is renewed within its time to live.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct GrantRequest {
-    /// Time to live of the grant, in ms.
+pub struct StoreLeaseRequest {
+    /// Time to live of the store lease, in ms.
     pub ttl_ms: u64,
 }
 
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -2,8 +2,8 @@
 //!
 //! | Key | Value |
 //! |---|---|
-//! | `leader` | the current leader, attached to its grant |
-//! | `leader/LABEL` | a controller that may renew workers' leases, attached to a grant of its own |
+//! | `leader` | the current leader, attached to its store lease |
+//! | `leader/LABEL` | a controller that may renew workers' leases, attached to a store lease of its own |
 //! | `j/ID` | a job: its submission and status |
 //! | `t/ID/CHUNK` | which of a chunk of the job's tasks are done, and where the others may run |
 
@@ -58,7 +58,7 @@
     /// Label of the controller. Recorded as `l`.
     #[serde(rename = "l")]
     pub label: String,
-    /// Identifies the start of the process, or its grant.
+    /// Identifies the start of the process, or its store lease.
     #[serde(rename = "n")]
     pub nonce: u64,
 }
--- a/src/storage/tests/versions.rs
+++ b/src/storage/tests/versions.rs
@@ -32,7 +32,8 @@
     for (number, (pages, want)) in cases.into_iter().enumerate() {
         let mut evidence = VersionEvidence::new(["a", "b"].into_iter());
         for keys in pages {
-            let pair = |(k, v): (&str, Value)| KeyValue { key: k.into(), value: v, revision: Revision(3), grant: None };
+            let pair =
+                |(k, v): (&str, Value)| KeyValue { key: k.into(), value: v, revision: Revision(3), store_lease: None };
             evidence.record_listing(&Page {
                 pairs: keys.into_iter().map(pair).collect(),
                 truncated: false,
--- a/src/storage/versions.rs
+++ b/src/storage/versions.rs
@@ -2,7 +2,7 @@
 //! is used only once all of them do.
 //!
 //! A controller of this version writes the key `version/LABEL`, attached to no
-//! grant, when it starts. Older versions write no such key. It is removed only by
+//! store lease, when it starts. Older versions write no such key. It is removed only by
 //! an operator who rolls a controller back.
 
 use std::collections::BTreeSet;
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -182,7 +182,7 @@
 
 fn page_of(key: &str, bytes: &[u8]) -> Page {
     let pair =
-        KeyValue { key: key.to_owned(), value: cbor::decode(bytes).unwrap(), revision: Revision(7), grant: None };
+        KeyValue { key: key.to_owned(), value: cbor::decode(bytes).unwrap(), revision: Revision(7), store_lease: None };
     Page { pairs: vec![pair], truncated: false, store_revision: Revision(7) }
 }
 
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -87,7 +87,7 @@
         }
         let txn = Transaction {
             conditions: vec![Condition { key: key.into(), revision: Revision(revision) }],
-            writes: vec![WriteOperation::Put { key: key.into(), value: record, grant: None }],
+            writes: vec![WriteOperation::Put { key: key.into(), value: record, store_lease: None }],
         };
         assert_eq!(store.apply(txn).status, 200);
         Instant::now()
--- a/tests/loopback_cluster/key_value_store.rs
+++ b/tests/loopback_cluster/key_value_store.rs
@@ -14,8 +14,8 @@
 use ciborium::{cbor, Value};
 use shedhook::protocol::{
     cbor as body,
-    ids::{GrantId, Revision},
-    store::{Change, Changes, GrantRequest, KeyValue, Page, Transaction, WriteOperation},
+    ids::{Revision, StoreLeaseId},
+    store::{Change, Changes, KeyValue, Page, StoreLeaseRequest, Transaction, WriteOperation},
 };
 
 use super::{
@@ -49,11 +49,11 @@
     pub value: Value,
     pub revision: u64,
     /// The key is deleted when this lease ends.
-    pub grant: Option<GrantId>,
+    pub store_lease: Option<StoreLeaseId>,
 }
 
 /// A lease of keys.
-struct Grant {
+struct StoreLease {
     expires: Instant,
     ttl: Duration,
 }
@@ -66,7 +66,7 @@
     /// Transactions that were refused for their size.
     pub too_large: usize,
     revision: u64,
-    grants: BTreeMap<GrantId, Grant>,
+    store_leases: BTreeMap<StoreLeaseId, StoreLease>,
 }
 
 /// A change, and when it was made.
@@ -83,7 +83,7 @@
             limits: LIMITS,
             too_large: 0,
             revision: 0,
-            grants: BTreeMap::new(),
+            store_leases: BTreeMap::new(),
         }
     }
 }
@@ -96,7 +96,7 @@
             return Response::error(400, "too large");
         }
         let is_expired = |op: &WriteOperation| match op {
-            WriteOperation::Put { grant: Some(id), .. } => !self.grants.contains_key(id),
+            WriteOperation::Put { store_lease: Some(id), .. } => !self.store_leases.contains_key(id),
             _ => false,
         };
         if txn.writes.iter().any(is_expired) {
@@ -110,8 +110,8 @@
         let revision = self.revision;
         for op in txn.writes {
             let change = match op {
-                WriteOperation::Put { key, value: v, grant } => {
-                    self.keys.insert(key.clone(), StoredValue { value: v.clone(), revision, grant });
+                WriteOperation::Put { key, value: v, store_lease } => {
+                    self.keys.insert(key.clone(), StoredValue { value: v.clone(), revision, store_lease });
                     Change { write: Some(key), drop: None, value: Some(v), revision: Revision(revision) }
                 }
                 WriteOperation::Delete { key } => {
@@ -141,33 +141,33 @@
     }
 
     /// Grants a lease, and returns its id.
-    fn grant(&mut self, ttl: Duration) -> GrantId {
+    fn create_store_lease(&mut self, ttl: Duration) -> StoreLeaseId {
         self.revision += 1;
-        let id = GrantId(self.revision);
-        self.grants.insert(id, Grant { expires: Instant::now() + ttl, ttl });
+        let id = StoreLeaseId(self.revision);
+        self.store_leases.insert(id, StoreLease { expires: Instant::now() + ttl, ttl });
         id
     }
 
     /// Renews a lease; false when it is over.
-    fn renew_grant(&mut self, id: GrantId) -> bool {
-        let Some(grant) = self.grants.get_mut(&id) else { return false };
-        grant.expires = Instant::now() + grant.ttl;
+    fn renew_store_lease(&mut self, id: StoreLeaseId) -> bool {
+        let Some(store_lease) = self.store_leases.get_mut(&id) else { return false };
+        store_lease.expires = Instant::now() + store_lease.ttl;
         true
     }
 
     /// Ends the leases that are over by now.
-    fn expire_grants(&mut self) {
+    fn expire_store_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<GrantId> =
-            self.grants.iter().filter(|(_, grant)| now > grant.expires).map(|(id, _)| *id).collect();
+        let over: Vec<StoreLeaseId> =
+            self.store_leases.iter().filter(|(_, store_lease)| now > store_lease.expires).map(|(id, _)| *id).collect();
         for id in over {
-            self.end_grant(id);
+            self.end_store_lease(id);
         }
     }
 
-    fn end_grant(&mut self, id: GrantId) {
-        self.grants.remove(&id);
-        let held = self.keys.iter().filter(|(_, stored)| stored.grant == Some(id));
+    fn end_store_lease(&mut self, id: StoreLeaseId) {
+        self.store_leases.remove(&id);
+        let held = self.keys.iter().filter(|(_, stored)| stored.store_lease == Some(id));
         let keys: Vec<String> = held.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.revision += 1;
@@ -189,7 +189,7 @@
                 key: key.clone(),
                 value: stored.value.clone(),
                 revision: Revision(stored.revision),
-                grant: stored.grant,
+                store_lease: stored.store_lease,
             })
             .collect();
         Page { pairs, truncated: false, store_revision: Revision(self.revision) }
@@ -241,12 +241,12 @@
         let prefix = query(path, "under").unwrap_or("");
         let resource = path.split('?').next().unwrap();
         let mut locked = store.lock().unwrap();
-        locked.expire_grants();
+        locked.expire_store_leases();
         match resource {
             "/multi" => locked.apply(body::decode(bytes).unwrap()),
             "/grants" => {
-                let request: GrantRequest = body::decode(bytes).unwrap();
-                granted(locked.grant(Duration::from_millis(request.ttl_ms)))
+                let request: StoreLeaseRequest = body::decode(bytes).unwrap();
+                store_lease_response(locked.create_store_lease(Duration::from_millis(request.ttl_ms)))
             }
             "/store" => Response::encoded(200, &locked.page(prefix, query(path, "from").unwrap_or(""))),
             "/changes" => {
@@ -254,26 +254,26 @@
                 watch(&store, &gate, path, prefix)
             }
             _ => match resource.strip_prefix("/grants/") {
-                Some(rest) => renew_or_end_grant(&mut locked, method, rest),
+                Some(rest) => renew_or_end_store_lease(&mut locked, method, rest),
                 None => Response::empty(404),
             },
         }
     })
 }
 
-fn granted(id: GrantId) -> Response {
+fn store_lease_response(id: StoreLeaseId) -> Response {
     Response::encoded(200, &cbor!({"permit" => id.0}).unwrap())
 }
 
 /// `rest`: the path after `/grants/`.
-fn renew_or_end_grant(store: &mut Store, method: &str, rest: &str) -> Response {
-    let id = GrantId(rest.split('/').next().unwrap().parse().unwrap());
+fn renew_or_end_store_lease(store: &mut Store, method: &str, rest: &str) -> Response {
+    let id = StoreLeaseId(rest.split('/').next().unwrap().parse().unwrap());
     if method == "DELETE" {
-        store.end_grant(id);
+        store.end_store_lease(id);
         return Response::empty(200);
     }
-    if store.renew_grant(id) {
-        granted(id)
+    if store.renew_store_lease(id) {
+        store_lease_response(id)
     } else {
         Response::empty(404)
     }
@@ -286,7 +286,7 @@
     let until = Instant::now() + Duration::from_millis(wait_ms);
     loop {
         let mut locked = store.lock().unwrap();
-        locked.expire_grants();
+        locked.expire_store_leases();
         let changes = locked.changes(prefix, from);
         // In an outage open watches stay open.
         let held = gate.is_blind_for(prefix) || gate.is_shut();
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -99,7 +99,7 @@
 
     /// Writes one value without conditions.
     pub(super) fn put(&mut self, key: String, value: Value) {
-        let writes = vec![WriteOperation::Put { key, value, grant: None }];
+        let writes = vec![WriteOperation::Put { key, value, store_lease: None }];
         self.apply(&Transaction { conditions: vec![], writes }).unwrap();
     }
 
@@ -155,7 +155,7 @@
                 key: key.clone(),
                 value: stored.value.clone(),
                 revision: stored.revision,
-                grant: None,
+                store_lease: None,
             })
             .collect();
         Page { pairs, truncated: false, store_revision: self.revision }
