--- a/src/controller/election_driver.rs
+++ b/src/controller/election_driver.rs
@@ -1,4 +1,4 @@
-//! Carries out what the election decides, as requests to the key-value store.
+//! Carries out the decisions of the leader election as requests to the key-value store.
 
 use super::{
     identity::Identity,
@@ -18,14 +18,16 @@
     transport::{http::status::BAD_REQUEST, Net},
 };
 
-/// This controller's part in the election, and its grant for the leader's key.
+/// The state of this controller in the leader election, with its store lease for the
+/// leader's key.
 #[derive(Debug)]
 pub struct ElectionDriver {
     election: Election,
 }
 
 impl ElectionDriver {
-    /// A controller that has not read the leader's key yet.
+    /// Creates the driver of a controller that has not read the leader's key yet.
+    /// `leader_ttl_ms` is the time to live of the leader's store lease, in ms.
     pub fn new(identity: &Identity, leader_ttl_ms: u64) -> ElectionDriver {
         ElectionDriver { election: Election::new(&identity.label, identity.nonce, leader_ttl_ms) }
     }
@@ -37,7 +39,8 @@
         }
     }
 
-    /// Gives up leading, if this controller does, so that another can be elected.
+    /// Resigns from leadership, if this controller leads, so that another controller can
+    /// be elected.
     pub fn step_down(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
         if let Some(store_lease) = self.election.step_down(now) {
             client.budgets().charge_read(net.now());
@@ -73,7 +76,7 @@
         }
     }
 
-    /// A request of the election ended.
+    /// Handles the result of a request of the election.
     pub fn handle_reply(&mut self, now: Millis, call: &ElectionCall, result: &CallResult) {
         match call {
             ElectionCall::CreateStoreLease => self.election.handle_store_lease_response(now, store_lease_id(result)),
@@ -84,30 +87,33 @@
     }
 
     fn handle_claim_result(&mut self, now: Millis, result: &CallResult) {
-        // The store knows no such grant any more.
+        // The store no longer knows the lease.
         if status(result) == BAD_REQUEST {
             self.election.handle_store_lease_expiry();
         }
         self.election.handle_claim_result(now, applied_revision(result));
     }
 
-    /// The leader's key was seen. `record`: None: it doesn't exist. `revision`: of
-    /// the record, or of its removal.
+    /// Records the state of the leader's key. `record` is `None` if the key doesn't
+    /// exist; `revision` is that of the record or of its removal.
     pub fn observe_key(&mut self, now: Millis, record: Option<LeaderRecord>, revision: Revision) {
         self.election.observe_key(now, record, revision);
     }
 
-    /// Term of this controller's leadership, if it may act at this moment.
+    /// Returns the term of this controller's leadership, if it has the authority to act
+    /// at this moment.
     pub fn leading_term(&self, now: Millis) -> Option<Term> {
         self.election.leading_term(now)
     }
 
-    /// Term of this controller's leadership, even if it may not act just now.
+    /// Returns the term of this controller's leadership, even if its store lease may have
+    /// expired, so that it has no authority to act at this moment.
     pub fn held_term(&self) -> Option<Term> {
         self.election.held_term()
     }
 
-    /// The label of the controller that the leader's key names.
+    /// Returns the label of the controller that the leader's key names; `None` if the key
+    /// is unknown or doesn't exist.
     pub fn leader(&self) -> Option<&str> {
         self.election.leader()
     }
--- a/src/controller/leader_key_watch.rs
+++ b/src/controller/leader_key_watch.rs
@@ -22,7 +22,7 @@
     transport::{http::status::GONE, Net},
 };
 
-/// How long a watch of the keys waits for a change, in ms. Its regular end also
+/// How long a watch of the keys waits for a change, in ms. Its regular completion also
 /// shows that the key-value store works.
 const WATCH_MS: u64 = 3_000;
 /// Timeout, in ms, of the listing of the keys.
@@ -38,7 +38,7 @@
 }
 
 impl KeyObservers<'_> {
-    /// All keys, as they are listed.
+    /// Passes a listing of all keys on to the components.
     fn observe_listing(&mut self, now: Millis, page: &Page) {
         let find = |key: &str| page.pairs.iter().find(|pair| pair.key == key);
 
@@ -53,7 +53,7 @@
         self.peers.observe_renewal_keys(now, |label| find(&records::renewal_key(label)).is_some());
     }
 
-    /// One key was written or removed.
+    /// Passes the write or removal of one key on to the components.
     fn observe_change(&mut self, now: Millis, change: &Change) {
         if change.write.as_deref() == Some(records::LEADER_KEY) {
             let record = change.value.as_ref().and_then(|value| value.deserialized::<LeaderRecord>().ok());
@@ -77,18 +77,20 @@
     }
 }
 
-/// How far the keys are known.
+/// The state of the watch: whether the keys were listed, and up to which revision their
+/// changes were read.
 #[derive(Debug, Default)]
 pub struct LeaderKeyWatch {
     schedule: PollSchedule,
-    /// All keys were listed; since then only changes are read.
+    /// Whether all keys were listed; after that only changes are read.
     listed: bool,
-    /// Revision up to which changes were read.
+    /// Revision of the store up to which changes were read.
     store_revision: Revision,
 }
 
 impl LeaderKeyWatch {
-    /// Keeps a listing or a watch of the keys going.
+    /// Sends a listing or a watch of the keys, unless one is in flight, a pause after a
+    /// failure is running, or the read budget is used up.
     pub fn refresh(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
         if !self.schedule.is_due(now) {
             return;
@@ -108,7 +110,8 @@
         }
     }
 
-    /// A request for the keys ended; what it shows is handed to `observers`.
+    /// Handles the result of a request for the keys and passes what it shows on to
+    /// `observers`.
     pub fn handle_reply(
         &mut self,
         now: Millis,
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The other controllers: what their gossip shows, and the gossip to them.
+//! The other controllers: the state that their gossip reports, and the gossip to them.
 
 mod outgoing;
 mod peer;
@@ -20,49 +20,50 @@
     transport::Net,
 };
 
-/// A peer that was not heard for this long, in ms, is assumed to use its whole
-/// share of the budgets.
+/// For how long, in ms, the usage in a peer's last frame is valid. After that the peer
+/// is assumed to use its whole share of the budgets.
 const PEER_USAGE_VALID_MS: Millis = 2_000;
-/// For how long, in ms, a peer's statement that it leads is believed.
+/// For how long, in ms, a peer's report that it leads is valid.
 const LEADER_STATUS_VALID_MS: Millis = 1_500;
-/// A peer is in contact when it was heard within this time, in ms.
+/// A peer is reachable if a frame from it was received within this time, in ms.
 const PEER_REACHABLE_MS: Millis = 2_500;
-/// A peer that the key-value store answered this much later, in ms, than it
-/// answered us shows that the failure is ours.
+/// If a peer received a response of the key-value store this much later, in ms, than this
+/// controller did, the failure is local to this controller.
 const LATER_STORE_RESPONSE_MS: Millis = 1_500;
-/// What a peer says of rejected heartbeats counts for this long, in ms.
+/// For how long, in ms, a peer's count of rejected heartbeats is valid.
 const REJECTION_COUNT_VALID_MS: Millis = 2_000;
-/// Rejected heartbeats at one peer that show that workers are there.
+/// Number of heartbeats rejected by one peer that shows that workers reach it.
 const MIN_REJECTED_HEARTBEATS: u32 = 2;
 
-/// What a frame of gossip says of the sender's present state.
+/// The current state of this controller, as sent in a gossip frame.
 #[derive(Debug)]
 pub struct LocalState {
-    /// Milliseconds since the key-value store last answered.
+    /// Time since the last response of the key-value store, in ms.
     pub store_age_ms: Millis,
     /// Whether this controller leads.
     pub leading: bool,
-    /// What it uses of the key-value store's limits.
+    /// Operations per second that it uses of the key-value store's limits.
     pub usage: Usage,
-    /// Milliseconds since it last renewed a worker's lease without leading.
+    /// Time since this controller last renewed a worker lease without leading, in ms.
     pub since_leaderless_renewal_ms: Millis,
-    /// Task counts of jobs that changed lately, from the leader.
+    /// From the leader: task counts of jobs that changed recently.
     pub counts: Vec<Count>,
 }
 
-/// All other controllers.
+/// The state of all other controllers.
 #[derive(Debug)]
 pub struct Peers {
     identity: Identity,
-    /// In the order of the settings.
+    /// The peers in the order of the settings.
     peers: Vec<Peer>,
-    /// For which time each is known to have renewed no lease.
+    /// For which time each peer is known to have renewed no worker lease.
     inactivity: PeerInactivity,
     outgoing: OutgoingGossip,
 }
 
 impl Peers {
-    /// Peers that were not heard yet, with a link to each.
+    /// Creates the state of peers from which no frame was received yet, and adds a link
+    /// to each.
     pub fn new(identity: Identity, peer_settings: &[PeerSettings], net: &mut Net) -> Peers {
         let peers =
             peer_settings.iter().map(|seed| Peer::new(seed, &identity.zone, net.add_link(seed.endpoint))).collect();
@@ -74,12 +75,12 @@
         }
     }
 
-    /// Number of controllers, this one included.
+    /// Returns the number of controllers, including this one.
     pub fn controller_count(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// Whether a peer has this label.
+    /// Reports whether a peer has this label.
     pub fn contains(&self, label: &str) -> bool {
         self.find(label).is_some()
     }
@@ -88,8 +89,8 @@
         self.peers.iter().find(|peer| peer.label == label)
     }
 
-    /// Takes a peer's gossip. Returns the task counts that it tells; none if the
-    /// frame is old, or of no peer.
+    /// Applies a peer's gossip. Returns the task counts that it reports; none if the
+    /// frame is late or its sender is not a peer.
     pub fn receive_gossip(&mut self, now: Millis, gossip: Gossip) -> Vec<Count> {
         let Some(index) = self.peers.iter().position(|peer| peer.label == gossip.from) else { return Vec::new() };
         if !self.peers[index].update(now, &gossip) {
@@ -101,8 +102,8 @@
         gossip.counts
     }
 
-    /// Sends gossip, and repeats the latest cancellations, if it is due. Returns
-    /// whether it was. `local_state` is called only then.
+    /// Sends gossip and repeats the recent cancellations, if gossip is due. Returns
+    /// whether it was due; `local_state` is called only then.
     pub fn gossip_if_due(&mut self, net: &mut Net, now: Millis, local_state: impl FnOnce() -> LocalState) -> bool {
         if !self.outgoing.take_due(now) {
             return false;
@@ -137,16 +138,18 @@
         }
     }
 
-    /// The last clock of each peer, and the mark of the frame types read here.
+    /// Returns an echo of the last clock of each peer, and the marker of the frame types
+    /// that this version reads.
     fn echoes(&self) -> Vec<Echo> {
         self.peers.iter().filter_map(Peer::echo).chain([Gossip::supported_frames_marker()]).collect()
     }
 
-    /// Tells peers at once of a cancellation that was confirmed to a user.
+    /// Notifies peers immediately of a cancellation that was confirmed to a user.
     ///
-    /// Guard: the controller that serves the workers may be another one, and must
-    /// not launch what a user was told is cancelled. The limit on how long answers
-    /// may rely on old reads holds without this, but acts later.
+    /// The controller that serves the workers may be another one, and must not launch
+    /// tasks after a user received the response that their job is cancelled. The limit
+    /// on how long responses to workers may rely on old reads holds without this notice,
+    /// but takes effect later.
     pub fn announce_cancellation(&mut self, net: &mut Net, now: Millis, cancelled: Cancelled) {
         self.outgoing.record_cancellation(now, cancelled.clone());
         self.send_notice(net, vec![cancelled]);
@@ -160,19 +163,19 @@
         }
     }
 
-    /// A worker's heartbeat was rejected here.
+    /// Records that this controller rejected a worker's heartbeat.
     pub fn record_rejected_heartbeat(&mut self, now: Millis) {
         self.outgoing.record_rejected_heartbeat(now);
     }
 
-    /// Whether a peer said a moment ago that it leads.
+    /// Reports whether the peer with this label recently advertised that it leads.
     pub fn advertises_leadership(&self, now: Millis, label: &str) -> bool {
         self.find(label).is_some_and(|peer| peer.leading && peer.frame_received_within(now, LEADER_STATUS_VALID_MS))
     }
 
-    /// Whether the peers show that a failure of the key-value store, which has lasted
-    /// for `failing_ms`, is this controller's alone: it is in contact with none of
-    /// them, or the store answered one of them meanwhile.
+    /// Reports whether a failure of the key-value store, which has lasted for
+    /// `failing_ms`, is local to this controller: no peer is reachable, or the store
+    /// responded to a reachable peer meanwhile. False if there are no peers.
     pub fn is_store_failure_local(&self, now: Millis, failing_ms: Millis) -> bool {
         let mut reachable =
             self.peers.iter().filter(|peer| peer.frame_received_within(now, PEER_REACHABLE_MS)).peekable();
@@ -182,7 +185,8 @@
         reachable.any(|peer| peer.store_age_ms + LATER_STORE_RESPONSE_MS < failing_ms)
     }
 
-    /// Whether a peer rejects heartbeats, so that workers reach it.
+    /// Reports whether workers reach a peer: it recently rejected several of their
+    /// heartbeats.
     pub fn have_worker_contact(&self, now: Millis) -> bool {
         self.peers.iter().any(|peer| {
             peer.frame_received_within(now, REJECTION_COUNT_VALID_MS)
@@ -190,7 +194,8 @@
         })
     }
 
-    /// What each peer uses of the key-value store's limits; None: it was not heard lately.
+    /// Returns the usage of the key-value store's limits by each peer; `None` if no frame
+    /// was received from the peer recently.
     pub fn recent_usage(&self, now: Millis) -> Vec<Option<Usage>> {
         self.peers
             .iter()
@@ -198,27 +203,30 @@
             .collect()
     }
 
-    /// What decides whether leases may be renewed without a leader.
+    /// Returns the contact with each peer, as input to the decision whether leases may be
+    /// renewed without a leader.
     pub fn contacts(&self) -> Vec<PeerContact> {
         self.peers.iter().map(Peer::contact).collect()
     }
 
-    /// The renewal keys were listed; `has_key` tells for a peer's label whether its key exists.
+    /// Records a listing of the renewal keys. `has_key` returns for a peer's label whether
+    /// its key exists.
     pub fn observe_renewal_keys(&mut self, now: Millis, has_key: impl Fn(&str) -> bool) {
         for peer in &mut self.peers {
             peer.renewal_key_absent_since = (!has_key(&peer.label)).then_some(now);
         }
     }
 
-    /// A renewal key was written or removed: the first peer whose label matches owns it.
+    /// Records that a renewal key was written (`exists`) or removed. It belongs to the
+    /// first peer for whose label `owns_key` returns true.
     pub fn observe_renewal_key(&mut self, now: Millis, exists: bool, owns_key: impl Fn(&str) -> bool) {
         if let Some(peer) = self.peers.iter_mut().find(|peer| owns_key(&peer.label)) {
             peer.renewal_key_absent_since = (!exists).then_some(now);
         }
     }
 
-    /// A watch sent at `sent` returned: peers that had no renewal key since
-    /// before then can't have renewed a lease.
+    /// Records that a watch sent at `sent` has completed: peers that have had no renewal
+    /// key since before then can't have renewed a lease up to then.
     pub fn record_inactive_without_key(&mut self, sent: Millis) {
         for (index, peer) in self.peers.iter().enumerate() {
             if let Some(since) = peer.renewal_key_absent_since {
@@ -227,7 +235,7 @@
         }
     }
 
-    /// The time in which no peer renewed a lease.
+    /// Returns the time in which no peer renewed a worker lease.
     pub fn inactive_span(&self) -> TimeSpan {
         self.inactivity.span()
     }
--- a/src/controller/peers/outgoing.rs
+++ b/src/controller/peers/outgoing.rs
@@ -1,42 +1,43 @@
-//! What this controller tells its peers besides its present state.
+//! What this controller sends to its peers in addition to its current state.
 
 use std::collections::VecDeque;
 
 use crate::{coordination::model::Millis, protocol::peers::Cancelled};
 
-/// Interval of gossip, in ms: several frames within the time after which a peer
-/// counts as silent.
+/// Interval of gossip, in ms: several frames fit into the time after which a peer
+/// without frames is considered unavailable.
 const GOSSIP_INTERVAL_MS: Millis = 400;
 /// For how long, in ms, a confirmed cancellation is repeated to peers.
 const NOTICE_REPEAT_MS: Millis = 12_000;
-/// Most cancellations that are repeated, which bounds the size of a frame.
+/// Maximum number of cancellations that are repeated, which bounds the size of a frame.
 const MAX_REPEATED_NOTICES: usize = 256;
-/// For how long, in ms, a rejected heartbeat is counted.
+/// For how long, in ms, a rejected heartbeat is included in the count.
 const REJECTED_HEARTBEAT_MS: Millis = 4_000;
-/// Most rejected heartbeats that are remembered, the latest ones. Far above what
-/// means trouble, so that the count stays high however many machines there are.
+/// Maximum number of rejected heartbeats that are kept, the latest ones. It is far above
+/// the count that indicates a fault, so that the count stays high with any number of
+/// machines.
 const MAX_REJECTED_HEARTBEATS: usize = 10_000;
 
-/// A cancellation that was confirmed here.
+/// A cancellation that this controller confirmed to a user.
 #[derive(Debug)]
 struct ConfirmedCancellation {
     confirmed_at: Millis,
     cancelled: Cancelled,
 }
 
-/// What this controller tells its peers, and when.
+/// The schedule of outgoing gossip and the recent events that it reports.
 #[derive(Debug, Default)]
 pub(super) struct OutgoingGossip {
     next_at: Millis,
     frames_sent: u64,
-    /// When workers' heartbeats were rejected lately.
+    /// When workers' heartbeats were recently rejected, in ms, oldest first.
     rejected_heartbeats: VecDeque<Millis>,
-    /// Cancellations confirmed here lately, oldest first.
+    /// Cancellations that this controller recently confirmed, oldest first.
     cancellations: VecDeque<ConfirmedCancellation>,
 }
 
 impl OutgoingGossip {
-    /// Whether gossip is to be sent now. If so, the next is due an interval later.
+    /// Reports whether gossip is due now. If so, the next one is due an interval later.
     pub(super) fn take_due(&mut self, now: Millis) -> bool {
         let is_due = now >= self.next_at;
         if is_due {
@@ -45,14 +46,14 @@
         is_due
     }
 
-    /// The number of the frame that is sent next.
+    /// Returns the number of the next frame, and increments it.
     pub(super) fn next_frame_number(&mut self) -> u64 {
         let number = self.frames_sent;
         self.frames_sent += 1;
         number
     }
 
-    /// A worker's heartbeat was rejected.
+    /// Records that a worker's heartbeat was rejected.
     pub(super) fn record_rejected_heartbeat(&mut self, now: Millis) {
         self.rejected_heartbeats.push_back(now);
         if self.rejected_heartbeats.len() > MAX_REJECTED_HEARTBEATS {
@@ -60,13 +61,13 @@
         }
     }
 
-    /// Number of heartbeats that were rejected in the last seconds.
+    /// Returns the number of heartbeats that were rejected in the last seconds.
     pub(super) fn recent_rejection_count(&mut self, now: Millis) -> u32 {
         self.rejected_heartbeats.retain(|&rejected_at| now < rejected_at + REJECTED_HEARTBEAT_MS);
         self.rejected_heartbeats.len() as u32
     }
 
-    /// A cancellation was confirmed to a user.
+    /// Records that a cancellation was confirmed to a user.
     pub(super) fn record_cancellation(&mut self, now: Millis, cancelled: Cancelled) {
         self.cancellations.push_back(ConfirmedCancellation { confirmed_at: now, cancelled });
         if self.cancellations.len() > MAX_REPEATED_NOTICES {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The cancellations that are still to be repeated.
+    /// Returns the cancellations that are still to be repeated.
     pub(super) fn repeated_cancellations(&mut self, now: Millis) -> Vec<Cancelled> {
         self.cancellations.retain(|cancellation| now < cancellation.confirmed_at + NOTICE_REPEAT_MS);
         self.cancellations.iter().map(|cancellation| cancellation.cancelled.clone()).collect()
--- a/src/controller/peers/peer.rs
+++ b/src/controller/peers/peer.rs
@@ -1,4 +1,4 @@
-//! One other controller, as its gossip shows it.
+//! The state of one other controller, from its gossip.
 
 use crate::{
     controller::{identity::Identity, service_client::Usage},
@@ -9,10 +9,10 @@
     },
 };
 
-/// Part of a peer's time without renewals that counts: two steady clocks may
-/// run at slightly different rates.
+/// Factor by which a peer's time without renewals is shortened, because two monotonic
+/// clocks may run at slightly different rates.
 const CLOCK_RATE_MARGIN: f64 = 0.999;
-/// Longest time without renewals that a peer is believed, in ms; more than any
+/// Longest time without renewals that is accepted from a peer, in ms: more than any
 /// uptime, and safe in signed arithmetic.
 const MAX_INACTIVE_MS: Millis = 1 << 40;
 
@@ -21,36 +21,39 @@
 struct PeerClock {
     /// Identifies the start of the peer's process.
     nonce: u64,
+    /// The peer's monotonic clock, in ms.
     clock_ms: Millis,
 }
 
-/// One other controller.
+/// The state of one other controller.
 #[derive(Debug)]
 pub(super) struct Peer {
     pub(super) label: String,
-    /// Number of the link to it.
+    /// Number of the link to the peer.
     pub(super) link: usize,
-    /// It runs in this controller's zone.
+    /// Whether the peer runs in this controller's zone.
     same_zone: bool,
     frame_order: FrameOrder,
-    /// When its last frame was received.
+    /// When its last frame was received, in ms; `None`: no frame was received yet.
     last_received: Option<Millis>,
-    /// How long before that the key-value store had answered it.
+    /// How long the peer had received no response of the key-value store when it sent
+    /// that frame, in ms.
     pub(super) store_age_ms: Millis,
-    /// Workers' heartbeats that it rejected lately.
+    /// Number of workers' heartbeats that it recently rejected.
     pub(super) rejected_heartbeats: u32,
     pub(super) leading: bool,
     pub(super) usage: Usage,
-    /// The clock in its last frame.
+    /// The clock in its last frame; `None`: no frame was received yet.
     clock: Option<PeerClock>,
-    /// Since when it is known to have no key under which it may renew leases.
+    /// Since when the peer is known to have no renewal key, in ms; `None`: it may have
+    /// one.
     pub(super) renewal_key_absent_since: Option<Millis>,
-    /// It reads notices of cancellations.
+    /// Whether the peer reads notices of cancellations.
     pub(super) reads_notices: bool,
 }
 
 impl Peer {
-    /// A peer that was not heard yet.
+    /// Creates the state of a peer from which no frame was received yet.
     pub(super) fn new(seed: &PeerSettings, own_zone: &str, link: usize) -> Peer {
         Peer {
             label: seed.label.clone(),
@@ -68,13 +71,13 @@
         }
     }
 
-    /// Whether a frame of it was received within the last `within_ms`.
+    /// Reports whether a frame of the peer was received within the last `within_ms`.
     pub(super) fn frame_received_within(&self, now: Millis, within_ms: Millis) -> bool {
         self.last_received.is_some_and(|received| now < received + within_ms)
     }
 
-    /// Takes the state in a frame. Returns false for a frame that is older than
-    /// one that was received before.
+    /// Applies the state in a frame. Returns false, and ignores the frame, if it is not
+    /// newer than all frames that were received before.
     pub(super) fn update(&mut self, now: Millis, gossip: &Gossip) -> bool {
         if !self.frame_order.is_newer(gossip) {
             return false;
@@ -89,19 +92,22 @@
         true
     }
 
-    /// The last clock that was received from it, to be repeated to it.
+    /// Returns an echo of the last clock that was received from the peer, to be sent
+    /// back to it.
     pub(super) fn echo(&self) -> Option<Echo> {
         let clock = self.clock.as_ref()?;
         Some(Echo { of: self.label.clone(), nonce: clock.nonce, clock_ms: clock.clock_ms })
     }
 
-    /// What decides whether leases may be renewed without a leader.
+    /// Returns the contact with the peer, as input to the decision whether leases may be
+    /// renewed without a leader.
     pub(super) fn contact(&self) -> PeerContact {
         PeerContact { same_zone: self.same_zone, last_received: self.last_received, store_age_ms: self.store_age_ms }
     }
 }
 
-/// A time in which a peer renewed no lease, on this controller's clock in ms.
+/// A span of time in which a peer renewed no worker lease, on this controller's
+/// monotonic clock in ms.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct InactiveSpan {
     pub(super) from: i64,
@@ -109,14 +115,15 @@
 }
 
 impl InactiveSpan {
-    /// The time that a peer vouches for in a frame.
+    /// Returns the span of time without renewals that a peer confirms in a frame; `None`
+    /// if the frame has no echo of this start of this controller's process.
     ///
-    /// Guard: a frame may have been delayed for any time. Its statement holds
-    /// up to the reading of our own clock that the peer had received when it
-    /// sent the frame, not up to when the frame arrived.
+    /// A frame may have been delayed by any time, so the span doesn't extend to when the
+    /// frame arrived. It ends at the reading of this controller's clock that the peer had
+    /// received when it sent the frame.
     pub(super) fn from_gossip(gossip: &Gossip, identity: &Identity, now: Millis) -> Option<InactiveSpan> {
-        let is_ours = |echo: &&Echo| echo.of == identity.label && echo.nonce == identity.nonce;
-        let echo = gossip.echoes.iter().find(is_ours)?;
+        let is_own = |echo: &&Echo| echo.of == identity.label && echo.nonce == identity.nonce;
+        let echo = gossip.echoes.iter().find(is_own)?;
         let inactive_ms = (gossip.since_leaderless_renewal_ms.min(MAX_INACTIVE_MS) as f64 * CLOCK_RATE_MARGIN) as i64;
         Some(InactiveSpan { from: now as i64 - inactive_ms, to: echo.clock_ms.min(now) as i64 })
     }
--- a/src/controller/renewal_key.rs
+++ b/src/controller/renewal_key.rs
@@ -1,5 +1,6 @@
-//! The key under which this controller may renew workers' leases without leading.
-//! The decisions are made in `coordination::lease_renewal`.
+//! The renewal key: the key of the key-value store that permits this controller to
+//! renew worker leases without leading. `coordination::lease_renewal` makes the
+//! decisions; this module sends the requests.
 
 use ciborium::Value;
 
@@ -21,20 +22,23 @@
     transport::{http::status::BAD_REQUEST, Net},
 };
 
-/// This controller's right to renew leases, and the key that shows it to others.
+/// This controller's authority to renew worker leases, and the key that shows it to the
+/// other controllers.
 #[derive(Debug)]
 pub struct RenewalKey {
     identity: Identity,
     authority: RenewalAuthority,
-    /// When a worker of another zone last sent a heartbeat here.
+    /// When this controller last received a heartbeat from a worker of another zone, in
+    /// ms; `None`: never.
     last_other_zone_heartbeat: Option<Millis>,
 }
 
 impl RenewalKey {
-    /// A controller that has read nothing and holds no key.
+    /// Creates the state of a controller that has read nothing and holds no key.
     pub fn new(identity: Identity, settings: &Settings) -> RenewalKey {
         let workers = &settings.cluster.workers;
-        // A single controller has no leader but itself to renew leases for.
+        // A single controller can't renew leases without leading: there is no leader but
+        // itself.
         let is_single = settings.peer_settings.is_empty();
         let max_ms = if is_single { 0 } else { lease_renewal::leaderless_window_ms(workers.cancel_s, workers.lease_s) };
         let authority =
@@ -77,7 +81,7 @@
         }
     }
 
-    /// A request for the key ended.
+    /// Handles the result of a request for the key.
     pub fn handle_reply(&mut self, now: Millis, call: &RenewalKeyCall, result: &CallResult) {
         match call {
             RenewalKeyCall::CreateStoreLease => self.authority.handle_store_lease_response(now, store_lease_id(result)),
@@ -87,65 +91,67 @@
     }
 
     fn handle_write_result(&mut self, now: Millis, result: &CallResult) {
-        // The store knows no such grant any more.
+        // The store no longer knows the lease.
         if status(result) == BAD_REQUEST {
             self.authority.handle_store_lease_expiry();
         }
         self.authority.handle_write_result(now, applied_revision(result));
     }
 
-    /// The name of this controller's key.
+    /// Returns the name of this controller's renewal key.
     pub fn key(&self) -> String {
         records::renewal_key(&self.identity.label)
     }
 
-    /// The key was seen at a revision of the store. `key_revision` is the revision
-    /// of its last write, or [`Revision::ABSENT`].
+    /// Records the state of the key at a revision of the store. `key_revision` is the
+    /// revision of its last write, or [`Revision::ABSENT`].
     pub fn observe_key(&mut self, value: Option<&Value>, key_revision: Revision, store_revision: Revision) {
-        let is_ours = value.is_some_and(|value| self.is_own_record(value));
-        self.authority.observe_key(key_revision, store_revision, is_ours);
+        let is_own = value.is_some_and(|value| self.is_own_record(value));
+        self.authority.observe_key(key_revision, store_revision, is_own);
     }
 
-    /// Whether the value of the key belongs to the grant that this controller holds.
+    /// Reports whether the value of the key belongs to the store lease that this
+    /// controller holds.
     fn is_own_record(&self, value: &Value) -> bool {
         value.deserialized::<LeaderRecord>().is_ok_and(|record| {
             record.label == self.identity.label && Some(record.nonce) == self.authority.key_nonce(self.identity.nonce)
         })
     }
 
-    /// A read of the jobs' records that was sent at `sent` was applied.
+    /// Records that a read of the jobs' records that was sent at `sent` was applied.
     pub fn record_job_read(&mut self, sent: Millis) {
         self.authority.record_job_read(sent);
     }
 
-    /// For how long, in ms, a read of the jobs' records allows leases to be renewed.
+    /// Returns for how long, in ms, a read of the jobs' records permits the renewal of
+    /// worker leases.
     pub fn read_validity_ms(&self) -> Millis {
         self.authority.renewal_window_ms()
     }
 
-    /// A worker of another zone sent a heartbeat here.
+    /// Records a heartbeat that a worker of another zone sent to this controller.
     pub fn record_other_zone_heartbeat(&mut self, now: Millis) {
         self.last_other_zone_heartbeat = Some(now);
     }
 
-    /// Whether the last read of the jobs' records is recent enough to renew a
-    /// lease, by the leader too.
+    /// Reports whether the last read of the jobs' records is recent enough to renew a
+    /// worker lease. This also applies to the leader.
     pub fn may_renew(&self, now: Millis) -> bool {
         self.authority.may_renew(now)
     }
 
-    /// Whether leases may be renewed although no leader is in contact.
+    /// Reports whether worker leases may be renewed although no leader is reachable.
     pub fn may_renew_without_leader(&self, now: Millis, peers: &[PeerContact]) -> bool {
         self.authority.may_renew_without_leader(now)
             && is_shared_partition(now, self.authority.last_store_contact(), peers, self.last_other_zone_heartbeat)
     }
 
-    /// A lease is renewed now without leading.
+    /// Records that a worker lease is renewed now without leading.
     pub fn record_leaderless_renewal(&mut self, now: Millis) {
         self.authority.record_leaderless_renewal(now);
     }
 
-    /// When a lease was last renewed without leading; 0: never.
+    /// Returns when a worker lease was last renewed without leading; 0: never.
     pub fn last_leaderless_renewal(&self) -> Millis {
         self.authority.last_leaderless_renewal()
     }
--- a/src/controller/tests/election_driver.rs
+++ b/src/controller/tests/election_driver.rs
@@ -9,15 +9,15 @@
 
 const TTL_MS: u64 = 9_000;
 
-/// A controller leads from the write of its key under its grant until it steps down.
+/// A controller leads from the write of its key under its store lease until it steps down.
 #[test]
-fn a_controller_leads_under_its_grant() {
+fn a_controller_leads_from_its_claim_until_it_steps_down() {
     let mut net = new_net();
     let mut client = ServiceClient::new(&settings_with_peers());
     let mut sent = SentCalls::default();
     let mut driver = ElectionDriver::new(&identity(), TTL_MS);
     driver.tick(&mut net, 0, &mut client);
-    assert_eq!(sent.next_debug(&mut client), None, "the key was not read yet");
+    assert_eq!(sent.next_debug(&mut client), None, "no request before the key was read");
 
     driver.observe_key(0, None, Revision(3));
     driver.tick(&mut net, 0, &mut client);
@@ -36,7 +36,7 @@
     assert_eq!(
         (driver.leading_term(TTL_MS), driver.held_term()),
         (None, Some(Term(Revision(5)))),
-        "the grant may have ended"
+        "the store lease may have expired"
     );
 
     driver.step_down(&mut net, 30, &mut client);
@@ -44,9 +44,10 @@
     assert_eq!((driver.leading_term(30), driver.held_term(), driver.leader()), (None, None, None));
 }
 
-/// A claim that the store refuses as under no grant begins with a new grant.
+/// If the store rejects a claim because the store lease doesn't exist, the next claim
+/// begins with the request for a new one.
 #[test]
-fn a_claim_without_a_grant_asks_for_a_new_one() {
+fn a_claim_rejected_for_its_store_lease_requests_a_new_one() {
     let mut net = new_net();
     let mut client = ServiceClient::new(&settings_with_peers());
     let mut sent = SentCalls::default();
--- a/src/controller/tests/leader_key_watch.rs
+++ b/src/controller/tests/leader_key_watch.rs
@@ -37,8 +37,8 @@
     Change { write: None, drop: Some(key.to_owned()), value: None, revision: Revision(revision) }
 }
 
-/// A listing comes first, then watches from its revision on, and a listing again
-/// once the changes since are no longer known.
+/// After a listing, changes are watched from its revision on. The keys are listed again
+/// when the store no longer knows the changes since then.
 #[test]
 fn changes_are_watched_after_a_listing() {
     let mut net = new_net();
@@ -72,12 +72,12 @@
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Watch { sent: 20 })"));
     watch.handle_reply(30, &LeaderKeyCall::Watch { sent: 20 }, &answered(GONE), &mut observed.observers());
     watch.refresh(&mut net, 30 + RETRY_MS - 1, &mut client);
-    assert_eq!(sent.next_debug(&mut client), None, "after a failure comes a pause");
+    assert_eq!(sent.next_debug(&mut client), None, "no request during the pause after a failure");
     watch.refresh(&mut net, 30 + RETRY_MS, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Listing)"));
 }
 
-/// Guard: peers count as inactive only while their renewal keys are known to be away,
+/// Peers are considered inactive only while their renewal keys are known not to exist,
 /// and only up to the sending of the watch that shows it.
 #[test]
 fn peers_without_keys_are_inactive_until_the_watch_was_sent() {
@@ -94,9 +94,21 @@
     };
     assert_eq!(end_watch(&mut observed, 200, 250, Vec::new()), (100, 200));
     let n2 = records::renewal_key("n-2");
-    assert_eq!(end_watch(&mut observed, 300, 350, vec![written(&n2, "n-2", 9)]), (100, 200), "n-2 may renew");
+    assert_eq!(
+        end_watch(&mut observed, 300, 350, vec![written(&n2, "n-2", 9)]),
+        (100, 200),
+        "n-2 has its key and may renew leases"
+    );
     let own = records::renewal_key("n-0");
-    assert_eq!(end_watch(&mut observed, 400, 450, vec![written(&own, "n-0", 10)]), (100, 200), "our own key");
-    assert_eq!(end_watch(&mut observed, 500, 550, vec![removed(&n2, 11)]), (100, 200), "away since 550 only");
+    assert_eq!(
+        end_watch(&mut observed, 400, 450, vec![written(&own, "n-0", 10)]),
+        (100, 200),
+        "the key of this controller is not a peer's"
+    );
+    assert_eq!(
+        end_watch(&mut observed, 500, 550, vec![removed(&n2, 11)]),
+        (100, 200),
+        "without its key since 550 only"
+    );
     assert_eq!(end_watch(&mut observed, 600, 650, Vec::new()), (550, 600));
 }
--- a/src/controller/tests/peers.rs
+++ b/src/controller/tests/peers.rs
@@ -26,9 +26,9 @@
     }
 }
 
-/// Task counts of unknown senders and of late frames are not shown.
+/// Task counts of unknown senders and of late frames are ignored.
 #[test]
-fn only_news_of_known_peers_counts() {
+fn gossip_of_unknown_senders_and_late_frames_is_ignored() {
     let mut peers = peers();
     assert_eq!(peers.receive_gossip(1_000, gossip("stranger", 1)), []);
     assert_eq!(peers.receive_gossip(1_000, gossip("n-1", 2)).len(), 1);
@@ -39,15 +39,15 @@
     assert_eq!(peers.recent_usage(1_000 + PEER_USAGE_VALID_MS), [None, None]);
 }
 
-/// Guard: a frame proves that its sender renewed no lease only up to the reading
-/// of our clock that it repeats, and only if that is of this start of ours.
+/// A frame proves that its sender renewed no lease only up to the reading of this
+/// controller's clock that it echoes, and only if this start of the process sent it.
 #[test]
-fn quiet_times_end_at_the_echoed_clock() {
+fn inactive_spans_end_at_the_echoed_clock() {
     let echo = |of: &str, nonce, clock_ms| Echo { of: of.to_owned(), nonce, clock_ms };
-    // (echo in the peers' frames, whether their quiet time is believed)
+    // (echo in the peers' frames, whether their inactive span is accepted)
     let cases =
         [(echo("n-0", NONCE, 9_000), true), (echo("n-0", NONCE + 1, 9_000), false), (echo("n-2", NONCE, 9_000), false)];
-    for (echo, believed) in cases {
+    for (echo, accepted) in cases {
         let mut peers = peers();
         for from in ["n-1", "n-2"] {
             peers.receive_gossip(
@@ -55,14 +55,14 @@
                 Gossip { echoes: vec![echo.clone()], since_leaderless_renewal_ms: 4_000, ..gossip(from, 1) },
             );
         }
-        let want = if believed { TimeSpan { from: 10_000 - 3_996, to: 9_000 } } else { TimeSpan::NEVER };
-        assert_eq!(peers.inactive_span(), want, "{echo:?}");
+        let expected = if accepted { TimeSpan { from: 10_000 - 3_996, to: 9_000 } } else { TimeSpan::NEVER };
+        assert_eq!(peers.inactive_span(), expected, "{echo:?}");
     }
 }
 
-/// A peer without a renewal key renewed nothing until the watch that shows it was sent.
+/// A peer without a renewal key renewed no lease until the watch that shows it was sent.
 #[test]
-fn peers_without_a_renewal_key_are_quiet() {
+fn peers_without_a_renewal_key_are_inactive() {
     let mut peers = peers();
     peers.observe_renewal_keys(1_000, |label| label == "n-2");
     peers.record_inactive_without_key(4_000);
@@ -75,11 +75,12 @@
     assert_eq!(peers.inactive_span(), TimeSpan { from: 2_000, to: 4_000 }, "n-1 has its key again");
 }
 
-/// A failure is this controller's own if no peer is heard, or a peer was served meanwhile.
+/// A failure of the store is local to this controller if no peer is reachable, or the
+/// store responded to a peer meanwhile.
 #[test]
-fn peers_show_whose_failure_it_is() {
-    // (when n-1 was heard, how long before that it was served, how long we
-    // have been failing, whether the failure is ours)
+fn a_store_failure_is_local_unless_reachable_peers_share_it() {
+    // (when a frame of n-1 was received, how long before that the store had responded to
+    // it, how long this controller's failure has lasted, whether the failure is local)
     let cases = [
         (None, 0, 3_000, true),
         (Some(9_500), 3_000, 3_000, false),
@@ -87,18 +88,19 @@
         (Some(9_500), 1_499, 3_000, true),
         (Some(7_500), 3_000, 3_000, true),
     ];
-    for (heard, state_age_ms, failing_ms, want) in cases {
+    for (received_at, state_age_ms, failing_ms, expected) in cases {
         let mut peers = peers();
-        if let Some(heard) = heard {
-            peers.receive_gossip(heard, Gossip { state_age_ms, ..gossip("n-1", 1) });
+        if let Some(received_at) = received_at {
+            peers.receive_gossip(received_at, Gossip { state_age_ms, ..gossip("n-1", 1) });
         }
-        assert_eq!(peers.is_store_failure_local(10_000, failing_ms), want, "{heard:?} {state_age_ms}");
+        assert_eq!(peers.is_store_failure_local(10_000, failing_ms), expected, "{received_at:?} {state_age_ms}");
     }
 }
 
-/// Workers reach a peer that rejected several of their heartbeats and was heard lately.
+/// Workers reach a peer that rejected several of their heartbeats and whose frame was
+/// received recently.
 #[test]
-fn rejected_heartbeats_show_where_workers_are() {
+fn several_recently_rejected_heartbeats_show_worker_contact() {
     let mut peers = peers();
     peers.receive_gossip(1_000, Gossip { rejected_heartbeats: 1, ..gossip("n-1", 1) });
     assert!(!peers.have_worker_contact(1_100));
--- a/src/controller/tests/renewal_key.rs
+++ b/src/controller/tests/renewal_key.rs
@@ -9,7 +9,8 @@
 
 const STORE_LEASE_ID: u64 = 4;
 
-/// A key that was written under its grant, and read with the jobs' records at `at`.
+/// A renewal key that was written under its store lease at `at`, when the jobs' records
+/// were read too.
 fn key_written(at: Millis) -> RenewalKey {
     let mut net = new_net();
     let settings = settings_with_peers();
@@ -17,7 +18,7 @@
     let mut sent = SentCalls::default();
     let mut key = RenewalKey::new(identity(), &settings);
     key.tick(&mut net, at, &mut client);
-    assert_eq!(sent.next_debug(&mut client), None, "the key was not read yet");
+    assert_eq!(sent.next_debug(&mut client), None, "no request before the key was read");
     key.observe_key(None, Revision::ABSENT, Revision(3));
     key.tick(&mut net, at, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(CreateStoreLease)"));
@@ -34,34 +35,38 @@
     key
 }
 
-fn silent_peer() -> PeerContact {
+fn peer_without_frames() -> PeerContact {
     PeerContact { same_zone: false, last_received: None, store_age_ms: 0 }
 }
 
-/// Leases are renewed without a leader only while the key is there, out of contact,
-/// and with no sign of another zone.
+/// Leases are renewed without a leader only while the key exists, the store is
+/// unreachable, and there is no evidence that another zone or a peer can reach the store.
 #[test]
-fn leases_are_renewed_only_out_of_contact() {
+fn leases_are_renewed_without_leader_only_in_a_shared_partition() {
     const READ: Millis = 10_000;
     const LATER: Millis = READ + 5_000;
     let key = key_written(READ);
-    assert!(!key.may_renew_without_leader(READ + 100, &[silent_peer()]), "in contact");
-    assert!(key.may_renew_without_leader(LATER, &[silent_peer()]));
-    let served = PeerContact { last_received: Some(LATER), ..silent_peer() };
-    assert!(!key.may_renew_without_leader(LATER, &[served]), "a peer is served");
+    assert!(!key.may_renew_without_leader(READ + 100, &[peer_without_frames()]), "the store is reachable");
+    assert!(key.may_renew_without_leader(LATER, &[peer_without_frames()]));
+    let served = PeerContact { last_received: Some(LATER), ..peer_without_frames() };
+    assert!(!key.may_renew_without_leader(LATER, &[served]), "a peer can reach the store");
 
     let mut key = key_written(READ);
     key.record_other_zone_heartbeat(LATER);
-    assert!(!key.may_renew_without_leader(LATER, &[silent_peer()]), "another zone is reached");
+    assert!(
+        !key.may_renew_without_leader(LATER, &[peer_without_frames()]),
+        "a worker of another zone sent a heartbeat"
+    );
 
     let mut key = key_written(READ);
     key.observe_key(None, Revision::ABSENT, Revision(9));
-    assert!(!key.may_renew_without_leader(LATER, &[silent_peer()]), "the key is gone");
+    assert!(!key.may_renew_without_leader(LATER, &[peer_without_frames()]), "the key was removed");
 }
 
-/// Guard: a key of an earlier start, or under an earlier grant, gives no right.
+/// A key that was written by an earlier start of the process, or under an earlier store
+/// lease, gives no authority to renew leases.
 #[test]
-fn only_a_key_of_this_start_and_grant_counts() {
+fn only_a_key_of_this_start_and_store_lease_permits_renewals() {
     let record = |label: &str, nonce| records::to_value(&LeaderRecord { label: label.to_owned(), nonce });
     let cases = [
         (record("n-0", NONCE + STORE_LEASE_ID), true),
@@ -69,16 +74,16 @@
         (record("n-0", NONCE + STORE_LEASE_ID + 1), false),
         (record("n-1", NONCE + STORE_LEASE_ID), false),
     ];
-    for (value, counts) in cases {
+    for (value, expected) in cases {
         let mut key = key_written(10_000);
         key.observe_key(Some(&value), Revision(9), Revision(9));
-        assert_eq!(key.may_renew_without_leader(15_000, &[silent_peer()]), counts, "{value:?}");
+        assert_eq!(key.may_renew_without_leader(15_000, &[peer_without_frames()]), expected, "{value:?}");
     }
 }
 
-/// A single controller never renews leases without leading, and asks for no grant.
+/// A single controller never renews leases without leading, and requests no store lease.
 #[test]
-fn a_single_controller_needs_no_key() {
+fn a_single_controller_requests_no_store_lease() {
     let mut settings = settings_with_peers();
     settings.peer_settings.clear();
     let mut client = ServiceClient::new(&settings);
@@ -87,5 +92,5 @@
     key.tick(&mut new_net(), 1_000, &mut client);
     assert_eq!(SentCalls::default().next_debug(&mut client), None);
     key.record_job_read(1_000);
-    assert!(key.may_renew(1_100), "as the leader it may");
+    assert!(key.may_renew(1_100), "as the leader it may renew leases");
 }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -2,7 +2,7 @@
 //! the key-value store.
 //!
 //! This controller leads while the key names it (its label, this start of its
-//! process *and* the grant that it holds) and that grant certainly exists.
+//! process *and* the store lease that it holds) and that lease certainly exists.
 
 use super::{
     ephemeral_key::{Action, EphemeralKey, RenewalOutcome, RetryDelays},
@@ -13,28 +13,28 @@
     storage::records::LeaderRecord,
 };
 
-/// How long a controller that stepped down doesn't stand for election, in ms.
+/// How long a controller that stepped down doesn't claim the leader's key, in ms.
 const STEP_DOWN_PAUSE_MS: Millis = 20_000;
 /// Shortest timeout of a renewal, in ms.
 const MIN_RENEWAL_TIMEOUT_MS: Millis = 700;
-/// A grant is renewed after this part of its time to live: three attempts fit
-/// before it expires.
+/// A store lease is renewed after its time to live divided by this: three attempts
+/// fit before it expires.
 const RENEWALS_PER_TTL: u64 = 4;
-/// Delays after calls that failed or went unanswered.
+/// Delays after calls that failed or received no response.
 const RETRY_DELAYS: RetryDelays = RetryDelays { after_renewal_ms: 250, after_write_ms: 300 };
 
-/// The leader's key as last seen.
+/// The last observed state of the leader's key.
 #[derive(Debug)]
 struct ObservedKey {
     /// `None`: the key doesn't exist.
     record: Option<LeaderRecord>,
-    /// Revision of the record, or of its removal.
+    /// Revision of the record's last write, or of its removal.
     revision: Revision,
 }
 
-/// The timeout of renewals, which follows the store's response times: a late
-/// answer is better than none where the store is slow; where it isn't, an answer
-/// that was lost is asked for again in time.
+/// The timeout of renewals, which adapts to the store's response times. If the
+/// store is slow, a longer timeout lets a late response still be used; if it is
+/// fast, a shorter timeout lets a renewal whose response was lost be repeated in time.
 #[derive(Debug)]
 struct AdaptiveTimeout {
     current_ms: Millis,
@@ -51,7 +51,8 @@
         self.current_ms = (2 * response_ms).clamp(MIN_RENEWAL_TIMEOUT_MS, self.max_ms);
     }
 
-    /// A call had no usable answer after `elapsed_ms`, because it timed out or failed.
+    /// Records a call that had no usable response after `elapsed_ms`, because it
+    /// timed out or failed.
     fn record_failure(&mut self, elapsed_ms: Millis) {
         if elapsed_ms >= self.current_ms {
             self.current_ms = (2 * self.current_ms).min(self.max_ms);
@@ -59,24 +60,26 @@
     }
 }
 
-/// This controller's part in the election of a leader.
+/// The state of this controller in the leader election.
 #[derive(Debug)]
 pub struct Election {
     label: String,
     /// Identifies this start of the process.
     nonce: u64,
-    /// The leader's key as last seen, whoever wrote it; `None`: not read yet.
+    /// The last observed state of the leader's key, written by any controller;
+    /// `None`: not read yet.
     observed: Option<ObservedKey>,
-    /// This controller's grant, and the calls that claim and keep the key.
+    /// This controller's store lease, and the calls that claim and keep the key.
     key: EphemeralKey,
     renewal_timeout: AdaptiveTimeout,
-    /// It doesn't stand for election before.
+    /// This controller doesn't claim the key before this time, in ms.
     paused_until: Millis,
 }
 
 impl Election {
-    /// A controller that has not read the key yet. `nonce` identifies this start
-    /// of the process; `ttl_ms` is the time to live of the leader's store lease.
+    /// Creates the state of a controller that has not read the key yet. `nonce`
+    /// identifies this start of the process; `ttl_ms` is the time to live of the
+    /// leader's store lease.
     pub fn new(label: &str, nonce: u64, ttl_ms: Millis) -> Election {
         Election {
             label: label.to_owned(),
@@ -88,26 +91,28 @@
         }
     }
 
-    /// Timeout of the next renewal, in ms.
+    /// Returns the timeout of the next renewal, in ms.
     pub fn renewal_timeout_ms(&self) -> Millis {
         self.renewal_timeout.current_ms
     }
 
-    /// The key's value when it is written under this grant.
+    /// Returns the value of the key when it is written under this store lease.
     ///
-    /// Guard: a claim that is carried out late, under a grant that was given up
-    /// meanwhile, must not be taken for one under the grant that is renewed now:
-    /// the key would be removed with the old grant, unnoticed.
+    /// The value identifies the store lease, because the store may apply a claim
+    /// late, under a lease that was abandoned meanwhile. If that claim were taken for
+    /// one under the lease that is renewed now, the key would be removed with the old
+    /// lease, unnoticed.
     pub fn record(&self, store_lease: StoreLeaseId) -> LeaderRecord {
         LeaderRecord { label: self.label.clone(), nonce: self.nonce.wrapping_add(store_lease.0) }
     }
 
-    /// Time to live of the leader's store lease, in ms.
+    /// Returns the time to live of the leader's store lease, in ms.
     pub fn ttl_ms(&self) -> Millis {
         self.key.ttl_ms()
     }
 
-    /// Term of this controller's leadership, if it may act at this moment.
+    /// Returns the term of this controller's leadership, if it has the authority to
+    /// act at this moment.
     pub fn leading_term(&self, now: Millis) -> Option<Term> {
         if self.key.is_store_lease_valid(now) {
             self.held_term()
@@ -116,18 +121,20 @@
         }
     }
 
-    /// Term of this controller's leadership, even if it may not act just now.
+    /// Returns the term of this controller's leadership, even if its store lease may
+    /// have expired, so that it has no authority to act at this moment.
     pub fn held_term(&self) -> Option<Term> {
         self.own_key_revision().map(Term)
     }
 
-    /// The label of the controller that the key names.
+    /// Returns the label of the controller that the key names.
     pub fn leader(&self) -> Option<&str> {
         let record = self.observed.as_ref()?.record.as_ref()?;
         Some(&record.label)
     }
 
-    /// The key was seen at `revision` (of its record, or of its removal).
+    /// Records the state of the key at `revision` (of its record, or of its removal).
+    /// An older revision than the last observed one is ignored.
     pub fn observe_key(&mut self, now: Millis, record: Option<LeaderRecord>, revision: Revision) {
         if self.observed.as_ref().is_some_and(|observed| observed.revision > revision) {
             return;
@@ -138,7 +145,7 @@
         self.observed = Some(ObservedKey { record, revision });
     }
 
-    /// The next call to make, if one is due.
+    /// Returns the next call to make, if one is due.
     pub fn tick(&mut self, now: Millis) -> Option<Action> {
         if !self.key.is_idle() {
             return None;
@@ -153,25 +160,26 @@
         Some(self.key.write(now, expected_revision))
     }
 
-    /// The request for a grant ended. `None`: it failed.
+    /// Handles the response to the request for a store lease. `None`: it failed.
     pub fn handle_store_lease_response(&mut self, now: Millis, store_lease: Option<StoreLeaseId>) {
         self.key.handle_store_lease_response(now, store_lease);
     }
 
-    /// The renewal of the grant ended.
+    /// Handles the outcome of the renewal of the store lease.
     pub fn handle_renewal_outcome(&mut self, now: Millis, outcome: RenewalOutcome) {
         let Some(sent) = self.key.handle_renewal_outcome(now, outcome) else { return };
         let elapsed_ms = now.saturating_sub(sent);
         match outcome {
             RenewalOutcome::Renewed => self.renewal_timeout.record_response(elapsed_ms),
-            // The key is removed with the grant; the watch will confirm it.
+            // The key is removed with the store lease; the watch will confirm it.
             RenewalOutcome::Expired => self.clear_observed_record(),
             RenewalOutcome::Unknown => self.renewal_timeout.record_failure(elapsed_ms),
         }
     }
 
-    /// The claim of the key ended: it is ours at `revision`. `None`: lost or
-    /// unknown; the watch tells which.
+    /// Handles the result of claiming the key: this controller holds it at
+    /// `revision`. `None`: the claim failed, or its outcome is unknown; the watch
+    /// shows which.
     pub fn handle_claim_result(&mut self, now: Millis, revision: Option<Revision>) {
         if let Some(revision) = self.key.handle_write_result(now, revision) {
             let record = self.key.store_lease().map(|store_lease| self.record(store_lease));
@@ -179,27 +187,30 @@
         }
     }
 
-    /// The store says that the grant used for a write has expired.
+    /// Clears the store lease: the store reported that the one used for a write has
+    /// expired.
     pub fn handle_store_lease_expiry(&mut self) {
         self.key.clear_store_lease();
     }
 
-    /// Gives up leadership, and doesn't stand again for a while: workers reach
-    /// other controllers, but not this one. Returns the grant, to be revoked.
+    /// Resigns from leadership, and doesn't claim the key again for a while: workers
+    /// reach other controllers, but not this one. Returns the store lease, which the
+    /// caller has to revoke.
     pub fn step_down(&mut self, now: Millis) -> Option<StoreLeaseId> {
         self.paused_until = now + STEP_DOWN_PAUSE_MS;
         self.clear_observed_record();
         self.key.release()
     }
 
-    /// The key's revision, if the key names this start and this grant.
+    /// Returns the key's revision, if the key names this start of the process and this
+    /// store lease.
     fn own_key_revision(&self) -> Option<Revision> {
         let own = self.record(self.key.store_lease()?);
         let observed = self.observed.as_ref()?;
         (observed.record.as_ref() == Some(&own)).then_some(observed.revision)
     }
 
-    /// The revision that the key has if it may be claimed.
+    /// Returns the key's revision, if this controller may claim the key.
     fn claimable_revision(&self) -> Option<Revision> {
         let observed = self.observed.as_ref()?;
         match &observed.record {
--- a/src/coordination/ephemeral_key.rs
+++ b/src/coordination/ephemeral_key.rs
@@ -1,61 +1,61 @@
 //! An ephemeral key: a key of the key-value store that is attached to a store lease,
-//! and is removed by the store when the grant expires.
+//! and is removed by the store when the lease expires.
 //!
-//! `EphemeralKey` decides which call to the store comes next: it asks for the
-//! grant, writes the key under it, and renews it. At most one call is in
-//! flight. The election of a leader and the renewal of leases without a
-//! leader each hold one such key, and add when to write it and what it permits.
+//! `EphemeralKey` decides which call to the store comes next: it requests the
+//! store lease, writes the key under it, and renews it. At most one call is in
+//! flight. The leader election and the renewal of worker leases without a leader
+//! each hold one such key. They decide when to write it and what it permits.
 //!
-//! The expiry of the grant is counted on the steady clock from when the request
-//! was *sent*, less the clocks' drift: the store counts from a later moment, so
-//! it can't have expired the grant before.
+//! The expiry of the store lease is counted on the monotonic clock from when the
+//! request was *sent*, less the clocks' drift: the store counts from a later
+//! moment, so it can't have expired the lease before.
 
 use super::model::Millis;
 use crate::protocol::ids::{Revision, StoreLeaseId};
 
-/// Two steady clocks may diverge by twice this share of the elapsed time; every
+/// Two monotonic clocks may diverge by twice this share of the elapsed time; every
 /// time that is compared across processes is shortened by at least this share.
 pub(super) const CLOCK_DRIFT: f64 = 0.002;
-/// Subtracted from a grant's time to live besides the drift, for rounding and
-/// scheduling delays, in ms.
+/// Subtracted from a store lease's time to live in addition to the drift, for
+/// rounding and scheduling delays, in ms.
 const EXPIRY_MARGIN_MS: Millis = 40;
-/// A key is written under a grant only while more than the time to live divided
-/// by this remains of it.
+/// A key is written under a store lease only while its remaining time exceeds its
+/// time to live divided by this.
 const MIN_REMAINING_DIVISOR: u64 = 2;
 
-/// A call to the key-value store that is to be made.
+/// A call to make to the key-value store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// `POST /grants`: ask for a new grant.
+    /// `POST /grants`: request a new store lease.
     RequestStoreLease,
-    /// `POST /grants/{id}/renew`.
+    /// `POST /grants/{id}/renew`: renew the store lease.
     RenewStoreLease(StoreLeaseId),
-    /// Write the key under the grant, if its revision is as expected.
+    /// Write the key under the store lease, if its revision is as expected.
     WriteKey {
-        /// The grant that the key is attached to.
+        /// The store lease that the key is attached to.
         store_lease: StoreLeaseId,
         /// Revision that the key must have; [`Revision::ABSENT`]: it must not exist.
         expected_revision: Revision,
     },
 }
 
-/// How the renewal of a grant ended.
+/// The outcome of renewing a store lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RenewalOutcome {
-    /// The store renewed the grant.
+    /// The store renewed the lease.
     Renewed,
-    /// The store knows no such grant: it has expired.
+    /// The store knows no such lease: it has expired.
     Expired,
-    /// There was no usable answer: the grant may have been renewed or not.
+    /// There was no usable response: the lease may have been renewed or not.
     Unknown,
 }
 
-/// How long to wait after a call that failed or went unanswered, in ms.
+/// Delays after calls that failed or received no response.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RetryDelays {
-    /// After a renewal.
+    /// Delay after a renewal, in ms.
     pub after_renewal_ms: Millis,
-    /// After a request for a grant, or a write of the key.
+    /// Delay after a request for a store lease or a write of the key, in ms.
     pub after_write_ms: Millis,
 }
 
@@ -68,16 +68,16 @@
     KeyWrite,
 }
 
-/// The grant of one ephemeral key, and the calls that keep both in existence.
+/// The store lease of one ephemeral key, and the calls that keep both in existence.
 #[derive(Debug)]
 pub(super) struct EphemeralKey {
-    /// Time to live of the grant.
+    /// Time to live of the store lease, in ms.
     ttl_ms: Millis,
     retry_delays: RetryDelays,
     store_lease: Option<StoreLeaseId>,
-    /// The grant exists at least until then.
+    /// The store lease exists at least until this time.
     store_lease_valid_until: Millis,
-    /// When the last renewal was sent; 0 if it has to be repeated.
+    /// When the last renewal was sent; 0: it has to be repeated.
     last_renewal: Millis,
     pending: PendingCall,
     /// No call is made before this time.
@@ -85,7 +85,8 @@
 }
 
 impl EphemeralKey {
-    /// A key without a grant.
+    /// Creates a key without a store lease. `ttl_ms` is the time to live of the
+    /// leases to request.
     pub fn new(ttl_ms: Millis, retry_delays: RetryDelays) -> EphemeralKey {
         EphemeralKey {
             ttl_ms,
@@ -98,37 +99,38 @@
         }
     }
 
-    /// Time to live of the grant, in ms.
+    /// Returns the time to live of the store lease, in ms.
     pub fn ttl_ms(&self) -> Millis {
         self.ttl_ms
     }
 
-    /// The grant that is held, even if it may have expired by now.
+    /// Returns the store lease that is held, even if it may have expired by now.
     pub fn store_lease(&self) -> Option<StoreLeaseId> {
         self.store_lease
     }
 
-    /// Whether the grant certainly exists at this moment.
+    /// Reports whether the store lease certainly exists at this moment.
     pub fn is_store_lease_valid(&self, now: Millis) -> bool {
         now < self.store_lease_valid_until
     }
 
-    /// Whether no call is in flight.
+    /// Reports whether no call is in flight.
     pub fn is_idle(&self) -> bool {
         self.pending == PendingCall::None
     }
 
-    /// Whether a call must wait, since an earlier one failed a moment ago.
+    /// Reports whether the next call must wait, because an earlier one failed recently.
     pub fn is_retry_delayed(&self, now: Millis) -> bool {
         now < self.retry_at
     }
 
-    /// Ends the delay after a failed call: the key may be free now.
+    /// Ends the delay after a failed call, because the key may be claimable now.
     pub fn cancel_retry_delay(&mut self, now: Millis) {
         self.retry_at = self.retry_at.min(now);
     }
 
-    /// Renews the grant, if `interval_ms` have passed since the last renewal.
+    /// Renews the store lease, if `interval_ms` have passed since the last renewal and
+    /// no retry delay is running.
     pub fn renew_if_due(&mut self, now: Millis, interval_ms: Millis) -> Option<Action> {
         let store_lease = self.store_lease?;
         if now < self.last_renewal + interval_ms || self.is_retry_delayed(now) {
@@ -139,7 +141,7 @@
         Some(Action::RenewStoreLease(store_lease))
     }
 
-    /// Writes the key; first asks for a new grant, unless the one that is held
+    /// Writes the key; requests a new store lease first, unless the one that is held
     /// lasts long enough.
     pub fn write(&mut self, now: Millis, expected_revision: Revision) -> Action {
         match self.store_lease {
@@ -155,7 +157,7 @@
         }
     }
 
-    /// The request for a grant ended. `None`: it failed.
+    /// Handles the response to the request for a store lease. `None`: it failed.
     pub fn handle_store_lease_response(&mut self, now: Millis, store_lease: Option<StoreLeaseId>) {
         let PendingCall::StoreLeaseRequest { sent } = self.pending else { return };
         self.pending = PendingCall::None;
@@ -169,8 +171,8 @@
         }
     }
 
-    /// The renewal of the grant ended. Returns when it was sent; `None` if no
-    /// renewal was in flight.
+    /// Handles the outcome of the renewal of the store lease. Returns when the renewal
+    /// was sent; `None` if no renewal was in flight.
     pub fn handle_renewal_outcome(&mut self, now: Millis, outcome: RenewalOutcome) -> Option<Millis> {
         let PendingCall::Renewal { sent } = self.pending else { return None };
         self.pending = PendingCall::None;
@@ -187,9 +189,9 @@
         Some(sent)
     }
 
-    /// The write of the key ended, with the revision that it has now. `None`: it
-    /// failed, or its outcome is unknown. Returns the revision, if the write was
-    /// in flight and succeeded.
+    /// Handles the result of writing the key: the revision that it has now. `None`:
+    /// the write failed, or its outcome is unknown. Returns the revision, if a write
+    /// was in flight and succeeded.
     pub fn handle_write_result(&mut self, now: Millis, revision: Option<Revision>) -> Option<Revision> {
         if self.pending != PendingCall::KeyWrite {
             return None;
@@ -201,14 +203,14 @@
         revision
     }
 
-    /// The store says that the grant has expired.
+    /// Clears the store lease, e.g. when the store reported that it has expired.
     pub fn clear_store_lease(&mut self) {
         self.store_lease = None;
         self.store_lease_valid_until = 0;
     }
 
-    /// Gives up the grant, and ignores the call in flight. Returns the grant,
-    /// which the caller has to revoke.
+    /// Abandons the store lease and the call in flight, whose outcome is then ignored.
+    /// Returns the lease, which the caller has to revoke.
     pub fn release(&mut self) -> Option<StoreLeaseId> {
         let store_lease = self.store_lease;
         self.clear_store_lease();
@@ -216,8 +218,8 @@
         store_lease
     }
 
-    /// The earliest time at which a grant may expire that was requested or
-    /// renewed by a call sent at `sent`.
+    /// Returns the earliest time at which a store lease may expire that was requested
+    /// or renewed by a call sent at `sent`.
     fn earliest_expiry(&self, sent: Millis) -> Millis {
         let shortest_ms = self.ttl_ms as f64 * (1.0 - CLOCK_DRIFT);
         (sent + shortest_ms as Millis).saturating_sub(EXPIRY_MARGIN_MS)
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -1,22 +1,22 @@
-//! Renewal of workers' leases by controllers that don't lead.
+//! Renewal of worker leases by controllers that don't lead.
 //!
-//! A zone that is partitioned off, or an outage of the key-value store, leaves
-//! workers with no leader, and when their leases expire they kill all they run.
-//! A controller that was in contact a moment ago may renew the leases meanwhile:
-//! it answers workers' heartbeats with the token they hold and with no commands.
-//! Nothing new starts by that, and nothing that runs is lost. Two rules must
-//! hold:
+//! If a zone is partitioned, or the key-value store has an outage, workers have no
+//! leader, and when their leases expire they kill all their tasks. A controller that
+//! could reach the store until recently may renew the leases meanwhile: it responds
+//! to workers' heartbeats with the token that they hold and with no commands, except
+//! to stop cancelled tasks. This starts no task, and no running task is lost. Two
+//! rules must hold:
 //!
-//! - What is cancelled is gone in time. Whoever answers a worker 200, the leader
-//!   included, does so only for [`renewal_window_ms`] after it *sent* its last read of
-//!   the jobs' records, and the answer stops what that read showed as cancelled.
-//!   A task that is cancelled after that read is gone [`renewal_window_ms`] and a lease
-//!   after it at the latest.
-//! - A leader that takes a lease for expired must know of every such answer.
-//!   [`RenewalAuthority`] renews only while its key exists in the key-value store,
-//!   under a grant; [`PeerInactivity`] believes that a controller renewed nothing
-//!   only for the time that the controller itself vouched for, or during which
-//!   its key didn't exist.
+//! - A cancelled task is stopped in time. A controller, including the leader, responds
+//!   200 to a worker only for [`renewal_window_ms`] after it *sent* its last read of
+//!   the jobs' records, and the response stops the tasks that this read showed as
+//!   cancelled. A task that is cancelled after that read is stopped at the latest
+//!   after [`renewal_window_ms`] and the duration of a worker lease.
+//! - A leader that considers a worker lease expired must take every such response
+//!   into account. [`RenewalAuthority`] renews only while its key exists in the
+//!   key-value store, under a store lease. [`PeerInactivity`] records that a
+//!   controller renewed no lease only for the time that the controller itself
+//!   confirmed, or during which its key didn't exist.
 
 mod partition;
 mod peer_inactivity;
@@ -31,29 +31,30 @@
 };
 use crate::protocol::ids::{Revision, StoreLeaseId};
 
-/// How long a controller is out of contact, in ms, before it renews any lease
-/// without a leader.
+/// How long a controller has had no contact with the key-value store, in ms, before
+/// it renews any worker lease without a leader.
 const STORE_UNREACHABLE_MS: Millis = 2_500;
-/// Subtracted from the time for renewals besides both clocks' drift, in ms: for
-/// answers and heartbeats on their way.
+/// Subtracted from the time for renewals in addition to both clocks' drift, in ms, for
+/// responses and heartbeats in flight.
 const MESSAGE_DELAY_MS: f64 = 2_000.0;
-/// A grant outlives the time in which leases may be renewed by this much, in ms.
+/// How much longer a store lease lasts than the time in which worker leases may be
+/// renewed, in ms.
 const STORE_LEASE_MARGIN_MS: Millis = 6_000;
-/// Interval of the grant's renewals, in ms.
+/// Interval of the store lease's renewals, in ms.
 const STORE_LEASE_RENEWAL_INTERVAL_MS: Millis = 3_000;
-/// Delays after calls that failed or went unanswered.
+/// Delays after calls that failed or received no response.
 const RETRY_DELAYS: RetryDelays = RetryDelays { after_renewal_ms: 1_000, after_write_ms: 1_000 };
 
-/// How long, in ms, after the sending of its last read of the jobs' records a
-/// controller may answer a worker 200: a lease renewed then expires before a
-/// cancellation that the read could not show has to be carried out.
+/// Returns how long, in ms, a controller may respond 200 to a worker after it sent its
+/// last read of the jobs' records. A worker lease renewed within this time expires
+/// before the deadline of any cancellation that the read could not show.
 pub fn renewal_window_ms(cancel_s: f64, lease_s: f64) -> Millis {
     let longest = (cancel_s * (1.0 - CLOCK_DRIFT) - lease_s * (1.0 + CLOCK_DRIFT)) * 1000.0 - MESSAGE_DELAY_MS;
     longest.max(0.0) as Millis
 }
 
-/// How long, in ms, after its last contact a controller that doesn't lead may
-/// renew leases; 0: never.
+/// Returns how long, in ms, a controller that doesn't lead may renew worker leases
+/// after its last contact with the key-value store; 0: never.
 pub fn leaderless_window_ms(cancel_s: f64, lease_s: f64) -> Millis {
     let longest = renewal_window_ms(cancel_s, lease_s);
     if longest >= 2 * STORE_UNREACHABLE_MS {
@@ -63,37 +64,40 @@
     }
 }
 
-/// This controller's renewal key as last seen.
+/// The last observed state of this controller's renewal key.
 #[derive(Debug, Clone, Copy)]
 struct ObservedKey {
     /// Revision of the key's last write.
     key_revision: Revision,
-    /// Revision of the store at which it was seen.
+    /// Revision of the store at which the key was observed.
     store_revision: Revision,
 }
 
-/// This controller's own right to renew leases.
+/// This controller's authority to renew worker leases.
 #[derive(Debug)]
 pub struct RenewalAuthority {
-    /// How long it may renew leases after a read of the jobs' records, in ms.
+    /// How long worker leases may be renewed after a read of the jobs' records, in ms.
     renewal_window_ms: Millis,
-    /// The same without leading; 0: never.
+    /// The same while this controller doesn't lead, in ms; 0: never.
     leaderless_window_ms: Millis,
-    /// This controller's grant, and the calls that write and keep the key.
+    /// This controller's store lease, and the calls that write and keep the key.
     key: EphemeralKey,
     observed: Option<ObservedKey>,
-    /// Whether the key exists, written by this start of the process.
+    /// Whether the key exists and was written by this start of the process.
     is_key_held: bool,
-    /// When the last read of the jobs' records that came back was sent.
+    /// When the last completed read of the jobs' records was sent.
     last_job_read: Option<Millis>,
-    /// When a lease was last renewed without leading; 0: never.
+    /// When a worker lease was last renewed without leading; 0: never.
     last_leaderless_renewal: Millis,
 }
 
 impl RenewalAuthority {
-    /// `renewal_window_ms`: for any answer, the leader's too; `leaderless_window_ms`: while not leading.
+    /// Creates the authority of a controller that holds no key. `renewal_window_ms`
+    /// applies to all responses, including the leader's; `leaderless_window_ms` applies
+    /// while not leading.
     pub fn new(renewal_window_ms: Millis, leaderless_window_ms: Millis) -> RenewalAuthority {
-        // A grant outlives the right to renew leases by one renewal of it and more.
+        // The store lease lasts longer than the authority to renew worker leases, by
+        // more than one interval of its own renewals.
         let store_lease_ttl_ms = leaderless_window_ms + STORE_LEASE_MARGIN_MS;
         RenewalAuthority {
             renewal_window_ms,
@@ -106,26 +110,27 @@
         }
     }
 
-    /// The nonce in its key when that was written under the grant it has now, by
-    /// the start of the process with `nonce`; `None` without a grant.
+    /// Returns the nonce in the key when it was written under the current store lease,
+    /// by the start of the process with `nonce`; `None` without a store lease.
     ///
-    /// Guard: as with the leader's key, one that was written late under an earlier
-    /// grant is removed with that grant, so it doesn't count.
+    /// As with the leader's key, a key that was written late under an earlier store
+    /// lease is removed with that lease, so it is not valid.
     pub fn key_nonce(&self, nonce: u64) -> Option<u64> {
         self.key.store_lease().map(|store_lease| nonce.wrapping_add(store_lease.0))
     }
 
-    /// How long after the sending of its last read it may answer a worker 200, in ms.
+    /// Returns how long this controller may respond 200 to a worker after it sent its
+    /// last read of the jobs' records, in ms.
     pub fn renewal_window_ms(&self) -> Millis {
         self.renewal_window_ms
     }
 
-    /// Time to live of the grant, in ms.
+    /// Returns the time to live of the store lease, in ms.
     pub fn ttl_ms(&self) -> Millis {
         self.key.ttl_ms()
     }
 
-    /// The next call to make, if one is due.
+    /// Returns the next call to make, if one is due.
     pub fn tick(&mut self, now: Millis) -> Option<Action> {
         if self.leaderless_window_ms == 0 || !self.key.is_idle() || self.key.is_retry_delayed(now) {
             return None;
@@ -137,12 +142,12 @@
         Some(self.key.write(now, expected_revision))
     }
 
-    /// The request for a grant ended. `None`: it failed.
+    /// Handles the response to the request for a store lease. `None`: it failed.
     pub fn handle_store_lease_response(&mut self, now: Millis, store_lease: Option<StoreLeaseId>) {
         self.key.handle_store_lease_response(now, store_lease);
     }
 
-    /// The renewal of the grant ended.
+    /// Handles the outcome of the renewal of the store lease.
     pub fn handle_renewal_outcome(&mut self, now: Millis, outcome: RenewalOutcome) {
         let finished = self.key.handle_renewal_outcome(now, outcome);
         if finished.is_some() && outcome == RenewalOutcome::Expired {
@@ -150,23 +155,24 @@
         }
     }
 
-    /// The write of the key ended: it has this revision. `None`: failed or
-    /// unknown; the watch tells which.
+    /// Handles the result of writing the key: the revision that it has now. `None`: the
+    /// write failed, or its outcome is unknown; the watch shows which.
     pub fn handle_write_result(&mut self, now: Millis, revision: Option<Revision>) {
         if let Some(revision) = self.key.handle_write_result(now, revision) {
             self.observe_key(revision, revision, true);
         }
     }
 
-    /// The store says that the grant has expired, and the key with it.
+    /// Clears the store lease: the store reported that it has expired, and the key with
+    /// it.
     pub fn handle_store_lease_expiry(&mut self) {
         self.key.clear_store_lease();
         self.is_key_held = false;
     }
 
-    /// The key was seen at a revision of the store: the revision of its last write
-    /// ([`Revision::ABSENT`]: it doesn't exist), and whether this start of the
-    /// process wrote it.
+    /// Records the state of the key at a revision of the store: the revision of its
+    /// last write ([`Revision::ABSENT`]: it doesn't exist), and whether this start of
+    /// the process wrote it. A state older than the last observed one is ignored.
     pub fn observe_key(&mut self, key_revision: Revision, store_revision: Revision, is_own: bool) {
         if self.observed.is_some_and(|observed| observed.store_revision > store_revision) {
             return;
@@ -175,34 +181,36 @@
         self.is_key_held = is_own && !key_revision.is_absent();
     }
 
-    /// A read of the jobs' records that was sent at `sent` has come back.
+    /// Records that a read of the jobs' records that was sent at `sent` has completed.
     pub fn record_job_read(&mut self, sent: Millis) {
         self.last_job_read = self.last_job_read.max(Some(sent));
     }
 
-    /// When this controller was last in contact with the store; 0: never.
+    /// Returns when this controller was last in contact with the store: when its last
+    /// completed read of the jobs' records was sent; 0: never.
     pub fn last_store_contact(&self) -> Millis {
         self.last_job_read.unwrap_or(0)
     }
 
-    /// A lease is being renewed without leading.
+    /// Records that a worker lease is being renewed without leading.
     pub fn record_leaderless_renewal(&mut self, now: Millis) {
         self.last_leaderless_renewal = now;
     }
 
-    /// When a lease was last renewed without leading; 0: never.
+    /// Returns when a worker lease was last renewed without leading; 0: never.
     pub fn last_leaderless_renewal(&self) -> Millis {
         self.last_leaderless_renewal
     }
 
-    /// Guard: a 200 sent now can't let a task outlive a cancellation that this
-    /// controller doesn't know of, whether it leads or not.
+    /// Reports whether a worker lease may be renewed now, by the leader or by another
+    /// controller. Without this limit a 200 response could keep a task running past the
+    /// deadline of a cancellation that this controller doesn't know of.
     pub fn may_renew(&self, now: Millis) -> bool {
         self.last_job_read.is_some_and(|read| now < read + self.renewal_window_ms)
     }
 
-    /// Whether a lease may be renewed without leading: only out of contact, only
-    /// for a time, and only while the key exists.
+    /// Reports whether a worker lease may be renewed without leading: only while the
+    /// store is unreachable, only for a limited time, and only while the key exists.
     pub fn may_renew_without_leader(&self, now: Millis) -> bool {
         let is_store_unreachable = self
             .last_job_read
--- a/src/coordination/lease_renewal/partition.rs
+++ b/src/coordination/lease_renewal/partition.rs
@@ -1,23 +1,23 @@
-//! Whether a network partition that separates this controller from the
+//! Detects whether a network partition that separates this controller from the
 //! key-value store affects its peers too.
 
 use super::{Millis, STORE_UNREACHABLE_MS};
 
-/// A peer from which a message came within this time, in ms, is reachable.
+/// A peer is reachable if a message from it was received within this time, in ms.
 const REACHABLE_MS: Millis = 2_000;
-/// A heartbeat from another zone within this time, in ms, after the last contact
-/// is no evidence: the partition may have begun after it.
+/// A heartbeat from another zone within this time, in ms, after the last contact with
+/// the store is no evidence: the partition may have begun after it.
 const OTHER_ZONE_HEARTBEAT_SLACK_MS: Millis = 1_000;
 
-/// A peer, as this controller sees it.
+/// What this controller knows of a peer's reachability and store contact.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerContact {
-    /// Whether it is in this controller's zone.
+    /// Whether the peer is in this controller's zone.
     pub same_zone: bool,
-    /// When a message of it was last received, in ms; `None`: never.
+    /// When a message from the peer was last received, in ms; `None`: never.
     pub last_received: Option<Millis>,
-    /// How long it had been out of contact with the key-value store when it sent
-    /// that message, in ms.
+    /// How long the peer had had no contact with the key-value store when it sent that
+    /// message, in ms.
     pub store_age_ms: Millis,
 }
 
@@ -27,14 +27,16 @@
     }
 }
 
-/// Whether the whole zone, and not this controller alone, is out of contact with
-/// the key-value store. `last_store_contact` is when this controller last had contact,
-/// `last_other_zone_heartbeat` when a worker of another zone last sent a heartbeat.
+/// Reports whether the whole zone, and not this controller alone, is partitioned from
+/// the key-value store. `last_store_contact` is when this controller last had contact
+/// with the store, `last_other_zone_heartbeat` when a worker of another zone last sent a
+/// heartbeat.
 ///
-/// Guard: a controller that alone is out of contact must not keep workers that
-/// would find the leader elsewhere. It renews leases only when every peer that it
-/// can reach is out of contact too; or when it can reach none, has no peer in its
-/// zone, and no worker of another zone sent a heartbeat since its last contact.
+/// If only this controller is partitioned and it renewed leases nevertheless, workers
+/// would stay with it although they could reach the leader elsewhere. So it renews
+/// leases only if no peer that it can reach has contact with the store either; or if it
+/// can reach no peer, has no peer in its zone, and no worker of another zone sent a
+/// heartbeat since its last contact with the store.
 pub fn is_shared_partition(
     now: Millis,
     last_store_contact: Millis,
--- a/src/coordination/lease_renewal/peer_inactivity.rs
+++ b/src/coordination/lease_renewal/peer_inactivity.rs
@@ -1,7 +1,7 @@
-//! During which time the other controllers certainly renewed no lease.
+//! Tracks during which time the other controllers certainly renewed no worker lease.
 
-/// A span of time on this controller's clock, in ms; empty if it ends before it
-/// begins. It may reach back to before this process began.
+/// A span of time on this controller's monotonic clock, in ms; empty if it ends before
+/// it begins. It may start before this process did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeSpan {
     /// Start of the span, in ms.
@@ -11,9 +11,10 @@
 }
 
 impl TimeSpan {
-    /// All of time. The bounds leave room for what is added to them.
+    /// The span that covers all times. The bounds leave a margin, so that additions to
+    /// them don't overflow.
     pub const ALWAYS: TimeSpan = TimeSpan { from: i64::MIN / 2, to: i64::MAX / 2 };
-    /// No time at all.
+    /// The empty span.
     pub const NEVER: TimeSpan = TimeSpan { from: i64::MAX / 2, to: i64::MIN / 2 };
 
     fn overlaps(&self, other: &TimeSpan) -> bool {
@@ -24,27 +25,28 @@
         TimeSpan { from: self.from.max(other.from), to: self.to.min(other.to) }
     }
 
-    /// The span that covers both.
+    /// Returns the smallest span that covers both.
     fn cover(&self, other: &TimeSpan) -> TimeSpan {
         TimeSpan { from: self.from.min(other.from), to: self.to.max(other.to) }
     }
 }
 
-/// During which time each other controller is known to have renewed no lease.
+/// The time during which each other controller is known to have renewed no worker lease.
 #[derive(Debug)]
 pub struct PeerInactivity {
-    /// By peer; `None`: nothing is known.
+    /// The spans by peer index; `None`: no span was recorded.
     spans: Vec<Option<TimeSpan>>,
 }
 
 impl PeerInactivity {
-    /// Nothing is known of this many peers.
+    /// Creates the state for this many peers, with no span recorded.
     pub fn new(peers: usize) -> PeerInactivity {
         PeerInactivity { spans: vec![None; peers] }
     }
 
-    /// Between these moments, in ms, `peer` renewed nothing. A span that was
-    /// recorded earlier is kept only if the two overlap, as one without gaps.
+    /// Records that `peer` renewed no lease between these moments, in ms. A span that
+    /// was recorded before is joined with the new one only if they overlap, so that the
+    /// result has no gap; otherwise the later one is kept.
     pub fn record_inactive(&mut self, peer: usize, from: i64, to: i64) {
         if to < from {
             return;
@@ -58,7 +60,8 @@
         };
     }
 
-    /// The time during which no other controller renewed any lease.
+    /// Returns the time during which no other controller renewed any worker lease;
+    /// empty if nothing is known of a peer.
     pub fn span(&self) -> TimeSpan {
         let known = self.spans.iter().map(|span| span.unwrap_or(TimeSpan::NEVER));
         known.fold(TimeSpan::ALWAYS, |common, span| common.intersection(&span))
--- a/src/coordination/tests/ephemeral_key.rs
+++ b/src/coordination/tests/ephemeral_key.rs
@@ -11,16 +11,16 @@
 }
 
 #[test]
-fn a_new_grant_is_requested_when_little_remains_of_the_old_one() {
+fn a_new_store_lease_is_requested_when_little_time_remains_of_the_old_one() {
     let write = Action::WriteKey { store_lease: StoreLeaseId(7), expected_revision: Revision(3) };
-    // The grant is valid until 4000 ms, less the drift of 8 ms and a margin of 40 ms.
+    // The store lease is valid until 4000 ms, less the drift of 8 ms and a margin of 40 ms.
     for (now, expected) in [(10, write.clone()), (1_951, write), (1_952, Action::RequestStoreLease)] {
         assert_eq!(key_with_store_lease().write(now, Revision(3)), expected, "at {now}");
     }
 }
 
 #[test]
-fn a_failed_call_is_repeated_after_its_delay() {
+fn a_failed_call_is_retried_after_its_delay() {
     let mut key = EphemeralKey::new(TTL_MS, RETRY_DELAYS);
     key.write(0, Revision::ABSENT);
     key.handle_store_lease_response(100, None);
@@ -36,9 +36,9 @@
     assert_eq!(key.renew_if_due(1_350, 1_000), Some(Action::RenewStoreLease(StoreLeaseId(7))));
 }
 
-/// Guard: the outcome of a call that was given up must not count for another.
+/// The outcome of an abandoned call must not be taken for that of another call.
 #[test]
-fn only_the_outcome_of_the_call_in_flight_counts() {
+fn outcomes_of_calls_not_in_flight_are_ignored() {
     let mut key = key_with_store_lease();
     key.handle_store_lease_response(20, Some(StoreLeaseId(8)));
     assert_eq!(key.store_lease(), Some(StoreLeaseId(7)));
