--- a/src/controller/election_driver.rs
+++ b/src/controller/election_driver.rs
@@ -1,10 +1,10 @@
-//! Carries out what the election decides, as requests to the key-value store.
+//! Carries out the decisions of the leader election as requests to the key-value store.
 
 use super::{
     identity::Identity,
     service_client::{
-        applied_revision, grant_id, grant_renewed, status, CallResult, ElectionCall, PendingCall, ServiceClient,
-        StoreRequest, STORE_TIMEOUT_MS,
+        applied_revision, renewal_outcome, status, store_lease_id, CallResult, ElectionCall, PendingCall,
+        ServiceClient, StoreRequest, STORE_TIMEOUT_MS,
     },
 };
 use crate::{
@@ -18,14 +18,16 @@
     transport::{http::status::BAD_REQUEST, Net},
 };
 
-/// This controller's part in the election, and its grant for the leader's key.
+/// The state of this controller in the leader election, with its store lease for the
+/// leader's key.
 #[derive(Debug)]
 pub struct ElectionDriver {
     election: Election,
 }
 
 impl ElectionDriver {
-    /// A controller that has not read the leader's key yet.
+    /// Creates the driver of a controller that has not read the leader's key yet.
+    /// `leader_ttl_ms` is the time to live of the leader's store lease, in ms.
     pub fn new(identity: &Identity, leader_ttl_ms: u64) -> ElectionDriver {
         ElectionDriver { election: Election::new(&identity.label, identity.nonce, leader_ttl_ms) }
     }
@@ -37,12 +39,13 @@
         }
     }
 
-    /// Gives up leading, if this controller does, so that another can be elected.
+    /// Resigns from leadership, if this controller leads, so that another controller can
+    /// be elected.
     pub fn step_down(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
-        if let Some(grant) = self.election.step_down(now) {
+        if let Some(store_lease) = self.election.step_down(now) {
             client.budgets().charge_read(net.now());
-            let request = StoreRequest::delete_grant(grant, STORE_TIMEOUT_MS);
-            client.send_to_store(net, PendingCall::Election(ElectionCall::DeleteGrant), request);
+            let request = StoreRequest::delete_store_lease(store_lease, STORE_TIMEOUT_MS);
+            client.send_to_store(net, PendingCall::Election(ElectionCall::DeleteStoreLease), request);
         }
     }
 
@@ -50,20 +53,20 @@
         let now = net.now();
         client.budgets().charge_read(now);
         match *action {
-            Action::RequestGrant => {
-                let request = StoreRequest::create_grant(self.election.ttl_ms(), STORE_TIMEOUT_MS);
-                client.send_to_store(net, PendingCall::Election(ElectionCall::CreateGrant), request);
+            Action::RequestStoreLease => {
+                let request = StoreRequest::create_store_lease(self.election.ttl_ms(), STORE_TIMEOUT_MS);
+                client.send_to_store(net, PendingCall::Election(ElectionCall::CreateStoreLease), request);
             }
-            Action::RenewGrant(grant) => {
-                let request = StoreRequest::renew_grant(grant, self.election.renewal_timeout_ms());
-                client.send_to_store(net, PendingCall::Election(ElectionCall::RenewGrant), request);
+            Action::RenewStoreLease(store_lease) => {
+                let request = StoreRequest::renew_store_lease(store_lease, self.election.renewal_timeout_ms());
+                client.send_to_store(net, PendingCall::Election(ElectionCall::RenewStoreLease), request);
             }
-            Action::WriteKey { grant, expected_revision } => {
-                let record = self.election.record(grant);
-                let request = StoreRequest::write_granted_key(
+            Action::WriteKey { store_lease, expected_revision } => {
+                let record = self.election.record(store_lease);
+                let request = StoreRequest::write_leased_key(
                     records::LEADER_KEY.into(),
                     &record,
-                    grant,
+                    store_lease,
                     expected_revision,
                     STORE_TIMEOUT_MS,
                 );
@@ -73,41 +76,44 @@
         }
     }
 
-    /// A request of the election ended.
+    /// Handles the result of a request of the election.
     pub fn handle_reply(&mut self, now: Millis, call: &ElectionCall, result: &CallResult) {
         match call {
-            ElectionCall::CreateGrant => self.election.granted(now, grant_id(result)),
-            ElectionCall::RenewGrant => self.election.renewed(now, grant_renewed(result)),
-            ElectionCall::ClaimKey => self.claimed(now, result),
-            ElectionCall::DeleteGrant => {}
+            ElectionCall::CreateStoreLease => self.election.handle_store_lease_response(now, store_lease_id(result)),
+            ElectionCall::RenewStoreLease => self.election.handle_renewal_outcome(now, renewal_outcome(result)),
+            ElectionCall::ClaimKey => self.handle_claim_result(now, result),
+            ElectionCall::DeleteStoreLease => {}
         }
     }
 
-    fn claimed(&mut self, now: Millis, result: &CallResult) {
-        // The store knows no such grant any more.
+    fn handle_claim_result(&mut self, now: Millis, result: &CallResult) {
+        // The store no longer knows the lease.
         if status(result) == BAD_REQUEST {
-            self.election.grant_lost();
+            self.election.handle_store_lease_expiry();
         }
-        self.election.claimed(now, applied_revision(result));
+        self.election.handle_claim_result(now, applied_revision(result));
     }
 
-    /// The leader's key was seen. `record`: None: it doesn't exist. `revision`: of
-    /// the record, or of its removal.
+    /// Records the state of the leader's key. `record` is `None` if the key doesn't
+    /// exist; `revision` is that of the record or of its removal.
     pub fn observe_key(&mut self, now: Millis, record: Option<LeaderRecord>, revision: Revision) {
         self.election.observe_key(now, record, revision);
     }
 
-    /// Term of this controller's leadership, if it may act at this moment.
-    pub fn leading(&self, now: Millis) -> Option<Term> {
-        self.election.leading(now)
+    /// Returns the term of this controller's leadership, if it has the authority to act
+    /// at this moment.
+    pub fn leading_term(&self, now: Millis) -> Option<Term> {
+        self.election.leading_term(now)
     }
 
-    /// Term of this controller's leadership, even if it may not act just now.
+    /// Returns the term of this controller's leadership, even if its store lease may have
+    /// expired, so that it has no authority to act at this moment.
     pub fn held_term(&self) -> Option<Term> {
         self.election.held_term()
     }
 
-    /// The label of the controller that the leader's key names.
+    /// Returns the label of the controller that the leader's key names; `None` if the key
+    /// is unknown or doesn't exist.
     pub fn leader(&self) -> Option<&str> {
         self.election.leader()
     }
--- a/src/controller/leadership/commits.rs
+++ b/src/controller/leadership/commits.rs
@@ -41,7 +41,7 @@
         let request = StoreRequest::transaction(&transaction, STORE_TIMEOUT_MS);
         // Preparing the transaction took time: the leadership may have ended in the
         // meantime.
-        if context.election.leading(context.net.now()) == Some(term) {
+        if context.election.leading_term(context.net.now()) == Some(term) {
             context.send_to_store(term, LeaderCall::Commit, request);
         } else {
             leader.transaction_finished(now, CommitOutcome::Refused);
--- a/src/controller/leadership/effects.rs
+++ b/src/controller/leadership/effects.rs
@@ -50,7 +50,7 @@
             let now = context.net.now();
             // The leadership may end at any time, so it is checked again before each
             // request.
-            let is_leading = context.election.leading(now) == Some(term);
+            let is_leading = context.election.leading_term(now) == Some(term);
             self.carry_out(context, LeadershipCheck { now, term, is_leading }, effect);
         }
     }
--- a/src/controller/tests/election_driver.rs
+++ b/src/controller/tests/election_driver.rs
@@ -2,61 +2,70 @@
 use crate::{
     controller::test_support::{answered, answered_with, identity, new_net, settings_with_peers, SentCalls},
     protocol::{
-        ids::GrantId,
-        store::{AppliedTransaction, GrantResponse},
+        ids::StoreLeaseId,
+        store::{AppliedTransaction, StoreLeaseResponse},
     },
 };
 
 const TTL_MS: u64 = 9_000;
 
-/// A controller leads from the write of its key under its grant until it steps down.
+/// A controller leads from the write of its key under its store lease until it steps down.
 #[test]
-fn a_controller_leads_under_its_grant() {
+fn a_controller_leads_from_its_claim_until_it_steps_down() {
     let mut net = new_net();
     let mut client = ServiceClient::new(&settings_with_peers());
     let mut sent = SentCalls::default();
     let mut driver = ElectionDriver::new(&identity(), TTL_MS);
     driver.tick(&mut net, 0, &mut client);
-    assert_eq!(sent.next_debug(&mut client), None, "the key was not read yet");
+    assert_eq!(sent.next_debug(&mut client), None, "no request before the key was read");
 
     driver.observe_key(0, None, Revision(3));
     driver.tick(&mut net, 0, &mut client);
-    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateGrant)"));
-    driver.handle_reply(10, &ElectionCall::CreateGrant, &answered_with(&GrantResponse { grant: GrantId(4) }));
+    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateStoreLease)"));
+    driver.handle_reply(
+        10,
+        &ElectionCall::CreateStoreLease,
+        &answered_with(&StoreLeaseResponse { store_lease: StoreLeaseId(4) }),
+    );
     driver.tick(&mut net, 10, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(ClaimKey)"));
-    assert_eq!(driver.leading(10), None, "the claim is pending");
+    assert_eq!(driver.leading_term(10), None, "the claim is pending");
     let applied = answered_with(&AppliedTransaction { store_revision: Revision(5) });
     driver.handle_reply(20, &ElectionCall::ClaimKey, &applied);
-    assert_eq!((driver.leading(20), driver.leader()), (Some(Term(Revision(5))), Some("n-0")));
+    assert_eq!((driver.leading_term(20), driver.leader()), (Some(Term(Revision(5))), Some("n-0")));
     assert_eq!(
-        (driver.leading(TTL_MS), driver.held_term()),
+        (driver.leading_term(TTL_MS), driver.held_term()),
         (None, Some(Term(Revision(5)))),
-        "the grant may have ended"
+        "the store lease may have expired"
     );
 
     driver.step_down(&mut net, 30, &mut client);
-    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(DeleteGrant)"));
-    assert_eq!((driver.leading(30), driver.held_term(), driver.leader()), (None, None, None));
+    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(DeleteStoreLease)"));
+    assert_eq!((driver.leading_term(30), driver.held_term(), driver.leader()), (None, None, None));
 }
 
-/// A claim that the store refuses as under no grant begins with a new grant.
+/// If the store rejects a claim because the store lease doesn't exist, the next claim
+/// begins with the request for a new one.
 #[test]
-fn a_claim_without_a_grant_asks_for_a_new_one() {
+fn a_claim_rejected_for_its_store_lease_requests_a_new_one() {
     let mut net = new_net();
     let mut client = ServiceClient::new(&settings_with_peers());
     let mut sent = SentCalls::default();
     let mut driver = ElectionDriver::new(&identity(), TTL_MS);
     driver.observe_key(0, None, Revision(3));
     let mut now = 0;
-    for grant in [4, 5] {
+    for store_lease in [4, 5] {
         driver.tick(&mut net, now, &mut client);
-        assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateGrant)"));
-        driver.handle_reply(now, &ElectionCall::CreateGrant, &answered_with(&GrantResponse { grant: GrantId(grant) }));
+        assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateStoreLease)"));
+        driver.handle_reply(
+            now,
+            &ElectionCall::CreateStoreLease,
+            &answered_with(&StoreLeaseResponse { store_lease: StoreLeaseId(store_lease) }),
+        );
         driver.tick(&mut net, now, &mut client);
         assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(ClaimKey)"));
         driver.handle_reply(now, &ElectionCall::ClaimKey, &answered(400));
-        assert_eq!(driver.leading(now), None);
+        assert_eq!(driver.leading_term(now), None);
         now += 1_000;
     }
 }
--- a/src/controller/tests/renewal_key.rs
+++ b/src/controller/tests/renewal_key.rs
@@ -2,26 +2,31 @@
 use crate::{
     controller::test_support::{answered_with, identity, new_net, settings_with_peers, SentCalls, NONCE},
     protocol::{
-        ids::GrantId,
-        store::{AppliedTransaction, GrantResponse},
+        ids::StoreLeaseId,
+        store::{AppliedTransaction, StoreLeaseResponse},
     },
 };
 
-const GRANT: u64 = 4;
+const STORE_LEASE_ID: u64 = 4;
 
-/// A key that was written under its grant, and read with the jobs' records at `at`.
-fn registered(at: Millis) -> RenewalKey {
+/// A renewal key that was written under its store lease at `at`, when the jobs' records
+/// were read too.
+fn key_written(at: Millis) -> RenewalKey {
     let mut net = new_net();
     let settings = settings_with_peers();
     let mut client = ServiceClient::new(&settings);
     let mut sent = SentCalls::default();
     let mut key = RenewalKey::new(identity(), &settings);
     key.tick(&mut net, at, &mut client);
-    assert_eq!(sent.next_debug(&mut client), None, "the key was not read yet");
+    assert_eq!(sent.next_debug(&mut client), None, "no request before the key was read");
     key.observe_key(None, Revision::ABSENT, Revision(3));
     key.tick(&mut net, at, &mut client);
-    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(CreateGrant)"));
-    key.handle_reply(at, &RenewalKeyCall::CreateGrant, &answered_with(&GrantResponse { grant: GrantId(GRANT) }));
+    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(CreateStoreLease)"));
+    key.handle_reply(
+        at,
+        &RenewalKeyCall::CreateStoreLease,
+        &answered_with(&StoreLeaseResponse { store_lease: StoreLeaseId(STORE_LEASE_ID) }),
+    );
     key.tick(&mut net, at, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(WriteKey)"));
     let applied = answered_with(&AppliedTransaction { store_revision: Revision(5) });
@@ -30,51 +35,55 @@
     key
 }
 
-fn silent_peer() -> PeerContact {
-    PeerContact { same_zone: false, last_heard: None, store_age_ms: 0 }
+fn peer_without_frames() -> PeerContact {
+    PeerContact { same_zone: false, last_received: None, store_age_ms: 0 }
 }
 
-/// Leases are renewed without a leader only while the key is there, out of contact,
-/// and with no sign of another zone.
+/// Leases are renewed without a leader only while the key exists, the store is
+/// unreachable, and there is no evidence that another zone or a peer can reach the store.
 #[test]
-fn leases_are_renewed_only_out_of_contact() {
+fn leases_are_renewed_without_leader_only_in_a_shared_partition() {
     const READ: Millis = 10_000;
     const LATER: Millis = READ + 5_000;
-    let key = registered(READ);
-    assert!(!key.may_renew_without_leader(READ + 100, &[silent_peer()]), "in contact");
-    assert!(key.may_renew_without_leader(LATER, &[silent_peer()]));
-    let served = PeerContact { last_heard: Some(LATER), ..silent_peer() };
-    assert!(!key.may_renew_without_leader(LATER, &[served]), "a peer is served");
+    let key = key_written(READ);
+    assert!(!key.may_renew_without_leader(READ + 100, &[peer_without_frames()]), "the store is reachable");
+    assert!(key.may_renew_without_leader(LATER, &[peer_without_frames()]));
+    let served = PeerContact { last_received: Some(LATER), ..peer_without_frames() };
+    assert!(!key.may_renew_without_leader(LATER, &[served]), "a peer can reach the store");
 
-    let mut key = registered(READ);
-    key.record_foreign_heartbeat(LATER);
-    assert!(!key.may_renew_without_leader(LATER, &[silent_peer()]), "another zone is reached");
+    let mut key = key_written(READ);
+    key.record_other_zone_heartbeat(LATER);
+    assert!(
+        !key.may_renew_without_leader(LATER, &[peer_without_frames()]),
+        "a worker of another zone sent a heartbeat"
+    );
 
-    let mut key = registered(READ);
+    let mut key = key_written(READ);
     key.observe_key(None, Revision::ABSENT, Revision(9));
-    assert!(!key.may_renew_without_leader(LATER, &[silent_peer()]), "the key is gone");
+    assert!(!key.may_renew_without_leader(LATER, &[peer_without_frames()]), "the key was removed");
 }
 
-/// Guard: a key of an earlier start, or under an earlier grant, gives no right.
+/// A key that was written by an earlier start of the process, or under an earlier store
+/// lease, gives no authority to renew leases.
 #[test]
-fn only_a_key_of_this_start_and_grant_counts() {
+fn only_a_key_of_this_start_and_store_lease_permits_renewals() {
     let record = |label: &str, nonce| records::to_value(&LeaderRecord { label: label.to_owned(), nonce });
     let cases = [
-        (record("n-0", NONCE + GRANT), true),
+        (record("n-0", NONCE + STORE_LEASE_ID), true),
         (record("n-0", NONCE), false),
-        (record("n-0", NONCE + GRANT + 1), false),
-        (record("n-1", NONCE + GRANT), false),
+        (record("n-0", NONCE + STORE_LEASE_ID + 1), false),
+        (record("n-1", NONCE + STORE_LEASE_ID), false),
     ];
-    for (value, counts) in cases {
-        let mut key = registered(10_000);
+    for (value, expected) in cases {
+        let mut key = key_written(10_000);
         key.observe_key(Some(&value), Revision(9), Revision(9));
-        assert_eq!(key.may_renew_without_leader(15_000, &[silent_peer()]), counts, "{value:?}");
+        assert_eq!(key.may_renew_without_leader(15_000, &[peer_without_frames()]), expected, "{value:?}");
     }
 }
 
-/// A single controller never renews leases without leading, and asks for no grant.
+/// A single controller never renews leases without leading, and requests no store lease.
 #[test]
-fn a_single_controller_needs_no_key() {
+fn a_single_controller_requests_no_store_lease() {
     let mut settings = settings_with_peers();
     settings.peer_settings.clear();
     let mut client = ServiceClient::new(&settings);
@@ -83,5 +92,5 @@
     key.tick(&mut new_net(), 1_000, &mut client);
     assert_eq!(SentCalls::default().next_debug(&mut client), None);
     key.record_job_read(1_000);
-    assert!(key.may_renew(1_100), "as the leader it may");
+    assert!(key.may_renew(1_100), "as the leader it may renew leases");
 }
