--- a/src/coordination/autoscaler/boot_delays.rs
+++ b/src/coordination/autoscaler/boot_delays.rs
@@ -12,13 +12,13 @@
 
 /// A boot is overdue after this many milliseconds per second of the type's
 /// nominal boot time (twice that time), and...
-const OVERDUE_MS_PER_BOOT_S: f64 = 2_000.0;
+const LATE_BOOT_MS_PER_BOOT_S: f64 = 2_000.0;
 /// ...this long.
-const OVERDUE_SLACK_MS: f64 = 5_000.0;
+const LATE_BOOT_SLACK_MS: f64 = 5_000.0;
 /// Boots that were completed within this time count for their type.
 const RECENT_BOOT_MS: Millis = 120_000;
 /// Fewest overdue machines that make their type slow: a single one may never come up.
-const OVERDUE_MACHINES_MIN: u32 = 2;
+const LATE_BOOTS_MIN: u32 = 2;
 
 /// Nominal boot time assumed of a machine whose type is unknown, in seconds.
 const UNKNOWN_BOOT_S: f64 = 60.0;
@@ -36,14 +36,14 @@
 #[derive(Default)]
 struct BootStatistics {
     /// Machines whose boot is overdue.
-    overdue: u32,
+    late: u32,
     /// Machines that came up lately.
     completed: u32,
 }
 
 impl BootStatistics {
     fn is_slow(&self) -> bool {
-        self.overdue >= OVERDUE_MACHINES_MIN && self.overdue > self.completed
+        self.late >= LATE_BOOTS_MIN && self.late > self.completed
     }
 }
 
@@ -84,9 +84,9 @@
 }
 
 /// Whether a booting machine should be up by now.
-pub fn is_boot_overdue(now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
+pub fn is_boot_late(now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
     let waited_ms = now.saturating_sub(machine.provisioned_at) as f64;
-    waited_ms > machine_type.boot_s * OVERDUE_MS_PER_BOOT_S + OVERDUE_SLACK_MS
+    waited_ms > machine_type.boot_s * LATE_BOOT_MS_PER_BOOT_S + LATE_BOOT_SLACK_MS
 }
 
 fn statistics_by_type(now: Millis, cluster: &ClusterState) -> HashMap<MachineTypeIndex, BootStatistics> {
@@ -96,11 +96,11 @@
         let statistics = by_type.entry(machine_type.index).or_default();
         match machine.lifecycle {
             MachineLifecycle::Booting if !machine.is_inherited_without_heartbeat() => {
-                statistics.overdue += u32::from(is_boot_overdue(now, machine, machine_type));
+                statistics.late += u32::from(is_boot_late(now, machine, machine_type));
             }
             MachineLifecycle::Up => {
-                let came_up_lately = machine.up_at.is_some_and(|up_at| now < up_at + RECENT_BOOT_MS);
-                statistics.completed += u32::from(came_up_lately);
+                let came_up_recently = machine.up_at.is_some_and(|up_at| now < up_at + RECENT_BOOT_MS);
+                statistics.completed += u32::from(came_up_recently);
             }
             MachineLifecycle::Booting | MachineLifecycle::Releasing | MachineLifecycle::Gone => {}
         }
--- a/src/coordination/autoscaler/consolidation.rs
+++ b/src/coordination/autoscaler/consolidation.rs
@@ -79,7 +79,7 @@
         && !machine.cordoned
         && !machine.load.assignments.is_empty()
         && machine.is_fenced()
-        && has_settled(now, cluster, machine.up_at);
+        && has_lasted_min_idle_time(now, cluster, machine.up_at);
     is_in_use
         && machine.load.assignments.iter().all(|&index| is_movable_replica(now, cluster, index))
         && price_per_hour(cluster, machine) > PRICE_FACTOR * cheapest_price_of_load(cluster, machine)
@@ -90,7 +90,7 @@
 }
 
 /// Whether something has lasted long enough to be changed again.
-fn has_settled(now: Millis, cluster: &ClusterState, since: Option<Millis>) -> bool {
+fn has_lasted_min_idle_time(now: Millis, cluster: &ClusterState, since: Option<Millis>) -> bool {
     since.is_some_and(|since| now > since + cluster.config().min_idle_ms)
 }
 
@@ -101,7 +101,7 @@
     let is_replica = cluster.job(assignment.job).is_some_and(|job| {
         job.spec.kind == JobKind::Service && job.status == JobStatus::Pending && job.spec.gpus <= 0.0
     });
-    is_replica && has_settled(now, cluster, assignment.running_since) && assignment.halt.is_none()
+    is_replica && has_lasted_min_idle_time(now, cluster, assignment.running_since) && assignment.halt.is_none()
 }
 
 /// What the tasks on a machine would cost per hour on the cheapest machines for them.
--- a/src/coordination/autoscaler/contact.rs
+++ b/src/coordination/autoscaler/contact.rs
@@ -23,10 +23,10 @@
 /// Whether a machine is suspected of having failed: its heartbeat is overdue for
 /// longer than the failure timeout, or its probes went unanswered.
 pub fn is_suspected(now: Millis, cluster: &ClusterState, machine: &Machine) -> bool {
-    let is_overdue = now > last_contact_or_start(cluster, machine) + cluster.config().heartbeat_timeout_ms
+    let is_unresponsive = now > last_contact_or_start(cluster, machine) + cluster.config().heartbeat_timeout_ms
         || machine.heartbeats.failed_probes >= FAILED_PROBES_LIMIT;
     let sends_heartbeats = is_heartbeat_expected(machine) || machine.lifecycle == MachineLifecycle::Releasing;
-    is_overdue && sends_heartbeats
+    is_unresponsive && sends_heartbeats
 }
 
 /// When a machine was last in contact. One that this leader had no contact with
--- a/src/coordination/autoscaler/failure_detector.rs
+++ b/src/coordination/autoscaler/failure_detector.rs
@@ -35,7 +35,7 @@
     }
 
     /// How many machines there are besides the suspected one.
-    fn others(&self) -> usize {
+    fn count_others(&self) -> usize {
         self.0.len().saturating_sub(1)
     }
 }
@@ -69,15 +69,15 @@
     }
 
     /// How many machines of a zone there are besides the suspected one.
-    fn others(&self, zone: Option<ZoneIndex>) -> usize {
-        self.0.get(&zone).map_or(0, ContactTimes::others)
+    fn count_others(&self, zone: Option<ZoneIndex>) -> usize {
+        self.0.get(&zone).map_or(0, ContactTimes::count_others)
     }
 }
 
 /// How many machines are in contact, and how many of them acknowledge our answers.
 #[derive(Default)]
 struct Acknowledgements {
-    in_contact: usize,
+    with_recent_contact: usize,
     acknowledging: usize,
 }
 
@@ -86,10 +86,10 @@
     /// each of them, the work would grow with the square of their number.
     fn new(now: Millis, cluster: &ClusterState) -> Acknowledgements {
         let mut acknowledgements = Acknowledgements::default();
-        let is_in_contact =
+        let is_recently_contacted =
             |machine: &&Machine| machine.lifecycle == MachineLifecycle::Up && has_recent_contact(now, cluster, machine);
-        for machine in cluster.machines().iter().filter(is_in_contact) {
-            acknowledgements.in_contact += 1;
+        for machine in cluster.machines().iter().filter(is_recently_contacted) {
+            acknowledgements.with_recent_contact += 1;
             acknowledgements.acknowledging += usize::from(machine.fence.unacknowledged_heartbeats == 0);
         }
         acknowledgements
@@ -98,7 +98,7 @@
     /// Whether most machines besides an unreachable one acknowledge our answers;
     /// otherwise it is this controller whose answers are lost.
     fn most_others_acknowledge(&self) -> bool {
-        self.acknowledging * 2 > self.in_contact.saturating_sub(1)
+        self.acknowledging * 2 > self.with_recent_contact.saturating_sub(1)
     }
 }
 
@@ -154,11 +154,11 @@
         let last_contact = last_contact_or_start(self.cluster, suspect);
         let due = last_contact + config.heartbeat_interval_ms * 5 / 4 + HEARTBEAT_DUE_SLACK_MS;
         let zone = Some(suspect.zone);
-        if self.contact_times.others(zone) == 0 {
-            return self.contact_times.count_after(None, due) * 3 > self.contact_times.others(None)
+        if self.contact_times.count_others(zone) == 0 {
+            return self.contact_times.count_after(None, due) * 3 > self.contact_times.count_others(None)
                 && self.now > last_contact + LONE_MACHINE_TIMEOUT_FACTOR * config.heartbeat_timeout_ms;
         }
-        self.contact_times.count_after(zone, due) * 3 >= self.contact_times.others(zone)
+        self.contact_times.count_after(zone, due) * 3 >= self.contact_times.count_others(zone)
             && self.zone_health.is_stable(self.now, suspect.zone, config.heartbeat_timeout_ms)
     }
 }
--- a/src/coordination/autoscaler/gpu_reclaim.rs
+++ b/src/coordination/autoscaler/gpu_reclaim.rs
@@ -20,7 +20,7 @@
 pub fn drain_best_effort_machines(now: Millis, cluster: &mut ClusterState) {
     let drained: Vec<MachineIndex> = cluster
         .machine_indices()
-        .filter(|&index| holds_only_best_effort_work(cluster, index))
+        .filter(|&index| holds_only_best_effort_tasks(cluster, index))
         .take(DRAINS_PER_STEP)
         .collect();
     for index in drained {
@@ -34,11 +34,11 @@
     }
 }
 
-fn holds_only_best_effort_work(cluster: &ClusterState, index: MachineIndex) -> bool {
+fn holds_only_best_effort_tasks(cluster: &ClusterState, index: MachineIndex) -> bool {
     let machine = cluster.machine(index);
-    let is_reserved_for_gpu_work = cluster.snapshot().hosts.get(index.as_usize()).is_some_and(|host| host.gpu_only);
+    let is_reserved_for_gpu_tasks = cluster.snapshot().hosts.get(index.as_usize()).is_some_and(|host| host.gpu_only);
     let may_be_drained = machine.lifecycle == MachineLifecycle::Up && !machine.cordoned && machine.is_fenced();
-    if !is_reserved_for_gpu_work || !may_be_drained || machine.load.assignments.is_empty() {
+    if !is_reserved_for_gpu_tasks || !may_be_drained || machine.load.assignments.is_empty() {
         return false;
     }
     machine.load.assignments.iter().all(|&assignment| {
--- a/src/coordination/autoscaler/idle_timeout.rs
+++ b/src/coordination/autoscaler/idle_timeout.rs
@@ -9,7 +9,7 @@
 /// Idle machines are kept for this many times what provisioning them again takes.
 const IDLE_TIMEOUT_FACTOR: f64 = 1.4;
 /// GPU work is expected again for this long after it last arrived.
-const GPU_WORK_EXPECTED_MS: i64 = 90_000;
+const GPU_DEMAND_EXPECTED_MS: i64 = 90_000;
 
 /// Whether a machine has been idle for longer than it is kept.
 pub fn has_idle_timed_out(now: Millis, cluster: &ClusterState, gpu_demand: &GpuDemand, machine: &Machine) -> bool {
@@ -33,7 +33,7 @@
     let expected = gpu_demand.shapes().iter().filter(|shape| {
         shape.spec.allows_type(machine_type.index)
             && Resources::of(&shape.spec).fits_in(&machine_type.capacity)
-            && now as i64 - shape.latest_arrival < GPU_WORK_EXPECTED_MS
+            && now as i64 - shape.latest_arrival < GPU_DEMAND_EXPECTED_MS
     });
     let fetch_gb_per_s = machine_type.fetch_gb_per_s.max(SLOWEST_FETCH_GB_PER_S);
     expected.map(|shape| machine_type.boot_s + shape.spec.image_gb / fetch_gb_per_s).fold(0.0, f64::max)
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -15,7 +15,7 @@
 /// Largest plausible age of a machine, in seconds; larger values are clamped.
 const MACHINE_AGE_MAX_S: f64 = 1e9;
 /// The cloud counts as reachable for this long after its last answer.
-const REACHABLE_AFTER_ANSWER_MS: Millis = 5_000;
+const REACHABLE_AFTER_RESPONSE_MS: Millis = 5_000;
 
 /// Progress of the listing of all machines at the cloud, page by page.
 #[derive(Debug)]
@@ -27,13 +27,13 @@
     /// At least one page was received.
     has_received_page: bool,
     /// When the cloud last answered a listing.
-    last_answer_at: Millis,
+    last_response_at: Millis,
 }
 
 impl Inventory {
     /// The inventory of a new leadership, which has listed nothing yet.
     pub fn new(now: Millis) -> Inventory {
-        Inventory { in_flight: None, next_page_after: None, has_received_page: false, last_answer_at: now }
+        Inventory { in_flight: None, next_page_after: None, has_received_page: false, last_response_at: now }
     }
 
     /// Whether a page was requested and not answered yet.
@@ -49,7 +49,7 @@
     /// Whether the cloud answered lately. If it did not, this controller may be
     /// the one that is partitioned.
     pub fn is_cloud_reachable(&self, now: Millis) -> bool {
-        self.last_answer_at + REACHABLE_AFTER_ANSWER_MS > now
+        self.last_response_at + REACHABLE_AFTER_RESPONSE_MS > now
     }
 
     /// Requests the next page of the list.
@@ -76,7 +76,7 @@
         self.in_flight.take_if(|in_flight| *in_flight == call);
         let Some(list) = list else { return };
         self.has_received_page = true;
-        self.last_answer_at = now;
+        self.last_response_at = now;
         for host in &list.hosts {
             reconcile_host(now, host, cluster, interners);
         }
--- a/src/coordination/autoscaler/pending_capacity.rs
+++ b/src/coordination/autoscaler/pending_capacity.rs
@@ -1,7 +1,7 @@
 //! Capacity of machines that are requested or booting.
 
 use super::{
-    boot_delays::is_boot_overdue,
+    boot_delays::is_boot_late,
     offer::{Offer, OfferQuantity},
 };
 use crate::coordination::{
@@ -15,7 +15,7 @@
     /// Capacity of one of them.
     capacity: Resources,
     /// Number of those of which nothing is allotted yet.
-    unallotted: u32,
+    unallocated: u32,
     /// Remaining capacity of those of which something is allotted.
     remainders: Vec<Resources>,
 }
@@ -34,7 +34,7 @@
             }
             let Some(machine_type) = cluster.machine_type_of(machine) else { continue };
             // A machine whose boot is overdue may never come up.
-            if !is_boot_overdue(now, machine, machine_type) {
+            if !is_boot_late(now, machine, machine_type) {
                 let offer = Offer { machine_type: machine_type.index, zone: machine.zone, spot: machine.spot };
                 pending_capacity.add(offer, machine_type.capacity, 1);
             }
@@ -50,8 +50,8 @@
     /// Adds machines of an offer, each of this capacity.
     pub fn add(&mut self, offer: Offer, capacity: Resources, machines: u32) {
         match self.0.iter_mut().find(|pending| pending.offer == offer) {
-            Some(pending) => pending.unallotted += machines,
-            None => self.0.push(PendingMachines { offer, capacity, unallotted: machines, remainders: Vec::new() }),
+            Some(pending) => pending.unallocated += machines,
+            None => self.0.push(PendingMachines { offer, capacity, unallocated: machines, remainders: Vec::new() }),
         }
     }
 
@@ -61,8 +61,8 @@
         let mut tasks = 0;
         for pending in self.0.iter().filter(|pending| allows(&pending.offer)) {
             tasks += pending.remainders.iter().map(|remainder| request.count_fitting_in(remainder)).sum::<u32>();
-            let on_unallotted = request.count_fitting_in(&pending.capacity).saturating_mul(pending.unallotted);
-            tasks = tasks.saturating_add(on_unallotted).min(limit);
+            let on_unallocated = request.count_fitting_in(&pending.capacity).saturating_mul(pending.unallocated);
+            tasks = tasks.saturating_add(on_unallocated).min(limit);
             if tasks == limit {
                 break;
             }
@@ -72,47 +72,47 @@
 
     /// Allots capacity of the allowed offers to up to `tasks` tasks and returns
     /// for how many there was enough.
-    pub fn allot(&mut self, request: &Resources, tasks: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
-        let mut unallotted_tasks = tasks;
+    pub fn allocate(&mut self, request: &Resources, tasks: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
+        let mut remaining_tasks = tasks;
         for pending in self.0.iter_mut().filter(|pending| allows(&pending.offer)) {
-            unallotted_tasks -= pending.allot(request, unallotted_tasks);
-            if unallotted_tasks == 0 {
+            remaining_tasks -= pending.allocate(request, remaining_tasks);
+            if remaining_tasks == 0 {
                 break;
             }
         }
-        tasks - unallotted_tasks
+        tasks - remaining_tasks
     }
 }
 
 impl PendingMachines {
-    fn allot(&mut self, request: &Resources, tasks: u32) -> u32 {
-        let on_remainders = self.allot_remainders(request, tasks);
-        on_remainders + self.allot_whole_machines(request, tasks - on_remainders)
+    fn allocate(&mut self, request: &Resources, tasks: u32) -> u32 {
+        let on_remainders = self.allocate_on_remainders(request, tasks);
+        on_remainders + self.allocate_on_whole_machines(request, tasks - on_remainders)
     }
 
-    fn allot_remainders(&mut self, request: &Resources, tasks: u32) -> u32 {
-        let mut unallotted_tasks = tasks;
+    fn allocate_on_remainders(&mut self, request: &Resources, tasks: u32) -> u32 {
+        let mut remaining_tasks = tasks;
         for remainder in &mut self.remainders {
-            let count = request.count_fitting_in(remainder).min(unallotted_tasks);
+            let count = request.count_fitting_in(remainder).min(remaining_tasks);
             *remainder -= *request * f64::from(count);
-            unallotted_tasks -= count;
+            remaining_tasks -= count;
         }
-        tasks - unallotted_tasks
+        tasks - remaining_tasks
     }
 
-    fn allot_whole_machines(&mut self, request: &Resources, tasks: u32) -> u32 {
-        let mut unallotted_tasks = tasks;
+    fn allocate_on_whole_machines(&mut self, request: &Resources, tasks: u32) -> u32 {
+        let mut remaining_tasks = tasks;
         let per_machine = request.count_fitting_in(&self.capacity);
-        while unallotted_tasks > 0 && self.unallotted > 0 && per_machine > 0 {
-            let count = per_machine.min(unallotted_tasks);
-            self.unallotted -= 1;
-            unallotted_tasks -= count;
+        while remaining_tasks > 0 && self.unallocated > 0 && per_machine > 0 {
+            let count = per_machine.min(remaining_tasks);
+            self.unallocated -= 1;
+            remaining_tasks -= count;
             let remainder = self.capacity - *request * f64::from(count);
             if remainder.cpus > RESOURCE_TOLERANCE {
                 self.remainders.push(remainder);
             }
         }
-        tasks - unallotted_tasks
+        tasks - remaining_tasks
     }
 }
 
--- a/src/coordination/autoscaler/scale_out_plan.rs
+++ b/src/coordination/autoscaler/scale_out_plan.rs
@@ -92,10 +92,10 @@
         let (spec, zone_used) = (&*job.spec, &*job.tasks.zone_used);
         let zone = zone_demand.zone;
         let request = Resources::of(spec);
-        let allotted = self.pending_capacity.allot(&request, zone_demand.tasks, |offer| {
+        let allocated = self.pending_capacity.allocate(&request, zone_demand.tasks, |offer| {
             zone.is_none_or(|zone| zone == offer.zone) && offer.allows(spec, zone_used)
         });
-        let mut unmet_tasks = zone_demand.tasks - allotted;
+        let mut unmet_tasks = zone_demand.tasks - allocated;
         for _ in 0..OFFERS_PER_JOB {
             if unmet_tasks == 0 || self.is_full() || self.total_machines >= self.cluster.config().max_machines {
                 break;
@@ -104,7 +104,7 @@
             let Some(machine_type) = selected.offer.type_spec(self.cluster.machine_types()) else { break };
             let machines = self.machines_for(unmet_tasks, &selected);
             self.pending_capacity.add(selected.offer, machine_type.capacity, machines);
-            unmet_tasks -= self.pending_capacity.allot(&request, unmet_tasks, |offer| *offer == selected.offer);
+            unmet_tasks -= self.pending_capacity.allocate(&request, unmet_tasks, |offer| *offer == selected.offer);
             self.add_machines(selected.offer, machines);
         }
     }
--- a/src/coordination/autoscaler/tests/interval.rs
+++ b/src/coordination/autoscaler/tests/interval.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn is_due_once_per_interval() {
+fn timer_is_due_once_per_interval() {
     let mut interval = Interval::starting_at(1_000, 250);
     assert!(!interval.is_due(999));
     assert!(interval.is_due(1_000));
--- a/src/coordination/autoscaler/tests/offer_backoff.rs
+++ b/src/coordination/autoscaler/tests/offer_backoff.rs
@@ -5,7 +5,7 @@
 const OTHER_BILLING: Offer = Offer { spot: true, ..OFFER };
 
 #[test]
-fn backoff_grows_by_half_up_to_its_limit() {
+fn repeated_lack_of_capacity_grows_the_backoff_by_half_up_to_its_limit() {
     let mut backoffs = OfferBackoffs::default();
     for wait_ms in [6_000, 9_000, 13_500, 20_250, 25_000, 25_000] {
         backoffs.record_no_capacity(100, OFFER);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn other_outcomes_set_the_backoff() {
+fn rejected_or_partly_filled_request_sets_a_fixed_backoff_and_filled_one_resets_it() {
     let mut backoffs = OfferBackoffs::default();
     backoffs.record_rejected(0, OFFER);
     assert!(!backoffs.is_available(24_999, &OFFER) && backoffs.is_available(25_000, &OFFER));
--- a/src/coordination/autoscaler/tests/pending_capacity.rs
+++ b/src/coordination/autoscaler/tests/pending_capacity.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn counts_up_to_the_limit_on_allowed_offers() {
+fn count_fitting_counts_tasks_up_to_the_limit_on_allowed_offers() {
     assert_eq!(pending().count_fitting(&cpus(2.0), 10, |_| true), 6);
     assert_eq!(pending().count_fitting(&cpus(2.0), 5, |_| true), 5);
     assert_eq!(pending().count_fitting(&cpus(3.0), 10, |offer| offer.zone == ZoneIndex(0)), 2);
@@ -28,12 +28,12 @@
 }
 
 #[test]
-fn allotted_capacity_is_used_once_and_remainders_first() {
+fn allocated_capacity_is_used_once_and_remainders_are_used_first() {
     let mut pending = pending();
     let in_zone_0 = |offer: &Offer| offer.zone == ZoneIndex(0);
-    assert_eq!(pending.allot(&cpus(3.0), 1, in_zone_0), 1);
-    assert_eq!(pending.allot(&cpus(1.0), 1, in_zone_0), 1, "on the remainder of the first machine");
+    assert_eq!(pending.allocate(&cpus(3.0), 1, in_zone_0), 1);
+    assert_eq!(pending.allocate(&cpus(1.0), 1, in_zone_0), 1, "on the remainder of the first machine");
     assert_eq!(pending.count_fitting(&cpus(4.0), 10, in_zone_0), 1, "the second machine is whole");
-    assert_eq!(pending.allot(&cpus(4.0), 3, |_| true), 2, "one in each zone");
+    assert_eq!(pending.allocate(&cpus(4.0), 3, |_| true), 2, "one in each zone");
     assert_eq!(pending.count_fitting(&cpus(1.0), 10, |_| true), 0);
 }
--- a/src/coordination/autoscaler/zone_demand.rs
+++ b/src/coordination/autoscaler/zone_demand.rs
@@ -14,7 +14,7 @@
 /// Boot times vary widely: for service replicas this many times the capacity
 /// that they need is requested, so that the machines that come up first hold
 /// them all.
-const SERVICE_OVERPROVISIONING: u32 = 2;
+const SERVICE_OVERPROVISIONING_FACTOR: u32 = 2;
 
 /// Number of tasks for which machines are needed, in one zone or in any.
 pub struct ZoneDemand {
@@ -73,7 +73,7 @@
         } else if spec.one_zone && (spec.spread || is_one_zone_gang) {
             vec![self.single_zone_demand(tasks, pending_capacity)]
         } else {
-            vec![ZoneDemand { zone: None, tasks: tasks * overprovisioning(spec) }]
+            vec![ZoneDemand { zone: None, tasks: tasks * overprovisioning_factor(spec) }]
         }
     }
 
@@ -126,16 +126,18 @@
     /// less free capacity get more machines.
     fn spread_demand(&self, tasks: u32) -> Vec<ZoneDemand> {
         let zones = self.spread_zones(tasks);
-        let mut undivided = tasks;
+        let mut remaining_tasks = tasks;
         let mut demands = Vec::new();
         for (position, zone) in zones.iter().enumerate() {
             // As even as the limits of the zones after it allow.
             let later_limits: u32 = zones[position + 1..].iter().map(|later| later.limit).sum();
-            let even_share = undivided.div_ceil((zones.len() - position) as u32);
-            let share =
-                even_share.max(undivided.saturating_sub(later_limits)).max(zone.free.min(undivided)).min(zone.limit);
-            undivided -= share.min(undivided);
-            let missing = share.saturating_sub(zone.free) * overprovisioning(self.spec);
+            let even_share = remaining_tasks.div_ceil((zones.len() - position) as u32);
+            let share = even_share
+                .max(remaining_tasks.saturating_sub(later_limits))
+                .max(zone.free.min(remaining_tasks))
+                .min(zone.limit);
+            remaining_tasks -= share.min(remaining_tasks);
+            let missing = share.saturating_sub(zone.free) * overprovisioning_factor(self.spec);
             if missing > 0 {
                 demands.push(ZoneDemand { zone: Some(zone.zone), tasks: missing });
             }
@@ -159,9 +161,9 @@
 }
 
 /// How many times the capacity that the job needs is requested.
-fn overprovisioning(spec: &JobSpec) -> u32 {
+fn overprovisioning_factor(spec: &JobSpec) -> u32 {
     match spec.kind {
-        JobKind::Service => SERVICE_OVERPROVISIONING,
+        JobKind::Service => SERVICE_OVERPROVISIONING_FACTOR,
         JobKind::Array | JobKind::Gang => 1,
     }
 }
