--- a/src/coordination/autoscaler/boot_delays.rs
+++ b/src/coordination/autoscaler/boot_delays.rs
@@ -1,4 +1,5 @@
-//! Machines that take much longer to boot than their type nominally does.
+//! Detection of machines that take much longer to boot than their type's nominal
+//! boot time.
 
 use std::collections::{HashMap, HashSet};
 
@@ -10,24 +11,24 @@
     protocol::names::MachineTypeIndex,
 };
 
-/// A boot is overdue after this many milliseconds per second of the type's
-/// nominal boot time (twice that time), and...
+/// A boot is late after this many milliseconds per second of the type's nominal boot
+/// time (twice that time) plus [`LATE_BOOT_SLACK_MS`].
 const LATE_BOOT_MS_PER_BOOT_S: f64 = 2_000.0;
-/// ...this long.
+/// Time added to twice the nominal boot time before a boot is late.
 const LATE_BOOT_SLACK_MS: f64 = 5_000.0;
-/// Boots that were completed within this time count for their type.
+/// Boots that completed within this time are included in the statistics of their type.
 const RECENT_BOOT_MS: Millis = 120_000;
-/// Fewest overdue machines that make their type slow: a single one may never come up.
+/// Fewest late boots that make a type slow; a single late machine may never come up.
 const LATE_BOOTS_MIN: u32 = 2;
 
 /// Nominal boot time assumed of a machine whose type is unknown, in seconds.
 const UNKNOWN_BOOT_S: f64 = 60.0;
-/// A boot has failed after this many times its nominal time...
+/// A boot times out after this multiple of its nominal time plus
+/// [`BOOT_TIMEOUT_SLACK_S`].
 const BOOT_TIMEOUT_FACTOR: f64 = 3.0;
-/// ...and this many seconds. If the type is slow as a whole, though, one machine
-/// in so many...
+/// If the type as a whole is slow, one machine in this many gets the extended timeout.
 const EXTENDED_TIMEOUT_DIVISOR: usize = 4;
-/// ...is given this many times the nominal time.
+/// Extended timeout, as a multiple of the nominal boot time.
 const EXTENDED_TIMEOUT_FACTOR: f64 = 9.0;
 /// Seconds added to each boot timeout.
 const BOOT_TIMEOUT_SLACK_S: f64 = 15.0;
@@ -35,9 +36,9 @@
 /// Recent boots of machines of one type.
 #[derive(Default)]
 struct BootStatistics {
-    /// Machines whose boot is overdue.
+    /// Number of machines whose boot is late.
     late: u32,
-    /// Machines that came up lately.
+    /// Number of machines that came up recently.
     completed: u32,
 }
 
@@ -47,21 +48,22 @@
     }
 }
 
-/// Machine types whose machines take much longer to boot than nominally, at present.
+/// Machine types whose machines currently take much longer to boot than nominal.
 #[derive(Debug, Default)]
 pub struct BootDelays {
     slow_types: HashSet<MachineTypeIndex>,
 }
 
 impl BootDelays {
-    /// Determines the slow types: those with more overdue boots than recently
-    /// completed ones.
+    /// Determines the slow types: those with more late boots than recently completed
+    /// ones.
     pub fn update(&mut self, now: Millis, cluster: &ClusterState) {
         let slow = statistics_by_type(now, cluster).into_iter().filter(|(_, statistics)| statistics.is_slow());
         self.slow_types = slow.map(|(machine_type, _)| machine_type).collect();
     }
 
-    /// Whether a booting machine is not expected to come up any more.
+    /// Reports whether the boot of a machine has timed out, so that the machine is no
+    /// longer expected to come up.
     pub fn has_boot_timed_out(&self, now: Millis, cluster: &ClusterState, index: MachineIndex) -> bool {
         let machine = cluster.machine(index);
         let boot_s = cluster.machine_type_of(machine).map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s);
@@ -70,9 +72,11 @@
         (now - since) as f64 > timeout_ms
     }
 
-    /// Guard: when all machines were slow to boot, each was released before it
-    /// came up, and none ever did. A part of them is waited for; the others are
-    /// released, since those requested after the delay come up sooner.
+    /// Returns the boot timeout of a machine as a multiple of its nominal boot time.
+    ///
+    /// When all machines were slow to boot, each was released before it came up, and
+    /// none ever did. Some of them therefore get an extended timeout. The others are
+    /// released, because machines requested after the delay come up sooner.
     fn timeout_factor(&self, machine: &Machine, index: MachineIndex) -> f64 {
         let is_type_slow = machine.machine_type.is_some_and(|known| self.slow_types.contains(&known));
         if is_type_slow && index.as_usize().is_multiple_of(EXTENDED_TIMEOUT_DIVISOR) {
@@ -83,7 +87,7 @@
     }
 }
 
-/// Whether a booting machine should be up by now.
+/// Reports whether a booting machine should be up by now.
 pub fn is_boot_late(now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
     let waited_ms = now.saturating_sub(machine.provisioned_at) as f64;
     waited_ms > machine_type.boot_s * LATE_BOOT_MS_PER_BOOT_S + LATE_BOOT_SLACK_MS
--- a/src/coordination/autoscaler/consolidation.rs
+++ b/src/coordination/autoscaler/consolidation.rs
@@ -1,4 +1,4 @@
-//! Consolidation: service replicas on expensive machines move to other machines.
+//! Consolidation: moves service replicas from expensive machines to other machines.
 
 use super::drain::drain_machine;
 use crate::{
@@ -17,11 +17,11 @@
     storage::{job_cache::JobIndex, records::JobStatus},
 };
 
-/// A machine is drained only if it costs more than this many times what its
-/// replicas would cost on the cheapest machines for them: a move interrupts each
-/// of them.
+/// A machine is drained only if its price is more than this multiple of what its
+/// replicas would cost on the cheapest machines for them, because a move interrupts
+/// each replica.
 const PRICE_FACTOR: f64 = 3.0;
-/// A new leader consolidates nothing for this long.
+/// Time after the start of a leader during which it consolidates nothing.
 const START_DELAY_MS: Millis = 4 * RECENT_UNMET_DEMAND_MS;
 /// Most machines tried in one step.
 const CANDIDATES_PER_STEP: usize = 4;
@@ -33,8 +33,8 @@
 }
 
 /// While there is no unmet demand, drains the most expensive machine that holds
-/// only service replicas for which others have free capacity. The move of a
-/// replica costs the time between its stop and its start.
+/// only service replicas for which other machines have free capacity. A moved
+/// replica is unavailable between its stop and its start.
 pub fn consolidate(now: Millis, cluster: &mut ClusterState) {
     if !may_consolidate(now, cluster) {
         return;
@@ -53,14 +53,15 @@
     cluster.snapshot_mut().truncate_reservations(0);
 }
 
-/// Whether there was no unmet demand lately, and no machine is being drained.
+/// Reports whether consolidation is allowed: there was no unmet demand recently, no
+/// machine is being drained, and the leader did not start recently.
 fn may_consolidate(now: Millis, cluster: &ClusterState) -> bool {
     let is_starting = now < cluster.started_at() + START_DELAY_MS;
     let is_draining = |machine: &Machine| machine.cordoned && !machine.load.assignments.is_empty();
     !cluster.has_recent_unmet_demand(now) && !is_starting && !cluster.machines().iter().any(is_draining)
 }
 
-/// Machines that may be drained, the most expensive first.
+/// Returns the machines that may be drained, the most expensive first.
 fn candidates(now: Millis, cluster: &ClusterState) -> Vec<Candidate> {
     let drainable = cluster.machines().iter().enumerate().filter(|(_, machine)| may_be_drained(now, cluster, machine));
     let mut candidates: Vec<Candidate> = drainable
@@ -73,7 +74,7 @@
     candidates
 }
 
-/// Whether a machine holds only movable replicas and is expensive for them.
+/// Reports whether a machine holds only movable replicas and is expensive for them.
 fn may_be_drained(now: Millis, cluster: &ClusterState, machine: &Machine) -> bool {
     let is_in_use = machine.lifecycle == MachineLifecycle::Up
         && !machine.cordoned
@@ -89,13 +90,14 @@
     cluster.machine_type_of(machine).map_or(0.0, |machine_type| machine_type.price_of(machine.spot))
 }
 
-/// Whether something has lasted long enough to be changed again.
+/// Reports whether a state that began at `since` has lasted longer than the minimum
+/// idle time, after which it may be changed again. `None`: it has not begun.
 fn has_lasted_min_idle_time(now: Millis, cluster: &ClusterState, since: Option<Millis>) -> bool {
     since.is_some_and(|since| now > since + cluster.config().min_idle_ms)
 }
 
-/// Whether an assignment is a service replica without GPUs that has been running
-/// for a while.
+/// Reports whether an assignment is a service replica without GPUs that has been
+/// running for longer than the minimum idle time and is not being stopped.
 fn is_movable_replica(now: Millis, cluster: &ClusterState, index: AssignmentIndex) -> bool {
     let Some(assignment) = cluster.assignment(index) else { return false };
     let is_replica = cluster.job(assignment.job).is_some_and(|job| {
@@ -104,13 +106,14 @@
     is_replica && has_lasted_min_idle_time(now, cluster, assignment.running_since) && assignment.halt.is_none()
 }
 
-/// What the tasks on a machine would cost per hour on the cheapest machines for them.
+/// Returns what the tasks on a machine would cost per hour on the cheapest machines
+/// for them.
 fn cheapest_price_of_load(cluster: &ClusterState, machine: &Machine) -> f64 {
     let assignments = machine.load.assignments.iter().filter_map(|&index| cluster.assignment(index));
     assignments.map(|assignment| cheapest_price_per_task(cluster, assignment.job)).sum()
 }
 
-/// What a task of this job costs per hour on the cheapest machine type for it.
+/// Returns what a task of this job costs per hour on the cheapest machine type for it.
 fn cheapest_price_per_task(cluster: &ClusterState, job: JobIndex) -> f64 {
     let Some(job) = cluster.job(job) else { return 0.0 };
     let request = Resources::of(&job.spec);
@@ -131,20 +134,20 @@
         machine = &*machine.id,
         price_per_hour = candidate.price_per_hour,
         replicas = machine.load.assignments.len(),
-        "machine drained for consolidation"
+        "draining machine for consolidation"
     );
     drain_machine(now, cluster, candidate.machine, |_, _| 0.0);
 }
 
-/// Reserves capacity on other machines for all replicas on one. False: there is
-/// not enough for one of them.
+/// Reserves capacity on other machines for all replicas on a machine. Returns false
+/// if there is not enough for one of them.
 fn reserve_for_replicas_of(cluster: &mut ClusterState, machine: MachineIndex) -> bool {
     let assignments = cluster.machine(machine).load.assignments.clone();
     assignments.into_iter().all(|assignment| reserve_elsewhere(cluster, machine, assignment))
 }
 
 /// Reserves capacity for a replica on another machine that holds its image and is
-/// not idle. False: there is none.
+/// not idle. Returns false if there is none.
 fn reserve_elsewhere(cluster: &mut ClusterState, from: MachineIndex, index: AssignmentIndex) -> bool {
     let Some(assignment) = cluster.assignment(index) else { return false };
     let Some(job) = cluster.job(assignment.job) else { return false };
@@ -166,7 +169,7 @@
         && outcome.placements.iter().all(|placement| cluster.snapshot().hosts[placement.host].has_image(spec.image))
 }
 
-/// Number of the job's other assignments by zone: they stay where they are.
+/// Returns the number of the job's other assignments by zone, which do not move.
 fn zone_used_by_others(zone_used: &[u32], assignment: &Assignment) -> Vec<u32> {
     let mut zone_used = zone_used.to_vec();
     if let Some(used) = zone_used.get_mut(assignment.zone.as_usize()) {
--- a/src/coordination/autoscaler/drain.rs
+++ b/src/coordination/autoscaler/drain.rs
@@ -1,12 +1,12 @@
-//! Drains machines, so that scale-in releases them once they are empty.
+//! Draining of machines; scale-in releases them once they are empty.
 
 use crate::coordination::{
     cluster::ClusterState,
     model::{AssignmentIndex, MachineIndex, Millis},
 };
 
-/// Cordons a machine and stops everything on it. Each task gets the seconds of
-/// `grace_s` to save a checkpoint.
+/// Cordons a machine and stops all tasks on it. `grace_s` returns the number of
+/// seconds that a task is given to save a checkpoint.
 pub fn drain_machine(
     now: Millis,
     cluster: &mut ClusterState,
--- a/src/coordination/autoscaler/failure_detector.rs
+++ b/src/coordination/autoscaler/failure_detector.rs
@@ -1,8 +1,9 @@
 //! Detects failed machines by their missing heartbeats.
 //!
-//! A machine is suspected once its heartbeat is long overdue or its probes go
-//! unanswered. Since a network partition has the same signs, it counts as failed
-//! only if other machines show that the network between works.
+//! A machine is suspected once no heartbeat has been received for longer than a
+//! timeout or its probes receive no response. A network partition has the same
+//! symptoms, so the machine is considered failed only if heartbeats of other machines
+//! show that the network works.
 
 use std::collections::HashMap;
 
@@ -18,35 +19,35 @@
     protocol::names::ZoneIndex,
 };
 
-/// Slack, besides a quarter of the interval, after which a heartbeat was due.
+/// Slack, in addition to a quarter of the heartbeat interval, before a heartbeat is due.
 const HEARTBEAT_DUE_SLACK_MS: Millis = 100;
-/// A machine without others in its zone is suspected for this many times as long
-/// before it counts as failed.
+/// A machine that is the only one in its zone is considered failed only after this
+/// multiple of the heartbeat timeout.
 const LONE_MACHINE_TIMEOUT_FACTOR: Millis = 2;
 
-/// Times of the last contact with machines, in ascending order.
+/// Times of the last contact with each machine, in ascending order. 0: none yet.
 #[derive(Default)]
 struct ContactTimes(Vec<Millis>);
 
 impl ContactTimes {
-    /// How many machines were in contact after this moment.
+    /// Returns how many machines had their last contact after `moment`.
     fn count_after(&self, moment: Millis) -> usize {
         self.0.len() - self.0.partition_point(|&contact| contact <= moment)
     }
 
-    /// How many machines there are besides the suspected one.
+    /// Returns the number of machines other than the suspected one.
     fn count_others(&self) -> usize {
         self.0.len().saturating_sub(1)
     }
 }
 
-/// When machines were last in contact, by zone; `None`: those of all zones.
+/// Times of the last contact with machines, by zone; `None` holds those of all zones.
 #[derive(Default)]
 struct ContactTimesByZone(HashMap<Option<ZoneIndex>, ContactTimes>);
 
 impl ContactTimesByZone {
-    /// The contact times of the machines that should send heartbeats; empty if no
-    /// machine is suspected.
+    /// Collects the contact times of the machines that are expected to send heartbeats;
+    /// empty if no machine is suspected.
     fn new(now: Millis, cluster: &ClusterState) -> ContactTimesByZone {
         let mut by_zone = ContactTimesByZone::default();
         if !cluster.machines().iter().any(|machine| is_suspected(now, cluster, machine)) {
@@ -63,18 +64,19 @@
         by_zone
     }
 
-    /// How many machines of a zone were in contact after this moment.
+    /// Returns how many machines of a zone had their last contact after `moment`.
     fn count_after(&self, zone: Option<ZoneIndex>, moment: Millis) -> usize {
         self.0.get(&zone).map_or(0, |times| times.count_after(moment))
     }
 
-    /// How many machines of a zone there are besides the suspected one.
+    /// Returns the number of machines of a zone other than the suspected one.
     fn count_others(&self, zone: Option<ZoneIndex>) -> usize {
         self.0.get(&zone).map_or(0, ContactTimes::count_others)
     }
 }
 
-/// How many machines are in contact, and how many of them acknowledge our answers.
+/// Number of machines with recent contact, and how many of them acknowledge this
+/// controller's responses to their heartbeats.
 #[derive(Default)]
 struct Acknowledgements {
     with_recent_contact: usize,
@@ -82,8 +84,8 @@
 }
 
 impl Acknowledgements {
-    /// Guard: counted once for all machines that may be released; counted for
-    /// each of them, the work would grow with the square of their number.
+    /// Counts once for all machines that may be released. Counting again for each of
+    /// them would make the cost grow with the square of their number.
     fn new(now: Millis, cluster: &ClusterState) -> Acknowledgements {
         let mut acknowledgements = Acknowledgements::default();
         let is_recently_contacted =
@@ -95,27 +97,27 @@
         acknowledgements
     }
 
-    /// Whether most machines besides an unreachable one acknowledge our answers;
-    /// otherwise it is this controller whose answers are lost.
+    /// Reports whether most machines other than an unreachable one acknowledge the
+    /// responses. If they don't, it is this controller's responses that are lost.
     fn most_others_acknowledge(&self) -> bool {
         self.acknowledging * 2 > self.with_recent_contact.saturating_sub(1)
     }
 }
 
-/// Failures of machines at one moment.
+/// Detector of failed and unreachable machines at one moment.
 pub struct FailureDetector<'a> {
     now: Millis,
     cluster: &'a ClusterState,
     zone_health: &'a ZoneHealth,
-    /// The cloud answers this controller. If it does not, the controller itself
-    /// may be partitioned, and no machine counts as failed.
+    /// Whether the cloud responds to this controller. If it does not, the controller
+    /// itself may be partitioned, and no machine is considered failed.
     is_cloud_reachable: bool,
     contact_times: ContactTimesByZone,
     acknowledgements: Acknowledgements,
 }
 
 impl<'a> FailureDetector<'a> {
-    /// Takes in when all machines were last in contact.
+    /// Creates a detector from the times of the last contact with all machines.
     pub fn new(
         now: Millis,
         cluster: &'a ClusterState,
@@ -132,23 +134,24 @@
         }
     }
 
-    /// Whether a machine sends no heartbeats any more.
+    /// Reports whether a machine has failed and no longer sends heartbeats.
     pub fn has_failed(&self, machine: &Machine) -> bool {
         self.is_cloud_reachable && is_suspected(self.now, self.cluster, machine) && self.is_confirmed_by_others(machine)
     }
 
-    /// Whether a machine sends heartbeats, but our answers don't reach it.
+    /// Reports whether a machine sends heartbeats but the responses don't reach it.
     pub fn is_unreachable(&self, machine: &Machine) -> bool {
         machine.is_unreachable() && self.is_cloud_reachable && self.acknowledgements.most_others_acknowledge()
     }
 
-    /// Whether other machines show that a suspected one has failed.
+    /// Reports whether heartbeats of other machines confirm that a suspected one has
+    /// failed.
     ///
-    /// Guard: a network partition stops the heartbeats of the machines behind it,
-    /// which may well be running. A machine counts as failed only if others of
-    /// its zone were in contact after its heartbeat was due: a partition would
-    /// have stopped their heartbeats too. If its zone has no others, those of all
-    /// zones are taken instead, after twice the time.
+    /// A network partition blocks the heartbeats of the machines behind it, which may
+    /// still be running. A machine is therefore considered failed only if heartbeats
+    /// of others in its zone were received after its own was due: a partition would
+    /// have blocked those too. If there are no others in its zone, the machines of all
+    /// zones are used instead, after twice the timeout.
     fn is_confirmed_by_others(&self, suspect: &Machine) -> bool {
         let config = self.cluster.config();
         let last_contact = last_contact_or_start(self.cluster, suspect);
--- a/src/coordination/autoscaler/gpu_reclaim.rs
+++ b/src/coordination/autoscaler/gpu_reclaim.rs
@@ -1,4 +1,4 @@
-//! Reclaims GPU machines from best-effort work that doesn't need them.
+//! Reclaims GPU machines from best-effort tasks that don't need them.
 
 use super::drain::drain_machine;
 use crate::{
@@ -9,14 +9,14 @@
     protocol::jobs::JobKind,
 };
 
-/// Most machines drained in one step: the end of each of their tasks has to be committed.
+/// Most machines drained in one step; the exit of each of their tasks has to be committed.
 const DRAINS_PER_STEP: usize = 8;
 
-/// Drains machines reserved for GPU work on which only best-effort tasks run,
+/// Drains machines that are reserved for GPU tasks but run only best-effort tasks,
 /// all of which can save a checkpoint.
 ///
-/// Guard: such tasks may run for minutes, one after another: the machine they
-/// keep up costs as much as if it were provisioned for them.
+/// Such tasks may run for minutes, one after another, and prevent the release of the
+/// machine, which then costs as much as if it had been provisioned for them.
 pub fn drain_best_effort_machines(now: Millis, cluster: &mut ClusterState) {
     let drained: Vec<MachineIndex> = cluster
         .machine_indices()
@@ -28,7 +28,7 @@
         tracing::info!(
             machine = &*machine.id,
             tasks = machine.load.assignments.len(),
-            "machine drained of best-effort work"
+            "draining GPU machine that runs only best-effort tasks"
         );
         drain_machine(now, cluster, index, checkpoint_grace_s);
     }
@@ -51,7 +51,7 @@
     job.spec.checkpoint_s > 0.0 && job.spec.kind == JobKind::Array && cluster.is_best_effort(job.spec.team)
 }
 
-/// Seconds that a task is given to save a checkpoint.
+/// Returns the time that a task is given to save a checkpoint, in seconds.
 fn checkpoint_grace_s(cluster: &ClusterState, assignment: AssignmentIndex) -> f64 {
     job_of(cluster, assignment).map_or(0.0, |job| job.spec.save_s + SAVE_MARGIN_S)
 }
--- a/src/coordination/autoscaler/idle_timeout.rs
+++ b/src/coordination/autoscaler/idle_timeout.rs
@@ -1,4 +1,4 @@
-//! How long idle machines are kept.
+//! Timeout after which idle machines are released.
 
 use crate::coordination::{
     cluster::ClusterState,
@@ -6,26 +6,28 @@
     scheduler::{gpu_demand::GpuDemand, trial::SLOWEST_FETCH_GB_PER_S},
 };
 
-/// Idle machines are kept for this many times what provisioning them again takes.
+/// Idle machines are kept for this multiple of the time that it takes to provision
+/// them again.
 const IDLE_TIMEOUT_FACTOR: f64 = 1.4;
-/// GPU work is expected again for this long after it last arrived.
+/// More GPU jobs of a shape are expected for this long after the last one arrived.
 const GPU_DEMAND_EXPECTED_MS: i64 = 90_000;
 
-/// Whether a machine has been idle for longer than it is kept.
+/// Reports whether a machine has been idle for longer than its idle timeout.
 pub fn has_idle_timed_out(now: Millis, cluster: &ClusterState, gpu_demand: &GpuDemand, machine: &Machine) -> bool {
     machine.load.idle_since.is_some_and(|since| now > since + idle_timeout_ms(now, cluster, gpu_demand, machine))
 }
 
-/// How long an idle machine is kept: the longer, the longer provisioning it again takes.
+/// Returns how long an idle machine is kept, which grows with the time that it takes
+/// to provision the machine again.
 fn idle_timeout_ms(now: Millis, cluster: &ClusterState, gpu_demand: &GpuDemand, machine: &Machine) -> Millis {
     let startup_s =
         cluster.machine_type_of(machine).map_or(0.0, |machine_type| expected_startup_s(now, machine_type, gpu_demand));
     cluster.config().min_idle_ms.max((startup_s * IDLE_TIMEOUT_FACTOR * 1000.0) as Millis)
 }
 
-/// Seconds until a new machine of this type could run the work that is expected
-/// on it. On machines with GPUs, images take long to fetch, which counts while
-/// GPU work is expected.
+/// Returns the seconds until a new machine of this type could run the tasks that are
+/// expected on it. Images take long to fetch on machines with GPUs, so the fetch is
+/// included while GPU tasks are expected.
 fn expected_startup_s(now: Millis, machine_type: &MachineTypeSpec, gpu_demand: &GpuDemand) -> f64 {
     if machine_type.capacity.gpus <= 0.0 {
         return machine_type.boot_s;
--- a/src/coordination/autoscaler/interval.rs
+++ b/src/coordination/autoscaler/interval.rs
@@ -10,12 +10,12 @@
 }
 
 impl Interval {
-    /// A timer that is due at `first_due` for the first time.
+    /// Creates a timer that is first due at `first_due`.
     pub fn starting_at(first_due: Millis, interval_ms: Millis) -> Interval {
         Interval { interval_ms, next_due: first_due }
     }
 
-    /// Whether the timer is due; if so, it is restarted.
+    /// Reports whether the timer is due; if so, restarts it from `now`.
     pub fn is_due(&mut self, now: Millis) -> bool {
         if now < self.next_due {
             return false;
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -1,4 +1,4 @@
-//! The inventory: machines are discovered through the cloud's list.
+//! Inventory: discovers machines through the cloud's machine list.
 
 use crate::{
     coordination::{
@@ -14,56 +14,58 @@
 
 /// Largest plausible age of a machine, in seconds; larger values are clamped.
 const MACHINE_AGE_MAX_S: f64 = 1e9;
-/// The cloud counts as reachable for this long after its last answer.
+/// The cloud is considered reachable for this long after its last response.
 const REACHABLE_AFTER_RESPONSE_MS: Millis = 5_000;
 
 /// Progress of the listing of all machines at the cloud, page by page.
 #[derive(Debug)]
 pub struct Inventory {
-    /// The call for a page that is not answered yet.
+    /// The call for a page whose response has not been received yet.
     in_flight: Option<CallId>,
-    /// Name of the machine after which the next page begins; None: the first page.
+    /// Name of the machine after which the next page begins; `None` for the first page.
     next_page_after: Option<String>,
-    /// At least one page was received.
+    /// Whether at least one page was received.
     has_received_page: bool,
-    /// When the cloud last answered a listing.
+    /// When the cloud last responded to a listing call; initially the start of the
+    /// leadership.
     last_response_at: Millis,
 }
 
 impl Inventory {
-    /// The inventory of a new leadership, which has listed nothing yet.
+    /// Creates the inventory of a new leadership, which has not listed any machines yet.
     pub fn new(now: Millis) -> Inventory {
         Inventory { in_flight: None, next_page_after: None, has_received_page: false, last_response_at: now }
     }
 
-    /// Whether a page was requested and not answered yet.
+    /// Reports whether a page was requested and its response is outstanding.
     pub fn is_listing(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// Whether any of the machines held for us are known.
+    /// Reports whether at least one page of the list of provisioned machines was received.
     pub fn has_received_page(&self) -> bool {
         self.has_received_page
     }
 
-    /// Whether the cloud answered lately. If it did not, this controller may be
-    /// the one that is partitioned.
+    /// Reports whether the cloud responded recently. If it did not, this controller
+    /// itself may be partitioned.
     pub fn is_cloud_reachable(&self, now: Millis) -> bool {
         self.last_response_at + REACHABLE_AFTER_RESPONSE_MS > now
     }
 
     /// Requests the next page of the list.
     ///
-    /// Guard: a page that failed is requested again. When the list was restarted
-    /// from its beginning instead, a long one was never read to its end while
-    /// scale-out requests used up the cloud's rate limit.
+    /// A page whose call failed is requested again. When listing restarted from the
+    /// first page instead, a long list was never read to its end while scale-out
+    /// requests used up the cloud's rate limit.
     pub fn request_page(&mut self, outbox: &mut Outbox) {
         let call = outbox.next_call();
         self.in_flight = Some(call);
         outbox.send(Effect::ListMachines { call, from: self.next_page_after.clone() });
     }
 
-    /// Takes in a page and requests the one after it, if any. `None`: the call failed.
+    /// Processes a page and requests the next one, if any. `list` is `None` if the
+    /// call failed.
     pub fn page_received(
         &mut self,
         now: Millis,
@@ -88,14 +90,14 @@
     }
 }
 
-/// Updates the cluster state with what the cloud says of one machine.
+/// Updates the cluster state with the cloud's list entry of one machine.
 fn reconcile_host(now: Millis, host: &ListedHost, cluster: &mut ClusterState, interners: &mut Interners) {
     let zone = interners.zones.intern(&host.zone);
     let is_known = cluster.find_machine(&host.id).is_some();
     let index = cluster.find_or_add_machine(now, &host.id, zone);
     let machine = cluster.machine_mut(index);
     if machine.lifecycle == MachineLifecycle::Gone {
-        return; // The list is older than the confirmed release.
+        return; // The page was read before the release was confirmed.
     }
     machine.zone = zone;
     let listed_type = interners.types.intern(&host.machine_type);
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -1,10 +1,10 @@
 //! The autoscaler: provisions machines for unmet demand and releases those that
 //! are idle, failed or too expensive for what runs on them.
 //!
-//! [`Autoscaler`] runs its components at their intervals and routes the answers
-//! of the cloud to them:
+//! [`Autoscaler`] runs its components at their intervals and passes the cloud's
+//! responses to them:
 //!
-//! * `inventory`: lists the machines that the cloud holds for us;
+//! * `inventory`: lists the machines that the cloud has provisioned for this system;
 //! * `scale_out` (with `scale_out_plan`, `zone_demand`, `offer_selection`,
 //!   `offer_backoff` and `pending_capacity`): requests machines for unmet demand;
 //! * `scale_in` (with `scale_in_policy`, `failure_detector`, `contact`, `zone_health`,
@@ -46,16 +46,16 @@
 };
 use crate::protocol::{cloud::HostList, names::Interners};
 
-/// Interval of scale-out decisions.
+/// Interval between scale-out decisions.
 const SCALE_OUT_INTERVAL_MS: Millis = 250;
-/// Interval at which all machines are listed.
+/// Interval at which a listing of all machines is started or resumed.
 const LISTING_INTERVAL_MS: Millis = 2_500;
-/// Interval of scale-in decisions.
+/// Interval between scale-in decisions.
 const SCALE_IN_INTERVAL_MS: Millis = 400;
-/// Interval of consolidation decisions.
+/// Interval between consolidation decisions.
 const CONSOLIDATION_INTERVAL_MS: Millis = 2_000;
 
-/// Keeps the number and kinds of machines in line with demand.
+/// Controller that matches the number and kinds of machines to the demand.
 #[derive(Debug)]
 pub struct Autoscaler {
     inventory: Inventory,
@@ -70,8 +70,8 @@
 }
 
 impl Autoscaler {
-    /// The autoscaler of a new leadership, which has listed no machines yet.
-    /// `nonce` is a random number that no other leadership has.
+    /// Creates the autoscaler of a new leadership, which has not listed any machines
+    /// yet. `nonce` is a random number unique to this leadership.
     pub fn new(nonce: u64, now: Millis) -> Autoscaler {
         Autoscaler {
             inventory: Inventory::new(now),
@@ -120,7 +120,7 @@
         self.scale_in.release(now, decisions, cluster, outbox);
     }
 
-    /// A scale-out request ended.
+    /// Handles the outcome of a scale-out request.
     pub fn scale_out_finished(
         &mut self,
         now: Millis,
@@ -131,13 +131,13 @@
         self.scale_out.finished(now, call, outcome, cluster);
     }
 
-    /// A scale-in request ended. `is_released`: the cloud confirmed the release,
-    /// so the machines and everything on them are gone.
+    /// Handles the outcome of a scale-in request. `is_released`: the cloud confirmed
+    /// the release, so the machines and everything on them no longer exist.
     pub fn scale_in_finished(&mut self, now: Millis, call: CallId, is_released: bool, cluster: &mut ClusterState) {
         self.scale_in.finished(now, call, is_released, cluster);
     }
 
-    /// A page of the machine list arrived. `None`: the call failed.
+    /// Handles a page of the machine list. `list` is `None` if the call failed.
     pub fn machines_listed(
         &mut self,
         now: Millis,
--- a/src/coordination/autoscaler/offer.rs
+++ b/src/coordination/autoscaler/offer.rs
@@ -1,4 +1,4 @@
-//! Offers: the kinds of machines that the cloud provisions.
+//! Offers: the kinds of machines that the cloud can provision.
 
 use crate::{
     coordination::model::MachineTypeSpec,
@@ -11,26 +11,26 @@
 /// A kind of machine that can be provisioned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Offer {
-    /// The machine type.
+    /// Machine type, as an index of the interned type names.
     pub machine_type: MachineTypeIndex,
-    /// The zone.
+    /// Zone in which the machine is provisioned.
     pub zone: ZoneIndex,
-    /// Billing: spot if true, on demand otherwise.
+    /// Billing kind: spot if true, on demand otherwise.
     pub spot: bool,
 }
 
 /// A number of machines of one offer.
 #[derive(Debug, Clone, Copy)]
 pub struct OfferQuantity {
-    /// The offer.
+    /// Kind of the machines.
     pub offer: Offer,
-    /// How many machines of it.
+    /// Number of machines.
     pub machines: u32,
 }
 
 impl Offer {
-    /// Whether the job's tasks may run on such machines. `zone_used`: number of
-    /// the job's assignments by zone, if it restricts zones.
+    /// Reports whether the job's tasks may run on machines of this offer. `zone_used`:
+    /// number of the job's assignments by zone, if the job restricts zones.
     pub fn allows(&self, spec: &JobSpec, zone_used: &[u32]) -> bool {
         let is_other_zone = spec.zone.is_some_and(|zone| zone != self.zone);
         if !spec.allows_type(self.machine_type) || is_other_zone || (self.spot && !spec.spot) {
@@ -41,7 +41,8 @@
         (!spec.spread || here < spec.zone_cap()) && (!spec.one_zone || elsewhere == 0)
     }
 
-    /// The description of the offer's machine type, if the cloud still lists it.
+    /// Returns the specification of the offer's machine type; `None` if the cloud no
+    /// longer lists it.
     pub fn type_spec<'a>(&self, types: &'a [MachineTypeSpec]) -> Option<&'a MachineTypeSpec> {
         types.iter().find(|known| known.index == self.machine_type)
     }
--- a/src/coordination/autoscaler/offer_selection.rs
+++ b/src/coordination/autoscaler/offer_selection.rs
@@ -13,31 +13,32 @@
     },
 };
 
-/// A machine that takes this many seconds until its first task runs counts as
-/// twice as expensive.
+/// A machine that takes this many seconds until its first task runs is rated twice
+/// as expensive.
 const STARTUP_DOUBLES_COST_S: f64 = 120.0;
 
-/// Growth of the price tolerance with each second that a job waits.
+/// Growth of the price tolerance per second that a job waits.
 const TOLERANCE_GROWTH_PER_S: f64 = 1.0;
-/// The same for best-effort jobs...
+/// Growth of the price tolerance per second that a best-effort job waits.
 const BEST_EFFORT_TOLERANCE_GROWTH_PER_S: f64 = 1.0 / 60.0;
-/// ...up to this: about what on-demand machines cost more than spot ones.
+/// Limit to which the price tolerance of best-effort jobs grows; about the price ratio
+/// of on-demand to spot machines.
 const BEST_EFFORT_TOLERANCE_MAX: f64 = 4.0;
 
-/// What the quota of a job's team lets the job cost.
+/// Tier of a job by its team's quota, which limits how expensive its machines may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaTier {
     /// The team has a guarantee, or no team has one.
     Guaranteed,
     /// Only other teams have a guarantee, and no task of the job is placed.
     BestEffortNotStarted,
-    /// Only other teams have a guarantee, and some of the job's tasks are placed:
-    /// the others can wait.
+    /// Only other teams have a guarantee, and some of the job's tasks are placed; the
+    /// rest can wait.
     BestEffortStarted,
 }
 
 impl QuotaTier {
-    /// The tier of a job.
+    /// Returns the tier of a job.
     pub fn of(cluster: &ClusterState, job: &Job) -> QuotaTier {
         match (cluster.is_best_effort(job.spec.team), job.tasks.placed > 0) {
             (false, _) => QuotaTier::Guaranteed,
@@ -49,34 +50,34 @@
 
 /// Unmet tasks of one job for which machines are selected.
 pub struct OfferDemand<'a> {
-    /// What the tasks need.
+    /// Specification of the job, with the resources that each task needs.
     pub spec: &'a JobSpec,
-    /// Only machines of this zone are suitable; None: of any.
+    /// Zone in which the machines must be; `None`: any zone.
     pub zone: Option<ZoneIndex>,
-    /// Number of the job's assignments by zone, if it restricts zones.
+    /// Number of the job's assignments by zone, if the job restricts zones.
     pub zone_used: &'a [u32],
     /// Number of tasks among which the cost of a machine is divided.
     pub tasks: u32,
     /// How long the job has waited for free capacity, in seconds.
     pub waited_s: f64,
-    /// What the team's quota lets the job cost.
+    /// Tier of the job by its team's quota.
     pub quota_tier: QuotaTier,
 }
 
-/// An offer that suits some tasks.
+/// An offer that some tasks may run on, with its cost for them.
 #[derive(Clone, Copy)]
 pub struct RatedOffer {
-    /// The offer.
+    /// Kind of machine that was rated.
     pub offer: Offer,
-    /// How many of the tasks fit on one machine.
+    /// Number of the tasks that fit on one machine; at least 1.
     pub tasks_per_machine: u32,
-    /// Hourly cost of one task on it, weighted by how long the task would have
-    /// to wait until it runs.
+    /// Hourly cost of one task on the machine, weighted by how long the task would
+    /// have to wait until it runs.
     cost: f64,
 }
 
-/// The cheapest available offer for the tasks. None: there is none, or it is too
-/// expensive for them at present.
+/// Returns the cheapest available offer for the tasks; `None` if there is none, or if
+/// it is currently too expensive for them.
 pub fn select_offer(
     now: Millis,
     cluster: &ClusterState,
@@ -97,14 +98,14 @@
             }
         }
     }
-    // While cheaper offers are backed off from, only urgent jobs, or jobs that
-    // have waited, may use much more expensive ones.
+    // While cheaper offers have a back-off, only urgent jobs and jobs that have waited
+    // may use much more expensive ones.
     let best = best?;
     let is_affordable = best.cost <= cheapest_cost * price_tolerance(demand);
     is_affordable.then_some(best)
 }
 
-/// Rates an offer for the tasks. None: they may not run on it.
+/// Rates an offer for the tasks; `None` if they may not run on it.
 fn rate_offer(
     cluster: &ClusterState,
     machine_type: &MachineTypeSpec,
@@ -128,10 +129,12 @@
     Some(RatedOffer { offer, tasks_per_machine, cost })
 }
 
-/// How many times more expensive than the cheapest offer one may be for these tasks.
+/// Returns the largest multiple of the cheapest offer's cost that an offer for these
+/// tasks may have.
 ///
-/// Guard: without the limit for best-effort jobs, they provisioned every machine
-/// there was, of the most expensive types too, once they had waited for a while.
+/// Without the limit for best-effort jobs, machines of all types, also the most
+/// expensive ones, were provisioned for them until none were left, once they had
+/// waited for a while.
 fn price_tolerance(demand: &OfferDemand<'_>) -> f64 {
     let base = base_price_tolerance(demand.spec.priority);
     match demand.quota_tier {
@@ -144,7 +147,7 @@
     }
 }
 
-/// The price tolerance of a job of this priority that has not waited yet.
+/// Returns the price tolerance of a job of this priority that has not waited yet.
 fn base_price_tolerance(priority: Priority) -> f64 {
     match priority {
         Priority::Production => 5.0,
--- a/src/coordination/autoscaler/pending_capacity.rs
+++ b/src/coordination/autoscaler/pending_capacity.rs
@@ -14,18 +14,18 @@
     offer: Offer,
     /// Capacity of one of them.
     capacity: Resources,
-    /// Number of those of which nothing is allotted yet.
+    /// Number of machines of which nothing has been allocated yet.
     unallocated: u32,
-    /// Remaining capacity of those of which something is allotted.
+    /// Remaining capacity of each machine of which something has been allocated.
     remainders: Vec<Resources>,
 }
 
-/// Machines that are not up yet, by offer.
+/// Capacity of machines that are not up yet, by offer.
 #[derive(Default)]
 pub struct PendingCapacity(Vec<PendingMachines>);
 
 impl PendingCapacity {
-    /// The capacity of all machines that are booting or `requested`.
+    /// Collects the capacity of all machines that are booting or `requested`.
     pub fn new(now: Millis, cluster: &ClusterState, requested: &[OfferQuantity]) -> PendingCapacity {
         let mut pending_capacity = PendingCapacity::default();
         for machine in cluster.machines() {
@@ -33,7 +33,7 @@
                 continue;
             }
             let Some(machine_type) = cluster.machine_type_of(machine) else { continue };
-            // A machine whose boot is overdue may never come up.
+            // A machine whose boot is late may never come up.
             if !is_boot_late(now, machine, machine_type) {
                 let offer = Offer { machine_type: machine_type.index, zone: machine.zone, spot: machine.spot };
                 pending_capacity.add(offer, machine_type.capacity, 1);
@@ -47,7 +47,7 @@
         pending_capacity
     }
 
-    /// Adds machines of an offer, each of this capacity.
+    /// Adds machines of an offer, each with this capacity.
     pub fn add(&mut self, offer: Offer, capacity: Resources, machines: u32) {
         match self.0.iter_mut().find(|pending| pending.offer == offer) {
             Some(pending) => pending.unallocated += machines,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// How many tasks of this shape fit on machines of the allowed offers,
-    /// counted up to `limit`.
+    /// Returns how many tasks that each need `request` fit on machines of the allowed
+    /// offers, up to `limit`.
     pub fn count_fitting(&self, request: &Resources, limit: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
         let mut tasks = 0;
         for pending in self.0.iter().filter(|pending| allows(&pending.offer)) {
@@ -70,8 +70,8 @@
         tasks
     }
 
-    /// Allots capacity of the allowed offers to up to `tasks` tasks and returns
-    /// for how many there was enough.
+    /// Allocates capacity of the allowed offers to up to `tasks` tasks and returns the
+    /// number of tasks for which there was enough.
     pub fn allocate(&mut self, request: &Resources, tasks: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
         let mut remaining_tasks = tasks;
         for pending in self.0.iter_mut().filter(|pending| allows(&pending.offer)) {
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -9,20 +9,20 @@
     model::{CallId, MachineIndex, MachineLifecycle, Millis},
 };
 
-/// Pause before a release that is not confirmed is requested again.
+/// Delay before a release without a confirmation is requested again.
 const UNCONFIRMED_RETRY_DELAY_MS: Millis = 2_500;
-/// Pause before a release whose request failed is requested again.
+/// Delay before a release whose request failed is requested again.
 const FAILED_RETRY_DELAY_MS: Millis = 1_000;
 
-/// Requests the release of machines and keeps track of the requests.
+/// Component that requests the release of machines and tracks the requests.
 #[derive(Debug, Default)]
 pub struct ScaleIn {
-    /// Machines of the requests that are not answered yet.
+    /// Machines of the requests whose response has not been received yet.
     in_flight: HashMap<CallId, Vec<MachineIndex>>,
 }
 
 impl ScaleIn {
-    /// Requests the release of the machines decided on, in one call.
+    /// Requests the release of the machines in `decisions`, in one call.
     pub fn release(
         &mut self,
         now: Millis,
@@ -43,7 +43,7 @@
         outbox.send(Effect::ScaleIn { call, ids });
     }
 
-    /// A request ended. `is_released`: the cloud confirmed the release.
+    /// Handles the outcome of a request. `is_released`: the cloud confirmed the release.
     pub fn finished(&mut self, now: Millis, call: CallId, is_released: bool, cluster: &mut ClusterState) {
         let Some(machines) = self.in_flight.remove(&call) else { return };
         for index in machines {
@@ -72,7 +72,7 @@
     cluster.update_snapshot_host(now, decision.machine);
 }
 
-/// A released machine and everything on it are gone.
+/// Records that a released machine and everything on it no longer exist.
 fn mark_gone(now: Millis, index: MachineIndex, cluster: &mut ClusterState) {
     cluster.release_machine_assignments(index, None);
     let machine = cluster.machine_mut(index);
--- a/src/coordination/autoscaler/scale_in_policy.rs
+++ b/src/coordination/autoscaler/scale_in_policy.rs
@@ -18,17 +18,17 @@
 /// Why a machine is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ScaleInReason {
-    /// Its release was requested before, and is not confirmed.
+    /// Its release was requested before and has not been confirmed.
     Unconfirmed,
-    /// It sends no heartbeats any more.
+    /// It failed and no longer sends heartbeats.
     Failed,
     /// It did not come up in time.
     BootTimeout,
-    /// It sends heartbeats, but our answers don't reach it.
+    /// It sends heartbeats, but the responses don't reach it.
     Unreachable,
-    /// It takes no new tasks, and the last of its tasks is gone.
+    /// It is cordoned, and the last of its tasks has been removed.
     Cordoned,
-    /// Nothing has run on it for long.
+    /// It has held no tasks for longer than its idle timeout.
     Idle,
 }
 
@@ -45,15 +45,15 @@
     }
 }
 
-/// A machine to be released, and why.
+/// Decision to release a machine.
 pub struct ScaleInDecision {
-    /// The machine.
+    /// Machine to release.
     pub machine: MachineIndex,
     /// Why it is released.
     pub reason: ScaleInReason,
 }
 
-/// Decides at one moment which machines are released.
+/// Policy that decides which machines are released at one moment.
 pub struct ScaleInPolicy<'a> {
     now: Millis,
     cluster: &'a ClusterState,
@@ -63,7 +63,7 @@
 }
 
 impl<'a> ScaleInPolicy<'a> {
-    /// The policy in view of what is known at present.
+    /// Creates the policy from the current state.
     pub fn new(
         now: Millis,
         cluster: &'a ClusterState,
@@ -77,7 +77,7 @@
         ScaleInPolicy { now, cluster, failure_detector, boot_delays, gpu_demand }
     }
 
-    /// The machines to be released now, at most as many as one call may release.
+    /// Returns the machines to release now, at most as many as one call may release.
     pub fn machines_to_release(&self) -> Vec<ScaleInDecision> {
         let indices = self.cluster.machine_indices();
         let decisions = indices.filter_map(|machine| {
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -17,9 +17,10 @@
     protocol::{cloud::ProvisionRequest, names::Interners},
 };
 
-/// Pause before a request whose outcome is unknown is sent again.
+/// Delay before a request whose outcome is unknown is sent again.
 const RETRY_DELAY_MS: Millis = 1_500;
-/// A new leader that inherits machines waits this long for their heartbeats first.
+/// Time that a new leader waits for the heartbeats of existing machines before it
+/// requests more.
 const FIRST_HEARTBEATS_MS: Millis = 1_500;
 /// Most scale-out calls in flight at a time.
 const CALLS_IN_FLIGHT_MAX: usize = 4;
@@ -27,17 +28,17 @@
 /// How a scale-out request ended.
 #[derive(Debug)]
 pub enum ScaleOutOutcome {
-    /// Executed; the names of the machines, which may be fewer than requested.
+    /// Executed; contains the names of the machines, which may be fewer than requested.
     Provisioned(Vec<String>),
     /// The cloud has no machine of this type, zone and billing kind.
     NoCapacity,
-    /// Not executed, or not known to be: the same request is to be sent again.
+    /// Not executed, or not known to be executed; the same request must be sent again.
     Retry,
-    /// The cloud rejects the request as malformed.
+    /// The cloud rejected the request as malformed.
     Malformed,
 }
 
-/// A scale-out request that was sent, or is to be sent again.
+/// A scale-out request that was sent or is waiting for a retry.
 #[derive(Debug)]
 struct ScaleOutCall {
     offer: Offer,
@@ -50,30 +51,30 @@
     }
 }
 
-/// A request whose outcome is unknown.
+/// A request whose outcome is unknown, and when it is sent again.
 #[derive(Debug)]
 struct Retry {
     call: ScaleOutCall,
     at: Millis,
 }
 
-/// Requests machines and keeps track of the requests.
+/// Component that requests machines and tracks the requests.
 #[derive(Debug)]
 pub struct ScaleOut {
-    /// Random number of this leadership, a part of the names of its requests.
+    /// Random number unique to this leadership, part of the names of its requests.
     nonce: u64,
     /// Number of requests so far.
     request_count: u64,
-    /// Requests that are not answered yet.
+    /// Requests whose response has not been received yet.
     in_flight: HashMap<CallId, ScaleOutCall>,
-    /// Requests whose outcome is unknown: sent again until it is known.
+    /// Requests whose outcome is unknown; they are sent again until it is known.
     retries: Vec<Retry>,
     backoffs: OfferBackoffs,
 }
 
 impl ScaleOut {
-    /// Scale-out of a new leadership. `nonce` is a random number that no other
-    /// leadership has.
+    /// Creates the scale-out component of a new leadership. `nonce` is a random number
+    /// unique to this leadership.
     pub fn new(nonce: u64) -> ScaleOut {
         ScaleOut {
             nonce,
@@ -110,8 +111,9 @@
         }
     }
 
-    /// Without a list it isn't known which machines there are; and if there are
-    /// any, their heartbeats show how much of them is free.
+    /// Reports whether machines may be requested. Before a page of the machine list was
+    /// received, it isn't known which machines exist. If there are any, their heartbeats
+    /// must be received first, because they show how much capacity is free.
     fn may_request(&self, now: Millis, cluster: &ClusterState, inventory: &Inventory) -> bool {
         let first_heartbeats_ms = if cluster.machines().is_empty() { 0 } else { FIRST_HEARTBEATS_MS };
         inventory.has_received_page()
@@ -129,14 +131,14 @@
         }
     }
 
-    /// Machines of requests whose outcome is not known yet.
+    /// Returns the machines of requests whose outcome is not known yet.
     fn requested(&self) -> Vec<OfferQuantity> {
         let retried = self.retries.iter().map(|retry| &retry.call);
         self.in_flight.values().chain(retried).map(ScaleOutCall::quantity).collect()
     }
 
-    /// A name for a request, which makes it idempotent. Names carry this
-    /// leadership's random number: no controller ever uses one twice.
+    /// Returns a unique name for a request, which makes it idempotent. The name contains
+    /// this leadership's random number, so that no controller ever uses a name twice.
     fn next_request_name(&mut self) -> String {
         self.request_count += 1;
         format!("r-{:016x}-{}", self.nonce, self.request_count)
@@ -157,7 +159,7 @@
         self.in_flight.insert(id, call);
     }
 
-    /// A request ended.
+    /// Handles the outcome of a request.
     pub fn finished(&mut self, now: Millis, id: CallId, outcome: ScaleOutOutcome, cluster: &mut ClusterState) {
         let Some(call) = self.in_flight.remove(&id) else { return };
         let offer = call.offer;
@@ -173,7 +175,7 @@
                 }
             }
             ScaleOutOutcome::NoCapacity => self.backoffs.record_no_capacity(now, offer),
-            // Guard: the same request name again, so that no machine is provisioned twice.
+            // The retry uses the same request name, so that no machine is provisioned twice.
             ScaleOutOutcome::Retry => self.retries.push(Retry { call, at: now + RETRY_DELAY_MS }),
             ScaleOutOutcome::Malformed => {
                 tracing::error!(request = &*call.request.request, "scale-out request rejected as malformed");
@@ -183,8 +185,8 @@
     }
 }
 
-/// Adds a machine that was just provisioned, or updates it if a list or a
-/// heartbeat showed it before.
+/// Adds a machine that was just provisioned, or updates it if it is already known from
+/// a list or a heartbeat.
 fn add_machine(now: Millis, name: &str, offer: Offer, cluster: &mut ClusterState) {
     let index = cluster.find_or_add_machine(now, name, offer.zone);
     let machine = cluster.machine_mut(index);
--- a/src/coordination/autoscaler/scale_out_plan.rs
+++ b/src/coordination/autoscaler/scale_out_plan.rs
@@ -23,25 +23,25 @@
 const OFFERS_PER_STEP: usize = 4;
 /// Most jobs planned for in one step.
 const JOBS_PER_STEP: usize = 200;
-/// Most offers tried in one step for one job, in each zone.
+/// Most offers tried per job and zone in one step.
 const OFFERS_PER_JOB: usize = 6;
 
-/// Machines to be requested in one step, as they are planned.
+/// Plan of the machines to request in one step.
 pub struct ScaleOutPlan<'a> {
     now: Millis,
     cluster: &'a ClusterState,
     backoffs: &'a OfferBackoffs,
-    /// Capacity that is on its way, the planned machines included.
+    /// Capacity that is requested or booting, including the planned machines.
     pending_capacity: PendingCapacity,
-    /// Number of machines held or requested, the planned ones included.
+    /// Number of machines that are up, booting or requested, including the planned ones.
     total_machines: usize,
-    /// Number of unmet tasks by class of job.
+    /// Number of unmet tasks by job class.
     unmet_tasks_by_class: HashMap<ClassIndex, u32>,
     planned: Vec<OfferQuantity>,
 }
 
 impl<'a> ScaleOutPlan<'a> {
-    /// Plans machines for the unmet demand, beyond those `requested` before.
+    /// Plans machines for the unmet demand in addition to those already `requested`.
     pub fn new(
         now: Millis,
         cluster: &'a ClusterState,
@@ -67,7 +67,7 @@
         plan
     }
 
-    /// The machines to be requested.
+    /// Returns the machines to request, by offer.
     pub fn into_quantities(self) -> Vec<OfferQuantity> {
         self.planned
     }
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Allots pending capacity to the tasks, and plans machines for the others.
+    /// Allocates pending capacity to the tasks and plans machines for the rest of them.
     fn add_zone_demand(&mut self, job: &Job, zone_demand: &ZoneDemand) {
         let (spec, zone_used) = (&*job.spec, &*job.tasks.zone_used);
         let zone = zone_demand.zone;
@@ -109,9 +109,9 @@
         }
     }
 
-    /// Selects an offer for the tasks. A large machine is cheap for many small
-    /// jobs together, though not for one of them: the unmet tasks of a class
-    /// share its cost.
+    /// Selects an offer for the tasks. A large machine is low-priced for many small
+    /// jobs together, but not for one of them, so its cost is divided among the unmet
+    /// tasks of the job's class.
     fn select_offer(&self, job: &Job, zone_demand: &ZoneDemand, unmet_tasks: u32) -> Option<RatedOffer> {
         let tasks_of_class = self.unmet_tasks_by_class.get(&job.spec.class).copied().unwrap_or(0);
         let demand = OfferDemand {
@@ -125,7 +125,7 @@
         select_offer(self.now, self.cluster, self.backoffs, &demand)
     }
 
-    /// How many machines of an offer to request for the tasks.
+    /// Returns how many machines of the selected offer to request for the tasks.
     fn machines_for(&self, tasks: u32, selected: &RatedOffer) -> u32 {
         let allowed = (self.cluster.config().max_machines - self.total_machines) as u32;
         tasks.div_ceil(selected.tasks_per_machine).min(MACHINES_REQUESTED_PER_CALL).min(allowed)
@@ -140,7 +140,7 @@
     }
 }
 
-/// Number of machines that are up or booting.
+/// Returns the number of machines that are up or booting.
 fn held_machines(cluster: &ClusterState) -> usize {
     let is_held = |lifecycle| !matches!(lifecycle, MachineLifecycle::Gone | MachineLifecycle::Releasing);
     cluster.machines().iter().filter(|machine| is_held(machine.lifecycle)).count()
--- a/src/coordination/autoscaler/tests/failure_detector.rs
+++ b/src/coordination/autoscaler/tests/failure_detector.rs
@@ -7,7 +7,11 @@
     let zone = Some(ZoneIndex(1));
     assert_eq!(by_zone.count_others(zone), 4);
     assert_eq!([0, 199, 200, 300].map(|moment| by_zone.count_after(zone, moment)), [4, 3, 1, 0]);
-    assert_eq!((by_zone.count_others(None), by_zone.count_after(None, 0)), (0, 0), "nothing known of the others");
+    assert_eq!(
+        (by_zone.count_others(None), by_zone.count_after(None, 0)),
+        (0, 0),
+        "no contact times are recorded for all zones"
+    );
 }
 
 #[test]
--- a/src/coordination/autoscaler/tests/offer_backoff.rs
+++ b/src/coordination/autoscaler/tests/offer_backoff.rs
@@ -25,5 +25,5 @@
     backoffs.record_filled(OFFER);
     assert!(backoffs.is_available(0, &OFFER));
     backoffs.record_no_capacity(0, OFFER);
-    assert!(backoffs.is_available(6_000, &OFFER), "begins anew once an offer was filled");
+    assert!(backoffs.is_available(6_000, &OFFER), "a filled request resets the back-off to its initial length");
 }
--- a/src/coordination/autoscaler/tests/pending_capacity.rs
+++ b/src/coordination/autoscaler/tests/pending_capacity.rs
@@ -33,7 +33,7 @@
     let in_zone_0 = |offer: &Offer| offer.zone == ZoneIndex(0);
     assert_eq!(pending.allocate(&cpus(3.0), 1, in_zone_0), 1);
     assert_eq!(pending.allocate(&cpus(1.0), 1, in_zone_0), 1, "on the remainder of the first machine");
-    assert_eq!(pending.count_fitting(&cpus(4.0), 10, in_zone_0), 1, "the second machine is whole");
+    assert_eq!(pending.count_fitting(&cpus(4.0), 10, in_zone_0), 1, "nothing is allocated on the second machine");
     assert_eq!(pending.allocate(&cpus(4.0), 3, |_| true), 2, "one in each zone");
     assert_eq!(pending.count_fitting(&cpus(1.0), 10, |_| true), 0);
 }
--- a/src/coordination/autoscaler/unmet_demand.rs
+++ b/src/coordination/autoscaler/unmet_demand.rs
@@ -1,4 +1,4 @@
-//! Records which machine types unmet demand could use.
+//! Records which machine types could meet the unmet demand.
 
 use crate::{
     coordination::{
@@ -8,13 +8,13 @@
     protocol::names::MachineTypeIndex,
 };
 
-/// Records in the backlog which machine types the present unmet demand could use:
-/// their machines are not drained while it lasts.
+/// Records in the cluster state which machine types could meet the current unmet
+/// demand. Machines of these types are not drained while it lasts.
 ///
-/// Guard: a best-effort team may have unmet demand at all times. Once such a job
-/// has started, its remaining tasks don't count: they would keep every machine
-/// from scale-in, however expensive. Nor does work count that can't run on such
-/// a machine at all.
+/// A best-effort team may have unmet demand at all times. The remaining tasks of a
+/// best-effort job that has started are therefore not included: they would keep
+/// every machine from being scaled in, however expensive. Tasks that can't run on a
+/// machine type at all are not included for that type either.
 pub fn record_unmet_demand(now: Millis, cluster: &mut ClusterState) {
     let mut usable_types: Vec<MachineTypeIndex> = Vec::new();
     for unmet in cluster.unmet_demand() {
@@ -30,7 +30,8 @@
     job.tasks.placed > 0 && cluster.is_best_effort(job.spec.team)
 }
 
-/// Machine types that the job allows and of which one machine can hold one of its tasks.
+/// Returns the machine types that the job allows and whose machines have the
+/// capacity for at least one of its tasks.
 fn types_usable_by<'a>(cluster: &'a ClusterState, job: &'a Job) -> impl Iterator<Item = MachineTypeIndex> + 'a {
     let request = Resources::of(&job.spec);
     let is_usable = move |machine_type: &&MachineTypeSpec| {
--- a/src/coordination/autoscaler/zone_demand.rs
+++ b/src/coordination/autoscaler/zone_demand.rs
@@ -1,4 +1,4 @@
-//! Divides a job's unmet tasks among zones, where its zone rules demand it.
+//! Divides a job's unmet tasks among zones if its zone rules require it.
 
 use std::cmp::Reverse;
 
@@ -11,33 +11,33 @@
     },
 };
 
-/// Boot times vary widely: for service replicas this many times the capacity
-/// that they need is requested, so that the machines that come up first hold
-/// them all.
+/// Multiple of the required capacity that is requested for service replicas. Boot
+/// times vary widely; with it, the machines that come up first have enough capacity
+/// for all replicas.
 const SERVICE_OVERPROVISIONING_FACTOR: u32 = 2;
 
 /// Number of tasks for which machines are needed, in one zone or in any.
 pub struct ZoneDemand {
-    /// The zone; None: any.
+    /// Zone in which the machines must be; `None`: any zone.
     pub zone: Option<ZoneIndex>,
-    /// Number of tasks.
+    /// Number of tasks for which machines are needed.
     pub tasks: u32,
 }
 
-/// The zones of a job.
+/// Calculation of the zones in which a job needs machines.
 pub struct JobZones<'a> {
-    /// The cluster.
+    /// Cluster whose machine types and free capacity are used.
     pub cluster: &'a ClusterState,
-    /// The job's specification.
+    /// Specification of the job, with its zone rules.
     pub spec: &'a JobSpec,
-    /// Number of the job's assignments by zone, if it restricts zones.
+    /// Number of the job's assignments by zone, if the job restricts zones.
     pub zone_used: &'a [u32],
 }
 
 /// Capacity of a zone for a job whose tasks must be spread over zones.
 struct SpreadZone {
     zone: ZoneIndex,
-    /// Number of tasks that the spread rule still allows there.
+    /// Number of further tasks that the spread rule allows in the zone.
     limit: u32,
     /// Number of tasks for which there is free capacity, now or soon.
     free: u32,
@@ -59,12 +59,13 @@
 }
 
 impl JobZones<'_> {
-    /// For how many of `tasks` unmet tasks machines are needed, zone by zone if
+    /// Returns for how many of `tasks` unmet tasks machines are needed, zone by zone if
     /// the job restricts zones. Capacity beyond the job's need is left to other jobs.
     ///
-    /// Guard: a gang that must be spread over two zones, or that must be in one,
-    /// can't use free capacity of arbitrary zones: it would wait for ever, and
-    /// more machines would be requested where capacity is free already.
+    /// A gang that must be spread over two zones, or that must be in one, can't use
+    /// free capacity of arbitrary zones. Without the division by zone, it would wait
+    /// permanently, and more machines would be requested where capacity is already
+    /// free.
     pub fn demand(&self, tasks: u32, pending_capacity: &PendingCapacity) -> Vec<ZoneDemand> {
         let spec = self.spec;
         let is_one_zone_gang = spec.one_zone && spec.kind == JobKind::Gang && tasks > 1;
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Zones of the machine types that the job may use, in the order of the types.
+    /// Returns the zones of the machine types that the job may use, in the order of the
+    /// types.
     fn allowed_zones(&self) -> Vec<ZoneIndex> {
         let spec = self.spec;
         let mut zones: Vec<ZoneIndex> = Vec::new();
@@ -91,9 +93,10 @@
         zones
     }
 
-    /// Number of tasks, up to `limit`, for which a zone has free capacity: now, or
-    /// once the tasks that are being stopped are gone. Only gangs wait although
-    /// there is some: what an array or service could place there, it has placed.
+    /// Returns the number of tasks, up to `limit`, for which a zone has free capacity
+    /// now or once the tasks that are being stopped have exited. It is 0 for jobs other
+    /// than gangs: only gangs wait while there is free capacity, whereas arrays and
+    /// services have already placed all tasks that fit in the zone.
     fn free_in_zone(&self, zone: ZoneIndex, limit: u32) -> u32 {
         if self.spec.kind != JobKind::Gang {
             return 0;
@@ -106,7 +109,7 @@
         free
     }
 
-    /// All tasks go to the zone that has, or will have, the most capacity.
+    /// Assigns all tasks to the zone that has, or will have, the most capacity.
     fn single_zone_demand(&self, tasks: u32, pending_capacity: &PendingCapacity) -> ZoneDemand {
         let zones = self.allowed_zones().into_iter().map(|zone| self.single_zone(zone, tasks, pending_capacity));
         match zones.max_by_key(SingleZone::total) {
@@ -122,14 +125,14 @@
         SingleZone { zone, free, pending }
     }
 
-    /// Each zone gets its share within what the spread rule allows; those with
-    /// less free capacity get more machines.
+    /// Divides the tasks among the zones within the limits of the spread rule. Zones
+    /// with less free capacity get more machines.
     fn spread_demand(&self, tasks: u32) -> Vec<ZoneDemand> {
         let zones = self.spread_zones(tasks);
         let mut remaining_tasks = tasks;
         let mut demands = Vec::new();
         for (position, zone) in zones.iter().enumerate() {
-            // As even as the limits of the zones after it allow.
+            // As even a share as the limits of the later zones allow.
             let later_limits: u32 = zones[position + 1..].iter().map(|later| later.limit).sum();
             let even_share = remaining_tasks.div_ceil((zones.len() - position) as u32);
             let share = even_share
@@ -145,7 +148,7 @@
         demands
     }
 
-    /// The allowed zones, those with the most usable free capacity first.
+    /// Returns the allowed zones, those with the most usable free capacity first.
     fn spread_zones(&self, tasks: u32) -> Vec<SpreadZone> {
         let mut zones: Vec<SpreadZone> =
             self.allowed_zones().into_iter().map(|zone| self.spread_zone(zone, tasks)).collect();
@@ -160,7 +163,7 @@
     }
 }
 
-/// How many times the capacity that the job needs is requested.
+/// Returns the multiple of the job's required capacity that is requested.
 fn overprovisioning_factor(spec: &JobSpec) -> u32 {
     match spec.kind {
         JobKind::Service => SERVICE_OVERPROVISIONING_FACTOR,
--- a/src/coordination/autoscaler/zone_health.rs
+++ b/src/coordination/autoscaler/zone_health.rs
@@ -1,4 +1,4 @@
-//! Which zones are reachable: most of their machines send heartbeats.
+//! Health of zones: whether heartbeats of at least half of their machines are received.
 
 use std::collections::HashMap;
 
@@ -8,7 +8,8 @@
     protocol::names::ZoneIndex,
 };
 
-/// How many machines of a zone were in contact lately.
+/// Number of machines of a zone with a recent heartbeat, and of those expected to
+/// send heartbeats.
 #[derive(Default)]
 struct ContactCount {
     recent: u32,
@@ -21,15 +22,15 @@
     }
 }
 
-/// Since when each healthy zone has been so.
+/// Healthy zones, and since when each of them has been healthy.
 #[derive(Debug, Default)]
 pub struct ZoneHealth {
     healthy_since: HashMap<ZoneIndex, Millis>,
 }
 
 impl ZoneHealth {
-    /// Determines which zones are healthy: at least half of their machines that
-    /// should send heartbeats were in contact lately.
+    /// Determines which zones are healthy: heartbeats were recently received from at
+    /// least half of their machines that are expected to send them.
     pub fn update(&mut self, now: Millis, cluster: &ClusterState) {
         let mut zones: HashMap<ZoneIndex, ContactCount> = HashMap::new();
         for machine in cluster.machines().iter().filter(|machine| is_heartbeat_expected(machine)) {
@@ -46,10 +47,11 @@
         }
     }
 
-    /// Whether a zone has been healthy for longer than the failure timeout.
+    /// Reports whether a zone has been healthy for longer than the failure timeout.
     ///
-    /// Guard: when a partition ends, or a leader is new, the machines are in
-    /// contact again one by one; the last of them have not failed.
+    /// When a partition ends, or a leader is new, the heartbeats of the machines arrive
+    /// again one by one. Without this check, the last machines would be considered
+    /// failed although they are not.
     pub fn is_stable(&self, now: Millis, zone: ZoneIndex, failure_timeout_ms: Millis) -> bool {
         self.healthy_since.get(&zone).is_some_and(|since| now > since + failure_timeout_ms)
     }
