--- a/src/controller/instance/heartbeats.rs
+++ b/src/controller/instance/heartbeats.rs
@@ -33,7 +33,7 @@
         self.leadership.sync_jobs(now, &mut self.jobs);
         let term = self.election.leading(now);
         match self.leadership.answer_heartbeat(now, term, &heartbeat, &self.jobs, &mut self.names) {
-            Some(HeartbeatOutcome::Accepted(answer)) => self.send_leader_answer(net, conn, &heartbeat, &answer),
+            Some(HeartbeatOutcome::Accepted(response)) => self.send_leader_response(net, conn, &heartbeat, &response),
             Some(HeartbeatOutcome::Stale) => net.respond(conn, SERVICE_UNAVAILABLE, None, b""),
             Some(HeartbeatOutcome::Superseded) => {
                 tracing::warn!(
@@ -59,14 +59,14 @@
     /// Guard: it must not let a task outlive a cancellation that this controller
     /// doesn't know of yet, so the job cache must be recent, unless nothing runs
     /// on the machine.
-    fn send_leader_answer(
+    fn send_leader_response(
         &mut self,
         net: &mut Net,
         conn: ConnectionId,
         heartbeat: &Heartbeat,
-        answer: &HeartbeatResponse,
+        response: &HeartbeatResponse,
     ) {
-        let bytes = cbor::encode(answer);
+        let bytes = cbor::encode(response);
         let now = net.now();
         let cache_is_recent = self.renewal_key.may_renew(now);
         let is_leading = self.election.leading(now).is_some();
--- a/src/controller/instance/mod.rs
+++ b/src/controller/instance/mod.rs
@@ -37,7 +37,7 @@
 
 /// For how long, in ms, the leader's key is believed after the key-value store
 /// last answered: a watch of it, and the time to notice that it failed.
-const LEADER_HINT_STORE_MS: Millis = 4_500;
+const LEADER_HINT_MAX_STORE_AGE_MS: Millis = 4_500;
 /// The key-value store may fail for this long, in ms, before the controller may
 /// become unready.
 const UNREADY_AFTER_MS: Millis = 2_500;
@@ -173,7 +173,7 @@
             return None;
         }
         let peer_confirms = self.peers.claims_to_lead(now, label);
-        let key_is_current = self.store_health.answered_within(now, LEADER_HINT_STORE_MS);
+        let key_is_current = self.store_health.responded_within(now, LEADER_HINT_MAX_STORE_AGE_MS);
         (peer_confirms || key_is_current).then_some(label)
     }
 
--- a/src/controller/instance/replies.rs
+++ b/src/controller/instance/replies.rs
@@ -15,7 +15,7 @@
     /// Handles the outcome of a call.
     pub(super) fn handle_reply(&mut self, net: &mut Net, pending: PendingCall, result: &CallResult) {
         let now = net.now();
-        if pending.shows_store_health() {
+        if pending.reflects_store_health() {
             self.record_store_reply(now, result);
         }
         match pending {
--- a/src/controller/instance/tick.rs
+++ b/src/controller/instance/tick.rs
@@ -90,7 +90,7 @@
                 self.jobs.cache_mut().set_progress(&count.job, count.done, count.running);
             }
             LocalState {
-                store_age_ms: self.store_health.age(now),
+                store_age_ms: self.store_health.response_age_ms(now),
                 leading,
                 usage: self.client.budgets().usage(now),
                 since_leaderless_renewal_ms: now.saturating_sub(self.renewal_key.last_leaderless_renewal()),
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -78,25 +78,25 @@
         }
         self.watch.begin();
         let wait_ms = (read_validity_ms / WATCHES_PER_RENEWAL).clamp(MIN_WATCH_MS, MAX_WATCH_MS);
-        let request = self.read_changes(wait_ms, wait_ms + WATCH_GRACE_MS);
+        let request = self.changes_request(wait_ms, wait_ms + WATCH_GRACE_MS);
         client.send_to_store(net, PendingCall::Jobs(JobsCall::Watch { sent: now }), request);
     }
 
     /// A read of the changes since the last one, which waits for a change for at
     /// most `wait_ms`.
-    pub fn read_changes(&self, wait_ms: u64, timeout_ms: u64) -> StoreRequest {
+    pub fn changes_request(&self, wait_ms: u64, timeout_ms: u64) -> StoreRequest {
         StoreRequest::read_changes(records::JOB_KEY_PREFIX, self.cache.store_revision(), wait_ms, timeout_ms)
     }
 
     /// The next watch may be sent from now on.
-    pub fn watch_now(&mut self, now: Millis) {
+    pub fn end_watch_pause(&mut self, now: Millis) {
         self.watch.set_not_before(now);
     }
 
     /// A page of all records came.
     pub fn page_received(&mut self, now: Millis, is_first: bool, result: &CallResult, names: &mut Interners) {
         let Some(page) = body::<Page>(result) else {
-            self.pages.end_until(now + RETRY_MS);
+            self.pages.end_and_wait_until(now + RETRY_MS);
             return;
         };
         self.pages.end();
@@ -112,7 +112,7 @@
             Role::Leader => LEADER_WATCH_GAP_MS,
             Role::Follower => FOLLOWER_WATCH_GAP_MS,
         };
-        self.watch.end_until(now + gap_ms);
+        self.watch.end_and_wait_until(now + gap_ms);
     }
 
     /// Applies the result of a read of changes. Returns whether the cache is now as
--- a/src/controller/leader_key_watch.rs
+++ b/src/controller/leader_key_watch.rs
@@ -124,7 +124,7 @@
 
     fn listing_received(&mut self, now: Millis, result: &CallResult, observers: &mut KeyObservers) {
         let Some(page) = body::<Page>(result) else {
-            self.schedule.end_until(now + RETRY_MS);
+            self.schedule.end_and_wait_until(now + RETRY_MS);
             return;
         };
         self.schedule.end();
@@ -138,7 +138,7 @@
             if status(result) == GONE {
                 self.listed = false;
             }
-            self.schedule.end_until(now + RETRY_MS);
+            self.schedule.end_and_wait_until(now + RETRY_MS);
             return;
         };
         self.schedule.end();
--- a/src/controller/leadership/commits.rs
+++ b/src/controller/leadership/commits.rs
@@ -57,7 +57,7 @@
             self.step_down(context, now);
         } else if is_conflict {
             // Jobs' records changed; they are read before the next transaction.
-            context.jobs.watch_now(now);
+            context.jobs.end_watch_pause(now);
         }
     }
 }
--- a/src/controller/leadership/task_loading.rs
+++ b/src/controller/leadership/task_loading.rs
@@ -39,7 +39,7 @@
     pub(super) fn restart(&mut self, now: Millis) {
         self.jobs_synced = false;
         self.next_page_from = None;
-        self.schedule.end_until(now);
+        self.schedule.end_and_wait_until(now);
     }
 
     /// Sends the next request of the loading, if none is pending.
@@ -49,7 +49,7 @@
         }
         self.schedule.begin();
         if !self.jobs_synced {
-            let request = context.jobs.read_changes(0, STORE_TIMEOUT_MS);
+            let request = context.jobs.changes_request(0, STORE_TIMEOUT_MS);
             let pending = PendingCall::Jobs(JobsCall::LeaderSync { term, sent: now });
             return context.client.send_to_store(context.net, pending, request);
         }
@@ -62,7 +62,7 @@
     /// they were applied.
     pub(super) fn jobs_synced(&mut self, now: Millis, synced: bool) {
         self.jobs_synced = synced;
-        self.schedule.end_until(if synced { now } else { now + RETRY_MS });
+        self.schedule.end_and_wait_until(if synced { now } else { now + RETRY_MS });
     }
 
     /// A page of the task records came, for a leader that is still loading.
@@ -74,7 +74,7 @@
         result: &CallResult,
     ) {
         let Some(page) = body::<Page>(result) else {
-            self.schedule.end_until(now + RETRY_MS);
+            self.schedule.end_and_wait_until(now + RETRY_MS);
             return;
         };
         self.schedule.end();
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -76,10 +76,10 @@
     /// The list of machine types came. Returns whether it was read.
     pub fn update(&mut self, now: Millis, result: &CallResult, names: &mut Interners) -> bool {
         let Some(list) = body::<MachineTypeList>(result) else {
-            self.schedule.end_until(now + RETRY_MS);
+            self.schedule.end_and_wait_until(now + RETRY_MS);
             return false;
         };
-        self.schedule.end_until(now + REFRESH_MS);
+        self.schedule.end_and_wait_until(now + REFRESH_MS);
         self.types.clear();
         for offered in &list.types {
             if is_plausible(offered) {
--- a/src/controller/poll_schedule.rs
+++ b/src/controller/poll_schedule.rs
@@ -27,7 +27,7 @@
     }
 
     /// The request is over; the next one is sent no earlier than `not_before`.
-    pub fn end_until(&mut self, not_before: Millis) {
+    pub fn end_and_wait_until(&mut self, not_before: Millis) {
         self.in_flight = false;
         self.not_before = not_before;
     }
--- a/src/controller/run.rs
+++ b/src/controller/run.rs
@@ -20,12 +20,12 @@
 /// After a halt of this long, in ms, all pending requests are dropped: nobody
 /// waits longer for an answer of ours, nor do we for one of a peer or the key-value
 /// store, a few watches aside.
-const HALT_MS: Millis = 5_000;
+const HALT_THRESHOLD_MS: Millis = 5_000;
 /// A connection with no request is closed after this long, in ms: longer than
 /// load balancers and workers keep theirs idle.
-const IDLE_MS: u64 = 75_000;
+const IDLE_TIMEOUT_MS: u64 = 75_000;
 /// A request must be complete within this time, in ms.
-const HEAD_MS: u64 = 5_000;
+const REQUEST_READ_TIMEOUT_MS: u64 = 5_000;
 /// A worker's connection counts as stale after three heartbeat intervals: this many
 /// ms per second of the interval, within the range below.
 const STALE_MS_PER_HEARTBEAT_S: f64 = 3_000.0;
@@ -64,7 +64,12 @@
         let sockets = cluster.limits.sockets;
         tracing::warn!(descriptors, sockets, "descriptor limit below socket limit");
     }
-    let limits = Limits { sockets: cluster.limits.sockets, idle_ms: IDLE_MS, head_ms: HEAD_MS, stale_ms };
+    let limits = Limits {
+        sockets: cluster.limits.sockets,
+        idle_ms: IDLE_TIMEOUT_MS,
+        head_ms: REQUEST_READ_TIMEOUT_MS,
+        stale_ms,
+    };
     let mut net = Net::new(&event_loop, limits);
     let listeners = [(settings.client_listen, ListenerKind::Http), (settings.cluster_listen, ListenerKind::Frames)];
     for (addr, kind) in listeners {
@@ -88,7 +93,7 @@
 /// sockets. The halt is noticed before any of them is acted on.
 fn drop_stale_io_after_halt(net: &mut Net, last_turn: Millis) {
     let now = net.now();
-    if now > last_turn + HALT_MS {
+    if now > last_turn + HALT_THRESHOLD_MS {
         tracing::warn!(halted_ms = now - last_turn, "process halted: pending input dropped");
         net.drop_stale_io();
     }
--- a/src/controller/service_client/budgets.rs
+++ b/src/controller/service_client/budgets.rs
@@ -30,10 +30,10 @@
 const MIN_WRITE_BURST: f64 = 4.0;
 
 /// Commits are scarce while less than this share of their burst is available.
-const SCARCE_COMMITS: f64 = 0.4;
+const SCARCE_COMMITS_SHARE: f64 = 0.4;
 /// Commits are to spare, so that optional ones are made too, while more than this
 /// share of their burst is available.
-const SPARE_COMMITS: f64 = 0.6;
+const SPARE_COMMITS_SHARE: f64 = 0.6;
 
 /// What one controller uses per second of the key-value store's limits.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
@@ -62,7 +62,7 @@
     /// Which of these limits hold, as far as the store's answers show.
     phase: LimitPhase,
     /// This controller's role when the shares were set; None: they must be set anew.
-    set_for_role: Option<Role>,
+    shares_set_for_role: Option<Role>,
 }
 
 impl Budgets {
@@ -75,7 +75,7 @@
             cloud: RateLimiter::new(cloud.rps * CLOUD_SHARE, cloud.rps * CLOUD_BURST_S),
             limits: limits.clone(),
             phase: LimitPhase::Current,
-            set_for_role: None,
+            shares_set_for_role: None,
         }
     }
 
@@ -130,12 +130,12 @@
 
     /// Whether few commits are available.
     pub fn are_commits_scarce(&mut self, now: Millis) -> bool {
-        self.available_commits(now) < SCARCE_COMMITS * self.commit_burst()
+        self.available_commits(now) < SCARCE_COMMITS_SHARE * self.commit_burst()
     }
 
     /// Whether so many commits are available that optional ones may be made.
     pub fn has_spare_commits(&mut self, now: Millis) -> bool {
-        self.available_commits(now) > SPARE_COMMITS * self.commit_burst()
+        self.available_commits(now) > SPARE_COMMITS_SHARE * self.commit_burst()
     }
 
     /// The key-value store itself answered a request with 429.
@@ -160,7 +160,7 @@
 
     /// The shares are to be set anew, as what others use may have changed.
     pub fn invalidate_shares(&mut self) {
-        self.set_for_role = None;
+        self.shares_set_for_role = None;
     }
 
     /// An answer showed that the limits which were announced have taken effect.
@@ -176,10 +176,10 @@
     /// Sets the shares by need, unless they are up to date: what the peers say they
     /// use is left to them. None: a peer was not heard lately.
     pub fn set_shares(&mut self, now: Millis, role: Role, peers: &[Option<Usage>]) {
-        if self.set_for_role == Some(role) {
+        if self.shares_set_for_role == Some(role) {
             return;
         }
-        self.set_for_role = Some(role);
+        self.shares_set_for_role = Some(role);
         let rates = self.limits.rates(self.phase);
         let users = LimitUser::Users(peers.len() + 1);
         let used = |of: fn(Usage) -> f64| -> Vec<Option<f64>> { peers.iter().map(|peer| peer.map(of)).collect() };
--- a/src/controller/service_client/pending_call.rs
+++ b/src/controller/service_client/pending_call.rs
@@ -119,7 +119,7 @@
 }
 
 impl LeaderCall {
-    fn goes_to_store(&self) -> bool {
+    fn is_store_call(&self) -> bool {
         match self {
             LeaderCall::TasksPage | LeaderCall::Commit | LeaderCall::Resync { .. } => true,
             LeaderCall::Commands { .. }
@@ -134,9 +134,9 @@
 impl PendingCall {
     /// Whether the reply shows if the key-value store works. Guard: a reply of a
     /// worker or of the cloud shows nothing of it.
-    pub fn shows_store_health(&self) -> bool {
+    pub fn reflects_store_health(&self) -> bool {
         match self {
-            PendingCall::Leader { call, .. } => call.goes_to_store(),
+            PendingCall::Leader { call, .. } => call.is_store_call(),
             PendingCall::MachineTypes => false,
             PendingCall::Election(_)
             | PendingCall::RenewalKey(_)
--- a/src/controller/store_health.rs
+++ b/src/controller/store_health.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub struct StoreHealth {
     /// When it last answered with anything but 503.
-    last_answer: Millis,
+    last_response: Millis,
     /// When it began to fail, if it does.
     failing_since: Option<Millis>,
 }
@@ -19,7 +19,7 @@
     pub fn record(&mut self, now: Millis, result: &Result<Reply, CallError>) {
         match result {
             Ok(reply) if reply.status != SERVICE_UNAVAILABLE => {
-                self.last_answer = now;
+                self.last_response = now;
                 self.failing_since = None;
             }
             Ok(_) | Err(_) => {
@@ -29,8 +29,8 @@
     }
 
     /// Milliseconds since the last answer.
-    pub fn age(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.last_answer)
+    pub fn response_age_ms(&self, now: Millis) -> Millis {
+        now.saturating_sub(self.last_response)
     }
 
     /// When the store began to fail; None: it serves this controller.
@@ -39,8 +39,8 @@
     }
 
     /// Whether the store serves, and answered within the last `within_ms`.
-    pub fn answered_within(&self, now: Millis, within_ms: Millis) -> bool {
-        self.failing_since.is_none() && now < self.last_answer + within_ms
+    pub fn responded_within(&self, now: Millis, within_ms: Millis) -> bool {
+        self.failing_since.is_none() && now < self.last_response + within_ms
     }
 }
 
--- a/src/controller/tests/cancel.rs
+++ b/src/controller/tests/cancel.rs
@@ -12,19 +12,19 @@
     let settings = Settings::parse(&SAMPLE.replacen("[cluster.cloud]", LOWERED, 1), "x.toml").unwrap();
     let users = UserApi::new(Rc::new(settings.cluster));
     let small: Submission = cbor::decode(&cbor::encode(&crate::protocol::jobs::tests::sample())).unwrap();
-    let names = |count: usize, bytes: usize| Some(vec!["t".repeat(bytes); count]);
+    let name_list = |count: usize, bytes: usize| Some(vec!["t".repeat(bytes); count]);
     // (machine types, prerequisites, whether both are kept)
     let cases = [
-        (names(1, 8), None, true),
-        (names(20, 60), names(10, 8), true),
-        (names(60, 200), None, false),
-        (names(1, 8), names(300, 12), false),
+        (name_list(1, 8), None, true),
+        (name_list(20, 60), name_list(10, 8), true),
+        (name_list(60, 200), None, false),
+        (name_list(1, 8), name_list(300, 12), false),
     ];
     for (types, prereqs, kept) in cases {
         let submission = Submission { types, prereqs, ..small.clone() };
         let pending = JobRecord { submission, status: JobStatus::Pending, at_ms: 5, chunk: 64 };
         let cancelled = users.cancelled_record(&pending);
-        assert!(users.fits_a_value(&cancelled), "{pending:?}");
+        assert!(users.fits_value_limit(&cancelled), "{pending:?}");
         assert_eq!((cancelled.status, cancelled.at_ms, cancelled.chunk), (JobStatus::Cancelled, 5, 64));
         assert_eq!(cancelled.submission == pending.submission, kept, "{pending:?}");
         // What the tasks that are being stopped occupy stays known.
--- a/src/controller/tests/election_driver.rs
+++ b/src/controller/tests/election_driver.rs
@@ -1,6 +1,8 @@
 use super::*;
 use crate::{
-    controller::test_support::{answered, answered_with, identity, new_net, settings_with_peers, SentCalls},
+    controller::test_support::{
+        identity, new_net, reply_with_status, settings_with_peers, successful_reply, SentCalls,
+    },
     protocol::{
         ids::GrantId,
         store::{AppliedTransaction, GrantResponse},
@@ -22,11 +24,11 @@
     driver.observe_key(0, None, Revision(3));
     driver.tick(&mut net, 0, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateGrant)"));
-    driver.handle_reply(10, &ElectionCall::CreateGrant, &answered_with(&GrantResponse { grant: GrantId(4) }));
+    driver.handle_reply(10, &ElectionCall::CreateGrant, &successful_reply(&GrantResponse { grant: GrantId(4) }));
     driver.tick(&mut net, 10, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(ClaimKey)"));
     assert_eq!(driver.leading(10), None, "the claim is pending");
-    let applied = answered_with(&AppliedTransaction { store_revision: Revision(5) });
+    let applied = successful_reply(&AppliedTransaction { store_revision: Revision(5) });
     driver.handle_reply(20, &ElectionCall::ClaimKey, &applied);
     assert_eq!((driver.leading(20), driver.leader()), (Some(Term(Revision(5))), Some("n-0")));
     assert_eq!(
@@ -52,10 +54,14 @@
     for grant in [4, 5] {
         driver.tick(&mut net, now, &mut client);
         assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(CreateGrant)"));
-        driver.handle_reply(now, &ElectionCall::CreateGrant, &answered_with(&GrantResponse { grant: GrantId(grant) }));
+        driver.handle_reply(
+            now,
+            &ElectionCall::CreateGrant,
+            &successful_reply(&GrantResponse { grant: GrantId(grant) }),
+        );
         driver.tick(&mut net, now, &mut client);
         assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(ClaimKey)"));
-        driver.handle_reply(now, &ElectionCall::ClaimKey, &answered(400));
+        driver.handle_reply(now, &ElectionCall::ClaimKey, &reply_with_status(400));
         assert_eq!(driver.leading(now), None);
         now += 1_000;
     }
--- a/src/controller/tests/instance.rs
+++ b/src/controller/tests/instance.rs
@@ -5,7 +5,7 @@
         role::Role,
         service_client::{LeaderCall, PendingCall, VersionCall},
         store_health::StoreHealth,
-        test_support::{answered, new_net},
+        test_support::{new_net, reply_with_status},
     },
     coordination::model::{CallId, MachineIndex, Millis, Term},
     protocol::{
@@ -44,7 +44,7 @@
         controller.set_budget_shares(1_000, Role::Leader);
         assert_eq!(controller.client.budgets().commit_burst(), before);
         for _ in 0..2 {
-            controller.record_store_reply(1_000, &answered(status));
+            controller.record_store_reply(1_000, &reply_with_status(status));
             controller.set_budget_shares(1_000, Role::Leader);
             assert_eq!(controller.client.budgets().commit_burst(), after, "{has_next} {status}");
         }
@@ -64,14 +64,14 @@
     let version = || PendingCall::Version(VersionCall::Listing);
     // (what the reply is for, the reply, whether it tells of the key-value store)
     let cases = [
-        (probe(), answered(200), false),
-        (probe(), answered(503), false),
+        (probe(), reply_with_status(200), false),
+        (probe(), reply_with_status(503), false),
         (probe(), Err(CallError::Unknown), false),
         (leader(LeaderCall::Commands { machine: MachineIndex(0), call: CallId(1) }), Err(CallError::Unknown), false),
-        (list(), answered(200), false),
-        (list(), answered(503), false),
-        (version(), answered(200), true),
-        (version(), answered(503), true),
+        (list(), reply_with_status(200), false),
+        (list(), reply_with_status(503), false),
+        (version(), reply_with_status(200), true),
+        (version(), reply_with_status(503), true),
         (version(), Err(CallError::Unknown), true),
     ];
     for (i, (pending, result, tells)) in cases.into_iter().enumerate() {
@@ -79,7 +79,7 @@
         // As it was before: failing where the reply would clear that, and the reverse.
         controller.store_health = StoreHealth::default();
         if !is_failure {
-            controller.store_health.record(0, &answered(503));
+            controller.store_health.record(0, &reply_with_status(503));
         }
         assert_eq!(controller.store_health.failing_since(), (!is_failure).then_some(0), "case {i}");
         controller.handle_reply(&mut net, pending, &result);
@@ -135,9 +135,9 @@
         if let Some(ms) = heard {
             controller.peers.receive_gossip(NOW - ms, gossip_of_peer(leads));
         }
-        controller.store_health.record(NOW - answered_ms, &answered(200));
+        controller.store_health.record(NOW - answered_ms, &reply_with_status(200));
         if failing {
-            controller.store_health.record(NOW - 200, &answered(503));
+            controller.store_health.record(NOW - 200, &reply_with_status(503));
         }
         assert_eq!(controller.leader_hint(NOW), want, "case {i}");
     }
--- a/src/controller/tests/job_watch.rs
+++ b/src/controller/tests/job_watch.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::{
-    controller::test_support::{answered, answered_with, new_net, settings_with_peers, SentCalls},
+    controller::test_support::{new_net, reply_with_status, settings_with_peers, successful_reply, SentCalls},
     protocol::{ids::Revision, store::KeyValue},
 };
 
@@ -24,18 +24,18 @@
     };
     assert_eq!(refresh(&mut jobs, 0).as_deref(), Some("Jobs(Page { is_first: true })"));
     assert_eq!(refresh(&mut jobs, 0), None, "one request at a time");
-    jobs.page_received(10, true, &answered_with(&page(Some("jobs/j-1"), true)), &mut names);
+    jobs.page_received(10, true, &successful_reply(&page(Some("jobs/j-1"), true)), &mut names);
     assert!(!jobs.cache().loaded());
     assert_eq!(jobs.next_page_from.as_deref(), Some("jobs/j-1"));
     assert_eq!(refresh(&mut jobs, 10).as_deref(), Some("Jobs(Page { is_first: false })"));
-    jobs.page_received(20, false, &answered(503), &mut names);
+    jobs.page_received(20, false, &reply_with_status(503), &mut names);
     assert_eq!(refresh(&mut jobs, 20 + RETRY_MS - 1), None, "after a failure comes a pause");
     assert_eq!(refresh(&mut jobs, 20 + RETRY_MS).as_deref(), Some("Jobs(Page { is_first: false })"));
-    jobs.page_received(300, false, &answered_with(&page(None, false)), &mut names);
+    jobs.page_received(300, false, &successful_reply(&page(None, false)), &mut names);
     assert!(jobs.cache().loaded());
 
     assert_eq!(refresh(&mut jobs, 300).as_deref(), Some("Jobs(Watch { sent: 300 })"));
-    assert!(!jobs.apply_changes(&answered(GONE), &mut names) && !jobs.cache().loaded());
+    assert!(!jobs.apply_changes(&reply_with_status(GONE), &mut names) && !jobs.cache().loaded());
     jobs.watch_ended(400, false, Role::Follower);
     assert_eq!(refresh(&mut jobs, 400).as_deref(), Some("Jobs(Page { is_first: true })"));
 }
@@ -55,7 +55,7 @@
         jobs.watch.begin();
         jobs.watch_ended(1_000, applied, role);
         assert!(!jobs.watch.is_due(1_000 + pause_ms - 1) && jobs.watch.is_due(1_000 + pause_ms), "{applied} {role:?}");
-        jobs.watch_now(1_000);
+        jobs.end_watch_pause(1_000);
         assert!(jobs.watch.is_due(1_000));
     }
 }
--- a/src/controller/tests/leader_key_watch.rs
+++ b/src/controller/tests/leader_key_watch.rs
@@ -1,6 +1,8 @@
 use super::*;
 use crate::{
-    controller::test_support::{answered, answered_with, identity, new_net, settings_with_peers, SentCalls, NONCE},
+    controller::test_support::{
+        identity, new_net, reply_with_status, settings_with_peers, successful_reply, SentCalls, NONCE,
+    },
     protocol::store::KeyValue,
 };
 
@@ -54,19 +56,19 @@
     let pair =
         KeyValue { key: records::LEADER_KEY.to_owned(), value: record("n-1"), revision: Revision(3), grant: None };
     let page = Page { pairs: vec![pair], truncated: false, store_revision: Revision(7) };
-    watch.handle_reply(10, &LeaderKeyCall::Listing, &answered_with(&page), &mut observed.observers());
+    watch.handle_reply(10, &LeaderKeyCall::Listing, &successful_reply(&page), &mut observed.observers());
     assert_eq!(observed.election.leader(), Some("n-1"));
 
     watch.refresh(&mut net, 10, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Watch { sent: 10 })"));
     let events = vec![removed(records::LEADER_KEY, 8), written(records::LEADER_KEY, "n-2", 9)];
     let changes = Changes { store_revision: Revision(9), events };
-    watch.handle_reply(20, &LeaderKeyCall::Watch { sent: 10 }, &answered_with(&changes), &mut observed.observers());
+    watch.handle_reply(20, &LeaderKeyCall::Watch { sent: 10 }, &successful_reply(&changes), &mut observed.observers());
     assert_eq!((observed.election.leader(), watch.store_revision), (Some("n-2"), Revision(9)));
 
     watch.refresh(&mut net, 20, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Watch { sent: 20 })"));
-    watch.handle_reply(30, &LeaderKeyCall::Watch { sent: 20 }, &answered(GONE), &mut observed.observers());
+    watch.handle_reply(30, &LeaderKeyCall::Watch { sent: 20 }, &reply_with_status(GONE), &mut observed.observers());
     watch.refresh(&mut net, 30 + RETRY_MS - 1, &mut client);
     assert_eq!(sent.next_debug(&mut client), None, "after a failure comes a pause");
     watch.refresh(&mut net, 30 + RETRY_MS, &mut client);
@@ -81,10 +83,10 @@
     let mut observed = Observed::new(&mut net);
     let mut watch = LeaderKeyWatch::default();
     let page = Page { pairs: Vec::new(), truncated: false, store_revision: Revision(7) };
-    watch.handle_reply(100, &LeaderKeyCall::Listing, &answered_with(&page), &mut observed.observers());
+    watch.handle_reply(100, &LeaderKeyCall::Listing, &successful_reply(&page), &mut observed.observers());
     let mut end_watch = |observed: &mut Observed, sent: Millis, now: Millis, events: Vec<Change>| {
         let changes = Changes { store_revision: Revision(now), events };
-        watch.handle_reply(now, &LeaderKeyCall::Watch { sent }, &answered_with(&changes), &mut observed.observers());
+        watch.handle_reply(now, &LeaderKeyCall::Watch { sent }, &successful_reply(&changes), &mut observed.observers());
         let span = observed.peers.inactive_span();
         (span.from, span.to)
     };
--- a/src/controller/tests/machine_types.rs
+++ b/src/controller/tests/machine_types.rs
@@ -1,7 +1,7 @@
 use ciborium::{cbor, Value};
 
 use super::*;
-use crate::controller::test_support::{answered, answered_with, new_net, settings_with_peers, SentCalls};
+use crate::controller::test_support::{new_net, reply_with_status, settings_with_peers, successful_reply, SentCalls};
 
 fn offered(name: &str, price: f64) -> Value {
     cbor!({
@@ -25,16 +25,16 @@
     let mut catalog = MachineTypeCatalog::default();
     catalog.refresh(&mut net, 0, &mut client);
     assert_eq!(SentCalls::default().next_debug(&mut client).as_deref(), Some("MachineTypes"));
-    assert!(!catalog.update(10, &answered(503), &mut names) && catalog.is_empty());
+    assert!(!catalog.update(10, &reply_with_status(503), &mut names) && catalog.is_empty());
     assert!(!catalog.schedule.is_due(10 + RETRY_MS - 1) && catalog.schedule.is_due(10 + RETRY_MS));
 
     let types = vec![offered("small", 1.0), offered("nan", f64::NAN), offered("negative", -1.0), offered("large", 4.0)];
-    assert!(catalog.update(1_000, &answered_with(&cbor!({ "breeds" => types }).unwrap()), &mut names));
+    assert!(catalog.update(1_000, &successful_reply(&cbor!({ "breeds" => types }).unwrap()), &mut names));
     let prices = |catalog: &MachineTypeCatalog| catalog.types().iter().map(|spec| spec.price).collect::<Vec<f64>>();
     assert_eq!(prices(&catalog), [1.0, 4.0]);
     assert!(catalog.types().iter().all(|spec| spec.zones == [names.zones.find("a").unwrap()]));
     assert!(!catalog.schedule.is_due(1_000 + REFRESH_MS - 1) && catalog.schedule.is_due(1_000 + REFRESH_MS));
 
-    assert!(!catalog.update(40_000, &answered(503), &mut names));
+    assert!(!catalog.update(40_000, &reply_with_status(503), &mut names));
     assert_eq!(prices(&catalog), [1.0, 4.0], "a failed read changes nothing");
 }
--- a/src/controller/tests/poll_schedule.rs
+++ b/src/controller/tests/poll_schedule.rs
@@ -6,7 +6,7 @@
     assert!(schedule.is_due(0));
     schedule.begin();
     assert!(!schedule.is_due(1_000), "in flight");
-    schedule.end_until(500);
+    schedule.end_and_wait_until(500);
     assert!(!schedule.is_due(499) && schedule.is_due(500));
     schedule.begin();
     schedule.set_not_before(700);
--- a/src/controller/tests/renewal_key.rs
+++ b/src/controller/tests/renewal_key.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::{
-    controller::test_support::{answered_with, identity, new_net, settings_with_peers, SentCalls, NONCE},
+    controller::test_support::{identity, new_net, settings_with_peers, successful_reply, SentCalls, NONCE},
     protocol::{
         ids::GrantId,
         store::{AppliedTransaction, GrantResponse},
@@ -21,10 +21,10 @@
     key.observe_key(None, Revision::ABSENT, Revision(3));
     key.tick(&mut net, at, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(CreateGrant)"));
-    key.handle_reply(at, &RenewalKeyCall::CreateGrant, &answered_with(&GrantResponse { grant: GrantId(GRANT) }));
+    key.handle_reply(at, &RenewalKeyCall::CreateGrant, &successful_reply(&GrantResponse { grant: GrantId(GRANT) }));
     key.tick(&mut net, at, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(WriteKey)"));
-    let applied = answered_with(&AppliedTransaction { store_revision: Revision(5) });
+    let applied = successful_reply(&AppliedTransaction { store_revision: Revision(5) });
     key.handle_reply(at, &RenewalKeyCall::WriteKey, &applied);
     key.record_job_read(at);
     key
--- a/src/controller/tests/support.rs
+++ b/src/controller/tests/support.rs
@@ -35,12 +35,12 @@
 }
 
 /// A reply without a body.
-pub(super) fn answered(status: u16) -> CallResult {
+pub(super) fn reply_with_status(status: u16) -> CallResult {
     Ok(Reply { status, body: Vec::new(), close: false })
 }
 
 /// A successful reply.
-pub(super) fn answered_with<T: serde::Serialize>(body: &T) -> CallResult {
+pub(super) fn successful_reply<T: serde::Serialize>(body: &T) -> CallResult {
     Ok(Reply { status: 200, body: cbor::encode(body), close: false })
 }
 
--- a/src/controller/tests/version_watch.rs
+++ b/src/controller/tests/version_watch.rs
@@ -1,6 +1,8 @@
 use super::*;
 use crate::{
-    controller::test_support::{answered, answered_with, identity, new_net, settings_with_peers, SentCalls},
+    controller::test_support::{
+        identity, new_net, reply_with_status, settings_with_peers, successful_reply, SentCalls,
+    },
     protocol::{ids::Revision, store::KeyValue},
 };
 
@@ -11,7 +13,7 @@
         revision: Revision(2),
         grant: None,
     };
-    answered_with(&Page { pairs: labels.iter().map(pair).collect(), truncated, store_revision: Revision(7) })
+    successful_reply(&Page { pairs: labels.iter().map(pair).collect(), truncated, store_revision: Revision(7) })
 }
 
 /// The own key is written before those of all are read; only a whole listing counts.
@@ -27,16 +29,16 @@
         sent.next_debug(&mut client)
     };
     assert_eq!(refresh(&mut versions, 0).as_deref(), Some("Version(Write)"));
-    versions.handle_reply(10, &VersionCall::Write, &answered(503));
+    versions.handle_reply(10, &VersionCall::Write, &reply_with_status(503));
     assert_eq!(refresh(&mut versions, 10 + POLL_MS - 1), None);
     assert_eq!(refresh(&mut versions, 10 + POLL_MS).as_deref(), Some("Version(Write)"));
-    versions.handle_reply(2_000, &VersionCall::Write, &answered(200));
+    versions.handle_reply(2_000, &VersionCall::Write, &reply_with_status(200));
 
     // (listing, whether it is complete, pause)
     let cases = [
         (listing(&["n-0", "n-1"], false), false, POLL_MS),
         (listing(&["n-0", "n-1", "n-2"], true), false, POLL_MS),
-        (answered(503), false, POLL_MS),
+        (reply_with_status(503), false, POLL_MS),
         (listing(&["n-0", "n-1", "n-2", "n-9"], false), true, COMPLETE_POLL_MS),
         // An operator who rolls a controller back removes its key.
         (listing(&["n-0", "n-2"], false), false, POLL_MS),
--- a/src/controller/users/barrier.rs
+++ b/src/controller/users/barrier.rs
@@ -23,14 +23,14 @@
             self.read_barrier.read_sent(now, BARRIER_GAP_MS * context.peers.controller_count() as Millis);
             if !context.client.budgets().take_read(now, Urgency::Cancel) {
                 let waiting = self.read_barrier.read_finished();
-                return self.refuse_all(context, waiting);
+                return self.respond_unavailable_to_all(context, waiting);
             }
-            let request = context.jobs.read_changes(0, STORE_TIMEOUT_MS);
+            let request = context.jobs.changes_request(0, STORE_TIMEOUT_MS);
             let pending = PendingCall::Jobs(JobsCall::ReadBarrier { sent: now });
             context.client.send_to_store(context.net, pending, request);
         }
         if !self.read_barrier.is_empty() {
-            self.refuse_overdue(context, now);
+            self.reject_expired(context, now);
         }
     }
 
@@ -39,40 +39,40 @@
     pub fn read_barrier_ended(&mut self, context: &mut UserContext, now: Millis, applied: bool) {
         // Guard: after the process was halted, the read is as old as the requests
         // themselves, and must not answer them.
-        self.refuse_overdue(context, now);
+        self.reject_expired(context, now);
         let waiting = self.read_barrier.read_finished();
         if !applied {
-            return self.refuse_all(context, waiting);
+            return self.respond_unavailable_to_all(context, waiting);
         }
         for request in waiting {
-            self.serve(context, request);
+            self.respond_after_read(context, request);
         }
     }
 
-    fn refuse_overdue(&mut self, context: &mut UserContext, now: Millis) {
-        let overdue = self.read_barrier.take_overdue(now, MAX_BARRIER_WAIT_MS);
-        self.refuse_all(context, overdue);
+    fn reject_expired(&mut self, context: &mut UserContext, now: Millis) {
+        let expired = self.read_barrier.take_overdue(now, MAX_BARRIER_WAIT_MS);
+        self.respond_unavailable_to_all(context, expired);
     }
 
     /// Without a read, the requests that waited for it get no answer but 503.
-    fn refuse_all(&mut self, context: &mut UserContext, waiting: Vec<WaitingRequest>) {
+    fn respond_unavailable_to_all(&mut self, context: &mut UserContext, waiting: Vec<WaitingRequest>) {
         for request in waiting {
             self.respond_unavailable(context, request.conn());
         }
     }
 
     /// Answers a request that waited for a read of changes, which has been applied.
-    fn serve(&mut self, context: &mut UserContext, request: WaitingRequest) {
+    fn respond_after_read(&mut self, context: &mut UserContext, request: WaitingRequest) {
         match request {
             WaitingRequest::Poll { conn, id } => match context.find(&id) {
                 Some(index) => context.respond_poll(conn, index),
                 None => context.respond_empty(conn, NOT_FOUND),
             },
-            WaitingRequest::Known { conn, id } => match context.find(&id) {
+            WaitingRequest::Resubmit { conn, id } => match context.find(&id) {
                 Some(index) => context.respond_known_job(conn, index),
                 None => self.respond_unavailable(context, conn),
             },
-            WaitingRequest::Refuse { conn, id, status, reason } => {
+            WaitingRequest::Reject { conn, id, status, reason } => {
                 if let Some(index) = context.find(&id) {
                     context.respond_known_job(conn, index);
                 } else {
@@ -80,9 +80,9 @@
                     context.respond_empty(conn, status);
                 }
             }
-            WaitingRequest::Dependent(write) => match context.find(&write.id) {
+            WaitingRequest::SubmitWithPrereqs(write) => match context.find(&write.id) {
                 Some(index) => context.respond_known_job(write.conn, index),
-                None => self.create_or_refuse(context, write),
+                None => self.create_or_reject(context, write),
             },
             WaitingRequest::Cancel { conn, id, retries } => match context.find(&id) {
                 Some(_) => self.cancel(context, conn, id, retries),
--- a/src/controller/users/cancel.rs
+++ b/src/controller/users/cancel.rs
@@ -52,7 +52,7 @@
     /// for ever. What only matters for starts can go.
     fn cancelled_record(&self, pending: &JobRecord) -> JobRecord {
         let record = JobRecord { status: JobStatus::Cancelled, ..pending.clone() };
-        if self.fits_a_value(&record) {
+        if self.fits_value_limit(&record) {
             return record;
         }
         let submission = Submission { types: None, prereqs: None, ..record.submission };
@@ -60,8 +60,8 @@
     }
 
     /// The write of a cancelled job's record has ended.
-    pub(super) fn cancelled(&mut self, context: &mut UserContext, write: JobWrite, result: &CallResult) {
-        let outcome = self.record_written(context, &write, result);
+    pub(super) fn handle_cancel_reply(&mut self, context: &mut UserContext, write: JobWrite, result: &CallResult) {
+        let outcome = self.process_write_result(context, &write, result);
         let JobWrite { conn, id, retries, .. } = write;
         match outcome {
             WriteOutcome::Applied => {
@@ -77,7 +77,7 @@
                 self.read_barrier.enqueue(context.net.now(), WaitingRequest::Cancel { conn, id, retries: retries + 1 });
             }
             WriteOutcome::Conflict => self.respond_unavailable(context, conn),
-            WriteOutcome::Answered => {}
+            WriteOutcome::Responded => {}
         }
     }
 }
--- a/src/controller/users/context.rs
+++ b/src/controller/users/context.rs
@@ -47,16 +47,16 @@
     /// Answers 200 with the state of a known job.
     pub(super) fn respond_known_job(&mut self, conn: ConnectionId, index: JobIndex) {
         let entry = self.jobs.cache().get(index);
-        let answer = JobAnswer { name_id: &entry.id, status: status_word(entry) };
-        self.net.respond(conn, OK, None, &cbor::encode(&answer));
+        let response = JobAnswer { name_id: &entry.id, status: status_word(entry) };
+        self.net.respond(conn, OK, None, &cbor::encode(&response));
     }
 
     /// Answers 200 with the state and the task counts of a known job.
     pub(super) fn respond_poll(&mut self, conn: ConnectionId, index: JobIndex) {
         let entry = self.jobs.cache().get(index);
-        let answer =
+        let response =
             PollAnswer { name_id: &entry.id, status: status_word(entry), done: entry.done, running: entry.running };
-        self.net.respond(conn, OK, None, &cbor::encode(&answer));
+        self.net.respond(conn, OK, None, &cbor::encode(&response));
     }
 
     /// Looks a job up by its id.
--- a/src/controller/users/mod.rs
+++ b/src/controller/users/mod.rs
@@ -46,7 +46,7 @@
     /// The record, or one that the write depended on, had changed.
     Conflict,
     /// It could not be carried out, and the user was told to retry.
-    Answered,
+    Responded,
 }
 
 /// Serves users' requests.
@@ -81,7 +81,7 @@
     }
 
     /// Whether a record fits the smaller of the present and the later limit.
-    fn fits_a_value(&self, record: &JobRecord) -> bool {
+    fn fits_value_limit(&self, record: &JobRecord) -> bool {
         let bytes = records::json_size(&records::to_value(record));
         bytes as f64 <= self.cluster.state.fitting_value_kb() * BYTES_PER_KB
     }
@@ -113,12 +113,17 @@
     /// A write for a user ended.
     pub fn handle_reply(&mut self, context: &mut UserContext, call: UserCall, result: &CallResult) {
         match call {
-            UserCall::Submit(write) => self.submitted(context, write, result),
-            UserCall::Cancel(write) => self.cancelled(context, write, result),
+            UserCall::Submit(write) => self.handle_submit_reply(context, write, result),
+            UserCall::Cancel(write) => self.handle_cancel_reply(context, write, result),
         }
     }
 
-    fn record_written(&mut self, context: &mut UserContext, write: &JobWrite, result: &CallResult) -> WriteOutcome {
+    fn process_write_result(
+        &mut self,
+        context: &mut UserContext,
+        write: &JobWrite,
+        result: &CallResult,
+    ) -> WriteOutcome {
         match result {
             Ok(reply) if reply.status == OK => {
                 if let Ok(applied) = cbor::decode::<AppliedTransaction>(&reply.body) {
@@ -132,11 +137,11 @@
                 context.client.budgets().record_refused_write(context.net.now());
                 self.statistics.record_over_budget();
                 context.net.respond(write.conn, TOO_MANY_REQUESTS, Some(RETRY_AFTER_S), b"");
-                WriteOutcome::Answered
+                WriteOutcome::Responded
             }
             _ => {
                 self.respond_unavailable(context, write.conn);
-                WriteOutcome::Answered
+                WriteOutcome::Responded
             }
         }
     }
--- a/src/controller/users/submit.rs
+++ b/src/controller/users/submit.rs
@@ -38,7 +38,7 @@
 
 /// The jobs that a submission names, as far as they are known here.
 #[derive(Debug)]
-enum Prereqs {
+enum PrereqCheck {
     /// All are accepted; the conditions say that their records are unchanged.
     Accepted(Vec<Condition>),
     /// At least one is not known.
@@ -70,10 +70,10 @@
             if context.is_over(index) {
                 return context.respond_known_job(conn, index);
             }
-            return self.read_barrier.enqueue(context.net.now(), WaitingRequest::Known { conn, id });
+            return self.read_barrier.enqueue(context.net.now(), WaitingRequest::Resubmit { conn, id });
         }
         if let Some(reason) = self.infeasibility(&checked, context.machine_types) {
-            return self.refuse(context, conn, id, UNPROCESSABLE_CONTENT, reason);
+            return self.reject_after_read(context, conn, id, UNPROCESSABLE_CONTENT, reason);
         }
         self.create_feasible(context, conn, id, submission);
     }
@@ -82,8 +82,8 @@
     fn create_feasible(&mut self, context: &mut UserContext, conn: ConnectionId, id: String, submission: Submission) {
         let chunk = chunk_size(&self.cluster);
         let record = JobRecord { submission, status: JobStatus::Pending, at_ms: wall_clock_ms(), chunk };
-        if !self.fits_a_value(&record) {
-            return self.refuse(context, conn, id, BAD_REQUEST, "too long for a record");
+        if !self.fits_value_limit(&record) {
+            return self.reject_after_read(context, conn, id, BAD_REQUEST, "too long for a record");
         }
         // Guard: a controller that doesn't know prerequisites would start the
         // job too early, or drop them from its record.
@@ -95,8 +95,15 @@
 
     /// Refuses a submission for good. Guard: never one of a job that was
     /// accepted, so a read comes first.
-    fn refuse(&mut self, context: &UserContext, conn: ConnectionId, id: String, status: u16, reason: &'static str) {
-        self.read_barrier.enqueue(context.net.now(), WaitingRequest::Refuse { conn, id, status, reason });
+    fn reject_after_read(
+        &mut self,
+        context: &UserContext,
+        conn: ConnectionId,
+        id: String,
+        status: u16,
+        reason: &'static str,
+    ) {
+        self.read_barrier.enqueue(context.net.now(), WaitingRequest::Reject { conn, id, status, reason });
     }
 
     /// Why a well-formed job can never run; None: it can.
@@ -121,12 +128,12 @@
     /// Writes the record of a new job if all its prerequisites are known here;
     /// otherwise a read comes first.
     fn create(&mut self, context: &mut UserContext, write: JobWrite) {
-        match self.prereqs(context, &write.record) {
-            Prereqs::Accepted(conditions) => self.write_new_job(context, write, conditions),
-            Prereqs::Unknown | Prereqs::Service => {
+        match self.check_prereqs(context, &write.record) {
+            PrereqCheck::Accepted(conditions) => self.write_new_job(context, write, conditions),
+            PrereqCheck::Unknown | PrereqCheck::Service => {
                 // The jobs of a pipeline are submitted one after another, to any controller.
                 self.read_barrier.expedite(context.net.now());
-                self.read_barrier.enqueue(context.net.now(), WaitingRequest::Dependent(write));
+                self.read_barrier.enqueue(context.net.now(), WaitingRequest::SubmitWithPrereqs(write));
             }
         }
     }
@@ -134,10 +141,10 @@
     /// Like `create`, after a read that was sent after the submission arrived.
     /// Guard: a prerequisite that is unknown now was not accepted when the user
     /// named it.
-    pub(super) fn create_or_refuse(&mut self, context: &mut UserContext, write: JobWrite) {
-        match self.prereqs(context, &write.record) {
-            Prereqs::Accepted(conditions) => self.write_new_job(context, write, conditions),
-            prereqs @ (Prereqs::Unknown | Prereqs::Service) => {
+    pub(super) fn create_or_reject(&mut self, context: &mut UserContext, write: JobWrite) {
+        match self.check_prereqs(context, &write.record) {
+            PrereqCheck::Accepted(conditions) => self.write_new_job(context, write, conditions),
+            prereqs @ (PrereqCheck::Unknown | PrereqCheck::Service) => {
                 tracing::info!(job = &*write.id, ?prereqs, "submission rejected for its prerequisites");
                 context.respond_empty(write.conn, UNPROCESSABLE_CONTENT);
             }
@@ -162,7 +169,7 @@
         }
     }
 
-    fn prereqs(&self, context: &UserContext, record: &JobRecord) -> Prereqs {
+    fn check_prereqs(&self, context: &UserContext, record: &JobRecord) -> PrereqCheck {
         // One condition is for the job's own key. Records of jobs are never
         // removed, so those beyond the limit need none.
         let max_conditions = CONDITIONS_PER_WRITE * self.cluster.state.fitting_txn_ops() - 1;
@@ -170,7 +177,7 @@
         let mut conditions = Vec::new();
         let mut has_service = false;
         for prereq in record.submission.prereqs() {
-            let Some(index) = cache.find(prereq) else { return Prereqs::Unknown };
+            let Some(index) = cache.find(prereq) else { return PrereqCheck::Unknown };
             has_service |= cache.is_service(index);
             // A job that is over doesn't change any more.
             if !context.is_over(index) && conditions.len() < max_conditions {
@@ -179,14 +186,14 @@
             }
         }
         if has_service {
-            return Prereqs::Service;
+            return PrereqCheck::Service;
         }
-        Prereqs::Accepted(conditions)
+        PrereqCheck::Accepted(conditions)
     }
 
     /// The write of a new job's record has ended.
-    pub(super) fn submitted(&mut self, context: &mut UserContext, write: JobWrite, result: &CallResult) {
-        let outcome = self.record_written(context, &write, result);
+    pub(super) fn handle_submit_reply(&mut self, context: &mut UserContext, write: JobWrite, result: &CallResult) {
+        let outcome = self.process_write_result(context, &write, result);
         let JobWrite { conn, id, record, retries } = write;
         let now = context.net.now();
         match outcome {
@@ -198,15 +205,15 @@
                 context.respond_job(conn, CREATED, &id, status);
             }
             WriteOutcome::Conflict if record.submission.prereqs().is_empty() => {
-                self.read_barrier.enqueue(now, WaitingRequest::Known { conn, id });
+                self.read_barrier.enqueue(now, WaitingRequest::Resubmit { conn, id });
             }
             // The job exists, or one that it needs has changed.
             WriteOutcome::Conflict if retries < CREATE_RETRIES => {
                 let write = JobWrite { conn, id, record, retries: retries + 1 };
-                self.read_barrier.enqueue(now, WaitingRequest::Dependent(write));
+                self.read_barrier.enqueue(now, WaitingRequest::SubmitWithPrereqs(write));
             }
             WriteOutcome::Conflict => self.respond_unavailable(context, conn),
-            WriteOutcome::Answered => {}
+            WriteOutcome::Responded => {}
         }
     }
 }
--- a/src/controller/users/waiting_request.rs
+++ b/src/controller/users/waiting_request.rs
@@ -8,12 +8,12 @@
     /// A question for a job's status.
     Poll { conn: ConnectionId, id: String },
     /// A submission of a job that exists.
-    Known { conn: ConnectionId, id: String },
+    Resubmit { conn: ConnectionId, id: String },
     /// A submission that is refused for good, unless the job exists.
-    Refuse { conn: ConnectionId, id: String, status: u16, reason: &'static str },
+    Reject { conn: ConnectionId, id: String, status: u16, reason: &'static str },
     /// A submission with prerequisites, of which some are unknown here or
     /// changed lately.
-    Dependent(JobWrite),
+    SubmitWithPrereqs(JobWrite),
     /// A cancellation.
     Cancel { conn: ConnectionId, id: String, retries: u32 },
 }
@@ -23,9 +23,9 @@
     pub(super) fn conn(&self) -> ConnectionId {
         match self {
             WaitingRequest::Poll { conn, .. }
-            | WaitingRequest::Known { conn, .. }
-            | WaitingRequest::Refuse { conn, .. }
-            | WaitingRequest::Dependent(JobWrite { conn, .. })
+            | WaitingRequest::Resubmit { conn, .. }
+            | WaitingRequest::Reject { conn, .. }
+            | WaitingRequest::SubmitWithPrereqs(JobWrite { conn, .. })
             | WaitingRequest::Cancel { conn, .. } => *conn,
         }
     }
--- a/src/controller/version_watch.rs
+++ b/src/controller/version_watch.rs
@@ -94,14 +94,14 @@
         match call {
             VersionCall::Write => {
                 self.own_key_written = status(result) == OK;
-                self.write.end_until(now + POLL_MS);
+                self.write.end_and_wait_until(now + POLL_MS);
             }
             VersionCall::Listing => self.listing_received(now, result),
         }
     }
 
     fn listing_received(&mut self, now: Millis, result: &CallResult) {
-        self.listing.end_until(now + POLL_MS);
+        self.listing.end_and_wait_until(now + POLL_MS);
         let Some(page) = body::<Page>(result).filter(|page| !page.truncated) else { return };
         let missing_before = self.evidence.missing_count();
         self.evidence.record_listing(&page);
