--- a/src/controller/cluster_limits.rs
+++ b/src/controller/cluster_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that follow from the settings of the cluster.
+//! Limits that are derived from the settings of the cluster.
 
 use crate::{
     coordination::model::TeamLimits,
@@ -6,16 +6,16 @@
     storage::records,
 };
 
-/// Length that a zone's name is assumed to have when none is configured.
+/// Length, in bytes, of a zone's name that is assumed if no zone is configured.
 const DEFAULT_ZONE_NAME_LENGTH: usize = 16;
 
-/// Tasks per chunk of a job that is recorded now.
+/// Returns the number of tasks per chunk for a job that is recorded now.
 pub fn chunk_size(cluster: &ClusterSettings) -> u32 {
     let zone_len = cluster.zones.iter().map(String::len).max().unwrap_or(DEFAULT_ZONE_NAME_LENGTH);
     records::chunk_size(cluster.state.fitting_value_kb(), zone_len)
 }
 
-/// The quota of a team: 0 in the settings means that an amount is not set.
+/// Returns the quota of a team. An amount of 0 in the settings means that it is not set.
 pub fn team_limits(team: &Team) -> TeamLimits {
     let amount = |amount: f64| (amount > 0.0).then_some(amount);
     TeamLimits {
--- a/src/controller/identity.rs
+++ b/src/controller/identity.rs
@@ -1,25 +1,25 @@
-//! What identifies this process among the controllers.
+//! The identity of this process among the controllers.
 
 use crate::protocol::settings::Settings;
 
-/// One start of one controller.
+/// Identifies one start of one controller.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// The controller's label in the settings.
+    /// Label of the controller in the settings, unique in the cluster.
     pub label: String,
-    /// The zone in which it runs.
+    /// Name of the zone in which the controller runs.
     pub zone: String,
-    /// A random number of this start of the process.
+    /// Random number that identifies one start of the process.
     pub nonce: u64,
 }
 
 impl Identity {
-    /// The identity of a process that starts now.
+    /// Creates the identity of a process that starts now, with a new nonce.
     pub fn new(settings: &Settings) -> Identity {
         Identity {
             label: settings.label.clone(),
             zone: settings.zone.clone(),
-            // 63 bits, as the key-value store's numbers are signed.
+            // 63 bits, because numbers in the key-value store are signed.
             nonce: rand::random::<u64>() >> 1,
         }
     }
--- a/src/controller/instance/heartbeats.rs
+++ b/src/controller/instance/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Workers' heartbeats: answered by the leader, redirected or answered without a
-//! leader by others.
+//! Handles workers' heartbeats. The leader responds to them; a follower redirects them to
+//! the leader, or renews the worker lease itself while no leader is reachable.
 
 use super::Controller;
 use crate::{
@@ -16,7 +16,7 @@
 };
 
 impl Controller {
-    /// Handles a worker's heartbeat.
+    /// Handles a worker's heartbeat, given as the CBOR body of its request.
     pub(super) fn handle_heartbeat(&mut self, net: &mut Net, conn: ConnectionId, bytes: &[u8]) {
         let heartbeat: Heartbeat = match cbor::decode(bytes) {
             Ok(heartbeat) => heartbeat,
@@ -29,7 +29,8 @@
         if heartbeat.zone != self.identity.zone {
             self.renewal_key.record_foreign_heartbeat(now);
         }
-        // Guard: the answer must not launch what the job cache shows as cancelled.
+        // The leader first applies the changes in the job cache. Otherwise the response could
+        // launch tasks of a job that the cache shows as cancelled.
         self.leadership.sync_jobs(now, &mut self.jobs);
         let term = self.election.leading(now);
         match self.leadership.answer_heartbeat(now, term, &heartbeat, &self.jobs, &mut self.names) {
@@ -50,15 +51,14 @@
         }
     }
 
-    /// Sends the leader's answer, which renews the worker's lease.
+    /// Sends the leader's response, which renews the worker lease.
     ///
-    /// Guard: preparing the answer took time. It may be sent only while this
-    /// controller still leads, as it would renew a lease that a new leader counts
-    /// on to expire.
+    /// It is sent only if this controller still leads. Preparing the response took time, in
+    /// which another leader may have been elected; the response would then renew a lease that
+    /// the new leader expects to expire.
     ///
-    /// Guard: it must not let a task outlive a cancellation that this controller
-    /// doesn't know of yet, so the job cache must be recent, unless nothing runs
-    /// on the machine.
+    /// The job cache must be recent, unless nothing runs on the machine. Otherwise the renewed
+    /// lease could let a task outlive a cancellation that this controller doesn't know of yet.
     fn send_leader_response(
         &mut self,
         net: &mut Net,
@@ -76,31 +76,31 @@
         if is_leading && (cache_is_recent || !leader.may_hold_tasks(heartbeat)) {
             return net.respond_to_heartbeat(conn, OK, &bytes);
         }
-        tracing::debug!(machine = &*heartbeat.machine, is_leading, cache_is_recent, "heartbeat not answered");
+        tracing::debug!(machine = &*heartbeat.machine, is_leading, cache_is_recent, "heartbeat rejected");
         leader.response_not_sent(&heartbeat.machine);
         net.respond(conn, SERVICE_UNAVAILABLE, None, b"");
     }
 
-    /// Whether a worker's lease may be renewed although no leader is in contact;
-    /// see `coordination::lease_renewal`.
+    /// Reports whether a worker lease may be renewed although no leader is reachable; see
+    /// `coordination::lease_renewal`.
     fn may_renew_without_leader(&self, now: Millis, heartbeat: &Heartbeat) -> bool {
         heartbeat.token != FencingToken::NONE
             && self.leader_hint(now).is_none()
             && self.renewal_key.may_renew_without_leader(now, &self.peers.contacts())
     }
 
-    /// Renews a worker's lease. Tasks that are known as cancelled are stopped,
-    /// which any controller may command; all others go on.
+    /// Renews a worker lease without leading. Tasks of jobs that are known as cancelled are
+    /// stopped, which any controller may command; all others keep running.
     fn renew_without_leader(&mut self, net: &mut Net, conn: ConnectionId, now: Millis, heartbeat: &Heartbeat) {
-        // Guard: recorded before the answer is sent, so that no leader counts the
-        // lease as expired.
+        // Recorded before the response is sent. In the other order, a leader that doesn't
+        // know of the renewal could take the lease for expired while the worker holds it.
         self.renewal_key.record_renewal(now);
         let commands = stop_commands_for_cancelled(heartbeat, self.jobs.cache());
         let bytes = cbor::encode(&HeartbeatResponse { token: heartbeat.token, commands });
         net.respond_to_heartbeat(conn, OK, &bytes);
     }
 
-    /// Redirects a worker to the leader, if it is known.
+    /// Rejects a heartbeat with 421 and the label of the leader, if it is known.
     fn redirect_heartbeat(&mut self, net: &mut Net, conn: ConnectionId, now: Millis) {
         self.peers.record_rejected_heartbeat(now);
         let redirect = Redirect { leader: self.leader_hint(now) };
--- a/src/controller/instance/mod.rs
+++ b/src/controller/instance/mod.rs
@@ -1,7 +1,7 @@
-//! One controller: its components, and the events that they are told of.
+//! One controller: its components, and the dispatch of events to them.
 //!
-//! [`Controller`] owns the components and hands each event to those it concerns.
-//! The components, which are the other modules of `controller`, don't know it.
+//! [`Controller`] owns the components and passes each event to those that handle it.
+//! The components, which are the other modules of `controller`, don't depend on it.
 
 mod heartbeats;
 mod replies;
@@ -35,19 +35,19 @@
     transport::{Event, Net},
 };
 
-/// For how long, in ms, the leader's key is believed after the key-value store
-/// last answered: a watch of it, and the time to notice that it failed.
+/// Time, in ms, for which the leader's key as last read is valid after the key-value store's
+/// last response: the duration of a watch of the key, and the time to detect that it failed.
 const LEADER_HINT_MAX_STORE_AGE_MS: Millis = 4_500;
-/// The key-value store may fail for this long, in ms, before the controller may
-/// become unready.
+/// Time, in ms, for which the key-value store may fail before the controller may become
+/// unready.
 const UNREADY_AFTER_MS: Millis = 2_500;
 
-/// One controller.
+/// One controller: its components and their shared state.
 pub(super) struct Controller {
     identity: Identity,
     cluster: Rc<ClusterSettings>,
     operator: OperatorSettings,
-    /// Interned names.
+    /// Interned names of teams, classes, zones, machine types and images.
     names: Interners,
     client: ServiceClient,
     store_health: StoreHealth,
@@ -62,7 +62,7 @@
     leadership: Leadership,
 }
 
-/// The names that the settings give, so that their indices follow its order.
+/// Interns the names in the settings, so that their indices follow the order of the settings.
 fn configured_names(cluster: &ClusterSettings) -> Interners {
     let mut names = Interners::default();
     for team in &cluster.teams {
@@ -75,7 +75,8 @@
 }
 
 impl Controller {
-    /// A controller that knows nothing yet of the key-value store and its peers.
+    /// Creates a controller that has not read the key-value store yet, nor received gossip
+    /// from its peers.
     pub(super) fn new(settings: &Settings, operator: OperatorSettings, net: &mut Net) -> Controller {
         let identity = Identity::new(settings);
         let cluster = Rc::new(settings.cluster.clone());
@@ -136,7 +137,7 @@
         }
     }
 
-    /// The part that serves users, and what it works with.
+    /// Returns the component that serves users, and the components it needs for that.
     fn user_api<'a>(&'a mut self, net: &'a mut Net) -> (&'a mut UserApi, UserContext<'a>) {
         let context = UserContext {
             net,
@@ -150,7 +151,7 @@
         (&mut self.users, context)
     }
 
-    /// The part that leads, and what it works with.
+    /// Returns the component that leads, and the components it needs for that.
     fn leadership<'a>(&'a mut self, net: &'a mut Net) -> (&'a mut Leadership, LeaderContext<'a>) {
         let context = LeaderContext {
             net,
@@ -162,11 +163,14 @@
         (&mut self.leadership, context)
     }
 
-    /// Whom workers are redirected to.
+    /// Returns the label of the leader to which workers are redirected; None if it is not
+    /// known.
     ///
-    /// Guard: never this controller itself, and no leader that may be gone. Either
-    /// the peer said a moment ago that it leads, or the key-value store answered
-    /// lately, so that the watch of the leader's key is up to date.
+    /// This controller itself is never returned, nor a leader that may no longer exist.
+    /// Otherwise a controller that lost the key-value store and its peers would redirect
+    /// workers to a former leader. So either the peer's recent gossip advertised that it
+    /// leads, or the key-value store responded recently, so that the watch of the leader's
+    /// key is up to date.
     fn leader_hint(&self, now: Millis) -> Option<&str> {
         let label = self.election.leader().filter(|label| *label != self.identity.label)?;
         if !self.peers.contains(label) {
@@ -177,11 +181,11 @@
         (peer_confirms || key_is_current).then_some(label)
     }
 
-    /// Whether this controller is able to serve users.
+    /// Reports whether this controller is able to serve users.
     ///
-    /// In an outage of the key-value store that affects all controllers, they stay
-    /// ready, so that no connection is lost. A controller becomes unready when it
-    /// alone is refused, or when it is in contact with no peer.
+    /// In an outage of the key-value store that affects all controllers, they stay ready, so
+    /// that no connection is lost. A controller becomes unready if the store fails only for
+    /// it, or if none of its peers is reachable.
     fn is_ready(&self, now: Millis) -> bool {
         if !self.jobs.cache().loaded() || self.machine_types.is_empty() {
             return false;
--- a/src/controller/instance/replies.rs
+++ b/src/controller/instance/replies.rs
@@ -1,4 +1,4 @@
-//! Replies to calls, handed on to the components that wait for them.
+//! Dispatches the replies to calls to the components that wait for them.
 
 use super::Controller;
 use crate::{
@@ -12,7 +12,7 @@
 };
 
 impl Controller {
-    /// Handles the outcome of a call.
+    /// Handles the result of a call.
     pub(super) fn handle_reply(&mut self, net: &mut Net, pending: PendingCall, result: &CallResult) {
         let now = net.now();
         if pending.reflects_store_health() {
@@ -47,12 +47,13 @@
         }
     }
 
-    /// Takes note of whether the key-value store answered a request.
+    /// Records whether the key-value store responded to a request, and adjusts the budgets
+    /// if it responded with 429.
     pub(super) fn record_store_reply(&mut self, now: Millis, result: &CallResult) {
         if result.as_ref().is_ok_and(|reply| reply.status == TOO_MANY_REQUESTS) {
             self.client.budgets().record_refused_read(now);
-            // The budgets keep below the current limits, so a refusal shows that
-            // they were lowered.
+            // The budgets keep this controller below the current limits, so a 429 shows that
+            // the limits were lowered.
             self.client.budgets().lower_limits();
         }
         self.store_health.record(now, result);
@@ -83,7 +84,7 @@
     }
 
     /// Applies the result of a read of the jobs' changes that was sent at `sent`.
-    /// Returns whether the cache is now as recent as that.
+    /// Returns whether the cache now includes all changes up to that time.
     pub(super) fn apply_job_changes(&mut self, sent: Millis, result: &CallResult) -> bool {
         let applied = self.jobs.apply_changes(result, &mut self.names);
         if applied {
--- a/src/controller/instance/routes.rs
+++ b/src/controller/instance/routes.rs
@@ -6,7 +6,7 @@
     ConnectionId, Net, Request,
 };
 
-/// What a request is for. Paths that don't exist have no route.
+/// The operation that a request addresses. Paths that don't exist have no route.
 #[derive(Debug, PartialEq, Eq)]
 enum Route<'a> {
     Heartbeat,
@@ -37,8 +37,8 @@
 impl Controller {
     /// Handles a request of a user, a worker or a health probe.
     pub(super) fn handle_request(&mut self, net: &mut Net, conn: ConnectionId, request: &Request) {
-        // Guard: overload. Requests of clients that have disconnected meanwhile
-        // are not worked on.
+        // Requests of clients that have disconnected in the meantime are skipped, so
+        // that no work is spent on them under overload.
         if !net.is_open(conn) {
             return;
         }
--- a/src/controller/instance/tick.rs
+++ b/src/controller/instance/tick.rs
@@ -1,4 +1,4 @@
-//! What a controller does by itself at every turn of the event loop.
+//! The periodic duties of a controller, which run at every iteration of the event loop.
 
 use super::Controller;
 use crate::{
@@ -11,16 +11,17 @@
     transport::Net,
 };
 
-// Longest waits for events, in ms: a leader has more to do by itself, most of
-// all while a scheduling cycle is needed.
+// Longest waits for events, in ms. A leader has more periodic duties than a follower, most
+// of all while a scheduling cycle is pending.
 const CYCLE_WAIT_MS: u64 = 10;
 const LEADER_WAIT_MS: u64 = 25;
 const FOLLOWER_WAIT_MS: u64 = 50;
-/// Most jobs per frame of gossip whose task counts are told, which bounds its size.
+/// Largest number of jobs per gossip frame whose task counts are reported, which bounds the
+/// frame's size.
 const MAX_GOSSIP_COUNTS: usize = 500;
 
 impl Controller {
-    /// How long the event loop may wait for events before the next tick.
+    /// Returns how long, in ms, the event loop may wait for events before the next tick.
     pub(in crate::controller) fn max_wait_ms(&self) -> u64 {
         match self.leadership.leader() {
             Some(leader) if leader.is_cycle_pending() => CYCLE_WAIT_MS,
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Does all that is due.
+    /// Performs all periodic duties that are due.
     pub(in crate::controller) fn tick(&mut self, net: &mut Net) {
         let now = net.now();
         self.leader_key.refresh(net, now, &mut self.client);
@@ -45,7 +46,7 @@
         self.users.log_statistics_if_due(now);
     }
 
-    /// Does all that is due if this controller leads.
+    /// Performs the leader's duties that are due, if this controller leads.
     fn lead(&mut self, net: &mut Net) {
         let now = net.now();
         let leading = self.election.leading(now);
@@ -65,7 +66,8 @@
     }
 
     fn peer_view(&self, now: Millis) -> PeerView {
-        // Leases that this controller renewed before it led count like its peers'.
+        // Worker leases that this controller renewed before it led are taken into account
+        // like those that its peers renewed.
         let peers = self.peers.inactive_span();
         let no_renewals =
             TimeSpan { from: peers.from.max(self.renewal_key.last_leaderless_renewal() as i64), to: peers.to };
@@ -76,12 +78,12 @@
         }
     }
 
-    /// Sets this controller's shares of the limits, unless they are up to date.
+    /// Sets this controller's shares of the rate limits, unless they are up to date.
     pub(super) fn set_budget_shares(&mut self, now: Millis, role: Role) {
         self.client.budgets().set_shares(now, role, &self.peers.recent_usage(now));
     }
 
-    /// Sends gossip when it is due, then sets the budgets anew.
+    /// Sends gossip if it is due, then sets the shares of the rate limits again.
     fn gossip(&mut self, net: &mut Net, now: Millis) {
         let leading = self.election.leading(now).is_some();
         let local_state = || {
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -1,4 +1,4 @@
-//! Keeps the cache of the jobs' records up to date.
+//! Keeps the job cache up to date with the jobs' records in the key-value store.
 
 use super::{
     poll_schedule::PollSchedule,
@@ -17,43 +17,45 @@
     transport::{http::status::GONE, Net},
 };
 
-/// Longest time, in ms, that a watch of the jobs' records waits for a change. How
-/// recent the cache is known to be counts from when the last completed watch was sent.
+/// Longest time, in ms, that a watch of the jobs' records waits for a change. The age of
+/// the cache is measured from when the last completed watch was sent.
 const MAX_WATCH_MS: u64 = 3_000;
+/// Shortest such time, in ms.
 const MIN_WATCH_MS: u64 = 250;
-/// Watches sent within the time for which a read allows leases to be renewed.
+/// Number of watches within the time for which a read allows worker leases to be renewed.
 const WATCHES_PER_RENEWAL: u64 = 4;
-/// Pause, in ms, after a request that failed.
+/// Pause, in ms, after a failed request.
 const RETRY_MS: Millis = 250;
-/// Pause, in ms, between two watches of the leader.
+/// Pause, in ms, between two watches at the leader.
 const LEADER_WATCH_GAP_MS: Millis = 10;
-/// The same at other controllers. They need no current cache of their own: the
-/// reads for users' requests bring it up to date.
+/// Pause, in ms, between two watches at a follower. A follower needs no current cache
+/// between users' requests: the reads for those requests bring it up to date.
 const FOLLOWER_WATCH_GAP_MS: Millis = 1_000;
 
-/// The job cache, and how far the jobs' records were read into it.
+/// The job cache, and the progress of the reads that fill and update it.
 #[derive(Debug, Default)]
 pub struct JobWatch {
     cache: JobCache,
     pages: PollSchedule,
-    /// Key after which the next page begins; None: the first page is next.
+    /// Key after which the next page begins; None if the first page is next.
     next_page_from: Option<String>,
     watch: PollSchedule,
 }
 
 impl JobWatch {
-    /// The jobs' records, as far as they were read.
+    /// Returns the cache of the jobs' records that were read so far.
     pub fn cache(&self) -> &JobCache {
         &self.cache
     }
 
-    /// As [`JobWatch::cache`], to be changed.
+    /// Returns a mutable reference to the same cache as [`JobWatch::cache`].
     pub fn cache_mut(&mut self) -> &mut JobCache {
         &mut self.cache
     }
 
-    /// Keeps the loading of all records, or a watch of their changes, going.
-    /// `read_validity_ms`: how long a read allows leases to be renewed.
+    /// Sends the next request if it is due: for a page of all records until the cache is
+    /// loaded, after that for a watch of their changes. `read_validity_ms` is the time, in
+    /// ms, for which a read allows worker leases to be renewed.
     pub fn refresh(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient, read_validity_ms: Millis) {
         if self.cache.loaded() {
             self.send_watch(net, now, client, read_validity_ms);
@@ -82,18 +84,18 @@
         client.send_to_store(net, PendingCall::Jobs(JobsCall::Watch { sent: now }), request);
     }
 
-    /// A read of the changes since the last one, which waits for a change for at
-    /// most `wait_ms`.
+    /// Returns a request for the changes since the cache's revision. The store waits for a
+    /// change for at most `wait_ms`.
     pub fn changes_request(&self, wait_ms: u64, timeout_ms: u64) -> StoreRequest {
         StoreRequest::read_changes(records::JOB_KEY_PREFIX, self.cache.store_revision(), wait_ms, timeout_ms)
     }
 
-    /// The next watch may be sent from now on.
+    /// Ends the pause before the next watch, which is then due at `now`.
     pub fn end_watch_pause(&mut self, now: Millis) {
         self.watch.set_not_before(now);
     }
 
-    /// A page of all records came.
+    /// Handles the result of a request for a page of all records.
     pub fn page_received(&mut self, now: Millis, is_first: bool, result: &CallResult, names: &mut Interners) {
         let Some(page) = body::<Page>(result) else {
             self.pages.end_and_wait_until(now + RETRY_MS);
@@ -105,7 +107,8 @@
         self.next_page_from = last_key.filter(|_| page.truncated);
     }
 
-    /// The watch of the changes ended; `applied`: its changes are in the cache.
+    /// Schedules the next watch after one has completed. `applied` is whether its changes
+    /// are in the cache.
     pub fn watch_ended(&mut self, now: Millis, applied: bool, role: Role) {
         let gap_ms = match role {
             _ if !applied => RETRY_MS,
@@ -115,11 +118,12 @@
         self.watch.end_and_wait_until(now + gap_ms);
     }
 
-    /// Applies the result of a read of changes. Returns whether the cache is now as
-    /// recent as the sending of that read.
+    /// Applies the result of a read of changes. Returns whether the cache now includes all
+    /// changes up to the time when that read was sent.
     pub fn apply_changes(&mut self, result: &CallResult, names: &mut Interners) -> bool {
-        // Guard: while all records are loaded again, the changes since the first
-        // page don't show what the later pages contain.
+        // While all records are loaded again, the changes since the first page don't
+        // include the contents of the later pages, so the cache would seem complete
+        // without them.
         if !self.cache.loaded() {
             return false;
         }
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -14,12 +14,12 @@
     transport::Net,
 };
 
-/// Pause, in ms, after a request that failed; no job is accepted before one succeeds.
+/// Pause, in ms, after a failed request; no job is accepted before one succeeds.
 const RETRY_MS: Millis = 500;
 /// Interval, in ms, at which the types and their prices are read again.
 const REFRESH_MS: Millis = 30_000;
 
-/// Whether all amounts of a type make sense.
+/// Reports whether all amounts of a type are finite and not negative.
 fn is_plausible(offered: &MachineType) -> bool {
     let amounts = [
         offered.cpus,
@@ -47,7 +47,7 @@
     }
 }
 
-/// The machine types as they were last read, and when they are read again.
+/// The machine types of the last successful read, and the schedule of the reads.
 #[derive(Debug, Default)]
 pub struct MachineTypeCatalog {
     types: Vec<MachineTypeSpec>,
@@ -55,17 +55,17 @@
 }
 
 impl MachineTypeCatalog {
-    /// The types that may be rented; none before they were first read.
+    /// Returns the types that may be provisioned; empty before the first successful read.
     pub fn types(&self) -> &[MachineTypeSpec] {
         &self.types
     }
 
-    /// Whether no type is known.
+    /// Reports whether no type is known, as before the first successful read.
     pub fn is_empty(&self) -> bool {
         self.types.is_empty()
     }
 
-    /// Reads the machine types when that is due.
+    /// Sends a request for the machine types if it is due and the budget allows it.
     pub fn refresh(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
         if self.schedule.is_due(now) && client.budgets().take_cloud(now, Urgency::Commit) {
             self.schedule.begin();
@@ -73,7 +73,8 @@
         }
     }
 
-    /// The list of machine types came. Returns whether it was read.
+    /// Replaces the types with those of a reply. Returns whether the reply held a valid
+    /// list; otherwise the types stay as they were.
     pub fn update(&mut self, now: Millis, result: &CallResult, names: &mut Interners) -> bool {
         let Some(list) = body::<MachineTypeList>(result) else {
             self.schedule.end_and_wait_until(now + RETRY_MS);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,19 +1,19 @@
-//! One controller: the other layers, connected around the event loop.
+//! The process of one controller, which connects the other layers around the event loop.
 //!
 //! [`run()`] feeds events and ticks to `instance::Controller`, which owns the
-//! components and hands each event on. A component is a module with private
-//! state and one job:
+//! components and dispatches each event to them. A component is a module with
+//! private state and one responsibility:
 //!
 //! - `service_client`: requests to the key-value store, the cloud and the workers,
-//!   their budgets, and what each pending reply is for.
-//! - `store_health`: whether the key-value store serves this controller.
-//! - `peers`: the other controllers, and gossip with them.
+//!   their rate-limit budgets, and the purpose of each pending call.
+//! - `store_health`: whether the key-value store responds to this controller.
+//! - `peers`: the state of the other controllers, exchanged by gossip.
 //! - `election_driver`, `renewal_key`: the keys that this controller holds under
-//!   grants, to lead and to renew leases.
-//! - `leader_key_watch`, `job_watch`, `version_watch`, `machine_types`: what is read
-//!   again and again from the store and the cloud.
+//!   store leases, to lead and to renew worker leases.
+//! - `leader_key_watch`, `job_watch`, `version_watch`, `machine_types`: data that is
+//!   polled or watched in the store and the cloud.
 //! - `users`: the API for users, and their requests that wait for the read barrier.
-//! - `leadership`: what a controller does while it leads.
+//! - `leadership`: the duties of the controller that leads.
 
 mod clock;
 mod cluster_limits;
--- a/src/controller/role.rs
+++ b/src/controller/role.rs
@@ -1,16 +1,16 @@
-//! What a controller is at the moment.
+//! The current role of a controller.
 
-/// Whether a controller leads.
+/// Role of a controller in the leader election.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It leads.
+    /// This controller leads.
     Leader,
-    /// Another controller leads, or none.
+    /// Another controller leads, or none does.
     Follower,
 }
 
 impl Role {
-    /// The role of a controller that leads if `is_leading`.
+    /// Returns `Leader` if `is_leading`, otherwise `Follower`.
     pub fn from_leading(is_leading: bool) -> Role {
         if is_leading {
             Role::Leader
--- a/src/controller/run.rs
+++ b/src/controller/run.rs
@@ -17,36 +17,36 @@
     },
 };
 
-/// After a halt of this long, in ms, all pending requests are dropped: nobody
-/// waits longer for an answer of ours, nor do we for one of a peer or the key-value
-/// store, a few watches aside.
+/// After a halt of the process of more than this, in ms, all pending input is dropped.
+/// No client waits longer for a response of this controller, and this controller waits
+/// no longer for one of a peer or the key-value store, except for a few watches.
 const HALT_THRESHOLD_MS: Millis = 5_000;
-/// A connection with no request is closed after this long, in ms: longer than
-/// load balancers and workers keep theirs idle.
+/// Time, in ms, after which a connection without a request is closed. Longer than load
+/// balancers and workers keep an idle connection open.
 const IDLE_TIMEOUT_MS: u64 = 75_000;
-/// A request must be complete within this time, in ms.
+/// Time, in ms, within which a request must have been received in full.
 const REQUEST_READ_TIMEOUT_MS: u64 = 5_000;
-/// A worker's connection counts as stale after three heartbeat intervals: this many
-/// ms per second of the interval, within the range below.
+/// A worker's connection is stale after three heartbeat intervals: this many ms per
+/// second of the interval, clamped to the range below.
 const STALE_MS_PER_HEARTBEAT_S: f64 = 3_000.0;
 const MIN_STALE_MS: u64 = 10_000;
 const MAX_STALE_MS: u64 = 60_000;
 
-/// Why the process can't go on.
+/// An error that ends the process.
 #[derive(Debug, thiserror::Error)]
 pub enum ControllerError {
-    /// The event loop can't be set up, or a source can't be added to it.
+    /// The event loop could not be created, or a source could not be added to it.
     #[error("event loop: {0}")]
     EventLoop(#[from] calloop::Error),
-    /// A turn of the event loop failed.
+    /// An iteration of the event loop failed.
     #[error("event loop: {0}")]
     Turn(#[source] io::Error),
-    /// An address can't be listened on.
+    /// A listening socket could not be opened.
     #[error("listening on {addr}: {source}")]
     Listen {
-        /// The address.
+        /// Address from the settings (`client_listen` or `cluster_listen`).
         addr: SocketAddr,
-        /// The error of the socket.
+        /// Error that the socket returned.
         source: io::Error,
     },
 }
@@ -55,7 +55,8 @@
     ((workers.heartbeat_interval_s * STALE_MS_PER_HEARTBEAT_S) as u64).clamp(MIN_STALE_MS, MAX_STALE_MS)
 }
 
-/// Runs one controller until the process ends.
+/// Runs one controller until the process is killed. Returns only if the event loop or a
+/// listening socket fails.
 pub fn run(settings: &Settings, operator: OperatorSettings) -> Result<(), ControllerError> {
     let mut event_loop: EventLoop<'static, Net> = EventLoop::try_new()?;
     let cluster = &settings.cluster;
@@ -89,8 +90,8 @@
     }
 }
 
-/// Guard: a process that was halted finds old requests and answers in its
-/// sockets. The halt is noticed before any of them is acted on.
+/// Drops pending input if the process was halted since `last_turn`. After a halt the
+/// sockets hold old requests and responses; the check runs before any of them is handled.
 fn drop_stale_io_after_halt(net: &mut Net, last_turn: Millis) {
     let now = net.now();
     if now > last_turn + HALT_THRESHOLD_MS {
--- a/src/controller/service_client/budgets.rs
+++ b/src/controller/service_client/budgets.rs
@@ -1,4 +1,4 @@
-//! This controller's shares of the outside services' rate limits.
+//! This controller's shares of the rate limits of the key-value store and the cloud.
 
 use crate::{
     controller::role::Role,
@@ -7,66 +7,64 @@
     storage::rate_limit::{allotted_rate, LimitUser, RateLimited, RateLimiter, Urgency},
 };
 
-// Shares of the limits at the start, before anything is known of what the
-// peers use.
+// Shares of the store's limits at the start, before the usage of the peers is known.
 const INITIAL_READ_SHARE: f64 = 0.25;
 const INITIAL_READ_BURST_SHARE: f64 = 0.3;
 const INITIAL_WRITE_SHARE: f64 = 0.2;
 const INITIAL_COMMIT_SHARE: f64 = 0.5;
 
-/// Part of the cloud's limit that is used; the rest is for the other controllers,
-/// which only ask for the machine types.
+/// Share of the cloud's limit that this controller uses. The rest is for the other
+/// controllers, which only read the machine types.
 const CLOUD_SHARE: f64 = 0.9;
-/// Seconds of the cloud's limit that may be used at once.
+/// Burst of requests to the cloud, in seconds of its rate limit.
 const CLOUD_BURST_S: f64 = 1.5;
 
-// Seconds of the key-value store's limits that may be used at once.
+// Bursts of requests to the key-value store, in seconds of its rate limits.
 const LEADER_READ_BURST_S: f64 = 0.5;
 const FOLLOWER_READ_BURST_S: f64 = 0.2;
-/// The jobs of a pipeline are submitted together, to one controller.
+/// Allows for the jobs of a pipeline, which are submitted together to one controller.
 const WRITE_BURST_S: f64 = 0.4;
 const COMMIT_BURST_S: f64 = 0.5;
-/// Smallest burst of writes, so that one with several parts is possible at all.
+/// Smallest burst of writes, so that a transaction of several writes is possible at all.
 const MIN_WRITE_BURST: f64 = 4.0;
 
-/// Commits are scarce while less than this share of their burst is available.
+/// Commits are scarce while less than this share of the commit burst is available.
 const SCARCE_COMMITS_SHARE: f64 = 0.4;
-/// Commits are to spare, so that optional ones are made too, while more than this
-/// share of their burst is available.
+/// Optional commits are made while more than this share of the commit burst is available.
 const SPARE_COMMITS_SHARE: f64 = 0.6;
 
-/// What one controller uses per second of the key-value store's limits.
+/// Usage of the key-value store's limits by one controller, per second.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct Usage {
-    /// Requests.
+    /// Requests per second, of all kinds.
     pub reads: f64,
-    /// Writes for users' requests.
+    /// Writes for users' requests, per second.
     pub writes: f64,
-    /// Writes of the leader's own work.
+    /// Writes of the leader's own transactions, per second.
     pub commits: f64,
 }
 
-/// The budgets of one controller.
+/// The rate-limit budgets of one controller.
 #[derive(Debug)]
 pub struct Budgets {
-    /// Requests to the key-value store.
+    /// Requests to the key-value store, of all kinds.
     reads: RateLimiter,
     /// Writes for users' requests.
     writes: RateLimiter,
-    /// Writes of the leader's own work.
+    /// Writes of the leader's own transactions, and of keys under store leases.
     commits: RateLimiter,
     /// Requests to the cloud.
     cloud: RateLimiter,
-    /// The key-value store's limits.
+    /// The key-value store's limits from the settings.
     limits: StoreLimits,
-    /// Which of these limits hold, as far as the store's answers show.
+    /// Which of these limits are in force, as far as the store's responses show.
     phase: LimitPhase,
-    /// This controller's role when the shares were set; None: they must be set anew.
+    /// This controller's role when the shares were set; None if they must be set again.
     shares_set_for_role: Option<Role>,
 }
 
 impl Budgets {
-    /// The budgets of a controller that has not heard its peers yet.
+    /// Creates the budgets of a controller that has not received gossip from its peers yet.
     pub fn new(limits: &StoreLimits, cloud: &CloudLimits) -> Budgets {
         Budgets {
             reads: RateLimiter::new(limits.rps * INITIAL_READ_SHARE, limits.rps * INITIAL_READ_BURST_SHARE),
@@ -79,91 +77,97 @@
         }
     }
 
-    /// Takes one request to the key-value store. Returns whether there was one.
+    /// Takes one request to the key-value store from the budget. Returns whether one was
+    /// available.
     pub fn take_read(&mut self, now: Millis, urgency: Urgency) -> bool {
         self.reads.take(now, 1.0, urgency).is_ok()
     }
 
-    /// Takes one request to the key-value store for a lease, which is never refused.
+    /// Takes one request to the key-value store for a lease or the leader's transactions from
+    /// the budget, also if none is available: such a request is never refused.
     pub fn charge_read(&mut self, now: Millis) {
         let _ = self.reads.take(now, 1.0, Urgency::Lease);
     }
 
-    /// Takes one request with one write for a user, or returns after how many ms
-    /// to try again.
+    /// Takes one request with one write for a user from the budgets. Fails with the time, in
+    /// ms, after which to retry.
     pub fn take_user_write(&mut self, now: Millis, urgency: Urgency) -> Result<(), RateLimited> {
-        // Writes are the scarcer: where they refuse, no request is taken either.
+        // Writes are scarcer: if no write is available, no request is taken either.
         self.writes.take(now, 1.0, urgency)?;
         self.reads.take(now, 1.0, urgency)
     }
 
-    /// Takes one request with one write for the controller itself. Returns whether
-    /// there was one.
+    /// Takes one request with one write for the controller itself from the budgets. Returns
+    /// whether both were available.
     pub fn take_own_write(&mut self, now: Millis, urgency: Urgency) -> bool {
         self.take_read(now, urgency) && self.writes.take(now, 1.0, urgency).is_ok()
     }
 
-    /// Takes writes of the leader or for a lease, which are never refused.
+    /// Takes writes of the leader or for a lease from the budget, also if too few are
+    /// available: such writes are never refused.
     pub fn charge_commits(&mut self, now: Millis, writes: usize) {
         let _ = self.commits.take(now, writes as f64, Urgency::Lease);
     }
 
-    /// Takes one request to the cloud. Returns whether there was one.
+    /// Takes one request to the cloud from the budget. Returns whether one was available.
     pub fn take_cloud(&mut self, now: Millis, urgency: Urgency) -> bool {
         self.cloud.take(now, 1.0, urgency).is_ok()
     }
 
-    /// Requests that the leader's commits may take now.
+    /// Returns the number of requests that the leader's commits may take now.
     pub fn available_reads(&mut self, now: Millis) -> f64 {
         self.reads.available(now, Urgency::Commit)
     }
 
-    /// Writes that the leader's commits may take now.
+    /// Returns the number of writes that the leader's commits may take now.
     pub fn available_commits(&mut self, now: Millis) -> f64 {
         self.commits.available(now, Urgency::Commit)
     }
 
-    /// Most writes that the leader's commits may take at once.
+    /// Returns the largest number of writes that the leader's commits may take at once.
     pub fn commit_burst(&self) -> f64 {
         self.commits.burst()
     }
 
-    /// Whether few commits are available.
+    /// Reports whether few commits are available, so that the leader should make fewer.
     pub fn are_commits_scarce(&mut self, now: Millis) -> bool {
         self.available_commits(now) < SCARCE_COMMITS_SHARE * self.commit_burst()
     }
 
-    /// Whether so many commits are available that optional ones may be made.
+    /// Reports whether enough commits are available for optional ones.
     pub fn has_spare_commits(&mut self, now: Millis) -> bool {
         self.available_commits(now) > SPARE_COMMITS_SHARE * self.commit_burst()
     }
 
-    /// The key-value store itself answered a request with 429.
+    /// Records that the key-value store itself responded to a request with 429.
     pub fn record_refused_read(&mut self, now: Millis) {
         self.reads.refused(now);
     }
 
-    /// The key-value store itself answered a user's write with 429.
+    /// Records that the key-value store itself responded to a user's write with 429.
     pub fn record_refused_write(&mut self, now: Millis) {
         self.writes.refused(now);
     }
 
-    /// The key-value store itself answered a transaction of the leader with 429.
+    /// Records that the key-value store itself responded to a transaction of the leader
+    /// with 429.
     pub fn record_refused_commit(&mut self, now: Millis) {
         self.commits.refused(now);
     }
 
-    /// What this controller uses of the key-value store's limits.
+    /// Returns this controller's usage of the key-value store's limits.
     pub fn usage(&mut self, now: Millis) -> Usage {
         Usage { reads: self.reads.used(now), writes: self.writes.used(now), commits: self.commits.used(now) }
     }
 
-    /// The shares are to be set anew, as what others use may have changed.
+    /// Makes the next [`Budgets::set_shares`] set the shares again, because the usage of
+    /// other controllers may have changed.
     pub fn invalidate_shares(&mut self) {
         self.shares_set_for_role = None;
     }
 
-    /// An answer showed that the limits which were announced have taken effect.
+    /// Switches to the lowered limits that the settings announce, after a response showed
+    /// that they have taken effect.
     pub fn lower_limits(&mut self) {
         if self.limits.next.is_some() && self.phase == LimitPhase::Current {
             let StoreRates { requests, writes } = self.limits.rates(LimitPhase::Lowered);
@@ -173,8 +177,8 @@
         }
     }
 
-    /// Sets the shares by need, unless they are up to date: what the peers say they
-    /// use is left to them. None: a peer was not heard lately.
+    /// Sets the shares by need, unless they are up to date. The usage that peers reported is
+    /// left to them. None stands for a peer from which no recent gossip was received.
     pub fn set_shares(&mut self, now: Millis, role: Role, peers: &[Option<Usage>]) {
         if self.shares_set_for_role == Some(role) {
             return;
--- a/src/controller/service_client/pending_call.rs
+++ b/src/controller/service_client/pending_call.rs
@@ -1,6 +1,6 @@
-//! What each pending reply is for.
+//! Records the purpose of each pending call, by which its reply is dispatched.
 //!
-//! In all variants `sent` is when the request was sent, in ms on the steady clock.
+//! In all variants `sent` is when the request was sent, in ms on the monotonic clock.
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -10,28 +10,28 @@
     transport::ConnectionId,
 };
 
-/// What a pending reply is for.
+/// Purpose of a pending call.
 #[derive(Debug)]
 pub enum PendingCall {
-    /// Requests of the election.
+    /// A request of the leader election.
     Election(ElectionCall),
-    /// Requests for the key under which this controller may renew leases.
+    /// A request for the key under which this controller may renew worker leases.
     RenewalKey(RenewalKeyCall),
-    /// Reads of the leader's key and the renewal keys.
+    /// A read of the leader's key and the renewal keys.
     LeaderKey(LeaderKeyCall),
-    /// Reads of the jobs' records.
+    /// A read of the jobs' records.
     Jobs(JobsCall),
-    /// Requests for the keys that show which version each controller runs.
+    /// A request for the keys that record which version each controller runs.
     Version(VersionCall),
-    /// Writes for users.
+    /// A write for a user.
     User(UserCall),
-    /// Requests of the leader under this term.
+    /// A request of the leader under this term.
     Leader { term: Term, call: LeaderCall },
     /// A read of the cloud's machine types.
     MachineTypes,
 }
 
-/// A request of the election.
+/// A request of the leader election, for the store lease and the leader's key.
 #[derive(Debug)]
 pub enum ElectionCall {
     CreateGrant,
@@ -40,7 +40,7 @@
     DeleteGrant,
 }
 
-/// A request for this controller's renewal key.
+/// A request for this controller's renewal key and its store lease.
 #[derive(Debug)]
 pub enum RenewalKeyCall {
     CreateGrant,
@@ -60,20 +60,21 @@
 pub enum JobsCall {
     /// A page of all records.
     Page { is_first: bool },
-    /// A watch of their changes.
+    /// A watch of the records' changes.
     Watch { sent: Millis },
-    /// The changes up to now, before the leader of this term loads the task records.
+    /// A read of the changes up to now, before the leader of this term loads the task
+    /// records.
     LeaderSync { term: Term, sent: Millis },
-    /// The changes that users' requests wait for.
+    /// A read of the changes for the users' requests that wait for the read barrier.
     ReadBarrier { sent: Millis },
 }
 
 /// A request for the version keys.
 #[derive(Debug)]
 pub enum VersionCall {
-    /// The write of this controller's own key.
+    /// A write of this controller's own key.
     Write,
-    /// The listing of all of them.
+    /// A listing of the keys of all controllers.
     Listing,
 }
 
@@ -84,37 +85,37 @@
     Cancel(JobWrite),
 }
 
-/// A job's record that a user waits to be written.
+/// The write of a job's record for whose result a user waits.
 #[derive(Debug)]
 pub struct JobWrite {
-    /// The user's connection.
+    /// Connection on which the user waits for the response.
     pub conn: ConnectionId,
-    /// Id of the job.
+    /// Id of the job whose record is written.
     pub id: String,
-    /// The record.
+    /// Record to be written.
     pub record: Rc<JobRecord>,
-    /// How often it was tried again so far.
+    /// Number of retries so far.
     pub retries: u32,
 }
 
-/// A request of the leader; `call` is the leader's own number of it.
+/// A request of the leader; `call` is the number that the leader assigned to it.
 #[derive(Debug)]
 pub enum LeaderCall {
-    /// A page of the task records.
+    /// A read of a page of the task records.
     TasksPage,
     /// A transaction.
     Commit,
-    /// A record that is read again after a transaction's result was unknown.
+    /// A read of a record after the result of a transaction was unknown.
     Resync { key: String },
     /// Commands sent to a worker.
     Commands { machine: MachineIndex, call: CallId },
-    /// A worker's status, asked for after its heartbeats stopped.
+    /// A query of a worker's status after its heartbeats stopped.
     Probe { machine: MachineIndex },
-    /// Scale-out at the cloud.
+    /// A scale-out request to the cloud.
     ProvisionHosts { call: CallId },
-    /// Scale-in at the cloud.
+    /// A scale-in request to the cloud.
     ReleaseHosts { call: CallId },
-    /// A page of the cloud's list of hosts.
+    /// A read of a page of the cloud's list of hosts.
     ListHosts { call: CallId },
 }
 
@@ -132,8 +133,9 @@
 }
 
 impl PendingCall {
-    /// Whether the reply shows if the key-value store works. Guard: a reply of a
-    /// worker or of the cloud shows nothing of it.
+    /// Reports whether the call's result reflects the health of the key-value store. A
+    /// result from a worker or the cloud doesn't: if it were included, the store would seem
+    /// to respond, or to fail, because of another service.
     pub fn reflects_store_health(&self) -> bool {
         match self {
             PendingCall::Leader { call, .. } => call.is_store_call(),
@@ -148,7 +150,7 @@
     }
 }
 
-/// Replies that are waited for, by the tag of their call.
+/// The calls that have no result yet, by tag.
 #[derive(Debug)]
 pub struct PendingCalls {
     by_tag: HashMap<u64, PendingCall>,
@@ -162,7 +164,7 @@
 }
 
 impl PendingCalls {
-    /// Adds a call and returns its tag.
+    /// Adds a call and returns its tag, which is unique in the process.
     pub fn add(&mut self, pending: PendingCall) -> u64 {
         let tag = self.next_tag;
         self.next_tag += 1;
@@ -170,7 +172,7 @@
         tag
     }
 
-    /// What the reply with this tag is for; the call is no longer pending.
+    /// Removes and returns the pending call with this tag; None if there is none.
     pub fn take(&mut self, tag: u64) -> Option<PendingCall> {
         self.by_tag.remove(&tag)
     }
--- a/src/controller/service_client/replies.rs
+++ b/src/controller/service_client/replies.rs
@@ -1,4 +1,4 @@
-//! Reading of replies to calls.
+//! Decodes the replies to calls.
 
 use serde::de::DeserializeOwned;
 
@@ -15,15 +15,16 @@
     },
 };
 
-/// How a call ended.
+/// Result of a call: the reply, or why there is none.
 pub type CallResult = Result<Reply, CallError>;
 
-/// The status of a reply; 0 when there is none.
+/// Returns the status of a reply; 0 if there is none.
 pub fn status(result: &CallResult) -> u16 {
     result.as_ref().map_or(0, |reply| reply.status)
 }
 
-/// The body of a successful reply; None for a failure, or a body that can't be decoded.
+/// Returns the decoded body of a successful reply; None for a failure, or a body that can't
+/// be decoded.
 pub fn body<T: DeserializeOwned>(result: &CallResult) -> Option<T> {
     let reply = result.as_ref().ok().filter(|reply| reply.status == OK)?;
     match cbor::decode(&reply.body) {
@@ -35,17 +36,18 @@
     }
 }
 
-/// The number of the grant that a request created; None: it failed.
+/// Returns the id of the store lease that a request created; None if the request failed.
 pub fn grant_id(result: &CallResult) -> Option<GrantId> {
     body::<GrantResponse>(result).map(|grant| grant.grant)
 }
 
-/// The revision at which a transaction was applied; None: it failed, or that is not known.
+/// Returns the revision at which a transaction was applied; None if it failed, or if that is
+/// not known.
 pub fn applied_revision(result: &CallResult) -> Option<Revision> {
     body::<AppliedTransaction>(result).map(|applied| applied.store_revision)
 }
 
-/// How the renewal of a grant ended.
+/// Returns the outcome of the renewal of a store lease.
 pub fn grant_renewed(result: &CallResult) -> RenewalOutcome {
     match status(result) {
         OK => RenewalOutcome::Renewed,
--- a/src/controller/service_client/requests.rs
+++ b/src/controller/service_client/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the outside services, before they are sent.
+//! Builds the requests to the key-value store, the cloud and the workers.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
     transport::Method,
 };
 
-/// Most keys of one page of a listing.
+/// Largest number of keys in one page of a listing.
 const PAGE_KEYS: u32 = 1_000;
 
 /// A request to the key-value store.
@@ -33,29 +33,31 @@
         StoreRequest { method: Method::Post, path, body, timeout_ms }
     }
 
-    /// Reads one key.
+    /// Creates a request that reads one key.
     pub fn read_key(key: &str, timeout_ms: u64) -> StoreRequest {
         StoreRequest::get(format!("/store/{key}"), timeout_ms)
     }
 
-    /// Reads a page of the keys under a prefix, those after `from`; None: the first page.
+    /// Creates a request for a page of the keys under a prefix: those after `from`, or the
+    /// first page if `from` is None.
     pub fn read_page(prefix: &str, from: Option<&str>, timeout_ms: u64) -> StoreRequest {
         let from = from.map_or(String::new(), |key| format!("&from={key}"));
         StoreRequest::get(format!("/store?under={prefix}{from}&most={PAGE_KEYS}"), timeout_ms)
     }
 
-    /// Reads the changes under a prefix since a revision. The store waits up to
-    /// `wait_ms` for one.
+    /// Creates a request for the changes under a prefix since a revision. The store waits up
+    /// to `wait_ms` for a change.
     pub fn read_changes(prefix: &str, from: Revision, wait_ms: u64, timeout_ms: u64) -> StoreRequest {
         StoreRequest::get(format!("/changes?under={prefix}&from={from}&waitMs={wait_ms}"), timeout_ms)
     }
 
-    /// Applies a transaction.
+    /// Creates a request that applies a transaction.
     pub fn transaction(transaction: &Transaction, timeout_ms: u64) -> StoreRequest {
         StoreRequest::post("/multi".into(), cbor::encode(transaction), timeout_ms)
     }
 
-    /// Writes a key that is attached to a grant, if its revision is as expected.
+    /// Creates a request that writes a key attached to a store lease. The store rejects the
+    /// write if the key's revision is not `expected_revision`.
     pub fn write_granted_key(
         key: String,
         record: &LeaderRecord,
@@ -70,17 +72,17 @@
         StoreRequest::transaction(&transaction, timeout_ms)
     }
 
-    /// Asks for a grant that lasts `ttl_ms` unless it is renewed.
+    /// Creates a request for a store lease that expires after `ttl_ms` unless it is renewed.
     pub fn create_grant(ttl_ms: u64, timeout_ms: u64) -> StoreRequest {
         StoreRequest::post("/grants".into(), cbor::encode(&GrantRequest { ttl_ms }), timeout_ms)
     }
 
-    /// Renews a grant.
+    /// Creates a request that renews a store lease.
     pub fn renew_grant(grant: GrantId, timeout_ms: u64) -> StoreRequest {
         StoreRequest::post(format!("/grants/{grant}/renew"), Vec::new(), timeout_ms)
     }
 
-    /// Ends a grant, which removes the keys that are attached to it.
+    /// Creates a request that ends a store lease, which removes the keys attached to it.
     pub fn delete_grant(grant: GrantId, timeout_ms: u64) -> StoreRequest {
         StoreRequest { method: Method::Delete, path: format!("/grants/{grant}"), body: Vec::new(), timeout_ms }
     }
@@ -95,12 +97,12 @@
 }
 
 impl CloudRequest {
-    /// Reads a list.
+    /// Creates a request that reads a list.
     pub fn get(path: String) -> CloudRequest {
         CloudRequest { method: Method::Get, path, body: Vec::new() }
     }
 
-    /// Posts a request.
+    /// Creates a request with a body.
     pub fn post(path: &str, body: Vec<u8>) -> CloudRequest {
         CloudRequest { method: Method::Post, path: path.into(), body }
     }
@@ -109,15 +111,15 @@
 /// A request to a worker.
 #[derive(Debug)]
 pub struct WorkerRequest {
-    /// Address of the worker.
+    /// Address at which the worker listens.
     pub addr: SocketAddr,
-    /// Method of the request.
+    /// HTTP method.
     pub method: Method,
-    /// Path of the request.
+    /// Path of the URL.
     pub path: &'static str,
-    /// Body of the request; empty if it has none.
+    /// CBOR body; empty if the request has none.
     pub body: Vec<u8>,
-    /// Timeout, in ms.
+    /// Time, in ms, to wait for the response.
     pub timeout_ms: u64,
 }
 
--- a/src/controller/store_health.rs
+++ b/src/controller/store_health.rs
@@ -1,21 +1,22 @@
-//! Whether the key-value store serves this controller.
+//! Tracks whether the key-value store responds to this controller.
 
 use crate::{
     coordination::model::Millis,
     transport::{http::status::SERVICE_UNAVAILABLE, CallError, Reply},
 };
 
-/// When the key-value store answered, and since when it has been failing.
+/// The time of the key-value store's last response, and since when it has been failing.
+/// Times are in ms on the monotonic clock.
 #[derive(Debug, Default)]
 pub struct StoreHealth {
-    /// When it last answered with anything but 503.
+    /// When the last response with a status other than 503 was received.
     last_response: Millis,
-    /// When it began to fail, if it does.
+    /// When the store began to fail; None if it doesn't.
     failing_since: Option<Millis>,
 }
 
 impl StoreHealth {
-    /// A request to the store ended: a 503, or no answer, counts as a failure.
+    /// Records the result of a request to the store. A 503 or a missing response is a failure.
     pub fn record(&mut self, now: Millis, result: &Result<Reply, CallError>) {
         match result {
             Ok(reply) if reply.status != SERVICE_UNAVAILABLE => {
@@ -28,17 +29,17 @@
         }
     }
 
-    /// Milliseconds since the last answer.
+    /// Returns the time, in ms, since the last response other than 503.
     pub fn response_age_ms(&self, now: Millis) -> Millis {
         now.saturating_sub(self.last_response)
     }
 
-    /// When the store began to fail; None: it serves this controller.
+    /// Returns when the store began to fail, in ms; None if it responds to this controller.
     pub fn failing_since(&self) -> Option<Millis> {
         self.failing_since
     }
 
-    /// Whether the store serves, and answered within the last `within_ms`.
+    /// Reports whether the store is not failing and responded within the last `within_ms`.
     pub fn responded_within(&self, now: Millis, within_ms: Millis) -> bool {
         self.failing_since.is_none() && now < self.last_response + within_ms
     }
--- a/src/controller/tests/budgets.rs
+++ b/src/controller/tests/budgets.rs
@@ -10,9 +10,9 @@
     Budgets::new(&settings.cluster.state, &settings.cluster.cloud)
 }
 
-/// Shares are set only when they may have changed.
+/// Shares are set again only if the role or the usage of peers may have changed.
 #[test]
-fn shares_are_set_anew_when_leading_or_use_changes() {
+fn shares_are_set_again_when_role_or_usage_changes() {
     let mut budgets = budgets();
     budgets.set_shares(1_000, Role::Follower, &[]);
     assert_eq!(budgets.reads.burst(), 20.0, "a follower's burst");
@@ -20,32 +20,36 @@
     assert_eq!(budgets.reads.burst(), 50.0, "a leader's burst");
     budgets.reads.set(1.0, 1.0);
     budgets.set_shares(1_000, Role::Leader, &[]);
-    assert_eq!(budgets.reads.burst(), 1.0, "up to date");
+    assert_eq!(budgets.reads.burst(), 1.0, "shares are up to date");
     budgets.invalidate_shares();
     budgets.set_shares(1_000, Role::Leader, &[]);
-    assert_eq!(budgets.reads.burst(), 50.0, "invalidated");
+    assert_eq!(budgets.reads.burst(), 50.0, "shares were invalidated");
 }
 
-/// What peers use is left to them, and a silent one is assumed to use its share.
+/// The usage that peers report is left to them, and a peer without recent gossip is assumed
+/// to use its whole share.
 #[test]
-fn peers_that_use_more_leave_less() {
+fn read_share_shrinks_with_usage_of_peers() {
     let reads_after_a_second = |peers: &[Option<Usage>]| {
         let mut budgets = budgets();
         budgets.set_shares(0, Role::Leader, peers);
-        // The bucket is emptied, so that only the rate fills it again.
+        // A 429 empties the token bucket, so that only the rate refills it.
         budgets.record_refused_read(0);
         budgets.reads.available(500, Urgency::Cancel)
     };
     let idle = Usage::default();
     let busy = Usage { reads: 40.0, ..Usage::default() };
-    let (beside_idle, beside_silent, beside_busy) =
+    let (beside_idle, beside_unknown, beside_busy) =
         (reads_after_a_second(&[Some(idle)]), reads_after_a_second(&[None]), reads_after_a_second(&[Some(busy)]));
-    assert!(beside_idle > beside_silent && beside_silent > beside_busy, "{beside_idle} {beside_silent} {beside_busy}");
+    assert!(
+        beside_idle > beside_unknown && beside_unknown > beside_busy,
+        "{beside_idle} {beside_unknown} {beside_busy}"
+    );
 }
 
-/// A user's write takes a request only if there is a write too.
+/// A user's write takes a request from the budget only if a write is available too.
 #[test]
-fn a_refused_write_takes_no_request() {
+fn write_over_budget_takes_no_request() {
     let mut budgets = budgets();
     budgets.set_shares(0, Role::Follower, &[]);
     budgets.record_refused_write(0);
--- a/src/controller/tests/cancel.rs
+++ b/src/controller/tests/cancel.rs
@@ -4,10 +4,10 @@
     settings::{tests::SAMPLE, Settings},
 };
 
-/// Guard: the cancellation of a job that was recorded under a larger limit
-/// would be refused for ever if its record were written as large again.
+/// A job may have been recorded under a larger limit. If its record were written again at
+/// that size, the store would reject the cancellation permanently.
 #[test]
-fn a_cancellation_fits_the_lowered_limit() {
+fn cancelled_record_fits_lowered_value_limit() {
     const LOWERED: &str = "[cluster.state.next]\nvalue_kb = 2.0\n[cluster.cloud]";
     let settings = Settings::parse(&SAMPLE.replacen("[cluster.cloud]", LOWERED, 1), "x.toml").unwrap();
     let users = UserApi::new(Rc::new(settings.cluster));
@@ -27,7 +27,7 @@
         assert!(users.fits_value_limit(&cancelled), "{pending:?}");
         assert_eq!((cancelled.status, cancelled.at_ms, cancelled.chunk), (JobStatus::Cancelled, 5, 64));
         assert_eq!(cancelled.submission == pending.submission, kept, "{pending:?}");
-        // What the tasks that are being stopped occupy stays known.
+        // The resources that the tasks occupy until they have stopped stay in the record.
         assert_eq!((cancelled.submission.tasks, cancelled.submission.cpus), (small.tasks, small.cpus));
     }
 }
--- a/src/controller/tests/instance.rs
+++ b/src/controller/tests/instance.rs
@@ -26,11 +26,13 @@
     Controller::new(&Settings::parse(settings, "x.toml").unwrap(), OperatorSettings::default(), net)
 }
 
-/// The rates follow the first refusal, and stay; sizes fit from the start.
+/// The rates are lowered at the first 429 and stay lowered; the sizes of records and
+/// transactions fit the announced limits from the start.
 #[test]
-fn limits_are_lowered_once_they_show() {
+fn announced_rate_limits_apply_after_first_429() {
     const NEXT: &str = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 20.0\n[cluster.cloud]";
-    // (next limits, answer, bursts of the leader's writes before and after)
+    // (whether lower limits are announced, status of the store's response, bursts of the
+    // leader's writes before and after it)
     let cases = [(true, 429, 15.0, 10.0), (true, 503, 15.0, 15.0), (true, 200, 15.0, 15.0), (false, 429, 15.0, 15.0)];
     for (has_next, status, before, after) in cases {
         let mut net = new_net();
@@ -51,18 +53,19 @@
     }
 }
 
-/// Guard: a worker's answer to a probe, or its absence, counted as the key-value store's.
-/// In an outage a leader that probes then seemed to be served, and its peers, who
-/// weren't, took themselves for cut off alone and became unready.
+/// A worker's response to a probe, or a missing one, was recorded as the key-value store's.
+/// During an outage of the store, a leader that probed workers then seemed to receive the
+/// store's responses, and its peers, which received none, concluded that only they were
+/// partitioned from the store and became unready.
 #[test]
-fn only_the_key_value_store_tells_of_its_health() {
+fn replies_of_workers_and_cloud_leave_store_health_unchanged() {
     let mut net = new_net();
     let mut controller = new_controller(SAMPLE, &mut net);
     let leader = |call| PendingCall::Leader { term: Term(Revision(1)), call };
     let probe = || leader(LeaderCall::Probe { machine: MachineIndex(0) });
     let list = || leader(LeaderCall::ListHosts { call: CallId(1) });
     let version = || PendingCall::Version(VersionCall::Listing);
-    // (what the reply is for, the reply, whether it tells of the key-value store)
+    // (pending call, its result, whether the result reflects the key-value store's health)
     let cases = [
         (probe(), reply_with_status(200), false),
         (probe(), reply_with_status(503), false),
@@ -74,9 +77,9 @@
         (version(), reply_with_status(503), true),
         (version(), Err(CallError::Unknown), true),
     ];
-    for (i, (pending, result, tells)) in cases.into_iter().enumerate() {
+    for (i, (pending, result, reflects_health)) in cases.into_iter().enumerate() {
         let is_failure = result.as_ref().map_or(true, |reply: &Reply| reply.status == 503);
-        // As it was before: failing where the reply would clear that, and the reverse.
+        // The state before: failing if the reply would end the failure, otherwise not failing.
         controller.store_health = StoreHealth::default();
         if !is_failure {
             controller.store_health.record(0, &reply_with_status(503));
@@ -84,11 +87,11 @@
         assert_eq!(controller.store_health.failing_since(), (!is_failure).then_some(0), "case {i}");
         controller.handle_reply(&mut net, pending, &result);
         let changed = controller.store_health.failing_since().is_some() == is_failure;
-        assert_eq!(changed, tells, "case {i}");
+        assert_eq!(changed, reflects_health, "case {i}");
     }
 }
 
-/// Gossip of the peer `n-1`.
+/// Returns a gossip frame of the peer `n-1`.
 fn gossip_of_peer(leading: bool) -> Gossip {
     Gossip {
         from: "n-1".to_owned(),
@@ -107,15 +110,16 @@
     }
 }
 
-/// Guard: a controller that had lost the key-value store and its peers sent its
-/// workers to a leader that was long gone.
+/// A controller that had lost contact with the key-value store and its peers redirected its
+/// workers to a leader that had stopped long before.
 #[test]
-fn workers_are_sent_only_to_a_leader_that_is_there() {
+fn workers_are_redirected_only_to_a_recently_confirmed_leader() {
     let mut net = new_net();
     let settings = SAMPLE.replacen("[outside]", SEED, 1);
     const NOW: Millis = 100_000;
-    // (who holds the key, peer last heard, says it leads, key-value store
-    // last answered, has been failing, whom workers are sent to)
+    // (holder of the leader's key, ms since the peer's last gossip, whether that gossip
+    // advertises leadership, ms since the key-value store's last response, whether the store
+    // has been failing, controller to which workers are redirected)
     let cases = [
         (Some("n-1"), Some(300), true, 300, false, Some("n-1")),
         (Some("n-1"), None, false, 300, false, Some("n-1")),
@@ -127,27 +131,27 @@
         (Some("gone"), Some(300), true, 300, false, None),
         (None, Some(300), true, 300, false, None),
     ];
-    for (i, (key, heard, leads, answered_ms, failing, want)) in cases.into_iter().enumerate() {
+    for (i, (key_holder, gossip_age_ms, leads, response_age_ms, failing, expected)) in cases.into_iter().enumerate() {
         let mut controller = new_controller(&settings, &mut net);
-        let record = key.map(|label| LeaderRecord { label: label.to_owned(), nonce: 9 });
+        let record = key_holder.map(|label| LeaderRecord { label: label.to_owned(), nonce: 9 });
         controller.election.observe_key(NOW, record, Revision(10 + i as u64));
-        assert!(heard.is_some() || !leads, "case {i}: only a peer that was heard says that it leads");
-        if let Some(ms) = heard {
-            controller.peers.receive_gossip(NOW - ms, gossip_of_peer(leads));
+        assert!(gossip_age_ms.is_some() || !leads, "case {i}: leadership is advertised only in gossip");
+        if let Some(age_ms) = gossip_age_ms {
+            controller.peers.receive_gossip(NOW - age_ms, gossip_of_peer(leads));
         }
-        controller.store_health.record(NOW - answered_ms, &reply_with_status(200));
+        controller.store_health.record(NOW - response_age_ms, &reply_with_status(200));
         if failing {
             controller.store_health.record(NOW - 200, &reply_with_status(503));
         }
-        assert_eq!(controller.leader_hint(NOW), want, "case {i}");
+        assert_eq!(controller.leader_hint(NOW), expected, "case {i}");
     }
 }
 
-/// Guard: while all records are read again, changes since the first page don't
-/// show what later pages hold: they are neither knowledge of cancellations nor
-/// a read for users.
+/// While all records are read again, the changes since the first page don't include the
+/// contents of later pages. Such changes neither allow worker leases to be renewed, as
+/// cancellations may be missing, nor serve as a read for users' requests.
 #[test]
-fn a_read_in_the_middle_of_reading_all_proves_nothing() {
+fn changes_read_before_all_pages_are_loaded_are_not_valid() {
     let mut net = new_net();
     let mut controller = new_controller(SAMPLE, &mut net);
     let page = |truncated| Page { pairs: Vec::new(), truncated, store_revision: Revision(7) };
@@ -156,19 +160,21 @@
         Ok(Reply { status, body, close: false })
     };
     const NOW: Millis = 20_000;
-    // (what happens before, the answer to the read, whether it counts)
-    let cases = [("nothing", 200, false), ("one page", 200, false), ("all", 200, true), ("all", 503, false)];
-    for (i, (before, status, counts)) in cases.into_iter().enumerate() {
+    // (pages that were read before, status of the read of changes, whether that read is valid)
+    let cases =
+        [("no page", 200, false), ("one page", 200, false), ("all pages", 200, true), ("all pages", 503, false)];
+    for (i, (before, status, valid)) in cases.into_iter().enumerate() {
         controller = new_controller(SAMPLE, &mut net);
         match before {
             "one page" => controller.jobs.cache_mut().apply_page(&page(true), true, &mut controller.names),
-            "all" => controller.jobs.cache_mut().apply_page(&page(false), true, &mut controller.names),
+            "all pages" => controller.jobs.cache_mut().apply_page(&page(false), true, &mut controller.names),
             _ => {}
         }
-        assert_eq!(controller.apply_job_changes(NOW, &changes(status)), counts, "case {i}");
-        assert_eq!(controller.renewal_key.may_renew(NOW + 10), counts, "case {i}");
+        assert_eq!(controller.apply_job_changes(NOW, &changes(status)), valid, "case {i}");
+        assert_eq!(controller.renewal_key.may_renew(NOW + 10), valid, "case {i}");
     }
-    // Too old a revision to read on from: all is read again, and until then nothing counts.
+    // The revision is too old to read changes from: all records are read again, and until
+    // that is complete no read of changes is valid.
     controller.jobs.cache_mut().apply_page(&page(false), true, &mut controller.names);
     assert!(!controller.apply_job_changes(NOW, &changes(410)) && !controller.jobs.cache().loaded());
     assert!(!controller.apply_job_changes(NOW, &changes(200)) && !controller.renewal_key.may_renew(NOW + 10));
--- a/src/controller/tests/job_watch.rs
+++ b/src/controller/tests/job_watch.rs
@@ -10,9 +10,10 @@
     Page { pairs: key.map(pair).into_iter().collect(), truncated, store_revision: Revision(7) }
 }
 
-/// All pages are read before the first watch, and again once a watch begins too early.
+/// All pages are read before the first watch, and again once the store responds that a
+/// watch's revision is too old.
 #[test]
-fn pages_come_before_watches() {
+fn all_pages_are_read_before_watching_and_after_gone() {
     const VALIDITY_MS: Millis = 8_000;
     let mut net = new_net();
     let mut client = ServiceClient::new(&settings_with_peers());
@@ -23,13 +24,13 @@
         sent.next_debug(&mut client)
     };
     assert_eq!(refresh(&mut jobs, 0).as_deref(), Some("Jobs(Page { is_first: true })"));
-    assert_eq!(refresh(&mut jobs, 0), None, "one request at a time");
+    assert_eq!(refresh(&mut jobs, 0), None, "a second request while one is in flight");
     jobs.page_received(10, true, &successful_reply(&page(Some("jobs/j-1"), true)), &mut names);
     assert!(!jobs.cache().loaded());
     assert_eq!(jobs.next_page_from.as_deref(), Some("jobs/j-1"));
     assert_eq!(refresh(&mut jobs, 10).as_deref(), Some("Jobs(Page { is_first: false })"));
     jobs.page_received(20, false, &reply_with_status(503), &mut names);
-    assert_eq!(refresh(&mut jobs, 20 + RETRY_MS - 1), None, "after a failure comes a pause");
+    assert_eq!(refresh(&mut jobs, 20 + RETRY_MS - 1), None, "a request before the retry pause is over");
     assert_eq!(refresh(&mut jobs, 20 + RETRY_MS).as_deref(), Some("Jobs(Page { is_first: false })"));
     jobs.page_received(300, false, &successful_reply(&page(None, false)), &mut names);
     assert!(jobs.cache().loaded());
@@ -40,10 +41,11 @@
     assert_eq!(refresh(&mut jobs, 400).as_deref(), Some("Jobs(Page { is_first: true })"));
 }
 
-/// The pause after a watch depends on who watches and on its success.
+/// The pause after a watch depends on the controller's role and on whether the changes were
+/// applied.
 #[test]
-fn leaders_watch_again_at_once() {
-    // (applied, role, pause)
+fn pause_after_watch_depends_on_role_and_result() {
+    // (whether the changes were applied, role, pause in ms)
     let cases = [
         (true, Role::Leader, LEADER_WATCH_GAP_MS),
         (true, Role::Follower, FOLLOWER_WATCH_GAP_MS),
--- a/src/controller/tests/machine_types.rs
+++ b/src/controller/tests/machine_types.rs
@@ -16,9 +16,10 @@
     .unwrap()
 }
 
-/// Implausible types are left out, and a failed read changes nothing.
+/// Types with an amount that is not finite or is negative are left out, and a failed read
+/// leaves the types as they were.
 #[test]
-fn only_plausible_types_are_offered() {
+fn implausible_types_and_failed_reads_are_ignored() {
     let mut net = new_net();
     let mut client = ServiceClient::new(&settings_with_peers());
     let mut names = Interners::default();
@@ -36,5 +37,5 @@
     assert!(!catalog.schedule.is_due(1_000 + REFRESH_MS - 1) && catalog.schedule.is_due(1_000 + REFRESH_MS));
 
     assert!(!catalog.update(40_000, &reply_with_status(503), &mut names));
-    assert_eq!(prices(&catalog), [1.0, 4.0], "a failed read changes nothing");
+    assert_eq!(prices(&catalog), [1.0, 4.0], "types changed by a failed read");
 }
--- a/src/controller/tests/requests.rs
+++ b/src/controller/tests/requests.rs
@@ -1,9 +1,9 @@
 use super::{Method, StoreRequest};
 use crate::protocol::ids::{GrantId, Revision};
 
-/// The store's paths are fixed by its interface.
+/// The key-value store's API fixes the methods and the paths.
 #[test]
-fn paths_of_the_key_value_store() {
+fn store_requests_have_expected_methods_and_paths() {
     let cases = [
         (StoreRequest::read_key("tasks/j-1/0", 5), Method::Get, "/store/tasks/j-1/0"),
         (StoreRequest::read_page("jobs/", None, 5), Method::Get, "/store?under=jobs/&most=1000"),
--- a/src/controller/tests/routes.rs
+++ b/src/controller/tests/routes.rs
@@ -1,7 +1,8 @@
 use super::{route, Route};
 
+/// Each method and path maps to its route; None stands for a path that doesn't exist.
 #[test]
-fn routes_table() {
+fn requests_map_to_routes() {
     let cases = [
         ("POST", "/checkin", Some(Route::Heartbeat)),
         ("GET", "/checkin", Some(Route::MethodNotAllowed)),
@@ -22,7 +23,7 @@
         ("GET", "/checkin/", None),
         ("GET", "", None),
     ];
-    for (method, path, want) in cases {
-        assert_eq!(route(method, path), want, "{method} {path}");
+    for (method, path, expected) in cases {
+        assert_eq!(route(method, path), expected, "{method} {path}");
     }
 }
--- a/src/controller/tests/statistics.rs
+++ b/src/controller/tests/statistics.rs
@@ -1,8 +1,8 @@
 use super::{RequestStatistics, LOG_INTERVAL_MS};
 
-/// The counts are reset once per interval, not before.
+/// The counts are reset once per log interval, not earlier.
 #[test]
-fn counts_are_kept_until_the_next_log() {
+fn counts_are_reset_once_per_log_interval() {
     let mut statistics = RequestStatistics::default();
     statistics.log_if_due(0);
     statistics.record_accepted();
--- a/src/controller/tests/store_health.rs
+++ b/src/controller/tests/store_health.rs
@@ -1,11 +1,12 @@
 use super::StoreHealth;
 use crate::{controller::test_support::reply_with_status, transport::CallError};
 
-/// Any answer but 503 shows that the store serves; a failure lasts from its first sign.
+/// Any response other than 503 ends a failure; a failure begins with the first 503 or missing
+/// response.
 #[test]
-fn failures_last_until_an_answer() {
+fn store_fails_until_a_response_other_than_503() {
     let mut health = StoreHealth::default();
-    // (when, how the request ended, failing since, age)
+    // (time in ms, result of the request, failing since, ms since the last response)
     let cases = [
         (10, reply_with_status(200), None, 0),
         (20, reply_with_status(503), Some(20), 10),
--- a/src/controller/tests/support.rs
+++ b/src/controller/tests/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of several components need.
+//! Fixtures that the tests of several components share.
 
 use calloop::EventLoop;
 
@@ -14,11 +14,11 @@
     transport::{Limits, Net, Reply},
 };
 
-/// Two peers of the sample's controller `n-0`, which is in the zone `a`.
+/// Settings of two peers of the sample's controller `n-0`, which is in the zone `a`.
 const SEEDS: &str = "[[seeds]]\nlabel = \"n-1\"\ndomain = \"a\"\nendpoint = \"127.0.0.1:3\"\n\
                      [[seeds]]\nlabel = \"n-2\"\ndomain = \"b\"\nendpoint = \"127.0.0.1:4\"\n[outside]";
 
-/// Nonce of this start of the process.
+/// Nonce of [`identity`], which identifies one start of the process.
 pub(super) const NONCE: u64 = 77;
 
 pub(super) fn new_net() -> Net {
@@ -34,24 +34,24 @@
     Identity { label: "n-0".to_owned(), zone: "a".to_owned(), nonce: NONCE }
 }
 
-/// A reply without a body.
+/// Returns a reply with this status and no body.
 pub(super) fn reply_with_status(status: u16) -> CallResult {
     Ok(Reply { status, body: Vec::new(), close: false })
 }
 
-/// A successful reply.
+/// Returns a reply with status 200 and this CBOR body.
 pub(super) fn successful_reply<T: serde::Serialize>(body: &T) -> CallResult {
     Ok(Reply { status: 200, body: cbor::encode(body), close: false })
 }
 
-/// Takes the calls that a client sent, in their order.
+/// Reads the calls that a client sent, in the order in which they were sent.
 #[derive(Default)]
 pub(super) struct SentCalls {
     taken: u64,
 }
 
 impl SentCalls {
-    /// The `Debug` form of the next call; None: no more were sent.
+    /// Returns the `Debug` form of the next call; None if no more were sent.
     pub(super) fn next_debug(&mut self, client: &mut ServiceClient) -> Option<String> {
         let pending = client.take_pending(self.taken + 1)?;
         self.taken += 1;
--- a/src/controller/tests/version_watch.rs
+++ b/src/controller/tests/version_watch.rs
@@ -16,9 +16,10 @@
     successful_reply(&Page { pairs: labels.iter().map(pair).collect(), truncated, store_revision: Revision(7) })
 }
 
-/// The own key is written before those of all are read; only a whole listing counts.
+/// The controller's own key is written before the keys of all controllers are read, and only
+/// a complete listing is taken into account.
 #[test]
-fn all_keys_must_be_read() {
+fn upgrade_is_complete_once_a_whole_listing_has_all_keys() {
     let mut net = new_net();
     let settings = settings_with_peers();
     let mut client = ServiceClient::new(&settings);
@@ -34,7 +35,7 @@
     assert_eq!(refresh(&mut versions, 10 + POLL_MS).as_deref(), Some("Version(Write)"));
     versions.handle_reply(2_000, &VersionCall::Write, &reply_with_status(200));
 
-    // (listing, whether it is complete, pause)
+    // (result of the listing, whether all controllers run this version, pause in ms)
     let cases = [
         (listing(&["n-0", "n-1"], false), false, POLL_MS),
         (listing(&["n-0", "n-1", "n-2"], true), false, POLL_MS),
--- a/src/controller/users/barrier.rs
+++ b/src/controller/users/barrier.rs
@@ -1,5 +1,5 @@
-//! Requests that wait for the read barrier: the read that they wait for, and their
-//! answers after it.
+//! Serves the requests that wait for the read barrier: sends the read, and responds to them
+//! after it.
 
 use super::{context::UserContext, waiting_request::WaitingRequest, UserApi};
 use crate::{
@@ -9,14 +9,15 @@
     transport::http::status::NOT_FOUND,
 };
 
-/// Gap, in ms, between two reads for the read barrier, times the number of controllers.
+/// Smallest interval, in ms, between two reads for the read barrier, per controller in the
+/// cluster: the interval is this times the number of controllers.
 const BARRIER_GAP_MS: Millis = 40;
 /// Longest time, in ms, that a user's request waits for the read barrier.
 const MAX_BARRIER_WAIT_MS: Millis = 1_600;
 
 impl UserApi {
-    /// Sends a read for the requests that wait for the read barrier, and refuses those
-    /// that have waited too long.
+    /// Sends a read for the requests that wait for the read barrier if it is due, and responds
+    /// with 503 to those that have waited too long.
     pub fn flush_read_barrier(&mut self, context: &mut UserContext) {
         let now = context.net.now();
         if self.read_barrier.is_read_due(now) {
@@ -34,11 +35,11 @@
         }
     }
 
-    /// The read for the read barrier ended; `applied`: its changes are in the job
-    /// cache. The requests that it was sent for are answered.
+    /// Responds to the requests for which a read for the read barrier was sent, after it has
+    /// completed. `applied` is whether its changes are in the job cache.
     pub fn read_barrier_ended(&mut self, context: &mut UserContext, now: Millis, applied: bool) {
-        // Guard: after the process was halted, the read is as old as the requests
-        // themselves, and must not answer them.
+        // After a halt of the process, the read is as old as the requests themselves. A
+        // response from it would not show later changes, so expired requests get 503.
         self.reject_expired(context, now);
         let waiting = self.read_barrier.read_finished();
         if !applied {
@@ -54,14 +55,14 @@
         self.respond_unavailable_to_all(context, expired);
     }
 
-    /// Without a read, the requests that waited for it get no answer but 503.
+    /// Responds with 503 to requests for which no read has completed.
     fn respond_unavailable_to_all(&mut self, context: &mut UserContext, waiting: Vec<WaitingRequest>) {
         for request in waiting {
             self.respond_unavailable(context, request.conn());
         }
     }
 
-    /// Answers a request that waited for a read of changes, which has been applied.
+    /// Responds to a request that waited for a read of changes, which has been applied.
     fn respond_after_read(&mut self, context: &mut UserContext, request: WaitingRequest) {
         match request {
             WaitingRequest::Poll { conn, id } => match context.find(&id) {
--- a/src/controller/users/cancel.rs
+++ b/src/controller/users/cancel.rs
@@ -1,5 +1,5 @@
-//! `POST /api/jobs/{id}/abort`: the job's record says cancelled before its user
-//! is told so. Jobs that need it are cancelled by the same record.
+//! `POST /api/jobs/{id}/abort`: the job's record is written as cancelled before the user
+//! receives the response. The same record cancels the jobs that depend on this one.
 
 use std::rc::Rc;
 
@@ -21,11 +21,11 @@
     },
 };
 
-/// How often a cancellation is tried again when the job's record changes.
+/// Largest number of retries of a cancellation whose job's record has changed.
 const CANCEL_RETRIES: u32 = 3;
 
 impl UserApi {
-    /// `POST /api/jobs/{id}/abort`. `retries`: how often it was tried again so far.
+    /// Handles `POST /api/jobs/{id}/abort`. `retries` is the number of retries so far.
     pub fn cancel(&mut self, context: &mut UserContext, conn: ConnectionId, id: String, retries: u32) {
         if !is_valid_job_id(&id) {
             return context.respond_empty(conn, NOT_FOUND);
@@ -47,9 +47,9 @@
         }
     }
 
-    /// The record of a job that is cancelled. Guard: a record that was written
-    /// under a larger limit must still fit, or the cancellation would be refused
-    /// for ever. What only matters for starts can go.
+    /// Returns the record of a cancelled job. A record that was written under a larger limit
+    /// must still fit the lowered one, or the store would reject the cancellation permanently.
+    /// Fields that are needed only to start tasks are omitted if it doesn't fit.
     fn cancelled_record(&self, pending: &JobRecord) -> JobRecord {
         let record = JobRecord { status: JobStatus::Cancelled, ..pending.clone() };
         if self.fits_value_limit(&record) {
@@ -59,7 +59,7 @@
         JobRecord { submission, ..record }
     }
 
-    /// The write of a cancelled job's record has ended.
+    /// Handles the result of the write of a cancelled job's record.
     pub(super) fn handle_cancel_reply(&mut self, context: &mut UserContext, write: JobWrite, result: &CallResult) {
         let outcome = self.process_write_result(context, &write, result);
         let JobWrite { conn, id, retries, .. } = write;
@@ -72,7 +72,8 @@
                 }
                 context.respond_job(conn, OK, &id, "cancelled");
             }
-            // Done or cancelled in the meantime: read, then decide again.
+            // The job is done or cancelled in the meantime: read its record, then decide
+            // again.
             WriteOutcome::Conflict if retries < CANCEL_RETRIES => {
                 self.read_barrier.enqueue(context.net.now(), WaitingRequest::Cancel { conn, id, retries: retries + 1 });
             }
--- a/src/controller/users/context.rs
+++ b/src/controller/users/context.rs
@@ -1,4 +1,4 @@
-//! What users' requests are served with, and the forms of the answers.
+//! The components that serve users' requests, and the responses to users.
 
 use crate::{
     controller::{job_watch::JobWatch, peers::Peers, service_client::ServiceClient},
@@ -15,43 +15,43 @@
     transport::{http::status::OK, ConnectionId, Net},
 };
 
-/// The components that users' requests are served with.
+/// The components that serve users' requests.
 pub struct UserContext<'a> {
-    /// The sockets.
+    /// Sockets, through which responses and calls are sent.
     pub net: &'a mut Net,
-    /// Requests to the outside services, and their budgets.
+    /// Client of the key-value store, with its budgets.
     pub client: &'a mut ServiceClient,
-    /// The jobs' records.
+    /// Job cache and the reads that update it.
     pub jobs: &'a mut JobWatch,
-    /// Interned names.
+    /// Interned names of teams, classes, zones, machine types and images.
     pub names: &'a mut Interners,
-    /// The other controllers.
+    /// The other controllers, which are notified of cancellations.
     pub peers: &'a mut Peers,
-    /// The machine types that the cloud offers; none before they were read.
+    /// Machine types that the cloud offers; empty before they were first read.
     pub machine_types: &'a [MachineTypeSpec],
-    /// All controllers are known to run this version.
+    /// Whether all controllers are known to run this version.
     pub all_upgraded: bool,
 }
 
 impl UserContext<'_> {
-    /// Answers with no body.
+    /// Responds with a status and no body.
     pub(super) fn respond_empty(&mut self, conn: ConnectionId, status: u16) {
         self.net.respond(conn, status, None, b"");
     }
 
-    /// Answers with the state of a job.
+    /// Responds with the state of a job; `code` is the HTTP status.
     pub(super) fn respond_job(&mut self, conn: ConnectionId, code: u16, id: &str, status: &str) {
         self.net.respond(conn, code, None, &cbor::encode(&JobAnswer { name_id: id, status }));
     }
 
-    /// Answers 200 with the state of a known job.
+    /// Responds with 200 and the state of a known job.
     pub(super) fn respond_known_job(&mut self, conn: ConnectionId, index: JobIndex) {
         let entry = self.jobs.cache().get(index);
         let response = JobAnswer { name_id: &entry.id, status: status_word(entry) };
         self.net.respond(conn, OK, None, &cbor::encode(&response));
     }
 
-    /// Answers 200 with the state and the task counts of a known job.
+    /// Responds with 200, the state and the task counts of a known job.
     pub(super) fn respond_poll(&mut self, conn: ConnectionId, index: JobIndex) {
         let entry = self.jobs.cache().get(index);
         let response =
@@ -59,18 +59,18 @@
         self.net.respond(conn, OK, None, &cbor::encode(&response));
     }
 
-    /// Looks a job up by its id.
+    /// Looks up a job in the cache by its id.
     pub(super) fn find(&self, id: &str) -> Option<JobIndex> {
         self.jobs.cache().find(id)
     }
 
-    /// Whether a job is done or cancelled.
+    /// Reports whether a job is done or cancelled.
     pub(super) fn is_over(&self, index: JobIndex) -> bool {
         self.jobs.cache().get(index).status != JobStatus::Pending
     }
 }
 
-/// The word for the state of a job.
+/// Returns the word for the state of a job in responses to users.
 pub(super) fn status_word(entry: &JobEntry) -> &'static str {
     match entry.status {
         JobStatus::Done => "done",
--- a/src/controller/users/mod.rs
+++ b/src/controller/users/mod.rs
@@ -1,6 +1,6 @@
-//! Users' requests. Every controller serves them by itself, through the key-value
-//! store: conditional writes before anything is confirmed, and a read barrier
-//! before anything is said of a job that isn't over.
+//! The API for users. Every controller serves it without the leader, through the key-value
+//! store: a conditional write precedes each confirmation, and a read barrier precedes each
+//! response about a job that is neither done nor cancelled.
 
 mod barrier;
 mod cancel;
@@ -33,42 +33,42 @@
     },
 };
 
-/// `Retry-After` of an answer that says the service is unavailable, in seconds.
+/// `Retry-After` of a response with 503, or of one with 429 after a 429 of the store, in seconds.
 const RETRY_AFTER_S: u32 = 1;
-/// Longest `Retry-After` that is told to a user over budget, in seconds.
+/// Longest `Retry-After` of a response with 429 to a user over budget, in seconds.
 const MAX_RETRY_AFTER_S: u64 = 30;
 const BYTES_PER_KB: f64 = 1024.0;
 const MS_PER_S: u64 = 1_000;
 
-/// How the write of a job's record ended.
+/// Outcome of the write of a job's record.
 enum WriteOutcome {
     Applied,
-    /// The record, or one that the write depended on, had changed.
+    /// The record, or another one that the write's conditions named, had changed.
     Conflict,
-    /// It could not be carried out, and the user was told to retry.
+    /// The write failed, or its result is unknown; the user received a response to retry.
     Responded,
 }
 
 /// Serves users' requests.
 pub struct UserApi {
     cluster: Rc<ClusterSettings>,
-    /// Requests that wait for a read of the jobs' changes.
+    /// The requests that wait for a read of the jobs' changes.
     read_barrier: ReadBarrier<WaitingRequest>,
     statistics: RequestStatistics,
 }
 
 impl UserApi {
-    /// No request waits yet.
+    /// Creates the API without waiting requests.
     pub fn new(cluster: Rc<ClusterSettings>) -> UserApi {
         UserApi { cluster, read_barrier: ReadBarrier::default(), statistics: RequestStatistics::default() }
     }
 
-    /// Logs how users were answered when that is due.
+    /// Logs the outcomes of users' requests if that is due.
     pub fn log_statistics_if_due(&mut self, now: Millis) {
         self.statistics.log_if_due(now);
     }
 
-    /// Answers 503, so that the user retries.
+    /// Responds with 503 and `Retry-After`, so that the user retries.
     fn respond_unavailable(&mut self, context: &mut UserContext, conn: ConnectionId) {
         self.statistics.record_unavailable();
         context.net.respond(conn, SERVICE_UNAVAILABLE, Some(RETRY_AFTER_S), b"");
@@ -80,14 +80,15 @@
         context.net.respond(conn, TOO_MANY_REQUESTS, Some(wait_s), b"");
     }
 
-    /// Whether a record fits the smaller of the present and the later limit.
+    /// Reports whether a record fits the store's size limit: the smaller of the present one
+    /// and the announced one.
     fn fits_value_limit(&self, record: &JobRecord) -> bool {
         let bytes = records::json_size(&records::to_value(record));
         bytes as f64 <= self.cluster.state.fitting_value_kb() * BYTES_PER_KB
     }
 
-    /// Sends a record's write if the budgets allow it now, and otherwise tells
-    /// the user at once when to retry.
+    /// Sends the write of a record if the budgets allow it now. Otherwise responds at once
+    /// with 429 and the time after which to retry.
     fn write_record(
         &mut self,
         context: &mut UserContext,
@@ -110,7 +111,7 @@
         context.client.send_to_store(context.net, PendingCall::User(call(write)), request);
     }
 
-    /// A write for a user ended.
+    /// Handles the result of a write for a user.
     pub fn handle_reply(&mut self, context: &mut UserContext, call: UserCall, result: &CallResult) {
         match call {
             UserCall::Submit(write) => self.handle_submit_reply(context, write, result),
@@ -118,6 +119,8 @@
         }
     }
 
+    /// Puts a record that was written into the job cache, and responds to the user if the
+    /// write failed for another reason than a conflict.
     fn process_write_result(
         &mut self,
         context: &mut UserContext,
@@ -146,7 +149,7 @@
         }
     }
 
-    /// `GET /api/jobs/{id}`
+    /// Handles `GET /api/jobs/{id}`.
     pub fn poll(&mut self, context: &mut UserContext, conn: ConnectionId, id: &str) {
         if !is_valid_job_id(id) {
             return context.respond_empty(conn, NOT_FOUND);
--- a/src/controller/users/submit.rs
+++ b/src/controller/users/submit.rs
@@ -1,4 +1,4 @@
-//! `POST /api/jobs`: a job's record is created before 201 is answered.
+//! `POST /api/jobs`: a job's record is created before the user receives 201.
 
 use std::rc::Rc;
 
@@ -31,24 +31,25 @@
     },
 };
 
-/// How often a submission is tried again when a job that it needs changes.
+/// Largest number of retries of a submission whose prerequisite's record has changed.
 const CREATE_RETRIES: u32 = 3;
-/// Conditions that a transaction may have for each of its writes.
+/// Largest number of conditions in a transaction, per write that it may have.
 const CONDITIONS_PER_WRITE: usize = 4;
 
-/// The jobs that a submission names, as far as they are known here.
+/// Result of a lookup of a submission's prerequisites in the job cache.
 #[derive(Debug)]
 enum PrereqCheck {
-    /// All are accepted; the conditions say that their records are unchanged.
+    /// All prerequisites are accepted jobs; the conditions require that their records are
+    /// unchanged.
     Accepted(Vec<Condition>),
-    /// At least one is not known.
+    /// At least one prerequisite is not in the job cache.
     Unknown,
-    /// At least one is a service, which never ends.
+    /// At least one prerequisite is a service, which never completes.
     Service,
 }
 
 impl UserApi {
-    /// `POST /api/jobs`
+    /// Handles `POST /api/jobs`.
     pub fn submit(&mut self, context: &mut UserContext, conn: ConnectionId, body: &[u8]) {
         let Ok(mut submission) = cbor::decode::<Submission>(body) else {
             return context.respond_empty(conn, BAD_REQUEST);
@@ -58,7 +59,8 @@
             tracing::debug!(field, "malformed submission");
             return context.respond_empty(conn, BAD_REQUEST);
         }
-        // Whether a well-formed job can run depends on what isn't known yet.
+        // Whether a well-formed job can run depends on the jobs' records and the machine
+        // types, which are not known yet.
         if !context.jobs.cache().loaded() || context.machine_types.is_empty() {
             return self.respond_unavailable(context, conn);
         }
@@ -78,23 +80,23 @@
         self.create_feasible(context, conn, id, submission);
     }
 
-    /// Creates the record of a job that can run, if it is not too large.
+    /// Creates the record of a job that can run, if the record is not too large.
     fn create_feasible(&mut self, context: &mut UserContext, conn: ConnectionId, id: String, submission: Submission) {
         let chunk = chunk_size(&self.cluster);
         let record = JobRecord { submission, status: JobStatus::Pending, at_ms: wall_clock_ms(), chunk };
         if !self.fits_value_limit(&record) {
             return self.reject_after_read(context, conn, id, BAD_REQUEST, "too long for a record");
         }
-        // Guard: a controller that doesn't know prerequisites would start the
-        // job too early, or drop them from its record.
+        // Until the upgrade is complete, a controller of an older version, which ignores
+        // prerequisites, would start the job too early, or drop them from its record.
         if !record.submission.prereqs().is_empty() && !context.all_upgraded {
             return self.respond_unavailable(context, conn);
         }
         self.create(context, JobWrite { conn, id, record: Rc::new(record), retries: 0 });
     }
 
-    /// Refuses a submission for good. Guard: never one of a job that was
-    /// accepted, so a read comes first.
+    /// Rejects a submission permanently, after a read for the read barrier. Without the read,
+    /// a resubmission of a job that another controller accepted would be rejected.
     fn reject_after_read(
         &mut self,
         context: &UserContext,
@@ -106,7 +108,7 @@
         self.read_barrier.enqueue(context.net.now(), WaitingRequest::Reject { conn, id, status, reason });
     }
 
-    /// Why a well-formed job can never run; None: it can.
+    /// Returns why a well-formed job can never run; None if it can.
     fn infeasibility(
         &self,
         checked: &Result<JobSpec, SubmissionError>,
@@ -120,27 +122,28 @@
         }
     }
 
-    /// The quota of a team; none for a team that the settings don't name.
+    /// Returns the quota of a team, which has no limits for a team that is not in the settings.
     fn team_limits(&self, team: TeamIndex) -> TeamLimits {
         self.cluster.teams.get(team.as_usize()).map(team_limits).unwrap_or_default()
     }
 
-    /// Writes the record of a new job if all its prerequisites are known here;
-    /// otherwise a read comes first.
+    /// Writes the record of a new job if all its prerequisites are in the job cache and can
+    /// complete; otherwise waits for a read first.
     fn create(&mut self, context: &mut UserContext, write: JobWrite) {
         match self.check_prereqs(context, &write.record) {
             PrereqCheck::Accepted(conditions) => self.write_new_job(context, write, conditions),
             PrereqCheck::Unknown | PrereqCheck::Service => {
-                // The jobs of a pipeline are submitted one after another, to any controller.
+                // The jobs of a pipeline are submitted one after another, to any controller, so
+                // another controller may have just accepted a prerequisite.
                 self.read_barrier.expedite(context.net.now());
                 self.read_barrier.enqueue(context.net.now(), WaitingRequest::SubmitWithPrereqs(write));
             }
         }
     }
 
-    /// Like `create`, after a read that was sent after the submission arrived.
-    /// Guard: a prerequisite that is unknown now was not accepted when the user
-    /// named it.
+    /// Writes the record of a new job after a read that was sent after the submission
+    /// arrived. A prerequisite that is unknown after that read was not accepted when the user
+    /// named it, so the submission is rejected.
     pub(super) fn create_or_reject(&mut self, context: &mut UserContext, write: JobWrite) {
         match self.check_prereqs(context, &write.record) {
             PrereqCheck::Accepted(conditions) => self.write_new_job(context, write, conditions),
@@ -158,8 +161,9 @@
         self.write_record(context, urgency, conditions, write, UserCall::Submit);
     }
 
-    /// Guard: a team to which nothing is guaranteed must not push out the
-    /// submissions of the others.
+    /// Returns the urgency of the write of a submission. It is lower for a best-effort team,
+    /// which has no guaranteed quota: otherwise its submissions could use up the budget and
+    /// displace those of the other teams.
     fn submission_urgency(&self, record: &JobRecord) -> Urgency {
         let team = record.submission.team.as_deref().unwrap_or_default();
         if self.cluster.is_best_effort(team) {
@@ -170,8 +174,8 @@
     }
 
     fn check_prereqs(&self, context: &UserContext, record: &JobRecord) -> PrereqCheck {
-        // One condition is for the job's own key. Records of jobs are never
-        // removed, so those beyond the limit need none.
+        // One condition is for the job's own key. Prerequisites beyond the limit need no
+        // condition, because the records of jobs are never removed.
         let max_conditions = CONDITIONS_PER_WRITE * self.cluster.state.fitting_txn_ops() - 1;
         let cache = context.jobs.cache();
         let mut conditions = Vec::new();
@@ -179,7 +183,7 @@
         for prereq in record.submission.prereqs() {
             let Some(index) = cache.find(prereq) else { return PrereqCheck::Unknown };
             has_service |= cache.is_service(index);
-            // A job that is over doesn't change any more.
+            // The record of a job that is done or cancelled no longer changes.
             if !context.is_over(index) && conditions.len() < max_conditions {
                 let revision = cache.get(index).revision;
                 conditions.push(Condition { key: records::job_key(prereq), revision });
@@ -191,7 +195,7 @@
         PrereqCheck::Accepted(conditions)
     }
 
-    /// The write of a new job's record has ended.
+    /// Handles the result of the write of a new job's record.
     pub(super) fn handle_submit_reply(&mut self, context: &mut UserContext, write: JobWrite, result: &CallResult) {
         let outcome = self.process_write_result(context, &write, result);
         let JobWrite { conn, id, record, retries } = write;
@@ -199,7 +203,7 @@
         match outcome {
             WriteOutcome::Applied => {
                 self.statistics.record_accepted();
-                // It is cancelled at once if it needs a cancelled job.
+                // A job with a cancelled prerequisite is itself cancelled at once.
                 let cache = context.jobs.cache();
                 let status = cache.find(&id).map_or("pending", |index| status_word(cache.get(index)));
                 context.respond_job(conn, CREATED, &id, status);
@@ -207,7 +211,7 @@
             WriteOutcome::Conflict if record.submission.prereqs().is_empty() => {
                 self.read_barrier.enqueue(now, WaitingRequest::Resubmit { conn, id });
             }
-            // The job exists, or one that it needs has changed.
+            // The job exists already, or the record of a prerequisite has changed.
             WriteOutcome::Conflict if retries < CREATE_RETRIES => {
                 let write = JobWrite { conn, id, record, retries: retries + 1 };
                 self.read_barrier.enqueue(now, WaitingRequest::SubmitWithPrereqs(write));
--- a/src/controller/users/waiting_request.rs
+++ b/src/controller/users/waiting_request.rs
@@ -2,24 +2,24 @@
 
 use crate::{controller::service_client::JobWrite, transport::ConnectionId};
 
-/// A user's request, to be answered after the next read of the jobs' changes.
+/// A user's request that waits for the next read of the jobs' changes.
 #[derive(Debug)]
 pub(super) enum WaitingRequest {
-    /// A question for a job's status.
+    /// A query of a job's status.
     Poll { conn: ConnectionId, id: String },
-    /// A submission of a job that exists.
+    /// A submission of a job that exists already.
     Resubmit { conn: ConnectionId, id: String },
-    /// A submission that is refused for good, unless the job exists.
+    /// A submission that is rejected permanently, unless the job exists already.
     Reject { conn: ConnectionId, id: String, status: u16, reason: &'static str },
-    /// A submission with prerequisites, of which some are unknown here or
-    /// changed lately.
+    /// A submission with prerequisites, some of which are unknown to this controller, are
+    /// services, or have changed recently.
     SubmitWithPrereqs(JobWrite),
     /// A cancellation.
     Cancel { conn: ConnectionId, id: String, retries: u32 },
 }
 
 impl WaitingRequest {
-    /// The connection of the user.
+    /// Returns the connection on which the user waits for the response.
     pub(super) fn conn(&self) -> ConnectionId {
         match self {
             WaitingRequest::Poll { conn, .. }
--- a/src/controller/version_watch.rs
+++ b/src/controller/version_watch.rs
@@ -1,4 +1,4 @@
-//! Rolling upgrades: whether every controller is known to run this version.
+//! Support for rolling upgrades: tracks whether every controller is known to run this version.
 
 use super::{
     identity::Identity,
@@ -21,25 +21,25 @@
     transport::{http::status::OK, Net},
 };
 
-/// Interval, in ms, at which the version keys are read while some are missing.
+/// Interval, in ms, between reads of the version keys while some are missing.
 const POLL_MS: Millis = 1_000;
-/// The same once none is missing: an operator who rolls a controller back
-/// removes its key first.
+/// Interval, in ms, between reads of the version keys once none is missing. A key may still
+/// be removed: an operator who rolls a controller back removes its key first.
 const COMPLETE_POLL_MS: Millis = 10_000;
 
-/// What is known of the versions that the controllers run.
+/// The known versions of the controllers, and the requests that read and write them.
 #[derive(Debug)]
 pub struct VersionWatch {
     identity: Identity,
     evidence: VersionEvidence,
-    /// This controller's own key was written.
+    /// Whether this controller's own key was written.
     own_key_written: bool,
     write: PollSchedule,
     listing: PollSchedule,
 }
 
 impl VersionWatch {
-    /// Nothing is known yet of the controllers.
+    /// Creates a watch for which no controller is known yet to run this version.
     pub fn new(identity: Identity, peer_settings: &[PeerSettings]) -> VersionWatch {
         let peers = peer_settings.iter().map(|seed| &*seed.label);
         VersionWatch {
@@ -51,12 +51,13 @@
         }
     }
 
-    /// Whether all controllers are known to run this version.
+    /// Reports whether all controllers are known to run this version.
     pub fn is_complete(&self) -> bool {
         self.evidence.is_complete()
     }
 
-    /// Writes this controller's key once, then reads those of all controllers.
+    /// Sends the next request if it is due: this controller's key is written once, after
+    /// that the keys of all controllers are read repeatedly.
     pub fn refresh(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient) {
         if self.own_key_written {
             self.read_keys(net, now, client);
@@ -71,8 +72,8 @@
         }
         self.write.begin();
         let record = VersionRecord { version: VERSION, nonce: self.identity.nonce };
-        // Attached to no grant, so that it outlives the process. The write is
-        // unconditional, as it may be applied at any later time.
+        // Attached to no store lease, so that the key outlives the process. The write is
+        // unconditional, because it may be applied at any later time.
         let key = version_key(&self.identity.label);
         let write = WriteOperation::Put { key, value: records::to_value(&record), grant: None };
         let transaction = Transaction { conditions: Vec::new(), writes: vec![write] };
@@ -89,7 +90,7 @@
         client.send_to_store(net, PendingCall::Version(VersionCall::Listing), request);
     }
 
-    /// A request for the version keys ended.
+    /// Handles the result of a request for the version keys.
     pub fn handle_reply(&mut self, now: Millis, call: &VersionCall, result: &CallResult) {
         match call {
             VersionCall::Write => {
