--- a/src/controller/leadership/commits.rs
+++ b/src/controller/leadership/commits.rs
@@ -64,7 +64,7 @@
             self.step_down(context, now);
         } else if is_conflict {
             // The records of jobs changed: they are read before the next transaction.
-            context.jobs.watch_now(now);
+            context.jobs.end_watch_pause(now);
         }
     }
 }
--- a/src/controller/tests/election_driver.rs
+++ b/src/controller/tests/election_driver.rs
@@ -1,6 +1,8 @@
 use super::*;
 use crate::{
-    controller::test_support::{answered, answered_with, identity, new_net, settings_with_peers, SentCalls},
+    controller::test_support::{
+        identity, new_net, reply_with_status, settings_with_peers, successful_reply, SentCalls,
+    },
     protocol::{
         ids::StoreLeaseId,
         store::{AppliedTransaction, StoreLeaseResponse},
@@ -25,12 +27,12 @@
     driver.handle_reply(
         10,
         &ElectionCall::CreateStoreLease,
-        &answered_with(&StoreLeaseResponse { store_lease: StoreLeaseId(4) }),
+        &successful_reply(&StoreLeaseResponse { store_lease: StoreLeaseId(4) }),
     );
     driver.tick(&mut net, 10, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(ClaimKey)"));
     assert_eq!(driver.leading_term(10), None, "the claim is pending");
-    let applied = answered_with(&AppliedTransaction { store_revision: Revision(5) });
+    let applied = successful_reply(&AppliedTransaction { store_revision: Revision(5) });
     driver.handle_reply(20, &ElectionCall::ClaimKey, &applied);
     assert_eq!((driver.leading_term(20), driver.leader()), (Some(Term(Revision(5))), Some("n-0")));
     assert_eq!(
@@ -60,11 +62,11 @@
         driver.handle_reply(
             now,
             &ElectionCall::CreateStoreLease,
-            &answered_with(&StoreLeaseResponse { store_lease: StoreLeaseId(store_lease) }),
+            &successful_reply(&StoreLeaseResponse { store_lease: StoreLeaseId(store_lease) }),
         );
         driver.tick(&mut net, now, &mut client);
         assert_eq!(sent.next_debug(&mut client).as_deref(), Some("Election(ClaimKey)"));
-        driver.handle_reply(now, &ElectionCall::ClaimKey, &answered(400));
+        driver.handle_reply(now, &ElectionCall::ClaimKey, &reply_with_status(400));
         assert_eq!(driver.leading_term(now), None);
         now += 1_000;
     }
--- a/src/controller/tests/renewal_key.rs
+++ b/src/controller/tests/renewal_key.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::{
-    controller::test_support::{answered_with, identity, new_net, settings_with_peers, SentCalls, NONCE},
+    controller::test_support::{identity, new_net, settings_with_peers, successful_reply, SentCalls, NONCE},
     protocol::{
         ids::StoreLeaseId,
         store::{AppliedTransaction, StoreLeaseResponse},
@@ -25,11 +25,11 @@
     key.handle_reply(
         at,
         &RenewalKeyCall::CreateStoreLease,
-        &answered_with(&StoreLeaseResponse { store_lease: StoreLeaseId(STORE_LEASE_ID) }),
+        &successful_reply(&StoreLeaseResponse { store_lease: StoreLeaseId(STORE_LEASE_ID) }),
     );
     key.tick(&mut net, at, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("RenewalKey(WriteKey)"));
-    let applied = answered_with(&AppliedTransaction { store_revision: Revision(5) });
+    let applied = successful_reply(&AppliedTransaction { store_revision: Revision(5) });
     key.handle_reply(at, &RenewalKeyCall::WriteKey, &applied);
     key.record_job_read(at);
     key
