--- a/tests/combined_failures/cancellations.rs
+++ b/tests/combined_failures/cancellations.rs
@@ -23,9 +23,9 @@
     sim.stop_leader();
     sim.workers
         .iter_mut()
-        .for_each(|worker| (worker.faults.outbound_lost, worker.faults.lease_kept_by_peer) = (true, true));
+        .for_each(|worker| (worker.faults.outbound_lost, worker.faults.lease_renewed_by_peer) = (true, true));
     sim.run(read + longest_renewal - sim.now());
-    sim.workers.iter_mut().for_each(|worker| worker.faults.lease_kept_by_peer = false);
+    sim.workers.iter_mut().for_each(|worker| worker.faults.lease_renewed_by_peer = false);
     sim.run(read + CANCEL_MS + 2_000 - sim.now());
     assert!(sim.none_running("j-1", 4), "cancelled, and nobody told the workers");
     sim.run(20_000);
--- a/tests/combined_failures/leader_changes.rs
+++ b/tests/combined_failures/leader_changes.rs
@@ -38,9 +38,9 @@
     sim.network.rates = FaultRates {
         late_transaction: 40,
         late_command: 30,
-        lost_heartbeat_answer: 20,
+        lost_heartbeat_response: 20,
         very_late_heartbeat: 15,
-        slow_command_answer: 20,
+        slow_command_response: 20,
         ..FaultRates::default()
     };
     sim.submit(submission("j-1", "service", 5), 0);
@@ -98,7 +98,7 @@
     sim.submit(submission("j-2", "batch", 2), 7_000);
     for n in 0..5usize {
         sim.run_until("the next one ends", 60_000, |sim| sim.workers.completed_count() > n);
-        sim.network.rates = FaultRates { unanswered_transaction: 30, ..FaultRates::default() };
+        sim.network.rates = FaultRates { lost_transaction_response: 30, ..FaultRates::default() };
         // Sent in a heartbeat, answered, perhaps written; then that leader is no more.
         sim.run([100, 700, 1_200, 4_000, 8_500][n]);
         sim.elect();
--- a/tests/combined_failures/main.rs
+++ b/tests/combined_failures/main.rs
@@ -13,7 +13,7 @@
 mod slow_network;
 
 use simulation::{
-    cases::{case, run_table_in, Case, VARIANT_SEEDS},
+    cases::{case, run_table_variants, Case, VARIANT_SEEDS},
     Simulation,
 };
 
@@ -45,7 +45,7 @@
         case("end of an earlier attempt", heartbeats::end_of_an_earlier_attempt),
         case("leader that hardly any worker reaches", leader_changes::leader_that_few_workers_reach),
     ];
-    run_table_in(cases, VARIANTS, prepare);
+    run_table_variants(cases, VARIANTS, prepare);
 }
 
 /// Every second variant of a case is played with the full behaviour of gangs.
--- a/tests/combined_failures/partitions.rs
+++ b/tests/combined_failures/partitions.rs
@@ -50,8 +50,8 @@
     sim.workers
         .iter_mut()
         .step_by(2)
-        .for_each(|worker| (worker.faults.outbound_lost, worker.faults.lease_kept_by_peer) = (true, true));
-    sim.controller.settings.peers_silent_since = Some(sim.now());
+        .for_each(|worker| (worker.faults.outbound_lost, worker.faults.lease_renewed_by_peer) = (true, true));
+    sim.controller.settings.peers_unreachable_since = Some(sim.now());
     let cut = sim.now();
     sim.run(4_000);
     sim.elect();
@@ -59,7 +59,7 @@
     assert!(sim.cancel("j-1"));
     sim.submit(submission("j-3", "service", 8), 0);
     sim.run(cut + longest_renewal - sim.now());
-    sim.workers.iter_mut().for_each(|worker| worker.faults.lease_kept_by_peer = false);
+    sim.workers.iter_mut().for_each(|worker| worker.faults.lease_renewed_by_peer = false);
     let there = sim.assignments("j-2", 6);
     sim.run(LEASE_MS - 3_000);
     assert_eq!(sim.assignments("j-2", 6), there, "none is counted out before the last lease kept");
@@ -82,7 +82,7 @@
     sim.run_until("all run", 20_000, |sim| sim.starts() == 9);
     let zone = sim.workers[sim.worker_running("j-1/0").unwrap()].spec.zone.clone();
     sim.partition_zone(&zone, true, true);
-    sim.controller.settings.peers_silent_since = Some(sim.now());
+    sim.controller.settings.peers_unreachable_since = Some(sim.now());
     sim.run(2_000);
     sim.elect();
     sim.run(16_000);
@@ -91,7 +91,7 @@
     assert_eq!(sim.starts(), 9, "nothing is counted out while nobody spoke for it");
     sim.partition_zone(&zone, false, false);
     sim.run(300);
-    sim.controller.settings.peers_silent_since = None;
+    sim.controller.settings.peers_unreachable_since = None;
     sim.heal_faults();
     sim.run_until_settled("the zone is back", 120_000);
     sim.run(LEASE_MS);
--- a/tests/combined_failures/random_faults.rs
+++ b/tests/combined_failures/random_faults.rs
@@ -97,7 +97,7 @@
         1 => sim.workers[at].faults.hung = true,
         2 => sim.workers[at].faults.inbound_lost = true,
         3 => sim.workers[at].faults.outbound_lost = true,
-        4 => sim.workers[at].faults.answers_lost = true,
+        4 => sim.workers[at].faults.responses_lost = true,
         5 => sim.store.conditions.refuses_leader = true,
         6 => {
             let zone = sim.workers[at].spec.zone.clone();
@@ -117,7 +117,8 @@
             sim.restart_worker(at);
         }
         10 | 11 => sim.workers.iter_mut().for_each(|worker| {
-            worker.faults = WorkerFaults { lease_kept_by_peer: worker.faults.lease_kept_by_peer, ..Default::default() };
+            worker.faults =
+                WorkerFaults { lease_renewed_by_peer: worker.faults.lease_renewed_by_peer, ..Default::default() };
         }),
         12..15 if n > 1 => {
             let id = format!("j-{}", sim.random_below(n as usize));
@@ -136,11 +137,11 @@
         lost_command: below(8),
         repeated_command: below(25),
         slow_command: below(30),
-        unanswered_transaction: below(12),
-        lost_heartbeat_answer: below(15),
+        lost_transaction_response: below(12),
+        lost_heartbeat_response: below(15),
         late_heartbeat: below(12),
-        lost_rental_answer: below(30),
-        slow_command_answer: below(30),
+        lost_scale_out_response: below(30),
+        slow_command_response: below(30),
         late_transaction: below(25),
         very_late_heartbeat: below(12),
         delayed_heartbeat: below(10),
@@ -152,17 +153,17 @@
 fn replace_leader_while_a_peer_keeps_leases(sim: &mut Simulation, zone: &str) {
     sim.stop_leader();
     let renewal = sim.random_below(Simulation::longest_renewal_by_peer() as usize) as u64;
-    sim.controller.settings.peers_silent_since = Some(sim.now());
+    sim.controller.settings.peers_unreachable_since = Some(sim.now());
     sim.workers
         .iter_mut()
         .filter(|worker| worker.spec.zone == zone)
-        .for_each(|worker| (worker.faults.outbound_lost, worker.faults.lease_kept_by_peer) = (true, true));
+        .for_each(|worker| (worker.faults.outbound_lost, worker.faults.lease_renewed_by_peer) = (true, true));
     sim.run(2_000);
     sim.elect();
     sim.run(renewal.saturating_sub(2_000));
     sim.workers
         .iter_mut()
-        .for_each(|worker| (worker.faults.outbound_lost, worker.faults.lease_kept_by_peer) = (false, false));
+        .for_each(|worker| (worker.faults.outbound_lost, worker.faults.lease_renewed_by_peer) = (false, false));
     sim.run(200);
-    sim.controller.settings.peers_silent_since = None;
+    sim.controller.settings.peers_unreachable_since = None;
 }
--- a/tests/combined_failures/slow_network.rs
+++ b/tests/combined_failures/slow_network.rs
@@ -97,7 +97,7 @@
 /// within four minutes, the largest too.
 pub fn overload_on_a_slow_network(sim: &mut Simulation) {
     sim.network.rates =
-        FaultRates { slow_command: 60, slow_command_answer: 60, repeated_command: 20, ..FaultRates::default() };
+        FaultRates { slow_command: 60, slow_command_response: 60, repeated_command: 20, ..FaultRates::default() };
     sim.store.conditions.transaction_latency_max_ms = 600;
     sim.store.conditions.read_latency_max_ms = 800;
     let of = |job: Submission, class: &str| {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -8,7 +8,7 @@
     storage::records::{chunk_size, JobStatus},
 };
 use simulation::{
-    cases::{case, run_table_in, Case},
+    cases::{case, run_table_variants, Case},
     submission, FaultRates, Simulation, SubmissionBuilder,
 };
 
@@ -25,9 +25,13 @@
     sim.users.tasks_per_chunk = 64;
     sim.store.conditions.value_bytes_max = 16 * KB;
     sim.controller.settings.value_bytes_max = 16 * KB;
-    sim.controller.settings.value_bytes_fit = KB;
-    sim.controller.settings.tasks_per_chunk_fit = chunk_size(1.0, 1);
-    assert!(sim.controller.settings.tasks_per_chunk_fit < 16, "{}", sim.controller.settings.tasks_per_chunk_fit);
+    sim.controller.settings.reduced_value_bytes_max = KB;
+    sim.controller.settings.reduced_tasks_per_chunk = chunk_size(1.0, 1);
+    assert!(
+        sim.controller.settings.reduced_tasks_per_chunk < 16,
+        "{}",
+        sim.controller.settings.reduced_tasks_per_chunk
+    );
     sim.elect();
     sim
 }
@@ -61,7 +65,7 @@
     sim.run_until("done", 60_000, done(&["j-1", "j-2"]));
     assert_eq!(
         (chunk_of(sim, "j-1"), chunk_of(sim, "j-2")),
-        (sim.controller.settings.tasks_per_chunk_fit, 64),
+        (sim.controller.settings.reduced_tasks_per_chunk, 64),
         "what fits stays"
     );
 }
@@ -78,8 +82,8 @@
     let busy = sim.workers.iter().position(|worker| !worker.tasks.is_empty());
     sim.restart_worker(busy.expect("the gang runs"));
     sim.run_until("done", 120_000, done(&["j-1"]));
-    assert_eq!(chunk_of(sim, "j-1"), sim.controller.settings.tasks_per_chunk_fit);
-    assert!(sim.controller.too_large() <= 1, "{} refused", sim.controller.too_large());
+    assert_eq!(chunk_of(sim, "j-1"), sim.controller.settings.reduced_tasks_per_chunk);
+    assert!(sim.controller.too_large_transactions() <= 1, "{} refused", sim.controller.too_large_transactions());
 }
 
 /// Guard: while an old controller may be there, no job is resharded.
@@ -90,7 +94,7 @@
     sim.run_until("others go on", 60_000, done(&["j-2"]));
     sim.run(60_000);
     assert!(sim.status("j-1") == JobStatus::Pending && chunk_of(sim, "j-1") == 64);
-    assert!(sim.controller.too_large() < 5, "{} refused", sim.controller.too_large());
+    assert!(sim.controller.too_large_transactions() < 5, "{} refused", sim.controller.too_large_transactions());
     sim.controller.settings.may_reshard = true;
     sim.run_until("done", 60_000, done(&["j-1"]));
 }
@@ -99,10 +103,10 @@
 fn run_until_limits_are_refused(sim: &mut Simulation, id: &str, kind: &str) {
     sim.controller.settings.may_reshard = true;
     sim.store.conditions.value_bytes_max = KB;
-    let before = sim.controller.too_large();
+    let before = sim.controller.too_large_transactions();
     sim.submit(small(id, kind, 60), 5_000);
     // With budget to spare it may be resharded before anything is refused.
-    sim.run_until("refused", 20_000, |sim| sim.controller.too_large() > before || chunk_of(sim, id) != 64);
+    sim.run_until("refused", 20_000, |sim| sim.controller.too_large_transactions() > before || chunk_of(sim, id) != 64);
 }
 
 fn leader_crashes_before_it_reshards(sim: &mut Simulation) {
@@ -118,7 +122,7 @@
     run_until_limits_are_refused(sim, "j-1", "ensemble");
     sim.controller.settings.crash_after_transaction = true;
     sim.run_until("dead", 20_000, |sim| !sim.has_leader());
-    assert_eq!(chunk_of(sim, "j-1"), sim.controller.settings.tasks_per_chunk_fit);
+    assert_eq!(chunk_of(sim, "j-1"), sim.controller.settings.reduced_tasks_per_chunk);
     sim.elect();
     sim.run_until("done", 120_000, done(&["j-1"]));
 }
@@ -128,7 +132,7 @@
     for id in ["j-1", "j-2", "j-3", "j-4", "j-5", "j-6"] {
         sim.elect();
         run_until_limits_are_refused(sim, id, "ensemble");
-        sim.network.rates = FaultRates { unanswered_transaction: 70, ..FaultRates::default() };
+        sim.network.rates = FaultRates { lost_transaction_response: 70, ..FaultRates::default() };
         sim.run(3_000);
         sim.network.rates = FaultRates::default();
     }
@@ -138,11 +142,11 @@
 
 fn cancelled_during_resharding(sim: &mut Simulation) {
     for (id, at) in [("j-1", 0), ("j-2", 100), ("j-3", 200), ("j-4", 500)] {
-        for unanswered_transaction in [0, 100] {
-            let id = format!("{id}{unanswered_transaction}");
+        for lost_transaction_response in [0, 100] {
+            let id = format!("{id}{lost_transaction_response}");
             sim.elect();
             run_until_limits_are_refused(sim, &id, "ensemble");
-            sim.network.rates = FaultRates { unanswered_transaction, ..FaultRates::default() };
+            sim.network.rates = FaultRates { lost_transaction_response, ..FaultRates::default() };
             sim.run(at);
             sim.cancel(&id);
             sim.run(1_000);
@@ -156,7 +160,7 @@
         sim.elect();
         sim.submit(small(&id, "batch", 60), 40_000);
         sim.run_until("runs", 20_000, |sim| sim.worker_running(&format!("{id}/5")).is_some());
-        sim.network.rates = FaultRates { unanswered_transaction: 100, ..FaultRates::default() };
+        sim.network.rates = FaultRates { lost_transaction_response: 100, ..FaultRates::default() };
         sim.controller.settings.may_reshard = true;
         sim.run(1_500);
         sim.cancel(&id);
@@ -183,7 +187,7 @@
     sim.store.conditions.value_bytes_max = KB;
     let starts = sim.starts();
     sim.run(10_000);
-    assert_eq!((sim.starts(), chunk_of(sim, "j-1")), (starts, sim.controller.settings.tasks_per_chunk_fit));
+    assert_eq!((sim.starts(), chunk_of(sim, "j-1")), (starts, sim.controller.settings.reduced_tasks_per_chunk));
     let placed_on = sim.worker_running("j-1/7").unwrap();
     sim.workers[placed_on].dead = true;
     sim.run_until("replaced", 60_000, |sim| sim.worker_running("j-1/7").is_some_and(|worker| worker != placed_on));
@@ -203,7 +207,7 @@
         let job = small(id, "batch", 60).with_cpus(1.0);
         sim.submit(job, 3_000 + 500 * n as u64);
         sim.run(4_500);
-        sim.network.rates = FaultRates { unanswered_transaction: 100, ..FaultRates::default() };
+        sim.network.rates = FaultRates { lost_transaction_response: 100, ..FaultRates::default() };
         sim.controller.settings.may_reshard = true;
         for _ in 0..6 {
             sim.add_worker("a");
@@ -212,7 +216,7 @@
         sim.workers.iter_mut().skip(4).for_each(|worker| worker.dead = worker.tasks.is_empty());
         sim.network.rates = FaultRates::default();
         sim.run_until("divided", 60_000, |sim| {
-            chunk_of(sim, id) == sim.controller.settings.tasks_per_chunk_fit || sim.status(id) == JobStatus::Done
+            chunk_of(sim, id) == sim.controller.settings.reduced_tasks_per_chunk || sim.status(id) == JobStatus::Done
         });
         sim.run_until("done", 120_000, |sim| sim.status(id) == JobStatus::Done);
     }
@@ -231,8 +235,8 @@
         lost_command: 5,
         repeated_command: 10,
         slow_command: 20,
-        unanswered_transaction: 25,
-        lost_heartbeat_answer: 10,
+        lost_transaction_response: 25,
+        lost_heartbeat_response: 10,
         late_heartbeat: 10,
         ..FaultRates::default()
     };
@@ -267,19 +271,19 @@
 /// Guard: fewer writes in a transaction than the settings say: it is cut
 /// smaller, not repeated as it was.
 fn fewer_writes_than_announced(sim: &mut Simulation) {
-    sim.store.conditions.operations_max = 2;
+    sim.store.conditions.transaction_writes_max = 2;
     sim.users.tasks_per_chunk = 4;
     sim.submit(small("j-1", "batch", 60), 5_000);
     sim.submit(small("j-2", "ensemble", 30), 5_000);
     sim.run_until("done", 200_000, done(&["j-1", "j-2"]));
-    assert!(sim.controller.too_large() < 8, "{} refused", sim.controller.too_large());
+    assert!(sim.controller.too_large_transactions() < 8, "{} refused", sim.controller.too_large_transactions());
 }
 
 /// An answer is lost at the moment of the change: the same again is refused.
 fn unanswered_transaction_is_refused_later(sim: &mut Simulation) {
     sim.run(3_000);
     sim.submit(small("j-1", "batch", 120), 5_000);
-    sim.network.rates = FaultRates { unanswered_transaction: 100, ..FaultRates::default() };
+    sim.network.rates = FaultRates { lost_transaction_response: 100, ..FaultRates::default() };
     sim.run_until("on its way", 10_000, |sim| sim.controller.transactions() > 0);
     sim.store.conditions.value_bytes_max = KB;
     sim.network.rates = FaultRates::default();
@@ -293,7 +297,7 @@
         let mut sim = simulation(seed);
         resharded_under_random_faults(&mut sim);
         sim.check(&format!("seed {seed}"));
-        eprintln!("seed {seed}: {} refused", sim.controller.too_large());
+        eprintln!("seed {seed}: {} refused", sim.controller.too_large_transactions());
     }
 }
 
@@ -313,5 +317,5 @@
         case("fewer writes", fewer_writes_than_announced),
         case("an unanswered one is refused", unanswered_transaction_is_refused_later),
     ];
-    run_table_in(cases, 1, simulation);
+    run_table_variants(cases, 1, simulation);
 }
--- a/tests/pipelines/cancellations.rs
+++ b/tests/pipelines/cancellations.rs
@@ -35,7 +35,7 @@
                 sim.run(100_000);
                 for (n, name) in names.iter().enumerate() {
                     let want = if won && n >= step { JobStatus::Cancelled } else { JobStatus::Done };
-                    assert_eq!(sim.status_told_to_users(name), Some(want), "{what}: {name}");
+                    assert_eq!(sim.status_reported_to_users(name), Some(want), "{what}: {name}");
                     assert!(n <= step || !won || !has_begun(&sim, name), "{what}: {name} began");
                 }
                 sim.check(&what);
@@ -56,7 +56,7 @@
     assert!(sim.status("j-1") == JobStatus::Cancelled && !has_begun(sim, "j-2"));
     sim.controller.settings.reads_paused = false;
     sim.run(30_000);
-    assert_eq!(sim.status_told_to_users("j-2"), Some(JobStatus::Cancelled));
+    assert_eq!(sim.status_reported_to_users("j-2"), Some(JobStatus::Cancelled));
 }
 
 /// Guard: the write of the end is under way when the job is cancelled.
@@ -65,7 +65,7 @@
     lose_transaction_answers_for_a_second(sim);
     let won = sim.cancel("j-1");
     sim.run(60_000);
-    assert_eq!(sim.status_told_to_users("j-2"), Some(if won { JobStatus::Cancelled } else { JobStatus::Done }));
+    assert_eq!(sim.status_reported_to_users("j-2"), Some(if won { JobStatus::Cancelled } else { JobStatus::Done }));
 }
 
 pub fn cancelled_while_the_store_is_unavailable(sim: &mut Simulation) {
@@ -79,7 +79,7 @@
     sim.run(20_000);
     sim.store.conditions.transactions_left = None;
     sim.run(60_000);
-    assert_eq!(sim.status_told_to_users("j-4"), Some(JobStatus::Cancelled));
+    assert_eq!(sim.status_reported_to_users("j-4"), Some(JobStatus::Cancelled));
 }
 
 /// It is accepted all the same, and never starts.
@@ -93,7 +93,7 @@
     sim.submit(after("j-4", "batch", 1, &["j-5", "j-2"]), 1_000);
     sim.run(30_000);
     for id in ["j-2", "j-3", "j-4"] {
-        assert!(sim.status_told_to_users(id) == Some(JobStatus::Cancelled) && !has_begun(sim, id), "{id}");
+        assert!(sim.status_reported_to_users(id) == Some(JobStatus::Cancelled) && !has_begun(sim, id), "{id}");
         assert_eq!(sim.status(id), JobStatus::Pending, "{id}: the first one's record is the fact");
     }
 }
--- a/tests/pipelines/cancelled_shapes.rs
+++ b/tests/pipelines/cancelled_shapes.rs
@@ -16,7 +16,7 @@
     sim.run(30_000);
     assert_eq!(sim.store.revision(), before.next(), "one cancellation is one write");
     let all_cancelled =
-        |sim: &Simulation| dependents.iter().all(|id| sim.status_told_to_users(id) == Some(JobStatus::Cancelled));
+        |sim: &Simulation| dependents.iter().all(|id| sim.status_reported_to_users(id) == Some(JobStatus::Cancelled));
     assert!(all_cancelled(sim), "under the same leader");
     sim.elect();
     let elected = sim.store.revision();
@@ -64,12 +64,12 @@
     assert!(sim.cancel("j-2"));
     sim.run_until("the other side goes on", 30_000, is_done("j-3"));
     sim.run(30_000);
-    assert_eq!(sim.status_told_to_users("j-4"), Some(JobStatus::Cancelled));
-    assert_eq!(sim.status_told_to_users("j-1"), Some(JobStatus::Done));
+    assert_eq!(sim.status_reported_to_users("j-4"), Some(JobStatus::Cancelled));
+    assert_eq!(sim.status_reported_to_users("j-1"), Some(JobStatus::Done));
     assert!(!has_begun(sim, "j-4"));
     sim.elect();
     sim.run(30_000);
-    assert_eq!(sim.status_told_to_users("j-4"), Some(JobStatus::Cancelled), "to the next leader");
+    assert_eq!(sim.status_reported_to_users("j-4"), Some(JobStatus::Cancelled), "to the next leader");
     assert!(!has_begun(sim, "j-4"));
 }
 
@@ -80,12 +80,12 @@
     sim.run_until("the second runs", 30_000, all_run("j-2", 1));
     sim.submit(after("j-3", "batch", 1, &["j-1", "j-2"]), 1_000);
     sim.run(10_000);
-    assert!(sim.status_told_to_users("j-3") == Some(JobStatus::Pending) && !has_begun(sim, "j-3"));
+    assert!(sim.status_reported_to_users("j-3") == Some(JobStatus::Pending) && !has_begun(sim, "j-3"));
     assert!(sim.cancel("j-2"));
     sim.run(30_000);
     for leader in ["the same leader", "the next leader"] {
-        assert_eq!(sim.status_told_to_users("j-3"), Some(JobStatus::Cancelled), "{leader}");
-        assert_eq!(sim.status_told_to_users("j-1"), Some(JobStatus::Done), "{leader}");
+        assert_eq!(sim.status_reported_to_users("j-3"), Some(JobStatus::Cancelled), "{leader}");
+        assert_eq!(sim.status_reported_to_users("j-1"), Some(JobStatus::Done), "{leader}");
         assert!(!has_begun(sim, "j-3"), "{leader}");
         sim.elect();
         sim.run(10_000);
--- a/tests/pipelines/helpers.rs
+++ b/tests/pipelines/helpers.rs
@@ -35,7 +35,7 @@
 /// No transaction of the next second is answered: half of them are applied at
 /// once, half later.
 pub fn lose_transaction_answers_for_a_second(sim: &mut Simulation) {
-    sim.network.rates = FaultRates { unanswered_transaction: 100, ..FaultRates::default() };
+    sim.network.rates = FaultRates { lost_transaction_response: 100, ..FaultRates::default() };
     sim.run(1_000);
     sim.network.rates = FaultRates::default();
 }
--- a/tests/pipelines/random_faults.rs
+++ b/tests/pipelines/random_faults.rs
@@ -18,8 +18,8 @@
             lost_command: 5,
             repeated_command: 20,
             slow_command: 20,
-            unanswered_transaction: 15,
-            lost_heartbeat_answer: 10,
+            lost_transaction_response: 15,
+            lost_heartbeat_response: 10,
             late_heartbeat: 10,
             ..FaultRates::default()
         };
@@ -69,8 +69,9 @@
 /// Without faults, every job is done or cancelled in the end, and nothing broke
 /// an invariant.
 fn run_until_all_are_over(sim: &mut Simulation, names: &[String], seed: u64) {
-    let over =
-        |sim: &Simulation| names.iter().all(|n| sim.status_told_to_users(n).is_some_and(|s| s != JobStatus::Pending));
+    let over = |sim: &Simulation| {
+        names.iter().all(|n| sim.status_reported_to_users(n).is_some_and(|s| s != JobStatus::Pending))
+    };
     sim.run_until(&format!("all over, seed {seed}"), 600_000, over);
     sim.run(60_000);
     sim.check(&format!("seed {seed}"));
@@ -87,15 +88,15 @@
         let mut sim = Simulation::new(seed, 6);
         sim.workers.settings.slots = 20;
         sim.users.tasks_per_chunk = 64;
-        sim.controller.settings.tasks_per_chunk_fit = 12;
+        sim.controller.settings.reduced_tasks_per_chunk = 12;
         sim.store.conditions.value_bytes_max = 16 << 10;
         sim.controller.settings.value_bytes_max = 16 << 10;
-        sim.controller.settings.value_bytes_fit = 1 << 10;
+        sim.controller.settings.reduced_value_bytes_max = 1 << 10;
         sim.network.rates = FaultRates {
             late_command: 5,
             slow_command: 20,
-            unanswered_transaction: 15,
-            lost_heartbeat_answer: 10,
+            lost_transaction_response: 15,
+            lost_heartbeat_response: 10,
             ..FaultRates::default()
         };
         let mut is_new = [false; 5];
@@ -109,7 +110,7 @@
             }
             let all_new = is_new.iter().all(|n| *n);
             if !sim.has_leader() || sim.random_below(3) == 0 {
-                sim.controller.settings.writes_old_form = !is_new[sim.random_below(5)];
+                sim.controller.settings.writes_previous_format = !is_new[sim.random_below(5)];
                 sim.controller.settings.may_reshard = all_new;
                 sim.elect();
             }
@@ -147,7 +148,7 @@
         sim.network.rates = FaultRates::default();
         sim.controller.settings.crash_after_transaction = false;
         sim.controller.settings.crash_before_transaction = false;
-        sim.controller.settings.writes_old_form = false;
+        sim.controller.settings.writes_previous_format = false;
         sim.controller.settings.may_reshard = true;
         sim.elect();
         run_until_all_are_over(&mut sim, &names, seed);
--- a/tests/pipelines/urgency.rs
+++ b/tests/pipelines/urgency.rs
@@ -103,7 +103,7 @@
     sim.cloud.settings.capacity = 0;
     sim.submit(whole_machine("j-2", "ensemble", 2, "low", &["j-1"]), 1_000);
     sim.run_until("the prerequisite is done", 130_000, is_done("j-1"));
-    sim.cloud.forget_requests();
+    sim.cloud.clear_requests();
     let ready_ms = recorded(sim, "j-1").at_ms;
     sim.run(PATIENCE_MS / 2);
     assert!(sim.cloud.requests().iter().any(|request| request.spot), "cheap machines are asked for at once");
--- a/tests/safety_rules/autoscaling.rs
+++ b/tests/safety_rules/autoscaling.rs
@@ -8,7 +8,7 @@
 /// and no later leader uses a name of an earlier one.
 pub fn rental_requests_are_idempotent(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 6;
-    sim.network.rates = FaultRates { lost_rental_answer: 100, ..FaultRates::default() };
+    sim.network.rates = FaultRates { lost_scale_out_response: 100, ..FaultRates::default() };
     sim.elect();
     sim.submit(submission("j-1", "batch", 24), 8_000);
     sim.run(8_000);
@@ -23,7 +23,7 @@
             sim.cloud.requests().iter().any(|other| other.name == request.name && other.term != request.term);
         assert!(!other_leader, "{} in two leaderships", request.name);
     }
-    assert!(sim.cloud.requests().len() > sim.cloud.granted(), "some were repeated");
+    assert!(sim.cloud.requests().len() > sim.cloud.fulfilled_requests(), "some were repeated");
 }
 
 /// Guard: machines were rented without end in one zone for a gang that must be
@@ -58,10 +58,10 @@
     let dead = |sim: &Simulation| sim.workers.iter().filter(|worker| worker.dead).count();
     let dead_before = dead(sim);
     sim.submit(submission("j-2", "batch", 60), 40_000);
-    sim.run_until("new machines come", 20_000, |sim| sim.cloud.granted() > 3);
+    sim.run_until("new machines come", 20_000, |sim| sim.cloud.fulfilled_requests() > 3);
     sim.run(500);
     let last = sim.workers.len() - 1;
-    sim.workers[last].delay_boot();
+    sim.workers[last].prevent_boot();
     sim.run_until("it goes back", 60_000, |sim| sim.workers[last].dead);
     assert_eq!(dead(sim), dead_before + 1, "the others are kept");
 }
@@ -72,7 +72,7 @@
 pub fn long_machine_list_is_read_to_its_end(sim: &mut Simulation) {
     sim.add_workers(12);
     sim.cloud.settings.capacity = 1;
-    sim.cloud.settings.list_page = 3;
+    sim.cloud.settings.list_page_size = 3;
     sim.cloud.settings.refuses_every_second_page = true;
     // They are known by the list alone, and never send a heartbeat: each is released.
     sim.workers[4..].iter_mut().for_each(|worker| worker.faults.partitioned = true);
--- a/tests/safety_rules/best_effort.rs
+++ b/tests/safety_rules/best_effort.rs
@@ -3,7 +3,7 @@
 use shedhook::storage::records::JobStatus;
 
 use crate::simulation::{
-    cloud::{CHEAP_MACHINE_TYPE, MACHINE_TYPE},
+    cloud::{LOW_PRICED_MACHINE_TYPE, MACHINE_TYPE},
     submission, Simulation, SubmissionBuilder,
 };
 
@@ -59,7 +59,7 @@
 /// long as a team without a guarantee had tasks for their CPUs.
 pub fn expensive_machines_are_not_kept_for_best_effort(sim: &mut Simulation) {
     sim.controller.settings.quotas.red_gpus_guaranteed = Some(4.0);
-    sim.cloud.settings.offers_cheap_type = true;
+    sim.cloud.settings.offers_low_priced_type = true;
     sim.elect();
     sim.run(5_000);
     sim.submit(
@@ -73,5 +73,5 @@
     sim.run_until("the expensive machines go back", 60_000, expensive_ones_went);
     assert!(sim.workers.halts().iter().all(|halt| halt.grace_s >= 3.0), "its tasks can save what they did");
     sim.run_until("it is served on cheap ones", 200_000, |sim| sim.status("j-1") == JobStatus::Done);
-    assert!(sim.workers.iter().any(|worker| worker.spec.machine_type == CHEAP_MACHINE_TYPE));
+    assert!(sim.workers.iter().any(|worker| worker.spec.machine_type == LOW_PRICED_MACHINE_TYPE));
 }
--- a/tests/safety_rules/launches.rs
+++ b/tests/safety_rules/launches.rs
@@ -56,14 +56,14 @@
     sim.workers.iter_mut().skip(2).for_each(|worker| worker.dead = true);
     sim.run(5_000);
     sim.submit_gang_with_launches_in_flight(15_000);
-    sim.workers[0].faults.answers_lost = true;
+    sim.workers[0].faults.responses_lost = true;
     sim.run(2_000);
     // The other one is lost: the gang stops, and starts anew when all of it is gone.
     sim.restart_worker(1);
     sim.add_worker("b");
     sim.add_worker("a");
     sim.run(20_000);
-    sim.workers[0].faults.answers_lost = false;
+    sim.workers[0].faults.responses_lost = false;
     sim.run_until("runs", 60_000, |sim| sim.worker_running("j-1/0").is_some() && sim.worker_running("j-1/1").is_some());
 }
 
--- a/tests/safety_rules/random_faults.rs
+++ b/tests/safety_rules/random_faults.rs
@@ -22,10 +22,10 @@
             lost_command: 5,
             repeated_command: 20,
             slow_command: 20,
-            unanswered_transaction: 10,
-            lost_heartbeat_answer: 10,
+            lost_transaction_response: 10,
+            lost_heartbeat_response: 10,
             late_heartbeat: 10,
-            lost_rental_answer: 30,
+            lost_scale_out_response: 30,
             ..FaultRates::default()
         };
         sim.elect();
--- a/tests/safety_rules/scale.rs
+++ b/tests/safety_rules/scale.rs
@@ -34,7 +34,7 @@
         let (kind, size, run) = if service { ("service", 8, 0) } else { ("batch", 20 + (n % 40) as u32, 3_000) };
         let job = submission(&id, kind, size).with_spread(service).with_priority(if service { "prod" } else { "low" });
         tasks += size as usize;
-        while !sim.submit_at(n / 10 % 5, job.clone(), run) {
+        while !sim.submit_to_controller(n / 10 % 5, job.clone(), run) {
             refused += 1;
             sim.run(1_000);
         }
--- a/tests/safety_rules/transactions.rs
+++ b/tests/safety_rules/transactions.rs
@@ -5,7 +5,7 @@
 use crate::simulation::{submission, FaultRates, Simulation, SubmissionBuilder};
 
 pub fn late_transaction_of_the_previous_leader(sim: &mut Simulation) {
-    sim.network.rates = FaultRates { unanswered_transaction: 100, ..FaultRates::default() };
+    sim.network.rates = FaultRates { lost_transaction_response: 100, ..FaultRates::default() };
     sim.submit(submission("j-1", "batch", 8), 4_000);
     sim.run(500);
     sim.network.rates = FaultRates::default();
@@ -20,7 +20,7 @@
     sim.workers.iter_mut().skip(1).for_each(|worker| worker.dead = true);
     sim.run(5_000);
     sim.submit(submission("j-1", "service", 1).with_priority("low"), 0);
-    sim.network.rates = FaultRates { unanswered_transaction: 100, ..FaultRates::default() };
+    sim.network.rates = FaultRates { lost_transaction_response: 100, ..FaultRates::default() };
     sim.run_until("a copy is held", 60_000, |sim| sim.network.in_flight() > 0);
     sim.network.rates = FaultRates::default();
     let at = sim.now() + 30_000;
@@ -36,7 +36,7 @@
 }
 
 pub fn every_second_transaction_is_unanswered(sim: &mut Simulation) {
-    sim.network.rates = FaultRates { unanswered_transaction: 50, ..FaultRates::default() };
+    sim.network.rates = FaultRates { lost_transaction_response: 50, ..FaultRates::default() };
     sim.submit(submission("j-1", "batch", 12), 2_000);
     sim.submit(submission("j-2", "service", 2), 0);
     sim.run_until("done", 300_000, |sim| sim.status("j-1") == JobStatus::Done);
@@ -47,8 +47,8 @@
 pub fn leaders_in_quick_succession(sim: &mut Simulation) {
     sim.network.rates = FaultRates {
         late_command: 30,
-        unanswered_transaction: 30,
-        lost_heartbeat_answer: 20,
+        lost_transaction_response: 30,
+        lost_heartbeat_response: 20,
         late_heartbeat: 20,
         ..FaultRates::default()
     };
--- a/tests/safety_rules/worker_leases.rs
+++ b/tests/safety_rules/worker_leases.rs
@@ -63,7 +63,7 @@
     assert!(there.len() > 4);
     let longest_renewal = Simulation::longest_renewal_by_peer();
     sim.partition_zone("b", true, true);
-    sim.controller.settings.peers_silent_since = Some(sim.now());
+    sim.controller.settings.peers_unreachable_since = Some(sim.now());
     // The leader was inside; another one is elected, and a user cancels.
     sim.run(3_000);
     sim.elect();
@@ -81,7 +81,7 @@
     sim.run(6_000);
     sim.partition_zone("b", false, false);
     sim.run(500);
-    sim.controller.settings.peers_silent_since = None;
+    sim.controller.settings.peers_unreachable_since = None;
     sim.run(20_000);
     assert_eq!(in_b(sim), there, "and are there when the cut is over");
 }
--- a/tests/simulation/cases.rs
+++ b/tests/simulation/cases.rs
@@ -18,7 +18,7 @@
 
 /// Plays each case with four workers and a leader, and names every one that fails.
 pub fn run_table(cases: &[Case]) {
-    run_table_in(cases, 1, |seed| {
+    run_table_variants(cases, 1, |seed| {
         let mut simulation = Simulation::new(seed, 4);
         simulation.elect();
         simulation
@@ -28,7 +28,7 @@
 /// Plays each case in so many variants, in what `prepare` makes of their seeds,
 /// and names every one that fails. The seeds of a case are its number, and that
 /// number with a multiple of a hundred added.
-pub fn run_table_in(cases: &[Case], variants: u64, prepare: fn(u64) -> Simulation) {
+pub fn run_table_variants(cases: &[Case], variants: u64, prepare: fn(u64) -> Simulation) {
     assert!((cases.len() as u64) < VARIANT_SEEDS);
     let mut failed = Vec::new();
     for (number, case) in cases.iter().enumerate() {
@@ -38,7 +38,7 @@
             let played = std::panic::catch_unwind(|| {
                 let mut simulation = prepare(seed);
                 (case.play)(&mut simulation);
-                eprintln!("  transactions refused as too large: {}", simulation.controller.too_large());
+                eprintln!("  transactions refused as too large: {}", simulation.controller.too_large_transactions());
                 simulation.check(case.name);
             });
             if played.is_err() {
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -19,13 +19,13 @@
 pub const MACHINE_TYPE: &str = "m";
 
 /// A tenth of its price, and no GPUs.
-pub const CHEAP_MACHINE_TYPE: &str = "c";
+pub const LOW_PRICED_MACHINE_TYPE: &str = "c";
 
 /// The zones of the cloud.
 pub const ZONES: [&str; 2] = ["a", "b"];
 
 /// A scale-out as the cloud was asked for it; the name makes it idempotent.
-pub struct RentalRequest {
+pub struct ScaleOutRequest {
     pub at: Millis,
     pub term: Term,
     pub name: String,
@@ -38,11 +38,11 @@
     /// Spot machines the cloud still has to give, of `capacity`.
     pub spot_capacity: u32,
     /// Machines on one page of the cloud's list.
-    pub list_page: usize,
+    pub list_page_size: usize,
     pub refuses_every_second_page: bool,
     /// How long a rented machine takes to come up.
     pub boot_ms: Millis,
-    pub offers_cheap_type: bool,
+    pub offers_low_priced_type: bool,
     /// Price of a spot machine; others cost 1.
     pub spot_price: f64,
 }
@@ -52,10 +52,10 @@
         CloudSettings {
             capacity: 0,
             spot_capacity: u32::MAX,
-            list_page: usize::MAX,
+            list_page_size: usize::MAX,
             refuses_every_second_page: false,
             boot_ms: 0,
-            offers_cheap_type: false,
+            offers_low_priced_type: false,
             spot_price: 0.5,
         }
     }
@@ -66,23 +66,23 @@
     pub settings: CloudSettings,
     /// Machine names by the request's name.
     rentals: HashMap<String, Vec<String>>,
-    requests: Vec<RentalRequest>,
+    requests: Vec<ScaleOutRequest>,
     pages_requested: u32,
     has_offered: bool,
 }
 
 impl SimulatedCloud {
     /// All requests for machines, repeated ones included.
-    pub fn requests(&self) -> &[RentalRequest] {
+    pub fn requests(&self) -> &[ScaleOutRequest] {
         &self.requests
     }
 
-    pub fn forget_requests(&mut self) {
+    pub fn clear_requests(&mut self) {
         self.requests.clear();
     }
 
     /// How many different requests were granted.
-    pub fn granted(&self) -> usize {
+    pub fn fulfilled_requests(&self) -> usize {
         self.rentals.len()
     }
 
@@ -105,9 +105,9 @@
             zones: ZONES.iter().map(|zone| interners.zones.find(zone).unwrap()).collect(),
         };
         let mut types = vec![machine_type.clone()];
-        if self.settings.offers_cheap_type {
+        if self.settings.offers_low_priced_type {
             types.push(MachineTypeSpec {
-                index: interners.types.find(CHEAP_MACHINE_TYPE).unwrap(),
+                index: interners.types.find(LOW_PRICED_MACHINE_TYPE).unwrap(),
                 capacity: Resources { gpus: 0.0, ..machine_type.capacity },
                 price: machine_type.price / 10.0,
                 spot_price: machine_type.spot_price / 10.0,
@@ -125,19 +125,19 @@
         }
         let is_on_page = |worker: &&Worker| !worker.dead && from.is_none_or(|from| worker.id.as_str() > from);
         let rest: Vec<ListedHost> = workers.iter().filter(is_on_page).map(|worker| listed_host(worker, now)).collect();
-        let truncated = rest.len() > self.settings.list_page;
-        Some(HostList { hosts: rest.into_iter().take(self.settings.list_page).collect(), truncated })
+        let truncated = rest.len() > self.settings.list_page_size;
+        Some(HostList { hosts: rest.into_iter().take(self.settings.list_page_size).collect(), truncated })
     }
 
     /// Rents machines and returns their names; `None`: there are none to give.
-    pub(super) fn rent(
+    pub(super) fn provision(
         &mut self,
         now: Millis,
         term: Term,
         request: &ProvisionRequest,
         workers: &mut SimulatedWorkers,
     ) -> Option<Vec<String>> {
-        self.requests.push(RentalRequest { at: now, term, name: request.request.clone(), spot: request.spot });
+        self.requests.push(ScaleOutRequest { at: now, term, name: request.request.clone(), spot: request.spot });
         if let Some(same) = self.rentals.get(&request.request) {
             return Some(same.clone());
         }
--- a/tests/simulation/commits.rs
+++ b/tests/simulation/commits.rs
@@ -91,11 +91,11 @@
         }
         conditions.transactions_left = conditions.transactions_left.map(|left| left - 1);
         if conditions.is_too_large(&transaction) {
-            self.controller.count_too_large();
+            self.controller.count_too_large_transaction();
             self.controller.transaction_failed(now, CommitOutcome::TooLarge);
             return;
         }
-        if self.random.chance(self.network.rates.unanswered_transaction) {
+        if self.random.chance(self.network.rates.lost_transaction_response) {
             if self.random.coin() {
                 let _ = self.store.apply(&transaction);
             } else {
@@ -122,6 +122,6 @@
             self.stop_leader();
             return;
         }
-        self.controller.committed(now, outcome);
+        self.controller.transaction_finished(now, outcome);
     }
 }
--- a/tests/simulation/controller.rs
+++ b/tests/simulation/controller.rs
@@ -22,7 +22,7 @@
 };
 
 use super::{
-    cloud::{CHEAP_MACHINE_TYPE, MACHINE_TYPE, ZONES},
+    cloud::{LOW_PRICED_MACHINE_TYPE, MACHINE_TYPE, ZONES},
     controller_settings::ControllerSettings,
     network::DirectCall,
     random::RandomSource,
@@ -56,7 +56,7 @@
         for team in ["red", "blue"] {
             interners.teams.intern(team);
         }
-        for machine_type in [MACHINE_TYPE, CHEAP_MACHINE_TYPE] {
+        for machine_type in [MACHINE_TYPE, LOW_PRICED_MACHINE_TYPE] {
             interners.types.intern(machine_type);
         }
         for zone in ZONES {
@@ -80,7 +80,7 @@
     }
 
     /// Transactions that the store refused for their size.
-    pub fn too_large(&self) -> usize {
+    pub fn too_large_transactions(&self) -> usize {
         self.too_large
     }
 
@@ -88,7 +88,7 @@
         self.transactions += 1;
     }
 
-    pub(super) fn count_too_large(&mut self) {
+    pub(super) fn count_too_large_transaction(&mut self) {
         self.too_large += 1;
     }
 
@@ -110,7 +110,7 @@
         self.leader.as_ref().map(|leader| leader.cluster().machine(machine).id.clone()).unwrap_or_default()
     }
 
-    pub(super) fn status_told_to_users(&self, id: &str) -> Option<JobStatus> {
+    pub(super) fn status_reported_to_users(&self, id: &str) -> Option<JobStatus> {
         self.job_cache.find(id).map(|index| self.job_cache.get(index).status)
     }
 
@@ -164,7 +164,7 @@
             leader.update_job(now, now, index, &self.job_cache);
         }
         // Once heard again, those behind the partition say when they last renewed a lease.
-        let silent_since = self.settings.peers_silent_since;
+        let silent_since = self.settings.peers_unreachable_since;
         let mut no_peer_renewals =
             TimeSpan { from: self.last_peer_renewal as i64, to: silent_since.unwrap_or(now) as i64 };
         if let Some(since) = silent_since {
@@ -205,7 +205,7 @@
             return None;
         }
         let mut transaction = leader.commit(now, allowance.writes, allowance.spare, &self.interners)?;
-        if self.settings.writes_old_form {
+        if self.settings.writes_previous_format {
             to_old_form(&mut transaction);
         }
         Some(transaction)
@@ -213,7 +213,7 @@
 
     /// The leader learns the outcome of its transaction, and steps down if it
     /// has lost the leadership.
-    pub(super) fn committed(&mut self, now: Millis, outcome: CommitOutcome) {
+    pub(super) fn transaction_finished(&mut self, now: Millis, outcome: CommitOutcome) {
         if self.leader.as_mut().is_some_and(|leader| !leader.transaction_finished(now, outcome)) {
             self.leader = None;
         }
@@ -242,25 +242,25 @@
         }
     }
 
-    pub(super) fn probed(&mut self, now: Millis, machine: MachineIndex, heartbeat: Option<&Heartbeat>) {
+    pub(super) fn probe_finished(&mut self, now: Millis, machine: MachineIndex, heartbeat: Option<&Heartbeat>) {
         if let Some(leader) = &mut self.leader {
             leader.probe_finished(now, machine, heartbeat, &self.job_cache, &mut self.interners);
         }
     }
 
-    pub(super) fn rented(&mut self, now: Millis, call: CallId, outcome: ScaleOutOutcome) {
+    pub(super) fn scale_out_finished(&mut self, now: Millis, call: CallId, outcome: ScaleOutOutcome) {
         if let Some(leader) = &mut self.leader {
             leader.scale_out_finished(now, call, outcome);
         }
     }
 
-    pub(super) fn returned(&mut self, now: Millis, call: CallId) {
+    pub(super) fn scale_in_finished(&mut self, now: Millis, call: CallId) {
         if let Some(leader) = &mut self.leader {
             leader.scale_in_finished(now, call, true);
         }
     }
 
-    pub(super) fn listed(&mut self, now: Millis, call: CallId, list: Option<&HostList>) {
+    pub(super) fn machines_listed(&mut self, now: Millis, call: CallId, list: Option<&HostList>) {
         if let Some(leader) = &mut self.leader {
             leader.machines_listed(now, call, list, &mut self.interners);
         }
--- a/tests/simulation/controller_settings.rs
+++ b/tests/simulation/controller_settings.rs
@@ -37,14 +37,14 @@
     /// The announced limit of a value in bytes.
     pub value_bytes_max: usize,
     /// The size of values that fit later too, in bytes.
-    pub value_bytes_fit: usize,
+    pub reduced_value_bytes_max: usize,
     /// Tasks per chunk whose record fits later too.
-    pub tasks_per_chunk_fit: u32,
+    pub reduced_tasks_per_chunk: u32,
     /// All controllers know that jobs can be divided into chunks anew.
     pub may_reshard: bool,
     /// The leader writes records as the version before did: no time in the end
     /// of a job.
-    pub writes_old_form: bool,
+    pub writes_previous_format: bool,
     /// The leader reads no changes.
     pub reads_paused: bool,
     /// Once: the leader crashes just before its next transaction.
@@ -52,7 +52,7 @@
     /// Once: the leader crashes just after its next transaction.
     pub crash_after_transaction: bool,
     /// Since when the controllers behind a partition have not been heard.
-    pub peers_silent_since: Option<Millis>,
+    pub peers_unreachable_since: Option<Millis>,
 }
 
 impl Default for ControllerSettings {
@@ -61,14 +61,14 @@
             quotas: TeamQuotas::default(),
             heartbeat_timeout_ms: NEVER_MS,
             value_bytes_max: usize::MAX,
-            value_bytes_fit: usize::MAX,
-            tasks_per_chunk_fit: u32::MAX,
+            reduced_value_bytes_max: usize::MAX,
+            reduced_tasks_per_chunk: u32::MAX,
             may_reshard: false,
-            writes_old_form: false,
+            writes_previous_format: false,
             reads_paused: false,
             crash_before_transaction: false,
             crash_after_transaction: false,
-            peers_silent_since: None,
+            peers_unreachable_since: None,
         }
     }
 }
@@ -82,8 +82,8 @@
             gang_peer_s: 8.0,
             max_transaction_writes: TRANSACTION_WRITES_MAX,
             max_value_bytes: self.value_bytes_max,
-            reduced_max_value_bytes: self.value_bytes_fit,
-            reduced_chunk_size: self.tasks_per_chunk_fit,
+            reduced_max_value_bytes: self.reduced_value_bytes_max,
+            reduced_chunk_size: self.reduced_tasks_per_chunk,
             host_list_delay_ms: 1_000,
             teams: self.quotas.limits(),
             objectives: Vec::new(),
--- a/tests/simulation/delivery.rs
+++ b/tests/simulation/delivery.rs
@@ -30,7 +30,7 @@
                 let outcome = self.workers.execute_command(now, worker, &request);
                 self.controller.direct_call_result(now, call, outcome);
             }
-            Message::CommandAnswer { outcome, call } => self.controller.direct_call_result(now, call, outcome),
+            Message::CommandResponse { outcome, call } => self.controller.direct_call_result(now, call, outcome),
             // Whatever is answered, nobody listens any more.
             Message::Heartbeat(heartbeat) => drop(self.controller.heartbeat(now, &heartbeat)),
             Message::Transaction(transaction) => drop(self.store.apply(&transaction)),
@@ -38,11 +38,11 @@
                 let outcome = self.store.commit(&transaction);
                 let latency_max = self.store.conditions.transaction_latency_max_ms;
                 let due = now + self.random.delay(0..latency_max.max(1));
-                self.network.send_at(due, Message::TransactionAnswer { outcome, term });
+                self.network.send_at(due, Message::TransactionResponse { outcome, term });
             }
-            Message::TransactionAnswer { outcome, term } => {
+            Message::TransactionResponse { outcome, term } => {
                 if self.controller.term() == term {
-                    self.controller.committed(now, outcome);
+                    self.controller.transaction_finished(now, outcome);
                 }
             }
         }
@@ -83,7 +83,10 @@
         let id = self.workers[worker].id.clone();
         self.check_commands(&id, &response.commands);
         let faults = self.workers[worker].faults;
-        if faults.answers_lost || faults.inbound_lost || self.random.chance(self.network.rates.lost_heartbeat_answer) {
+        if faults.responses_lost
+            || faults.inbound_lost
+            || self.random.chance(self.network.rates.lost_heartbeat_response)
+        {
             return;
         }
         if self.workers[worker].accept_response(sent, &response) {
--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -25,18 +25,18 @@
                 self.send_command(call, request);
             }
             Effect::ScaleOut { call, request } => {
-                let outcome = self.rent(&request);
-                self.controller.rented(now, call, outcome);
+                let outcome = self.scale_out(&request);
+                self.controller.scale_out_finished(now, call, outcome);
             }
             Effect::ScaleIn { call, ids } => {
                 let returned = self.workers.iter_mut().filter(|worker| ids.contains(&worker.id));
                 returned.for_each(Worker::terminate);
-                self.controller.returned(now, call);
+                self.controller.scale_in_finished(now, call);
             }
             Effect::Probe { machine, .. } => self.probe(machine),
             Effect::ListMachines { call, from } => {
                 let list = self.cloud.list(now, from.as_deref(), &self.workers);
-                self.controller.listed(now, call, list.as_ref());
+                self.controller.machines_listed(now, call, list.as_ref());
             }
         }
     }
@@ -47,7 +47,7 @@
         let id = self.controller.machine_id(call.machine);
         let Some(worker) = self.workers.position(&id) else { return };
         self.check_commands(&id, &request.commands);
-        if !self.workers[worker].is_reached() {
+        if !self.workers[worker].is_reachable() {
             if self.workers[worker].faults.hung {
                 self.network.send_at(now + 1_000, Message::Command { worker, request });
             }
@@ -74,17 +74,17 @@
             self.network.send_at(due, Message::Command { worker, request: request.clone() });
         }
         let outcome = self.workers.execute_command(now, worker, &request);
-        if self.random.chance(self.network.rates.slow_command_answer) {
+        if self.random.chance(self.network.rates.slow_command_response) {
             let due = now + self.random.delay(300..1_900);
-            self.network.send_at(due, Message::CommandAnswer { outcome, call });
+            self.network.send_at(due, Message::CommandResponse { outcome, call });
             return;
         }
         self.controller.direct_call_result(now, call, outcome);
     }
 
-    fn rent(&mut self, request: &ProvisionRequest) -> ScaleOutOutcome {
-        let rented = self.cloud.rent(self.now, self.controller.term(), request, &mut self.workers);
-        if self.random.chance(self.network.rates.lost_rental_answer) {
+    fn scale_out(&mut self, request: &ProvisionRequest) -> ScaleOutOutcome {
+        let rented = self.cloud.provision(self.now, self.controller.term(), request, &mut self.workers);
+        if self.random.chance(self.network.rates.lost_scale_out_response) {
             return ScaleOutOutcome::Retry;
         }
         rented.map_or(ScaleOutOutcome::NoCapacity, ScaleOutOutcome::Provisioned)
@@ -92,8 +92,8 @@
 
     fn probe(&mut self, machine: MachineIndex) {
         let id = self.controller.machine_id(machine);
-        let worker = self.workers.iter_mut().find(|worker| worker.id == id && worker.is_reached());
+        let worker = self.workers.iter_mut().find(|worker| worker.id == id && worker.is_reachable());
         let heartbeat = worker.map(Worker::heartbeat);
-        self.controller.probed(self.now, machine, heartbeat.as_ref());
+        self.controller.probe_finished(self.now, machine, heartbeat.as_ref());
     }
 }
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -210,7 +210,7 @@
     /// Stricter than the rule: whoever has read the cancellation calls all that
     /// need the job cancelled, at once.
     pub(super) fn jobs_with_cancelled_prerequisites(&self) -> Vec<String> {
-        let told = |id: &str| self.controller.status_told_to_users(id);
+        let told = |id: &str| self.controller.status_reported_to_users(id);
         self.users
             .jobs()
             .filter(|(id, job)| self.has_cancelled_prerequisite(job) && told(id) != Some(JobStatus::Cancelled))
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -141,7 +141,7 @@
     fn step(&mut self) {
         self.now += STEP_MS;
         if let Some(budgets) = self.write_budgets.as_mut().filter(|_| self.now.is_multiple_of(WRITE_SHARING_MS)) {
-            budgets.share(self.now);
+            budgets.exchange_usage(self.now);
         }
         self.deliver_delayed();
         for worker in 0..self.workers.len() {
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -36,7 +36,7 @@
         call: DirectCall,
     },
     /// The command was carried out; this is what the leader hears of it.
-    CommandAnswer {
+    CommandResponse {
         outcome: DirectCallOutcome,
         call: DirectCall,
     },
@@ -48,7 +48,7 @@
         transaction: Transaction,
         term: Term,
     },
-    TransactionAnswer {
+    TransactionResponse {
         outcome: CommitOutcome,
         term: Term,
     },
@@ -71,14 +71,14 @@
     /// A command takes a second or two to be executed and answered.
     pub slow_command: u32,
     /// A command is executed at once, its answer takes a second or two.
-    pub slow_command_answer: u32,
+    pub slow_command_response: u32,
     /// The answer to a transaction is lost; half of those are applied at once,
     /// half later.
-    pub unanswered_transaction: u32,
+    pub lost_transaction_response: u32,
     /// A transaction gets no answer and is carried out 2 to 12 s later.
     pub late_transaction: u32,
     /// The answer to a heartbeat is lost.
-    pub lost_heartbeat_answer: u32,
+    pub lost_heartbeat_response: u32,
     /// A heartbeat also arrives a second time, late.
     pub late_heartbeat: u32,
     /// A heartbeat arrives again from within a lease to four of them later.
@@ -86,7 +86,7 @@
     /// A heartbeat does not arrive now, but some seconds later, unanswered.
     pub delayed_heartbeat: u32,
     /// The answer to a scale-out is lost.
-    pub lost_rental_answer: u32,
+    pub lost_scale_out_response: u32,
 }
 
 #[derive(Default)]
@@ -144,10 +144,10 @@
 impl Simulation {
     /// Cuts a zone off or connects it again; behind the partition another
     /// controller may renew its workers' leases.
-    pub fn partition_zone(&mut self, zone: &str, partitioned: bool, lease_kept_by_peer: bool) {
+    pub fn partition_zone(&mut self, zone: &str, partitioned: bool, lease_renewed_by_peer: bool) {
         for worker in self.workers.iter_mut().filter(|worker| worker.spec.zone == zone) {
             worker.faults.partitioned = partitioned;
-            worker.faults.lease_kept_by_peer = lease_kept_by_peer;
+            worker.faults.lease_renewed_by_peer = lease_renewed_by_peer;
         }
     }
 
@@ -173,11 +173,11 @@
         conditions.refuses_leader = false;
         conditions.read_latency_max_ms = 0;
         conditions.transaction_latency_max_ms = 0;
-        self.controller.settings.peers_silent_since = None;
+        self.controller.settings.peers_unreachable_since = None;
         for worker in self.workers.iter_mut() {
             worker.faults = WorkerFaults::default();
         }
-        self.starvation.forget_waits();
+        self.starvation.clear_waits();
         if !self.has_leader() {
             self.elect();
         }
--- a/tests/simulation/progress.rs
+++ b/tests/simulation/progress.rs
@@ -16,7 +16,7 @@
 }
 
 impl StarvationCheck {
-    pub(super) fn forget_waits(&mut self) {
+    pub(super) fn clear_waits(&mut self) {
         self.waiting_since.clear();
     }
 
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -33,7 +33,7 @@
     /// The largest value that it accepts now, in bytes.
     pub value_bytes_max: usize,
     /// Most writes of a transaction that it accepts now.
-    pub operations_max: usize,
+    pub transaction_writes_max: usize,
 }
 
 impl Default for StoreConditions {
@@ -44,7 +44,7 @@
             read_latency_max_ms: 0,
             transaction_latency_max_ms: 0,
             value_bytes_max: usize::MAX,
-            operations_max: usize::MAX,
+            transaction_writes_max: usize::MAX,
         }
     }
 }
@@ -56,7 +56,7 @@
             WriteOperation::Put { value, .. } => records::json_size(value) > self.value_bytes_max,
             _ => false,
         };
-        transaction.writes.len() > self.operations_max || transaction.writes.iter().any(too_large)
+        transaction.writes.len() > self.transaction_writes_max || transaction.writes.iter().any(too_large)
     }
 }
 
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -121,7 +121,7 @@
     }
 
     /// A submission at one of the controllers: false when it is over its budget.
-    pub fn submit_at(&mut self, controller: usize, submission: Submission, run_ms: Millis) -> bool {
+    pub fn submit_to_controller(&mut self, controller: usize, submission: Submission, run_ms: Millis) -> bool {
         let budgets = self.write_budgets.as_mut().expect("writes are limited");
         if !budgets.take_for_submission(self.now, controller) {
             return false;
@@ -145,7 +145,7 @@
     }
 
     /// What the controller tells users of a job.
-    pub fn status_told_to_users(&self, id: &str) -> Option<JobStatus> {
-        self.controller.status_told_to_users(id)
+    pub fn status_reported_to_users(&self, id: &str) -> Option<JobStatus> {
+        self.controller.status_reported_to_users(id)
     }
 }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -61,13 +61,13 @@
     /// It doesn't execute, nor answer, but may resume.
     pub hung: bool,
     /// Hears no answers to its heartbeats.
-    pub answers_lost: bool,
+    pub responses_lost: bool,
     /// Its heartbeats go nowhere, commands and probes reach it.
     pub outbound_lost: bool,
     /// Its heartbeats come through, but nothing reaches it.
     pub inbound_lost: bool,
     /// On its side of the partition, another controller renews its lease.
-    pub lease_kept_by_peer: bool,
+    pub lease_renewed_by_peer: bool,
 }
 
 impl WorkerFaults {
@@ -115,7 +115,7 @@
     }
 
     /// Can commands and probes reach it?
-    pub(super) fn is_reached(&self) -> bool {
+    pub(super) fn is_reachable(&self) -> bool {
         !(self.dead || self.faults.partitioned || self.faults.hung || self.faults.inbound_lost)
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// It never comes up.
-    pub fn delay_boot(&mut self) {
+    pub fn prevent_boot(&mut self) {
         self.spec.up_at = Millis::MAX;
     }
 
@@ -228,7 +228,8 @@
 
     /// Another controller renews the lease, if one does; false when none does.
     pub(super) fn renew_by_peer(&mut self, sent: Millis) -> bool {
-        let renewed = self.faults.loses_heartbeats() && self.faults.lease_kept_by_peer && self.token > FencingToken(0);
+        let renewed =
+            self.faults.loses_heartbeats() && self.faults.lease_renewed_by_peer && self.token > FencingToken(0);
         if renewed {
             self.lease_start = sent;
         }
--- a/tests/simulation/write_budget.rs
+++ b/tests/simulation/write_budget.rs
@@ -68,7 +68,7 @@
     }
 
     /// Controllers tell one another what they use.
-    pub(super) fn share(&mut self, now: Millis) {
+    pub(super) fn exchange_usage(&mut self, now: Millis) {
         let usage: Vec<Usage> = self
             .controllers
             .iter_mut()
