--- a/tests/simulation/cases.rs
+++ b/tests/simulation/cases.rs
@@ -1,22 +1,25 @@
-//! Tables of cases: each case is played in a simulation of its own.
+//! Tables of cases: each case runs in a simulation of its own.
 
 use super::Simulation;
 
-/// Distance of the seeds of a case's variants; tables are shorter than this.
+/// Difference between the seeds of a case's consecutive variants; a table has fewer
+/// cases than this, so that all seeds differ.
 pub const VARIANT_SEEDS: u64 = 100;
 
 /// A case of a table.
 pub struct Case {
-    /// What it shows.
+    /// The condition that the case tests, for its output.
     name: &'static str,
-    play: fn(&mut Simulation),
+    run: fn(&mut Simulation),
 }
 
-pub const fn case(name: &'static str, play: fn(&mut Simulation)) -> Case {
-    Case { name, play }
+/// Creates a case.
+pub const fn case(name: &'static str, run: fn(&mut Simulation)) -> Case {
+    Case { name, run }
 }
 
-/// Plays each case with four workers and a leader, and names every one that fails.
+/// Runs each case with four workers and a leader. Fails with the names of all cases
+/// that failed.
 pub fn run_table(cases: &[Case]) {
     run_table_variants(cases, 1, |seed| {
         let mut simulation = Simulation::new(seed, 4);
@@ -25,9 +28,10 @@
     });
 }
 
-/// Plays each case in so many variants, in what `prepare` makes of their seeds,
-/// and names every one that fails. The seeds of a case are its number, and that
-/// number with a multiple of a hundred added.
+/// Runs each case in `variants` variants, each in the simulation that `prepare`
+/// creates from the variant's seed. Fails with the names and seeds of all that failed.
+/// The seeds of a case are its number in the table, and that number plus multiples of
+/// a hundred.
 pub fn run_table_variants(cases: &[Case], variants: u64, prepare: fn(u64) -> Simulation) {
     assert!((cases.len() as u64) < VARIANT_SEEDS);
     let mut failed = Vec::new();
@@ -35,13 +39,13 @@
         for variant in 0..variants {
             let seed = VARIANT_SEEDS * variant + number as u64;
             eprintln!("case: {}, seed {seed}", case.name);
-            let played = std::panic::catch_unwind(|| {
+            let result = std::panic::catch_unwind(|| {
                 let mut simulation = prepare(seed);
-                (case.play)(&mut simulation);
+                (case.run)(&mut simulation);
                 eprintln!("  transactions refused as too large: {}", simulation.controller.too_large_transactions());
                 simulation.check(case.name);
             });
-            if played.is_err() {
+            if result.is_err() {
                 failed.push(format!("{}, seed {seed}", case.name));
             }
         }
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -1,4 +1,5 @@
-//! The cloud: rents machines out, lists them, and answers a repeated request as before.
+//! The cloud: provisions and lists machines, and responds to a repeated request as to
+//! the first one.
 
 use std::collections::HashMap;
 
@@ -15,35 +16,40 @@
     workers::SimulatedWorkers,
 };
 
-/// The type of all machines that are there from the start; it has GPUs.
+/// The machine type of all machines that exist from the start; it has GPUs.
 pub const MACHINE_TYPE: &str = "m";
 
-/// A tenth of its price, and no GPUs.
+/// A machine type at a tenth of the price of [`MACHINE_TYPE`], without GPUs.
 pub const LOW_PRICED_MACHINE_TYPE: &str = "c";
 
 /// The zones of the cloud.
 pub const ZONES: [&str; 2] = ["a", "b"];
 
-/// A scale-out as the cloud was asked for it; the name makes it idempotent.
+/// A scale-out request that the cloud received.
 pub struct ScaleOutRequest {
     pub at: Millis,
+    /// Term of the leader that sent the request.
     pub term: Term,
+    /// Name that makes the request idempotent.
     pub name: String,
     pub spot: bool,
 }
 
+/// What the cloud offers, and its faults.
 pub struct CloudSettings {
-    /// Machines the cloud still has to give.
+    /// Number of machines that the cloud can still provision.
     pub capacity: u32,
-    /// Spot machines the cloud still has to give, of `capacity`.
+    /// Number of spot machines that the cloud can still provision, within `capacity`.
     pub spot_capacity: u32,
-    /// Machines on one page of the cloud's list.
+    /// Most machines on one page of the cloud's machine list.
     pub list_page_size: usize,
+    /// Whether every second request for a page of the machine list fails.
     pub refuses_every_second_page: bool,
-    /// How long a rented machine takes to come up.
+    /// How long a provisioned machine takes to boot.
     pub boot_ms: Millis,
+    /// Whether [`LOW_PRICED_MACHINE_TYPE`] is offered too.
     pub offers_low_priced_type: bool,
-    /// Price of a spot machine; others cost 1.
+    /// Price of a spot machine of [`MACHINE_TYPE`]; on demand it costs 1.
     pub spot_price: f64,
 }
 
@@ -61,38 +67,42 @@
     }
 }
 
+/// The state of the cloud.
 #[derive(Default)]
 pub struct SimulatedCloud {
     pub settings: CloudSettings,
-    /// Machine names by the request's name.
-    rentals: HashMap<String, Vec<String>>,
+    /// Names of the provisioned machines, by the request's name.
+    provisioned: HashMap<String, Vec<String>>,
     requests: Vec<ScaleOutRequest>,
     pages_requested: u32,
-    has_offered: bool,
+    /// Whether there has been capacity at any time.
+    has_had_capacity: bool,
 }
 
 impl SimulatedCloud {
-    /// All requests for machines, repeated ones included.
+    /// Returns all scale-out requests, including repeated ones.
     pub fn requests(&self) -> &[ScaleOutRequest] {
         &self.requests
     }
 
+    /// Clears the list of scale-out requests; the machines remain.
     pub fn clear_requests(&mut self) {
         self.requests.clear();
     }
 
-    /// How many different requests were granted.
+    /// Returns how many distinct scale-out requests provisioned machines.
     pub fn fulfilled_requests(&self) -> usize {
-        self.rentals.len()
+        self.provisioned.len()
     }
 
-    /// Whether the leader has a cloud to scale with: it had machines to give at
-    /// some time.
+    /// Reports whether the leader may autoscale: the cloud has capacity now or had it
+    /// at an earlier call.
     pub(super) fn observe_capacity(&mut self) -> bool {
-        self.has_offered |= self.settings.capacity > 0;
-        self.has_offered
+        self.has_had_capacity |= self.settings.capacity > 0;
+        self.has_had_capacity
     }
 
+    /// Returns the machine types on offer, for the leader.
     pub(super) fn machine_types(&self, interners: &Interners) -> Vec<MachineTypeSpec> {
         let machine_type = MachineTypeSpec {
             index: interners.types.find(MACHINE_TYPE).unwrap(),
@@ -117,7 +127,7 @@
         types
     }
 
-    /// A page of the list of machines; `None`: refused.
+    /// Returns a page of the machine list; `None`: refused.
     pub(super) fn list(&mut self, now: Millis, from: Option<&str>, workers: &SimulatedWorkers) -> Option<HostList> {
         self.pages_requested += 1;
         if self.settings.refuses_every_second_page && self.pages_requested.is_multiple_of(2) {
@@ -129,7 +139,7 @@
         Some(HostList { hosts: rest.into_iter().take(self.settings.list_page_size).collect(), truncated })
     }
 
-    /// Rents machines and returns their names; `None`: there are none to give.
+    /// Provisions machines and returns their names; `None`: there is no capacity.
     pub(super) fn provision(
         &mut self,
         now: Millis,
@@ -138,11 +148,11 @@
         workers: &mut SimulatedWorkers,
     ) -> Option<Vec<String>> {
         self.requests.push(ScaleOutRequest { at: now, term, name: request.request.clone(), spot: request.spot });
-        if let Some(same) = self.rentals.get(&request.request) {
-            return Some(same.clone());
+        if let Some(ids) = self.provisioned.get(&request.request) {
+            return Some(ids.clone());
         }
-        let of_kind = if request.spot { self.settings.spot_capacity } else { u32::MAX };
-        let count = request.count.min(self.settings.capacity).min(of_kind);
+        let capacity_of_kind = if request.spot { self.settings.spot_capacity } else { u32::MAX };
+        let count = request.count.min(self.settings.capacity).min(capacity_of_kind);
         if count == 0 {
             return None;
         }
@@ -157,7 +167,7 @@
             up_at: now + self.settings.boot_ms,
         };
         let ids: Vec<String> = (0..count).map(|_| workers.add(now, spec.clone())).collect();
-        self.rentals.insert(request.request.clone(), ids.clone());
+        self.provisioned.insert(request.request.clone(), ids.clone());
         Some(ids)
     }
 }
--- a/tests/simulation/commits.rs
+++ b/tests/simulation/commits.rs
@@ -1,4 +1,4 @@
-//! The leader's transactions: what they must fulfil, and what becomes of them.
+//! The leader's transactions: the rules on them, and how they reach the store.
 
 use shedhook::{
     coordination::{effects::CommitOutcome, model::Term},
@@ -11,27 +11,31 @@
     write_budget::CommitAllowance, Simulation,
 };
 
-/// Most conditions of a transaction.
+/// Most conditions that a transaction may have.
 const TRANSACTION_CONDITIONS_MAX: usize = 32;
 
-/// What is wrong with a transaction of the leader whose key has this revision.
+/// Returns the violations of a transaction sent by the leader whose key has the revision
+/// `leadership`.
 fn transaction_violations(now: u64, transaction: &Transaction, leadership: Revision) -> Vec<String> {
     let mut violations = Vec::new();
     let writes = transaction.writes.len();
     if writes > TRANSACTION_WRITES_MAX || transaction.conditions.len() > TRANSACTION_CONDITIONS_MAX {
-        violations.push(format!("a transaction of {writes} writes"));
+        violations.push(format!("transaction too large: {writes} writes, {} conditions", transaction.conditions.len()));
     }
     let is_fenced = transaction
         .conditions
         .iter()
         .any(|condition| condition.key == records::LEADER_KEY && condition.revision == leadership);
     if !is_fenced {
-        violations.push(format!("a transaction that any later leader would let through, at {now}"));
+        violations.push(format!(
+            "transaction at {now} has no condition on the leader's key, so it could apply under a later leader"
+        ));
     }
     violations
 }
 
 impl SimulatedStore {
+    /// Applies a transaction and returns its outcome as the leader receives it.
     pub(super) fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
         match self.apply(transaction) {
             Ok(store_revision) => CommitOutcome::Applied(store_revision),
@@ -41,7 +45,7 @@
 }
 
 impl Simulation {
-    /// The leader sends a transaction, if it has something to write and may.
+    /// Sends the leader's next transaction, if it has writes and is allowed to commit.
     pub(super) fn commit(&mut self) {
         let now = self.now;
         self.controller.resync(now, &self.store);
@@ -67,7 +71,8 @@
         self.send_transaction(transaction, Term(leadership));
     }
 
-    /// How much may be written now. Now and then there is budget to spare.
+    /// Returns how much the leader may write now. Where writes are unlimited, there is
+    /// spare budget during one second in four.
     fn commit_allowance(&mut self) -> CommitAllowance {
         match &mut self.write_budgets {
             Some(budgets) => {
@@ -81,7 +86,7 @@
         }
     }
 
-    /// Carries a transaction to the store, through the faults of both ways.
+    /// Sends a transaction to the store, subject to faults in both directions.
     fn send_transaction(&mut self, transaction: Transaction, term: Term) {
         let now = self.now;
         let conditions = &mut self.store.conditions;
--- a/tests/simulation/controller.rs
+++ b/tests/simulation/controller.rs
@@ -1,5 +1,5 @@
-//! The leading controller: elections, reads of changes, and the library's
-//! leader with what it needs beside it.
+//! The leading controller: elections, reads of the store's changes, and the library's
+//! leader with the state that it works with.
 
 use shedhook::{
     coordination::{
@@ -31,20 +31,21 @@
     Simulation,
 };
 
-/// A read of the changes that is not answered yet.
+/// A read of the store's changes that has not completed yet.
 struct PendingRead {
-    answered_at: Millis,
+    completes_at: Millis,
     term: Term,
     changes: Changes,
 }
 
+/// The leading controller, or the state that remains while there is no leader.
 pub struct SimulatedController {
     pub settings: ControllerSettings,
     leader: Option<Leader>,
     job_cache: JobCache,
     interners: Interners,
     pending_read: Option<PendingRead>,
-    /// When another controller last renewed a worker's lease.
+    /// When another controller last renewed a worker lease.
     last_peer_renewal: Millis,
     transactions: usize,
     too_large: usize,
@@ -74,12 +75,12 @@
         }
     }
 
-    /// Transactions that leaders sent.
+    /// Returns how many transactions all leaders have sent.
     pub fn transactions(&self) -> usize {
         self.transactions
     }
 
-    /// Transactions that the store refused for their size.
+    /// Returns how many transactions the store refused as too large.
     pub fn too_large_transactions(&self) -> usize {
         self.too_large
     }
@@ -100,26 +101,37 @@
         &self.interners
     }
 
-    /// The term of the present leader, or the lowest one.
+    /// Returns the current leader's term; without a leader, the lowest term.
     pub(super) fn term(&self) -> Term {
         self.leader.as_ref().map_or_else(Term::default, |leader| leader.term())
     }
 
-    /// The worker that the leader knows under this index.
+    /// Returns the name of the machine that has this index in the leader's state;
+    /// without a leader, an empty string.
     pub(super) fn machine_id(&self, machine: MachineIndex) -> String {
         self.leader.as_ref().map(|leader| leader.cluster().machine(machine).id.clone()).unwrap_or_default()
     }
 
+    /// Returns the job status that the controller reports to users; `None` if it doesn't
+    /// know the job.
     pub(super) fn status_reported_to_users(&self, id: &str) -> Option<JobStatus> {
         self.job_cache.find(id).map(|index| self.job_cache.get(index).status)
     }
 
+    /// Records that another controller renewed a worker lease.
     pub(super) fn record_peer_renewal(&mut self, at: Millis) {
         self.last_peer_renewal = at;
     }
 
-    /// Begins a new leadership and reads all records.
-    fn lead(&mut self, now: Millis, term: Term, nonce: u64, types: Vec<MachineTypeSpec>, store: &SimulatedStore) {
+    /// Starts a new leader, which reads all records.
+    fn start_leader(
+        &mut self,
+        now: Millis,
+        term: Term,
+        nonce: u64,
+        types: Vec<MachineTypeSpec>,
+        store: &SimulatedStore,
+    ) {
         let mut leader = Leader::new(self.settings.leader_config(), term, nonce, now, types);
         self.job_cache = JobCache::default();
         self.job_cache.apply_page(&store.page(records::JOB_KEY_PREFIX), true, &mut self.interners);
@@ -131,8 +143,8 @@
         self.leader = Some(leader);
     }
 
-    /// Reads what changed in the store; true when the answer came at once, so
-    /// that users are told what the store holds.
+    /// Reads what changed in the store. Returns true when the read completed at once, so
+    /// that the controller reports to users what the store holds.
     fn read_changes(&mut self, now: Millis, store: &SimulatedStore, random: &mut RandomSource) -> bool {
         if store.conditions.refuses_leader || self.settings.reads_paused {
             return false;
@@ -144,30 +156,32 @@
             self.job_cache.apply_changes(&changes, &mut self.interners);
             return true;
         }
-        let is_answered = |read: &mut PendingRead| read.term == term && read.answered_at <= now;
-        if let Some(read) = self.pending_read.take_if(is_answered) {
+        let is_complete = |read: &mut PendingRead| read.term == term && read.completes_at <= now;
+        if let Some(read) = self.pending_read.take_if(is_complete) {
             self.job_cache.apply_changes(&read.changes, &mut self.interners);
         }
         if self.pending_read.as_ref().is_none_or(|read| read.term != term) {
-            let answered_at = now + random.delay(0..store.conditions.read_latency_max_ms);
+            let completes_at = now + random.delay(0..store.conditions.read_latency_max_ms);
             let changes = store.changes(records::JOB_KEY_PREFIX, self.job_cache.store_revision());
-            self.pending_read = Some(PendingRead { answered_at, term, changes });
+            self.pending_read = Some(PendingRead { completes_at, term, changes });
         }
         false
     }
 
-    /// The leader learns of changed jobs and runs one scheduling cycle.
+    /// Passes changed jobs to the leader, and runs its periodic checks, the autoscaler
+    /// if there is a cloud, and one scheduling cycle.
     fn schedule(&mut self, now: Millis, has_cloud: bool) {
         let changed = self.job_cache.take_changed();
         let Some(leader) = &mut self.leader else { return };
         for index in changed {
             leader.update_job(now, now, index, &self.job_cache);
         }
-        // Once heard again, those behind the partition say when they last renewed a lease.
-        let silent_since = self.settings.peers_unreachable_since;
+        // When controllers behind the partition are reachable again, they report when they
+        // last renewed a worker lease.
+        let unreachable_since = self.settings.peers_unreachable_since;
         let mut no_peer_renewals =
-            TimeSpan { from: self.last_peer_renewal as i64, to: silent_since.unwrap_or(now) as i64 };
-        if let Some(since) = silent_since {
+            TimeSpan { from: self.last_peer_renewal as i64, to: unreachable_since.unwrap_or(now) as i64 };
+        if let Some(since) = unreachable_since {
             no_peer_renewals.from = no_peer_renewals.from.min(since as i64);
         }
         leader.set_no_peer_renewals(no_peer_renewals);
@@ -179,13 +193,14 @@
         leader.run_scheduling_cycle(now);
     }
 
+    /// Lets the leader send commands, and returns the calls that it requests.
     fn dispatch_commands(&mut self, now: Millis) -> Vec<Effect> {
         let Some(leader) = &mut self.leader else { return Vec::new() };
         leader.dispatch_commands(now);
         leader.take_effects()
     }
 
-    /// The leader reads a key again whose revision it lost track of.
+    /// Reads a key again if the leader no longer knows its revision.
     pub(super) fn resync(&mut self, now: Millis, store: &SimulatedStore) {
         let Some(leader) = &mut self.leader else { return };
         if let Some(key) = leader.resync_key().filter(|_| !store.conditions.refuses_leader).map(str::to_owned) {
@@ -194,11 +209,13 @@
         }
     }
 
+    /// Reports whether there is a leader that may send a transaction now.
     pub(super) fn may_commit(&self, now: Millis) -> bool {
         self.leader.as_ref().is_some_and(|leader| leader.may_commit(now))
     }
 
-    /// The leader's next transaction, in the form that its version writes.
+    /// Returns the leader's next transaction, in the format that the leader's version
+    /// writes; `None` if there is nothing to write.
     pub(super) fn next_transaction(&mut self, now: Millis, allowance: &CommitAllowance) -> Option<Transaction> {
         let leader = self.leader.as_mut()?;
         if !leader.has_writes(now, allowance.spare) {
@@ -206,27 +223,28 @@
         }
         let mut transaction = leader.commit(now, allowance.writes, allowance.spare, &self.interners)?;
         if self.settings.writes_previous_format {
-            to_old_form(&mut transaction);
+            to_previous_format(&mut transaction);
         }
         Some(transaction)
     }
 
-    /// The leader learns the outcome of its transaction, and steps down if it
-    /// has lost the leadership.
+    /// Passes the outcome of a transaction to the leader, which steps down if it has
+    /// lost the leadership.
     pub(super) fn transaction_finished(&mut self, now: Millis, outcome: CommitOutcome) {
         if self.leader.as_mut().is_some_and(|leader| !leader.transaction_finished(now, outcome)) {
             self.leader = None;
         }
     }
 
-    /// The leader hears that its transaction failed, or nothing; it goes on.
+    /// Passes to the leader that its transaction failed, or that no response was
+    /// received; it continues to lead.
     pub(super) fn transaction_failed(&mut self, now: Millis, outcome: CommitOutcome) {
         if let Some(leader) = &mut self.leader {
             leader.transaction_finished(now, outcome);
         }
     }
 
-    /// Delivers a heartbeat and returns the answer, if the leader gives one.
+    /// Delivers a heartbeat and returns the response, if there is a leader that accepts it.
     pub(super) fn heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) -> Option<HeartbeatResponse> {
         let leader = self.leader.as_mut()?;
         match leader.heartbeat(now, heartbeat, &self.job_cache, &mut self.interners) {
@@ -235,6 +253,8 @@
         }
     }
 
+    /// Passes the outcome of a direct call to the leader, if the leader that sent it
+    /// still leads.
     pub(super) fn direct_call_result(&mut self, now: Millis, call: DirectCall, outcome: DirectCallOutcome) {
         let DirectCall { machine, call, term } = call;
         if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term() == term) {
@@ -242,24 +262,28 @@
         }
     }
 
+    /// Passes the result of a probe to the leader; `None`: the worker didn't respond.
     pub(super) fn probe_finished(&mut self, now: Millis, machine: MachineIndex, heartbeat: Option<&Heartbeat>) {
         if let Some(leader) = &mut self.leader {
             leader.probe_finished(now, machine, heartbeat, &self.job_cache, &mut self.interners);
         }
     }
 
+    /// Passes the outcome of a scale-out to the leader.
     pub(super) fn scale_out_finished(&mut self, now: Millis, call: CallId, outcome: ScaleOutOutcome) {
         if let Some(leader) = &mut self.leader {
             leader.scale_out_finished(now, call, outcome);
         }
     }
 
+    /// Passes to the leader that a scale-in succeeded.
     pub(super) fn scale_in_finished(&mut self, now: Millis, call: CallId) {
         if let Some(leader) = &mut self.leader {
             leader.scale_in_finished(now, call, true);
         }
     }
 
+    /// Passes a page of the machine list to the leader; `None`: the request failed.
     pub(super) fn machines_listed(&mut self, now: Millis, call: CallId, list: Option<&HostList>) {
         if let Some(leader) = &mut self.leader {
             leader.machines_listed(now, call, list, &mut self.interners);
@@ -267,29 +291,30 @@
     }
 }
 
-/// Removes the time from the ends of jobs, which the version before did not write.
-fn to_old_form(transaction: &mut Transaction) {
+/// Sets the completion time of jobs to 0, because the previous version didn't write it.
+fn to_previous_format(transaction: &mut Transaction) {
     for write in &mut transaction.writes {
-        let WriteOperation::Put { key, value: v, .. } = write else { continue };
+        let WriteOperation::Put { key, value, .. } = write else { continue };
         if !key.starts_with(records::JOB_KEY_PREFIX) {
             continue;
         }
-        let record = v.deserialized::<JobRecord>().unwrap();
+        let record = value.deserialized::<JobRecord>().unwrap();
         let at_ms = if record.status == JobStatus::Done { 0 } else { record.at_ms };
-        *v = records::to_value(&JobRecord { at_ms, ..record });
+        *value = records::to_value(&JobRecord { at_ms, ..record });
     }
 }
 
 impl Simulation {
-    /// A new leader: the key changes hands, whatever the old one had under way.
+    /// Elects a new leader. The leader's key is written for it, even if the previous
+    /// leader has calls in flight.
     pub fn elect(&mut self) {
         let revision = self.store.acquire_leadership();
         let nonce = self.random.nonce();
         let types = self.cloud.machine_types(self.controller.interners());
-        self.controller.lead(self.now, Term(revision), nonce, types, &self.store);
+        self.controller.start_leader(self.now, Term(revision), nonce, types, &self.store);
     }
 
-    /// The leader crashes; nobody is elected yet.
+    /// Stops the leader as in a crash; no new leader is elected.
     pub fn stop_leader(&mut self) {
         self.controller.leader = None;
     }
@@ -298,11 +323,13 @@
         self.controller.leader.is_some()
     }
 
-    /// The library's leader, which must be there.
+    /// Returns the library's leader; panics if there is none.
     pub fn leader(&self) -> &Leader {
         self.controller.leader.as_ref().expect("a leader")
     }
 
+    /// Runs one step of the leader, if there is one, and performs the calls that it
+    /// requests.
     pub(super) fn run_leader(&mut self) {
         if !self.has_leader() {
             return;
--- a/tests/simulation/controller_settings.rs
+++ b/tests/simulation/controller_settings.rs
@@ -1,4 +1,4 @@
-//! How the simulated controllers are configured, and what befalls the one that leads.
+//! Configuration of the simulated controllers, and faults of the leading one.
 
 use shedhook::coordination::{
     cluster::Config,
@@ -7,13 +7,13 @@
 
 use super::{HEARTBEAT_INTERVAL_MS, LEASE_MS};
 
-/// Most writes of a transaction.
+/// Most writes that a transaction may have.
 pub(super) const TRANSACTION_WRITES_MAX: usize = 8;
 
-/// So long that it never passes in a simulation.
+/// Longer than any simulation.
 const NEVER_MS: Millis = 1 << 40;
 
-/// Quotas of the teams in GPUs; "blue" has no guarantee.
+/// Quotas of the teams in GPUs; team "blue" has no guarantee. `None`: not set.
 #[derive(Clone, Copy, Default)]
 pub struct TeamQuotas {
     pub red_gpus_max: Option<f64>,
@@ -28,30 +28,33 @@
     }
 }
 
-/// How the controllers are configured, and what befalls the one that leads.
+/// Configuration of the controllers, and faults of the leading one.
 pub struct ControllerSettings {
-    /// From the next election on.
+    /// Quotas of the teams; takes effect at the next election.
     pub quotas: TeamQuotas,
-    /// A machine that is silent for so long is replaced.
+    /// A machine is replaced when no heartbeat has been received from it for this long.
     pub heartbeat_timeout_ms: Millis,
-    /// The announced limit of a value in bytes.
+    /// The announced limit on a value, in bytes.
     pub value_bytes_max: usize,
-    /// The size of values that fit later too, in bytes.
+    /// The size in bytes up to which values will also fit under a later, reduced limit.
     pub reduced_value_bytes_max: usize,
-    /// Tasks per chunk whose record fits later too.
+    /// Number of tasks per chunk up to which a chunk's record will also fit under a
+    /// later, reduced limit.
     pub reduced_tasks_per_chunk: u32,
-    /// All controllers know that jobs can be divided into chunks anew.
+    /// Whether all controllers support resharding: dividing a job into chunks again.
     pub may_reshard: bool,
-    /// The leader writes records as the version before did: no time in the end
-    /// of a job.
+    /// The leader writes records as the previous version did: without the completion
+    /// time of a job.
     pub writes_previous_format: bool,
-    /// The leader reads no changes.
+    /// The leader doesn't read the store's changes.
     pub reads_paused: bool,
-    /// Once: the leader crashes just before its next transaction.
+    /// The leader crashes just before it sends its next transaction; cleared by that.
     pub crash_before_transaction: bool,
-    /// Once: the leader crashes just after its next transaction.
+    /// The leader crashes just after the store has processed its next transaction, before
+    /// it receives the response; cleared by that.
     pub crash_after_transaction: bool,
-    /// Since when the controllers behind a partition have not been heard.
+    /// Since when the controllers behind a partition have been unreachable; `None`: all
+    /// controllers are reachable.
     pub peers_unreachable_since: Option<Millis>,
 }
 
@@ -74,7 +77,7 @@
 }
 
 impl ControllerSettings {
-    /// The settings with which a leader begins.
+    /// Returns the configuration with which a leader starts.
     pub(super) fn leader_config(&self) -> Config {
         Config {
             worker_lease_ms: LEASE_MS,
--- a/tests/simulation/delivery.rs
+++ b/tests/simulation/delivery.rs
@@ -1,11 +1,11 @@
-//! What workers and the store do when messages arrive, and heartbeats on their
-//! way to the leader.
+//! Delivery of delayed messages to workers, the store and the leader, and of heartbeats
+//! to the leader.
 
 use shedhook::protocol::workers::{Heartbeat, TaskState};
 
 use super::{network::Message, worker::WorkerTask, Simulation, LEASE_MS};
 
-/// Commands to a worker that hangs are tried again so much later.
+/// Delay after which delivery of a command to a hung worker is retried.
 const HUNG_RETRY_MS: u64 = 1_000;
 
 impl Simulation {
@@ -16,6 +16,7 @@
         }
     }
 
+    /// Delivers one message.
     fn deliver(&mut self, message: Message) {
         let now = self.now;
         match message {
@@ -31,7 +32,7 @@
                 self.controller.direct_call_result(now, call, outcome);
             }
             Message::CommandResponse { outcome, call } => self.controller.direct_call_result(now, call, outcome),
-            // Whatever is answered, nobody listens any more.
+            // The worker no longer waits for the response.
             Message::Heartbeat(heartbeat) => drop(self.controller.heartbeat(now, &heartbeat)),
             Message::Transaction(transaction) => drop(self.store.apply(&transaction)),
             Message::SlowTransaction { transaction, term } => {
@@ -48,7 +49,8 @@
         }
     }
 
-    /// One step of a worker: its tasks go on, and it sends what changed in a heartbeat.
+    /// Runs one step of a worker: advances its tasks, and sends a heartbeat when one is
+    /// due.
     pub(super) fn advance_worker(&mut self, worker: usize) {
         let now = self.now;
         if !self.workers[worker].begin_step(now) {
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Sends a heartbeat, through the faults of both ways.
+    /// Sends a heartbeat, subject to faults in both directions.
     fn send_heartbeat(&mut self, worker: usize) {
         let sent = self.now;
         let heartbeat = self.workers[worker].heartbeat();
@@ -94,7 +96,8 @@
         }
     }
 
-    /// Delays copies of a heartbeat by chance; true when it doesn't arrive now.
+    /// Sends delayed copies of a heartbeat at random. Returns true when the heartbeat
+    /// itself is delayed as well.
     fn delay_heartbeat(&mut self, heartbeat: &Heartbeat) -> bool {
         let sent = self.now;
         if self.random.chance(self.network.rates.late_heartbeat) {
--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -1,5 +1,5 @@
-//! What the library's leader asks for: commands and probes to workers, scale-out
-//! and scale-in, and the cloud's list.
+//! Calls that the library's leader requests: commands and probes to workers, scale-out
+//! and scale-in, and the cloud's machine list.
 
 use shedhook::{
     coordination::{
@@ -17,6 +17,7 @@
 };
 
 impl Simulation {
+    /// Performs a call that the leader requested, and passes it the outcome.
     pub(super) fn perform_effect(&mut self, effect: Effect) {
         let now = self.now;
         match effect {
@@ -29,8 +30,8 @@
                 self.controller.scale_out_finished(now, call, outcome);
             }
             Effect::ScaleIn { call, ids } => {
-                let returned = self.workers.iter_mut().filter(|worker| ids.contains(&worker.id));
-                returned.for_each(Worker::terminate);
+                let released = self.workers.iter_mut().filter(|worker| ids.contains(&worker.id));
+                released.for_each(Worker::terminate);
                 self.controller.scale_in_finished(now, call);
             }
             Effect::Probe { machine, .. } => self.probe(machine),
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Sends a direct command, through the faults of both ways.
+    /// Sends a direct command, subject to faults in both directions.
     fn send_command(&mut self, call: DirectCall, request: DirectCommandRequest) {
         let now = self.now;
         let id = self.controller.machine_id(call.machine);
@@ -82,14 +83,16 @@
         self.controller.direct_call_result(now, call, outcome);
     }
 
+    /// Provisions machines; the response may be lost.
     fn scale_out(&mut self, request: &ProvisionRequest) -> ScaleOutOutcome {
-        let rented = self.cloud.provision(self.now, self.controller.term(), request, &mut self.workers);
+        let provisioned = self.cloud.provision(self.now, self.controller.term(), request, &mut self.workers);
         if self.random.chance(self.network.rates.lost_scale_out_response) {
             return ScaleOutOutcome::Retry;
         }
-        rented.map_or(ScaleOutOutcome::NoCapacity, ScaleOutOutcome::Provisioned)
+        provisioned.map_or(ScaleOutOutcome::NoCapacity, ScaleOutOutcome::Provisioned)
     }
 
+    /// Probes a worker; one that isn't reachable doesn't respond.
     fn probe(&mut self, machine: MachineIndex) {
         let id = self.controller.machine_id(machine);
         let worker = self.workers.iter_mut().find(|worker| worker.id == id && worker.is_reachable());
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -1,5 +1,5 @@
-//! The rules that hold at every moment, whatever fails. A violation is recorded
-//! and fails the case at its end.
+//! Invariants that hold at every step under all faults. A violation is recorded and
+//! fails the case at its end.
 
 use std::collections::{HashMap, HashSet};
 
@@ -22,15 +22,16 @@
     Simulation, CANCEL_MS,
 };
 
-/// Larger clusters are checked every `LARGE_CLUSTER_PERIOD_MS` only: starts are
-/// judged at once, the rest takes its time.
+/// The state of clusters with more workers than this is only checked every
+/// `LARGE_CLUSTER_PERIOD_MS`, because the check takes long; starts of tasks are always
+/// checked at once.
 const LARGE_CLUSTER_WORKERS: usize = 100;
 const LARGE_CLUSTER_PERIOD_MS: Millis = 5_000;
 
-/// Violations that a failed case prints.
+/// Number of violations that a failed case prints.
 const PRINTED_VIOLATIONS: usize = 5;
 
-/// What was seen of the rules so far.
+/// The violations recorded so far, and counts of what was checked.
 #[derive(Default)]
 pub struct InvariantChecker {
     violations: Vec<String>,
@@ -49,7 +50,7 @@
     }
 }
 
-/// The cluster as the rules see it.
+/// The parts of the cluster that the invariants are checked on.
 pub(super) struct ClusterView<'a> {
     now: Millis,
     store: &'a SimulatedStore,
@@ -59,7 +60,7 @@
 }
 
 impl ClusterView<'_> {
-    /// The rules on tasks that run now, and on what was told of jobs.
+    /// Checks the running tasks and the status of all jobs.
     fn state_violations(&self) -> Vec<String> {
         if self.workers.len() > LARGE_CLUSTER_WORKERS && !self.now.is_multiple_of(LARGE_CLUSTER_PERIOD_MS) {
             return Vec::new();
@@ -72,7 +73,7 @@
         violations
     }
 
-    /// Every running task on a worker that is alive.
+    /// Returns every running task on a worker that is alive.
     fn running_tasks(&self) -> impl Iterator<Item = (&Worker, &str, Attempt)> {
         self.workers.alive().flat_map(|worker| {
             let running = worker.tasks.iter().filter(|task| task.state == TaskState::Running);
@@ -84,14 +85,14 @@
         let mut violations = Vec::new();
         for (worker, task, attempt) in self.running_tasks() {
             let (id, now) = (&worker.id, self.now);
-            // Our own rule: wherever a task runs, a record says so, lest the
-            // next leader start it elsewhere.
+            // Stricter than the protocol: every running task has a record of its
+            // assignment. Without it, the next leader would start the task elsewhere.
             if !self.store.has_lost_records() && !self.is_recorded(task, id, attempt) {
-                violations.push(format!("unrecorded: {task} runs on {id} at {now}"));
+                violations.push(format!("no record of its assignment: {task} runs on {id} at {now}"));
             }
             let cancelled_at = self.users.job_of(task).and_then(|job| job.cancelled_at);
             if cancelled_at.is_some_and(|cancelled_at| now > cancelled_at + CANCEL_MS) {
-                violations.push(format!("ran after cancellation: {task} on {id} at {now}"));
+                violations.push(format!("runs too long after cancellation: {task} on {id} at {now}"));
             }
         }
         violations
@@ -116,39 +117,41 @@
     fn status_violations(&self, id: &str, job: &SubmittedJob) -> Vec<String> {
         let status = self.status(id);
         let mut violations = Vec::new();
-        // What was called cancelled stays so.
+        // A cancellation that was confirmed to the user is final.
         if job.cancelled_at.is_some() && status != JobStatus::Cancelled {
             violations.push(format!("cancellation reverted: {id} at {}", self.now));
         }
-        // A record may say done only once all its tasks completed.
+        // A job's record may have status done only after all its tasks completed.
         if status == JobStatus::Done && !self.has_completed(id) {
             violations.push(format!("done too early: {id} at {}", self.now));
         }
         violations
     }
 
-    /// The rules on the start of a task on a worker.
+    /// Checks the start of a task on a worker.
     fn start_violations(&self, worker: usize, task: &str) -> Vec<String> {
         let Some((id, _)) = split_task(task) else { return Vec::new() };
         let mut violations = Vec::new();
         for (other, holder) in self.workers.iter().enumerate() {
             if other != worker && holder.holds(task) {
                 let here = &self.workers[worker].id;
-                violations.push(format!("runs twice: {task} on {} and {here} at {}", holder.id, self.now));
+                violations.push(format!("runs on two machines: {task} on {} and {here} at {}", holder.id, self.now));
             }
         }
         let job = &self.users[id];
-        // Stricter than the rule: their ends must be written, too.
+        // Stricter than the protocol: the completion of the prerequisites must be written
+        // as well.
         for prerequisite in job.submission.prereqs() {
             if !self.has_completed(prerequisite) || self.status(prerequisite) != JobStatus::Done {
-                violations.push(format!("started too early: {task} before {prerequisite} at {}", self.now));
+                violations
+                    .push(format!("started before its prerequisite: {task} before {prerequisite} at {}", self.now));
             }
         }
         violations.extend(self.zone_violations(id, job, task, &self.workers[worker].spec.zone));
         violations
     }
 
-    /// The rules on the zone in which a task starts.
+    /// Checks the zone in which a task starts.
     fn zone_violations(&self, id: &str, job: &SubmittedJob, task: &str, here: &str) -> Vec<String> {
         let zones = self.tasks_by_zone(id, task);
         let spread_max = job.tasks().div_ceil(2);
@@ -159,7 +162,7 @@
             violations.push(format!("wrong zone: {task} starts in {here} at {now}"));
         }
         if submission.spread == Some(true) && zones.get(here).copied().unwrap_or(0) >= spread_max {
-            violations.push(format!("wrong zone: {task} is one too many in {here} at {now}"));
+            violations.push(format!("wrong zone: {task} exceeds the spread limit of {here} at {now}"));
         }
         if submission.zone.as_ref().is_some_and(|zone| zone != here) {
             violations.push(format!("wrong zone: {task} in {here}"));
@@ -167,7 +170,8 @@
         violations
     }
 
-    /// How many of a job's tasks other than this one are on machines, by zone.
+    /// Returns how many of a job's tasks occupy machines in each zone, without the task
+    /// `except`.
     fn tasks_by_zone(&self, id: &str, except: &str) -> HashMap<&str, u32> {
         let mut zones: HashMap<&str, u32> = HashMap::new();
         for worker in self.workers.alive() {
@@ -180,17 +184,18 @@
         zones
     }
 
-    /// Our own rules: an end is written before the task is reaped, and no
-    /// launch is sent before its record is written.
+    /// Checks rules that are stricter than the protocol: a task's exit is written before
+    /// the task is reaped, and the assignment is written before the launch is sent.
     fn command_violations(&self, worker: &str, commands: &[WorkerCommand]) -> Vec<String> {
         let mut violations = Vec::new();
         for command in commands {
             match command {
                 WorkerCommand::Reap { task, attempt } if self.is_reaped_too_early(worker, task, *attempt) => {
-                    violations.push(format!("reaped: {task} on {worker} before its end is written at {}", self.now));
+                    violations.push(format!("reaped before its exit is written: {task} on {worker} at {}", self.now));
                 }
                 WorkerCommand::Launch { task, attempt } if !self.is_recorded(task, worker, *attempt) => {
-                    violations.push(format!("unwritten: {task} launched on {worker} at {}", self.now));
+                    violations
+                        .push(format!("launched before its assignment is written: {task} on {worker} at {}", self.now));
                 }
                 _ => {}
             }
@@ -198,36 +203,39 @@
         violations
     }
 
+    /// Reports whether reaping this attempt would lose a completion that is not written.
     fn is_reaped_too_early(&self, worker: &str, task: &str, attempt: Attempt) -> bool {
-        // A stopped attempt of a task that was done elsewhere says nothing.
+        // A stopped attempt carries no information if the task completed elsewhere.
         let position = self.workers.position(worker);
         let listed = position
             .and_then(|position| self.workers[position].tasks.iter().find(|held| held.is_attempt(task, attempt)));
         let is_done = listed.is_none_or(|held| held.why == Some(ExitReason::Done)) && self.workers.has_completed(task);
-        is_done && !self.store.has_lost_records() && !self.is_end_recorded(task)
+        is_done && !self.store.has_lost_records() && !self.is_exit_recorded(task)
     }
 
-    /// Stricter than the rule: whoever has read the cancellation calls all that
-    /// need the job cancelled, at once.
+    /// Returns the jobs that depend on a cancelled job and are not reported as cancelled.
+    /// Stricter than the protocol: a controller that has read the cancellation must
+    /// report all dependent jobs as cancelled at once.
     pub(super) fn jobs_with_cancelled_prerequisites(&self) -> Vec<String> {
-        let told = |id: &str| self.controller.status_reported_to_users(id);
+        let reported = |id: &str| self.controller.status_reported_to_users(id);
         self.users
             .jobs()
-            .filter(|(id, job)| self.has_cancelled_prerequisite(job) && told(id) != Some(JobStatus::Cancelled))
-            .map(|(id, _)| format!("orphaned: {id} is {:?} at {}", told(id), self.now))
+            .filter(|(id, job)| self.has_cancelled_prerequisite(job) && reported(id) != Some(JobStatus::Cancelled))
+            .map(|(id, _)| format!("prerequisite is cancelled: {id} is reported as {:?} at {}", reported(id), self.now))
             .collect()
     }
 
+    /// Reports whether any direct or indirect prerequisite of a job was cancelled.
     fn has_cancelled_prerequisite(&self, job: &SubmittedJob) -> bool {
-        let mut above: Vec<&String> = job.submission.prereqs().iter().collect();
+        let mut unvisited: Vec<&String> = job.submission.prereqs().iter().collect();
         let mut seen = HashSet::new();
-        while let Some(id) = above.pop() {
+        while let Some(id) = unvisited.pop() {
             if seen.insert(id) {
                 let prerequisite = &self.users[id.as_str()];
                 if prerequisite.cancelled_at.is_some() {
                     return true;
                 }
-                above.extend(prerequisite.submission.prereqs());
+                unvisited.extend(prerequisite.submission.prereqs());
             }
         }
         false
@@ -237,24 +245,25 @@
         self.store.job_record(id).unwrap().status
     }
 
-    /// Whether all tasks of a job ran to their ends.
+    /// Reports whether all tasks of a job completed.
     fn has_completed(&self, id: &str) -> bool {
         self.users[id].task_names(id).all(|task| self.workers.has_completed(&task))
     }
 
-    /// Whether a record says that this attempt is on this worker.
+    /// Reports whether a record assigns this attempt of the task to this worker.
     fn is_recorded(&self, task: &str, worker: &str, attempt: Attempt) -> bool {
         let Some((job, number)) = split_task(task) else { return false };
-        // As its record says, which may have been written anew.
+        // The chunk size is the one in the job's record: resharding may have changed it.
         let size = self.store.job_record(job).map_or(self.users.tasks_per_chunk, |record| record.chunk);
         let chunk = self.store.chunk_record(job, number / size);
         chunk.is_some_and(|chunk| {
-            chunk.assignments.iter().any(|place| place.0 == number && place.1 == worker && place.3 == attempt)
+            chunk.assignments.iter().any(|entry| entry.0 == number && entry.1 == worker && entry.3 == attempt)
         })
     }
 
-    /// A later leader would know that the task is done, or doesn't care.
-    fn is_end_recorded(&self, task: &str) -> bool {
+    /// Reports whether a later leader would know from the records that the task is done,
+    /// or wouldn't need to know because the job is no longer pending.
+    fn is_exit_recorded(&self, task: &str) -> bool {
         let Some((job, number)) = split_task(task) else { return false };
         let Some(record) = self.store.job_record(job) else { return false };
         let is_done = |chunk: records::ChunkRecord| records::is_done(&chunk.done, (number % record.chunk) as usize);
@@ -273,12 +282,13 @@
         }
     }
 
+    /// Checks the current state and records the violations.
     pub(super) fn check_state(&mut self) {
         let violations = self.view().state_violations();
         self.invariants.record(violations);
     }
 
-    /// A task starts on a worker.
+    /// Counts and checks the start of a task on a worker.
     pub(super) fn check_start(&mut self, worker: usize, task: &str) {
         let violations = self.view().start_violations(worker, task);
         let is_cancelled = self.users.job_of(task).is_some_and(|job| job.cancelled_at.is_some());
@@ -287,7 +297,7 @@
         self.invariants.record(violations);
     }
 
-    /// The leader sends commands to a worker.
+    /// Checks commands that the leader sends to a worker.
     pub(super) fn check_commands(&mut self, worker: &str, commands: &[WorkerCommand]) {
         let violations = self.view().command_violations(worker, commands);
         let checker = &mut self.invariants;
@@ -295,25 +305,26 @@
         checker.record(violations);
     }
 
-    /// Fails the case if a rule was broken, or nothing ever ran.
+    /// Fails the case if an invariant was violated, or if no task ever started.
     pub fn check(&self, name: &str) {
         let violations = &self.invariants.violations;
         let printed = &violations[..violations.len().min(PRINTED_VIOLATIONS)];
         assert!(violations.is_empty(), "{name}: {printed:#?}");
-        assert!(self.invariants.starts > 0, "{name}: nothing ran");
+        assert!(self.invariants.starts > 0, "{name}: no task started");
     }
 
-    /// Starts of tasks so far.
+    /// Returns the number of task starts so far.
     pub fn starts(&self) -> usize {
         self.invariants.starts
     }
 
-    /// Starts of jobs whose cancellation was confirmed before.
+    /// Returns the number of task starts so far that came after the confirmed
+    /// cancellation of their job.
     pub fn starts_of_cancelled(&self) -> usize {
         self.invariants.starts_of_cancelled
     }
 
-    /// Most commands seen in one message.
+    /// Returns the largest number of commands sent in one message so far.
     pub fn max_commands_in_message(&self) -> usize {
         self.invariants.max_commands_in_message
     }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,14 +1,14 @@
-//! A cluster simulated in virtual time: key-value store, workers, cloud, network
-//! and users are written from the protocol's description; the leader is the
+//! A cluster simulated in virtual time. The key-value store, workers, cloud, network
+//! and users are implemented from the protocol's description; the leader is the
 //! library's own. A test case decides which messages are delayed, lost or
-//! repeated and what crashes; the invariants are checked at every step.
+//! repeated and which processes crash; the invariants are checked at every step.
 //!
-//! [`Simulation`] is composed of one part for each of these. Each part keeps its
-//! state to itself; what a test case may set stands in its settings: for example
+//! [`Simulation`] has one component for each of these. A component's state is
+//! private; its settings are public, for test cases to change: for example
 //! [`store::StoreConditions`], [`network::FaultRates`] or [`worker::WorkerFaults`].
 
-// Several test binaries include this module, and each of them uses another part
-// of it; together they use all.
+// Several test binaries include this module, and each of them uses a different
+// part of it; together they use all of it.
 #![allow(dead_code)]
 
 pub mod cases;
@@ -45,20 +45,23 @@
 use workers::SimulatedWorkers;
 use write_budget::WriteBudgets;
 
-/// How long a worker keeps its tasks without an answered heartbeat.
+/// Duration of a worker lease: how long a worker keeps its tasks after it sent its
+/// last heartbeat that received a response.
 pub const LEASE_MS: Millis = 30_000;
 
-/// How long tasks of a cancelled job may run on.
+/// How long tasks of a cancelled job may still run after the cancellation.
 pub const CANCEL_MS: Millis = 50_000;
 
+/// Interval at which a worker sends heartbeats.
 pub const HEARTBEAT_INTERVAL_MS: Millis = 3_000;
 
-/// How far the virtual time goes on in one step.
+/// Virtual time that one step takes.
 const STEP_MS: Millis = 100;
 
-/// How often controllers tell one another what they write.
-const WRITE_SHARING_MS: Millis = 400;
+/// Interval at which controllers report their write usage to each other.
+const USAGE_EXCHANGE_INTERVAL_MS: Millis = 400;
 
+/// A simulated cluster, its virtual time and the checks on it.
 pub struct Simulation {
     pub store: SimulatedStore,
     pub network: SimulatedNetwork,
@@ -70,12 +73,12 @@
     random: RandomSource,
     invariants: InvariantChecker,
     starvation: StarvationCheck,
-    /// Where writes are counted; elsewhere they are free.
+    /// Budgets of the controllers' writes; `None`: writes are unlimited.
     write_budgets: Option<WriteBudgets>,
 }
 
 impl Simulation {
-    /// A cluster of so many workers, in both zones by turns, that has no leader yet.
+    /// Creates a cluster without a leader, whose workers are in both zones in turn.
     pub fn new(seed: u64, workers: usize) -> Simulation {
         let mut simulation = Simulation {
             store: SimulatedStore::default(),
@@ -94,34 +97,36 @@
         simulation
     }
 
-    /// Adds so many workers, in both zones by turns.
+    /// Adds `count` workers, in both zones in turn, starting with the first zone.
     pub fn add_workers(&mut self, count: usize) {
         for zone in ZONES.into_iter().cycle().take(count) {
             self.add_worker(zone);
         }
     }
 
-    /// Adds a worker that is up at once, and returns its name.
+    /// Adds a worker that is up immediately, and returns its name.
     pub fn add_worker(&mut self, zone: &str) -> String {
         let spec = WorkerSpec { zone: zone.into(), machine_type: MACHINE_TYPE.into(), spot: false, up_at: 0 };
         self.workers.add(self.now, spec)
     }
 
-    /// The worker comes back at once, with a new incarnation and nothing on it.
+    /// Restarts a worker immediately, with a new incarnation and no tasks.
     pub fn restart_worker(&mut self, worker: usize) {
         self.workers[worker].restart(self.now);
     }
 
-    /// From now on writes are limited, and shared by so many controllers.
+    /// Limits writes from now on to `limit` per second, shared by `controllers`
+    /// controllers.
     pub fn limit_writes(&mut self, limit: f64, controllers: usize) {
         self.write_budgets = Some(WriteBudgets::new(limit, controllers));
     }
 
-    /// The budgets of a simulation whose writes are limited.
+    /// Returns the write budgets; panics unless writes are limited.
     pub fn write_budgets(&self) -> &WriteBudgets {
         self.write_budgets.as_ref().expect("writes are limited")
     }
 
+    /// Runs for `ms` of virtual time.
     pub fn run(&mut self, ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
@@ -129,18 +134,20 @@
         }
     }
 
-    /// Runs until the condition holds, or fails the case.
+    /// Runs until the condition holds; fails the case if it doesn't within `max` ms.
     pub fn run_until(&mut self, what: &str, max: Millis, condition: impl Fn(&Simulation) -> bool) {
         let end = self.now + max;
         while !condition(self) {
-            assert!(self.now < end, "never came: {what}");
+            assert!(self.now < end, "timed out waiting for: {what}");
             self.step();
         }
     }
 
     fn step(&mut self) {
         self.now += STEP_MS;
-        if let Some(budgets) = self.write_budgets.as_mut().filter(|_| self.now.is_multiple_of(WRITE_SHARING_MS)) {
+        if let Some(budgets) =
+            self.write_budgets.as_mut().filter(|_| self.now.is_multiple_of(USAGE_EXCHANGE_INTERVAL_MS))
+        {
             budgets.exchange_usage(self.now);
         }
         self.deliver_delayed();
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -1,5 +1,5 @@
-//! The network between controllers, workers and the key-value store: what
-//! happens to messages, and those that arrive later than they were sent.
+//! The network between controllers, workers and the key-value store: its faults, and
+//! the messages in flight.
 
 use shedhook::{
     coordination::{
@@ -14,7 +14,7 @@
 
 use super::{submission, worker::WorkerFaults, Simulation};
 
-/// The direct call of a leader that waits for its answer.
+/// A direct call of a leader that waits for the response.
 #[derive(Clone, Copy)]
 pub(super) struct DirectCall {
     pub(super) machine: MachineIndex,
@@ -22,36 +22,22 @@
     pub(super) term: Term,
 }
 
-/// A message that arrives later than it was sent.
+/// A message that arrives later than it is sent.
 pub(super) enum Message {
-    /// A command whose answer nobody waits for.
-    Command {
-        worker: usize,
-        request: DirectCommandRequest,
-    },
-    /// A command that is executed and answered when it comes.
-    SlowCommand {
-        worker: usize,
-        request: DirectCommandRequest,
-        call: DirectCall,
-    },
-    /// The command was carried out; this is what the leader hears of it.
-    CommandResponse {
-        outcome: DirectCallOutcome,
-        call: DirectCall,
-    },
+    /// A command whose response is lost.
+    Command { worker: usize, request: DirectCommandRequest },
+    /// A command that is executed when it arrives; the leader then receives the response.
+    SlowCommand { worker: usize, request: DirectCommandRequest, call: DirectCall },
+    /// The response to a command that was executed when it was sent.
+    CommandResponse { outcome: DirectCallOutcome, call: DirectCall },
+    /// A heartbeat whose response is lost.
     Heartbeat(Heartbeat),
-    /// A transaction whose answer nobody waits for.
+    /// A transaction whose response is lost.
     Transaction(Transaction),
-    /// Carried out when it comes, and answered later still.
-    SlowTransaction {
-        transaction: Transaction,
-        term: Term,
-    },
-    TransactionResponse {
-        outcome: CommitOutcome,
-        term: Term,
-    },
+    /// A transaction that is applied when it arrives; the response is delayed as well.
+    SlowTransaction { transaction: Transaction, term: Term },
+    /// The response to a [`Message::SlowTransaction`].
+    TransactionResponse { outcome: CommitOutcome, term: Term },
 }
 
 struct DelayedMessage {
@@ -59,36 +45,39 @@
     message: Message,
 }
 
-/// What happens to messages, decided anew for each: percentages.
+/// Probabilities of faults in percent, drawn separately for each message.
 #[derive(Clone, Copy, Default)]
 pub struct FaultRates {
-    /// The answer to a command is lost; the command is executed later.
+    /// The response to a command is lost, and the command is executed later.
     pub late_command: u32,
     /// A command never arrives.
     pub lost_command: u32,
-    /// A command is executed and answered, and a copy of it comes again later.
+    /// A command is executed with a response, and a copy of it arrives again later.
     pub repeated_command: u32,
-    /// A command takes a second or two to be executed and answered.
+    /// A command is executed with a delay of up to two seconds, and its response
+    /// arrives then.
     pub slow_command: u32,
-    /// A command is executed at once, its answer takes a second or two.
+    /// A command is executed at once, and its response arrives up to two seconds later.
     pub slow_command_response: u32,
-    /// The answer to a transaction is lost; half of those are applied at once,
-    /// half later.
+    /// The response to a transaction is lost. Half of these transactions are applied at
+    /// once, the other half later.
     pub lost_transaction_response: u32,
-    /// A transaction gets no answer and is carried out 2 to 12 s later.
+    /// The response to a transaction is lost, and the transaction is applied 2 to 12 s
+    /// later.
     pub late_transaction: u32,
-    /// The answer to a heartbeat is lost.
+    /// The response to a heartbeat is lost.
     pub lost_heartbeat_response: u32,
-    /// A heartbeat also arrives a second time, late.
+    /// A copy of a heartbeat arrives later.
     pub late_heartbeat: u32,
-    /// A heartbeat arrives again from within a lease to four of them later.
+    /// A copy of a heartbeat arrives half a worker lease to four worker leases later.
     pub very_late_heartbeat: u32,
-    /// A heartbeat does not arrive now, but some seconds later, unanswered.
+    /// A heartbeat arrives some seconds late, and its response is lost.
     pub delayed_heartbeat: u32,
-    /// The answer to a scale-out is lost.
+    /// The response to a scale-out request is lost.
     pub lost_scale_out_response: u32,
 }
 
+/// The network's fault rates and the messages in flight.
 #[derive(Default)]
 pub struct SimulatedNetwork {
     pub rates: FaultRates,
@@ -96,11 +85,13 @@
 }
 
 impl SimulatedNetwork {
+    /// Sends a message that arrives at the time `due`.
     pub(super) fn send_at(&mut self, due: Millis, message: Message) {
         self.delayed.push(DelayedMessage { due, message });
     }
 
-    /// Removes and returns the messages that arrive by now.
+    /// Removes and returns the messages that have arrived by now, in the order in which
+    /// they were sent.
     pub(super) fn take_due(&mut self, now: Millis) -> Vec<Message> {
         let all = std::mem::take(&mut self.delayed);
         let (due, later): (Vec<_>, Vec<_>) = all.into_iter().partition(|delayed| delayed.due <= now);
@@ -108,27 +99,27 @@
         due.into_iter().map(|delayed| delayed.message).collect()
     }
 
-    /// How many messages are on their way.
+    /// Returns the number of messages in flight.
     pub fn in_flight(&self) -> usize {
         self.delayed.len()
     }
 
-    /// Delivers a copy of a heartbeat to whoever leads then.
+    /// Delivers a copy of a heartbeat at the time `due`, to the leader at that time.
     pub fn deliver_heartbeat_at(&mut self, due: Millis, heartbeat: Heartbeat) {
         self.send_at(due, Message::Heartbeat(heartbeat));
     }
 
-    /// Everything on its way arrives at this time.
+    /// Makes all messages in flight arrive at the time `due`.
     pub fn delay_all_until(&mut self, due: Millis) {
         self.delayed.iter_mut().for_each(|delayed| delayed.due = due);
     }
 
-    /// Whether commands to this worker are on their way, unanswered.
+    /// Reports whether commands to this worker, whose response is lost, are in flight.
     pub fn has_commands_for(&self, worker: usize) -> bool {
         self.delayed.iter().any(|delayed| delayed.is_command_for(worker))
     }
 
-    /// Commands to this worker that go unanswered arrive at this time.
+    /// Makes the commands to this worker whose response is lost arrive at the time `due`.
     pub fn delay_commands_for(&mut self, worker: usize, due: Millis) {
         let commands = self.delayed.iter_mut().filter(|delayed| delayed.is_command_for(worker));
         commands.for_each(|delayed| delayed.due = due);
@@ -142,8 +133,8 @@
 }
 
 impl Simulation {
-    /// Cuts a zone off or connects it again; behind the partition another
-    /// controller may renew its workers' leases.
+    /// Partitions a zone or reconnects it. `lease_renewed_by_peer`: a controller on the
+    /// zone's side of the partition renews its workers' leases.
     pub fn partition_zone(&mut self, zone: &str, partitioned: bool, lease_renewed_by_peer: bool) {
         for worker in self.workers.iter_mut().filter(|worker| worker.spec.zone == zone) {
             worker.faults.partitioned = partitioned;
@@ -151,22 +142,23 @@
         }
     }
 
-    /// Submits "j-1", a gang of two tasks that each take a whole machine. Both
-    /// launches go unanswered: the one to worker 0 arrives after `delay_ms`, the
-    /// other one at once.
+    /// Submits "j-1", a gang of two tasks that each take a whole machine. The responses
+    /// to both launches are lost: the launch on worker 0 arrives after `delay_ms`, the
+    /// other one after 100 ms.
     pub fn submit_gang_with_launches_in_flight(&mut self, delay_ms: Millis) {
         self.network.rates = FaultRates { late_command: 100, ..FaultRates::default() };
         let mut gang = submission("j-1", "ensemble", 2);
         gang.cpus = Some(8.0);
         self.submit(gang, 0);
         self.run(200);
-        assert_eq!(self.network.in_flight(), 2, "both launches are on their way");
+        assert_eq!(self.network.in_flight(), 2, "both launches are in flight");
         self.network.delay_all_until(self.now + 100);
         self.network.delay_commands_for(0, self.now + delay_ms);
         self.network.rates = FaultRates::default();
     }
 
-    /// All faults are over. Whatever is still on its way arrives all the same.
+    /// Ends all faults, restarts the progress check's waits, and elects a leader if there
+    /// is none. Messages in flight still arrive.
     pub fn heal_faults(&mut self) {
         self.network.rates = FaultRates::default();
         let conditions = &mut self.store.conditions;
--- a/tests/simulation/progress.rs
+++ b/tests/simulation/progress.rs
@@ -1,4 +1,4 @@
-//! Progress: no job is left waiting while there is free capacity for it.
+//! Progress check: no job waits for long while there is free capacity for it.
 
 use std::collections::HashMap;
 
@@ -9,20 +9,22 @@
 /// How long a job may wait while there is free capacity for it.
 const WAIT_MAX_MS: Millis = 90_000;
 
-/// Since when a job's tasks wait though there is free capacity.
+/// Since when each job's tasks have been waiting although there is free capacity.
 #[derive(Default)]
 pub(super) struct StarvationCheck {
     waiting_since: HashMap<String, Millis>,
 }
 
 impl StarvationCheck {
+    /// Clears all waits, so that they are measured from now on.
     pub(super) fn clear_waits(&mut self) {
         self.waiting_since.clear();
     }
 
-    /// Notes whether a job waits beside free capacity; false when it has for too long.
-    fn observe(&mut self, now: Millis, id: &str, starves: bool) -> bool {
-        if !starves {
+    /// Records whether a job waits although there is free capacity. Returns false when it
+    /// has waited for longer than `WAIT_MAX_MS`.
+    fn observe(&mut self, now: Millis, id: &str, is_starved: bool) -> bool {
+        if !is_starved {
             self.waiting_since.remove(id);
             return true;
         }
@@ -31,7 +33,7 @@
     }
 }
 
-/// How many tasks of a job fit on the free machines, and are placed, by zone.
+/// How many tasks of a job still fit in a zone, and how many are placed there.
 #[derive(Clone, Copy, Default)]
 struct ZoneCapacity {
     fits: usize,
@@ -39,22 +41,22 @@
 }
 
 impl Simulation {
-    /// Runs for so long; no job is left waiting for 90 s while there is
-    /// free capacity for it.
+    /// Runs for `ms`. Fails if a job waits for more than 90 s while there is free
+    /// capacity for it.
     pub fn run_without_starvation(&mut self, name: &str, ids: &[String], ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
             for id in ids {
-                let starves = !self.is_finished_or_running(id) && self.has_capacity(id);
-                let in_time = self.starvation.observe(self.now, id, starves);
-                assert!(in_time, "{name}: {id} is left waiting, with room");
+                let is_starved = !self.is_finished_or_running(id) && self.has_capacity(id);
+                let in_time = self.starvation.observe(self.now, id, is_starved);
+                assert!(in_time, "{name}: {id} waits for too long although there is free capacity");
             }
             self.run(1_000);
         }
     }
 
-    /// Runs until every job that was not cancelled is done, or runs if it is a
-    /// service; meanwhile none is left waiting.
+    /// Runs until every job that was not cancelled is done, or running if it is a
+    /// service. Fails after `max` ms, or if a job waits too long meanwhile.
     pub fn run_until_settled(&mut self, name: &str, max: Millis) {
         let end = self.now + max;
         let mut ids: Vec<String> = self.users.jobs().map(|(id, _)| id.clone()).collect();
@@ -64,11 +66,16 @@
             if waiting.is_empty() {
                 return;
             }
-            assert!(self.now < end, "{name}: never came: {waiting:?}, {:?}", self.invariants.violations());
+            assert!(
+                self.now < end,
+                "{name}: timed out waiting for {waiting:?}, violations: {:?}",
+                self.invariants.violations()
+            );
             self.run_without_starvation(name, &ids, 1_000);
         }
     }
 
+    /// Reports whether a job is done or cancelled, or is a service whose tasks all run.
     fn is_finished_or_running(&self, id: &str) -> bool {
         match self.status(id) {
             JobStatus::Pending => {
@@ -79,8 +86,8 @@
         }
     }
 
-    /// Does some machine fit a task of this job that is nowhere, or, for a
-    /// gang, do machines fit all of them?
+    /// Reports whether there is free capacity for an unplaced task of this job; for a
+    /// gang, for all of its tasks.
     fn has_capacity(&self, id: &str) -> bool {
         let job = &self.users[id];
         let unplaced = job
@@ -88,19 +95,20 @@
             .filter(|task| !self.workers.has_completed(task) && self.worker_with(task).is_none())
             .count();
         if unplaced == 0 || (job.is_gang() && unplaced < job.tasks() as usize) {
-            return false; // it is on its way, or its rest has to end first
+            // All tasks are placed, or the remaining tasks of the gang must exit first.
+            return false;
         }
         let needed = if job.is_gang() { unplaced } else { 1 };
         !self.exceeds_quota(job, needed) && self.zones_fit(id, job, needed)
     }
 
-    /// The worker on which a task is, in whatever state before its end.
+    /// Returns the worker that has a task in any state before its exit.
     fn worker_with(&self, task: &str) -> Option<&Worker> {
         self.workers.alive().find(|worker| worker.live_tasks().any(|held| held.name == task))
     }
 
-    /// Whether so many tasks more would exceed the limit of team "red", to which
-    /// all jobs belong where progress is checked.
+    /// Reports whether `needed` more tasks would exceed the limit of team "red", to which
+    /// all jobs belong in the cases that check progress.
     fn exceeds_quota(&self, job: &SubmittedJob, needed: usize) -> bool {
         let Some(gpus_max) = self.controller.settings.quotas.red_gpus_max else { return false };
         let live = self.workers.alive().flat_map(Worker::live_tasks);
@@ -109,7 +117,7 @@
         used + job.submission.gpus.unwrap() * needed as f64 > gpus_max
     }
 
-    /// Whether the zones have free capacity for so many tasks, as the job may use them.
+    /// Reports whether `needed` tasks fit in the zones, under the job's zone constraints.
     fn zones_fit(&self, id: &str, job: &SubmittedJob, needed: usize) -> bool {
         let [a, b] = ZONES.map(|zone| self.zone_capacity(id, job, zone));
         if job.submission.one_zone == Some(true) {
@@ -123,6 +131,7 @@
         a.fits + b.fits >= needed
     }
 
+    /// Returns the job's capacity in a zone.
     fn zone_capacity(&self, id: &str, job: &SubmittedJob, zone: &str) -> ZoneCapacity {
         let is_allowed = |worker: &&Worker| {
             let in_zone = worker.spec.zone == zone && job.submission.zone.as_ref().is_none_or(|only| only == zone);
@@ -137,7 +146,7 @@
         ZoneCapacity { fits, placed }
     }
 
-    /// How many tasks of this job fit on a worker beside what is there.
+    /// Returns how many more tasks of this job fit on a worker, beside its live tasks.
     fn tasks_that_fit(&self, job: &SubmittedJob, worker: &Worker) -> usize {
         let (mut slots_used, mut cpus_left, mut gpus_left) = (0, 8.0, 4.0);
         for other in worker.live_tasks().filter_map(|task| self.users.job_of(&task.name)) {
--- a/tests/simulation/queries.rs
+++ b/tests/simulation/queries.rs
@@ -1,4 +1,4 @@
-//! What test cases ask of the simulation: where tasks run, and what heartbeats said.
+//! Queries of test cases: where tasks run, and the workers' latest heartbeats.
 
 use shedhook::{
     coordination::{lease_renewal, model::Millis},
@@ -8,16 +8,17 @@
 use super::{users::SubmittedJob, Simulation, CANCEL_MS, LEASE_MS};
 
 impl Simulation {
-    /// How long a controller that is not leading may renew workers' leases.
+    /// Returns how long, in ms, a controller that doesn't lead may renew worker leases.
     pub fn longest_renewal_by_peer() -> Millis {
         lease_renewal::leaderless_window_ms(CANCEL_MS as f64 / 1000.0, LEASE_MS as f64 / 1000.0)
     }
 
-    /// The present virtual time.
+    /// Returns the current virtual time, in ms.
     pub fn now(&self) -> Millis {
         self.now
     }
 
+    /// Returns a random number from 0 to `bound` - 1.
     pub fn random_below(&mut self, bound: usize) -> usize {
         self.random.below(bound)
     }
@@ -26,12 +27,12 @@
         &self.users[id]
     }
 
-    /// Where a task is, by worker number.
+    /// Returns the number of the worker whose machine a task occupies.
     pub fn worker_running(&self, task: &str) -> Option<usize> {
         self.workers.iter().position(|worker| worker.holds(task))
     }
 
-    /// The worker of each of a job's first `tasks` tasks.
+    /// Returns the number of the worker of each of a job's first `tasks` tasks.
     pub fn assignments(&self, id: &str, tasks: u32) -> Vec<Option<usize>> {
         (0..tasks).map(|number| self.worker_running(&format!("{id}/{number}"))).collect()
     }
@@ -44,7 +45,8 @@
         self.assignments(id, tasks).iter().all(Option::is_none)
     }
 
-    /// The last heartbeat that each worker could have sent.
+    /// Returns each worker's current state as a heartbeat, with the sequence number of
+    /// the last one it sent.
     pub fn latest_heartbeats(&self) -> Vec<Heartbeat> {
         self.workers.iter().map(|worker| worker.latest_heartbeat()).collect()
     }
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -20,19 +20,22 @@
     pub revision: Revision,
 }
 
-/// How the store treats the leader's requests.
+/// Limits, latencies and faults of the leader's requests to the store.
 pub struct StoreConditions {
-    /// Transactions it still takes before it is unavailable; `None`: no limit.
+    /// Number of transactions that it still accepts before it refuses all; `None`: no
+    /// limit.
     pub transactions_left: Option<u32>,
-    /// The leader's reads and transactions get 503. A read that was open waits.
+    /// The leader's reads and transactions are refused with 503. A read that is already
+    /// pending completes only after that.
     pub refuses_leader: bool,
-    /// The longest that a read of the changes takes.
+    /// Longest duration of a read of the changes; 0: it completes at once.
     pub read_latency_max_ms: Millis,
-    /// The longest that a transaction takes, and its answer once more.
+    /// Longest time until a transaction is applied, and longest time from then until the
+    /// response arrives; 0: the response arrives at once.
     pub transaction_latency_max_ms: Millis,
-    /// The largest value that it accepts now, in bytes.
+    /// Size of the largest value that the store accepts now, in bytes.
     pub value_bytes_max: usize,
-    /// Most writes of a transaction that it accepts now.
+    /// Most writes that the store accepts in one transaction now.
     pub transaction_writes_max: usize,
 }
 
@@ -50,7 +53,7 @@
 }
 
 impl StoreConditions {
-    /// Whether a value or the number of writes exceeds the present limits.
+    /// Reports whether a value or the number of writes exceeds the current limits.
     pub(super) fn is_too_large(&self, transaction: &Transaction) -> bool {
         let too_large = |write: &WriteOperation| match write {
             WriteOperation::Put { value, .. } => records::json_size(value) > self.value_bytes_max,
@@ -60,6 +63,7 @@
     }
 }
 
+/// The state of the key-value store.
 #[derive(Default)]
 pub struct SimulatedStore {
     pub conditions: StoreConditions,
@@ -84,9 +88,14 @@
         let revision = self.advance();
         for write in &transaction.writes {
             match write {
-                WriteOperation::Put { key, value: v, .. } => {
-                    self.values.insert(key.clone(), StoredValue { value: v.clone(), revision });
-                    self.log.push(Change { write: Some(key.clone()), drop: None, value: Some(v.clone()), revision });
+                WriteOperation::Put { key, value, .. } => {
+                    self.values.insert(key.clone(), StoredValue { value: value.clone(), revision });
+                    self.log.push(Change {
+                        write: Some(key.clone()),
+                        drop: None,
+                        value: Some(value.clone()),
+                        revision,
+                    });
                 }
                 WriteOperation::Delete { key } => {
                     self.values.remove(key);
@@ -103,7 +112,7 @@
         self.apply(&Transaction { conditions: vec![], writes }).unwrap();
     }
 
-    /// The key of the leadership changes hands: returns its new revision.
+    /// Writes the leader's key for a new leader and returns its new revision.
     pub(super) fn acquire_leadership(&mut self) -> Revision {
         let revision = self.advance();
         self.values.insert(records::LEADER_KEY.into(), StoredValue { value: Value::Null, revision });
@@ -130,22 +139,24 @@
         self.get(&records::chunk_key(job, chunk))?.value.deserialized().ok()
     }
 
-    /// The keys of all records that say where tasks are.
+    /// Returns the keys of all chunk records, which hold the tasks' assignments.
     pub fn chunk_keys(&self) -> Vec<&String> {
         self.values.keys().filter(|key| key.starts_with(records::CHUNK_KEY_PREFIX)).collect()
     }
 
-    /// Throws away the records that say where tasks are, without a trace in the log.
+    /// Removes all chunk records, which hold the tasks' assignments, without adding
+    /// changes to the log.
     pub fn lose_chunk_records(&mut self) {
         self.records_lost = true;
         self.values.retain(|key, _| !key.starts_with(records::CHUNK_KEY_PREFIX));
     }
 
-    /// This case threw records away.
+    /// Reports whether the case has removed the chunk records.
     pub(super) fn has_lost_records(&self) -> bool {
         self.records_lost
     }
 
+    /// Returns all pairs whose key begins with `prefix`, in one page.
     pub(super) fn page(&self, prefix: &str) -> Page {
         let pairs = self
             .values
@@ -161,6 +172,7 @@
         Page { pairs, truncated: false, store_revision: self.revision }
     }
 
+    /// Returns the writes after the revision `from` to keys that begin with `prefix`.
     pub(super) fn changes(&self, prefix: &str, from: Revision) -> Changes {
         let has_prefix = |change: &Change| change.write.as_deref().is_some_and(|key| key.starts_with(prefix));
         let events = self.log.iter().filter(|change| change.revision > from && has_prefix(change)).cloned().collect();
--- a/tests/simulation/submission.rs
+++ b/tests/simulation/submission.rs
@@ -1,8 +1,8 @@
-//! Submissions of test cases: a valid one, and single fields set in a chain.
+//! Submissions for test cases: a valid one, and methods that set single fields.
 
 use shedhook::protocol::jobs::Submission;
 
-/// A valid submission of team "red" with normal priority.
+/// Returns a valid submission of team "red" with normal priority.
 pub fn submission(id: &str, kind: &str, tasks: u32) -> Submission {
     Submission {
         name_id: Some(id.into()),
@@ -26,30 +26,30 @@
     }
 }
 
-/// Sets single fields of a submission.
+/// Methods that set one field of a submission each.
 pub trait SubmissionBuilder {
     fn with_priority(self, priority: &str) -> Self;
     fn with_team(self, team: &str) -> Self;
     fn with_class(self, class: &str) -> Self;
-    /// CPUs of each task.
+    /// Sets the number of CPUs of each task.
     fn with_cpus(self, cpus: f64) -> Self;
-    /// GPUs of each task.
+    /// Sets the number of GPUs of each task.
     fn with_gpus(self, gpus: f64) -> Self;
-    /// Memory of each task.
+    /// Sets the memory of each task, in GB.
     fn with_memory_gb(self, memory_gb: f64) -> Self;
-    /// All tasks run in this zone.
+    /// Requires all tasks to run in this zone.
     fn with_zone(self, zone: &str) -> Self;
-    /// All tasks run in one zone, whichever it is.
+    /// Sets whether all tasks must run in one zone, which may be any.
     fn with_one_zone(self, one_zone: bool) -> Self;
-    /// No zone has more than half of the tasks.
+    /// Sets whether each zone may have at most half of the tasks, rounded up.
     fn with_spread(self, spread: bool) -> Self;
-    /// Time between checkpoints.
+    /// Sets the time between checkpoints, in seconds.
     fn with_checkpoint_s(self, checkpoint_s: f64) -> Self;
-    /// Time that one checkpoint takes.
+    /// Sets the time that one checkpoint takes, in seconds.
     fn with_save_s(self, save_s: f64) -> Self;
-    /// Time from the submission until it should be done.
+    /// Sets the time from the submission by which the job should be done, in seconds.
     fn with_deadline_s(self, deadline_s: f64) -> Self;
-    /// It starts when these jobs are done.
+    /// Sets the jobs that must be done before this job starts.
     fn with_prereqs(self, prereqs: &[&str]) -> Self;
 }
 
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -1,4 +1,4 @@
-//! Users of the cluster: submissions, cancellations, and what they are told.
+//! Users of the cluster: submissions, cancellations, and the status reported to them.
 
 use std::{collections::HashMap, ops::Index};
 
@@ -13,16 +13,17 @@
 /// Jobs with more tasks than this are recorded in large chunks.
 const LARGE_JOB_TASKS: f64 = 1_000.0;
 
-/// Tasks in one record of a large job.
+/// Tasks in one chunk record of a large job.
 const LARGE_JOB_CHUNK: u32 = 128;
 
-/// What the users know of a job, and how its tasks behave.
+/// A job as its user submitted it, and how its tasks behave.
 pub struct SubmittedJob {
     pub submission: Submission,
+    /// When the cancellation was confirmed; `None`: not cancelled.
     pub cancelled_at: Option<Millis>,
-    /// How long its tasks run; 0: for ever.
+    /// How long its tasks run, in ms; 0: until they are stopped.
     pub run_ms: Millis,
-    /// Submitted with a mistake: its tasks fail after running for this long.
+    /// For a faulty job: its tasks fail after they have run for this long, in ms.
     pub fails_after: Option<Millis>,
 }
 
@@ -39,14 +40,15 @@
         self.submission.kind.as_deref() == Some("service")
     }
 
-    /// The names of its tasks, where the job is called `id`.
+    /// Returns the names of its tasks, given the job's name `id`.
     pub(super) fn task_names<'a>(&self, id: &'a str) -> impl Iterator<Item = String> + 'a {
         (0..self.tasks()).map(move |number| format!("{id}/{number}"))
     }
 }
 
+/// All submitted jobs.
 pub struct SimulatedUsers {
-    /// Tasks in one record; few, so that small jobs have several.
+    /// Tasks in one chunk record; few, so that small jobs have several records.
     pub tasks_per_chunk: u32,
     jobs: HashMap<String, SubmittedJob>,
 }
@@ -70,7 +72,7 @@
         self.jobs.iter()
     }
 
-    /// The job that a task belongs to.
+    /// Returns the job that a task belongs to.
     pub(super) fn job_of(&self, task: &str) -> Option<&SubmittedJob> {
         self.jobs.get(split_task(task)?.0)
     }
@@ -108,19 +110,20 @@
 }
 
 impl Simulation {
-    /// Submits a job whose tasks run for `run_ms`, or for ever if that is 0.
+    /// Submits a job whose tasks run for `run_ms`, or until they are stopped if that is 0.
     pub fn submit(&mut self, submission: Submission, run_ms: Millis) {
         let job = SubmittedJob { submission, cancelled_at: None, run_ms, fails_after: None };
         self.users.submit(self.now, &mut self.store, job);
     }
 
-    /// A job that was submitted with a mistake: it fails on every machine.
+    /// Submits a faulty job: its tasks fail on every machine after `fails_after` ms.
     pub fn submit_failing(&mut self, submission: Submission, fails_after: Millis) {
         let job = SubmittedJob { submission, cancelled_at: None, run_ms: 0, fails_after: Some(fails_after) };
         self.users.submit(self.now, &mut self.store, job);
     }
 
-    /// A submission at one of the controllers: false when it is over its budget.
+    /// Submits a job to one of the controllers; returns false when that controller's
+    /// write budget is used up.
     pub fn submit_to_controller(&mut self, controller: usize, submission: Submission, run_ms: Millis) -> bool {
         let budgets = self.write_budgets.as_mut().expect("writes are limited");
         if !budgets.take_for_submission(self.now, controller) {
@@ -131,7 +134,8 @@
         true
     }
 
-    /// A user's cancellation, answered: true when cancelled, false when done before.
+    /// Cancels a job and returns the user's response: true when cancelled, false when it
+    /// was already done.
     pub fn cancel(&mut self, id: &str) -> bool {
         self.users.cancel(self.now, &mut self.store, id)
     }
@@ -144,7 +148,8 @@
         self.job_record(id).status
     }
 
-    /// What the controller tells users of a job.
+    /// Returns the job status that the controller reports to users; `None` if it doesn't
+    /// know the job.
     pub fn status_reported_to_users(&self, id: &str) -> Option<JobStatus> {
         self.controller.status_reported_to_users(id)
     }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -1,4 +1,4 @@
-//! A worker and the tasks on it, as the protocol describes them.
+//! A worker and its tasks, as the protocol describes them.
 
 use shedhook::{
     coordination::model::Millis,
@@ -10,20 +10,22 @@
 
 use super::{HEARTBEAT_INTERVAL_MS, LEASE_MS};
 
-/// A changed state is sent so long after the last heartbeat, at the soonest.
+/// Shortest time between a heartbeat and a next one that reports a changed state.
 const CHANGE_DELAY_MS: Millis = 500;
 
+/// One attempt of a task on a worker.
 #[derive(Debug, Clone)]
 pub struct WorkerTask {
     pub name: String,
     pub attempt: Attempt,
     pub state: TaskState,
     pub why: Option<ExitReason>,
+    /// When the attempt entered its state.
     pub(super) since: Millis,
 }
 
 impl WorkerTask {
-    /// On its machine, as the rules count it.
+    /// Reports whether the attempt occupies its machine in the sense of the invariants.
     pub(super) fn occupies_machine(&self) -> bool {
         matches!(self.state, TaskState::Running | TaskState::Waiting)
     }
@@ -43,56 +45,63 @@
     }
 }
 
-/// What machine the worker runs on.
+/// The machine that a worker runs on.
 #[derive(Clone)]
 pub struct WorkerSpec {
     pub zone: String,
     pub machine_type: String,
     pub spot: bool,
-    /// It is booting until then.
+    /// The machine is booting until this time.
     pub up_at: Millis,
 }
 
-/// What is wrong with a worker or its network.
+/// Faults of a worker or its network.
 #[derive(Clone, Copy, Default)]
 pub struct WorkerFaults {
-    /// Its packets go nowhere; it goes on working.
+    /// All its messages are lost in both directions; it continues to run tasks.
     pub partitioned: bool,
-    /// It doesn't execute, nor answer, but may resume.
+    /// It neither runs tasks nor responds, but may resume.
     pub hung: bool,
-    /// Hears no answers to its heartbeats.
+    /// It receives no responses to its heartbeats.
     pub responses_lost: bool,
-    /// Its heartbeats go nowhere, commands and probes reach it.
+    /// Its heartbeats are lost; commands and probes reach it.
     pub outbound_lost: bool,
-    /// Its heartbeats come through, but nothing reaches it.
+    /// Its heartbeats are received, but no message reaches it.
     pub inbound_lost: bool,
-    /// On its side of the partition, another controller renews its lease.
+    /// While its heartbeats are lost, another controller on its side of the partition
+    /// renews its lease.
     pub lease_renewed_by_peer: bool,
 }
 
 impl WorkerFaults {
+    /// Reports whether its heartbeats don't reach the leader.
     pub(super) fn loses_heartbeats(self) -> bool {
         self.partitioned || self.outbound_lost
     }
 }
 
+/// A worker, its machine and its tasks.
 pub struct Worker {
     pub id: String,
     pub spec: WorkerSpec,
     pub tasks: Vec<WorkerTask>,
     pub faults: WorkerFaults,
+    /// Whether the machine no longer exists.
     pub dead: bool,
-    /// Every task fails here after running for so long.
+    /// For a faulty machine: every task fails on it after running for this long, in ms.
     pub fails_after: Option<Millis>,
     incarnation: Incarnation,
     sequence: SequenceNumber,
     token: FencingToken,
-    /// When the last answered heartbeat was sent, or the incarnation began.
+    /// When the last heartbeat that received a response was sent, or when the
+    /// incarnation began.
     lease_start: Millis,
     next_heartbeat: Millis,
+    /// Whether the state has changed since the last heartbeat.
     changed: bool,
-    /// A higher token counts as a change once in half a lease.
-    token_shown: Option<Millis>,
+    /// When a higher token was last treated as a changed state, which happens at most
+    /// once in half a worker lease.
+    token_reported_at: Option<Millis>,
 }
 
 impl Worker {
@@ -110,11 +119,11 @@
             lease_start: now,
             next_heartbeat: first_heartbeat,
             changed: false,
-            token_shown: None,
+            token_reported_at: None,
         }
     }
 
-    /// Can commands and probes reach it?
+    /// Reports whether commands and probes reach it.
     pub(super) fn is_reachable(&self) -> bool {
         !(self.dead || self.faults.partitioned || self.faults.hung || self.faults.inbound_lost)
     }
@@ -123,7 +132,7 @@
         now < self.spec.up_at
     }
 
-    /// Whether a task occupies this machine.
+    /// Reports whether a task occupies this machine.
     pub(super) fn holds(&self, task: &str) -> bool {
         !self.dead && self.tasks.iter().any(|held| held.name == task && held.occupies_machine())
     }
@@ -132,18 +141,18 @@
         self.tasks.iter().filter(|task| task.state != TaskState::Exited)
     }
 
-    /// It never comes up.
+    /// Prevents the machine from ever finishing its boot.
     pub fn prevent_boot(&mut self) {
         self.spec.up_at = Millis::MAX;
     }
 
-    /// It is gone, and all that was on it.
+    /// Removes the machine and all its tasks.
     pub fn terminate(&mut self) {
         self.dead = true;
         self.tasks.clear();
     }
 
-    /// It comes back at once, with a new incarnation and nothing on it.
+    /// Restarts the worker immediately, with a new incarnation and no tasks.
     pub(super) fn restart(&mut self, now: Millis) {
         self.tasks.clear();
         self.incarnation = self.incarnation.next();
@@ -151,8 +160,9 @@
         self.changed = true;
     }
 
-    /// Whether its tasks go on now. A booting machine has no lease to lose yet;
-    /// one that hangs loses it like others.
+    /// Restarts the worker if its lease has expired, and reports whether its tasks advance
+    /// in this step. The lease of a booting machine doesn't expire; that of a hung one
+    /// expires as usual.
     pub(super) fn begin_step(&mut self, now: Millis) -> bool {
         if self.is_booting(now) {
             self.lease_start = now;
@@ -161,11 +171,11 @@
         if self.dead && !self.faults.hung {
             return false;
         }
-        self.expire(now);
+        self.expire_lease(now);
         !(self.dead || self.faults.hung)
     }
 
-    fn expire(&mut self, now: Millis) {
+    fn expire_lease(&mut self, now: Millis) {
         if now > self.lease_start + LEASE_MS {
             self.restart(now);
         }
@@ -181,7 +191,7 @@
         self.changed = true;
     }
 
-    /// Stops a live task; false when there is no such attempt.
+    /// Stops a live task; returns false when there is no such attempt.
     pub(super) fn stop_task(&mut self, name: &str, attempt: Attempt) -> bool {
         let is_live = |task: &&mut WorkerTask| task.is_attempt(name, attempt) && task.state != TaskState::Exited;
         let Some(task) = self.tasks.iter_mut().find(is_live) else { return false };
@@ -194,7 +204,7 @@
         self.tasks.retain(|task| !(task.is_attempt(name, attempt) && task.state == TaskState::Exited));
     }
 
-    /// Whether a heartbeat is to be sent now; if so, the next one is scheduled.
+    /// Reports whether a heartbeat is due; if so, schedules the next one.
     pub(super) fn take_due_heartbeat(&mut self, now: Millis) -> bool {
         let change_is_due = self.changed && now + HEARTBEAT_INTERVAL_MS >= self.next_heartbeat + CHANGE_DELAY_MS;
         if now < self.next_heartbeat && !change_is_due {
@@ -205,12 +215,14 @@
         true
     }
 
+    /// Returns a new heartbeat, with the next sequence number.
     pub(super) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence = self.sequence.next();
         self.latest_heartbeat()
     }
 
-    /// The last heartbeat that it could have sent, without sending anything.
+    /// Returns the current state as a heartbeat with the last sequence number, without
+    /// sending one.
     pub fn latest_heartbeat(&self) -> Heartbeat {
         Heartbeat {
             machine: self.id.clone(),
@@ -226,7 +238,7 @@
         }
     }
 
-    /// Another controller renews the lease, if one does; false when none does.
+    /// Renews the lease if another controller would; returns whether it was renewed.
     pub(super) fn renew_by_peer(&mut self, sent: Millis) -> bool {
         let renewed =
             self.faults.loses_heartbeats() && self.faults.lease_renewed_by_peer && self.token > FencingToken(0);
@@ -236,22 +248,22 @@
         renewed
     }
 
-    /// Takes the answer to a heartbeat sent at `sent`; false when it comes from
-    /// an earlier leader, so that its commands are not for this worker.
+    /// Processes the response to a heartbeat sent at `sent`, which renews the lease.
+    /// Returns false when it is from an earlier leader, whose commands must be ignored.
     pub(super) fn accept_response(&mut self, sent: Millis, response: &HeartbeatResponse) -> bool {
         if response.token < self.token {
             return false;
         }
-        if response.token > self.token && self.token_shown.is_none_or(|shown| sent >= shown + LEASE_MS / 2) {
-            (self.changed, self.token_shown) = (true, Some(sent));
+        if response.token > self.token && self.token_reported_at.is_none_or(|at| sent >= at + LEASE_MS / 2) {
+            (self.changed, self.token_reported_at) = (true, Some(sent));
         }
         self.token = response.token;
         self.lease_start = sent;
         true
     }
 
-    /// Checks the token and incarnation of a direct command, and takes the
-    /// token; false when the command is fenced off.
+    /// Checks the token and incarnation of a direct command, and adopts its token.
+    /// Returns false when the command is refused.
     pub(super) fn accept_command(&mut self, request: &DirectCommandRequest) -> bool {
         if request.token < self.token || request.incarnation != self.incarnation {
             return false;
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -1,4 +1,4 @@
-//! All workers, how tasks go on on them, and what they do on commands.
+//! All workers: how their tasks advance, and how they execute commands.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -19,23 +19,25 @@
     worker::{Worker, WorkerSpec, WorkerTask},
 };
 
-/// How long a gang's task waits for the others.
+/// How long a gang's task waits for the other tasks of the gang before it exits.
 const GANG_WAIT_MS: Millis = 60_000;
 
-/// How long a gang's task may miss another one.
+/// How long a gang's task keeps running after another task of the gang is lost.
 const GANG_PEER_MS: Millis = 8_000;
 
-/// Task numbers over which run times differ.
+/// Number of consecutive tasks that have different run times.
 const RUN_STEPS: u32 = 16;
 
+/// Settings of all workers.
 pub struct WorkerSettings {
-    /// Tasks that a worker takes at once.
+    /// Number of live tasks that a worker accepts.
     pub slots: usize,
-    /// How long an image takes.
+    /// How long it takes to fetch an image.
     pub image_fetch_ms: Millis,
-    /// How much longer each task runs than the one before, up to sixteen.
+    /// How much longer each task runs than the one before it; starts again after sixteen
+    /// tasks.
     pub run_step_ms: Millis,
-    /// Tasks of a gang wait for one another, and end when one of them is gone.
+    /// Tasks of a gang wait for each other to start, and exit when one of them is lost.
     pub gang_semantics: bool,
 }
 
@@ -45,14 +47,15 @@
     }
 }
 
-/// A task that was told to stop, and the time it was given to save its state.
+/// A command that stopped a task.
 pub struct Halt {
     pub at: Millis,
     pub task: String,
+    /// Time that the task gets to save its state, in seconds.
     pub grace_s: f64,
 }
 
-/// The state that a task enters next, with the reason if that is its end.
+/// The state that a task enters next, with the reason if it exits.
 pub(super) struct Transition {
     pub(super) state: TaskState,
     pub(super) why: Option<ExitReason>,
@@ -68,22 +71,23 @@
     }
 }
 
-/// A task of a gang, in one attempt.
+/// One attempt of a task of a gang.
 #[derive(PartialEq, Eq, Hash)]
 struct GangMember {
     task: String,
     attempt: Attempt,
 }
 
+/// All workers, and what happened on them.
 #[derive(Default)]
 pub struct SimulatedWorkers {
     pub settings: WorkerSettings,
     workers: Vec<Worker>,
-    /// Tasks that completed; started again, they end at once.
+    /// Names of the tasks that completed; when started again, they exit at once.
     completed: HashSet<String>,
     halts: Vec<Halt>,
     relaunches_of_completed: usize,
-    /// Since when a gang's task misses another one.
+    /// Since when another task of the gang has been lost, for each task of a gang.
     peer_lost_since: HashMap<GangMember, Millis>,
 }
 
@@ -118,7 +122,7 @@
         self.iter().filter(|worker| !worker.dead)
     }
 
-    /// The place in the list of the worker with this name.
+    /// Returns the position in the list of the worker with this name.
     pub(super) fn position(&self, id: &str) -> Option<usize> {
         self.iter().position(|worker| worker.id == id)
     }
@@ -127,13 +131,13 @@
     pub(super) fn add(&mut self, now: Millis, spec: WorkerSpec) -> String {
         let number = self.workers.len();
         let id = format!("i-{number:06}");
-        // Heartbeats of different workers come at different times.
+        // The workers' heartbeats are sent at different times.
         let first_heartbeat = now + 100 * (number as Millis % 30);
         self.workers.push(Worker::new(id.clone(), spec, now, first_heartbeat));
         id
     }
 
-    /// Whether this task ran to its end, once at least.
+    /// Reports whether this task has completed at least once.
     pub fn has_completed(&self, task: &str) -> bool {
         self.completed.contains(task)
     }
@@ -146,17 +150,17 @@
         self.completed.len()
     }
 
-    /// All tasks that were told to stop, in order.
+    /// Returns all commands that stopped a task, in order.
     pub fn halts(&self) -> &[Halt] {
         &self.halts
     }
 
-    /// Launches of tasks that had completed and were reaped.
+    /// Returns the number of launches of tasks that had completed and were reaped.
     pub fn relaunches_of_completed(&self) -> usize {
         self.relaunches_of_completed
     }
 
-    /// What a task does next, if its state changes now.
+    /// Returns the state that a task enters now, if it changes.
     pub(super) fn transition(
         &mut self,
         now: Millis,
@@ -165,18 +169,18 @@
         job: &SubmittedJob,
     ) -> Option<Transition> {
         let completed = self.has_completed(&task.name);
-        let waits = self.settings.gang_semantics && job.is_gang() && !completed;
+        let waits_for_peers = self.settings.gang_semantics && job.is_gang() && !completed;
         let elapsed = |duration: Millis| now >= task.since + duration;
         let fails_after = job.fails_after.or(self[worker].fails_after);
         let run_ms = job.run_ms + self.extra_run_ms(&task.name);
         match task.state {
             TaskState::Fetching if !elapsed(self.settings.image_fetch_ms) => None,
-            TaskState::Fetching if waits => Some(Transition::to(TaskState::Waiting)),
+            TaskState::Fetching if waits_for_peers => Some(Transition::to(TaskState::Waiting)),
             TaskState::Fetching if completed => Some(Transition::exit(ExitReason::Done)),
             TaskState::Fetching => Some(Transition::to(TaskState::Running)),
             TaskState::Waiting if self.has_all_peers(task, job) => Some(Transition::to(TaskState::Running)),
             TaskState::Waiting if elapsed(GANG_WAIT_MS) => Some(Transition::exit(ExitReason::Alone)),
-            TaskState::Running if waits && self.has_lost_peer(now, task, job) => {
+            TaskState::Running if waits_for_peers && self.has_lost_peer(now, task, job) => {
                 Some(Transition::exit(ExitReason::Peers))
             }
             TaskState::Running if fails_after.is_some_and(elapsed) => Some(Transition::exit(ExitReason::Error)),
@@ -192,16 +196,18 @@
         split_task(task).map_or(0, |(_, number)| Millis::from(number % RUN_STEPS) * self.settings.run_step_ms)
     }
 
-    /// Is every task of this one's gang done, or there with its attempt?
+    /// Reports whether every task of this task's gang has completed, or occupies a
+    /// machine that isn't hung in the same attempt.
     fn has_all_peers(&self, task: &WorkerTask, job: &SubmittedJob) -> bool {
         let Some((id, _)) = split_task(&task.name) else { return false };
-        let is_there = |name: &str| {
+        let is_present = |name: &str| {
             let is_peer = |held: &WorkerTask| held.is_attempt(name, task.attempt) && held.occupies_machine();
             self.alive().any(|worker| !worker.faults.hung && worker.tasks.iter().any(is_peer))
         };
-        job.task_names(id).all(|name| self.has_completed(&name) || is_there(&name))
+        job.task_names(id).all(|name| self.has_completed(&name) || is_present(&name))
     }
 
+    /// Reports whether another task of the gang has been lost for `GANG_PEER_MS`.
     fn has_lost_peer(&mut self, now: Millis, task: &WorkerTask, job: &SubmittedJob) -> bool {
         let member = GangMember { task: task.name.clone(), attempt: task.attempt };
         if self.has_all_peers(task, job) {
@@ -212,7 +218,7 @@
         now >= since + GANG_PEER_MS
     }
 
-    /// Executes a direct command, unless it is fenced off.
+    /// Executes a direct command, unless its token or incarnation is refused.
     pub(super) fn execute_command(
         &mut self,
         now: Millis,
--- a/tests/simulation/write_budget.rs
+++ b/tests/simulation/write_budget.rs
@@ -1,26 +1,27 @@
-//! The limit on writes of the key-value store, shared by several controllers.
+//! The key-value store's limit on writes, shared by several controllers.
 
 use shedhook::{
     coordination::model::Millis,
     storage::rate_limit::{allotted_rate, LimitUser, RateLimiter, Urgency},
 };
 
-/// Part of the limit that a controller's users have at first, and at least.
+/// Fraction of the limit that a controller's users have initially, and at least.
 const USERS_SHARE: f64 = 0.2;
 
-/// Part of the limit that a controller's commits have at first, and at least.
+/// Fraction of the limit that a controller's commits have initially, and at least.
 const COMMITS_SHARE: f64 = 0.5;
 
-/// Commits may write what can wait when more than this part of them is unused.
+/// Commits may include writes that can wait while more than this fraction of their
+/// budget is unused.
 const SPARE_SHARE: f64 = 0.6;
 
-/// A controller's shares of the store's writes.
+/// A controller's budgets of the store's writes.
 struct ControllerBudgets {
     users: RateLimiter,
     commits: RateLimiter,
 }
 
-/// What a controller used of its shares, a second.
+/// A controller's use of its budgets, in writes per second.
 struct Usage {
     users: f64,
     commits: f64,
@@ -29,12 +30,12 @@
 /// How many writes the leader may commit now.
 pub(super) struct CommitAllowance {
     pub(super) writes: usize,
-    /// There is enough for writes that can wait.
+    /// Whether there is enough budget for writes that can wait.
     pub(super) spare: bool,
 }
 
-/// The store's own count of writes, and the controllers that share it; the
-/// first one leads.
+/// The store's own limit on writes, and the budgets of the controllers that share it;
+/// the first controller leads.
 pub struct WriteBudgets {
     limit: f64,
     controllers: Vec<ControllerBudgets>,
@@ -57,17 +58,17 @@
         }
     }
 
-    /// Writes that the store was asked for.
+    /// Returns the number of writes that the store received.
     pub fn written(&self) -> usize {
         self.written
     }
 
-    /// Requests that were over the store's own limit.
+    /// Returns the number of requests that exceeded the store's own limit.
     pub fn refused(&self) -> usize {
         self.refused
     }
 
-    /// Controllers tell one another what they use.
+    /// Lets the controllers report their usage to each other and adjust their budgets.
     pub(super) fn exchange_usage(&mut self, now: Millis) {
         let usage: Vec<Usage> = self
             .controllers
@@ -91,21 +92,25 @@
         }
     }
 
-    /// Takes one write for a submission; false when the controller has none left.
+    /// Takes one write from a controller's budget for a submission; returns false when
+    /// none is left.
     pub(super) fn take_for_submission(&mut self, now: Millis, controller: usize) -> bool {
         self.controllers[controller].users.take(now, 1.0, Urgency::Submit).is_ok()
     }
 
+    /// Returns how much the leader may commit now.
     pub(super) fn commit_allowance(&mut self, now: Millis) -> CommitAllowance {
         let commits = &mut self.controllers[0].commits;
         let available = commits.available(now, Urgency::Commit);
         CommitAllowance { writes: available as usize, spare: available > SPARE_SHARE * commits.burst() }
     }
 
+    /// Takes the writes of a commit from the leader's budget.
     pub(super) fn take_for_commit(&mut self, now: Millis, writes: usize) {
         let _ = self.controllers[0].commits.take(now, writes as f64, Urgency::Lease);
     }
 
+    /// Counts writes against the store's own limit.
     pub(super) fn count_writes(&mut self, now: Millis, writes: usize) {
         self.written += writes;
         self.refused += usize::from(self.store.take(now, writes as f64, Urgency::Cancel).is_err());
