--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -1,5 +1,5 @@
-//! What the library's leader asks for: commands and probes to workers, scale-out
-//! and scale-in, and the cloud's list.
+//! Calls that the library's leader requests: commands and probes to workers, scale-out
+//! and scale-in, and the cloud's machine list.
 
 use shedhook::{
     coordination::{
@@ -17,6 +17,7 @@
 };
 
 impl Simulation {
+    /// Performs a call that the leader requested, and passes it the outcome.
     pub(super) fn perform_effect(&mut self, effect: Effect) {
         let now = self.now;
         match effect {
@@ -25,29 +26,29 @@
                 self.send_command(call, request);
             }
             Effect::ScaleOut { call, request } => {
-                let outcome = self.rent(&request);
-                self.controller.rented(now, call, outcome);
+                let outcome = self.scale_out(&request);
+                self.controller.scale_out_finished(now, call, outcome);
             }
             Effect::ScaleIn { call, ids } => {
-                let returned = self.workers.iter_mut().filter(|worker| ids.contains(&worker.id));
-                returned.for_each(Worker::terminate);
-                self.controller.returned(now, call);
+                let released = self.workers.iter_mut().filter(|worker| ids.contains(&worker.id));
+                released.for_each(Worker::terminate);
+                self.controller.scale_in_finished(now, call);
             }
             Effect::Probe { machine, .. } => self.probe(machine),
             Effect::ListMachines { call, from } => {
                 let list = self.cloud.list(now, from.as_deref(), &self.workers);
-                self.controller.listed(now, call, list.as_ref());
+                self.controller.machines_listed(now, call, list.as_ref());
             }
         }
     }
 
-    /// Sends a direct command, through the faults of both ways.
+    /// Sends a direct command, subject to faults in both directions.
     fn send_command(&mut self, call: DirectCall, request: DirectCommandRequest) {
         let now = self.now;
         let id = self.controller.machine_id(call.machine);
         let Some(worker) = self.workers.position(&id) else { return };
         self.check_commands(&id, &request.commands);
-        if !self.workers[worker].is_reached() {
+        if !self.workers[worker].is_reachable() {
             if self.workers[worker].faults.hung {
                 self.network.send_at(now + 1_000, Message::Command { worker, request });
             }
@@ -74,26 +75,28 @@
             self.network.send_at(due, Message::Command { worker, request: request.clone() });
         }
         let outcome = self.workers.execute_command(now, worker, &request);
-        if self.random.chance(self.network.rates.slow_command_answer) {
+        if self.random.chance(self.network.rates.slow_command_response) {
             let due = now + self.random.delay(300..1_900);
-            self.network.send_at(due, Message::CommandAnswer { outcome, call });
+            self.network.send_at(due, Message::CommandResponse { outcome, call });
             return;
         }
         self.controller.direct_call_result(now, call, outcome);
     }
 
-    fn rent(&mut self, request: &ProvisionRequest) -> ScaleOutOutcome {
-        let rented = self.cloud.rent(self.now, self.controller.term(), request, &mut self.workers);
-        if self.random.chance(self.network.rates.lost_rental_answer) {
+    /// Provisions machines; the response may be lost.
+    fn scale_out(&mut self, request: &ProvisionRequest) -> ScaleOutOutcome {
+        let provisioned = self.cloud.provision(self.now, self.controller.term(), request, &mut self.workers);
+        if self.random.chance(self.network.rates.lost_scale_out_response) {
             return ScaleOutOutcome::Retry;
         }
-        rented.map_or(ScaleOutOutcome::NoCapacity, ScaleOutOutcome::Provisioned)
+        provisioned.map_or(ScaleOutOutcome::NoCapacity, ScaleOutOutcome::Provisioned)
     }
 
+    /// Probes a worker; one that isn't reachable doesn't respond.
     fn probe(&mut self, machine: MachineIndex) {
         let id = self.controller.machine_id(machine);
-        let worker = self.workers.iter_mut().find(|worker| worker.id == id && worker.is_reached());
+        let worker = self.workers.iter_mut().find(|worker| worker.id == id && worker.is_reachable());
         let heartbeat = worker.map(Worker::heartbeat);
-        self.controller.probed(self.now, machine, heartbeat.as_ref());
+        self.controller.probe_finished(self.now, machine, heartbeat.as_ref());
     }
 }
