--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -22,17 +22,17 @@
 };
 
 /// Encoded forms by their names.
-type Lines = BTreeMap<String, Vec<u8>>;
+type EncodedForms = BTreeMap<String, Vec<u8>>;
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 /// The lines of a fixture: a name, and bytes in hexadecimal digits.
-fn read(file: &str) -> Lines {
+fn read_fixture(file: &str) -> EncodedForms {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(file);
     let text = fs::read_to_string(path).unwrap();
-    let mut lines = Lines::new();
+    let mut lines = EncodedForms::new();
     for line in text.lines().filter(|line| !line.is_empty()) {
         let (name, digits) = line.split_once(' ').unwrap();
         let byte = |index: usize| u8::from_str_radix(&digits[2 * index..2 * index + 2], 16).unwrap();
@@ -41,11 +41,11 @@
     lines
 }
 
-fn record<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> T {
+fn decode_record<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> T {
     cbor::decode::<Value>(bytes).unwrap().deserialized().unwrap()
 }
 
-fn bytes_of<T: serde::Serialize>(record: &T) -> Vec<u8> {
+fn encode_record<T: serde::Serialize>(record: &T) -> Vec<u8> {
     cbor::encode(&to_value(record))
 }
 
@@ -53,17 +53,17 @@
 fn decode_and_encode(name: &str, bytes: &[u8]) -> Vec<u8> {
     match name.split('/').next().unwrap() {
         "frame" => peers::encode(&peers::decode(bytes).unwrap()),
-        "job" => bytes_of(&record::<JobRecord>(bytes)),
-        "chunk" => bytes_of(&record::<ChunkRecord>(bytes)),
-        "leader" => bytes_of(&record::<LeaderRecord>(bytes)),
-        "version" => bytes_of(&record::<VersionRecord>(bytes)),
+        "job" => encode_record(&decode_record::<JobRecord>(bytes)),
+        "chunk" => encode_record(&decode_record::<ChunkRecord>(bytes)),
+        "leader" => encode_record(&decode_record::<LeaderRecord>(bytes)),
+        "version" => encode_record(&decode_record::<VersionRecord>(bytes)),
         other => panic!("no such form: {other}"),
     }
 }
 
 #[test]
-fn what_production_writes_is_read_and_written_alike() {
-    let mut lines = read("production.txt");
+fn forms_of_ac1d836_decode_and_reencode_unchanged() {
+    let mut lines = read_fixture("production.txt");
     let body = lines.remove("submission").unwrap();
     assert_eq!(lines.len(), 7);
     for (name, bytes) in &lines {
@@ -73,9 +73,9 @@
     // record is the one this version writes of a job without any.
     let submitted: Submission = cbor::decode(&body).unwrap();
     assert_eq!(submitted.prereqs(), ["j-000398"]);
-    let pending: JobRecord = record(&lines["job/pending"]);
+    let pending: JobRecord = decode_record(&lines["job/pending"]);
     assert_eq!(pending.submission, Submission { prereqs: None, ..submitted });
-    let chunk: ChunkRecord = record(&lines["chunk/000000"]);
+    let chunk: ChunkRecord = decode_record(&lines["chunk/000000"]);
     assert_eq!((chunk.done.as_str(), chunk.assignments.len()), ("9429", 2));
     let Ok(Frame::Gossip(frame)) = peers::decode(&lines["frame/full"]) else { panic!("no gossip") };
     assert!(!frame.reads_notices(), "production's gossip shows no newer form");
@@ -101,13 +101,14 @@
 }
 
 fn submission() -> Submission {
-    Submission { prereqs: None, ..cbor::decode(&read("production.txt")["submission"]).unwrap() }
+    Submission { prereqs: None, ..cbor::decode(&read_fixture("production.txt")["submission"]).unwrap() }
 }
 
 /// Every form that this version writes where production may meet it, and the
 /// one that it must not meet.
 fn forms_of_this_version() -> Vec<(&'static str, Vec<u8>)> {
-    let job = |submission: Submission, status, at_ms, chunk| bytes_of(&JobRecord { submission, status, at_ms, chunk });
+    let job =
+        |submission: Submission, status, at_ms, chunk| encode_record(&JobRecord { submission, status, at_ms, chunk });
     let ended = Submission { tasks: Some(16.0), ..Submission::default() };
     let waiting = Submission { prereqs: Some(vec!["j-000398".into(), "j-000405".into()]), ..submission() };
     let chunk = ChunkRecord {
@@ -136,43 +137,43 @@
         since_leaderless_renewal_ms: 1 << 41,
         counts: vec![Count { job: "j-000001".into(), done: 1, running: 0 }],
     };
-    let mut marked = frame.clone();
-    marked.echoes.push(Gossip::supported_frames_marker());
+    let mut with_marker = frame.clone();
+    with_marker.echoes.push(Gossip::supported_frames_marker());
     vec![
         ("job/pending", job(submission(), JobStatus::Pending, 1_780_000_000_000, 28)),
         ("job/cancelled", job(submission(), JobStatus::Cancelled, 1_780_000_000_000, 28)),
         // With the time of the end, for those that wait for it.
         ("job/done", job(ended, JobStatus::Done, 1_780_000_123_456, 28)),
         ("job/waiting", job(waiting, JobStatus::Pending, 1_780_000_000_000, 28)),
-        ("chunk/000001", bytes_of(&chunk)),
-        ("leader/n-4", bytes_of(&LeaderRecord { label: "n-4".into(), nonce: 9 })),
+        ("chunk/000001", encode_record(&chunk)),
+        ("leader/n-4", encode_record(&LeaderRecord { label: "n-4".into(), nonce: 9 })),
         ("frame/plain", peers::encode(&Frame::Gossip(frame.clone()))),
         // With the mark that newer forms are read.
-        ("frame/marked", peers::encode(&Frame::Gossip(marked))),
+        ("frame/marked", peers::encode(&Frame::Gossip(with_marker))),
     ]
 }
 
 #[test]
-fn what_this_version_writes_is_read_and_rewritten_by_production() {
-    let (written, rewritten) = (read("this.txt"), read("this-as-production-rewrites.txt"));
+fn ac1d836_rewrites_forms_of_this_version_and_drops_only_prerequisites() {
+    let (written, rewritten) = (read_fixture("this.txt"), read_fixture("this-as-production-rewrites.txt"));
     for (name, bytes) in forms_of_this_version() {
         println!("form {name} {}", hex(&bytes)); // what stands in `this.txt`
     }
     for (name, bytes) in forms_of_this_version() {
         assert_eq!(hex(&bytes), hex(&written[name]), "{name}: the form has changed, or the file is old");
-        let kept = written[name] == rewritten[name];
+        let is_unchanged = written[name] == rewritten[name];
         // Guard: production loses the prerequisites. So none is accepted while
         // one of that version may be left.
-        assert_eq!(kept, name != "job/waiting", "{name}");
+        assert_eq!(is_unchanged, name != "job/waiting", "{name}");
     }
     assert_eq!((written.len(), rewritten.len()), (forms_of_this_version().len(), forms_of_this_version().len()));
-    let lost: JobRecord = record(&rewritten["job/waiting"]);
-    assert!(lost.submission.prereqs().is_empty());
+    let without_prereqs: JobRecord = decode_record(&rewritten["job/waiting"]);
+    assert!(without_prereqs.submission.prereqs().is_empty());
 }
 
 /// Production reads and watches what begins with these alone.
 #[test]
-fn production_never_meets_the_versions_keys() {
+fn version_keys_share_no_prefix_with_keys_read_by_ac1d836() {
     for prefix in ["leader", "j/", "t/"] {
         assert!(!VERSION_KEY_PREFIX.starts_with(prefix) && !prefix.starts_with(VERSION_KEY_PREFIX));
     }
@@ -187,8 +188,8 @@
 }
 
 #[test]
-fn what_ddfa46b_writes_is_read_and_written_alike() {
-    let mut lines = read("ddfa46b.txt");
+fn forms_of_ddfa46b_decode_and_reencode_unchanged() {
+    let mut lines = read_fixture("ddfa46b.txt");
     let submission = lines.remove("submission").unwrap();
     assert_eq!(lines.len(), 12);
     for (name, bytes) in &lines {
@@ -198,21 +199,21 @@
     let mut submitted: Submission = cbor::decode(&submission).unwrap();
     submitted.remove_duplicate_prereqs();
     assert_eq!(submitted.prereqs(), ["j-000398", "j-000405"]);
-    let waiting: JobRecord = record(&lines["job/waiting"]);
+    let waiting: JobRecord = decode_record(&lines["job/waiting"]);
     assert_eq!((&waiting.submission, waiting.status, waiting.chunk), (&submitted, JobStatus::Pending, 128));
-    let without: JobRecord = record(&lines["job/pending"]);
-    assert_eq!(without.submission, Submission { prereqs: None, ..submitted });
+    let without_prereqs: JobRecord = decode_record(&lines["job/pending"]);
+    assert_eq!(without_prereqs.submission, Submission { prereqs: None, ..submitted });
     // The time of a done record is that of the end.
-    let done: JobRecord = record(&lines["job/done"]);
+    let done: JobRecord = decode_record(&lines["job/done"]);
     assert_eq!((done.status, done.at_ms), (JobStatus::Done, 1_780_000_123_456));
-    let chunk: ChunkRecord = record(&lines["chunk/000000"]);
+    let chunk: ChunkRecord = decode_record(&lines["chunk/000000"]);
     let last = AssignmentRecord(5, "i-001007".into(), Incarnation(12), Attempt(434_896_896_002), "brescia".into());
     assert_eq!((chunk.done.as_str(), chunk.assignments.last()), ("93", Some(&last)));
 }
 
 #[test]
-fn ddfa46b_job_records_stand_for_the_same_jobs() {
-    let lines = read("ddfa46b.txt");
+fn job_records_of_ddfa46b_load_with_equal_status_and_tasks() {
+    let lines = read_fixture("ddfa46b.txt");
     let forms = [
         ("job/pending", JobStatus::Pending, false),
         ("job/waiting", JobStatus::Pending, true),
@@ -220,18 +221,22 @@
         ("job/cancelled", JobStatus::Cancelled, false),
         ("job/done", JobStatus::Done, false),
     ];
-    for (name, status, waits) in forms {
+    for (name, status, has_unfinished) in forms {
         let mut job_cache = JobCache::default();
         let value: Value = cbor::decode(&lines[name]).unwrap();
         let index = job_cache.put("j/j-000731", &value, Revision(7), &mut Interners::default()).unwrap();
         let job = job_cache.get(index);
-        assert_eq!((job.status, job.tasks, job.chunk, job_cache.waits(index)), (status, 6, 128, waits), "{name}");
+        assert_eq!(
+            (job.status, job.tasks, job.chunk, job_cache.waits(index)),
+            (status, 6, 128, has_unfinished),
+            "{name}"
+        );
     }
 }
 
 #[test]
-fn ddfa46b_frames_and_version_key_mean_the_same() {
-    let lines = read("ddfa46b.txt");
+fn frames_and_version_key_of_ddfa46b_decode_to_equal_values() {
+    let lines = read_fixture("ddfa46b.txt");
     for (name, from, count, counts) in [("frame/first", "n-1", 0, 0), ("frame/marked", "n-2", 41, 2)] {
         let Ok(Frame::Gossip(frame)) = peers::decode(&lines[name]) else { panic!("no gossip") };
         assert_eq!((&*frame.from, frame.count, frame.counts.len()), (from, count, counts), "{name}");
@@ -258,25 +263,25 @@
         Notice { from: "n-4".into(), cancelled: vec![Cancelled { job: "j-000412".into(), revision: Revision(431) }] };
     let mut all = forms_of_this_version();
     all.extend([
-        ("job/waiting-cancelled", bytes_of(&cancelled)),
-        ("version/n-4", bytes_of(&VersionRecord { version: VERSION, nonce: 9 })),
+        ("job/waiting-cancelled", encode_record(&cancelled)),
+        ("version/n-4", encode_record(&VersionRecord { version: VERSION, nonce: 9 })),
         ("frame/notice", peers::encode(&Frame::Notice(notice))),
     ]);
     all
 }
 
 #[test]
-fn what_this_version_writes_is_rewritten_unchanged_by_ddfa46b() {
+fn ddfa46b_rewrites_forms_of_this_version_unchanged() {
     let forms = forms_beside_ddfa46b();
     for (name, bytes) in &forms {
         println!("beside {name} {}", hex(bytes)); // what stands in `this-beside-ddfa46b.txt`
     }
-    let (written, rewritten) = (read("this-beside-ddfa46b.txt"), read("this-as-ddfa46b-rewrites.txt"));
+    let (written, rewritten) = (read_fixture("this-beside-ddfa46b.txt"), read_fixture("this-as-ddfa46b-rewrites.txt"));
     for (name, bytes) in &forms {
         assert_eq!(hex(bytes), hex(&written[*name]), "{name}: the form has changed, or the file is old");
         assert_eq!(hex(&written[*name]), hex(&rewritten[*name]), "{name}: not kept as it was");
     }
     assert_eq!((written.len(), rewritten.len()), (forms.len(), forms.len()));
-    let kept: JobRecord = record(&rewritten["job/waiting"]);
+    let kept: JobRecord = decode_record(&rewritten["job/waiting"]);
     assert_eq!(kept.submission.prereqs(), ["j-000398", "j-000405"]);
 }
--- a/tests/loopback_cluster/cluster.rs
+++ b/tests/loopback_cluster/cluster.rs
@@ -14,9 +14,9 @@
 
 use super::{
     cloud::serve_cloud,
-    controllers::{controllers, this_version, Addresses, Controller, Shared},
+    controllers::{create_controllers, this_version, Addresses, Controller, SharedSettings},
     http::call,
-    key_value_store::{serve_store, AccessGate, Store},
+    key_value_store::{serve_store, Store, StoreAccess},
     users::is_ready,
     wait_for,
     worker::{start_worker, Worker, WorkerHandle},
@@ -28,7 +28,7 @@
 pub struct LoopbackCluster {
     pub store: Arc<Mutex<Store>>,
     /// Each controller's access to the store.
-    pub gates: Vec<Arc<AccessGate>>,
+    pub store_access: Vec<Arc<StoreAccess>>,
     pub worker: Arc<Mutex<Worker>>,
     pub nodes: Vec<Controller>,
     /// The controllers that the worker sends heartbeats to.
@@ -41,38 +41,38 @@
 
 impl LoopbackCluster {
     /// With controllers of this version, ready.
-    pub fn start(name: &str, shared: &Shared) -> LoopbackCluster {
-        LoopbackCluster::start_as(name, shared, this_version())
+    pub fn start(name: &str, shared: &SharedSettings) -> LoopbackCluster {
+        LoopbackCluster::start_with_program(name, shared, this_version())
     }
 
     /// With controllers that run a program, ready.
-    pub fn start_as(name: &str, shared: &Shared, program: &Path) -> LoopbackCluster {
+    pub fn start_with_program(name: &str, shared: &SharedSettings, program: &Path) -> LoopbackCluster {
         let mut cluster = LoopbackCluster::prepare(name, shared);
         for node in &mut cluster.nodes {
-            node.start_as(program);
+            node.start_with_program(program);
         }
-        cluster.receive_heartbeats();
+        cluster.start_heartbeats();
         cluster.wait_until_ready();
         cluster
     }
 
     /// With controllers that aren't started, and a worker that sends heartbeats to none.
-    pub fn prepare(name: &str, shared: &Shared) -> LoopbackCluster {
+    pub fn prepare(name: &str, shared: &SharedSettings) -> LoopbackCluster {
         let store = Arc::new(Mutex::new(Store::default()));
-        let gates: Vec<Arc<AccessGate>> = (0..CONTROLLERS).map(|_| Arc::default()).collect();
-        let address = |gate: &Arc<AccessGate>| Addresses::new(serve_store(store.clone(), gate.clone()));
-        let addresses: Vec<Addresses> = gates.iter().map(address).collect();
+        let store_access: Vec<Arc<StoreAccess>> = (0..CONTROLLERS).map(|_| Arc::default()).collect();
+        let address = |access: &Arc<StoreAccess>| Addresses::new(serve_store(store.clone(), access.clone()));
+        let addresses: Vec<Addresses> = store_access.iter().map(address).collect();
         let heartbeat_targets = Arc::new(Mutex::new(Vec::new()));
         let stop = Arc::new(AtomicBool::new(false));
         let WorkerHandle { addr, state: worker } = start_worker(heartbeat_targets.clone(), stop.clone());
         let cloud = serve_cloud(addr);
         let dir = std::env::temp_dir().join(format!("shedhook-{name}-{}", std::process::id()));
-        let nodes = controllers(&dir, &addresses, cloud, shared);
-        LoopbackCluster { store, gates, worker, nodes, heartbeat_targets, addresses, cloud, stop, dir }
+        let nodes = create_controllers(&dir, &addresses, cloud, shared);
+        LoopbackCluster { store, store_access, worker, nodes, heartbeat_targets, addresses, cloud, stop, dir }
     }
 
     /// The worker sends heartbeats to the controllers from now on.
-    pub fn receive_heartbeats(&self) {
+    pub fn start_heartbeats(&self) {
         *self.heartbeat_targets.lock().unwrap() = self.nodes.iter().map(|node| node.client).collect();
     }
 
@@ -83,9 +83,9 @@
     }
 
     /// Kills all controllers, and gives them other settings.
-    pub fn change_settings(&mut self, shared: &Shared) {
+    pub fn change_settings(&mut self, shared: &SharedSettings) {
         self.nodes.clear();
-        self.nodes = controllers(&self.dir, &self.addresses, self.cloud, shared);
+        self.nodes = create_controllers(&self.dir, &self.addresses, self.cloud, shared);
     }
 
     /// Whoever answers the worker's heartbeats.
@@ -100,8 +100,8 @@
     }
 
     /// Tasks of a job that run now.
-    pub fn runs(&self, job: &str) -> usize {
-        self.worker.lock().unwrap().running(job)
+    pub fn running_tasks(&self, job: &str) -> usize {
+        self.worker.lock().unwrap().running_tasks(job)
     }
 }
 
--- a/tests/loopback_cluster/controllers.rs
+++ b/tests/loopback_cluster/controllers.rs
@@ -35,19 +35,19 @@
 /// One controller, which may be down; killed when dropped.
 pub struct Controller {
     pub client: SocketAddr,
-    pub file: PathBuf,
+    pub config_file: PathBuf,
     pub child: Option<Child>,
 }
 
 impl Controller {
     pub fn start(&mut self) {
-        self.start_as(this_version());
+        self.start_with_program(this_version());
     }
 
-    pub fn start_as(&mut self, program: &Path) {
+    pub fn start_with_program(&mut self, program: &Path) {
         let child = Command::new(program)
             .arg("--config")
-            .arg(&self.file)
+            .arg(&self.config_file)
             .env("LOG_LEVEL", "error")
             .stderr(Stdio::inherit())
             .spawn()
@@ -71,7 +71,7 @@
 
 /// What the settings of a cluster's controllers share.
 #[derive(Debug, Clone, Copy)]
-pub struct Shared {
+pub struct SharedSettings {
     pub lease_s: u32,
     pub cancel_s: u32,
     /// Limits that the settings announce for later (`state.next`).
@@ -82,16 +82,16 @@
 pub struct Addresses {
     client: SocketAddr,
     cluster: SocketAddr,
-    state: SocketAddr,
+    store: SocketAddr,
 }
 
 impl Addresses {
-    pub fn new(state: SocketAddr) -> Addresses {
-        Addresses { client: free_port(), cluster: free_port(), state }
+    pub fn new(store: SocketAddr) -> Addresses {
+        Addresses { client: free_port(), cluster: free_port(), store }
     }
 }
 
-fn settings(n: usize, all: &[Addresses], cloud: SocketAddr, shared: &Shared) -> String {
+fn settings(n: usize, all: &[Addresses], cloud: SocketAddr, shared: &SharedSettings) -> String {
     let own = &all[n];
     let mut text = format!(
         "label = \"n-{n}\"\ndomain = \"a\"\nclient_listen = \"{}\"\ncluster_listen = \"{}\"\n",
@@ -100,8 +100,8 @@
     for peer in (0..all.len()).filter(|peer| *peer != n) {
         text += &format!("[[seeds]]\nlabel = \"n-{peer}\"\ndomain = \"a\"\nendpoint = \"{}\"\n", all[peer].cluster);
     }
-    text += &format!("[outside]\ncloud = \"{cloud}\"\nstate = \"{}\"\n", own.state);
-    let Shared { lease_s, cancel_s, next } = shared;
+    text += &format!("[outside]\ncloud = \"{cloud}\"\nstate = \"{}\"\n", own.store);
+    let SharedSettings { lease_s, cancel_s, next } = shared;
     let Limits { value_kb, txn_ops } = LIMITS;
     text += &format!(
         "[cluster]\nzones = [\"a\"]\n[[cluster.teams]]\nname = \"red\"\n\
@@ -116,12 +116,17 @@
 }
 
 /// Controllers with their settings, not started yet.
-pub fn controllers(dir: &Path, all: &[Addresses], cloud: SocketAddr, shared: &Shared) -> Vec<Controller> {
+pub fn create_controllers(
+    dir: &Path,
+    all: &[Addresses],
+    cloud: SocketAddr,
+    shared: &SharedSettings,
+) -> Vec<Controller> {
     fs::create_dir_all(dir).unwrap();
     let controller = |n: usize| {
-        let file = dir.join(format!("n-{n}.toml"));
-        fs::write(&file, settings(n, all, cloud, shared)).unwrap();
-        Controller { client: all[n].client, file, child: None }
+        let config_file = dir.join(format!("n-{n}.toml"));
+        fs::write(&config_file, settings(n, all, cloud, shared)).unwrap();
+        Controller { client: all[n].client, config_file, child: None }
     };
     (0..all.len()).map(controller).collect()
 }
--- a/tests/loopback_cluster/history.rs
+++ b/tests/loopback_cluster/history.rs
@@ -8,22 +8,22 @@
 use shedhook::protocol::workers::ExitReason;
 
 use super::{
-    upgrade::{text_field, Accepted, Upgrade},
+    upgrade::{text_field, AcceptedJob, UpgradeTest},
     worker::{TaskChange, TaskEvent},
 };
 
-impl Upgrade {
+impl UpgradeTest {
     /// Ends the test: answers stayed, and tasks ran in order and once.
     pub fn check_history(&mut self) {
-        self.watch.end();
-        let told = self.watch.last();
+        self.watch.stop_and_check();
+        let final_statuses = self.watch.final_statuses();
         let done_records = self.done_records();
         let events = self.cluster.worker.lock().unwrap().events.clone();
         for (id, job) in &self.accepted {
             let starts: Vec<&TaskEvent> =
                 events.iter().filter(|event| event.job() == id && event.change == TaskChange::Started).collect();
             let is_recorded = done_records.contains_key(id);
-            check_told(id, job, told.get(id).map(String::as_str), is_recorded);
+            check_final_status(id, job, final_statuses.get(id).map(String::as_str), is_recorded);
             check_started_once(id, job, &starts, is_recorded);
             for start in starts {
                 self.check_prerequisites(job, start, &done_records, &events);
@@ -49,7 +49,7 @@
     /// is recorded as done.
     fn check_prerequisites(
         &self,
-        job: &Accepted,
+        job: &AcceptedJob,
         start: &TaskEvent,
         done: &BTreeMap<String, Instant>,
         events: &[TaskEvent],
@@ -60,33 +60,33 @@
                 "{} started before {prereq} was done",
                 start.task
             );
-            let is_end =
-                |event: &&TaskEvent| event.job() == prereq && event.change == TaskChange::Ended(ExitReason::Done);
-            let ended = events.iter().filter(is_end).filter(|event| event.at <= start.at).count();
-            assert_eq!(ended, self.accepted[prereq].tasks as usize, "{} started before {prereq} had ended", start.task);
+            let is_done_exit =
+                |event: &&TaskEvent| event.job() == prereq && event.change == TaskChange::Exited(ExitReason::Done);
+            let exits = events.iter().filter(is_done_exit).filter(|event| event.at <= start.at).count();
+            assert_eq!(exits, self.accepted[prereq].tasks as usize, "{} started before {prereq} had ended", start.task);
         }
     }
 }
 
 /// Nothing is called done that isn't recorded so, or cancelled that no user
 /// cancelled.
-fn check_told(id: &str, job: &Accepted, told: Option<&str>, is_recorded_done: bool) {
-    match told {
+fn check_final_status(id: &str, job: &AcceptedJob, final_status: Option<&str>, is_recorded_done: bool) {
+    match final_status {
         Some("done") => assert!(is_recorded_done, "{id} was called done, and isn't recorded so"),
-        Some("cancelled") => assert!(job.cancelled.is_some(), "{id} was called cancelled, and isn't"),
+        Some("cancelled") => assert!(job.cancelled_at.is_some(), "{id} was called cancelled, and isn't"),
         _ => {}
     }
 }
 
 /// No task starts twice, or after its user was told that it is cancelled; where
 /// the job is done each has started.
-fn check_started_once(id: &str, job: &Accepted, starts: &[&TaskEvent], is_done: bool) {
+fn check_started_once(id: &str, job: &AcceptedJob, starts: &[&TaskEvent], is_done: bool) {
     let tasks: BTreeSet<&str> = starts.iter().map(|start| &*start.task).collect();
     assert_eq!(tasks.len(), starts.len(), "{id}: a task ran twice: {starts:?}");
     if is_done {
         assert_eq!(starts.len(), job.tasks as usize, "{id} is done");
     }
-    if let Some(at) = job.cancelled {
+    if let Some(at) = job.cancelled_at {
         assert!(starts.iter().all(|start| start.at <= at), "{id} started though it is cancelled: {starts:?}");
     }
 }
--- a/tests/loopback_cluster/http.rs
+++ b/tests/loopback_cluster/http.rs
@@ -105,6 +105,6 @@
 }
 
 /// The status code of a response, if there was one.
-pub fn code(response: Option<Response>) -> Option<u16> {
+pub fn status_code(response: Option<Response>) -> Option<u16> {
     response.map(|response| response.status)
 }
--- a/tests/loopback_cluster/key_value_store.rs
+++ b/tests/loopback_cluster/key_value_store.rs
@@ -29,9 +29,9 @@
 /// Prefix of the jobs' keys.
 const JOB_KEY_PREFIX: &str = "j/";
 /// How often an open watch looks for changes.
-const WATCH_GAP: Duration = Duration::from_millis(10);
+const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// How often a read that gets no answer looks whether that is over.
-const BLIND_GAP: Duration = Duration::from_millis(20);
+const STALLED_READ_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a transaction may hold; more gets 400.
 #[derive(Debug, Clone, Copy)]
@@ -64,7 +64,7 @@
     pub log: Vec<LogEntry>,
     pub limits: Limits,
     /// Transactions that were refused for their size.
-    pub too_large: usize,
+    pub too_large_transactions: usize,
     revision: u64,
     store_leases: BTreeMap<StoreLeaseId, StoreLease>,
 }
@@ -81,7 +81,7 @@
             keys: BTreeMap::new(),
             log: Vec::new(),
             limits: LIMITS,
-            too_large: 0,
+            too_large_transactions: 0,
             revision: 0,
             store_leases: BTreeMap::new(),
         }
@@ -92,7 +92,7 @@
     /// Applies a transaction whole or not at all.
     pub fn apply(&mut self, txn: Transaction) -> Response {
         if self.is_too_large(&txn) {
-            self.too_large += 1;
+            self.too_large_transactions += 1;
             return Response::error(400, "too large");
         }
         let is_expired = |op: &WriteOperation| match op {
@@ -110,9 +110,9 @@
         let revision = self.revision;
         for op in txn.writes {
             let change = match op {
-                WriteOperation::Put { key, value: v, store_lease } => {
-                    self.keys.insert(key.clone(), StoredValue { value: v.clone(), revision, store_lease });
-                    Change { write: Some(key), drop: None, value: Some(v), revision: Revision(revision) }
+                WriteOperation::Put { key, value, store_lease } => {
+                    self.keys.insert(key.clone(), StoredValue { value: value.clone(), revision, store_lease });
+                    Change { write: Some(key), drop: None, value: Some(value), revision: Revision(revision) }
                 }
                 WriteOperation::Delete { key } => {
                     self.keys.remove(&key);
@@ -158,9 +158,9 @@
     /// Ends the leases that are over by now.
     fn expire_store_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<StoreLeaseId> =
+        let expired: Vec<StoreLeaseId> =
             self.store_leases.iter().filter(|(_, store_lease)| now > store_lease.expires).map(|(id, _)| *id).collect();
-        for id in over {
+        for id in expired {
             self.end_store_lease(id);
         }
     }
@@ -212,31 +212,31 @@
 
 /// One controller's access to the store.
 #[derive(Default)]
-pub struct AccessGate {
+pub struct StoreAccess {
     /// Whoever uses it is refused.
-    pub shut: AtomicBool,
+    pub unavailable: AtomicBool,
     /// Reads of changed jobs get no answer; all else is served.
-    pub blind: AtomicBool,
+    pub stalls_job_reads: AtomicBool,
 }
 
-impl AccessGate {
-    fn is_shut(&self) -> bool {
-        self.shut.load(Ordering::Relaxed)
+impl StoreAccess {
+    fn is_unavailable(&self) -> bool {
+        self.unavailable.load(Ordering::Relaxed)
     }
 
-    fn is_blind_for(&self, prefix: &str) -> bool {
-        prefix == JOB_KEY_PREFIX && self.blind.load(Ordering::Relaxed)
+    fn stalls_reads_of(&self, prefix: &str) -> bool {
+        prefix == JOB_KEY_PREFIX && self.stalls_job_reads.load(Ordering::Relaxed)
     }
 }
 
-/// Serves the store through one gate.
-pub fn serve_store(store: Arc<Mutex<Store>>, gate: Arc<AccessGate>) -> SocketAddr {
+/// Serves the store through one access.
+pub fn serve_store(store: Arc<Mutex<Store>>, access: Arc<StoreAccess>) -> SocketAddr {
     serve(move |method, path, bytes| {
-        if gate.is_shut() {
+        if access.is_unavailable() {
             return Response::empty(503);
         }
-        while path.starts_with("/changes?under=j/") && gate.is_blind_for(JOB_KEY_PREFIX) {
-            thread::sleep(BLIND_GAP);
+        while path.starts_with("/changes?under=j/") && access.stalls_reads_of(JOB_KEY_PREFIX) {
+            thread::sleep(STALLED_READ_CHECK_INTERVAL);
         }
         let prefix = query(path, "under").unwrap_or("");
         let resource = path.split('?').next().unwrap();
@@ -251,7 +251,7 @@
             "/store" => Response::encoded(200, &locked.page(prefix, query(path, "from").unwrap_or(""))),
             "/changes" => {
                 drop(locked);
-                watch(&store, &gate, path, prefix)
+                watch(&store, &access, path, prefix)
             }
             _ => match resource.strip_prefix("/grants/") {
                 Some(rest) => renew_or_end_store_lease(&mut locked, method, rest),
@@ -280,7 +280,7 @@
 }
 
 /// Answers once there are changes, or the time to wait is over.
-fn watch(store: &Mutex<Store>, gate: &AccessGate, path: &str, prefix: &str) -> Response {
+fn watch(store: &Mutex<Store>, access: &StoreAccess, path: &str, prefix: &str) -> Response {
     let from = Revision(query(path, "from").unwrap().parse().unwrap());
     let wait_ms: u64 = query(path, "waitMs").map_or(0, |wait| wait.parse().unwrap());
     let until = Instant::now() + Duration::from_millis(wait_ms);
@@ -289,11 +289,11 @@
         locked.expire_store_leases();
         let changes = locked.changes(prefix, from);
         // In an outage open watches stay open.
-        let held = gate.is_blind_for(prefix) || gate.is_shut();
-        if !held && (!changes.events.is_empty() || Instant::now() >= until) {
+        let is_stalled = access.stalls_reads_of(prefix) || access.is_unavailable();
+        if !is_stalled && (!changes.events.is_empty() || Instant::now() >= until) {
             return Response::encoded(200, &changes);
         }
         drop(locked);
-        thread::sleep(WATCH_GAP);
+        thread::sleep(WATCH_CHECK_INTERVAL);
     }
 }
--- a/tests/loopback_cluster/mod.rs
+++ b/tests/loopback_cluster/mod.rs
@@ -10,7 +10,6 @@
     time::{Duration, Instant},
 };
 
-pub mod answer_watch;
 pub mod cloud;
 pub mod cluster;
 pub mod controllers;
@@ -18,6 +17,7 @@
 pub mod http;
 pub mod json_size;
 pub mod key_value_store;
+pub mod status_watch;
 pub mod upgrade;
 pub mod users;
 pub mod versions;
@@ -25,7 +25,7 @@
 
 /// How long [`wait_for`] waits.
 const WAIT_MAX: Duration = Duration::from_secs(40);
-const POLL_GAP: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Waits until `poll` gives something, and fails the test if it never does.
 pub fn wait_for<T>(what: &str, poll: impl FnMut() -> Option<T>) -> T {
@@ -40,6 +40,6 @@
             return found;
         }
         assert!(Instant::now() < until, "never came: {what}");
-        thread::sleep(POLL_GAP);
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/tests/loopback_cluster/upgrade.rs
+++ b/tests/loopback_cluster/upgrade.rs
@@ -10,11 +10,11 @@
 use ciborium::Value;
 
 use super::{
-    answer_watch::AnswerWatch,
     cluster::LoopbackCluster,
-    controllers::{this_version, Shared},
+    controllers::{this_version, SharedSettings},
     http::Response,
-    users::{abort, ids, is_ready, job, status, status_word, submit, with},
+    status_watch::StatusWatch,
+    users::{abort, decode_status, id_list, is_ready, job_body, status, submit, with_field},
     versions::production,
     wait_for, wait_up_to,
 };
@@ -45,32 +45,32 @@
 
 /// Tasks small enough that a hundred of them fit the worker.
 fn small_tasks(bytes: &[u8]) -> Vec<u8> {
-    with(&with(bytes, "cpus", Value::Float(0.05)), "memoryGb", Value::Float(0.1))
+    with_field(&with_field(bytes, "cpus", Value::Float(0.05)), "memoryGb", Value::Float(0.1))
 }
 
 /// What the test knows of an accepted job.
 #[derive(Debug, Default)]
-pub struct Accepted {
+pub struct AcceptedJob {
     pub tasks: u32,
     pub prereqs: Vec<String>,
     /// When its user had been told that it, or one that it needs, is cancelled.
-    pub cancelled: Option<Instant>,
+    pub cancelled_at: Option<Instant>,
 }
 
 /// A cluster whose controllers have versions, and the jobs accepted by it.
-pub struct Upgrade {
+pub struct UpgradeTest {
     pub cluster: LoopbackCluster,
     pub versions: [Version; 3],
-    pub accepted: BTreeMap<String, Accepted>,
-    pub watch: AnswerWatch,
+    pub accepted: BTreeMap<String, AcceptedJob>,
+    pub watch: StatusWatch,
 }
 
-impl Upgrade {
+impl UpgradeTest {
     /// All controllers run the production version.
-    pub fn start(name: &str, shared: &Shared) -> Upgrade {
-        let cluster = LoopbackCluster::start_as(name, shared, production());
-        let watch = AnswerWatch::start(cluster.nodes.iter().map(|node| node.client).collect());
-        Upgrade { cluster, versions: [Version::Production; 3], accepted: BTreeMap::new(), watch }
+    pub fn start(name: &str, shared: &SharedSettings) -> UpgradeTest {
+        let cluster = LoopbackCluster::start_with_program(name, shared, production());
+        let watch = StatusWatch::start(cluster.nodes.iter().map(|node| node.client).collect());
+        UpgradeTest { cluster, versions: [Version::Production; 3], accepted: BTreeMap::new(), watch }
     }
 
     /// Where users reach a controller.
@@ -84,12 +84,12 @@
     }
 
     /// Starts a controller, which is down, with the version that it has.
-    pub fn start_again(&mut self, n: usize) {
+    pub fn start_controller(&mut self, n: usize) {
         let program = match self.versions[n] {
             Version::Production => production(),
             Version::This => this_version(),
         };
-        self.cluster.nodes[n].start_as(program);
+        self.cluster.nodes[n].start_with_program(program);
         let at = self.client(n);
         wait_for("ready", || is_ready(at).then_some(()));
     }
@@ -98,13 +98,13 @@
     pub fn replace(&mut self, n: usize) {
         self.cluster.nodes[n].kill();
         self.versions[n] = Version::This;
-        self.start_again(n);
+        self.start_controller(n);
     }
 
     /// Kills a controller, which comes back with the version that it had.
     pub fn restart(&mut self, n: usize) {
         self.cluster.nodes[n].kill();
-        self.start_again(n);
+        self.start_controller(n);
     }
 
     /// Whose label the leader's key holds.
@@ -127,52 +127,56 @@
         self.submit_body(n, job, |bytes| bytes);
     }
 
-    /// As [`Upgrade::submit`], with tasks of which a hundred fit the worker.
+    /// As [`UpgradeTest::submit`], with tasks of which a hundred fit the worker.
     pub fn submit_small(&mut self, n: usize, job: Job) {
         self.submit_body(n, job, |bytes| small_tasks(&bytes));
     }
 
     fn submit_body(&mut self, n: usize, submitted: Job, change: impl Fn(Vec<u8>) -> Vec<u8>) {
-        let bytes =
-            change(with(&job(submitted.id, submitted.kind, submitted.tasks), "prereqs", ids(submitted.prereqs)));
+        let bytes = change(with_field(
+            &job_body(submitted.id, submitted.kind, submitted.tasks),
+            "prereqs",
+            id_list(submitted.prereqs),
+        ));
         let at = self.client(n);
         wait_for(submitted.id, || submit(at, &bytes).filter(Response::is_success));
-        self.note_accepted(submitted.id, submitted.tasks, submitted.prereqs);
+        self.record_accepted(submitted.id, submitted.tasks, submitted.prereqs);
     }
 
     /// A job was accepted, whose prerequisites are known.
-    pub fn note_accepted(&mut self, id: &str, tasks: u32, prereqs: &[&str]) {
+    pub fn record_accepted(&mut self, id: &str, tasks: u32, prereqs: &[&str]) {
         let prereqs: Vec<String> = prereqs.iter().map(|id| (*id).to_owned()).collect();
-        let cancelled = prereqs.iter().any(|id| self.accepted[id].cancelled.is_some()).then(Instant::now);
-        self.accepted.insert(id.to_owned(), Accepted { tasks, prereqs, cancelled });
-        self.watch.accepted(id);
+        let cancelled_at = prereqs.iter().any(|id| self.accepted[id].cancelled_at.is_some()).then(Instant::now);
+        self.accepted.insert(id.to_owned(), AcceptedJob { tasks, prereqs, cancelled_at });
+        self.watch.add_job(id);
     }
 
     /// Cancels a job; all that need it are cancelled with it, for everybody.
     pub fn cancel(&mut self, n: usize, id: &str) {
         let at = self.client(n);
-        let answer = wait_for("cancelled", || abort(at, id).filter(|response| response.status == 200));
-        assert_eq!(answer_of(Some(answer)), (200, Some("cancelled".to_owned())), "{id}");
-        self.note_cancelled(id, Instant::now());
+        let response = wait_for("cancelled", || abort(at, id).filter(|response| response.status == 200));
+        assert_eq!(code_and_status(Some(response)), (200, Some("cancelled".to_owned())), "{id}");
+        self.record_cancelled(id, Instant::now());
         self.check_cancelled();
     }
 
-    fn note_cancelled(&mut self, id: &str, at: Instant) {
-        self.accepted.get_mut(id).unwrap().cancelled = Some(at);
-        self.watch.cancelled(id);
-        let needs = |job: &Accepted| job.cancelled.is_none() && job.prereqs.iter().any(|prereq| prereq == id);
-        let after: Vec<String> = self.accepted.iter().filter(|(_, job)| needs(job)).map(|(id, _)| id.clone()).collect();
-        after.iter().for_each(|id| self.note_cancelled(id, at));
+    fn record_cancelled(&mut self, id: &str, at: Instant) {
+        self.accepted.get_mut(id).unwrap().cancelled_at = Some(at);
+        self.watch.record_cancelled(id);
+        let needs = |job: &AcceptedJob| job.cancelled_at.is_none() && job.prereqs.iter().any(|prereq| prereq == id);
+        let dependents: Vec<String> =
+            self.accepted.iter().filter(|(_, job)| needs(job)).map(|(id, _)| id.clone()).collect();
+        dependents.iter().for_each(|id| self.record_cancelled(id, at));
     }
 
     /// Every controller that is up says so of all that is cancelled.
     pub fn check_cancelled(&self) {
-        for id in self.accepted.iter().filter(|(_, job)| job.cancelled.is_some()).map(|(id, _)| id) {
+        for id in self.accepted.iter().filter(|(_, job)| job.cancelled_at.is_some()).map(|(id, _)| id) {
             for (n, controller) in
                 self.cluster.nodes.iter().enumerate().filter(|(_, controller)| controller.child.is_some())
             {
-                let word = status(controller.client, id);
-                assert_eq!(word.as_deref(), Some("cancelled"), "{id} at {n}, {:?}", self.versions[n]);
+                let status = status(controller.client, id);
+                assert_eq!(status.as_deref(), Some("cancelled"), "{id} at {n}, {:?}", self.versions[n]);
             }
         }
     }
@@ -196,7 +200,7 @@
 }
 
 /// Code and status of an answer.
-pub fn answer_of(response: Option<Response>) -> (u16, Option<String>) {
+pub fn code_and_status(response: Option<Response>) -> (u16, Option<String>) {
     let response = response.expect("no answer");
-    (response.status, status_word(&response.body))
+    (response.status, decode_status(&response.body))
 }
--- a/tests/loopback_cluster/users.rs
+++ b/tests/loopback_cluster/users.rs
@@ -8,7 +8,7 @@
 use super::http::{call, Response};
 
 /// The body of a submission.
-pub fn job(id: &str, kind: &str, tasks: u32) -> Vec<u8> {
+pub fn job_body(id: &str, kind: &str, tasks: u32) -> Vec<u8> {
     body::encode(
         &cbor!({"nameId" => id, "lane" => "c", "owner" => "red", "shape" => kind, "rank" => "normal",
             "pieces" => tasks, "cpus" => 1, "cards" => 0, "memoryGb" => 1.0, "bundle" => "img", "imageGb" => 0.1,
@@ -19,7 +19,7 @@
 }
 
 /// A submission with one field set.
-pub fn with(job: &[u8], field: &str, value: Value) -> Vec<u8> {
+pub fn with_field(job: &[u8], field: &str, value: Value) -> Vec<u8> {
     let mut submission: Value = body::decode(job).unwrap();
     let fields = submission.as_map_mut().unwrap();
     fields.retain(|(key, _)| key.as_text() != Some(field));
@@ -28,12 +28,12 @@
 }
 
 /// A submission of one task with prerequisites.
-pub fn job_after(id: &str, kind: &str, prereqs: Value) -> Vec<u8> {
-    with(&job(id, kind, 1), "prereqs", prereqs)
+pub fn job_with_prereqs(id: &str, kind: &str, prereqs: Value) -> Vec<u8> {
+    with_field(&job_body(id, kind, 1), "prereqs", prereqs)
 }
 
 /// A list of ids.
-pub fn ids(ids: &[&str]) -> Value {
+pub fn id_list(ids: &[&str]) -> Value {
     Value::Array(ids.iter().map(|id| Value::Text((*id).into())).collect())
 }
 
@@ -50,16 +50,16 @@
 }
 
 /// The status in the body of an answer.
-pub fn status_word(bytes: &[u8]) -> Option<String> {
-    let answer: Value = body::decode(bytes).ok()?;
-    let (_, status) = answer.as_map()?.iter().find(|(key, _)| key.as_text() == Some("status"))?;
+pub fn decode_status(bytes: &[u8]) -> Option<String> {
+    let response: Value = body::decode(bytes).ok()?;
+    let (_, status) = response.as_map()?.iter().find(|(key, _)| key.as_text() == Some("status"))?;
     Some(status.as_text()?.to_owned())
 }
 
 /// What a poll says, if it is answered 200.
 pub fn status(to: SocketAddr, id: &str) -> Option<String> {
     let response = poll(to, id).filter(|response| response.status == 200)?;
-    status_word(&response.body)
+    decode_status(&response.body)
 }
 
 /// Whether a controller says that it takes requests.
--- a/tests/loopback_cluster/worker.rs
+++ b/tests/loopback_cluster/worker.rs
@@ -21,15 +21,15 @@
 use super::http::{call, serve, Response};
 
 /// Jobs whose ids begin so end by themselves; all others run on.
-const SHORT_JOBS: &str = "j-0";
-const SHORT_RUN: Duration = Duration::from_millis(300);
-const HEARTBEAT_GAP: Duration = Duration::from_millis(150);
+const SHORT_JOB_PREFIX: &str = "j-0";
+const SHORT_TASK_DURATION: Duration = Duration::from_millis(300);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
 /// What happened to a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskChange {
     Started,
-    Ended(ExitReason),
+    Exited(ExitReason),
 }
 
 /// One change of a task's attempt, and when it happened.
@@ -75,7 +75,7 @@
     pub token: u64,
     pub tasks: Vec<WorkerTask>,
     /// When a heartbeat that was answered 200 was last sent.
-    pub renewed: Option<Instant>,
+    pub last_renewal: Option<Instant>,
     /// Jobs whose tasks the test lets end.
     finishing: BTreeSet<String>,
     pub events: Vec<TaskEvent>,
@@ -88,7 +88,7 @@
             sequence: 0,
             token: 0,
             tasks: vec![],
-            renewed: None,
+            last_renewal: None,
             finishing: BTreeSet::new(),
             events: vec![],
         }
@@ -100,7 +100,7 @@
     }
 
     /// Tasks of a job that run now.
-    pub fn running(&self, job: &str) -> usize {
+    pub fn running_tasks(&self, job: &str) -> usize {
         self.tasks.iter().filter(|task| task.status.task.starts_with(job) && task.is_running()).count()
     }
 
@@ -108,9 +108,9 @@
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         for task in &mut self.tasks {
-            let is_short = task.job().starts_with(SHORT_JOBS) || self.finishing.contains(task.job());
-            if task.is_running() && is_short && task.started.elapsed() > SHORT_RUN {
-                end(&mut task.status, ExitReason::Done, &mut self.events);
+            let is_short = task.job().starts_with(SHORT_JOB_PREFIX) || self.finishing.contains(task.job());
+            if task.is_running() && is_short && task.started.elapsed() > SHORT_TASK_DURATION {
+                record_exit(&mut task.status, ExitReason::Done, &mut self.events);
             }
         }
         Heartbeat {
@@ -128,7 +128,7 @@
     }
 
     fn launch(&mut self, task: &str, attempt: Attempt) {
-        if self.tasks.iter().any(|held| held.is_attempt(task, attempt)) {
+        if self.tasks.iter().any(|worker_task| worker_task.is_attempt(task, attempt)) {
             return;
         }
         let started = Instant::now();
@@ -139,8 +139,12 @@
     }
 
     fn halt(&mut self, task: &str, attempt: Attempt) {
-        for held in self.tasks.iter_mut().filter(|held| held.is_attempt(task, attempt) && held.is_running()) {
-            end(&mut held.status, ExitReason::Stopped, &mut self.events);
+        for worker_task in self
+            .tasks
+            .iter_mut()
+            .filter(|worker_task| worker_task.is_attempt(task, attempt) && worker_task.is_running())
+        {
+            record_exit(&mut worker_task.status, ExitReason::Stopped, &mut self.events);
         }
     }
 
@@ -150,7 +154,9 @@
             match command {
                 WorkerCommand::Launch { task, attempt } => self.launch(task, *attempt),
                 WorkerCommand::Halt { task, attempt, .. } => self.halt(task, *attempt),
-                WorkerCommand::Reap { task, attempt } => self.tasks.retain(|held| !held.is_attempt(task, *attempt)),
+                WorkerCommand::Reap { task, attempt } => {
+                    self.tasks.retain(|worker_task| !worker_task.is_attempt(task, *attempt))
+                }
             }
         }
     }
@@ -166,10 +172,10 @@
 }
 
 /// A task's attempt ends.
-fn end(status: &mut TaskStatus, why: ExitReason, events: &mut Vec<TaskEvent>) {
+fn record_exit(status: &mut TaskStatus, why: ExitReason, events: &mut Vec<TaskEvent>) {
     status.state = TaskState::Exited;
     status.why = Some(why);
-    let change = TaskChange::Ended(why);
+    let change = TaskChange::Exited(why);
     events.push(TaskEvent { task: status.task.clone(), attempt: status.attempt.0, change, at: Instant::now() });
 }
 
@@ -197,25 +203,25 @@
 }
 
 fn send_heartbeats_until(stop: &AtomicBool, controllers: &Mutex<Vec<SocketAddr>>, worker: &Mutex<Worker>) {
-    let mut at = 0;
+    let mut target = 0;
     while !stop.load(Ordering::Relaxed) {
-        thread::sleep(HEARTBEAT_GAP);
+        thread::sleep(HEARTBEAT_INTERVAL);
         let controllers = controllers.lock().unwrap().clone();
         if controllers.is_empty() {
             continue;
         }
         let heartbeat = worker.lock().unwrap().heartbeat();
         let sent = Instant::now();
-        match call(controllers[at % controllers.len()], "POST", "/checkin", &body::encode(&heartbeat)) {
+        match call(controllers[target % controllers.len()], "POST", "/checkin", &body::encode(&heartbeat)) {
             Some(Response { status: 200, body: bytes }) => {
                 let response: HeartbeatResponse = body::decode(&bytes).unwrap();
                 let mut worker = worker.lock().unwrap();
                 if response.token >= FencingToken(worker.token) {
-                    worker.renewed = Some(sent);
+                    worker.last_renewal = Some(sent);
                     worker.apply_commands(response.token.0, &response.commands);
                 }
             }
-            _ => at += 1,
+            _ => target += 1,
         }
     }
 }
