--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -1,6 +1,6 @@
-//! The forms of the versions before: frames and records, byte for byte. First of
-//! `ac1d836`, which knew no prerequisites, then of `ddfa46b`, which does.
-//! `tests/fixtures/README.md` says how the files were made.
+//! Compares the encoded forms of frames and records with those of earlier versions, byte
+//! for byte: first of `ac1d836`, which doesn't support prerequisites, then of `ddfa46b`,
+//! which does. `tests/fixtures/README.md` describes how the files were made.
 
 use std::{collections::BTreeMap, fs, path::Path};
 
@@ -21,14 +21,14 @@
     },
 };
 
-/// Encoded forms by their names.
+/// Encoded forms by name.
 type EncodedForms = BTreeMap<String, Vec<u8>>;
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The lines of a fixture: a name, and bytes in hexadecimal digits.
+/// Reads a fixture, whose lines hold a name, and bytes in hexadecimal digits.
 fn read_fixture(file: &str) -> EncodedForms {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(file);
     let text = fs::read_to_string(path).unwrap();
@@ -41,15 +41,17 @@
     lines
 }
 
+/// Decodes a record from the bytes stored for it.
 fn decode_record<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> T {
     cbor::decode::<Value>(bytes).unwrap().deserialized().unwrap()
 }
 
+/// Encodes a record as it is stored.
 fn encode_record<T: serde::Serialize>(record: &T) -> Vec<u8> {
     cbor::encode(&to_value(record))
 }
 
-/// What this version reads of the bytes, written again.
+/// Decodes a form with this version, and encodes the result.
 fn decode_and_encode(name: &str, bytes: &[u8]) -> Vec<u8> {
     match name.split('/').next().unwrap() {
         "frame" => peers::encode(&peers::decode(bytes).unwrap()),
@@ -57,7 +59,7 @@
         "chunk" => encode_record(&decode_record::<ChunkRecord>(bytes)),
         "leader" => encode_record(&decode_record::<LeaderRecord>(bytes)),
         "version" => encode_record(&decode_record::<VersionRecord>(bytes)),
-        other => panic!("no such form: {other}"),
+        other => panic!("unknown form: {other}"),
     }
 }
 
@@ -69,18 +71,19 @@
     for (name, bytes) in &lines {
         assert_eq!(hex(&decode_and_encode(name, bytes)), hex(bytes), "{name}");
     }
-    // The body named a prerequisite, of which production knows nothing: its
-    // record is the one this version writes of a job without any.
+    // The submission named a prerequisite, which `ac1d836` ignores: its record is the one
+    // that this version writes for a job without prerequisites.
     let submitted: Submission = cbor::decode(&body).unwrap();
     assert_eq!(submitted.prereqs(), ["j-000398"]);
     let pending: JobRecord = decode_record(&lines["job/pending"]);
     assert_eq!(pending.submission, Submission { prereqs: None, ..submitted });
     let chunk: ChunkRecord = decode_record(&lines["chunk/000000"]);
     assert_eq!((chunk.done.as_str(), chunk.assignments.len()), ("9429", 2));
-    let Ok(Frame::Gossip(frame)) = peers::decode(&lines["frame/full"]) else { panic!("no gossip") };
-    assert!(!frame.reads_notices(), "production's gossip shows no newer form");
+    let Ok(Frame::Gossip(frame)) = peers::decode(&lines["frame/full"]) else { panic!("expected a gossip frame") };
+    assert!(!frame.reads_notices(), "the gossip of ac1d836 must not show that its sender reads notices");
     assert_eq!((&*frame.from, frame.count, frame.echoes.len(), frame.counts.len()), ("n-2", 41, 2, 1));
-    // Production's end of a job says no time, its cancellation keeps all.
+    // A done record of `ac1d836` holds no time of completion, its cancelled record keeps
+    // all fields.
     for (name, want) in
         [("job/pending", JobStatus::Pending), ("job/cancelled", JobStatus::Cancelled), ("job/done", JobStatus::Done)]
     {
@@ -100,12 +103,13 @@
     }
 }
 
+/// Returns the submission of the fixtures, without prerequisites.
 fn submission() -> Submission {
     Submission { prereqs: None, ..cbor::decode(&read_fixture("production.txt")["submission"]).unwrap() }
 }
 
-/// Every form that this version writes where production may meet it, and the
-/// one that it must not meet.
+/// Returns every form of this version that `ac1d836` may read, and the one that it must
+/// not read, `job/waiting`.
 fn forms_of_this_version() -> Vec<(&'static str, Vec<u8>)> {
     let job =
         |submission: Submission, status, at_ms, chunk| encode_record(&JobRecord { submission, status, at_ms, chunk });
@@ -142,13 +146,13 @@
     vec![
         ("job/pending", job(submission(), JobStatus::Pending, 1_780_000_000_000, 28)),
         ("job/cancelled", job(submission(), JobStatus::Cancelled, 1_780_000_000_000, 28)),
-        // With the time of the end, for those that wait for it.
+        // With the time of completion, for the jobs that wait for this one.
         ("job/done", job(ended, JobStatus::Done, 1_780_000_123_456, 28)),
         ("job/waiting", job(waiting, JobStatus::Pending, 1_780_000_000_000, 28)),
         ("chunk/000001", encode_record(&chunk)),
         ("leader/n-4", encode_record(&LeaderRecord { label: "n-4".into(), nonce: 9 })),
         ("frame/plain", peers::encode(&Frame::Gossip(frame.clone()))),
-        // With the mark that newer forms are read.
+        // With the marker that the sender reads newer forms.
         ("frame/marked", peers::encode(&Frame::Gossip(with_marker))),
     ]
 }
@@ -157,13 +161,13 @@
 fn ac1d836_rewrites_forms_of_this_version_and_drops_only_prerequisites() {
     let (written, rewritten) = (read_fixture("this.txt"), read_fixture("this-as-production-rewrites.txt"));
     for (name, bytes) in forms_of_this_version() {
-        println!("form {name} {}", hex(&bytes)); // what stands in `this.txt`
+        println!("form {name} {}", hex(&bytes)); // the content of `this.txt`
     }
     for (name, bytes) in forms_of_this_version() {
-        assert_eq!(hex(&bytes), hex(&written[name]), "{name}: the form has changed, or the file is old");
+        assert_eq!(hex(&bytes), hex(&written[name]), "{name}: the form has changed, or the fixture is out of date");
         let is_unchanged = written[name] == rewritten[name];
-        // Guard: production loses the prerequisites. So none is accepted while
-        // one of that version may be left.
+        // `ac1d836` drops the prerequisites when it rewrites a record, so that no job with
+        // prerequisites is accepted while a controller of that version may be left.
         assert_eq!(is_unchanged, name != "job/waiting", "{name}");
     }
     assert_eq!((written.len(), rewritten.len()), (forms_of_this_version().len(), forms_of_this_version().len()));
@@ -171,7 +175,7 @@
     assert!(without_prereqs.submission.prereqs().is_empty());
 }
 
-/// Production reads and watches what begins with these alone.
+/// `ac1d836` reads and watches only keys with these prefixes.
 #[test]
 fn version_keys_share_no_prefix_with_keys_read_by_ac1d836() {
     for prefix in ["leader", "j/", "t/"] {
@@ -181,6 +185,7 @@
 
 // ---- ddfa46b ---------------------------------------------------------------
 
+/// Returns a page of the store that holds one key with an encoded value.
 fn page_of(key: &str, bytes: &[u8]) -> Page {
     let pair =
         KeyValue { key: key.to_owned(), value: cbor::decode(bytes).unwrap(), revision: Revision(7), store_lease: None };
@@ -195,7 +200,7 @@
     for (name, bytes) in &lines {
         assert_eq!(hex(&decode_and_encode(name, bytes)), hex(bytes), "{name}");
     }
-    // The record of a submission, with its prerequisites, each named once.
+    // The record of a submission holds its prerequisites, each of them once.
     let mut submitted: Submission = cbor::decode(&submission).unwrap();
     submitted.remove_duplicate_prereqs();
     assert_eq!(submitted.prereqs(), ["j-000398", "j-000405"]);
@@ -203,7 +208,7 @@
     assert_eq!((&waiting.submission, waiting.status, waiting.chunk), (&submitted, JobStatus::Pending, 128));
     let without_prereqs: JobRecord = decode_record(&lines["job/pending"]);
     assert_eq!(without_prereqs.submission, Submission { prereqs: None, ..submitted });
-    // The time of a done record is that of the end.
+    // The time of a done record is the time of completion.
     let done: JobRecord = decode_record(&lines["job/done"]);
     assert_eq!((done.status, done.at_ms), (JobStatus::Done, 1_780_000_123_456));
     let chunk: ChunkRecord = decode_record(&lines["chunk/000000"]);
@@ -238,15 +243,15 @@
 fn frames_and_version_key_of_ddfa46b_decode_to_equal_values() {
     let lines = read_fixture("ddfa46b.txt");
     for (name, from, count, counts) in [("frame/first", "n-1", 0, 0), ("frame/marked", "n-2", 41, 2)] {
-        let Ok(Frame::Gossip(frame)) = peers::decode(&lines[name]) else { panic!("no gossip") };
+        let Ok(Frame::Gossip(frame)) = peers::decode(&lines[name]) else { panic!("expected a gossip frame") };
         assert_eq!((&*frame.from, frame.count, frame.counts.len()), (from, count, counts), "{name}");
-        assert!(frame.reads_notices(), "{name} shows that its sender reads notices");
+        assert!(frame.reads_notices(), "{name} must show that its sender reads notices");
     }
-    let Ok(Frame::Notice(notice)) = peers::decode(&lines["frame/notice"]) else { panic!("no notice") };
+    let Ok(Frame::Notice(notice)) = peers::decode(&lines["frame/notice"]) else { panic!("expected a notice frame") };
     let cancelled = |job: &str, revision| Cancelled { job: job.into(), revision };
     let all = vec![cancelled("j-000398", Revision(412)), cancelled("j-000731", Revision(1 << 32))];
     assert_eq!(notice, Notice { from: "n-2".into(), cancelled: all });
-    // Its key is evidence that it takes prerequisites.
+    // The version key is evidence that the controller supports prerequisites.
     let key = version_key("n-2");
     let mut evidence = VersionEvidence::new(["n-2"].into_iter());
     assert!(!evidence.is_complete());
@@ -254,7 +259,7 @@
     assert!(evidence.is_complete());
 }
 
-/// Every form that this version writes where `ddfa46b` meets it.
+/// Returns every form of this version that `ddfa46b` may read.
 fn forms_beside_ddfa46b() -> Vec<(&'static str, Vec<u8>)> {
     let waiting = Submission { prereqs: Some(vec!["j-000398".into(), "j-000405".into()]), ..submission() };
     let cancelled =
@@ -274,12 +279,12 @@
 fn ddfa46b_rewrites_forms_of_this_version_unchanged() {
     let forms = forms_beside_ddfa46b();
     for (name, bytes) in &forms {
-        println!("beside {name} {}", hex(bytes)); // what stands in `this-beside-ddfa46b.txt`
+        println!("beside {name} {}", hex(bytes)); // the content of `this-beside-ddfa46b.txt`
     }
     let (written, rewritten) = (read_fixture("this-beside-ddfa46b.txt"), read_fixture("this-as-ddfa46b-rewrites.txt"));
     for (name, bytes) in &forms {
-        assert_eq!(hex(bytes), hex(&written[*name]), "{name}: the form has changed, or the file is old");
-        assert_eq!(hex(&written[*name]), hex(&rewritten[*name]), "{name}: not kept as it was");
+        assert_eq!(hex(bytes), hex(&written[*name]), "{name}: the form has changed, or the fixture is out of date");
+        assert_eq!(hex(&written[*name]), hex(&rewritten[*name]), "{name}: ddfa46b rewrites the form with a change");
     }
     assert_eq!((written.len(), rewritten.len()), (forms.len(), forms.len()));
     let kept: JobRecord = decode_record(&rewritten["job/waiting"]);
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,5 +1,6 @@
-//! Three real controllers on loopback, against stand-ins for the key-value
-//! store, the cloud and one worker: answers, a leader's death, a restart of all.
+//! Runs three controller processes on loopback against stand-ins for the key-value
+//! store, the cloud and one worker: responses to users, failure of the leader,
+//! restart of all controllers.
 
 mod loopback_cluster;
 
@@ -29,11 +30,13 @@
 
 const SHARED_SETTINGS: SharedSettings = SharedSettings { lease_s: 30, cancel_s: 50, next: None };
 
-/// Guard: a leader whose lease is renewed, but whose reads of the jobs' records
-/// hang, answers no worker with tasks beyond the time at which a cancellation
-/// that it can't know of would be outlived; a machine with nothing on it is
-/// answered all the same. And: told by a peer, or by its own read, whoever hears
-/// the workers stops what is cancelled at once, and that alone.
+/// A leader whose store lease is renewed, but whose reads of the job records hang,
+/// can't see a cancellation. It must reject heartbeats that report tasks as soon as
+/// a worker lease renewed by it could outlast the bound on a cancellation that it
+/// doesn't know of; heartbeats of a machine without tasks are still accepted. A
+/// controller that receives the workers' heartbeats and learns of a cancellation,
+/// from a peer or from its own read, must stop the cancelled tasks at once, and no
+/// others.
 #[test]
 fn heartbeats_with_tasks_are_rejected_when_a_cancellation_may_be_unseen() {
     const LEASE_S: u32 = 4;
@@ -45,40 +48,49 @@
             call(cluster.nodes[0].client, "POST", "/api/jobs", &job_body(id, "service", 2))
                 .filter(|response| response.status == 201)
         };
-        wait_for("accepted", accepted);
+        wait_for("job accepted", accepted);
     }
     let all_run = || ["j-100001", "j-100002", "j-100003", "j-100004"].iter().all(|job| cluster.running_tasks(job) == 2);
-    wait_for("all run", || all_run().then_some(()));
+    wait_for("all tasks running", || all_run().then_some(()));
 
-    // Refused isolated, it is told by the controller that confirmed.
+    // The store refuses only the leader: the controller that confirms the cancellation
+    // notifies it.
     let leader = cluster.leader();
     let other = cluster.nodes[(leader + 1) % 3].client;
     cluster.store_access[leader].unavailable.store(true, Ordering::Relaxed);
     for node in cluster.nodes.iter() {
-        status(node.client, "j-100002"); // a question makes a controller read
+        status(node.client, "j-100002"); // a poll makes the controller read the record
     }
     assert_eq!(status_code(call(other, "POST", "/api/jobs/j-100001/abort", &[])), Some(200));
-    let user_responses = Instant::now();
+    let cancel_confirmed_at = Instant::now();
     cluster.store_access.iter().for_each(|access| access.unavailable.store(true, Ordering::Relaxed));
-    wait_for("what a peer told of is gone", || (cluster.running_tasks("j-100001") == 0).then_some(()));
-    assert!(user_responses.elapsed() < Duration::from_secs(3), "gone after {:?}", user_responses.elapsed());
-    // In the outage the rest goes on, answered by whoever may, for a time.
-    thread::sleep(Duration::from_millis(4_500).saturating_sub(user_responses.elapsed()));
+    wait_for("tasks stopped after a cancellation received from a peer", || {
+        (cluster.running_tasks("j-100001") == 0).then_some(())
+    });
+    assert!(
+        cancel_confirmed_at.elapsed() < Duration::from_secs(3),
+        "tasks stopped after {:?}",
+        cancel_confirmed_at.elapsed()
+    );
+    // During the outage the other tasks go on: their worker leases are renewed for a
+    // time by any controller that may do so.
+    thread::sleep(Duration::from_millis(4_500).saturating_sub(cancel_confirmed_at.elapsed()));
     assert_eq!((cluster.running_tasks("j-100002"), cluster.running_tasks("j-100003")), (2, 2));
     let last_renewal = || cluster.worker.lock().unwrap().last_renewal.unwrap();
-    assert!(last_renewal().elapsed() < Duration::from_secs(2), "leases are kept for a while");
-    thread::sleep(Duration::from_secs(u64::from(CANCEL_S - LEASE_S)).saturating_sub(user_responses.elapsed()));
+    assert!(last_renewal().elapsed() < Duration::from_secs(2), "worker leases should be renewed early in the outage");
+    thread::sleep(Duration::from_secs(u64::from(CANCEL_S - LEASE_S)).saturating_sub(cancel_confirmed_at.elapsed()));
     let last = last_renewal();
     thread::sleep(Duration::from_secs(1));
-    assert_eq!(last_renewal(), last, "nobody renews beyond the bound");
+    assert_eq!(last_renewal(), last, "a worker lease was renewed beyond the bound");
     cluster.store_access.iter().for_each(|access| access.unavailable.store(false, Ordering::Relaxed));
-    wait_for("answered again", || (last_renewal() > last).then_some(()));
+    wait_for("heartbeats accepted again", || (last_renewal() > last).then_some(()));
 
-    // Its reads hang while its lease goes on; nobody can tell it.
+    // The leader's reads hang while its store lease is renewed, and no peer can
+    // notify it of the cancellation.
     let leader = cluster.leader();
     cluster.store_access[leader].stalls_job_reads.store(true, Ordering::Relaxed);
     let key = "j/j-100002";
-    let confirmed = {
+    let confirmed_at = {
         let mut store = cluster.store.lock().unwrap();
         let StoredValue { value: mut record, revision, .. } = store.keys[key].clone();
         for (field, value) in record.as_map_mut().unwrap() {
@@ -122,17 +134,32 @@
         why: None,
         saved: None,
     };
-    assert_eq!(send_heartbeat(&heartbeat(vec![running_task], "i-000002")), Some(503), "it may hold what is cancelled");
-    assert_eq!(send_heartbeat(&heartbeat(vec![], "i-000003")), Some(200), "nothing runs there, and it still leads");
+    assert_eq!(
+        send_heartbeat(&heartbeat(vec![running_task], "i-000002")),
+        Some(503),
+        "the machine may run cancelled tasks"
+    );
+    assert_eq!(
+        send_heartbeat(&heartbeat(vec![], "i-000003")),
+        Some(200),
+        "the machine runs no tasks, and the controller still leads"
+    );
     thread::sleep(Duration::from_secs(2));
-    assert_eq!(last_renewal(), last, "renewed {:?} after the confirmation", last_renewal() - confirmed);
-    assert!(last < confirmed + bound, "renewed {:?} after the confirmation", last - confirmed);
+    assert_eq!(last_renewal(), last, "renewed {:?} after the confirmation", last_renewal() - confirmed_at);
+    assert!(last < confirmed_at + bound, "renewed {:?} after the confirmation", last - confirmed_at);
     cluster.store_access[leader].stalls_job_reads.store(false, Ordering::Relaxed);
-    wait_for("what it reads of is gone", || (cluster.running_tasks("j-100002") == 0).then_some(()));
-    assert_eq!((cluster.running_tasks("j-100003"), cluster.running_tasks("j-100004")), (2, 2), "nothing else is");
+    wait_for("tasks stopped after the cancellation was read from the store", || {
+        (cluster.running_tasks("j-100002") == 0).then_some(())
+    });
+    assert_eq!(
+        (cluster.running_tasks("j-100003"), cluster.running_tasks("j-100004")),
+        (2, 2),
+        "tasks of other jobs were stopped"
+    );
 
-    // The leader dies, a cancellation is confirmed, and the store is away before
-    // there is a next one: whoever keeps the lease ends what is cancelled.
+    // The leader fails, a cancellation is confirmed, and the store becomes unavailable
+    // before there is a new leader: the controller that renews the worker lease stops
+    // the cancelled tasks.
     let leader = cluster.leader();
     let other = cluster.nodes[(leader + 1) % 3].client;
     for node in cluster.nodes.iter() {
@@ -141,17 +168,19 @@
     cluster.nodes[leader].kill();
     assert_eq!(status_code(call(other, "POST", "/api/jobs/j-100003/abort", &[])), Some(200));
     cluster.store_access.iter().for_each(|access| access.unavailable.store(true, Ordering::Relaxed));
-    let user_responses = Instant::now();
-    wait_for("halted by who keeps the lease", || (cluster.running_tasks("j-100003") == 0).then_some(()));
+    let cancel_confirmed_at = Instant::now();
+    wait_for("tasks halted by the controller that renews the worker lease", || {
+        (cluster.running_tasks("j-100003") == 0).then_some(())
+    });
     assert!(
-        user_responses.elapsed() < Duration::from_secs(u64::from(CANCEL_S - LEASE_S)),
-        "gone after {:?}",
-        user_responses.elapsed()
+        cancel_confirmed_at.elapsed() < Duration::from_secs(u64::from(CANCEL_S - LEASE_S)),
+        "tasks stopped after {:?}",
+        cancel_confirmed_at.elapsed()
     );
-    assert_eq!(cluster.running_tasks("j-100004"), 2, "the rest goes on");
+    assert_eq!(cluster.running_tasks("j-100004"), 2, "tasks of other jobs were stopped");
     cluster.store_access.iter().for_each(|access| access.unavailable.store(false, Ordering::Relaxed));
-    wait_for("a leader again", || {
-        (cluster.worker.lock().unwrap().last_renewal? > user_responses + Duration::from_secs(6)).then_some(())
+    wait_for("heartbeats accepted after the outage", || {
+        (cluster.worker.lock().unwrap().last_renewal? > cancel_confirmed_at + Duration::from_secs(6)).then_some(())
     });
     assert_eq!((cluster.running_tasks("j-100003"), cluster.running_tasks("j-100004")), (0, 2));
 }
@@ -163,7 +192,7 @@
     let nodes = &mut cluster.nodes;
     let first = nodes[0].client;
 
-    // What can't be taken is told at once, and how.
+    // Requests that can't be accepted are rejected at once with the matching status code.
     let huge = vec![0u8; 70_000];
     let unknown_team = with_field(&job_body("j-000009", "batch", 1), "owner", Value::Text("nobody".into()));
     let cases: &[(&str, &str, &[u8], u16)] = &[
@@ -179,18 +208,18 @@
         assert_eq!(status_code(call(first, method, path, bytes)), Some(*want), "{method} {path}");
     }
 
-    // A job is taken once, whoever is asked, and done for everybody.
+    // A job is accepted once, whichever controllers receive it, and all report it as done.
     assert_eq!(status_code(call(first, "POST", "/api/jobs", &job_body("j-000001", "batch", 3))), Some(201));
     for node in nodes.iter() {
         assert_eq!(status_code(call(node.client, "POST", "/api/jobs", &job_body("j-000001", "batch", 3))), Some(200));
     }
     for node in nodes.iter() {
-        wait_for("done", || (status(node.client, "j-000001")? == "done").then_some(()));
+        wait_for("job done", || (status(node.client, "j-000001")? == "done").then_some(()));
     }
 
-    // A service runs, survives its leader, and ends when it is told to.
+    // A service runs, goes on when the leader fails, and stops when it is cancelled.
     assert_eq!(status_code(call(first, "POST", "/api/jobs", &job_body("j-100001", "service", 2))), Some(201));
-    wait_for("running", || (status(first, "j-100001")? == "running").then_some(()));
+    wait_for("service running", || (status(first, "j-100001")? == "running").then_some(()));
     let leader = wait_for("a leader", || {
         let heartbeat = worker_state.lock().unwrap().heartbeat();
         nodes.iter().position(|node| {
@@ -204,13 +233,13 @@
         wait_for("accepted", || status_code(call(other, "POST", "/api/jobs", &job_body("j-000002", "batch", 2)))),
         201
     );
-    wait_for("done under the next leader", || (status(other, "j-000002")? == "done").then_some(()));
+    wait_for("job done under the next leader", || (status(other, "j-000002")? == "done").then_some(()));
     let running_count = |worker: &Worker| worker.tasks.iter().filter(|task| task.is_running()).count();
-    assert_eq!(running_count(&worker_state.lock().unwrap()), 2, "replicas went on");
+    assert_eq!(running_count(&worker_state.lock().unwrap()), 2, "replicas should go on after the leader failed");
     assert_eq!(status_code(call(other, "POST", "/api/jobs/j-100001/abort", &[])), Some(200));
-    wait_for("replicas gone", || (running_count(&worker_state.lock().unwrap()) == 0).then_some(()));
+    wait_for("replicas stopped", || (running_count(&worker_state.lock().unwrap()) == 0).then_some(()));
 
-    // All gone and back: nothing is forgotten.
+    // After a restart of all controllers every job is still known.
     for node in nodes.iter_mut() {
         node.kill();
     }
@@ -218,34 +247,36 @@
         node.start();
     }
     for node in nodes.iter() {
-        wait_for("ready again", || (call(node.client, "GET", "/ready", &[])?.status == 200).then_some(()));
+        wait_for("controller ready after the restart", || {
+            (call(node.client, "GET", "/ready", &[])?.status == 200).then_some(())
+        });
         assert_eq!(status(node.client, "j-000001").as_deref(), Some("done"));
         assert_eq!(status(node.client, "j-100001").as_deref(), Some("cancelled"));
         assert_eq!(status_code(call(node.client, "POST", "/api/jobs", &job_body("j-000002", "batch", 2))), Some(200));
     }
 
-    // The leader keeps its workers, but has neither the key-value store nor peers:
-    // it acts for nobody, says so at once, and sends workers to nobody.
+    // The leader still receives heartbeats, but reaches neither the key-value store nor
+    // peers: it must stop leading, report so at once, and name no leader to workers.
     let heartbeat = |worker: &Arc<Mutex<Worker>>| body::encode(&worker.lock().unwrap().heartbeat());
     let leads = |node: &Controller| {
         call(node.client, "POST", "/checkin", &heartbeat(&worker_state)).is_some_and(|response| response.status == 200)
     };
-    let leader = wait_for("a leader again", || nodes.iter().position(leads));
+    let leader = wait_for("heartbeats accepted after the outage", || nodes.iter().position(leads));
     store_access[leader].unavailable.store(true, Ordering::Relaxed);
     for n in (0..3).filter(|n| *n != leader) {
         nodes[n].kill();
     }
     let isolated = nodes[leader].client;
     let isolated_at = Instant::now();
-    wait_for("it no longer leads", || (!leads(&nodes[leader])).then_some(()));
-    assert!(isolated_at.elapsed() < Duration::from_secs(5), "led on for {:?}", isolated_at.elapsed());
-    wait_for("not ready", || (call(isolated, "GET", "/ready", &[])?.status == 503).then_some(()));
+    wait_for("isolated leader rejects heartbeats", || (!leads(&nodes[leader])).then_some(()));
+    assert!(isolated_at.elapsed() < Duration::from_secs(5), "led for {:?} after isolation", isolated_at.elapsed());
+    wait_for("isolated controller not ready", || (call(isolated, "GET", "/ready", &[])?.status == 503).then_some(()));
     let response = call(isolated, "POST", "/checkin", &heartbeat(&worker_state)).unwrap();
     let leader_hint: Value = body::decode(&response.body).unwrap_or(Value::Null);
     assert_eq!(
         (response.status, leader_hint.as_map().map_or(0, Vec::len)),
         (421, 0),
-        "names somebody: {leader_hint:?}"
+        "unexpected leader hint: {leader_hint:?}"
     );
     let requests = [("GET", "/api/jobs/j-000777", 503), ("GET", "/api/jobs/j-000001", 200)];
     for (method, path, want) in requests {
@@ -255,22 +286,25 @@
     }
     assert_eq!(status_code(call(isolated, "POST", "/api/jobs", &job_body("j-000003", "batch", 1))), Some(503));
 
-    // Once that is over, every question is answered, there and elsewhere.
+    // After the outage all controllers, including this one, respond to every request.
     store_access[leader].unavailable.store(false, Ordering::Relaxed);
     for node in nodes.iter_mut().filter(|node| node.child.is_none()) {
         node.start();
     }
     for node in nodes.iter() {
-        wait_for("answers again", || (status(node.client, "j-000002")? == "done").then_some(()));
+        wait_for("status of a known job after the outage", || {
+            (status(node.client, "j-000002")? == "done").then_some(())
+        });
         let accepted =
             || call(node.client, "POST", "/api/jobs", &job_body("j-000004", "batch", 1)).filter(Response::is_success);
-        wait_for("takes jobs again", accepted);
-        wait_for("runs them", || (status(node.client, "j-000004")? == "done").then_some(()));
+        wait_for("job accepted after the outage", accepted);
+        wait_for("new job done after the outage", || (status(node.client, "j-000004")? == "done").then_some(()));
     }
 }
 
-/// While a controller hasn't shown its version, nothing with prerequisites is
-/// accepted; `tests/upgrade.rs` does the same with one that is there, and old.
+/// No job with prerequisites is accepted until every controller has recorded its
+/// version. `tests/upgrade.rs` checks the same with a running controller of a version
+/// without prerequisites.
 #[test]
 fn prerequisites_require_all_versions_and_propagate_cancellation() {
     let mut cluster = LoopbackCluster::prepare("pipelines", &SHARED_SETTINGS);
@@ -281,17 +315,17 @@
     cluster.start_heartbeats();
     let nodes = &mut cluster.nodes;
     for at in [a, b] {
-        wait_for("ready", || (call(at, "GET", "/ready", &[])?.status == 200).then_some(()));
+        wait_for("controller ready", || (call(at, "GET", "/ready", &[])?.status == 200).then_some(()));
     }
     let submit = |to: SocketAddr, bytes: &[u8]| status_code(call(to, "POST", "/api/jobs", bytes));
     assert!(submit(a, &job_body("j-000001", "batch", 3)).is_some_and(|s| s < 300));
     for at in [a, b] {
-        wait_for("done", || (status(at, "j-000001")? == "done").then_some(()));
+        wait_for("job done", || (status(at, "j-000001")? == "done").then_some(()));
         thread::sleep(Duration::from_secs(2));
         assert_eq!(
             submit(at, &job_with_prereqs("j-000002", "batch", id_list(&["j-000001"]))),
             Some(503),
-            "one may be old"
+            "a controller may run an old version"
         );
         assert_eq!(submit(at, &job_with_prereqs("j-000002", "batch", Value::from(1))), Some(400));
         assert_eq!(status(at, "j-000002"), None);
@@ -299,37 +333,38 @@
     nodes[2].start();
     for node in nodes.iter() {
         let bytes = job_with_prereqs("j-000002", "batch", id_list(&["j-000001", "j-000001"]));
-        wait_for("accepted", || submit(node.client, &bytes).filter(|s| *s < 300));
+        wait_for("job with prerequisites accepted", || submit(node.client, &bytes).filter(|s| *s < 300));
     }
-    wait_for("done", || (status(a, "j-000002")? == "done").then_some(()));
+    wait_for("job with prerequisites done", || (status(a, "j-000002")? == "done").then_some(()));
 
-    // Runs until it is cancelled; what needs it waits.
+    // j-100001 runs until it is cancelled; the jobs that name it as a prerequisite wait.
     assert_eq!(submit(a, &job_body("j-100001", "batch", 1)), Some(201));
     assert_eq!(submit(b, &job_body("j-100002", "service", 1)), Some(201));
     let many: Vec<String> = (0..3_000).map(|n| format!("j-{n}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
-    // (what, where, id, prerequisites, answer)
+    // (case, controller, id, prerequisites, status code)
     let cases = [
-        ("accepted elsewhere a moment ago", b, "j-000010", id_list(&["j-100001"]), 201),
-        ("through another", a, "j-000011", id_list(&["j-000010", "j-000001"]), 201),
-        ("again, elsewhere", b, "j-000011", id_list(&["j-000010", "j-000001"]), 200),
-        ("again, naming what was never accepted", b, "j-000011", id_list(&["j-999999"]), 200),
-        ("never accepted", a, "j-000012", id_list(&["j-100001", "j-999999"]), 422),
-        ("a service", a, "j-000012", id_list(&["j-100002"]), 422),
-        ("itself, which isn't accepted yet", a, "j-000012", id_list(&["j-000012"]), 422),
-        ("no list", a, "j-000012", Value::Text("j-100001".into()), 400),
-        ("no ids", a, "j-000012", id_list(&["j-100001", "x"]), 400),
-        ("too long for a record", a, "j-000012", id_list(&many), 400),
-        ("null", a, "j-000013", Value::Null, 201),
-        ("nobody", a, "j-000006", id_list(&[]), 201),
+        ("just accepted by another controller", b, "j-000010", id_list(&["j-100001"]), 201),
+        ("chain of prerequisites", a, "j-000011", id_list(&["j-000010", "j-000001"]), 201),
+        ("same submission to another controller", b, "j-000011", id_list(&["j-000010", "j-000001"]), 200),
+        ("resubmission with an unknown prerequisite", b, "j-000011", id_list(&["j-999999"]), 200),
+        ("unknown prerequisite", a, "j-000012", id_list(&["j-100001", "j-999999"]), 422),
+        ("service as a prerequisite", a, "j-000012", id_list(&["j-100002"]), 422),
+        ("job that names itself before it is accepted", a, "j-000012", id_list(&["j-000012"]), 422),
+        ("text instead of a list", a, "j-000012", Value::Text("j-100001".into()), 400),
+        ("malformed id in the list", a, "j-000012", id_list(&["j-100001", "x"]), 400),
+        ("list too long for a record", a, "j-000012", id_list(&many), 400),
+        ("null instead of a list", a, "j-000013", Value::Null, 201),
+        ("empty list", a, "j-000006", id_list(&[]), 201),
     ];
     for (case, at, id, prereqs, want) in cases {
         assert_eq!(submit(at, &job_with_prereqs(id, "batch", prereqs)), Some(want), "{case}");
     }
-    assert_eq!(status(a, "j-000012"), None, "refused for good");
-    wait_for("runs", || (status(a, "j-100001")? == "running").then_some(()));
+    assert_eq!(status(a, "j-000012"), None, "a rejected job must not exist");
+    wait_for("prerequisite running", || (status(a, "j-100001")? == "running").then_some(()));
     assert_eq!(status(b, "j-000010").as_deref(), Some("pending"));
-    // Guard: one cancellation, and nobody calls what needs the job anything else.
+    // After one cancellation every controller must report all jobs that depend on the
+    // job, directly or through other jobs, as cancelled.
     assert_eq!(status_code(call(b, "POST", "/api/jobs/j-100001/abort", &[])), Some(200));
     for node in nodes.iter() {
         for id in ["j-000010", "j-000011"] {
@@ -343,36 +378,39 @@
     assert_eq!(
         (response.status, decode_status(&response.body).as_deref()),
         (201, Some("cancelled")),
-        "names a cancelled one"
+        "a job with a cancelled prerequisite is accepted as cancelled"
     );
     for node in nodes.iter_mut() {
         node.kill();
         node.start();
     }
     for node in nodes.iter() {
-        wait_for("still", || (status(node.client, "j-000015")? == "cancelled").then_some(()));
-        wait_for("done", || (status(node.client, "j-000006")? == "done").then_some(()));
+        wait_for("job still cancelled after the restart", || {
+            (status(node.client, "j-000015")? == "cancelled").then_some(())
+        });
+        wait_for("job with an empty list done", || (status(node.client, "j-000006")? == "done").then_some(()));
     }
 }
 
-/// Guard: counts were told once, when they changed. A controller that was away
-/// then, or didn't know the job yet, called a running job pending for ever.
+/// If the leader sends task counts only once, when they change, a controller that is
+/// unavailable at that moment, or doesn't know the job yet, reports a running job as
+/// pending permanently.
 #[test]
 fn restarted_follower_reports_a_running_job_as_running() {
     let mut cluster = LoopbackCluster::start("what-runs", &SHARED_SETTINGS);
     let at = cluster.nodes[0].client;
-    wait_for("accepted", || {
+    wait_for("job accepted", || {
         call(at, "POST", "/api/jobs", &job_body("j-100001", "service", 1)).filter(Response::is_success)
     });
-    wait_for("its task runs", || (cluster.running_tasks("j-100001") == 1).then_some(()));
+    wait_for("task running", || (cluster.running_tasks("j-100001") == 1).then_some(()));
     let leader = cluster.leader();
     let follower = (leader + 1) % cluster.nodes.len();
     for restart in 0..2 {
         cluster.nodes[follower].kill();
         cluster.nodes[follower].start();
         let at = cluster.nodes[follower].client;
-        wait_for("ready", || is_ready(at).then_some(()));
-        let condition = format!("running, after restart {restart}");
+        wait_for("restarted controller ready", || is_ready(at).then_some(()));
+        let condition = format!("status running after restart {restart}");
         wait_up_to(Duration::from_secs(8), &condition, || (status(at, "j-100001")? == "running").then_some(()));
     }
 }
--- a/tests/loopback_cluster/cloud.rs
+++ b/tests/loopback_cluster/cloud.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the cloud: one machine type, one machine that runs, no more to
-//! rent.
+//! Stand-in for the cloud: one machine type, one running machine, no capacity to
+//! provision more.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use super::http::{serve, Response};
 
-/// Serves a cloud whose only machine is the worker's.
+/// Serves a cloud whose only machine is the worker's, and returns its address.
 pub fn serve_cloud(worker: SocketAddr) -> SocketAddr {
     serve(move |method, path, _| match (method, path.split('?').next().unwrap()) {
         ("GET", "/flavors") => {
--- a/tests/loopback_cluster/cluster.rs
+++ b/tests/loopback_cluster/cluster.rs
@@ -1,4 +1,4 @@
-//! Three controllers, a worker, and all that they need.
+//! A test cluster: three controllers, a worker, and the stand-ins that they use.
 
 use std::{
     fs,
@@ -24,14 +24,17 @@
 
 const CONTROLLERS: usize = 3;
 
-/// Controller processes, the stand-ins for the outside services, and one worker.
+/// Controller processes, the stand-ins for the external services, and one worker.
 pub struct LoopbackCluster {
+    /// Contents of the key-value store, shared by all controllers.
     pub store: Arc<Mutex<Store>>,
-    /// Each controller's access to the store.
+    /// Each controller's access to the store, by the controller's index.
     pub store_access: Vec<Arc<StoreAccess>>,
+    /// State of the worker.
     pub worker: Arc<Mutex<Worker>>,
+    /// The controllers, running or not, by index.
     pub nodes: Vec<Controller>,
-    /// The controllers that the worker sends heartbeats to.
+    /// Addresses of the controllers that the worker sends heartbeats to.
     heartbeat_targets: Arc<Mutex<Vec<SocketAddr>>>,
     addresses: Vec<Addresses>,
     cloud: SocketAddr,
@@ -40,12 +43,12 @@
 }
 
 impl LoopbackCluster {
-    /// With controllers of this version, ready.
+    /// Starts a cluster with controllers of this version, and waits until they are ready.
     pub fn start(name: &str, shared: &SharedSettings) -> LoopbackCluster {
         LoopbackCluster::start_with_program(name, shared, this_version())
     }
 
-    /// With controllers that run a program, ready.
+    /// Starts a cluster with controllers that run `program`, and waits until they are ready.
     pub fn start_with_program(name: &str, shared: &SharedSettings, program: &Path) -> LoopbackCluster {
         let mut cluster = LoopbackCluster::prepare(name, shared);
         for node in &mut cluster.nodes {
@@ -56,7 +59,8 @@
         cluster
     }
 
-    /// With controllers that aren't started, and a worker that sends heartbeats to none.
+    /// Creates a cluster whose controllers aren't started, and whose worker sends no
+    /// heartbeats yet.
     pub fn prepare(name: &str, shared: &SharedSettings) -> LoopbackCluster {
         let store = Arc::new(Mutex::new(Store::default()));
         let store_access: Vec<Arc<StoreAccess>> = (0..CONTROLLERS).map(|_| Arc::default()).collect();
@@ -71,24 +75,25 @@
         LoopbackCluster { store, store_access, worker, nodes, heartbeat_targets, addresses, cloud, stop, dir }
     }
 
-    /// The worker sends heartbeats to the controllers from now on.
+    /// Lets the worker send heartbeats to the controllers.
     pub fn start_heartbeats(&self) {
         *self.heartbeat_targets.lock().unwrap() = self.nodes.iter().map(|node| node.client).collect();
     }
 
+    /// Waits until every controller is ready.
     pub fn wait_until_ready(&self) {
         for node in &self.nodes {
-            wait_for("ready", || is_ready(node.client).then_some(()));
+            wait_for("controller ready", || is_ready(node.client).then_some(()));
         }
     }
 
-    /// Kills all controllers, and gives them other settings.
+    /// Kills all controllers and writes new settings for them; they aren't started.
     pub fn change_settings(&mut self, shared: &SharedSettings) {
         self.nodes.clear();
         self.nodes = create_controllers(&self.dir, &self.addresses, self.cloud, shared);
     }
 
-    /// Whoever answers the worker's heartbeats.
+    /// Waits for a controller that accepts the worker's heartbeats, and returns its index.
     pub fn leader(&self) -> usize {
         wait_for("a leader", || {
             let heartbeat = body::encode(&self.worker.lock().unwrap().heartbeat());
@@ -99,7 +104,7 @@
         })
     }
 
-    /// Tasks of a job that run now.
+    /// Returns the number of running tasks of a job.
     pub fn running_tasks(&self, job: &str) -> usize {
         self.worker.lock().unwrap().running_tasks(job)
     }
--- a/tests/loopback_cluster/controllers.rs
+++ b/tests/loopback_cluster/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers' processes and their settings.
+//! Controller processes and their settings files.
 
 use std::{
     fs,
@@ -10,12 +10,14 @@
 
 use super::key_value_store::{Limits, LIMITS};
 
-/// Ports that controllers may listen on: below those of outgoing connections.
+/// First port that controllers may listen on. The range lies below the ports that the
+/// system assigns to outgoing connections.
 const FIRST_PORT: u16 = 20_000;
+/// Number of ports in the range.
 const PORTS: u32 = 12_000;
 
-/// A port below those that the system gives to outgoing connections: one of
-/// theirs could be taken again before the controller listens on it.
+/// Finds a free port below those that the system assigns to outgoing connections: one
+/// of those could be assigned to a connection before the controller listens on it.
 fn free_port() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
@@ -27,23 +29,28 @@
     }
 }
 
-/// The program of this version.
+/// Returns the program of this version.
 pub fn this_version() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_shedhook"))
 }
 
-/// One controller, which may be down; killed when dropped.
+/// A controller process, which may be down; killed when dropped.
 pub struct Controller {
+    /// Address for requests of users and workers.
     pub client: SocketAddr,
+    /// The settings file.
     pub config_file: PathBuf,
+    /// The process; None while the controller is down.
     pub child: Option<Child>,
 }
 
 impl Controller {
+    /// Starts the controller with the program of this version.
     pub fn start(&mut self) {
         self.start_with_program(this_version());
     }
 
+    /// Starts the controller with `program`.
     pub fn start_with_program(&mut self, program: &Path) {
         let child = Command::new(program)
             .arg("--config")
@@ -55,6 +62,7 @@
         self.child = Some(child);
     }
 
+    /// Kills the process, if there is one, and waits for its exit.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -69,16 +77,19 @@
     }
 }
 
-/// What the settings of a cluster's controllers share.
+/// Settings that all controllers of a cluster share.
 #[derive(Debug, Clone, Copy)]
 pub struct SharedSettings {
+    /// `workers.lease_s`: duration of a worker lease, in seconds.
     pub lease_s: u32,
+    /// `workers.cancel_s`: bound within which the tasks of a cancelled job must stop, in
+    /// seconds.
     pub cancel_s: u32,
-    /// Limits that the settings announce for later (`state.next`).
+    /// Limits of the store that will apply later (`state.next`); None: no change announced.
     pub next: Option<Limits>,
 }
 
-/// Where a controller listens, and where it finds the key-value store.
+/// Addresses that a controller listens on, and its address of the key-value store.
 pub struct Addresses {
     client: SocketAddr,
     cluster: SocketAddr,
@@ -86,11 +97,13 @@
 }
 
 impl Addresses {
+    /// Chooses free ports for a controller that uses the store at `store`.
     pub fn new(store: SocketAddr) -> Addresses {
         Addresses { client: free_port(), cluster: free_port(), store }
     }
 }
 
+/// Returns the settings file of the controller with index `n`.
 fn settings(n: usize, all: &[Addresses], cloud: SocketAddr, shared: &SharedSettings) -> String {
     let own = &all[n];
     let mut text = format!(
@@ -115,7 +128,7 @@
     text
 }
 
-/// Controllers with their settings, not started yet.
+/// Writes the settings files into `dir`, and returns the controllers, not started yet.
 pub fn create_controllers(
     dir: &Path,
     all: &[Addresses],
--- a/tests/loopback_cluster/history.rs
+++ b/tests/loopback_cluster/history.rs
@@ -1,4 +1,4 @@
-//! What ran when, taken from the worker, held against the store's log.
+//! Checks the worker's log of starts and exits against the store's log of changes.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,7 +13,8 @@
 };
 
 impl UpgradeTest {
-    /// Ends the test: answers stayed, and tasks ran in order and once.
+    /// Ends the test: checks that final statuses stayed, and that tasks ran once and after
+    /// their prerequisites.
     pub fn check_history(&mut self) {
         self.watch.stop_and_check();
         let final_statuses = self.watch.final_statuses();
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Every job that was recorded as done, and when.
+    /// Returns every job that was recorded as done, and when it first was.
     fn done_records(&self) -> BTreeMap<String, Instant> {
         let store = self.cluster.store.lock().unwrap();
         let mut done = BTreeMap::new();
@@ -45,8 +46,8 @@
         done
     }
 
-    /// Before a task starts, all that its job needs has ended on the worker, and
-    /// is recorded as done.
+    /// Checks that, before a task started, all tasks of its job's prerequisites had exited
+    /// on the worker, and the prerequisites were recorded as done.
     fn check_prerequisites(
         &self,
         job: &AcceptedJob,
@@ -57,36 +58,42 @@
         for prereq in &job.prereqs {
             assert!(
                 done.get(prereq).is_some_and(|at| *at <= start.at),
-                "{} started before {prereq} was done",
+                "{} started before {prereq} was recorded as done",
                 start.task
             );
             let is_done_exit =
                 |event: &&TaskEvent| event.job() == prereq && event.change == TaskChange::Exited(ExitReason::Done);
             let exits = events.iter().filter(is_done_exit).filter(|event| event.at <= start.at).count();
-            assert_eq!(exits, self.accepted[prereq].tasks as usize, "{} started before {prereq} had ended", start.task);
+            assert_eq!(
+                exits, self.accepted[prereq].tasks as usize,
+                "{} started before all tasks of {prereq} had exited",
+                start.task
+            );
         }
     }
 }
 
-/// Nothing is called done that isn't recorded so, or cancelled that no user
-/// cancelled.
+/// Checks that a job reported as done is recorded as done, and that a job reported as
+/// cancelled was cancelled by a user.
 fn check_final_status(id: &str, job: &AcceptedJob, final_status: Option<&str>, is_recorded_done: bool) {
     match final_status {
-        Some("done") => assert!(is_recorded_done, "{id} was called done, and isn't recorded so"),
-        Some("cancelled") => assert!(job.cancelled_at.is_some(), "{id} was called cancelled, and isn't"),
+        Some("done") => assert!(is_recorded_done, "{id} was reported as done, but isn't recorded as done"),
+        Some("cancelled") => {
+            assert!(job.cancelled_at.is_some(), "{id} was reported as cancelled, but no user cancelled it")
+        }
         _ => {}
     }
 }
 
-/// No task starts twice, or after its user was told that it is cancelled; where
-/// the job is done each has started.
+/// Checks that no task started twice, or after its user received the response that the
+/// job is cancelled, and that every task of a done job started.
 fn check_started_once(id: &str, job: &AcceptedJob, starts: &[&TaskEvent], is_done: bool) {
     let tasks: BTreeSet<&str> = starts.iter().map(|start| &*start.task).collect();
-    assert_eq!(tasks.len(), starts.len(), "{id}: a task ran twice: {starts:?}");
+    assert_eq!(tasks.len(), starts.len(), "{id}: a task started twice: {starts:?}");
     if is_done {
-        assert_eq!(starts.len(), job.tasks as usize, "{id} is done");
+        assert_eq!(starts.len(), job.tasks as usize, "{id} is done, but not each of its tasks started");
     }
     if let Some(at) = job.cancelled_at {
-        assert!(starts.iter().all(|start| start.at <= at), "{id} started though it is cancelled: {starts:?}");
+        assert!(starts.iter().all(|start| start.at <= at), "{id}: a task started after the cancellation: {starts:?}");
     }
 }
--- a/tests/loopback_cluster/http.rs
+++ b/tests/loopback_cluster/http.rs
@@ -1,4 +1,4 @@
-//! A blocking HTTP server and client.
+//! Blocking HTTP server and client of the tests.
 
 use std::{
     io::{Read, Write},
@@ -19,34 +19,40 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 const READ_BYTES: usize = 8192;
 
+/// An HTTP response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
+    /// The status code.
     pub status: u16,
+    /// The body in bytes; empty if there is none.
     pub body: Vec<u8>,
 }
 
 impl Response {
+    /// Creates a response without a body.
     pub fn empty(status: u16) -> Response {
         Response { status, body: Vec::new() }
     }
 
-    /// With a body in the protocol's form.
+    /// Creates a response with a body encoded as CBOR.
     pub fn encoded(status: u16, body: &impl Serialize) -> Response {
         Response { status, body: cbor::encode(body) }
     }
 
-    /// An error with its reason.
+    /// Creates an error response whose body holds the reason.
     pub fn error(status: u16, reason: &str) -> Response {
         let body = Value::Map(vec![(Value::Text("error".into()), Value::Text(reason.into()))]);
         Response::encoded(status, &body)
     }
 
+    /// Reports whether the status code is below 300.
     pub fn is_success(&self) -> bool {
         self.status < 300
     }
 }
 
-/// Serves until the test process ends; one thread a connection.
+/// Serves until the test process exits, with one thread per connection, and returns the
+/// address.
 pub fn serve(handler: impl Fn(&str, &str, &[u8]) -> Response + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -83,7 +89,7 @@
     }
 }
 
-/// One request on a connection of its own. None: no response.
+/// Sends one request on a new connection. Returns None if no response is received.
 pub fn call(to: SocketAddr, method: &str, path: &str, body: &[u8]) -> Option<Response> {
     let mut stream = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT).ok()?;
     stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
@@ -104,7 +110,7 @@
     }
 }
 
-/// The status code of a response, if there was one.
+/// Returns the status code of a response, if there was one.
 pub fn status_code(response: Option<Response>) -> Option<u16> {
     response.map(|response| response.status)
 }
--- a/tests/loopback_cluster/json_size.rs
+++ b/tests/loopback_cluster/json_size.rs
@@ -1,8 +1,8 @@
-//! The size of a value in JSON form, in which the protocol counts its limits.
+//! Size of a value as JSON text, which the limits of the protocol refer to.
 
 use ciborium::Value;
 
-/// Bytes of the shortest JSON text of a value.
+/// Returns the size of the shortest JSON text of a value, in bytes.
 pub fn json_size(value: &Value) -> usize {
     match value {
         Value::Null => "null".len(),
@@ -14,10 +14,11 @@
         Value::Map(fields) => {
             list_size(fields.iter().map(|(key, field)| json_size(key) + ":".len() + json_size(field)))
         }
-        other => panic!("not a form of the protocol: {other:?}"),
+        other => panic!("value type not used by the protocol: {other:?}"),
     }
 }
 
+/// Returns the size of a text with its quotes and escapes, in bytes.
 fn text_size(text: &str) -> usize {
     let escaped = |byte: u8| match byte {
         b'"' | b'\\' => 2,
@@ -27,7 +28,7 @@
     2 + text.bytes().map(escaped).sum::<usize>()
 }
 
-/// Brackets, the items, and commas between them.
+/// Returns the size of brackets, the items, and commas between them, in bytes.
 fn list_size(items: impl ExactSizeIterator<Item = usize>) -> usize {
     let commas = items.len().saturating_sub(1);
     2 + commas + items.sum::<usize>()
--- a/tests/loopback_cluster/key_value_store.rs
+++ b/tests/loopback_cluster/key_value_store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the key-value store: one store, and one address a controller.
+//! Stand-in for the key-value store: one store, served at one address per controller.
 
 use std::{
     collections::BTreeMap,
@@ -23,55 +23,65 @@
     json_size::json_size,
 };
 
+/// Bytes per KB of the limits.
 const KB: usize = 1_024;
-/// Conditions of a transaction, for each write that it may have.
+/// Maximum number of conditions of a transaction, per write that the limits allow.
 const CONDITIONS_PER_WRITE: usize = 4;
-/// Prefix of the jobs' keys.
+/// Prefix of the keys of job records.
 const JOB_KEY_PREFIX: &str = "j/";
-/// How often an open watch looks for changes.
+/// Interval at which an open watch checks for changes.
 const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// How often a read that gets no answer looks whether that is over.
+/// Interval at which a stalled read checks whether it may continue.
 const STALLED_READ_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a transaction may hold; more gets 400.
+/// Limits of a transaction; a larger one is rejected with 400.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
+    /// Maximum size of a value, in KB of JSON text.
     pub value_kb: usize,
+    /// Maximum number of writes.
     pub txn_ops: usize,
 }
 
-/// What the controllers' settings say, see [`super::controllers`].
+/// The limits in the controllers' settings, see [`super::controllers`].
 pub const LIMITS: Limits = Limits { value_kb: 16, txn_ops: 24 };
 
-/// The value of a key.
+/// A value with its revision and store lease.
 #[derive(Clone)]
 pub struct StoredValue {
+    /// The value as the controllers wrote it.
     pub value: Value,
+    /// Revision of the last write of the key.
     pub revision: u64,
-    /// The key is deleted when this lease ends.
+    /// The key is deleted when this store lease ends; None: the key has no store lease.
     pub store_lease: Option<StoreLeaseId>,
 }
 
-/// A lease of keys.
+/// A store lease, which keys may refer to.
 struct StoreLease {
     expires: Instant,
     ttl: Duration,
 }
 
-/// Keys with their values, and all changes since the start.
+/// Contents of the store, and all changes since the start.
 pub struct Store {
+    /// All keys with their values.
     pub keys: BTreeMap<String, StoredValue>,
+    /// All changes in order, with their time.
     pub log: Vec<LogEntry>,
+    /// Limits in force.
     pub limits: Limits,
-    /// Transactions that were refused for their size.
+    /// Number of transactions that were rejected for their size.
     pub too_large_transactions: usize,
     revision: u64,
     store_leases: BTreeMap<StoreLeaseId, StoreLease>,
 }
 
-/// A change, and when it was made.
+/// A change of one key, with its time.
 pub struct LogEntry {
+    /// The change as watches report it.
     pub change: Change,
+    /// When the change was applied.
     pub at: Instant,
 }
 
@@ -124,6 +134,7 @@
         Response::encoded(200, &cbor!({"epoch" => revision}).unwrap())
     }
 
+    /// Returns the keys whose conditions the store doesn't meet.
     fn failed_conditions(&self, txn: &Transaction) -> Vec<String> {
         let revision_of = |key: &str| self.keys.get(key).map_or(0, |stored| stored.revision);
         let failed = txn.conditions.iter().filter(|condition| revision_of(&condition.key) != condition.revision.0);
@@ -140,7 +151,7 @@
             || txn.writes.iter().any(value_too_large)
     }
 
-    /// Grants a lease, and returns its id.
+    /// Creates a store lease, and returns its id.
     fn create_store_lease(&mut self, ttl: Duration) -> StoreLeaseId {
         self.revision += 1;
         let id = StoreLeaseId(self.revision);
@@ -148,14 +159,14 @@
         id
     }
 
-    /// Renews a lease; false when it is over.
+    /// Renews a store lease; returns false if it has ended.
     fn renew_store_lease(&mut self, id: StoreLeaseId) -> bool {
         let Some(store_lease) = self.store_leases.get_mut(&id) else { return false };
         store_lease.expires = Instant::now() + store_lease.ttl;
         true
     }
 
-    /// Ends the leases that are over by now.
+    /// Ends all store leases that have expired.
     fn expire_store_leases(&mut self) {
         let now = Instant::now();
         let expired: Vec<StoreLeaseId> =
@@ -165,6 +176,7 @@
         }
     }
 
+    /// Ends a store lease, and deletes the keys that refer to it.
     fn end_store_lease(&mut self, id: StoreLeaseId) {
         self.store_leases.remove(&id);
         let held = self.keys.iter().filter(|(_, stored)| stored.store_lease == Some(id));
@@ -204,18 +216,18 @@
     }
 }
 
-/// The value of a parameter in a request's path.
+/// Returns the value of a query parameter in a request's path.
 fn query<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     let parameters = path.split_once('?')?.1.split('&').filter_map(|parameter| parameter.split_once('='));
     parameters.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
 }
 
-/// One controller's access to the store.
+/// Faults that a test injects into one controller's access to the store.
 #[derive(Default)]
 pub struct StoreAccess {
-    /// Whoever uses it is refused.
+    /// Every request is rejected with 503.
     pub unavailable: AtomicBool,
-    /// Reads of changed jobs get no answer; all else is served.
+    /// Reads of changes of job records receive no response; all other requests are served.
     pub stalls_job_reads: AtomicBool,
 }
 
@@ -229,7 +241,7 @@
     }
 }
 
-/// Serves the store through one access.
+/// Serves the store with the faults of one controller's access, and returns the address.
 pub fn serve_store(store: Arc<Mutex<Store>>, access: Arc<StoreAccess>) -> SocketAddr {
     serve(move |method, path, bytes| {
         if access.is_unavailable() {
@@ -265,7 +277,7 @@
     Response::encoded(200, &cbor!({"permit" => id.0}).unwrap())
 }
 
-/// `rest`: the path after `/grants/`.
+/// Renews or ends a store lease. `rest`: the path after `/grants/`.
 fn renew_or_end_store_lease(store: &mut Store, method: &str, rest: &str) -> Response {
     let id = StoreLeaseId(rest.split('/').next().unwrap().parse().unwrap());
     if method == "DELETE" {
@@ -279,7 +291,7 @@
     }
 }
 
-/// Answers once there are changes, or the time to wait is over.
+/// Responds as soon as there are changes, or when the requested wait time has passed.
 fn watch(store: &Mutex<Store>, access: &StoreAccess, path: &str, prefix: &str) -> Response {
     let from = Revision(query(path, "from").unwrap().parse().unwrap());
     let wait_ms: u64 = query(path, "waitMs").map_or(0, |wait| wait.parse().unwrap());
@@ -288,7 +300,7 @@
         let mut locked = store.lock().unwrap();
         locked.expire_store_leases();
         let changes = locked.changes(prefix, from);
-        // In an outage open watches stay open.
+        // During an outage open watches stay open.
         let is_stalled = access.stalls_reads_of(prefix) || access.is_unavailable();
         if !is_stalled && (!changes.events.is_empty() || Instant::now() >= until) {
             return Response::encoded(200, &changes);
--- a/tests/loopback_cluster/mod.rs
+++ b/tests/loopback_cluster/mod.rs
@@ -1,8 +1,7 @@
-//! A small cluster on loopback: real controller processes between stand-ins for
-//! the key-value store, the cloud and one worker, written from the protocol.
+//! Runs a small cluster on loopback: controller processes with stand-ins for the
+//! key-value store, the cloud and one worker, which implement the protocol.
 
-// Two test binaries include this module, and neither needs all of it; together
-// they use all.
+// Two test binaries include this module. Neither uses all of it; together they do.
 #![allow(dead_code)]
 
 use std::{
@@ -23,23 +22,25 @@
 pub mod versions;
 pub mod worker;
 
-/// How long [`wait_for`] waits.
+/// Time after which [`wait_for`] fails the test.
 const WAIT_MAX: Duration = Duration::from_secs(40);
+/// Pause between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits until `poll` gives something, and fails the test if it never does.
-pub fn wait_for<T>(what: &str, poll: impl FnMut() -> Option<T>) -> T {
-    wait_up_to(WAIT_MAX, what, poll)
+/// Polls until `poll` returns a value, and fails the test after [`WAIT_MAX`]
+/// without one.
+pub fn wait_for<T>(condition: &str, poll: impl FnMut() -> Option<T>) -> T {
+    wait_up_to(WAIT_MAX, condition, poll)
 }
 
-/// As [`wait_for`], for what may take longer.
-pub fn wait_up_to<T>(wait_max: Duration, what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+/// Polls like [`wait_for`], with a time limit of its own.
+pub fn wait_up_to<T>(wait_max: Duration, condition: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + wait_max;
     loop {
         if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < until, "never came: {what}");
+        assert!(Instant::now() < until, "timed out waiting for: {condition}");
         thread::sleep(POLL_INTERVAL);
     }
 }
--- a/tests/loopback_cluster/status_watch.rs
+++ b/tests/loopback_cluster/status_watch.rs
@@ -1,5 +1,6 @@
-//! Answers that must stay: once a job was called done or cancelled by any
-//! controller, none may call it anything else, and none may forget a job.
+//! Checks that final statuses stay: once any controller has reported a job as done
+//! or cancelled, no controller may report another status, and no controller may
+//! report an accepted job as unknown.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,23 +18,24 @@
     users::{decode_status, poll},
 };
 
+/// Pause between two rounds of polls.
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Statuses that were told and may not change any more, and what broke that.
+/// Final statuses that users received, and the responses that contradicted them.
 #[derive(Debug, Default)]
 struct ObservedStatuses {
     jobs: BTreeSet<String>,
     final_statuses: BTreeMap<String, String>,
     violations: Vec<String>,
-    /// Answers that were compared.
+    /// Number of responses that were checked against the final statuses.
     compared_responses: usize,
 }
 
 impl ObservedStatuses {
-    /// `before`: what was final when the question was asked.
+    /// Checks a response. `before`: the final status that was known when the request was sent.
     fn record(&mut self, id: &str, before: Option<&str>, response: &Response) {
         if response.status == 404 {
-            self.violations.push(format!("{id} is forgotten"));
+            self.violations.push(format!("{id} is unknown to a controller"));
         }
         if response.status != 200 {
             return;
@@ -49,7 +51,7 @@
     }
 }
 
-/// Polls every accepted job at every controller all the time.
+/// Thread that repeatedly polls every accepted job at every controller.
 pub struct StatusWatch {
     observed: Arc<Mutex<ObservedStatuses>>,
     stop: Arc<AtomicBool>,
@@ -57,7 +59,7 @@
 }
 
 impl StatusWatch {
-    /// Polls from now on.
+    /// Starts to poll these controllers.
     pub fn start(controllers: Vec<SocketAddr>) -> StatusWatch {
         let (observed, stop) = (Arc::<Mutex<ObservedStatuses>>::default(), Arc::<AtomicBool>::default());
         let (shared, stopped) = (observed.clone(), stop.clone());
@@ -73,22 +75,22 @@
         StatusWatch { observed, stop, thread: Some(thread) }
     }
 
-    /// Polls this job too.
+    /// Adds an accepted job to the polled ones.
     pub fn add_job(&self, id: &str) {
         self.observed.lock().unwrap().jobs.insert(id.to_owned());
     }
 
-    /// A user was told elsewhere that this job is cancelled.
+    /// Records that a user received cancelled as the status of this job in another response.
     pub fn record_cancelled(&self, id: &str) {
         self.observed.lock().unwrap().final_statuses.insert(id.to_owned(), "cancelled".to_owned());
     }
 
-    /// The final status of each job of which some user was told one.
+    /// Returns the final status of each job for which a user received one.
     pub fn final_statuses(&self) -> BTreeMap<String, String> {
         self.observed.lock().unwrap().final_statuses.clone()
     }
 
-    /// Ends the polls, and fails the test if an answer was taken back.
+    /// Stops polling, and fails the test if a response contradicted a final status.
     pub fn stop_and_check(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         let joined = self.thread.take().is_none_or(|thread| thread.join().is_ok());
@@ -96,12 +98,13 @@
         assert!(joined && observed.violations.is_empty(), "{:?}", observed.violations);
         assert!(
             observed.compared_responses > observed.jobs.len(),
-            "hardly anything was answered: {}",
+            "too few status responses: {}",
             observed.compared_responses
         );
     }
 }
 
+/// Polls a job and checks the response against the status known before the request.
 fn poll_job(observed: &Mutex<ObservedStatuses>, at: SocketAddr, id: &str) {
     let before = observed.lock().unwrap().final_statuses.get(id).cloned();
     if let Some(response) = poll(at, id) {
--- a/tests/loopback_cluster/upgrade.rs
+++ b/tests/loopback_cluster/upgrade.rs
@@ -1,4 +1,4 @@
-//! A cluster amid an upgrade: controllers of two versions, and the jobs that they
+//! A cluster during an upgrade: controllers of two versions, and the jobs that they
 //! accepted.
 
 use std::{
@@ -19,71 +19,86 @@
     wait_for, wait_up_to,
 };
 
-/// A job may wait for many others, and for limits that were lowered.
+/// Time limit for a job to be done; it may wait for many other jobs, and for limits
+/// that were lowered.
 const DONE_WAIT_MAX: Duration = Duration::from_secs(90);
 
-/// Which program a controller runs.
+/// Version of the program that a controller runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Version {
+    /// The version in production.
     Production,
+    /// The version under test.
     This,
 }
 
 /// A job to be submitted.
 #[derive(Debug, Clone, Copy)]
 pub struct Job<'a> {
+    /// Id of the job.
     pub id: &'a str,
+    /// Kind on the wire (`shape`): `batch`, `ensemble` or `service`.
     pub kind: &'a str,
+    /// Number of tasks.
     pub tasks: u32,
+    /// Ids of the prerequisites.
     pub prereqs: &'a [&'a str],
 }
 
-/// A job of independent tasks.
+/// Returns a job of independent tasks.
 pub fn batch<'a>(id: &'a str, tasks: u32, prereqs: &'a [&'a str]) -> Job<'a> {
     Job { id, kind: "batch", tasks, prereqs }
 }
 
-/// Tasks small enough that a hundred of them fit the worker.
+/// Reduces the size of a submission's tasks so that a hundred of them fit the worker.
 fn small_tasks(bytes: &[u8]) -> Vec<u8> {
     with_field(&with_field(bytes, "cpus", Value::Float(0.05)), "memoryGb", Value::Float(0.1))
 }
 
-/// What the test knows of an accepted job.
+/// An accepted job as the test recorded it.
 #[derive(Debug, Default)]
 pub struct AcceptedJob {
+    /// Number of tasks.
     pub tasks: u32,
+    /// Ids of the prerequisites.
     pub prereqs: Vec<String>,
-    /// When its user had been told that it, or one that it needs, is cancelled.
+    /// When a user had received the response that the job, or one of its prerequisites,
+    /// is cancelled; None: not cancelled.
     pub cancelled_at: Option<Instant>,
 }
 
-/// A cluster whose controllers have versions, and the jobs accepted by it.
+/// A cluster whose controllers may run different versions, and the jobs that it accepted.
 pub struct UpgradeTest {
+    /// The controllers and stand-ins.
     pub cluster: LoopbackCluster,
+    /// Version of each controller, also while it is down.
     pub versions: [Version; 3],
+    /// Accepted jobs by id.
     pub accepted: BTreeMap<String, AcceptedJob>,
+    /// Checks of the reported final statuses.
     pub watch: StatusWatch,
 }
 
 impl UpgradeTest {
-    /// All controllers run the production version.
+    /// Starts a cluster whose controllers all run the production version.
     pub fn start(name: &str, shared: &SharedSettings) -> UpgradeTest {
         let cluster = LoopbackCluster::start_with_program(name, shared, production());
         let watch = StatusWatch::start(cluster.nodes.iter().map(|node| node.client).collect());
         UpgradeTest { cluster, versions: [Version::Production; 3], accepted: BTreeMap::new(), watch }
     }
 
-    /// Where users reach a controller.
+    /// Returns the address of a controller for users' requests.
     pub fn client(&self, n: usize) -> SocketAddr {
         self.cluster.nodes[n].client
     }
 
-    /// Where users reach the controllers.
+    /// Returns the addresses of all controllers for users' requests.
     pub fn clients(&self) -> [SocketAddr; 3] {
         [self.client(0), self.client(1), self.client(2)]
     }
 
-    /// Starts a controller, which is down, with the version that it has.
+    /// Starts a controller that is down, with the version recorded for it, and waits until
+    /// it is ready.
     pub fn start_controller(&mut self, n: usize) {
         let program = match self.versions[n] {
             Version::Production => production(),
@@ -91,30 +106,30 @@
         };
         self.cluster.nodes[n].start_with_program(program);
         let at = self.client(n);
-        wait_for("ready", || is_ready(at).then_some(()));
+        wait_for("controller ready", || is_ready(at).then_some(()));
     }
 
-    /// Kills a controller, which comes back with this version.
+    /// Kills a controller, and restarts it with this version.
     pub fn replace(&mut self, n: usize) {
         self.cluster.nodes[n].kill();
         self.versions[n] = Version::This;
         self.start_controller(n);
     }
 
-    /// Kills a controller, which comes back with the version that it had.
+    /// Kills a controller, and restarts it with the version that it had.
     pub fn restart(&mut self, n: usize) {
         self.cluster.nodes[n].kill();
         self.start_controller(n);
     }
 
-    /// Whose label the leader's key holds.
+    /// Returns the index of the controller whose label is stored under the leader's key.
     pub fn leader(&self) -> Option<usize> {
         let store = self.cluster.store.lock().unwrap();
         let label = text_field(&store.keys.get("leader")?.value, "l")?.to_owned();
         label.strip_prefix("n-")?.parse().ok()
     }
 
-    /// Waits until a controller of a version, which is up, leads.
+    /// Waits until a running controller of this version leads, and returns its index.
     pub fn wait_for_leader(&self, version: Version) -> usize {
         wait_for(&format!("a leader of {version:?}"), || {
             let is_up = |n: &usize| self.cluster.nodes[*n].child.is_some();
@@ -127,7 +142,8 @@
         self.submit_body(n, job, |bytes| bytes);
     }
 
-    /// As [`UpgradeTest::submit`], with tasks of which a hundred fit the worker.
+    /// Submits a job like [`UpgradeTest::submit`], with tasks of which a hundred fit the
+    /// worker.
     pub fn submit_small(&mut self, n: usize, job: Job) {
         self.submit_body(n, job, |bytes| small_tasks(&bytes));
     }
@@ -143,7 +159,7 @@
         self.record_accepted(submitted.id, submitted.tasks, submitted.prereqs);
     }
 
-    /// A job was accepted, whose prerequisites are known.
+    /// Records an accepted job, whose prerequisites must have been recorded before.
     pub fn record_accepted(&mut self, id: &str, tasks: u32, prereqs: &[&str]) {
         let prereqs: Vec<String> = prereqs.iter().map(|id| (*id).to_owned()).collect();
         let cancelled_at = prereqs.iter().any(|id| self.accepted[id].cancelled_at.is_some()).then(Instant::now);
@@ -151,15 +167,17 @@
         self.watch.add_job(id);
     }
 
-    /// Cancels a job; all that need it are cancelled with it, for everybody.
+    /// Cancels a job, and checks that every running controller reports it and all jobs that
+    /// depend on it as cancelled.
     pub fn cancel(&mut self, n: usize, id: &str) {
         let at = self.client(n);
-        let response = wait_for("cancelled", || abort(at, id).filter(|response| response.status == 200));
+        let response = wait_for("job cancelled", || abort(at, id).filter(|response| response.status == 200));
         assert_eq!(code_and_status(Some(response)), (200, Some("cancelled".to_owned())), "{id}");
         self.record_cancelled(id, Instant::now());
         self.check_cancelled();
     }
 
+    /// Records the cancellation of a job, and of all jobs that depend on it.
     fn record_cancelled(&mut self, id: &str, at: Instant) {
         self.accepted.get_mut(id).unwrap().cancelled_at = Some(at);
         self.watch.record_cancelled(id);
@@ -169,7 +187,7 @@
         dependents.iter().for_each(|id| self.record_cancelled(id, at));
     }
 
-    /// Every controller that is up says so of all that is cancelled.
+    /// Checks that every running controller reports all cancelled jobs as cancelled.
     pub fn check_cancelled(&self) {
         for id in self.accepted.iter().filter(|(_, job)| job.cancelled_at.is_some()).map(|(id, _)| id) {
             for (n, controller) in
@@ -181,26 +199,26 @@
         }
     }
 
-    /// Lets the tasks of a job end.
+    /// Lets the tasks of a job exit.
     pub fn finish(&self, id: &str) {
         self.cluster.worker.lock().unwrap().finish(id);
     }
 
-    /// Waits until a job is done, for every controller.
+    /// Waits until every controller reports a job as done.
     pub fn wait_until_done(&self, id: &str) {
         for at in self.clients() {
-            wait_up_to(DONE_WAIT_MAX, &format!("{id} is done"), || (status(at, id)? == "done").then_some(()));
+            wait_up_to(DONE_WAIT_MAX, &format!("{id} done"), || (status(at, id)? == "done").then_some(()));
         }
     }
 }
 
-/// A text in a map.
+/// Returns the text of a field in a map, if it is a text.
 pub fn text_field<'a>(map: &'a Value, name: &str) -> Option<&'a str> {
     map.as_map()?.iter().find(|(key, _)| key.as_text() == Some(name))?.1.as_text()
 }
 
-/// Code and status of an answer.
+/// Returns the status code and the job's status of a response.
 pub fn code_and_status(response: Option<Response>) -> (u16, Option<String>) {
-    let response = response.expect("no answer");
+    let response = response.expect("no response received");
     (response.status, decode_status(&response.body))
 }
--- a/tests/loopback_cluster/versions.rs
+++ b/tests/loopback_cluster/versions.rs
@@ -6,20 +6,20 @@
     sync::OnceLock,
 };
 
-/// The program of the version in production, which `deploy/service.toml` names.
+/// Returns the program of the version in production, which `deploy/service.toml` names.
 pub fn production() -> &'static Path {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| build("production"))
 }
 
-/// The program of the last version that knew no prerequisites.
+/// Returns the program of the last version that doesn't support prerequisites.
 pub fn without_pipelines() -> &'static Path {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| build("without-pipelines"))
 }
 
-/// Builds a version, unless that was done before. A failure fails the test: there
-/// is no upgrade to check without the version before it.
+/// Builds a version, unless it was built before, and returns its program. A failure fails
+/// the test, since no upgrade can be checked without the earlier version.
 fn build(version: &str) -> PathBuf {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let script = root.join(".ci/build-version");
--- a/tests/loopback_cluster/worker.rs
+++ b/tests/loopback_cluster/worker.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a worker: runs tasks that end after a moment, or when the test
-//! says so, and remembers every start and end.
+//! Stand-in for a worker: simulates tasks that exit after a short time, or when the test
+//! requests it, and records every start and exit.
 
 use std::{
     collections::BTreeSet,
@@ -20,37 +20,47 @@
 
 use super::http::{call, serve, Response};
 
-/// Jobs whose ids begin so end by themselves; all others run on.
+/// Tasks of jobs whose ids have this prefix exit by themselves; all others run on.
 const SHORT_JOB_PREFIX: &str = "j-0";
+/// Time after which a short task exits.
 const SHORT_TASK_DURATION: Duration = Duration::from_millis(300);
+/// Pause between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What happened to a task.
+/// Kind of a recorded change of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskChange {
+    /// The attempt started.
     Started,
+    /// The attempt exited, for this reason.
     Exited(ExitReason),
 }
 
 /// One change of a task's attempt, and when it happened.
 #[derive(Debug, Clone)]
 pub struct TaskEvent {
+    /// Id of the task, `JOB/INDEX`.
     pub task: String,
+    /// Number of the attempt.
     pub attempt: u64,
+    /// The kind of the change.
     pub change: TaskChange,
+    /// When the worker applied the change.
     pub at: Instant,
 }
 
 impl TaskEvent {
-    /// The job that the task belongs to.
+    /// Returns the id of the task's job.
     pub fn job(&self) -> &str {
         self.task.split('/').next().unwrap()
     }
 }
 
-/// A task on the machine, and when it started.
+/// An attempt of a task on the machine.
 pub struct WorkerTask {
+    /// The status that heartbeats report.
     pub status: TaskStatus,
+    /// When the attempt started.
     pub started: Instant,
 }
 
@@ -59,6 +69,7 @@
         self.status.task == task && self.status.attempt == attempt
     }
 
+    /// Reports whether the attempt hasn't exited.
     pub fn is_running(&self) -> bool {
         self.status.state == TaskState::Running
     }
@@ -68,16 +79,21 @@
     }
 }
 
-/// State of the one machine.
+/// State of the cluster's only machine.
 pub struct Worker {
+    /// Address of the worker's server.
     pub addr: SocketAddr,
+    /// Sequence number of the last heartbeat.
     sequence: u64,
+    /// The highest fencing token received.
     pub token: u64,
+    /// Attempts that weren't reaped yet.
     pub tasks: Vec<WorkerTask>,
-    /// When a heartbeat that was answered 200 was last sent.
+    /// When the last heartbeat that received 200 was sent; None: none did.
     pub last_renewal: Option<Instant>,
-    /// Jobs whose tasks the test lets end.
+    /// Jobs whose tasks exit on request of the test.
     finishing: BTreeSet<String>,
+    /// All starts and exits in order.
     pub events: Vec<TaskEvent>,
 }
 
@@ -94,17 +110,17 @@
         }
     }
 
-    /// Lets the tasks of a job end, those that start later a moment after.
+    /// Lets the tasks of a job exit, those that start later after a short time.
     pub fn finish(&mut self, job: &str) {
         self.finishing.insert(job.to_owned());
     }
 
-    /// Tasks of a job that run now.
+    /// Returns the number of running tasks of a job.
     pub fn running_tasks(&self, job: &str) -> usize {
         self.tasks.iter().filter(|task| task.status.task.starts_with(job) && task.is_running()).count()
     }
 
-    /// The next heartbeat, with what has ended by now.
+    /// Returns the next heartbeat, which includes the tasks that have exited by now.
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         for task in &mut self.tasks {
@@ -161,7 +177,7 @@
         }
     }
 
-    /// Executes a direct command, unless it is fenced off.
+    /// Executes direct commands, unless their token or incarnation is out of date.
     fn execute_command(&mut self, request: &DirectCommandRequest) -> Response {
         if request.token < FencingToken(self.token) || request.incarnation != Incarnation(1) {
             return Response::encoded(409, &self.heartbeat());
@@ -171,7 +187,7 @@
     }
 }
 
-/// A task's attempt ends.
+/// Marks an attempt as exited, and records the exit.
 fn record_exit(status: &mut TaskStatus, why: ExitReason, events: &mut Vec<TaskEvent>) {
     status.state = TaskState::Exited;
     status.why = Some(why);
@@ -179,13 +195,16 @@
     events.push(TaskEvent { task: status.task.clone(), attempt: status.attempt.0, change, at: Instant::now() });
 }
 
-/// Where a worker listens, and its state.
+/// Address and state of a started worker.
 pub struct WorkerHandle {
+    /// Address of the worker's server.
     pub addr: SocketAddr,
+    /// State of the worker, shared with its threads.
     pub state: Arc<Mutex<Worker>>,
 }
 
-/// Starts a worker that sends heartbeats to the controllers in turn until `stop`.
+/// Starts a worker that sends heartbeats until `stop` is set, to one controller until
+/// that one doesn't respond with 200, then to the next.
 pub fn start_worker(controllers: Arc<Mutex<Vec<SocketAddr>>>, stop: Arc<AtomicBool>) -> WorkerHandle {
     let state = Arc::new(Mutex::new(Worker::new()));
     let shared = state.clone();
