--- a/tests/loopback_cluster/cluster.rs
+++ b/tests/loopback_cluster/cluster.rs
@@ -1,4 +1,4 @@
-//! Three controllers, a worker, and all that they need.
+//! A test cluster: three controllers, a worker, and the stand-ins that they use.
 
 use std::{
     fs,
@@ -14,9 +14,9 @@
 
 use super::{
     cloud::serve_cloud,
-    controllers::{controllers, this_version, Addresses, Controller, Shared},
+    controllers::{create_controllers, this_version, Addresses, Controller, SharedSettings},
     http::call,
-    key_value_store::{serve_store, AccessGate, Store},
+    key_value_store::{serve_store, Store, StoreAccess},
     users::is_ready,
     wait_for,
     worker::{start_worker, Worker, WorkerHandle},
@@ -24,14 +24,17 @@
 
 const CONTROLLERS: usize = 3;
 
-/// Controller processes, the stand-ins for the outside services, and one worker.
+/// Controller processes, the stand-ins for the external services, and one worker.
 pub struct LoopbackCluster {
+    /// Contents of the key-value store, shared by all controllers.
     pub store: Arc<Mutex<Store>>,
-    /// Each controller's access to the store.
-    pub gates: Vec<Arc<AccessGate>>,
+    /// Each controller's access to the store, by the controller's index.
+    pub store_access: Vec<Arc<StoreAccess>>,
+    /// State of the worker.
     pub worker: Arc<Mutex<Worker>>,
+    /// The controllers, running or not, by index.
     pub nodes: Vec<Controller>,
-    /// The controllers that the worker sends heartbeats to.
+    /// Addresses of the controllers that the worker sends heartbeats to.
     heartbeat_targets: Arc<Mutex<Vec<SocketAddr>>>,
     addresses: Vec<Addresses>,
     cloud: SocketAddr,
@@ -40,55 +43,57 @@
 }
 
 impl LoopbackCluster {
-    /// With controllers of this version, ready.
-    pub fn start(name: &str, shared: &Shared) -> LoopbackCluster {
-        LoopbackCluster::start_as(name, shared, this_version())
+    /// Starts a cluster with controllers of this version, and waits until they are ready.
+    pub fn start(name: &str, shared: &SharedSettings) -> LoopbackCluster {
+        LoopbackCluster::start_with_program(name, shared, this_version())
     }
 
-    /// With controllers that run a program, ready.
-    pub fn start_as(name: &str, shared: &Shared, program: &Path) -> LoopbackCluster {
+    /// Starts a cluster with controllers that run `program`, and waits until they are ready.
+    pub fn start_with_program(name: &str, shared: &SharedSettings, program: &Path) -> LoopbackCluster {
         let mut cluster = LoopbackCluster::prepare(name, shared);
         for node in &mut cluster.nodes {
-            node.start_as(program);
+            node.start_with_program(program);
         }
-        cluster.receive_heartbeats();
+        cluster.start_heartbeats();
         cluster.wait_until_ready();
         cluster
     }
 
-    /// With controllers that aren't started, and a worker that sends heartbeats to none.
-    pub fn prepare(name: &str, shared: &Shared) -> LoopbackCluster {
+    /// Creates a cluster whose controllers aren't started, and whose worker sends no
+    /// heartbeats yet.
+    pub fn prepare(name: &str, shared: &SharedSettings) -> LoopbackCluster {
         let store = Arc::new(Mutex::new(Store::default()));
-        let gates: Vec<Arc<AccessGate>> = (0..CONTROLLERS).map(|_| Arc::default()).collect();
-        let address = |gate: &Arc<AccessGate>| Addresses::new(serve_store(store.clone(), gate.clone()));
-        let addresses: Vec<Addresses> = gates.iter().map(address).collect();
+        let store_access: Vec<Arc<StoreAccess>> = (0..CONTROLLERS).map(|_| Arc::default()).collect();
+        let address = |access: &Arc<StoreAccess>| Addresses::new(serve_store(store.clone(), access.clone()));
+        let addresses: Vec<Addresses> = store_access.iter().map(address).collect();
         let heartbeat_targets = Arc::new(Mutex::new(Vec::new()));
         let stop = Arc::new(AtomicBool::new(false));
         let WorkerHandle { addr, state: worker } = start_worker(heartbeat_targets.clone(), stop.clone());
         let cloud = serve_cloud(addr);
         let dir = std::env::temp_dir().join(format!("shedhook-{name}-{}", std::process::id()));
-        let nodes = controllers(&dir, &addresses, cloud, shared);
-        LoopbackCluster { store, gates, worker, nodes, heartbeat_targets, addresses, cloud, stop, dir }
+        let nodes = create_controllers(&dir, &addresses, cloud, shared);
+        LoopbackCluster { store, store_access, worker, nodes, heartbeat_targets, addresses, cloud, stop, dir }
     }
 
-    /// The worker sends heartbeats to the controllers from now on.
-    pub fn receive_heartbeats(&self) {
+    /// Lets the worker send heartbeats to the controllers.
+    pub fn start_heartbeats(&self) {
         *self.heartbeat_targets.lock().unwrap() = self.nodes.iter().map(|node| node.client).collect();
     }
 
+    /// Waits until every controller is ready.
     pub fn wait_until_ready(&self) {
         for node in &self.nodes {
-            wait_for("ready", || is_ready(node.client).then_some(()));
+            wait_for("controller ready", || is_ready(node.client).then_some(()));
         }
     }
 
-    /// Kills all controllers, and gives them other settings.
-    pub fn change_settings(&mut self, shared: &Shared) {
+    /// Kills all controllers and writes new settings for them; they aren't started.
+    pub fn change_settings(&mut self, shared: &SharedSettings) {
         self.nodes.clear();
-        self.nodes = controllers(&self.dir, &self.addresses, self.cloud, shared);
+        self.nodes = create_controllers(&self.dir, &self.addresses, self.cloud, shared);
     }
 
-    /// Whoever answers the worker's heartbeats.
+    /// Waits for a controller that accepts the worker's heartbeats, and returns its index.
     pub fn leader(&self) -> usize {
         wait_for("a leader", || {
             let heartbeat = body::encode(&self.worker.lock().unwrap().heartbeat());
@@ -99,9 +104,9 @@
         })
     }
 
-    /// Tasks of a job that run now.
-    pub fn runs(&self, job: &str) -> usize {
-        self.worker.lock().unwrap().running(job)
+    /// Returns the number of running tasks of a job.
+    pub fn running_tasks(&self, job: &str) -> usize {
+        self.worker.lock().unwrap().running_tasks(job)
     }
 }
 
--- a/tests/loopback_cluster/controllers.rs
+++ b/tests/loopback_cluster/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers' processes and their settings.
+//! Controller processes and their settings files.
 
 use std::{
     fs,
@@ -10,12 +10,14 @@
 
 use super::key_value_store::{Limits, LIMITS};
 
-/// Ports that controllers may listen on: below those of outgoing connections.
+/// First port that controllers may listen on. The range lies below the ports that the
+/// system assigns to outgoing connections.
 const FIRST_PORT: u16 = 20_000;
+/// Number of ports in the range.
 const PORTS: u32 = 12_000;
 
-/// A port below those that the system gives to outgoing connections: one of
-/// theirs could be taken again before the controller listens on it.
+/// Finds a free port below those that the system assigns to outgoing connections: one
+/// of those could be assigned to a connection before the controller listens on it.
 fn free_port() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
@@ -27,27 +29,32 @@
     }
 }
 
-/// The program of this version.
+/// Returns the program of this version.
 pub fn this_version() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_shedhook"))
 }
 
-/// One controller, which may be down; killed when dropped.
+/// A controller process, which may be down; killed when dropped.
 pub struct Controller {
+    /// Address for requests of users and workers.
     pub client: SocketAddr,
-    pub file: PathBuf,
+    /// The settings file.
+    pub config_file: PathBuf,
+    /// The process; None while the controller is down.
     pub child: Option<Child>,
 }
 
 impl Controller {
+    /// Starts the controller with the program of this version.
     pub fn start(&mut self) {
-        self.start_as(this_version());
+        self.start_with_program(this_version());
     }
 
-    pub fn start_as(&mut self, program: &Path) {
+    /// Starts the controller with `program`.
+    pub fn start_with_program(&mut self, program: &Path) {
         let child = Command::new(program)
             .arg("--config")
-            .arg(&self.file)
+            .arg(&self.config_file)
             .env("LOG_LEVEL", "error")
             .stderr(Stdio::inherit())
             .spawn()
@@ -55,6 +62,7 @@
         self.child = Some(child);
     }
 
+    /// Kills the process, if there is one, and waits for its exit.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -69,29 +77,34 @@
     }
 }
 
-/// What the settings of a cluster's controllers share.
+/// Settings that all controllers of a cluster share.
 #[derive(Debug, Clone, Copy)]
-pub struct Shared {
+pub struct SharedSettings {
+    /// `workers.lease_s`: duration of a worker lease, in seconds.
     pub lease_s: u32,
+    /// `workers.cancel_s`: bound within which the tasks of a cancelled job must stop, in
+    /// seconds.
     pub cancel_s: u32,
-    /// Limits that the settings announce for later (`state.next`).
+    /// Limits of the store that will apply later (`state.next`); None: no change announced.
     pub next: Option<Limits>,
 }
 
-/// Where a controller listens, and where it finds the key-value store.
+/// Addresses that a controller listens on, and its address of the key-value store.
 pub struct Addresses {
     client: SocketAddr,
     cluster: SocketAddr,
-    state: SocketAddr,
+    store: SocketAddr,
 }
 
 impl Addresses {
-    pub fn new(state: SocketAddr) -> Addresses {
-        Addresses { client: free_port(), cluster: free_port(), state }
+    /// Chooses free ports for a controller that uses the store at `store`.
+    pub fn new(store: SocketAddr) -> Addresses {
+        Addresses { client: free_port(), cluster: free_port(), store }
     }
 }
 
-fn settings(n: usize, all: &[Addresses], cloud: SocketAddr, shared: &Shared) -> String {
+/// Returns the settings file of the controller with index `n`.
+fn settings(n: usize, all: &[Addresses], cloud: SocketAddr, shared: &SharedSettings) -> String {
     let own = &all[n];
     let mut text = format!(
         "label = \"n-{n}\"\ndomain = \"a\"\nclient_listen = \"{}\"\ncluster_listen = \"{}\"\n",
@@ -100,8 +113,8 @@
     for peer in (0..all.len()).filter(|peer| *peer != n) {
         text += &format!("[[seeds]]\nlabel = \"n-{peer}\"\ndomain = \"a\"\nendpoint = \"{}\"\n", all[peer].cluster);
     }
-    text += &format!("[outside]\ncloud = \"{cloud}\"\nstate = \"{}\"\n", own.state);
-    let Shared { lease_s, cancel_s, next } = shared;
+    text += &format!("[outside]\ncloud = \"{cloud}\"\nstate = \"{}\"\n", own.store);
+    let SharedSettings { lease_s, cancel_s, next } = shared;
     let Limits { value_kb, txn_ops } = LIMITS;
     text += &format!(
         "[cluster]\nzones = [\"a\"]\n[[cluster.teams]]\nname = \"red\"\n\
@@ -115,13 +128,18 @@
     text
 }
 
-/// Controllers with their settings, not started yet.
-pub fn controllers(dir: &Path, all: &[Addresses], cloud: SocketAddr, shared: &Shared) -> Vec<Controller> {
+/// Writes the settings files into `dir`, and returns the controllers, not started yet.
+pub fn create_controllers(
+    dir: &Path,
+    all: &[Addresses],
+    cloud: SocketAddr,
+    shared: &SharedSettings,
+) -> Vec<Controller> {
     fs::create_dir_all(dir).unwrap();
     let controller = |n: usize| {
-        let file = dir.join(format!("n-{n}.toml"));
-        fs::write(&file, settings(n, all, cloud, shared)).unwrap();
-        Controller { client: all[n].client, file, child: None }
+        let config_file = dir.join(format!("n-{n}.toml"));
+        fs::write(&config_file, settings(n, all, cloud, shared)).unwrap();
+        Controller { client: all[n].client, config_file, child: None }
     };
     (0..all.len()).map(controller).collect()
 }
