--- a/src/controller/instance/mod.rs
+++ b/src/controller/instance/mod.rs
@@ -183,7 +183,7 @@
     /// ready, so that no connection is lost. A controller becomes unready when it
     /// alone is refused, or when it is in contact with no peer.
     fn is_ready(&self, now: Millis) -> bool {
-        if !self.jobs.cache().loaded() || self.machine_types.is_empty() {
+        if !self.jobs.cache().is_loaded() || self.machine_types.is_empty() {
             return false;
         }
         let Some(failing_since) = self.store_health.failing_since() else { return true };
--- a/src/controller/instance/tick.rs
+++ b/src/controller/instance/tick.rs
@@ -52,7 +52,7 @@
         self.set_budget_shares(now, Role::from_leading(leading.is_some()));
         self.leadership.end_unless_held(self.election.held_term());
         let Some(term) = leading else { return };
-        if self.machine_types.is_empty() || !self.jobs.cache().loaded() {
+        if self.machine_types.is_empty() || !self.jobs.cache().is_loaded() {
             return;
         }
         if self.leadership.leader().is_none() {
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -55,7 +55,7 @@
     /// Keeps the loading of all records, or a watch of their changes, going.
     /// `read_validity_ms`: how long a read allows leases to be renewed.
     pub fn refresh(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient, read_validity_ms: Millis) {
-        if self.cache.loaded() {
+        if self.cache.is_loaded() {
             self.send_watch(net, now, client, read_validity_ms);
         } else {
             self.load_page(net, now, client);
@@ -120,12 +120,12 @@
     pub fn apply_changes(&mut self, result: &CallResult, names: &mut Interners) -> bool {
         // Guard: while all records are loaded again, the changes since the first
         // page don't show what the later pages contain.
-        if !self.cache.loaded() {
+        if !self.cache.is_loaded() {
             return false;
         }
         let Some(changes) = body::<Changes>(result) else {
             if status(result) == GONE {
-                self.cache.reload();
+                self.cache.require_reload();
                 self.next_page_from = None;
             }
             return false;
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -27,7 +27,7 @@
         leader::Leader,
         model::{MachineTypeSpec, Millis, Term},
     },
-    protocol::{names::Interners, peers::Count, workers::Heartbeat},
+    protocol::{names::Interners, peers::TaskCounts, workers::Heartbeat},
 };
 
 /// Pause, in ms, between two scheduling cycles that are needed.
@@ -176,7 +176,7 @@
     }
 
     /// Task counts of up to `max` jobs that changed lately, to be told to peers.
-    pub fn take_progress(&mut self, max: usize) -> Vec<Count> {
+    pub fn take_progress(&mut self, max: usize) -> Vec<TaskCounts> {
         self.leader.as_mut().map_or_else(Vec::new, |leader| leader.take_progress(max))
     }
 
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -14,7 +14,7 @@
         model::Millis,
     },
     protocol::{
-        peers::{self as frames, Cancelled, Count, Echo, Frame, Gossip, Notice},
+        peers::{self as frames, Cancelled, ClockEcho, Frame, Gossip, Notice, TaskCounts},
         settings::PeerSettings,
     },
     transport::Net,
@@ -47,7 +47,7 @@
     /// Milliseconds since it last renewed a worker's lease without leading.
     pub since_leaderless_renewal_ms: Millis,
     /// Task counts of jobs that changed lately, from the leader.
-    pub counts: Vec<Count>,
+    pub counts: Vec<TaskCounts>,
 }
 
 /// All other controllers.
@@ -90,7 +90,7 @@
 
     /// Takes a peer's gossip. Returns the task counts that it tells; none if the
     /// frame is old, or of no peer.
-    pub fn receive_gossip(&mut self, now: Millis, gossip: Gossip) -> Vec<Count> {
+    pub fn receive_gossip(&mut self, now: Millis, gossip: Gossip) -> Vec<TaskCounts> {
         let Some(index) = self.list.iter().position(|peer| peer.label == gossip.from) else { return Vec::new() };
         if !self.list[index].update(now, &gossip) {
             return Vec::new();
@@ -138,7 +138,7 @@
     }
 
     /// The last clock of each peer, and the mark of the frame types read here.
-    fn echoes(&self) -> Vec<Echo> {
+    fn echoes(&self) -> Vec<ClockEcho> {
         self.list.iter().filter_map(Peer::echo).chain([Gossip::supported_frames_marker()]).collect()
     }
 
--- a/src/controller/peers/peer.rs
+++ b/src/controller/peers/peer.rs
@@ -4,7 +4,7 @@
     controller::{identity::Identity, service_client::Usage},
     coordination::{lease_renewal::PeerContact, model::Millis},
     protocol::{
-        peers::{Echo, FrameOrder, Gossip},
+        peers::{ClockEcho, FrameOrder, Gossip},
         settings::PeerSettings,
     },
 };
@@ -76,7 +76,7 @@
     /// Takes the state in a frame. Returns false for a frame that is older than
     /// one that was received before.
     pub(super) fn update(&mut self, now: Millis, gossip: &Gossip) -> bool {
-        if !self.order.is_newer(gossip) {
+        if !self.order.accept_if_newer(gossip) {
             return false;
         }
         self.last_heard = Some(now);
@@ -90,9 +90,9 @@
     }
 
     /// The last clock that was received from it, to be repeated to it.
-    pub(super) fn echo(&self) -> Option<Echo> {
+    pub(super) fn echo(&self) -> Option<ClockEcho> {
         let clock = self.clock.as_ref()?;
-        Some(Echo { of: self.label.clone(), nonce: clock.nonce, clock_ms: clock.clock_ms })
+        Some(ClockEcho { peer_label: self.label.clone(), nonce: clock.nonce, clock_ms: clock.clock_ms })
     }
 
     /// What decides whether leases may be renewed without a leader.
@@ -115,7 +115,7 @@
     /// up to the reading of our own clock that the peer had received when it
     /// sent the frame, not up to when the frame arrived.
     pub(super) fn stated_in(gossip: &Gossip, identity: &Identity, now: Millis) -> Option<QuietTime> {
-        let is_ours = |echo: &&Echo| echo.of == identity.label && echo.nonce == identity.nonce;
+        let is_ours = |echo: &&ClockEcho| echo.peer_label == identity.label && echo.nonce == identity.nonce;
         let echo = gossip.echoes.iter().find(is_ours)?;
         let quiet_ms = (gossip.since_leaderless_renewal_ms.min(MAX_QUIET_MS) as f64 * CLOCK_RATE_MARGIN) as i64;
         Some(QuietTime { from: now as i64 - quiet_ms, to: echo.clock_ms.min(now) as i64 })
--- a/src/controller/service_client/budgets.rs
+++ b/src/controller/service_client/budgets.rs
@@ -140,17 +140,17 @@
 
     /// The key-value store itself answered a request with 429.
     pub fn record_refused_read(&mut self, now: Millis) {
-        self.reads.refused(now);
+        self.reads.record_rejection(now);
     }
 
     /// The key-value store itself answered a user's write with 429.
     pub fn record_refused_write(&mut self, now: Millis) {
-        self.writes.refused(now);
+        self.writes.record_rejection(now);
     }
 
     /// The key-value store itself answered a transaction of the leader with 429.
     pub fn record_refused_commit(&mut self, now: Millis) {
-        self.commits.refused(now);
+        self.commits.record_rejection(now);
     }
 
     /// What this controller uses of the key-value store's limits.
@@ -198,9 +198,9 @@
         others.push(Some(self.writes.used(now)));
         let commits = allotted_rate(rates.writes, LimitUser::Leader, &others);
 
-        self.reads.set(reads, rates.requests * read_burst_s);
-        self.writes.set(writes, (rates.writes * WRITE_BURST_S).max(MIN_WRITE_BURST));
-        self.commits.set(commits, (rates.writes * COMMIT_BURST_S).max(MIN_WRITE_BURST));
+        self.reads.set_limits(reads, rates.requests * read_burst_s);
+        self.writes.set_limits(writes, (rates.writes * WRITE_BURST_S).max(MIN_WRITE_BURST));
+        self.commits.set_limits(commits, (rates.writes * COMMIT_BURST_S).max(MIN_WRITE_BURST));
     }
 }
 
--- a/src/controller/tests/budgets.rs
+++ b/src/controller/tests/budgets.rs
@@ -18,7 +18,7 @@
     assert_eq!(budgets.reads.burst(), 20.0, "a follower's burst");
     budgets.set_shares(1_000, Role::Leader, &[]);
     assert_eq!(budgets.reads.burst(), 50.0, "a leader's burst");
-    budgets.reads.set(1.0, 1.0);
+    budgets.reads.set_limits(1.0, 1.0);
     budgets.set_shares(1_000, Role::Leader, &[]);
     assert_eq!(budgets.reads.burst(), 1.0, "up to date");
     budgets.invalidate_shares();
--- a/src/controller/tests/instance.rs
+++ b/src/controller/tests/instance.rs
@@ -170,6 +170,6 @@
     }
     // Too old a revision to read on from: all is read again, and until then nothing counts.
     controller.jobs.cache_mut().apply_page(&page(false), true, &mut controller.names);
-    assert!(!controller.apply_job_changes(NOW, &changes(410)) && !controller.jobs.cache().loaded());
+    assert!(!controller.apply_job_changes(NOW, &changes(410)) && !controller.jobs.cache().is_loaded());
     assert!(!controller.apply_job_changes(NOW, &changes(200)) && !controller.renewal_key.may_renew(NOW + 10));
 }
--- a/src/controller/tests/job_watch.rs
+++ b/src/controller/tests/job_watch.rs
@@ -25,17 +25,17 @@
     assert_eq!(refresh(&mut jobs, 0).as_deref(), Some("Jobs(Page { is_first: true })"));
     assert_eq!(refresh(&mut jobs, 0), None, "one request at a time");
     jobs.page_received(10, true, &answered_with(&page(Some("jobs/j-1"), true)), &mut names);
-    assert!(!jobs.cache().loaded());
+    assert!(!jobs.cache().is_loaded());
     assert_eq!(jobs.next_page_from.as_deref(), Some("jobs/j-1"));
     assert_eq!(refresh(&mut jobs, 10).as_deref(), Some("Jobs(Page { is_first: false })"));
     jobs.page_received(20, false, &answered(503), &mut names);
     assert_eq!(refresh(&mut jobs, 20 + RETRY_MS - 1), None, "after a failure comes a pause");
     assert_eq!(refresh(&mut jobs, 20 + RETRY_MS).as_deref(), Some("Jobs(Page { is_first: false })"));
     jobs.page_received(300, false, &answered_with(&page(None, false)), &mut names);
-    assert!(jobs.cache().loaded());
+    assert!(jobs.cache().is_loaded());
 
     assert_eq!(refresh(&mut jobs, 300).as_deref(), Some("Jobs(Watch { sent: 300 })"));
-    assert!(!jobs.apply_changes(&answered(GONE), &mut names) && !jobs.cache().loaded());
+    assert!(!jobs.apply_changes(&answered(GONE), &mut names) && !jobs.cache().is_loaded());
     jobs.watch_ended(400, false, Role::Follower);
     assert_eq!(refresh(&mut jobs, 400).as_deref(), Some("Jobs(Page { is_first: true })"));
 }
--- a/src/controller/tests/peers.rs
+++ b/src/controller/tests/peers.rs
@@ -22,7 +22,7 @@
         clock_ms: 40,
         echoes: Vec::new(),
         since_leaderless_renewal_ms: 0,
-        counts: vec![Count { job: "j-1".to_owned(), done: 1, running: 2 }],
+        counts: vec![TaskCounts { job: "j-1".to_owned(), done: 1, running: 2 }],
     }
 }
 
@@ -43,7 +43,7 @@
 /// of our clock that it repeats, and only if that is of this start of ours.
 #[test]
 fn quiet_times_end_at_the_echoed_clock() {
-    let echo = |of: &str, nonce, clock_ms| Echo { of: of.to_owned(), nonce, clock_ms };
+    let echo = |of: &str, nonce, clock_ms| ClockEcho { peer_label: of.to_owned(), nonce, clock_ms };
     // (echo in the peers' frames, whether their quiet time is believed)
     let cases =
         [(echo("n-0", NONCE, 9_000), true), (echo("n-0", NONCE + 1, 9_000), false), (echo("n-2", NONCE, 9_000), false)];
--- a/src/controller/users/barrier.rs
+++ b/src/controller/users/barrier.rs
@@ -50,7 +50,7 @@
     }
 
     fn refuse_overdue(&mut self, context: &mut UserContext, now: Millis) {
-        let overdue = self.read_barrier.take_overdue(now, MAX_BARRIER_WAIT_MS);
+        let overdue = self.read_barrier.take_expired(now, MAX_BARRIER_WAIT_MS);
         self.refuse_all(context, overdue);
     }
 
--- a/src/controller/users/cancel.rs
+++ b/src/controller/users/cancel.rs
@@ -42,7 +42,7 @@
                 let write = JobWrite { conn, id, record, retries };
                 self.write_record(context, Urgency::Cancel, conditions, write, UserCall::Cancel);
             }
-            None if !context.jobs.cache().loaded() => self.respond_unavailable(context, conn),
+            None if !context.jobs.cache().is_loaded() => self.respond_unavailable(context, conn),
             None => self.read_barrier.enqueue(context.net.now(), WaitingRequest::Cancel { conn, id, retries }),
         }
     }
--- a/src/controller/users/context.rs
+++ b/src/controller/users/context.rs
@@ -5,7 +5,7 @@
     coordination::model::MachineTypeSpec,
     protocol::{
         cbor,
-        jobs::{JobAnswer, PollAnswer},
+        jobs::{JobResponse, PollResponse},
         names::Interners,
     },
     storage::{
@@ -41,13 +41,13 @@
 
     /// Answers with the state of a job.
     pub(super) fn respond_job(&mut self, conn: ConnectionId, code: u16, id: &str, status: &str) {
-        self.net.respond(conn, code, None, &cbor::encode(&JobAnswer { name_id: id, status }));
+        self.net.respond(conn, code, None, &cbor::encode(&JobResponse { name_id: id, status }));
     }
 
     /// Answers 200 with the state of a known job.
     pub(super) fn respond_known_job(&mut self, conn: ConnectionId, index: JobIndex) {
         let entry = self.jobs.cache().get(index);
-        let answer = JobAnswer { name_id: &entry.id, status: status_word(entry) };
+        let answer = JobResponse { name_id: &entry.id, status: status_word(entry) };
         self.net.respond(conn, OK, None, &cbor::encode(&answer));
     }
 
@@ -55,7 +55,7 @@
     pub(super) fn respond_poll(&mut self, conn: ConnectionId, index: JobIndex) {
         let entry = self.jobs.cache().get(index);
         let answer =
-            PollAnswer { name_id: &entry.id, status: status_word(entry), done: entry.done, running: entry.running };
+            PollResponse { name_id: &entry.id, status: status_word(entry), done: entry.done, running: entry.running };
         self.net.respond(conn, OK, None, &cbor::encode(&answer));
     }
 
--- a/src/controller/users/mod.rs
+++ b/src/controller/users/mod.rs
@@ -123,7 +123,7 @@
             Ok(reply) if reply.status == OK => {
                 if let Ok(applied) = cbor::decode::<AppliedTransaction>(&reply.body) {
                     let (key, value) = (records::job_key(&write.id), records::to_value(&*write.record));
-                    context.jobs.cache_mut().put(&key, &value, applied.store_revision, context.names);
+                    context.jobs.cache_mut().apply_record(&key, &value, applied.store_revision, context.names);
                 }
                 WriteOutcome::Applied
             }
@@ -148,7 +148,7 @@
         }
         match context.find(id) {
             Some(index) if context.is_over(index) => context.respond_poll(conn, index),
-            _ if !context.jobs.cache().loaded() => self.respond_unavailable(context, conn),
+            _ if !context.jobs.cache().is_loaded() => self.respond_unavailable(context, conn),
             _ => self.read_barrier.enqueue(context.net.now(), WaitingRequest::Poll { conn, id: id.to_owned() }),
         }
     }
--- a/src/controller/users/submit.rs
+++ b/src/controller/users/submit.rs
@@ -59,7 +59,7 @@
             return context.respond_empty(conn, BAD_REQUEST);
         }
         // Whether a well-formed job can run depends on what isn't known yet.
-        if !context.jobs.cache().loaded() || context.machine_types.is_empty() {
+        if !context.jobs.cache().is_loaded() || context.machine_types.is_empty() {
             return self.respond_unavailable(context, conn);
         }
         submission.remove_duplicate_prereqs();
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -8,7 +8,7 @@
         AssignmentIndex, ExitRecord, Halt, Job, JobFailures, JobProgress, JobRecords, JobStatistics, Millis,
         PendingReap, TaskTable, WaitState,
     },
-    protocol::{ids::Revision, jobs::JobSpec, peers::Count},
+    protocol::{ids::Revision, jobs::JobSpec, peers::TaskCounts},
     storage::{
         job_cache::{JobCache, JobIndex},
         records::{self, JobStatus},
@@ -26,7 +26,7 @@
         match (self.job(index).is_some(), job_cache.get(index).status) {
             // Until the completion of all its prerequisites is written, a job takes
             // part in no placement trial and uses no part of any limit or guarantee.
-            (false, JobStatus::Pending) if job_cache.waits(index) => return,
+            (false, JobStatus::Pending) if job_cache.has_unfinished_prerequisites(index) => return,
             (false, JobStatus::Pending) => {
                 let Some(spec) = job_cache.effective_spec(index) else { return };
                 self.add_job(now, wall_ms, index, spec, job_cache);
@@ -216,7 +216,7 @@
 
     /// Returns the progress of at most `max` jobs, to be published to the other
     /// controllers.
-    pub fn take_progress(&mut self, max: usize) -> Vec<Count> {
+    pub fn take_progress(&mut self, max: usize) -> Vec<TaskCounts> {
         self.progress_feed.take(max, &mut self.jobs)
     }
 }
--- a/src/coordination/cluster/progress_feed.rs
+++ b/src/coordination/cluster/progress_feed.rs
@@ -5,7 +5,7 @@
 use super::job_table::JobTable;
 use crate::{
     coordination::model::{Job, JobProgress},
-    protocol::peers::Count,
+    protocol::peers::TaskCounts,
     storage::job_cache::JobIndex,
 };
 
@@ -33,14 +33,14 @@
     /// since the last call, and again some others that have started. Without the
     /// repetition, a controller that missed the first message, or did not know the
     /// job at that time, would continue to report a running job as pending.
-    pub fn take(&mut self, max: usize, jobs: &mut JobTable) -> Vec<Count> {
+    pub fn take(&mut self, max: usize, jobs: &mut JobTable) -> Vec<TaskCounts> {
         let mut counts = self.changed_counts(max, jobs);
         let repeated = self.repeated_counts(MAX_REPEATED_COUNTS.min(max - counts.len()), jobs);
         counts.extend(repeated);
         counts
     }
 
-    fn changed_counts(&mut self, max: usize, jobs: &mut JobTable) -> Vec<Count> {
+    fn changed_counts(&mut self, max: usize, jobs: &mut JobTable) -> Vec<TaskCounts> {
         let changed: Vec<JobIndex> = self.changed.iter().copied().take(max).collect();
         let mut counts = Vec::with_capacity(changed.len());
         for index in changed {
@@ -57,7 +57,7 @@
 
     /// Returns the progress of the next jobs in turn, of all that are active and
     /// have started. Examines at most `max` jobs.
-    fn repeated_counts(&mut self, max: usize, jobs: &JobTable) -> Vec<Count> {
+    fn repeated_counts(&mut self, max: usize, jobs: &JobTable) -> Vec<TaskCounts> {
         let active = jobs.indices();
         let examined = max.min(active.len());
         let from = self.next_repeated;
@@ -67,6 +67,6 @@
     }
 }
 
-fn to_count(job: &Job) -> Count {
-    Count { job: job.id.to_string(), done: job.tasks.done, running: job.tasks.running }
+fn to_count(job: &Job) -> TaskCounts {
+    TaskCounts { job: job.id.to_string(), done: job.tasks.done, running: job.tasks.running }
 }
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -66,7 +66,7 @@
         }
         // Guard: nothing of a job that still waits for others can have been
         // assigned. Were it so all the same, its assignments must count.
-        if job_cache.waits(index) {
+        if job_cache.has_unfinished_prerequisites(index) {
             tracing::error!(key, "chunk record of a job with unfinished prerequisites");
         }
         let Some(spec) = job_cache.effective_spec(index) else { return false };
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -26,7 +26,7 @@
     workers::WorkerControl,
 };
 use crate::{
-    protocol::{ids::Attempt, peers::Count},
+    protocol::{ids::Attempt, peers::TaskCounts},
     storage::job_cache::{JobCache, JobIndex},
 };
 
@@ -115,7 +115,7 @@
     }
 
     /// Progress of at most `max` jobs, to be published.
-    pub fn take_progress(&mut self, max: usize) -> Vec<Count> {
+    pub fn take_progress(&mut self, max: usize) -> Vec<TaskCounts> {
         self.cluster.take_progress(max)
     }
 
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -184,7 +184,7 @@
 /// Returns the job's own deadline and extended deadline, then the objectives of its
 /// class.
 fn objectives_of<'a>(cluster: &'a ClusterState, job: &'a Job) -> impl Iterator<Item = Objective> + 'a {
-    let deadlines = [job.spec.deadline_s, job.spec.overdue_s].into_iter().flatten();
+    let deadlines = [job.spec.deadline_s, job.spec.extended_deadline_s].into_iter().flatten();
     let own = deadlines.map(|within_s| Objective { milestone: Milestone::End, within_s });
     let of_class = cluster.config().objectives.iter().filter(|objective| objective.class == job.spec.class);
     own.chain(of_class.map(|objective| Objective {
--- a/src/coordination/tests/commits.rs
+++ b/src/coordination/tests/commits.rs
@@ -60,7 +60,7 @@
     let submission: Submission = cbor::decode(&cbor::encode(&crate::protocol::jobs::tests::sample())).unwrap();
     let record = JobRecord { submission, status: JobStatus::Pending, at_ms: 5, chunk: 8 };
     let mut job_cache = JobCache::default();
-    let job = job_cache.put("j/j-1", &records::to_value(&record), JOB_REVISION, &mut interners).unwrap();
+    let job = job_cache.apply_record("j/j-1", &records::to_value(&record), JOB_REVISION, &mut interners).unwrap();
     let mut cluster = ClusterState::new(config(), Term(LEADER_REVISION), Attempt(0), NOW, Vec::new());
     cluster.apply_job_record(NOW, NOW, job, &job_cache);
     interners.zones.intern("z1");
--- a/src/coordination/tests/model.rs
+++ b/src/coordination/tests/model.rs
@@ -26,7 +26,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
-        overdue_s: None,
+        extended_deadline_s: None,
     }
 }
 
--- a/src/coordination/workers/exited_tasks.rs
+++ b/src/coordination/workers/exited_tasks.rs
@@ -20,7 +20,7 @@
     if !is_exit_final(cluster, index) {
         return;
     }
-    let reason = status.why.unwrap_or(ExitReason::Other);
+    let reason = status.exit_reason.unwrap_or(ExitReason::Other);
     let fate = if reason == ExitReason::Done { ReleaseReason::Done } else { ReleaseReason::Unfinished };
     let Some(assignment) = cluster.release_assignment(index, fate) else { return };
     let record = record_of_exit(cluster, &assignment);
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -118,7 +118,7 @@
         }
         let is_exit_final = self.cluster.machine(self.machine).has_no_launch_in_flight();
         let mut record = ExitRecord::WrittenWith { chunk: 0, version: 0 };
-        if task.slot == Some(Slot::Pending) && task.status.why == Some(ExitReason::Done) {
+        if task.slot == Some(Slot::Pending) && task.status.exit_reason == Some(ExitReason::Done) {
             if let Some(job) = self.cluster.job_mut(task.job) {
                 record = complete_pending_task(job, task.number);
             }
--- a/src/coordination/workers/task_progress.rs
+++ b/src/coordination/workers/task_progress.rs
@@ -52,7 +52,7 @@
 
 fn apply_exit(cluster: &mut ClusterState, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
     let Some(assignment) = cluster.assignment_mut(index) else { return };
-    let ended = AssignmentState::Ended(status.why.unwrap_or(ExitReason::Other));
+    let ended = AssignmentState::Ended(status.exit_reason.unwrap_or(ExitReason::Other));
     let previous = std::mem::replace(&mut assignment.state, ended);
     let job_index = assignment.job;
     if previous == AssignmentState::Seen(TaskState::Running) {
--- a/src/protocol/jobs.rs
+++ b/src/protocol/jobs.rs
@@ -3,13 +3,13 @@
 //! A [`Submission`] is what a user sent, with names and optional fields; its
 //! validation yields a [`JobSpec`], with indices and checked amounts.
 
-mod answers;
+mod responses;
 mod spec;
 mod submission;
 mod validation;
 
 pub use self::{
-    answers::{JobAnswer, PollAnswer},
+    responses::{JobResponse, PollResponse},
     spec::{JobKind, JobSpec, Priority},
     submission::Submission,
     validation::{is_valid_job_id, SubmissionError, SubmissionSource, MAX_TASKS},
--- a/src/protocol/jobs/answers.rs
+++ b/src/protocol/jobs/responses.rs
@@ -5,7 +5,7 @@
 /// The answer to `POST /api/jobs` and to `/abort`.
 #[derive(Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "camelCase")]
-pub struct JobAnswer<'a> {
+pub struct JobResponse<'a> {
     /// The job's id.
     pub name_id: &'a str,
     /// `pending`, `running`, `done` or `cancelled`.
@@ -15,7 +15,7 @@
 /// The answer to `GET /api/jobs/{id}`.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
-pub struct PollAnswer<'a> {
+pub struct PollResponse<'a> {
     /// The job's id.
     pub name_id: &'a str,
     /// `pending`, `running`, `done` or `cancelled`.
--- a/src/protocol/jobs/spec.rs
+++ b/src/protocol/jobs/spec.rs
@@ -91,7 +91,7 @@
     /// Deadline, in seconds from when the job became ready to start.
     pub deadline_s: Option<f64>,
     /// When the job is long overdue, in seconds counted like the deadline.
-    pub overdue_s: Option<f64>,
+    pub extended_deadline_s: Option<f64>,
 }
 
 impl JobSpec {
--- a/src/protocol/jobs/validation.rs
+++ b/src/protocol/jobs/validation.rs
@@ -135,7 +135,7 @@
             checkpoint_s,
             save_s,
             deadline_s,
-            overdue_s: deadline_s.map(|deadline_s| deadline_s * OVERDUE_FACTOR),
+            extended_deadline_s: deadline_s.map(|deadline_s| deadline_s * OVERDUE_FACTOR),
         })
     }
 
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -52,7 +52,7 @@
     },
     /// The file's text is refused.
     #[error("{path}: {source}")]
-    Form {
+    Invalid {
         /// Path of the file.
         path: String,
         /// What is wrong with the text.
@@ -87,7 +87,7 @@
         let shown = path.display().to_string();
         let text =
             fs::read_to_string(path).map_err(|source| OperatorSettingsError::Read { path: shown.clone(), source })?;
-        OperatorSettings::parse(&text).map_err(|source| OperatorSettingsError::Form { path: shown, source })
+        OperatorSettings::parse(&text).map_err(|source| OperatorSettingsError::Invalid { path: shown, source })
     }
 
     /// Parses operators' settings; what is not set has its default.
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -35,19 +35,19 @@
     /// The sender's steady clock.
     pub clock_ms: u64,
     /// The clocks that it last received from its peers.
-    pub echoes: Vec<Echo>,
+    pub echoes: Vec<ClockEcho>,
     /// Milliseconds since the sender last renewed a worker's lease without leading.
     pub since_leaderless_renewal_ms: u64,
     /// From the leader: task counts of jobs that changed lately, for display.
-    pub counts: Vec<Count>,
+    pub counts: Vec<TaskCounts>,
 }
 
 /// What the sender last received from a peer: which start of its process, and
 /// its clock.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct Echo {
+pub struct ClockEcho {
     /// Label of the peer.
-    pub of: String,
+    pub peer_label: String,
     /// Identifies the start of the peer's process that was heard.
     pub nonce: u64,
     /// The peer's steady clock in the last frame, in ms.
@@ -56,7 +56,7 @@
 
 /// Task counts of one job.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct Count {
+pub struct TaskCounts {
     /// Id of the job.
     pub job: String,
     /// Tasks that completed.
@@ -101,13 +101,13 @@
 impl Gossip {
     /// The entry of `echoes` that announces which frame types the sender reads:
     /// it names no peer, so the first version ignores it.
-    pub fn supported_frames_marker() -> Echo {
-        Echo { of: String::new(), nonce: u64::from(NOTICE), clock_ms: 0 }
+    pub fn supported_frames_marker() -> ClockEcho {
+        ClockEcho { peer_label: String::new(), nonce: u64::from(NOTICE), clock_ms: 0 }
     }
 
     /// Whether the sender reads frames with a [`Notice`].
     pub fn reads_notices(&self) -> bool {
-        self.echoes.iter().any(|echo| echo.of.is_empty() && echo.nonce >= u64::from(NOTICE))
+        self.echoes.iter().any(|echo| echo.peer_label.is_empty() && echo.nonce >= u64::from(NOTICE))
     }
 }
 
@@ -119,10 +119,10 @@
     Empty,
     /// The first byte names a frame type that this version doesn't read.
     #[error("a frame of version {0}")]
-    Version(u8),
+    UnknownType(u8),
     /// The bytes after the frame type can't be decoded.
     #[error("a frame that can't be read")]
-    Garbled,
+    Malformed,
 }
 
 /// Encodes a frame.
@@ -138,12 +138,12 @@
 
 /// Decodes a frame.
 pub fn decode(bytes: &[u8]) -> Result<Frame, FrameError> {
-    let garbled = |_| FrameError::Garbled;
+    let garbled = |_| FrameError::Malformed;
     match bytes.split_first() {
         None => Err(FrameError::Empty),
         Some((&GOSSIP, rest)) => bitcode::decode(rest).map(Frame::Gossip).map_err(garbled),
         Some((&NOTICE, rest)) => bitcode::decode(rest).map(Frame::Notice).map_err(garbled),
-        Some((&frame_type, _)) => Err(FrameError::Version(frame_type)),
+        Some((&frame_type, _)) => Err(FrameError::UnknownType(frame_type)),
     }
 }
 
@@ -161,7 +161,7 @@
 
 impl FrameOrder {
     /// Whether a frame is newer than all that were seen.
-    pub fn is_newer(&mut self, gossip: &Gossip) -> bool {
+    pub fn accept_if_newer(&mut self, gossip: &Gossip) -> bool {
         if gossip.nonce == self.nonce {
             let is_newer = gossip.count > self.count;
             self.count = self.count.max(gossip.count);
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -120,8 +120,10 @@
 
     /// Parses and validates settings; `path` is named in errors.
     pub fn parse(text: &str, path: &str) -> Result<Settings, SettingsError> {
-        let settings: Settings = toml::from_str(text)
-            .map_err(|error| SettingsError::Form { path: path.to_owned(), message: single_line(&error.to_string()) })?;
+        let settings: Settings = toml::from_str(text).map_err(|error| SettingsError::Parse {
+            path: path.to_owned(),
+            message: single_line(&error.to_string()),
+        })?;
         settings.validate().map_err(|source| SettingsError::Value { path: path.to_owned(), source })?;
         Ok(settings)
     }
--- a/src/protocol/settings/error.rs
+++ b/src/protocol/settings/error.rs
@@ -17,7 +17,7 @@
     },
     /// The file is not TOML of the expected form.
     #[error("{path}: {message}")]
-    Form {
+    Parse {
         /// Path of the file.
         path: String,
         /// The parser's message, on one line.
--- a/src/protocol/tests/peers.rs
+++ b/src/protocol/tests/peers.rs
@@ -1,4 +1,4 @@
-use super::{decode, encode, Cancelled, Count, Echo, Frame, FrameError, FrameOrder, Gossip, Notice};
+use super::{decode, encode, Cancelled, ClockEcho, Frame, FrameError, FrameOrder, Gossip, Notice, TaskCounts};
 use crate::protocol::ids::Revision;
 
 fn gossip(nonce: u64, count: u64) -> Gossip {
@@ -13,9 +13,9 @@
         writes_used: 0.5,
         commits_used: 1.0,
         clock_ms: 40,
-        echoes: vec![Echo { of: "b".into(), nonce: 9, clock_ms: 17 }],
+        echoes: vec![ClockEcho { peer_label: "b".into(), nonce: 9, clock_ms: 17 }],
         since_leaderless_renewal_ms: 12,
-        counts: vec![Count { job: "j-1".into(), done: 2, running: 3 }],
+        counts: vec![TaskCounts { job: "j-1".into(), done: 2, running: 3 }],
     }
 }
 
@@ -27,14 +27,14 @@
         let bytes = encode(&frame);
         assert_eq!(decode(&bytes), Ok(frame));
         for n in 1..bytes.len() {
-            assert_eq!(decode(&bytes[..n]), Err(FrameError::Garbled), "cut at {n}");
+            assert_eq!(decode(&bytes[..n]), Err(FrameError::Malformed), "cut at {n}");
         }
         let mut other = bytes.clone();
         other[0] = 9;
-        assert_eq!(decode(&other), Err(FrameError::Version(9)));
+        assert_eq!(decode(&other), Err(FrameError::UnknownType(9)));
         let mut huge = vec![bytes[0]];
         huge.extend(vec![0xff; 300_000]);
-        assert_eq!(decode(&huge), Err(FrameError::Garbled));
+        assert_eq!(decode(&huge), Err(FrameError::Malformed));
     }
 }
 
@@ -46,7 +46,7 @@
     assert!(!g.reads_notices());
     g.echoes.push(Gossip::supported_frames_marker());
     assert!(g.reads_notices());
-    assert_eq!(g.echoes.iter().filter(|e| !e.of.is_empty()).count(), 1);
+    assert_eq!(g.echoes.iter().filter(|e| !e.peer_label.is_empty()).count(), 1);
 }
 
 /// Guard: late frames of a process that is over are no news of the peer.
@@ -57,6 +57,6 @@
     for (nonce, count, news) in
         [(5, 1, true), (5, 3, true), (5, 2, false), (5, 3, false), (6, 1, true), (5, 4, false), (6, 2, true)]
     {
-        assert_eq!(o.is_newer(&gossip(nonce, count)), news, "{nonce} {count}");
+        assert_eq!(o.accept_if_newer(&gossip(nonce, count)), news, "{nonce} {count}");
     }
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -55,7 +55,7 @@
     pub state: TaskState,
     /// Why the attempt ended; None while it has not. On the wire: `cause`.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
     /// Whether the attempt saved its state before it ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
--- a/src/storage/job_cache/dependencies.rs
+++ b/src/storage/job_cache/dependencies.rs
@@ -34,7 +34,7 @@
         Urgency {
             priority: spec.map_or(Priority::Low, |spec| spec.priority),
             due_ms: time_of_day(spec.and_then(|spec| spec.deadline_s)),
-            overdue_ms: time_of_day(spec.and_then(|spec| spec.overdue_s)),
+            overdue_ms: time_of_day(spec.and_then(|spec| spec.extended_deadline_s)),
         }
     }
 
--- a/src/storage/job_cache/links.rs
+++ b/src/storage/job_cache/links.rs
@@ -11,7 +11,7 @@
 
 impl JobCache {
     /// Guard: true until the ends of all its prerequisites are recorded.
-    pub fn waits(&self, index: JobIndex) -> bool {
+    pub fn has_unfinished_prerequisites(&self, index: JobIndex) -> bool {
         let entry = self.get(index);
         entry.status == JobStatus::Pending
             && entry.dependencies.as_ref().is_some_and(|dependencies| dependencies.unfinished > 0)
@@ -36,7 +36,7 @@
         Some(Rc::new(JobSpec {
             priority: urgency.priority,
             deadline_s: left_s(urgency.due_ms),
-            overdue_s: left_s(urgency.overdue_ms),
+            extended_deadline_s: left_s(urgency.overdue_ms),
             ..(**spec).clone()
         }))
     }
--- a/src/storage/job_cache/mod.rs
+++ b/src/storage/job_cache/mod.rs
@@ -84,7 +84,7 @@
 
 impl JobCache {
     /// Whether all records were read, so that an unknown id means something.
-    pub fn loaded(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.loaded
     }
 
@@ -160,7 +160,7 @@
             self.store_revision = page.store_revision;
         }
         for pair in &page.pairs {
-            self.put(&pair.key, &pair.value, pair.revision, interners);
+            self.apply_record(&pair.key, &pair.value, pair.revision, interners);
         }
         if !page.truncated {
             self.loaded = true;
@@ -171,7 +171,7 @@
     pub fn apply_changes(&mut self, changes: &Changes, interners: &mut Interners) {
         for change in &changes.events {
             if let (Some(key), Some(value)) = (&change.write, &change.value) {
-                self.put(key, value, change.revision, interners);
+                self.apply_record(key, value, change.revision, interners);
             }
         }
         // Two reads may be in flight; the older answer must not lower the revision.
@@ -184,16 +184,22 @@
         let Some(entry) = self.find(id).map(|index| &self.jobs[index.as_usize()]) else { return };
         let Some(record) = entry.record.clone().filter(|_| entry.status == JobStatus::Pending) else { return };
         let record = JobRecord { status: JobStatus::Cancelled, ..(*record).clone() };
-        self.put(&job_key(id), &to_value(&record), revision, interners);
+        self.apply_record(&job_key(id), &to_value(&record), revision, interners);
     }
 
     /// The changes asked for are no longer kept: everything must be read again.
-    pub fn reload(&mut self) {
+    pub fn require_reload(&mut self) {
         self.loaded = false;
     }
 
     /// Takes one record; keys that are no job's and older revisions are ignored.
-    pub fn put(&mut self, key: &str, value: &Value, revision: Revision, interners: &mut Interners) -> Option<JobIndex> {
+    pub fn apply_record(
+        &mut self,
+        key: &str,
+        value: &Value,
+        revision: Revision,
+        interners: &mut Interners,
+    ) -> Option<JobIndex> {
         let id = key.strip_prefix(JOB_KEY_PREFIX)?;
         let known = self.find(id);
         if known.is_some_and(|index| self.get(index).revision >= revision) {
--- a/src/storage/rate_limit/token_bucket.rs
+++ b/src/storage/rate_limit/token_bucket.rs
@@ -87,7 +87,7 @@
 
     /// Changes the rate (tokens per second) and the burst, for example when others
     /// use less.
-    pub fn set(&mut self, rate: f64, burst: f64) {
+    pub fn set_limits(&mut self, rate: f64, burst: f64) {
         self.rate = rate;
         self.burst = burst;
         self.level = self.level.min(burst);
@@ -127,7 +127,7 @@
 
     /// The service itself answered 429: its limit is used up by others, so the
     /// bucket is emptied.
-    pub fn refused(&mut self, now: u64) {
+    pub fn record_rejection(&mut self, now: u64) {
         self.fill(now);
         self.level = self.level.min(0.0);
     }
--- a/src/storage/read_barrier.rs
+++ b/src/storage/read_barrier.rs
@@ -72,7 +72,7 @@
     }
 
     /// Removes and returns the requests that have waited longer than `max_ms`.
-    pub fn take_overdue(&mut self, now: u64, max_ms: u64) -> Vec<W> {
+    pub fn take_expired(&mut self, now: u64, max_ms: u64) -> Vec<W> {
         let mut overdue = Vec::new();
         for list in [&mut self.queued_waiters, &mut self.in_flight_waiters] {
             for queued in std::mem::take(list) {
--- a/src/storage/tests/job_cache.rs
+++ b/src/storage/tests/job_cache.rs
@@ -70,6 +70,6 @@
 #[test]
 fn a_record_that_cannot_be_read_is_left_out() {
     let mut m = JobCache::default();
-    assert_eq!(m.put("j/j-1", &Value::Text("?".into()), Revision(3), &mut Interners::default()), None);
+    assert_eq!(m.apply_record("j/j-1", &Value::Text("?".into()), Revision(3), &mut Interners::default()), None);
     assert!(m.is_empty());
 }
--- a/src/storage/tests/rate_limit.rs
+++ b/src/storage/tests/rate_limit.rs
@@ -27,7 +27,7 @@
     assert_eq!(taken, 7);
     assert!((0..1).all(|_| bucket.take(0, 1.0, Urgency::Submit).is_ok()), "the rest is left to the others");
     let mut bucket = RateLimiter::new(10.0, 10.0);
-    bucket.refused(0);
+    bucket.record_rejection(0);
     assert_eq!(bucket.take(0, 1.0, Urgency::Cancel), Err(RateLimited { retry_after_ms: 100 }));
 }
 
--- a/src/storage/tests/read_barrier.rs
+++ b/src/storage/tests/read_barrier.rs
@@ -13,7 +13,7 @@
     assert!(!barrier.is_read_due(40), "gap kept");
     assert!(barrier.is_read_due(50));
     barrier.read_sent(50, 50);
-    assert_eq!(barrier.take_overdue(2_000, 1_500), vec!["b"]);
+    assert_eq!(barrier.take_expired(2_000, 1_500), vec!["b"]);
     assert_eq!(barrier.read_finished(), Vec::<&str>::new());
     barrier.read_sent(2_000, 50);
     barrier.read_finished();
--- a/tests/combined_failures/heartbeats.rs
+++ b/tests/combined_failures/heartbeats.rs
@@ -91,7 +91,7 @@
     sim.submit(high("j-2", "batch", 1, 8.0), 2_000);
     sim.run_until("stopped", 10_000, |sim| sim.none_running("j-1", 2));
     for task in &mut old[0].tasks {
-        (task.state, task.why) = (TaskState::Exited, Some(ExitReason::Stopped));
+        (task.state, task.exit_reason) = (TaskState::Exited, Some(ExitReason::Stopped));
     }
     sim.run_until("runs again", 20_000, |sim| sim.all_running("j-1", 2));
     let starts = sim.starts();
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -11,7 +11,7 @@
         ids::{Attempt, Incarnation, Revision},
         jobs::Submission,
         names::Interners,
-        peers::{self, Cancelled, Count, Echo, Frame, Gossip, Notice},
+        peers::{self, Cancelled, ClockEcho, Frame, Gossip, Notice, TaskCounts},
         store::{KeyValue, Page},
     },
     storage::{
@@ -86,13 +86,13 @@
     {
         let mut job_cache = JobCache::default();
         let value: Value = cbor::decode(&lines[name]).unwrap();
-        let index = job_cache.put("j/j-000412", &value, Revision(7), &mut Interners::default()).unwrap();
+        let index = job_cache.apply_record("j/j-000412", &value, Revision(7), &mut Interners::default()).unwrap();
         assert_eq!(
             (
                 job_cache.get(index).status,
                 job_cache.get(index).tasks,
                 job_cache.get(index).chunk,
-                job_cache.waits(index)
+                job_cache.has_unfinished_prerequisites(index)
             ),
             (want, 16, 128, false),
             "{name}"
@@ -132,9 +132,9 @@
         writes_used: 0.25,
         commits_used: 0.0,
         clock_ms: 55_000,
-        echoes: vec![Echo { of: "n-1".into(), nonce: 5, clock_ms: 6 }],
+        echoes: vec![ClockEcho { peer_label: "n-1".into(), nonce: 5, clock_ms: 6 }],
         since_leaderless_renewal_ms: 1 << 41,
-        counts: vec![Count { job: "j-000001".into(), done: 1, running: 0 }],
+        counts: vec![TaskCounts { job: "j-000001".into(), done: 1, running: 0 }],
     };
     let mut marked = frame.clone();
     marked.echoes.push(Gossip::supported_frames_marker());
@@ -223,9 +223,13 @@
     for (name, status, waits) in forms {
         let mut job_cache = JobCache::default();
         let value: Value = cbor::decode(&lines[name]).unwrap();
-        let index = job_cache.put("j/j-000731", &value, Revision(7), &mut Interners::default()).unwrap();
+        let index = job_cache.apply_record("j/j-000731", &value, Revision(7), &mut Interners::default()).unwrap();
         let job = job_cache.get(index);
-        assert_eq!((job.status, job.tasks, job.chunk, job_cache.waits(index)), (status, 6, 128, waits), "{name}");
+        assert_eq!(
+            (job.status, job.tasks, job.chunk, job_cache.has_unfinished_prerequisites(index)),
+            (status, 6, 128, waits),
+            "{name}"
+        );
     }
 }
 
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -118,7 +118,7 @@
         task: "j-100002/0".into(),
         attempt: Attempt(1),
         state: TaskState::Running,
-        why: None,
+        exit_reason: None,
         saved: None,
     };
     assert_eq!(asks(&heartbeat(vec![runs], "i-000002")), Some(503), "it may hold what is cancelled");
--- a/tests/loopback_cluster/worker.rs
+++ b/tests/loopback_cluster/worker.rs
@@ -132,7 +132,8 @@
             return;
         }
         let started = Instant::now();
-        let status = TaskStatus { task: task.to_owned(), attempt, state: TaskState::Running, why: None, saved: None };
+        let status =
+            TaskStatus { task: task.to_owned(), attempt, state: TaskState::Running, exit_reason: None, saved: None };
         self.tasks.push(WorkerTask { status, started });
         let change = TaskChange::Started;
         self.events.push(TaskEvent { task: task.to_owned(), attempt: attempt.0, change, at: started });
@@ -168,7 +169,7 @@
 /// A task's attempt ends.
 fn end(status: &mut TaskStatus, why: ExitReason, events: &mut Vec<TaskEvent>) {
     status.state = TaskState::Exited;
-    status.why = Some(why);
+    status.exit_reason = Some(why);
     let change = TaskChange::Ended(why);
     events.push(TaskEvent { task: status.task.clone(), attempt: status.attempt.0, change, at: Instant::now() });
 }
--- a/tests/pipelines/job_cache.rs
+++ b/tests/pipelines/job_cache.rs
@@ -68,7 +68,7 @@
             (1..=7).map(|n| job_cache.get(job_cache.find(&format!("j-{n}")).unwrap()).status).collect();
         assert_eq!(shown, [Cancelled, Cancelled, Cancelled, Cancelled, Cancelled, Done, Pending], "round {round}");
         let last = job_cache.find("j-7").unwrap();
-        assert!(!job_cache.waits(last) && job_cache.ready_ms(last) == 7_000, "round {round}");
+        assert!(!job_cache.has_unfinished_prerequisites(last) && job_cache.ready_ms(last) == 7_000, "round {round}");
         for i in (1..all.len()).rev() {
             state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             all.swap(i, (state >> 33) as usize % (i + 1));
@@ -121,7 +121,7 @@
         }
         let got: Vec<(Priority, Option<f64>, Option<f64>)> = (1..=4)
             .map(|n| job_cache.effective_spec(job_cache.find(&format!("j-{n}")).unwrap()).unwrap())
-            .map(|spec| (spec.priority, spec.deadline_s, spec.overdue_s))
+            .map(|spec| (spec.priority, spec.deadline_s, spec.extended_deadline_s))
             .collect();
         use Priority::High;
         let want = [
@@ -138,7 +138,10 @@
         }
         let last = job_cache.find("j-4").unwrap();
         let spec = job_cache.effective_spec(last).unwrap();
-        assert_eq!((job_cache.ready_ms(last), spec.deadline_s, spec.overdue_s), (41_000, Some(60.0), Some(110.0)));
+        assert_eq!(
+            (job_cache.ready_ms(last), spec.deadline_s, spec.extended_deadline_s),
+            (41_000, Some(60.0), Some(110.0))
+        );
     }
 }
 
--- a/tests/safety_rules/heartbeats.rs
+++ b/tests/safety_rules/heartbeats.rs
@@ -47,7 +47,7 @@
             task: "j-1/0".into(),
             attempt: Attempt(1),
             state: TaskState::Running,
-            why: None,
+            exit_reason: None,
             saved: None,
         }];
         heartbeat
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -37,7 +37,7 @@
             task: self.name.clone(),
             attempt: self.attempt,
             state: self.state,
-            why: self.why,
+            exit_reason: self.why,
             saved: (self.why == Some(ExitReason::Stopped)).then_some(true),
         }
     }
--- a/tests/simulation/write_budget.rs
+++ b/tests/simulation/write_budget.rs
@@ -83,11 +83,11 @@
             let mut all = of_others(|usage| usage.users + usage.commits);
             all.push(Some(usage[own].commits));
             let users_share = allotted_rate(self.limit, LimitUser::Users(count), &all);
-            budgets.users.set(users_share, self.limit * USERS_SHARE);
+            budgets.users.set_limits(users_share, self.limit * USERS_SHARE);
             let mut users = of_others(|usage| usage.users);
             users.push(Some(usage[own].users));
             let commits_share = allotted_rate(self.limit, LimitUser::Leader, &users);
-            budgets.commits.set(commits_share, self.limit * COMMITS_SHARE);
+            budgets.commits.set_limits(commits_share, self.limit * COMMITS_SHARE);
         }
     }
 
