--- a/src/protocol/cbor.rs
+++ b/src/protocol/cbor.rs
@@ -5,70 +5,71 @@
     Deserialize, Deserializer, Serialize,
 };
 
-/// Deepest nesting that is decoded; a deeper body is refused, so that it can't
-/// exhaust the stack.
+/// Maximum nesting depth of a decoded body; a deeper one is rejected, because
+/// decoding it could exhaust the stack.
 const MAX_DEPTH: usize = 64;
-/// Capacity reserved for an encoded body, in bytes; most fit without growing.
-const TYPICAL_BODY: usize = 128;
+/// Initial capacity of the buffer for an encoded body; most bodies fit without
+/// reallocation.
+const TYPICAL_BODY_BYTES: usize = 128;
 
-/// A body that can't be decoded.
+/// Error of decoding a message body.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
     /// The body is not CBOR, is nested too deeply, or has the wrong fields or types.
-    #[error("not CBOR of the expected form: {0}")]
+    #[error("cannot decode CBOR body: {0}")]
     Decode(#[from] ciborium::de::Error<std::io::Error>),
 }
 
-/// Encodes a message.
+/// Encodes a message as CBOR.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    let mut out = Vec::with_capacity(TYPICAL_BODY);
-    // Writing to memory fails only for types that refuse to be serialized; none here does.
+    let mut out = Vec::with_capacity(TYPICAL_BODY_BYTES);
+    // Writing to memory fails only if the `Serialize` of a type fails; none of the messages' does.
     if ciborium::into_writer(value, &mut out).is_err() {
         out.clear();
     }
     out
 }
 
-/// Decodes a message.
+/// Decodes a message from CBOR.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, BodyError> {
     Ok(ciborium::de::from_reader_with_recursion_limit(bytes, MAX_DEPTH)?)
 }
 
-/// A decimal number, which may also be sent as an integer.
-struct Amount(f64);
+/// A floating-point number that may also be encoded as an integer.
+struct Number(f64);
 
-impl<'de> Deserialize<'de> for Amount {
+impl<'de> Deserialize<'de> for Number {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         struct NumberVisitor;
         impl Visitor<'_> for NumberVisitor {
-            type Value = Amount;
+            type Value = Number;
 
             fn expecting(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
                 formatter.write_str("a number")
             }
 
-            fn visit_f64<E>(self, number: f64) -> Result<Amount, E> {
-                Ok(Amount(number))
+            fn visit_f64<E>(self, number: f64) -> Result<Number, E> {
+                Ok(Number(number))
             }
 
-            fn visit_u64<E>(self, number: u64) -> Result<Amount, E> {
-                Ok(Amount(number as f64))
+            fn visit_u64<E>(self, number: u64) -> Result<Number, E> {
+                Ok(Number(number as f64))
             }
 
-            fn visit_i64<E>(self, number: i64) -> Result<Amount, E> {
-                Ok(Amount(number as f64))
+            fn visit_i64<E>(self, number: i64) -> Result<Number, E> {
+                Ok(Number(number as f64))
             }
         }
         deserializer.deserialize_any(NumberVisitor)
     }
 }
 
-/// For `deserialize_with`: an integer or decimal number.
+/// Deserializes an integer or floating-point number, for `deserialize_with`.
 pub fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
-    Amount::deserialize(deserializer).map(|amount| amount.0)
+    Number::deserialize(deserializer).map(|number| number.0)
 }
 
-/// For `deserialize_with`: an integer or decimal number, or null.
+/// Deserializes an integer or floating-point number, or null, for `deserialize_with`.
 pub fn optional_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<f64>, D::Error> {
-    Option::<Amount>::deserialize(deserializer).map(|option| option.map(|amount| amount.0))
+    Option::<Number>::deserialize(deserializer).map(|option| option.map(|number| number.0))
 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,13 +1,13 @@
-//! The interface of the cloud: machine types, and scaling out and in (renting and returning hosts).
+//! Interface of the cloud: machine types, and scaling out and in (provisioning and releasing hosts).
 
 use serde::{Deserialize, Serialize};
 
 use super::cbor::number;
 
-/// The list of machine types.
+/// List of machine types.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineTypeList {
-    /// All types that may be rented. On the wire: `breeds`.
+    /// All types that may be provisioned. On the wire: `breeds`.
     #[serde(rename = "breeds")]
     pub types: Vec<MachineType>,
 }
@@ -21,7 +21,7 @@
     /// CPUs of one machine.
     #[serde(deserialize_with = "number")]
     pub cpus: f64,
-    /// GPUs of one machine; 0 if the cloud names none. On the wire: `cards`.
+    /// GPUs of one machine; 0 if the cloud gives no number. On the wire: `cards`.
     #[serde(rename = "cards", default)]
     #[serde(deserialize_with = "number")]
     pub gpus: f64,
@@ -36,11 +36,11 @@
     #[serde(rename = "pullGbPerS", default)]
     #[serde(deserialize_with = "number")]
     pub fetch_gb_per_s: f64,
-    /// Price per hour of a machine on demand.
+    /// Price per hour of an on-demand machine.
     #[serde(default)]
     #[serde(deserialize_with = "number")]
     pub price: f64,
-    /// Present price per hour of a spot machine; 0 if the cloud names none.
+    /// Current price per hour of a spot machine; 0 if the cloud gives no price.
     #[serde(default)]
     #[serde(deserialize_with = "number")]
     pub spot_price: f64,
@@ -53,10 +53,11 @@
     pub zones: Vec<String>,
 }
 
-/// Asks for hosts of one type in one zone.
+/// Request to provision hosts of one type in one zone.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct ProvisionRequest {
-    /// Makes the request idempotent: the same name rents only once.
+    /// Name of the request, which makes it idempotent: hosts are provisioned only
+    /// once for the same name.
     #[serde(rename = "ask")]
     pub request: String,
     /// Name of the machine type. On the wire: `breed`.
@@ -65,38 +66,38 @@
     /// Name of the zone. On the wire: `yard`.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether spot machines are asked for. On the wire: `loaners`.
+    /// Whether spot machines are requested. On the wire: `loaners`.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Most hosts to rent; the cloud may rent fewer. On the wire: `number`.
+    /// Maximum number of hosts to provision; the cloud may provision fewer. On the wire: `number`.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Hosts by name: those that were rented, or are to be returned.
+/// Hosts by name: those that were provisioned, or that are to be released.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HostNames {
     /// Names of the hosts.
     pub hosts: Vec<String>,
 }
 
-/// A part of the list of rented hosts.
+/// One page of the list of provisioned hosts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HostList {
     /// The hosts, in the order of their names.
     pub hosts: Vec<ListedHost>,
-    /// More hosts follow after the last one.
+    /// Whether more hosts follow after the last one.
     #[serde(default)]
     pub truncated: bool,
 }
 
-/// A rented host.
+/// A provisioned host, as the cloud lists it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedHost {
     /// Name of the host. On the wire: `nameId`.
     #[serde(rename = "nameId")]
     pub id: String,
-    /// Address of the host's worker; None if the cloud names none. On the wire: `endpoint`.
+    /// Address of the host's worker; None if the cloud gives no address. On the wire: `endpoint`.
     #[serde(rename = "endpoint", default)]
     pub addr: Option<String>,
     /// Name of the machine type. On the wire: `breed`.
@@ -111,25 +112,25 @@
     /// State of the host. On the wire: `status`.
     #[serde(rename = "status")]
     pub state: HostState,
-    /// Seconds since the host was asked for. On the wire: `heldS`.
+    /// Seconds since the host was requested. On the wire: `heldS`.
     #[serde(rename = "heldS", default)]
     #[serde(deserialize_with = "number")]
     pub age_s: f64,
 }
 
-/// The state of a rented host.
+/// State of a provisioned host.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 pub enum HostState {
-    /// Rented, but not up yet.
+    /// Provisioned, but not up yet.
     #[serde(rename = "booting")]
     Booting,
     /// Up.
     #[serde(rename = "running")]
     Running,
-    /// Stopped by itself, without a return.
+    /// Stopped by itself, without having been released.
     #[serde(rename = "failed")]
     Failed,
-    /// A state that a later version added.
+    /// Any state added by a later version.
     #[serde(other, rename = "other")]
     Other,
 }
--- a/src/protocol/ids.rs
+++ b/src/protocol/ids.rs
@@ -1,5 +1,5 @@
-//! Numbers that identify or order things across processes, one type for each, so
-//! that they can't be mixed up.
+//! Identifiers and sequence numbers that are exchanged between processes. Each
+//! has a type of its own, so that they can't be mixed up.
 
 use std::fmt;
 
@@ -15,7 +15,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The next higher number.
+            /// Returns the next higher number.
             pub fn next(self) -> Self {
                 $name(self.0 + 1)
             }
@@ -30,30 +30,31 @@
 }
 
 number_type!(
-    /// Revision of a key's last write, or of the whole store.
+    /// Revision of a key's last write, or of the whole key-value store.
     Revision
 );
 number_type!(
-    /// Fencing token: entitles its holder to command a worker. A worker refuses
-    /// commands with a lower token than the highest it has seen.
+    /// Fencing token: gives its holder the authority to send commands to a worker.
+    /// A worker rejects commands with a lower token than the highest it has seen.
     FencingToken
 );
 number_type!(
-    /// One life of a worker: a new one begins whenever its lease expires.
+    /// Incarnation of a worker: increases whenever its worker lease expires.
     Incarnation
 );
 number_type!(
-    /// One attempt to run a task. The tasks of a gang share it.
+    /// Number of one attempt to run a task. All tasks of a gang share it.
     Attempt
 );
 number_type!(
-    /// Position of a heartbeat within an incarnation of its worker.
+    /// Sequence number of a heartbeat within an incarnation of its worker.
     SequenceNumber
 );
 
 number_type!(
-    /// A grant of the key-value store: a lease with a time to live. Keys that
-    /// are attached to a grant are removed when it expires or is revoked.
+    /// Identifies a store lease: a lease of the key-value store with a time to
+    /// live. Keys that are attached to a store lease are removed when it expires
+    /// or is revoked.
     GrantId
 );
 
@@ -61,18 +62,18 @@
     /// Revision of a key that does not exist.
     pub const ABSENT: Revision = Revision(0);
 
-    /// Whether the key does not exist.
+    /// Reports whether the key does not exist.
     pub fn is_absent(self) -> bool {
         self == Revision::ABSENT
     }
 }
 
 impl FencingToken {
-    /// What a worker shows that has seen no token yet.
+    /// Token that a worker reports while it has not seen any token.
     pub const NONE: FencingToken = FencingToken(0);
 }
 
 impl Incarnation {
-    /// The incarnation of a worker that has not sent a heartbeat yet.
+    /// Incarnation of a worker that has not sent a heartbeat yet.
     pub const NONE: Incarnation = Incarnation(0);
 }
--- a/src/protocol/jobs.rs
+++ b/src/protocol/jobs.rs
@@ -1,7 +1,7 @@
-//! The users' interface: submissions, their validation, and answers.
+//! Interface for users: submissions, their validation, and the responses.
 //!
-//! A [`Submission`] is what a user sent, with names and optional fields; its
-//! validation yields a [`JobSpec`], with indices and checked amounts.
+//! A [`Submission`] holds the body that a user sent, with names and optional
+//! fields; its validation yields a [`JobSpec`], with indices and checked amounts.
 
 mod responses;
 mod spec;
--- a/src/protocol/jobs/responses.rs
+++ b/src/protocol/jobs/responses.rs
@@ -1,27 +1,27 @@
-//! Answers to the users' requests about jobs.
+//! Responses to users' requests about jobs.
 
 use serde::{Deserialize, Serialize};
 
-/// The answer to `POST /api/jobs` and to `/abort`.
+/// Response to `POST /api/jobs` and to `/abort`.
 #[derive(Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "camelCase")]
 pub struct JobResponse<'a> {
-    /// The job's id.
+    /// Id of the job.
     pub name_id: &'a str,
-    /// `pending`, `running`, `done` or `cancelled`.
+    /// Status of the job: `pending`, `running`, `done` or `cancelled`.
     pub status: &'a str,
 }
 
-/// The answer to `GET /api/jobs/{id}`.
+/// Response to `GET /api/jobs/{id}`.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct PollResponse<'a> {
-    /// The job's id.
+    /// Id of the job.
     pub name_id: &'a str,
-    /// `pending`, `running`, `done` or `cancelled`.
+    /// Status of the job: `pending`, `running`, `done` or `cancelled`.
     pub status: &'a str,
-    /// Tasks that are done, for display.
+    /// Number of done tasks, for display only.
     pub done: u32,
-    /// Tasks that run, for display.
+    /// Number of running tasks, for display only.
     pub running: u32,
 }
--- a/src/protocol/jobs/spec.rs
+++ b/src/protocol/jobs/spec.rs
@@ -1,8 +1,8 @@
-//! A validated job, as the rest of the program uses it.
+//! Specification of a validated job, as the rest of the program uses it.
 
 use crate::protocol::names::{ClassIndex, ImageIndex, MachineTypeIndex, TeamIndex, ZoneIndex};
 
-/// How the tasks of a job belong together.
+/// Kind of a job: how its tasks depend on each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion. On the wire: `batch`.
@@ -24,7 +24,7 @@
     }
 }
 
-/// Scheduling priority; the greater one is scheduled first.
+/// Scheduling priority; the higher one is scheduled first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
     /// On the wire: `low`.
@@ -49,16 +49,16 @@
     }
 }
 
-/// A validated job, with names interned to dense indices.
+/// Specification of a validated job, with names interned to dense indices.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobSpec {
-    /// Class, which the objectives in the settings refer to.
+    /// Class of the job; the service objectives in the settings refer to it.
     pub class: ClassIndex,
     /// Team whose quota applies.
     pub team: TeamIndex,
-    /// Array, gang or service.
+    /// How the job's tasks depend on each other.
     pub kind: JobKind,
-    /// Priority; for a prerequisite, the highest of all jobs that need it.
+    /// Priority; for a prerequisite, at least the highest of its dependents.
     pub priority: Priority,
     /// Number of tasks.
     pub tasks: u32,
@@ -76,26 +76,28 @@
     pub types: Option<Vec<MachineTypeIndex>>,
     /// The only allowed zone; `None`: any.
     pub zone: Option<ZoneIndex>,
-    /// All tasks must be in the same zone.
+    /// Whether all tasks must be in the same zone.
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
-    /// Spot machines are allowed.
+    /// Whether spot machines are allowed.
     pub spot: bool,
     /// The owner's estimate of a task's run time, in seconds; 0 for services.
     pub estimate_s: f64,
-    /// Run time between two checkpoints, in seconds; 0: the task never saves.
+    /// Run time between two checkpoints, in seconds; 0: the task never saves its state.
     pub checkpoint_s: f64,
-    /// Time that a task needs to save when it is stopped, in seconds.
+    /// Time that a task needs to save its state when it is stopped, in seconds.
     pub save_s: f64,
-    /// Deadline, in seconds from when the job became ready to start.
+    /// Deadline, in seconds from when the job became ready to start; `None`: no
+    /// deadline.
     pub deadline_s: Option<f64>,
-    /// When the job is long overdue, in seconds counted like the deadline.
+    /// Extended deadline, in seconds from the same time as the deadline; `None`:
+    /// no deadline.
     pub extended_deadline_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// The largest number of this job's tasks that one zone may hold.
+    /// Returns the maximum number of this job's tasks in one zone.
     pub fn zone_cap(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Whether tasks may run on this machine type.
+    /// Reports whether the job's tasks may run on this machine type.
     pub fn allows_type(&self, machine_type: MachineTypeIndex) -> bool {
         self.types.as_ref().is_none_or(|allowed| allowed.contains(&machine_type))
     }
--- a/src/protocol/jobs/submission.rs
+++ b/src/protocol/jobs/submission.rs
@@ -1,4 +1,4 @@
-//! A job as its user submits it.
+//! Job submissions, as users send them.
 
 use std::collections::HashSet;
 
@@ -6,20 +6,20 @@
 
 use crate::protocol::cbor::optional_number;
 
-/// The body of `POST /api/jobs` as it was received. It is also stored in the
-/// job's record, so the serialized names are part of the stored format.
+/// Body of `POST /api/jobs` as it was received. It is also stored in the job's
+/// record, so the serialized names are part of the stored format.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Submission {
-    /// Unique job id, chosen by the user; a retry uses the same id.
+    /// Unique job id, chosen by the user; a retry of the request uses the same id.
     pub name_id: Option<String>,
-    /// Class of jobs that the job belongs to; objectives refer to it.
+    /// Class of the job; service objectives refer to it.
     #[serde(rename = "lane")]
     pub class: Option<String>,
     /// Team whose quota applies.
     #[serde(rename = "owner")]
     pub team: Option<String>,
-    /// How the tasks belong together: `batch`, `ensemble` or `service`.
+    /// Kind of the job: `batch`, `ensemble` or `service`.
     #[serde(rename = "shape")]
     pub kind: Option<String>,
     /// Scheduling priority: `low`, `normal`, `high` or `prod`.
@@ -51,51 +51,52 @@
     /// The only allowed zone; absent: any.
     #[serde(rename = "yard", skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks must be in the same zone.
+    /// Whether all tasks must be in the same zone.
     #[serde(rename = "samePlace")]
     pub one_zone: Option<bool>,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "scatter")]
     pub spread: Option<bool>,
-    /// Spot machines are allowed.
+    /// Whether spot machines are allowed.
     #[serde(rename = "loaners")]
     pub spot: Option<bool>,
     /// The owner's estimate of a task's run time, in seconds; 0 for services.
     #[serde(rename = "guessS")]
     #[serde(deserialize_with = "optional_number")]
     pub estimate_s: Option<f64>,
-    /// Run time between two checkpoints, in seconds; 0: the task never saves.
+    /// Run time between two checkpoints, in seconds; 0: the task never saves its state.
     #[serde(rename = "bookmarkS")]
     #[serde(deserialize_with = "optional_number")]
     pub checkpoint_s: Option<f64>,
-    /// Time that a task needs to save when it is stopped, in seconds.
+    /// Time that a task needs to save its state when it is stopped, in seconds.
     #[serde(rename = "stashS")]
     #[serde(deserialize_with = "optional_number")]
     pub save_s: Option<f64>,
-    /// Deadline, in seconds from the submission.
+    /// Deadline, in seconds from the submission; absent: none.
     #[serde(rename = "dueS", skip_serializing_if = "Option::is_none")]
     #[serde(deserialize_with = "optional_number")]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts. Versions
-    /// without pipelines never meet a record that contains it.
+    /// Ids of jobs that must be done before any task of this one starts. Versions
+    /// without pipelines never read a record that contains this field.
     #[serde(skip_serializing_if = "has_no_prereqs")]
     pub prereqs: Option<Vec<String>>,
 }
 
-/// For `skip_serializing_if`, which passes a reference to the field.
+/// Reports whether there are no prerequisites, for `skip_serializing_if`, which
+/// passes a reference to the field.
 #[allow(clippy::ref_option, reason = "serde prescribes the signature")]
 fn has_no_prereqs(prereqs: &Option<Vec<String>>) -> bool {
     prereqs.as_ref().is_none_or(Vec::is_empty)
 }
 
 impl Submission {
-    /// The jobs that have to be done before this one may start.
+    /// Returns the ids of the jobs that must be done before this one may start.
     pub fn prereqs(&self) -> &[String] {
         self.prereqs.as_deref().unwrap_or_default()
     }
 
-    /// Removes repeated prerequisites, keeping their order; an empty list
-    /// becomes none.
+    /// Removes duplicate prerequisites and keeps their order; an empty list
+    /// becomes `None`.
     pub fn remove_duplicate_prereqs(&mut self) {
         let mut seen = HashSet::new();
         if let Some(prereqs) = &mut self.prereqs {
--- a/src/protocol/jobs/validation.rs
+++ b/src/protocol/jobs/validation.rs
@@ -6,43 +6,44 @@
 };
 use crate::protocol::names::{Interners, MachineTypeIndex, ZoneIndex};
 
-/// The largest number of tasks in one job.
+/// Maximum number of tasks in one job.
 pub const MAX_TASKS: u32 = 100_000;
-/// A job is long overdue once this multiple of its deadline has passed.
-const OVERDUE_FACTOR: f64 = 1.5;
-/// Longest name, in bytes, of a class, team, image, machine type or zone.
+/// Extended deadline of a job, as a multiple of its deadline.
+const EXTENDED_DEADLINE_FACTOR: f64 = 1.5;
+/// Maximum length, in bytes, of the name of a class, team, image, machine type or
+/// zone.
 const MAX_NAME_BYTES: usize = 256;
-/// Longest job id in bytes.
+/// Maximum length of a job id in bytes.
 const MAX_ID_BYTES: usize = 64;
-/// Most machine types that a job may list.
+/// Maximum number of machine types that a job may list.
 const MAX_TYPES: usize = 64;
 /// Amounts (CPUs, gigabytes, seconds) must stay below this.
 const MAX_AMOUNT: f64 = 1e12;
 
-/// Why a submission is refused for good.
+/// Reason for rejecting a submission permanently.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SubmissionError {
-    /// Answered with 400; names the missing or invalid field.
+    /// Rejected with status 400; contains the missing or invalid field.
     #[error("missing or invalid field `{0}`")]
     Malformed(&'static str),
-    /// Answered with 422; says why the job can never run.
+    /// Rejected with status 422; contains the reason why the job can never run.
     #[error("the job can never run: {0}")]
     Infeasible(&'static str),
 }
 
-/// Where a submission comes from, which decides how unknown names are taken.
+/// Origin of a submission, which determines how unknown names are handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmissionSource {
     /// From a user: the team must be known, and other unknown names are not
     /// interned, so that users can't exhaust the memory with them.
     User,
-    /// From the record of an accepted job: its names are interned as they are,
-    /// since machine types may not be known yet when records are read.
+    /// From the record of an accepted job: all of its names are interned, because
+    /// machine types may not be known yet when records are read.
     Record,
 }
 
-/// Whether a text has the form of a job id: lower-case letters (with dashes
-/// between), a dash, digits.
+/// Reports whether a text has the form of a job id: lower-case letters (with
+/// dashes between), a dash, digits.
 pub fn is_valid_job_id(id: &str) -> bool {
     let Some((head, digits)) = id.rsplit_once('-') else { return false };
     id.len() <= MAX_ID_BYTES
@@ -77,7 +78,7 @@
 impl Submission {
     /// Validates the fields and interns the names.
     ///
-    /// An unknown team, or a job that is its own prerequisite, is refused as
+    /// An unknown team, or a job that is its own prerequisite, is rejected as
     /// [`SubmissionError::Infeasible`], but only if no field is malformed.
     pub fn validate(&self, interners: &mut Interners, source: SubmissionSource) -> Result<JobSpec, SubmissionError> {
         let id = text(self.name_id.as_deref(), "nameId")?;
@@ -106,7 +107,8 @@
         if self.prereqs().iter().any(|prereq| !is_valid_job_id(prereq)) {
             return Err(SubmissionError::Malformed("prereqs"));
         }
-        // The job itself is not accepted yet when it is submitted.
+        // A job is not accepted yet when it is submitted, so it can't be its own
+        // prerequisite.
         if self.prereqs().iter().any(|prereq| prereq == id) {
             return Err(SubmissionError::Infeasible("needs itself"));
         }
@@ -135,7 +137,7 @@
             checkpoint_s,
             save_s,
             deadline_s,
-            extended_deadline_s: deadline_s.map(|deadline_s| deadline_s * OVERDUE_FACTOR),
+            extended_deadline_s: deadline_s.map(|deadline_s| deadline_s * EXTENDED_DEADLINE_FACTOR),
         })
     }
 
@@ -148,8 +150,9 @@
         }
     }
 
-    /// A type that isn't known gets an index that no machine has, and stays
-    /// out of the tables, so that users can't fill them.
+    /// Returns the indices of the allowed machine types. An unknown type that a
+    /// user names gets an index that no machine has. It is not interned, so that
+    /// users can't fill the interners.
     fn allowed_types(
         &self,
         interners: &mut Interners,
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,6 +1,6 @@
-//! The messages of each interface as types, their encodings, and the settings.
+//! Message types of each interface, their encodings, and the settings.
 //!
-//! Names used on wires appear only here, in serde attributes.
+//! The names on the wire appear only here, in serde attributes.
 
 pub mod cbor;
 pub mod cloud;
--- a/src/protocol/names.rs
+++ b/src/protocol/names.rs
@@ -1,4 +1,4 @@
-//! Interned names: messages carry names, the rest of the program uses dense indices.
+//! Interned names: messages contain names, the rest of the program uses dense indices.
 
 use std::{collections::HashMap, marker::PhantomData};
 
@@ -31,7 +31,7 @@
         }
 
         impl $name {
-            /// The index as a position in a list.
+            /// Returns the index as a position in a list.
             pub fn as_usize(self) -> usize {
                 self.0 as usize
             }
@@ -63,7 +63,7 @@
 pub(crate) use index_type;
 
 impl<K: From<u32>> Interner<K> {
-    /// The index of a name, which is added if it is new.
+    /// Returns the index of a name, which is added if it is new.
     pub fn intern(&mut self, name: &str) -> K {
         if let Some(&index) = self.indices.get(name) {
             return K::from(index);
@@ -74,38 +74,38 @@
         K::from(index)
     }
 
-    /// The index of a name, if it is known.
+    /// Returns the index of a name; `None` if the name was never added.
     pub fn find(&self, name: &str) -> Option<K> {
         self.indices.get(name).copied().map(K::from)
     }
 
-    /// The name of an index; `?` for one that was never assigned.
+    /// Returns the name of an index; `?` for one that was never assigned.
     pub fn name(&self, index: u32) -> &str {
         self.names.get(index as usize).map_or("?", String::as_str)
     }
 
-    /// Number of names.
+    /// Returns the number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether there are no names yet.
+    /// Reports whether there are no names yet.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 }
 
-/// The interners of one process, one for each kind of names.
+/// Interners of one process, one for each kind of name.
 #[derive(Debug, Default, Clone)]
 pub struct Interners {
-    /// Teams.
+    /// Names of teams.
     pub teams: Interner<TeamIndex>,
-    /// Classes of jobs.
+    /// Names of job classes.
     pub classes: Interner<ClassIndex>,
-    /// Zones.
+    /// Names of zones.
     pub zones: Interner<ZoneIndex>,
-    /// Machine types.
+    /// Names of machine types.
     pub types: Interner<MachineTypeIndex>,
-    /// Images.
+    /// Names of images.
     pub images: Interner<ImageIndex>,
 }
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' own settings, in the text format of protocol buffers. The schema is
+//! Settings of the operators, in protobuf text format. The schema is
 //! `deploy/operator.proto`; every field has a default, so the file is optional.
 
 use std::{fs, io, ops::RangeInclusive, path::Path};
@@ -7,23 +7,23 @@
 
 use super::settings::single_line;
 
-/// Times to live, in ms, that the leader's grant may have. A shorter one would
-/// not survive a few slow renewals; a longer one would delay every failover.
-const LEADER_TTL_MS: RangeInclusive<u32> = 1_000..=60_000;
+/// Allowed times to live, in ms, of the leader's store lease. With a shorter one, a
+/// few slow renewals would let it expire; a longer one would delay every failover.
+const LEADER_TTL_RANGE_MS: RangeInclusive<u32> = 1_000..=60_000;
 
-/// What operators may set.
+/// Settings that operators may change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorSettings {
-    /// Time to live of the leader's grant, in ms.
+    /// Time to live of the leader's store lease, in ms.
     pub leader_ttl_ms: u64,
-    /// How long a machine without tasks is kept, in seconds.
+    /// Time for which a machine without tasks is kept, in seconds.
     pub idle_keep_s: f64,
-    /// Silence, in seconds, after which a machine is released to the cloud; `None`:
-    /// the controller chooses.
+    /// Time without a heartbeat, in seconds, after which a machine is released to
+    /// the cloud; `None`: the controller chooses the time.
     pub silent_return_s: Option<f64>,
-    /// Most machines rented at once; `None`: no limit.
+    /// Maximum number of machines provisioned at once; `None`: no limit.
     pub max_machines: Option<usize>,
-    /// Whether spot machines may be rented.
+    /// Whether spot machines may be provisioned.
     pub use_spot: bool,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Why a file of operators' settings is refused.
+/// Error of loading a file of operators' settings.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorSettingsError {
     /// The file can't be read.
@@ -47,36 +47,36 @@
     Read {
         /// Path of the file.
         path: String,
-        /// The error of the read.
+        /// Error of the read.
         source: io::Error,
     },
-    /// The file's text is refused.
+    /// The text of the file is invalid.
     #[error("{path}: {source}")]
     Invalid {
         /// Path of the file.
         path: String,
-        /// What is wrong with the text.
+        /// Error in the text.
         source: InvalidOperatorSettings,
     },
 }
 
-/// What is wrong with the text of operators' settings.
+/// Error in the text of operators' settings.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidOperatorSettings {
     /// The built-in schema can't be decoded.
     #[error(transparent)]
     Schema(#[from] prost_reflect::DescriptorError),
     /// The built-in schema lacks the message of the operators' settings.
-    #[error("schema without Operator")]
+    #[error("built-in schema has no message `Operator`")]
     SchemaWithoutOperator,
-    /// The text doesn't follow the schema; the parser's message.
+    /// The text doesn't follow the schema; contains the parser's message.
     #[error("{0}")]
     Syntax(String),
-    /// `leader_ttl_ms` lies outside the allowed range.
+    /// `leader_ttl_ms` lies outside the allowed range; contains its value.
     #[error(
         "leader_ttl_ms = {0}: must lie between {least} and {most}",
-        least = LEADER_TTL_MS.start(),
-        most = LEADER_TTL_MS.end()
+        least = LEADER_TTL_RANGE_MS.start(),
+        most = LEADER_TTL_RANGE_MS.end()
     )]
     LeaderTtl(u32),
 }
@@ -90,7 +90,7 @@
         OperatorSettings::parse(&text).map_err(|source| OperatorSettingsError::Invalid { path: shown, source })
     }
 
-    /// Parses operators' settings; what is not set has its default.
+    /// Parses operators' settings; a field that is not set has its default.
     pub fn parse(text: &str) -> Result<OperatorSettings, InvalidOperatorSettings> {
         let message = parse_message(text)?;
         let number = |name: &str| {
@@ -99,7 +99,7 @@
         };
         let mut operator = OperatorSettings::default();
         if let Some(ttl_ms) = number("leader_ttl_ms") {
-            if !LEADER_TTL_MS.contains(&ttl_ms) {
+            if !LEADER_TTL_RANGE_MS.contains(&ttl_ms) {
                 return Err(InvalidOperatorSettings::LeaderTtl(ttl_ms));
             }
             operator.leader_ttl_ms = u64::from(ttl_ms);
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,9 +1,10 @@
 //! Frames between controllers, encoded with `bitcode`.
 //!
-//! Each frame repeats the sender's whole state, so a lost frame causes only
-//! delay. Every version reads gossip. A newer message is a frame type of its own
-//! and is sent only to peers whose gossip shows that they read it (see
-//! [`Gossip::reads_notices`]); correctness must never depend on it.
+//! Each frame repeats the sender's complete state, so a lost frame only causes a
+//! delay. Every version can decode gossip. A message that a later version adds has
+//! a frame type of its own and is sent only to peers whose gossip shows that they
+//! can decode it (see [`Gossip::reads_notices`]); correctness must never depend on
+//! it.
 
 use std::collections::VecDeque;
 
@@ -11,46 +12,48 @@
 
 use crate::protocol::ids::Revision;
 
-/// The periodic state of one controller.
+/// State of one controller, sent periodically.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Gossip {
     /// Label of the sender.
     pub from: String,
     /// Identifies one start of the sender's process.
     pub nonce: u64,
-    /// Number of the frame within that start.
+    /// Sequence number of the frame within that start.
     pub count: u64,
-    /// Milliseconds since the key-value store last answered the sender.
+    /// Milliseconds since the sender last received a response from the key-value
+    /// store.
     pub state_age_ms: u64,
-    /// Workers' heartbeats that the sender rejected in the last seconds.
+    /// Number of workers' heartbeats that the sender rejected in the last seconds.
     pub rejected_heartbeats: u32,
-    /// Whether the sender leads.
+    /// Whether the sender is the leader.
     pub leading: bool,
     /// Reads per second that the sender uses of the key-value store's limit.
     pub reads_used: f64,
-    /// Writes per second for users' requests.
+    /// Writes per second that the sender uses for users' requests.
     pub writes_used: f64,
-    /// Writes per second for the sender's own work as the leader.
+    /// Writes per second that the sender uses for its commits as the leader.
     pub commits_used: f64,
-    /// The sender's steady clock.
+    /// The sender's monotonic clock, in ms.
     pub clock_ms: u64,
-    /// The clocks that it last received from its peers.
+    /// The clocks that the sender last received from its peers.
     pub echoes: Vec<ClockEcho>,
-    /// Milliseconds since the sender last renewed a worker's lease without leading.
+    /// Milliseconds since the sender last renewed a worker lease without being the
+    /// leader.
     pub since_leaderless_renewal_ms: u64,
-    /// From the leader: task counts of jobs that changed lately, for display.
+    /// From the leader: task counts of recently changed jobs, for display only.
     pub counts: Vec<TaskCounts>,
 }
 
-/// What the sender last received from a peer: which start of its process, and
-/// its clock.
+/// Clock of a peer that the sender of the gossip last received from it, and the
+/// start of the peer's process to which the clock belongs.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct ClockEcho {
     /// Label of the peer.
     pub peer_label: String,
-    /// Identifies the start of the peer's process that was heard.
+    /// Identifies the start of the peer's process from which the frame was received.
     pub nonce: u64,
-    /// The peer's steady clock in the last frame, in ms.
+    /// The peer's monotonic clock in its last frame, in ms.
     pub clock_ms: u64,
 }
 
@@ -59,13 +62,13 @@
 pub struct TaskCounts {
     /// Id of the job.
     pub job: String,
-    /// Tasks that completed.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks that run now.
+    /// Number of running tasks.
     pub running: u32,
 }
 
-/// A confirmed cancellation: the job's record is stored with this revision.
+/// Confirmed cancellation of a job, whose record is stored with this revision.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Cancelled {
     /// Id of the job.
@@ -74,8 +77,8 @@
     pub revision: Revision,
 }
 
-/// Cancellations that the sender confirmed lately. They are final, so delayed
-/// and repeated frames do no harm.
+/// Cancellations that the sender confirmed recently. They are final, so delayed
+/// and duplicate frames do no harm.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Notice {
     /// Label of the sender.
@@ -84,52 +87,52 @@
     pub cancelled: Vec<Cancelled>,
 }
 
-/// The content of a frame.
+/// Content of a frame.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Frame {
-    /// The periodic state of a controller.
+    /// Periodic state of a controller.
     Gossip(Gossip),
-    /// Cancellations that were confirmed lately.
+    /// Cancellations that were confirmed recently.
     Notice(Notice),
 }
 
 /// First byte of a frame with [`Gossip`].
-const GOSSIP: u8 = 3;
+const GOSSIP_FRAME_TYPE: u8 = 3;
 /// First byte of a frame with a [`Notice`].
-const NOTICE: u8 = 4;
+const NOTICE_FRAME_TYPE: u8 = 4;
 
 impl Gossip {
-    /// The entry of `echoes` that announces which frame types the sender reads:
-    /// it names no peer, so the first version ignores it.
+    /// Returns the entry of `echoes` that announces which frame types the sender
+    /// can decode. It names no peer, so the first version ignores it.
     pub fn supported_frames_marker() -> ClockEcho {
-        ClockEcho { peer_label: String::new(), nonce: u64::from(NOTICE), clock_ms: 0 }
+        ClockEcho { peer_label: String::new(), nonce: u64::from(NOTICE_FRAME_TYPE), clock_ms: 0 }
     }
 
-    /// Whether the sender reads frames with a [`Notice`].
+    /// Reports whether the sender can decode frames with a [`Notice`].
     pub fn reads_notices(&self) -> bool {
-        self.echoes.iter().any(|echo| echo.peer_label.is_empty() && echo.nonce >= u64::from(NOTICE))
+        self.echoes.iter().any(|echo| echo.peer_label.is_empty() && echo.nonce >= u64::from(NOTICE_FRAME_TYPE))
     }
 }
 
-/// A frame that can't be decoded.
+/// Error of decoding a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The frame has no byte at all.
-    #[error("an empty frame")]
+    /// The frame has no bytes.
+    #[error("empty frame")]
     Empty,
-    /// The first byte names a frame type that this version doesn't read.
-    #[error("a frame of version {0}")]
+    /// The first byte is a frame type that this version can't decode.
+    #[error("unknown frame type {0}")]
     UnknownType(u8),
     /// The bytes after the frame type can't be decoded.
-    #[error("a frame that can't be read")]
+    #[error("malformed frame")]
     Malformed,
 }
 
 /// Encodes a frame.
 pub fn encode(frame: &Frame) -> Vec<u8> {
     let (frame_type, bytes) = match frame {
-        Frame::Gossip(gossip) => (GOSSIP, bitcode::encode(gossip)),
-        Frame::Notice(notice) => (NOTICE, bitcode::encode(notice)),
+        Frame::Gossip(gossip) => (GOSSIP_FRAME_TYPE, bitcode::encode(gossip)),
+        Frame::Notice(notice) => (NOTICE_FRAME_TYPE, bitcode::encode(notice)),
     };
     let mut out = vec![frame_type];
     out.extend(bytes);
@@ -138,20 +141,21 @@
 
 /// Decodes a frame.
 pub fn decode(bytes: &[u8]) -> Result<Frame, FrameError> {
-    let garbled = |_| FrameError::Malformed;
+    let malformed = |_| FrameError::Malformed;
     match bytes.split_first() {
         None => Err(FrameError::Empty),
-        Some((&GOSSIP, rest)) => bitcode::decode(rest).map(Frame::Gossip).map_err(garbled),
-        Some((&NOTICE, rest)) => bitcode::decode(rest).map(Frame::Notice).map_err(garbled),
+        Some((&GOSSIP_FRAME_TYPE, rest)) => bitcode::decode(rest).map(Frame::Gossip).map_err(malformed),
+        Some((&NOTICE_FRAME_TYPE, rest)) => bitcode::decode(rest).map(Frame::Notice).map_err(malformed),
         Some((&frame_type, _)) => Err(FrameError::UnknownType(frame_type)),
     }
 }
 
-/// Earlier starts of a peer that are remembered, to recognize their late frames.
+/// Number of a peer's earlier starts that are kept, to recognize their delayed
+/// frames.
 const MAX_EARLIER_STARTS: usize = 16;
 
-/// The order of a peer's frames: those of a process that ended may arrive after
-/// frames of its next start.
+/// Order of a peer's frames. Delayed frames of a process that has exited may
+/// arrive after frames of the peer's next start.
 #[derive(Debug, Default)]
 pub struct FrameOrder {
     nonce: u64,
@@ -160,7 +164,8 @@
 }
 
 impl FrameOrder {
-    /// Whether a frame is newer than all that were seen.
+    /// Records a frame and returns whether it is newer than all frames received
+    /// before.
     pub fn accept_if_newer(&mut self, gossip: &Gossip) -> bool {
         if gossip.nonce == self.nonce {
             let is_newer = gossip.count > self.count;
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -17,17 +17,17 @@
     validation::{InvalidValue, Requirement},
 };
 
-/// All settings of one controller.
+/// Settings of one controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
     /// Name of this controller.
     pub label: String,
-    /// Zone that it runs in.
+    /// Zone that this controller runs in.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Address for users, workers and health probes.
+    /// Listen address for users, workers and health probes.
     pub client_listen: SocketAddr,
-    /// Address for peers.
+    /// Listen address for peers.
     pub cluster_listen: SocketAddr,
     /// The other controllers.
     #[serde(rename = "seeds", default)]
@@ -35,29 +35,29 @@
     /// Addresses of the cloud and of the key-value store.
     #[serde(rename = "outside")]
     pub service_addresses: ServiceAddresses,
-    /// What is the same for all controllers.
+    /// Settings that are the same for all controllers.
     pub cluster: ClusterSettings,
 }
 
-/// Another controller.
+/// Settings about another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PeerSettings {
     /// Name of the controller.
     pub label: String,
-    /// Zone that it runs in; empty if the file names none.
+    /// Zone that the controller runs in; empty if the file names none.
     #[serde(rename = "domain", default)]
     pub zone: String,
-    /// Address at which it listens for peers.
+    /// Address at which the controller listens for peers.
     #[serde(rename = "endpoint")]
     pub endpoint: SocketAddr,
 }
 
-/// Addresses of the outside services.
+/// Addresses of the external services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ServiceAddresses {
-    /// The cloud.
+    /// Address of the cloud.
     pub cloud: SocketAddr,
-    /// The key-value store.
+    /// Address of the key-value store.
     pub state: SocketAddr,
 }
 
@@ -67,16 +67,16 @@
     /// Names of the zones.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Most by which a controller's time of day may differ from the true time, in ms.
+    /// Maximum difference between a controller's wall clock and the true time, in ms.
     #[serde(default)]
     pub skew_ms: f64,
-    /// Quotas of teams.
+    /// Quotas of the teams.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// Service objectives of classes of jobs.
+    /// Service objectives of job classes.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Times of the workers' interface.
+    /// Intervals and timeouts of the interface with workers.
     pub workers: WorkerSettings,
     /// Limits of the key-value store.
     pub state: StoreLimits,
@@ -87,26 +87,28 @@
 }
 
 impl ClusterSettings {
-    /// Whether nothing is guaranteed to this team, while something is to another.
+    /// Reports whether a team is best-effort: it has no guarantee, while another team
+    /// has one.
     pub fn is_best_effort(&self, team: &str) -> bool {
         let mut guaranteed = self.teams.iter().filter(|known| known.has_guarantee()).peekable();
         guaranteed.peek().is_some() && !guaranteed.any(|known| known.name == team)
     }
 }
 
-/// Times of the workers' interface, in seconds.
+/// Intervals and timeouts of the interface with workers, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
-    /// Interval of a worker's heartbeats.
+    /// Interval between heartbeats of a worker.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// Duration of a worker's lease: without an answer for this long, it stops its tasks.
+    /// Duration of a worker lease: a worker that receives no response for this long
+    /// stops its tasks.
     pub lease_s: f64,
-    /// How long a worker waits for the other members of a gang to start.
+    /// Time for which a worker waits for the other members of a gang to start.
     pub gang_wait_s: f64,
-    /// Time within which the members of a running gang notice that one is gone.
+    /// Time within which the members of a running gang detect that one is gone.
     pub gang_peer_s: f64,
-    /// A cancelled job's tasks must have ended within this time.
+    /// Time within which the tasks of a cancelled job must have exited.
     pub cancel_s: f64,
 }
 
@@ -118,7 +120,7 @@
         Settings::parse(&text, &shown)
     }
 
-    /// Parses and validates settings; `path` is named in errors.
+    /// Parses and validates settings; `path` is the file name in errors.
     pub fn parse(text: &str, path: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|error| SettingsError::Parse {
             path: path.to_owned(),
--- a/src/protocol/settings/error.rs
+++ b/src/protocol/settings/error.rs
@@ -1,10 +1,10 @@
-//! Why settings are refused.
+//! Errors of loading settings.
 
 use std::io;
 
 use super::InvalidValue;
 
-/// Why a settings file is refused.
+/// Error of loading a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -12,7 +12,7 @@
     Read {
         /// Path of the file.
         path: String,
-        /// The error of the read.
+        /// Error of the read.
         source: io::Error,
     },
     /// The file is not TOML of the expected form.
@@ -28,12 +28,12 @@
     Value {
         /// Path of the file.
         path: String,
-        /// The setting, and what is wrong with it.
+        /// The setting, its value and the requirement that it violates.
         source: InvalidValue,
     },
 }
 
-/// A message without line breaks, for logs and terminals.
+/// Returns a message without line breaks, for logs and terminals.
 pub(in crate::protocol) fn single_line(message: &str) -> String {
     message.split_whitespace().collect::<Vec<_>>().join(" ")
 }
--- a/src/protocol/settings/limits.rs
+++ b/src/protocol/settings/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of the outside services and of this process.
+//! Limits of the external services and of this process.
 
 use serde::Deserialize;
 
@@ -9,38 +9,39 @@
     pub rps: f64,
     /// Writes per second.
     pub write_rps: f64,
-    /// Largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Most writes of a transaction.
+    /// Maximum number of writes per transaction.
     pub txn_ops: usize,
-    /// Limits that take effect at some later moment, without notice.
+    /// Limits that take effect at some later time, without notice.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
-/// Limits that will replace those of [`StoreLimits`]; None: unchanged.
+/// Limits that will replace those of [`StoreLimits`]; `None`: unchanged.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextLimits {
     /// Requests per second.
     pub rps: Option<f64>,
     /// Writes per second.
     pub write_rps: Option<f64>,
-    /// Largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: Option<f64>,
-    /// Most writes of a transaction.
+    /// Maximum number of writes per transaction.
     pub txn_ops: Option<usize>,
 }
 
-/// Which of the key-value store's limits hold.
+/// Phase of the key-value store's limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitPhase {
-    /// Those in force at the start.
+    /// The limits in force at the start.
     Current,
-    /// Those of [`StoreLimits::next`], as far as they are lower.
+    /// The limits of [`StoreLimits::next`] where they are lower than those in force
+    /// at the start.
     Lowered,
 }
 
-/// The key-value store's limits per second.
+/// Rate limits of the key-value store, per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreRates {
     /// Requests of any kind.
@@ -54,20 +55,21 @@
         self.next.as_ref().and_then(next).map_or(current, |next| next.min(current))
     }
 
-    /// Size of a value that fits now and later.
+    /// Returns the maximum size of a value, in KiB, that fits both the current and the
+    /// next limits.
     pub fn fitting_value_kb(&self) -> f64 {
         self.lower(|next| next.value_kb, self.value_kb)
     }
 
-    /// Writes of a transaction that fit now and later, and into a burst of
-    /// one second.
+    /// Returns the maximum number of writes per transaction that fits both the current
+    /// and the next limits, and a burst of one second.
     pub fn fitting_txn_ops(&self) -> usize {
         let next = self.next.as_ref().and_then(|next| next.txn_ops);
         let ops = next.map_or(self.txn_ops, |next| next.min(self.txn_ops));
         ops.min(self.rates(LimitPhase::Lowered).writes as usize).max(1)
     }
 
-    /// The rates that are allowed in a phase.
+    /// Returns the rates that are allowed in a phase.
     pub fn rates(&self, phase: LimitPhase) -> StoreRates {
         match phase {
             LimitPhase::Current => StoreRates { requests: self.rps, writes: self.write_rps },
@@ -84,19 +86,19 @@
 pub struct CloudLimits {
     /// Requests per second.
     pub rps: f64,
-    /// The list of hosts may be this old, in seconds.
+    /// Maximum age of the list of hosts, in seconds.
     pub list_lag_s: f64,
 }
 
 /// Limits of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessLimits {
-    /// CPU time that the process may use, in CPUs; 0 if the file names none.
+    /// CPU time that the process may use, in CPUs; 0 if the file gives no limit.
     #[serde(default)]
     pub cpu: f64,
-    /// Memory that the process may use, in MB; 0 if the file names none.
+    /// Memory that the process may use, in MB; 0 if the file gives no limit.
     #[serde(default)]
     pub ram_mb: f64,
-    /// Most sockets open at once.
+    /// Maximum number of sockets open at once.
     pub sockets: usize,
 }
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -1,27 +1,28 @@
-//! Checks of values that the form of the file allows.
+//! Validation of settings that were parsed without error.
 
 use std::fmt;
 
 use super::{ClusterSettings, NextLimits, Settings, Team};
 
-/// Seconds by which `cancel_s` must exceed `lease_s`. With less, no lease could
-/// be renewed without outliving a cancellation.
+/// Minimum difference, in seconds, between `cancel_s` and `lease_s`. With less, no
+/// worker lease could be renewed without outlasting a cancellation.
 const MIN_CANCEL_MARGIN_S: f64 = 4.0;
-/// Fewest sockets: some are reserved for outgoing calls, some for users.
+/// Minimum number of sockets: some are reserved for outgoing calls, some for users.
 const MIN_SOCKETS: usize = 32;
-/// Fewest writes of a transaction: the leader commits with one besides its own.
+/// Minimum number of writes per transaction: a commit of the leader has one write
+/// besides the leader's own.
 const MIN_TXN_OPS: usize = 2;
 
-/// What is required of the value of a setting.
+/// Requirement that the value of a setting must meet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Requirement {
-    /// A text with at least one character.
+    /// A string of at least one character.
     NotEmpty,
     /// A finite number above 0.
     Positive,
     /// A finite number of at least 0.
     NotNegative,
-    /// A number of at least this.
+    /// A number of at least the given one.
     AtLeast(f64),
 }
 
@@ -36,7 +37,7 @@
     }
 }
 
-/// A setting with a value that is not allowed.
+/// Error about a setting whose value is not allowed.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{setting} = {value}: {requirement}")]
 pub struct InvalidValue {
@@ -44,7 +45,7 @@
     pub setting: &'static str,
     /// The value that was given.
     pub value: String,
-    /// What is required of the value.
+    /// Requirement that the value violates.
     pub requirement: Requirement,
 }
 
@@ -96,10 +97,10 @@
         require_positive("cluster.workers.gang_wait_s", workers.gang_wait_s)?;
         require_positive("cluster.workers.gang_peer_s", workers.gang_peer_s)?;
         require_positive("cluster.workers.cancel_s", workers.cancel_s)?;
-        let least_cancel_s = workers.lease_s + MIN_CANCEL_MARGIN_S;
-        let is_cancel_late_enough = workers.cancel_s >= least_cancel_s;
-        let requirement = Requirement::AtLeast(least_cancel_s);
-        require(is_cancel_late_enough, "cluster.workers.cancel_s", &workers.cancel_s, requirement)?;
+        let min_cancel_s = workers.lease_s + MIN_CANCEL_MARGIN_S;
+        let is_cancel_time_sufficient = workers.cancel_s >= min_cancel_s;
+        let requirement = Requirement::AtLeast(min_cancel_s);
+        require(is_cancel_time_sufficient, "cluster.workers.cancel_s", &workers.cancel_s, requirement)?;
         require_positive("cluster.state.rps", self.state.rps)?;
         require_positive("cluster.state.write_rps", self.state.write_rps)?;
         require_positive("cluster.state.value_kb", self.state.value_kb)?;
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,58 +1,58 @@
-//! The interface of the key-value store: conditional transactions (compare and
-//! swap), listings and watches of prefixes, and grants, the store's leases:
-//! each has a time to live, and the keys attached to it are removed when it expires.
+//! Interface of the key-value store: conditional transactions (compare-and-swap),
+//! listings and watches of prefixes, and store leases: each has a time to live,
+//! and the keys attached to it are removed when it expires.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
 use crate::protocol::ids::{GrantId, Revision};
 
-/// A condition of a transaction: the key has this revision.
+/// Condition of a transaction: the key has this revision.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Condition {
-    /// The key that is compared.
+    /// Key whose revision is compared.
     pub key: String,
     /// Revision of the last write of the key; 0: the key must not exist.
     #[serde(rename = "stamp")]
     pub revision: Revision,
 }
 
-/// One write of a transaction.
+/// Write of a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 #[serde(untagged)]
 pub enum WriteOperation {
     /// Sets the value of a key. On the wire an operation with `write`.
     Put {
-        /// The key. On the wire: `write`.
+        /// Key that is written. On the wire: `write`.
         #[serde(rename = "write")]
         key: String,
         /// The new value.
         #[serde(rename = "v")]
         value: Value,
-        /// The grant that the key is attached to, if any: the key is removed when
-        /// the grant expires or is revoked.
+        /// Store lease that the key is attached to, if any: the key is removed when
+        /// the store lease expires or is revoked.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
         grant: Option<GrantId>,
     },
     /// Removes a key. On the wire an operation with `drop`.
     Delete {
-        /// The key. On the wire: `drop`.
+        /// Key that is removed. On the wire: `drop`.
         #[serde(rename = "drop")]
         key: String,
     },
 }
 
-/// Writes that are applied together, if all conditions hold.
+/// Writes that are applied atomically if all conditions hold.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Default)]
 pub struct Transaction {
-    /// All must hold for any write to be applied. On the wire: `if`.
+    /// Conditions, all of which must hold for any write to be applied. On the wire: `if`.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// The writes, applied together.
+    /// The writes, applied atomically.
     pub writes: Vec<WriteOperation>,
 }
 
-/// The answer to a transaction: the revision of the store after it.
+/// Response to a transaction that was applied: the revision of the store after it.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct AppliedTransaction {
     /// Revision of the store; also the revision of each key that was written.
@@ -60,35 +60,35 @@
     pub store_revision: Revision,
 }
 
-/// The answer to a transaction whose conditions did not hold.
+/// Response to a transaction whose conditions did not hold.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Conflict {
     /// Keys whose conditions did not hold.
     #[serde(default)]
     pub failed: Vec<String>,
-    /// Revision of the store at the attempt; 0 if it is not given.
+    /// Revision of the store when the conditions were checked; 0 if it is not given.
     #[serde(default)]
     #[serde(rename = "epoch")]
     pub store_revision: Revision,
 }
 
-/// A key with its value.
+/// Key with its value.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct KeyValue {
-    /// The key.
+    /// Name of the key.
     pub key: String,
-    /// Its value.
+    /// Value of the key.
     #[serde(rename = "v")]
     pub value: Value,
     /// Revision of the key's last write.
     #[serde(rename = "stamp")]
     pub revision: Revision,
-    /// The grant that the key is attached to; `None`: it is attached to none.
+    /// Store lease that the key is attached to; `None`: it is attached to none.
     #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
     pub grant: Option<GrantId>,
 }
 
-/// A part of a listing, in the order of the keys.
+/// Page of a listing, in the order of the keys.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Page {
     /// The keys with their values.
@@ -101,23 +101,24 @@
     pub store_revision: Revision,
 }
 
-/// The answer to a request for a grant.
+/// Response to a request for a store lease.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct GrantResponse {
-    /// The new grant.
+    /// Id of the new store lease.
     #[serde(rename = "permit")]
     pub grant: GrantId,
 }
 
-/// Asks for a grant, which expires unless it is renewed within its time to live.
+/// Request for a store lease, which expires unless it is renewed within its time to
+/// live.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct GrantRequest {
-    /// Time to live of the grant, in ms.
+    /// Time to live of the store lease, in ms.
     pub ttl_ms: u64,
 }
 
-/// The changes under a prefix since a revision, up to `store_revision`.
+/// Changes under a prefix since a revision, up to `store_revision`.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Changes {
     /// Revision of the store up to which the changes are complete.
@@ -128,13 +129,13 @@
     pub events: Vec<Change>,
 }
 
-/// One change of a key: either `write` or `drop` names it.
+/// Change of a key, which is named by either `write` or `drop`.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Change {
-    /// The key, if it was written; otherwise None.
+    /// The key if it was written; otherwise `None`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub write: Option<String>,
-    /// The key, if it was removed; otherwise None.
+    /// The key if it was removed; otherwise `None`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drop: Option<String>,
     /// The value that was written; `None` for a removal.
--- a/src/protocol/tests/jobs.rs
+++ b/src/protocol/tests/jobs.rs
@@ -13,82 +13,88 @@
     .unwrap()
 }
 
-fn with(field: &str, v: Option<Value>) -> Vec<u8> {
-    let Value::Map(mut m) = sample() else { unreachable!() };
-    m.retain(|(k, _)| k.as_text() != Some(field));
-    if let Some(v) = v {
-        m.push((Value::Text(field.into()), v));
+/// Encodes the sample with another value of one field; `None` removes the field.
+fn sample_with(field: &str, value: Option<Value>) -> Vec<u8> {
+    let Value::Map(mut entries) = sample() else { unreachable!() };
+    entries.retain(|(key, _)| key.as_text() != Some(field));
+    if let Some(value) = value {
+        entries.push((Value::Text(field.into()), value));
     }
-    cbor::encode(&Value::Map(m))
+    cbor::encode(&Value::Map(entries))
 }
 
 #[test]
-fn submissions_table() {
+fn malformed_and_infeasible_submissions_are_rejected() {
     #[derive(Debug, PartialEq)]
-    enum Want {
-        Fine,
-        Bad,
-        Never,
+    enum Expected {
+        Valid,
+        Malformed,
+        Infeasible,
     }
-    let f = Value::Float;
-    let ids = |l: &[&str]| Value::Array(l.iter().map(|s| Value::Text((*s).into())).collect());
-    let cases: Vec<(&str, Option<Value>, Want)> = vec![
-        ("later", None, Want::Fine),
-        ("yard", None, Want::Fine),
-        ("breeds", Some(Value::Null), Want::Fine),
-        ("dueS", Some(Value::Null), Want::Fine),
-        ("pieces", Some(Value::from(100_000)), Want::Fine),
-        ("guessS", Some(Value::from(0)), Want::Fine),
-        ("pieces", Some(Value::from(0)), Want::Bad),
-        ("pieces", Some(Value::from(100_001)), Want::Bad),
-        ("pieces", Some(f(1.5)), Want::Bad),
-        ("pieces", Some(Value::from(-1)), Want::Bad),
-        ("cpus", Some(f(f64::NAN)), Want::Bad),
-        ("cpus", Some(f(-0.5)), Want::Bad),
-        ("cpus", Some(f(f64::INFINITY)), Want::Bad),
-        ("cpus", Some(Value::Null), Want::Bad),
-        ("cpus", Some(Value::Text("4".into())), Want::Bad),
-        ("memoryGb", None, Want::Bad),
-        ("samePlace", None, Want::Bad),
-        ("loaners", Some(Value::from(1)), Want::Bad),
-        ("shape", Some(Value::Text("gang".into())), Want::Bad),
-        ("rank", Some(Value::Text("urgent".into())), Want::Bad),
-        ("breeds", Some(Value::Array(vec![])), Want::Bad),
-        ("nameId", Some(Value::Text("job 1".into())), Want::Bad),
-        ("nameId", Some(Value::Text("j-".into())), Want::Bad),
-        ("dueS", Some(f(-3.0)), Want::Bad),
-        ("owner", Some(Value::Text("nobody".into())), Want::Never),
-        ("prereqs", Some(Value::Null), Want::Fine),
-        ("prereqs", Some(Value::Array(vec![])), Want::Fine),
-        ("prereqs", Some(ids(&["j-000398", "j-000405"])), Want::Fine),
-        ("prereqs", Some(ids(&["j-000398", "j-000398"])), Want::Fine),
-        // A job that is being submitted isn't accepted: 422 as for any such job.
-        ("prereqs", Some(ids(&["j-000398", "j-000412"])), Want::Never),
-        ("prereqs", Some(ids(&["j-000412", "job 1"])), Want::Bad),
-        ("prereqs", Some(ids(&["j-000398", "job 1"])), Want::Bad),
-        ("prereqs", Some(ids(&[""])), Want::Bad),
-        ("prereqs", Some(Value::Text("j-000398".into())), Want::Bad),
-        ("prereqs", Some(Value::from(398)), Want::Bad),
-        ("prereqs", Some(Value::Array(vec![Value::from(398)])), Want::Bad),
-        ("prereqs", Some(Value::Map(vec![])), Want::Bad),
+    let float = Value::Float;
+    let ids = |ids: &[&str]| Value::Array(ids.iter().map(|id| Value::Text((*id).into())).collect());
+    let cases: Vec<(&str, Option<Value>, Expected)> = vec![
+        ("later", None, Expected::Valid),
+        ("yard", None, Expected::Valid),
+        ("breeds", Some(Value::Null), Expected::Valid),
+        ("dueS", Some(Value::Null), Expected::Valid),
+        ("pieces", Some(Value::from(100_000)), Expected::Valid),
+        ("guessS", Some(Value::from(0)), Expected::Valid),
+        ("pieces", Some(Value::from(0)), Expected::Malformed),
+        ("pieces", Some(Value::from(100_001)), Expected::Malformed),
+        ("pieces", Some(float(1.5)), Expected::Malformed),
+        ("pieces", Some(Value::from(-1)), Expected::Malformed),
+        ("cpus", Some(float(f64::NAN)), Expected::Malformed),
+        ("cpus", Some(float(-0.5)), Expected::Malformed),
+        ("cpus", Some(float(f64::INFINITY)), Expected::Malformed),
+        ("cpus", Some(Value::Null), Expected::Malformed),
+        ("cpus", Some(Value::Text("4".into())), Expected::Malformed),
+        ("memoryGb", None, Expected::Malformed),
+        ("samePlace", None, Expected::Malformed),
+        ("loaners", Some(Value::from(1)), Expected::Malformed),
+        ("shape", Some(Value::Text("gang".into())), Expected::Malformed),
+        ("rank", Some(Value::Text("urgent".into())), Expected::Malformed),
+        ("breeds", Some(Value::Array(vec![])), Expected::Malformed),
+        ("nameId", Some(Value::Text("job 1".into())), Expected::Malformed),
+        ("nameId", Some(Value::Text("j-".into())), Expected::Malformed),
+        ("dueS", Some(float(-3.0)), Expected::Malformed),
+        ("owner", Some(Value::Text("nobody".into())), Expected::Infeasible),
+        ("prereqs", Some(Value::Null), Expected::Valid),
+        ("prereqs", Some(Value::Array(vec![])), Expected::Valid),
+        ("prereqs", Some(ids(&["j-000398", "j-000405"])), Expected::Valid),
+        ("prereqs", Some(ids(&["j-000398", "j-000398"])), Expected::Valid),
+        // A job that is being submitted is not accepted yet: 422, as for any
+        // prerequisite that is not accepted.
+        ("prereqs", Some(ids(&["j-000398", "j-000412"])), Expected::Infeasible),
+        ("prereqs", Some(ids(&["j-000412", "job 1"])), Expected::Malformed),
+        ("prereqs", Some(ids(&["j-000398", "job 1"])), Expected::Malformed),
+        ("prereqs", Some(ids(&[""])), Expected::Malformed),
+        ("prereqs", Some(Value::Text("j-000398".into())), Expected::Malformed),
+        ("prereqs", Some(Value::from(398)), Expected::Malformed),
+        ("prereqs", Some(Value::Array(vec![Value::from(398)])), Expected::Malformed),
+        ("prereqs", Some(Value::Map(vec![])), Expected::Malformed),
     ];
-    for (field, v, want) in cases {
-        let shown = format!("{field} = {v:?}");
+    for (field, value, expected) in cases {
+        let shown = format!("{field} = {value:?}");
         let mut interners = Interners::default();
         interners.teams.intern("vision");
         interners.types.intern("g8");
-        let got = match cbor::decode::<Submission>(&with(field, v)) {
-            Err(_) => Want::Bad,
-            Ok(s) => match s.validate(&mut interners, SubmissionSource::User) {
-                Ok(_) => Want::Fine,
-                Err(SubmissionError::Malformed(_)) => Want::Bad,
-                Err(SubmissionError::Infeasible(_)) => Want::Never,
+        let got = match cbor::decode::<Submission>(&sample_with(field, value)) {
+            Err(_) => Expected::Malformed,
+            Ok(submission) => match submission.validate(&mut interners, SubmissionSource::User) {
+                Ok(_) => Expected::Valid,
+                Err(SubmissionError::Malformed(_)) => Expected::Malformed,
+                Err(SubmissionError::Infeasible(_)) => Expected::Infeasible,
             },
         };
-        assert_eq!(got, want, "{shown}");
+        assert_eq!(got, expected, "{shown}");
     }
     for bytes in [&b""[..], b"\xff\xff", b"\x01", b"\x80"] {
-        let s = cbor::decode::<Submission>(bytes);
-        assert!(!s.is_ok_and(|s| s.validate(&mut Interners::default(), SubmissionSource::User).is_ok()), "{bytes:?}");
+        let submission = cbor::decode::<Submission>(bytes);
+        assert!(
+            !submission
+                .is_ok_and(|submission| submission.validate(&mut Interners::default(), SubmissionSource::User).is_ok()),
+            "{bytes:?}"
+        );
     }
 }
--- a/src/protocol/tests/peers.rs
+++ b/src/protocol/tests/peers.rs
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn frames_survive_the_way_and_garbage_is_refused() {
+fn frames_round_trip_and_malformed_frames_are_rejected() {
     let notice = Notice { from: "a".into(), cancelled: vec![Cancelled { job: "j-1".into(), revision: Revision(12) }] };
     assert_eq!(decode(&[]), Err(FrameError::Empty));
     for frame in [Frame::Gossip(gossip(7, 1)), Frame::Notice(notice)] {
         let bytes = encode(&frame);
         assert_eq!(decode(&bytes), Ok(frame));
-        for n in 1..bytes.len() {
-            assert_eq!(decode(&bytes[..n]), Err(FrameError::Malformed), "cut at {n}");
+        for len in 1..bytes.len() {
+            assert_eq!(decode(&bytes[..len]), Err(FrameError::Malformed), "truncated to {len} bytes");
         }
         let mut other = bytes.clone();
         other[0] = 9;
@@ -38,25 +38,27 @@
     }
 }
 
-/// Guard: newer frames go only to peers that have shown that they read
-/// them, and the mark is no echo that the first version could mistake.
+/// Newer frames are sent only to peers whose gossip shows that they can decode
+/// them. The marker names no peer, so that the first version can't mistake it for
+/// the echo of a clock.
 #[test]
-fn who_reads_notices() {
-    let mut g = gossip(7, 1);
-    assert!(!g.reads_notices());
-    g.echoes.push(Gossip::supported_frames_marker());
-    assert!(g.reads_notices());
-    assert_eq!(g.echoes.iter().filter(|e| !e.peer_label.is_empty()).count(), 1);
+fn gossip_with_marker_announces_support_for_notices() {
+    let mut gossip = gossip(7, 1);
+    assert!(!gossip.reads_notices());
+    gossip.echoes.push(Gossip::supported_frames_marker());
+    assert!(gossip.reads_notices());
+    assert_eq!(gossip.echoes.iter().filter(|echo| !echo.peer_label.is_empty()).count(), 1);
 }
 
-/// Guard: late frames of a process that is over are no news of the peer.
+/// Delayed frames of a process that has exited must not be accepted as the current
+/// state of the peer.
 #[test]
-fn frames_of_an_earlier_start_are_no_news() {
-    let mut o = FrameOrder::default();
-    // (nonce, count, news)
-    for (nonce, count, news) in
+fn frames_of_an_earlier_start_are_not_newer() {
+    let mut order = FrameOrder::default();
+    // (nonce, count, whether the frame is newer)
+    for (nonce, count, is_newer) in
         [(5, 1, true), (5, 3, true), (5, 2, false), (5, 3, false), (6, 1, true), (5, 4, false), (6, 2, true)]
     {
-        assert_eq!(o.accept_if_newer(&gossip(nonce, count)), news, "{nonce} {count}");
+        assert_eq!(order.accept_if_newer(&gossip(nonce, count)), is_newer, "nonce {nonce}, count {count}");
     }
 }
--- a/src/protocol/tests/settings.rs
+++ b/src/protocol/tests/settings.rs
@@ -1,6 +1,6 @@
 use super::{LimitPhase, ObjectiveKind, Settings, StoreRates};
 
-/// A settings file with a field that is unknown.
+/// A settings file with an unknown field.
 pub const SAMPLE: &str = r#"
 label = "n-0"
 domain = "a"
@@ -41,38 +41,38 @@
 "#;
 
 #[test]
-fn settings_table() {
+fn invalid_settings_are_rejected_with_the_field_in_the_error() {
     let cases = [
-        ("as given", "", "", None),
+        ("sample", "", "", None),
         ("unknown fields", "novelty = 3", "novelty = { a = 1 }", None),
-        ("no label", "label = \"n-0\"", "", Some("label")),
+        ("missing label", "label = \"n-0\"", "", Some("label")),
         ("wrong type", "txn_ops = 24", "txn_ops = \"many\"", Some("txn_ops")),
         ("zero lease", "lease_s = 30", "lease_s = 0", Some("lease_s")),
-        ("no time to cancel", "cancel_s = 50.0", "cancel_s = 33.0", Some("cancel_s")),
-        ("NaN", "lease_s = 30", "lease_s = nan", Some("lease_s")),
-        ("bad address", "cloud = \"127.0.0.1:1\"", "cloud = \"here\"", Some("cloud")),
-        ("next limits", "txn_ops = 24", "txn_ops = 24\n[cluster.state.next]\nvalue_kb = 2", None),
-        ("no writes later", "txn_ops = 24", "txn_ops = 24\n[cluster.state.next]\ntxn_ops = 0", Some("next")),
-        ("no value later", "txn_ops = 24", "txn_ops = 24\n[cluster.state.next]\nvalue_kb = nan", Some("next")),
-        ("negative team", "gpus = 8.0", "gpus = -8.0", Some("teams")),
+        ("cancel_s too close to lease_s", "cancel_s = 50.0", "cancel_s = 33.0", Some("cancel_s")),
+        ("lease is NaN", "lease_s = 30", "lease_s = nan", Some("lease_s")),
+        ("invalid address", "cloud = \"127.0.0.1:1\"", "cloud = \"here\"", Some("cloud")),
+        ("valid next limits", "txn_ops = 24", "txn_ops = 24\n[cluster.state.next]\nvalue_kb = 2", None),
+        ("next limit of no writes", "txn_ops = 24", "txn_ops = 24\n[cluster.state.next]\ntxn_ops = 0", Some("next")),
+        ("next value size is NaN", "txn_ops = 24", "txn_ops = 24\n[cluster.state.next]\nvalue_kb = nan", Some("next")),
+        ("negative team quota", "gpus = 8.0", "gpus = -8.0", Some("teams")),
     ];
-    for (name, from, to, want) in cases {
+    for (name, from, to, expected) in cases {
         let text = if from.is_empty() { SAMPLE.to_owned() } else { SAMPLE.replacen(from, to, 1) };
-        match (Settings::parse(&text, "x.toml"), want) {
+        match (Settings::parse(&text, "x.toml"), expected) {
             (Ok(_), None) => {}
-            (Err(e), Some(field)) => {
-                let line = e.to_string();
+            (Err(error), Some(field)) => {
+                let line = error.to_string();
                 assert!(line.contains(field) && !line.contains('\n'), "{name}: {line}");
             }
-            (got, want) => panic!("{name}: {:?}, wanted {want:?}", got.err()),
+            (got, expected) => panic!("{name}: {:?}, expected {expected:?}", got.err()),
         }
     }
 }
 
-/// Guard: a kind of objective that a later platform adds must not keep the
-/// controller from starting.
+/// If an unknown kind of objective, which a later platform may add, were an error,
+/// the controller could not start.
 #[test]
-fn kinds_of_objectives() {
+fn unknown_objective_kind_parses_as_other() {
     let cases = [
         ("wait", ObjectiveKind::Wait),
         ("finished", ObjectiveKind::Finished),
@@ -80,18 +80,18 @@
         ("Wait", ObjectiveKind::Other),
         ("", ObjectiveKind::Other),
     ];
-    for (kind, want) in cases {
+    for (kind, expected) in cases {
         let objective = format!("[[cluster.objectives]]\nkind = \"{kind}\"\n[cluster.workers]");
         let text = SAMPLE.replacen("[cluster.workers]", &objective, 1);
         let settings = Settings::parse(&text, "x.toml").unwrap();
-        assert_eq!(settings.cluster.objectives[0].kind, want, "{kind}");
+        assert_eq!(settings.cluster.objectives[0].kind, expected, "{kind}");
     }
 }
 
 #[test]
-fn the_smaller_of_both_limits() {
+fn the_smaller_of_current_and_next_limits_applies() {
     let rates = |requests, writes| StoreRates { requests, writes };
-    // (next, value, operations, rates later)
+    // (next limits, value in KiB, writes per transaction, lowered rates)
     let cases = [
         ("", 16.0, 24, rates(100.0, 30.0)),
         ("value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 21.0", 2.0, 4, rates(100.0, 21.0)),
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,11 +1,11 @@
-//! The interface with workers: their heartbeats, the answers, and direct commands.
+//! Interface with workers: their heartbeats, the responses, and direct commands.
 
 use serde::{Deserialize, Serialize};
 
 use super::cbor::optional_number;
 use crate::protocol::ids::{Attempt, FencingToken, Incarnation, SequenceNumber};
 
-/// What a worker says of itself and of its tasks.
+/// Heartbeat of a worker, which reports its machine and its tasks.
 #[derive(Debug, Clone, Deserialize, Serialize, PartialEq)]
 pub struct Heartbeat {
     /// Name of the machine. On the wire: `host`.
@@ -23,25 +23,27 @@
     /// Whether it is a spot machine. On the wire: `loaners`.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// Starts at 1 and increases whenever the worker's lease expires.
+    /// Incarnation of the worker; starts at 1 and increases whenever its worker
+    /// lease expires.
     #[serde(rename = "shift")]
     pub incarnation: Incarnation,
-    /// Increases with every heartbeat and answer: of two messages the one with the
-    /// larger incarnation and number is newer.
+    /// Sequence number, which increases with every heartbeat and response: of two
+    /// messages, the one with the larger incarnation and sequence number is newer.
     #[serde(rename = "tick")]
     pub sequence: SequenceNumber,
     /// The highest fencing token that the worker has seen; 0: none.
     #[serde(rename = "baton", default)]
     pub token: FencingToken,
-    /// For a spot machine that is being reclaimed: seconds until it is taken away.
+    /// Seconds until the cloud takes the spot machine away; `None` unless it is being
+    /// reclaimed.
     #[serde(rename = "warningS", default, deserialize_with = "optional_number")]
     pub reclaim_notice_s: Option<f64>,
-    /// Attempts on the machine, also ended ones that are not reaped yet. On the wire: `pieces`.
+    /// Attempts on the machine, including exited ones that are not reaped yet. On the wire: `pieces`.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// The state of one attempt of a task on the worker.
+/// State of one attempt of a task on the worker.
 #[derive(Debug, Clone, Deserialize, Serialize, PartialEq)]
 pub struct TaskStatus {
     /// Name of the task, such as `j-000412/3`. On the wire: `piece`.
@@ -53,15 +55,15 @@
     /// State of the attempt. On the wire: `status`.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why the attempt ended; None while it has not. On the wire: `cause`.
+    /// Reason why the attempt exited; `None` until it has. On the wire: `cause`.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// Whether the attempt saved its state before it ended.
+    /// Whether the attempt saved its state before it exited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// The states of an attempt on a worker.
+/// State of an attempt on a worker.
 #[derive(Debug, Clone, Copy, Deserialize, Serialize, PartialEq, Eq)]
 pub enum TaskState {
     /// Fetching the image.
@@ -73,18 +75,18 @@
     /// Running.
     #[serde(rename = "running")]
     Running,
-    /// Saving its state before it ends. On the wire: `flushing`.
+    /// Saving its state before it exits. On the wire: `flushing`.
     #[serde(rename = "flushing")]
     Saving,
-    /// Over, but not reaped yet. On the wire: `ended`.
+    /// Exited, but not reaped yet. On the wire: `ended`.
     #[serde(rename = "ended")]
     Exited,
-    /// A state that a later version added; the attempt exists, no more is known.
+    /// Any state added by a later version; it only shows that the attempt exists.
     #[serde(other, rename = "other")]
     Other,
 }
 
-/// Why an attempt ended, or was not started.
+/// Reason why an attempt exited or was not started.
 #[derive(Debug, Clone, Copy, Deserialize, Serialize, PartialEq, Eq)]
 pub enum ExitReason {
     /// The task completed.
@@ -96,7 +98,7 @@
     /// Another task of its gang is gone.
     #[serde(rename = "peers")]
     Peers,
-    /// The gang was not complete in time.
+    /// Not all tasks of its gang were started in time.
     #[serde(rename = "alone")]
     Alone,
     /// The task failed.
@@ -111,12 +113,12 @@
     /// Not started: there is no such job or task. On the wire: `no_such`.
     #[serde(rename = "no_such")]
     Unknown,
-    /// A reason that a later version added.
+    /// Any reason added by a later version.
     #[serde(other, rename = "other")]
     Other,
 }
 
-/// What a worker is told to do with one attempt of a task.
+/// Command to a worker about one attempt of a task.
 #[derive(Debug, Clone, Deserialize, Serialize, PartialEq)]
 #[serde(tag = "verb")]
 pub enum WorkerCommand {
@@ -143,7 +145,7 @@
         #[serde(rename = "leewayS")]
         grace_s: f64,
     },
-    /// Forget the attempt, which has ended.
+    /// Remove the attempt, which has exited.
     #[serde(rename = "reap")]
     Reap {
         /// Name of the task. On the wire: `piece`.
@@ -156,7 +158,8 @@
 }
 
 impl WorkerCommand {
-    /// Whether both commands stop the same attempt, whatever the grace period.
+    /// Reports whether both commands stop the same attempt, regardless of the grace
+    /// period.
     pub fn stops_same_attempt(&self, other: &WorkerCommand) -> bool {
         match (self, other) {
             (
@@ -168,18 +171,19 @@
     }
 }
 
-/// The answer to a heartbeat; it renews the worker's lease.
+/// Response to a heartbeat; it renews the worker lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Fencing token that the worker is to hold from now on. On the wire: `baton`.
+    /// Fencing token that the worker must hold from now on. On the wire: `baton`.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// What the worker is to do, in order.
+    /// Commands that the worker must execute in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
 
-/// Commands that the leader sends to a worker without waiting for its heartbeat.
+/// Request with commands that the leader sends to a worker without waiting for its
+/// heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DirectCommandRequest {
     /// Fencing token of the leader. On the wire: `baton`.
@@ -188,20 +192,22 @@
     /// The worker's incarnation that the commands are meant for. On the wire: `shift`.
     #[serde(rename = "shift")]
     pub incarnation: Incarnation,
-    /// What the worker is to do, in order.
+    /// Commands that the worker must execute in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
 
-/// The answer to a heartbeat that this controller doesn't serve: whom to send heartbeats to.
+/// Response to a heartbeat that this controller doesn't serve: the controller to which
+/// heartbeats are to be sent.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Redirect<'a> {
-    /// Label of the leader; None if no leader is known. On the wire: `boss`.
+    /// Label of the leader; `None` if no leader is known. On the wire: `boss`.
     #[serde(rename = "boss", skip_serializing_if = "Option::is_none")]
     pub leader: Option<&'a str>,
 }
 
-/// Splits the name of a task, such as `j-000412/3`, into its job and number.
+/// Splits the name of a task, such as `j-000412/3`, into the job's id and the task's
+/// number; `None` if the name has another form.
 pub fn split_task(name: &str) -> Option<(&str, u32)> {
     let (job, number) = name.rsplit_once('/')?;
     Some((job, number.parse().ok()?))
--- a/src/storage/job_cache/index.rs
+++ b/src/storage/job_cache/index.rs
@@ -1,8 +1,8 @@
-//! Dense indices of jobs.
+//! Dense index of a job.
 
 use crate::protocol::names::index_type;
 
 index_type!(
-    /// Dense index of a job in this process.
+    /// Dense index of a job, valid in this process only.
     JobIndex
 );
--- a/src/storage/job_cache/mod.rs
+++ b/src/storage/job_cache/mod.rs
@@ -1,8 +1,8 @@
-//! Each controller's copy of all jobs' records, kept current by `/changes`.
+//! Local cache of all job records in each controller, kept current by `/changes`.
 //!
-//! Two rules hold whatever the order in which records arrive: a job that was
-//! seen as done or cancelled keeps that status, and a job that needs a cancelled
-//! one is cancelled. `links` derives the latter.
+//! Two rules hold regardless of the order in which records arrive: a job that was
+//! seen as done or cancelled keeps that status, and a job with a cancelled
+//! prerequisite is cancelled. `links` derives the latter.
 
 mod dependencies;
 mod index;
@@ -22,35 +22,36 @@
     store::{Changes, Page},
 };
 
-/// What is known of one job.
+/// Cached state of one job.
 #[derive(Debug, Clone)]
 pub struct JobEntry {
-    /// The id that its user chose.
+    /// Id that the user chose.
     pub id: Rc<str>,
-    /// Status, derived cancellations included.
+    /// Status, including cancellations derived from those of prerequisites.
     pub status: JobStatus,
-    /// Revision of its record.
+    /// Revision of the job's record.
     pub revision: Revision,
-    /// Time of day at acceptance; once it is done, at its end, if that is known.
+    /// Wall-clock time of the job's acceptance, in ms; once it is done, of its
+    /// completion, if that is known.
     pub at_ms: u64,
     /// Tasks per chunk record.
     pub chunk: u32,
     /// Number of tasks.
     pub tasks: u32,
-    /// The validated job; dropped once it is done.
+    /// Specification of the validated job; dropped once the job is done.
     pub spec: Option<Rc<JobSpec>>,
-    /// The record; dropped once the job is over.
+    /// Record of the job; dropped once the job is done or cancelled.
     pub record: Option<Rc<JobRecord>>,
-    /// Tasks that are done, as the leader last said; for display.
+    /// Number of done tasks that the leader last reported; for display only.
     pub done: u32,
-    /// Tasks that run, as the leader last said; for display.
+    /// Number of running tasks that the leader last reported; for display only.
     pub running: u32,
     dependencies: Option<Box<Dependencies>>,
     is_listed_as_changed: bool,
 }
 
 impl JobEntry {
-    /// A job of which only the record's constants are known.
+    /// Creates an entry from only the constant parts of the job's record.
     fn new(id: Rc<str>, record: &JobRecord) -> JobEntry {
         JobEntry {
             id,
@@ -76,49 +77,50 @@
     index: HashMap<Rc<str>, JobIndex>,
     store_revision: Revision,
     loaded: bool,
-    /// Jobs whose record changed since they were last taken.
+    /// Jobs that changed since the last call of `take_changed`.
     changed: Vec<JobIndex>,
-    /// Prerequisites whose record was not seen yet, and the jobs that name them.
+    /// Jobs by the id of a prerequisite whose record was not seen yet.
     unseen_prereqs: HashMap<Rc<str>, Vec<JobIndex>>,
 }
 
 impl JobCache {
-    /// Whether all records were read, so that an unknown id means something.
+    /// Reports whether all records were read. Until then, an unknown id does not mean
+    /// that there is no such job.
     pub fn is_loaded(&self) -> bool {
         self.loaded
     }
 
-    /// The revision from which changes have to be read.
+    /// Returns the revision from which changes have to be read.
     pub fn store_revision(&self) -> Revision {
         self.store_revision
     }
 
-    /// Looks a job up by its id.
+    /// Returns the index of the job with this id, if it is known.
     pub fn find(&self, id: &str) -> Option<JobIndex> {
         self.index.get(id).copied()
     }
 
-    /// The entry of a known job.
+    /// Returns the entry of a known job.
     pub fn get(&self, index: JobIndex) -> &JobEntry {
         &self.jobs[index.as_usize()]
     }
 
-    /// Number of known jobs.
+    /// Returns the number of known jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether no job is known.
+    /// Reports whether no job is known.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// All known jobs.
+    /// Returns the indices of all known jobs.
     pub fn all(&self) -> impl Iterator<Item = JobIndex> {
         (0..self.jobs.len() as u32).map(JobIndex)
     }
 
-    /// Jobs that changed since the last call, each once.
+    /// Returns the jobs that changed since the last call, each once.
     pub fn take_changed(&mut self) -> Vec<JobIndex> {
         let changed = std::mem::take(&mut self.changed);
         for index in &changed {
@@ -127,7 +129,7 @@
         changed
     }
 
-    /// Whether the job is a service, as far as its specification is known.
+    /// Reports whether the job is a service; false if its specification isn't known.
     pub fn is_service(&self, index: JobIndex) -> bool {
         self.get(index).spec.as_ref().is_some_and(|spec| spec.kind == JobKind::Service)
     }
@@ -136,14 +138,14 @@
         self.get(index).status == JobStatus::Pending
     }
 
-    fn note_changed(&mut self, index: JobIndex) {
+    fn mark_changed(&mut self, index: JobIndex) {
         let entry = &mut self.jobs[index.as_usize()];
         if !std::mem::replace(&mut entry.is_listed_as_changed, true) {
             self.changed.push(index);
         }
     }
 
-    /// Takes the leader's task counts, for display.
+    /// Sets the task counts that the leader reported, for display only.
     pub fn set_progress(&mut self, id: &str, done: u32, running: u32) {
         if let Some(index) = self.find(id) {
             let entry = &mut self.jobs[index.as_usize()];
@@ -152,9 +154,9 @@
         }
     }
 
-    /// Takes one page of the first read. Changes are watched from the first
-    /// page's revision on: what later pages show besides is applied twice,
-    /// which does no harm.
+    /// Applies one page of the initial listing. Changes are watched from the first
+    /// page's revision on, so changes that later pages already contain are applied
+    /// twice, which does no harm.
     pub fn apply_page(&mut self, page: &Page, first: bool, interners: &mut Interners) {
         if first {
             self.store_revision = page.store_revision;
@@ -167,19 +169,19 @@
         }
     }
 
-    /// Takes the answer to a read of changes.
+    /// Applies the response to a read of changes.
     pub fn apply_changes(&mut self, changes: &Changes, interners: &mut Interners) {
         for change in &changes.events {
             if let (Some(key), Some(value)) = (&change.write, &change.value) {
                 self.apply_record(key, value, change.revision, interners);
             }
         }
-        // Two reads may be in flight; the older answer must not lower the revision.
+        // Two reads may be in flight; the older response must not lower the revision.
         self.store_revision = self.store_revision.max(changes.store_revision);
     }
 
-    /// Another controller told a user that a job is cancelled: its record has
-    /// this revision, whether it was read here yet or not.
+    /// Applies a cancellation that another controller confirmed to a user: the job's
+    /// record has this revision, whether it was read here yet or not.
     pub fn apply_peer_cancellation(&mut self, id: &str, revision: Revision, interners: &mut Interners) {
         let Some(entry) = self.find(id).map(|index| &self.jobs[index.as_usize()]) else { return };
         let Some(record) = entry.record.clone().filter(|_| entry.status == JobStatus::Pending) else { return };
@@ -187,12 +189,15 @@
         self.apply_record(&job_key(id), &to_value(&record), revision, interners);
     }
 
-    /// The changes asked for are no longer kept: everything must be read again.
+    /// Marks the cache as not loaded, because the requested changes are no longer kept
+    /// and all records must be read again.
     pub fn require_reload(&mut self) {
         self.loaded = false;
     }
 
-    /// Takes one record; keys that are no job's and older revisions are ignored.
+    /// Applies one record and returns the job's index. Keys of other records than
+    /// jobs, records that can't be decoded and revisions that are not newer than the
+    /// known one are ignored.
     pub fn apply_record(
         &mut self,
         key: &str,
@@ -216,7 +221,7 @@
         let was_pending = self.is_pending(index);
         let prereqs = if known.is_none() { record.submission.prereqs().to_vec() } else { Vec::new() };
         self.update(index, record, revision, interners);
-        self.note_changed(index);
+        self.mark_changed(index);
         if known.is_none() {
             self.link(index, prereqs);
         }
@@ -240,8 +245,9 @@
 
     fn update(&mut self, index: JobIndex, record: JobRecord, revision: Revision, interners: &mut Interners) {
         let entry = &mut self.jobs[index.as_usize()];
-        // Guard: done and cancelled are final, so no later record turns them
-        // back; nor does a pending record of a job that needs a cancelled one.
+        // Done and cancelled are final: a record that arrives later must not make the
+        // job pending again, nor may the pending record of a job with a cancelled
+        // prerequisite.
         if entry.status == JobStatus::Pending {
             entry.status = record.status;
         }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,5 +1,5 @@
-//! The records in the key-value store, a local cache of the jobs' records, the
-//! read barrier in front of it, and the rate limits of the outside services.
+//! Records in the key-value store, a local cache of the job records, the read
+//! barrier in front of it, and rate limits for the external services.
 
 pub mod job_cache;
 pub mod rate_limit;
--- a/src/storage/rate_limit.rs
+++ b/src/storage/rate_limit.rs
@@ -1,7 +1,7 @@
 //! Client-side rate limits, which keep this controller below the limits of the
-//! outside services.
+//! external services.
 //!
-//! A request that exceeds the rate is refused at once; nothing is queued here.
+//! A request that exceeds the rate is rejected at once; nothing is queued here.
 
 mod allotment;
 mod token_bucket;
--- a/src/storage/rate_limit/token_bucket.rs
+++ b/src/storage/rate_limit/token_bucket.rs
@@ -1,24 +1,25 @@
-//! A token bucket in which less urgent work leaves tokens to more urgent work.
+//! Token bucket in which less urgent requests leave tokens for more urgent ones.
 
-/// Share of the burst that placements must leave to more urgent work.
+/// Share of the burst that placements must leave for more urgent requests.
 const COMMIT_FLOOR: f64 = 0.1;
-/// Share of the burst that submissions must leave to more urgent work.
+/// Share of the burst that submissions must leave for more urgent requests.
 const SUBMIT_FLOOR: f64 = 0.2;
 /// Share of the burst that submissions of teams without a guarantee must leave
-/// to those of teams that have one.
+/// for those of teams that have one.
 const BEST_EFFORT_SUBMIT_FLOOR: f64 = 0.3;
-/// Shortest time, in ms, over which use is measured.
-const USE_INTERVAL_MS: u64 = 100;
-/// Weight of the newest measurement of use in the moving average.
-const USE_SMOOTHING: f64 = 0.4;
+/// Minimum time, in ms, over which usage is measured.
+const MIN_USAGE_INTERVAL_MS: u64 = 100;
+/// Weight of the newest measurement of usage in the moving average.
+const USAGE_SMOOTHING: f64 = 0.4;
 const MS_PER_S: f64 = 1000.0;
 
-/// More urgent work may use the part of the budget that less urgent work must leave.
+/// Urgency of a request. More urgent requests may use the part of the burst that less
+/// urgent ones must leave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Urgency {
-    /// Leases: never refused; the debt delays all other work.
+    /// Leases: never rejected; the resulting debt delays all other requests.
     Lease,
-    /// Cancellations and ends of jobs.
+    /// Cancellations and completions of jobs.
     Cancel,
     /// Placements.
     Commit,
@@ -29,7 +30,7 @@
 }
 
 impl Urgency {
-    /// Share of the burst that must be left after taking.
+    /// Returns the share of the burst that a request must leave.
     fn floor(self) -> f64 {
         match self {
             Urgency::Lease => f64::NEG_INFINITY,
@@ -41,52 +42,53 @@
     }
 }
 
-/// There are too few tokens.
+/// Error of a request for which there are too few tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("over the rate limit; try again in {retry_after_ms} ms")]
+#[error("rate limit exceeded; retry in {retry_after_ms} ms")]
 pub struct RateLimited {
-    /// When the tokens will be there if nothing else takes them, in ms from now.
+    /// Time, in ms from now, after which there are enough tokens if no other request
+    /// takes them.
     pub retry_after_ms: u64,
 }
 
-/// A token bucket. Times are in ms on the steady clock.
+/// Token bucket. Times are in ms on the monotonic clock.
 #[derive(Debug, Clone)]
 pub struct RateLimiter {
     /// Tokens per second.
     rate: f64,
-    /// Most tokens that the bucket holds.
+    /// Maximum number of tokens in the bucket.
     burst: f64,
-    /// Tokens now; negative after urgent work took more than there were.
+    /// Current number of tokens; negative after a request took more than there were.
     level: f64,
-    /// When `level` was last brought up to date, in ms.
-    filled_at: u64,
-    /// Tokens taken since `spent_since`.
+    /// Time of the last update of `level`, in ms.
+    filled_at_ms: u64,
+    /// Number of tokens taken since `spent_since_ms`.
     spent: f64,
-    /// Start of the measurement, in ms.
-    spent_since: u64,
+    /// Start of the current measurement of usage, in ms.
+    spent_since_ms: u64,
     /// Moving average of tokens taken per second.
     used: f64,
 }
 
 impl RateLimiter {
-    /// A full bucket: `rate` tokens per second, at most `burst` at once.
+    /// Creates a full bucket: `rate` tokens per second, at most `burst` at once.
     pub fn new(rate: f64, burst: f64) -> RateLimiter {
-        RateLimiter { rate, burst, level: burst, filled_at: 0, spent: 0.0, spent_since: 0, used: 0.0 }
+        RateLimiter { rate, burst, level: burst, filled_at_ms: 0, spent: 0.0, spent_since_ms: 0, used: 0.0 }
     }
 
-    /// The moving average of what was taken per second, measured up to `now`.
+    /// Returns the moving average of tokens taken per second, measured up to `now`.
     pub fn used(&mut self, now: u64) -> f64 {
-        let elapsed_ms = now.saturating_sub(self.spent_since);
-        if elapsed_ms >= USE_INTERVAL_MS {
-            self.used += (self.spent / elapsed_ms as f64 * MS_PER_S - self.used) * USE_SMOOTHING;
+        let elapsed_ms = now.saturating_sub(self.spent_since_ms);
+        if elapsed_ms >= MIN_USAGE_INTERVAL_MS {
+            self.used += (self.spent / elapsed_ms as f64 * MS_PER_S - self.used) * USAGE_SMOOTHING;
             self.spent = 0.0;
-            self.spent_since = now;
+            self.spent_since_ms = now;
         }
         self.used
     }
 
-    /// Changes the rate (tokens per second) and the burst, for example when others
-    /// use less.
+    /// Changes the rate (tokens per second) and the burst, for example when other
+    /// users of the limit use less.
     pub fn set_limits(&mut self, rate: f64, burst: f64) {
         self.rate = rate;
         self.burst = burst;
@@ -94,16 +96,16 @@
     }
 
     fn fill(&mut self, now: u64) {
-        let elapsed_ms = now.saturating_sub(self.filled_at);
-        self.filled_at = self.filled_at.max(now);
+        let elapsed_ms = now.saturating_sub(self.filled_at_ms);
+        self.filled_at_ms = self.filled_at_ms.max(now);
         self.level = (self.level + self.rate * elapsed_ms as f64 / MS_PER_S).min(self.burst);
     }
 
-    /// Takes `amount` tokens, if work of this urgency may.
+    /// Takes `amount` tokens for a request of this urgency, if there are enough.
     pub fn take(&mut self, now: u64, amount: f64, urgency: Urgency) -> Result<(), RateLimited> {
         self.fill(now);
         let floor = urgency.floor() * self.burst;
-        // An amount larger than the bucket is taken from a full one.
+        // An amount larger than the burst is taken from a full bucket.
         let needed = (amount + floor.max(0.0)).min(self.burst);
         if urgency == Urgency::Lease || self.level >= needed {
             self.level -= amount;
@@ -114,19 +116,19 @@
         Err(RateLimited { retry_after_ms })
     }
 
-    /// Most tokens that the bucket holds.
+    /// Returns the maximum number of tokens in the bucket.
     pub fn burst(&self) -> f64 {
         self.burst
     }
 
-    /// Tokens that work of this urgency may take now.
+    /// Returns the number of tokens that requests of this urgency may take now.
     pub fn available(&mut self, now: u64, urgency: Urgency) -> f64 {
         self.fill(now);
         (self.level - urgency.floor().max(0.0) * self.burst).max(0.0)
     }
 
-    /// The service itself answered 429: its limit is used up by others, so the
-    /// bucket is emptied.
+    /// Records that the service itself responded with 429: others have used up its
+    /// limit, so the bucket is emptied.
     pub fn record_rejection(&mut self, now: u64) {
         self.fill(now);
         self.level = self.level.min(0.0);
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,9 +1,9 @@
-//! Keys and values in the key-value store.
+//! Keys and values of the records in the key-value store.
 //!
 //! | Key | Value |
 //! |---|---|
-//! | `leader` | the current leader, attached to its grant |
-//! | `leader/LABEL` | a controller that may renew workers' leases, attached to a grant of its own |
+//! | `leader` | the current leader, attached to its store lease |
+//! | `leader/LABEL` | a controller that may renew worker leases, attached to a store lease of its own |
 //! | `j/ID` | a job: its submission and status |
 //! | `t/ID/CHUNK` | which of a chunk of the job's tasks are done, and where the others may run |
 
@@ -24,7 +24,7 @@
 /// Status of a job. The last two are final.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
-    /// Accepted, and not over. Recorded as `p`.
+    /// Accepted, and neither done nor cancelled. Recorded as `p`.
     #[serde(rename = "p")]
     Pending,
     /// Cancelled by its user. Recorded as `c`.
@@ -38,13 +38,13 @@
 /// Record of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What the user submitted. Recorded as `s`.
+    /// Submission of the user. Recorded as `s`.
     #[serde(rename = "s")]
     pub submission: Submission,
     /// Status of the job. Recorded as `st`.
     #[serde(rename = "st")]
     pub status: JobStatus,
-    /// Time of day at acceptance, in ms. Recorded as `at`.
+    /// Wall-clock time of acceptance, in ms. Recorded as `at`.
     #[serde(rename = "at")]
     pub at_ms: u64,
     /// Tasks per chunk record.
@@ -52,18 +52,18 @@
     pub chunk: u32,
 }
 
-/// Record of a controller that leads, or may renew leases.
+/// Record of the leader, or of a controller that may renew worker leases.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// Label of the controller. Recorded as `l`.
     #[serde(rename = "l")]
     pub label: String,
-    /// Identifies the start of the process, or its grant.
+    /// Identifies the start of the process, or its store lease.
     #[serde(rename = "n")]
     pub nonce: u64,
 }
 
-/// A record as a value of the key-value store.
+/// Encodes a record as a value of the key-value store.
 pub fn to_value<T: Serialize>(record: &T) -> Value {
     Value::serialized(record).unwrap_or(Value::Null)
 }
--- a/src/storage/records/chunk.rs
+++ b/src/storage/records/chunk.rs
@@ -1,4 +1,4 @@
-//! Records of chunks: which of a job's tasks are done, and where the others may run.
+//! Chunk records: which of a job's tasks are done, and where the others may run.
 
 use std::fmt::Write as _;
 
@@ -6,18 +6,18 @@
 
 use crate::protocol::ids::{Attempt, Incarnation};
 
-/// Where one task may be running; encoded as an array.
+/// Assignment of one task to the machine where it may be running; encoded as an array.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AssignmentRecord(
-    /// Task number.
+    /// Number of the task.
     pub u32,
-    /// Machine.
+    /// Name of the machine.
     pub String,
-    /// The worker's incarnation.
+    /// Incarnation of the worker.
     pub Incarnation,
-    /// Attempt.
+    /// Number of the attempt.
     pub Attempt,
-    /// Zone.
+    /// Name of the zone.
     pub String,
 );
 
@@ -27,29 +27,30 @@
     /// Done tasks as hex digits; the first task is the lowest bit of the first digit.
     #[serde(rename = "d")]
     pub done: String,
-    /// Where the tasks that are not done may run. Recorded as `p`.
+    /// Assignments of tasks that are not done. Recorded as `p`.
     #[serde(rename = "p")]
     pub assignments: Vec<AssignmentRecord>,
-    /// Identifies the writer, which so recognizes its own late write.
+    /// Identifies the writer, so that it recognizes its own delayed write.
     #[serde(rename = "w")]
     pub tag: u64,
 }
 
-/// Bytes of an [`AssignmentRecord`] in JSON form without the zone's name, at
-/// most: fields of 6, 14, 7 and 20 bytes, brackets, quotes, commas and spaces;
-/// and some in reserve.
+/// Maximum size, in bytes, of an [`AssignmentRecord`] in JSON form without the zone's
+/// name: fields of 6, 14, 7 and 20 bytes, brackets, quotes, commas and spaces, plus a
+/// margin.
 const ASSIGNMENT_BYTES: f64 = 63.0;
-/// Bytes of a [`ChunkRecord`] besides its assignments.
+/// Size, in bytes, of a [`ChunkRecord`] without its assignments.
 const CHUNK_OVERHEAD_BYTES: f64 = 64.0;
 /// Tasks per hex digit of [`ChunkRecord::done`].
 const TASKS_PER_DIGIT: usize = 4;
-/// Fewest and most tasks per chunk. A larger chunk would make each write of it
-/// more expensive, and conflicts more likely.
+/// Minimum and maximum number of tasks per chunk. A larger chunk would make each write
+/// of it more expensive, and conflicts more likely.
 const MIN_CHUNK_SIZE: u32 = 4;
 const MAX_CHUNK_SIZE: u32 = 128;
 
-/// Tasks per chunk, so that the record of a full one stays below the limit of a
-/// value. `zone_len` is the length of the longest name of a zone.
+/// Returns the number of tasks per chunk with which the record of a full chunk stays
+/// below the size limit of a value. `zone_len` is the length, in bytes, of the longest
+/// name of a zone.
 pub fn chunk_size(value_kb: f64, zone_len: usize) -> u32 {
     let assignment_bytes = ASSIGNMENT_BYTES + zone_len as f64;
     let fitting = ((value_kb * 1024.0 - CHUNK_OVERHEAD_BYTES) / assignment_bytes).max(0.0) as u32;
@@ -57,7 +58,7 @@
     fitting.clamp(MIN_CHUNK_SIZE, MAX_CHUNK_SIZE) / digit * digit
 }
 
-/// Packs which tasks are done, for [`ChunkRecord::done`].
+/// Encodes which tasks are done as hex digits, for [`ChunkRecord::done`].
 pub fn pack_done(done: impl Iterator<Item = bool>) -> String {
     let mut packed = String::new();
     let mut digit = 0u8;
@@ -76,7 +77,7 @@
     packed
 }
 
-/// Whether a task is done, by its position in the chunk.
+/// Reports whether the task at a position in the chunk is done.
 pub fn is_done(packed: &str, position: usize) -> bool {
     let byte = packed.as_bytes().get(position / TASKS_PER_DIGIT);
     let digit = byte.and_then(|&byte| char::from(byte).to_digit(16));
--- a/src/storage/records/json_size.rs
+++ b/src/storage/records/json_size.rs
@@ -1,19 +1,19 @@
-//! The size of a value as the key-value store counts it.
+//! Size of a value as the key-value store counts it.
 
 use ciborium::Value;
 
-/// Bytes of `null`, `true` or `false`, at most.
+/// Maximum size, in bytes, of `null`, `true` or `false`.
 const JSON_WORD_BYTES: usize = 5;
-/// Bytes of a decimal number, at most.
+/// Maximum size, in bytes, of a floating-point number.
 const JSON_FLOAT_BYTES: usize = 20;
-/// Bytes assumed of a value that JSON has no form for.
+/// Assumed size, in bytes, of a value that has no JSON form.
 const JSON_OTHER_BYTES: usize = 32;
-/// Bytes that escaping adds to a character: `\u0000` instead of one.
+/// Bytes that escaping adds to a character: `\u0000` instead of one byte.
 const JSON_ESCAPE_BYTES: usize = 5;
-/// Brackets, braces or quotes around a value.
+/// Size, in bytes, of the brackets, braces or quotes around a value.
 const JSON_DELIMITER_BYTES: usize = 2;
 
-/// Size, in bytes, of a value in JSON form, rounded up.
+/// Returns the size, in bytes, of a value in JSON form, rounded up.
 pub fn json_size(value: &Value) -> usize {
     match value {
         Value::Null | Value::Bool(_) => JSON_WORD_BYTES,
--- a/src/storage/tests/job_cache.rs
+++ b/src/storage/tests/job_cache.rs
@@ -8,12 +8,12 @@
 }
 
 fn change(status: JobStatus, revision: Revision) -> Changes {
-    let c = Change { write: Some(job_key("j-000412")), drop: None, value: Some(record(status)), revision };
-    Changes { store_revision: revision, events: vec![c] }
+    let change = Change { write: Some(job_key("j-000412")), drop: None, value: Some(record(status)), revision };
+    Changes { store_revision: revision, events: vec![change] }
 }
 
 #[test]
-fn never_back_whatever_the_order() {
+fn final_status_is_kept_in_any_order_of_records() {
     use JobStatus::*;
     // Changes as they arrive, with revisions, and the status after each.
     let cases: [&[(JobStatus, u64, JobStatus)]; 4] = [
@@ -22,26 +22,26 @@
         &[(Done, 4, Done), (Pending, 1, Done), (Pending, 9, Done)],
         &[(Pending, 3, Pending), (Pending, 3, Pending)],
     ];
-    for (n, case) in cases.iter().enumerate() {
-        let mut m = JobCache::default();
-        let mut t = Interners::default();
-        let mut top = 0;
-        for (status, revision, want) in *case {
-            m.apply_changes(&change(*status, Revision(*revision)), &mut t);
-            top = top.max(*revision);
-            let index = m.find("j-000412").expect("known");
-            assert_eq!(m.get(index).status, *want, "case {n}");
-            assert_eq!(m.store_revision(), Revision(top), "case {n}");
+    for (number, case) in cases.iter().enumerate() {
+        let mut job_cache = JobCache::default();
+        let mut interners = Interners::default();
+        let mut highest = 0;
+        for (status, revision, expected) in *case {
+            job_cache.apply_changes(&change(*status, Revision(*revision)), &mut interners);
+            highest = highest.max(*revision);
+            let index = job_cache.find("j-000412").expect("known job");
+            assert_eq!(job_cache.get(index).status, *expected, "case {number}");
+            assert_eq!(job_cache.store_revision(), Revision(highest), "case {number}");
         }
     }
 }
 
-/// Guard: a peer's word of a cancellation counts at once, and neither it nor
-/// the record it speaks of turns anything back, in whatever order they come.
+/// A cancellation that a peer confirmed takes effect at once. Neither it nor the
+/// record that it refers to may revert a final status, in whatever order they arrive.
 #[test]
-fn a_peers_word_of_a_cancellation() {
+fn peer_cancellation_takes_effect_at_once_and_reverts_no_final_status() {
     use JobStatus::*;
-    // (record known before, told revision, record read after, status at the end)
+    // (record known before, revision from the peer, record read after, status at the end)
     let cases = [
         (Some((Pending, 3)), 7, None, Some(Cancelled)),
         (Some((Pending, 3)), 7, Some((Cancelled, 7)), Some(Cancelled)),
@@ -50,26 +50,26 @@
         (None, 7, Some((Cancelled, 7)), Some(Cancelled)),
         (None, 7, None, None),
     ];
-    for (n, (before, told_stamp, after, want)) in cases.into_iter().enumerate() {
-        let (mut m, mut t) = (JobCache::default(), Interners::default());
-        let read = |m: &mut JobCache, t: &mut Interners, r: Option<(JobStatus, u64)>| {
-            if let Some((status, revision)) = r {
-                m.apply_changes(&change(status, Revision(revision)), t);
+    for (number, (before, peer_revision, after, expected)) in cases.into_iter().enumerate() {
+        let (mut job_cache, mut interners) = (JobCache::default(), Interners::default());
+        let read = |job_cache: &mut JobCache, interners: &mut Interners, record: Option<(JobStatus, u64)>| {
+            if let Some((status, revision)) = record {
+                job_cache.apply_changes(&change(status, Revision(revision)), interners);
             }
         };
-        read(&mut m, &mut t, before);
-        m.take_changed();
-        m.apply_peer_cancellation("j-000412", Revision(told_stamp), &mut t);
-        let first = matches!(before, Some((Pending, _)));
-        assert_eq!(m.take_changed().len(), usize::from(first), "case {n}: the leader is told once");
-        read(&mut m, &mut t, after);
-        assert_eq!(m.find("j-000412").map(|index| m.get(index).status), want, "case {n}");
+        read(&mut job_cache, &mut interners, before);
+        job_cache.take_changed();
+        job_cache.apply_peer_cancellation("j-000412", Revision(peer_revision), &mut interners);
+        let is_new = matches!(before, Some((Pending, _)));
+        assert_eq!(job_cache.take_changed().len(), usize::from(is_new), "case {number}: the leader is notified once");
+        read(&mut job_cache, &mut interners, after);
+        assert_eq!(job_cache.find("j-000412").map(|index| job_cache.get(index).status), expected, "case {number}");
     }
 }
 
 #[test]
-fn a_record_that_cannot_be_read_is_left_out() {
-    let mut m = JobCache::default();
-    assert_eq!(m.apply_record("j/j-1", &Value::Text("?".into()), Revision(3), &mut Interners::default()), None);
-    assert!(m.is_empty());
+fn undecodable_record_is_ignored() {
+    let mut job_cache = JobCache::default();
+    assert_eq!(job_cache.apply_record("j/j-1", &Value::Text("?".into()), Revision(3), &mut Interners::default()), None);
+    assert!(job_cache.is_empty());
 }
--- a/src/storage/tests/rate_limit.rs
+++ b/src/storage/tests/rate_limit.rs
@@ -1,8 +1,8 @@
 use super::{allotted_rate, LimitUser, RateLimited, RateLimiter, Urgency};
 
 #[test]
-fn budget_table() {
-    // (at ms, amount, urgency, allowed)
+fn less_urgent_requests_leave_tokens_for_more_urgent_ones() {
+    // (time in ms, amount, urgency, whether it is allowed)
     let cases = [
         (0, 8.0, Urgency::Submit, true),
         (0, 1.0, Urgency::Submit, false), // 2 left, Submit must leave 2
@@ -13,42 +13,45 @@
         (0, 1.0, Urgency::Lease, true), // into debt
         (100, 1.0, Urgency::Cancel, false),
         (200, 1.0, Urgency::Cancel, true),
-        (100_000, 50.0, Urgency::Commit, true), // more than the bucket: from a full one
+        (100_000, 50.0, Urgency::Commit, true), // more than the burst: from a full bucket
         (100_000, 1.0, Urgency::Cancel, false),
     ];
     let mut bucket = RateLimiter::new(10.0, 10.0);
-    for (number, (at, amount, urgency, want)) in cases.into_iter().enumerate() {
-        assert_eq!(bucket.take(at, amount, urgency).is_ok(), want, "case {number}");
+    for (number, (at, amount, urgency, expected)) in cases.into_iter().enumerate() {
+        assert_eq!(bucket.take(at, amount, urgency).is_ok(), expected, "case {number}");
     }
-    // Guard: a flood of submissions of a team without a guarantee had those of
-    // the other teams refused.
+    // Without a reserve for the other teams, a flood of submissions of a team without a
+    // guarantee caused theirs to be rejected.
     let mut bucket = RateLimiter::new(10.0, 10.0);
     let taken = (0..20).filter(|_| bucket.take(0, 1.0, Urgency::BestEffortSubmit).is_ok()).count();
     assert_eq!(taken, 7);
-    assert!((0..1).all(|_| bucket.take(0, 1.0, Urgency::Submit).is_ok()), "the rest is left to the others");
+    assert!(
+        (0..1).all(|_| bucket.take(0, 1.0, Urgency::Submit).is_ok()),
+        "the rest is left for teams with a guarantee"
+    );
     let mut bucket = RateLimiter::new(10.0, 10.0);
     bucket.record_rejection(0);
     assert_eq!(bucket.take(0, 1.0, Urgency::Cancel), Err(RateLimited { retry_after_ms: 100 }));
 }
 
-/// Guard: fixed shares left half of the limit unused while submissions were
-/// refused; whoever is silent keeps its part.
+/// With fixed shares, half of the limit was unused while submissions were rejected.
+/// A controller from which no frame was received recently keeps its share.
 #[test]
-fn shares_follow_need() {
-    let (idle, silent) = (Some(0.0), None);
+fn allotted_rate_follows_the_usage_of_others() {
+    let (idle, unreachable) = (Some(0.0), None);
     let (leader, users) = (LimitUser::Leader, LimitUser::Users(5));
-    // (part, others, at least, at most), of a limit of 100
+    // (user, usage of the others, min rate, max rate), of a limit of 100
     let cases: [(LimitUser, &[Option<f64>], f64, f64); 6] = [
         (leader, &[idle; 4], 90.0, 95.0),
-        (leader, &[silent; 4], 70.0, 72.0),
+        (leader, &[unreachable; 4], 70.0, 72.0),
         (leader, &[Some(30.0); 4], 50.0, 50.0),
         (users, &[Some(60.0), idle, idle, idle], 30.0, 35.0),
         (users, &[Some(95.0), idle, idle, idle], 6.0, 6.0),
         (LimitUser::Users(1), &[], 90.0, 95.0),
     ];
-    for (part, others, least, most) in cases {
-        let got = allotted_rate(100.0, part, others);
-        assert!((least..=most).contains(&got), "{part:?} {others:?}: {got}");
+    for (user, others, min, max) in cases {
+        let rate = allotted_rate(100.0, user, others);
+        assert!((min..=max).contains(&rate), "{user:?}, others {others:?}: {rate}");
     }
     let mut bucket = RateLimiter::new(100.0, 100.0);
     for ms in 0..50 {
--- a/src/storage/tests/versions.rs
+++ b/src/storage/tests/versions.rs
@@ -10,35 +10,37 @@
 };
 
 #[test]
-fn evidence_table() {
-    let new = || to_value(&VersionRecord { version: VERSION, nonce: 7 });
-    let old = || to_value(&VersionRecord { version: 1, nonce: 7 });
-    // Pages as they are read, and whether all are known to be new after the last.
+fn evidence_is_complete_only_if_every_controller_has_a_current_key() {
+    let current = || to_value(&VersionRecord { version: VERSION, nonce: 7 });
+    let older = || to_value(&VersionRecord { version: 1, nonce: 7 });
+    // (listings in the order of the reads, whether all controllers are known to run
+    // this version after the last one)
     type Keys = Vec<(&'static str, Value)>;
     let cases: Vec<(Vec<Keys>, bool)> = vec![
         (vec![], false),
         (vec![vec![]], false),
-        (vec![vec![("version/a", new())]], false),
-        (vec![vec![("version/a", new()), ("version/b", new())]], true),
-        (vec![vec![("version/a", new())], vec![("version/a", new()), ("version/b", new())]], true),
+        (vec![vec![("version/a", current())]], false),
+        (vec![vec![("version/a", current()), ("version/b", current())]], true),
+        (vec![vec![("version/a", current())], vec![("version/a", current()), ("version/b", current())]], true),
         // A key was removed: a controller is being rolled back.
-        (vec![vec![("version/a", new()), ("version/b", new())], vec![("version/b", new())]], false),
-        (vec![vec![("version/a", new()), ("version/b", old())]], false),
-        (vec![vec![("version/a", new()), ("version/b", Value::Null)]], false),
-        (vec![vec![("version/a", new()), ("version/c", new())]], false),
-        (vec![vec![("version/a", new()), ("leader/b", new())]], false),
-        (vec![vec![("version/a", new()), ("version/b/x", new())]], false),
+        (vec![vec![("version/a", current()), ("version/b", current())], vec![("version/b", current())]], false),
+        (vec![vec![("version/a", current()), ("version/b", older())]], false),
+        (vec![vec![("version/a", current()), ("version/b", Value::Null)]], false),
+        (vec![vec![("version/a", current()), ("version/c", current())]], false),
+        (vec![vec![("version/a", current()), ("leader/b", current())]], false),
+        (vec![vec![("version/a", current()), ("version/b/x", current())]], false),
     ];
-    for (number, (pages, want)) in cases.into_iter().enumerate() {
+    for (number, (pages, expected)) in cases.into_iter().enumerate() {
         let mut evidence = VersionEvidence::new(["a", "b"].into_iter());
         for keys in pages {
-            let pair = |(k, v): (&str, Value)| KeyValue { key: k.into(), value: v, revision: Revision(3), grant: None };
+            let pair =
+                |(key, value): (&str, Value)| KeyValue { key: key.into(), value, revision: Revision(3), grant: None };
             evidence.record_listing(&Page {
                 pairs: keys.into_iter().map(pair).collect(),
                 truncated: false,
                 store_revision: Revision(9),
             });
         }
-        assert_eq!(evidence.is_complete(), want, "case {number}");
+        assert_eq!(evidence.is_complete(), expected, "case {number}");
     }
 }
--- a/src/storage/versions.rs
+++ b/src/storage/versions.rs
@@ -1,9 +1,9 @@
-//! Which controllers run this version: a feature that older versions can't handle
-//! is used only once all of them do.
+//! Evidence that all controllers run this version: a feature that older versions
+//! can't handle is used only once all of them do.
 //!
 //! A controller of this version writes the key `version/LABEL`, attached to no
-//! grant, when it starts. Older versions write no such key. It is removed only by
-//! an operator who rolls a controller back.
+//! store lease, when it starts. Older versions write no such key. It is removed only
+//! by an operator who rolls a controller back.
 
 use std::collections::BTreeSet;
 
@@ -11,23 +11,23 @@
 
 use crate::protocol::store::Page;
 
-/// Prefix of the version keys.
+/// Prefix of the keys of version records.
 pub const VERSION_KEY_PREFIX: &str = "version/";
-/// This version. 2 is the first with job dependencies; older ones write no key.
+/// This version. 2 is the first version with job dependencies; older ones write no key.
 pub const VERSION: u64 = 2;
 
-/// The version key of a controller.
+/// Returns the key of a controller's version record.
 pub fn version_key(label: &str) -> String {
     format!("{VERSION_KEY_PREFIX}{label}")
 }
 
-/// Value of a version key.
+/// Record of the version that a controller runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
     /// Version that the controller runs. Recorded as `v`.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Identifies the start of the process that wrote it.
+    /// Identifies the start of the process that wrote the record.
     #[serde(rename = "n")]
     pub nonce: u64,
 }
@@ -38,21 +38,21 @@
 pub struct VersionEvidence {
     /// Labels of all controllers.
     labels: BTreeSet<String>,
-    /// Labels of those not known to run this version.
+    /// Labels of the controllers not known to run this version.
     missing: BTreeSet<String>,
 }
 
 impl VersionEvidence {
-    /// No evidence yet about the controllers with these labels.
+    /// Creates a tracker without evidence about the controllers with these labels.
     pub fn new<'a>(labels: impl Iterator<Item = &'a str>) -> VersionEvidence {
         let labels: BTreeSet<String> = labels.map(str::to_owned).collect();
         VersionEvidence { missing: labels.clone(), labels }
     }
 
-    /// Takes a complete listing of the version keys.
+    /// Records a complete listing of the version keys.
     ///
-    /// Guard: a controller that can't be reached might run an older version, so
-    /// only keys that were read count as evidence.
+    /// Only keys that were read are evidence: a controller that is unreachable might
+    /// run an older version, which can't handle the new feature.
     pub fn record_listing(&mut self, page: &Page) {
         self.missing = self.labels.clone();
         for pair in &page.pairs {
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Whether all controllers are known to run this version.
+    /// Reports whether all controllers are known to run this version.
     pub fn is_complete(&self) -> bool {
         self.missing.is_empty()
     }
 
-    /// Number of controllers not known to run this version.
+    /// Returns the number of controllers not known to run this version.
     pub fn missing_count(&self) -> usize {
         self.missing.len()
     }
