--- a/src/controller/instance/mod.rs
+++ b/src/controller/instance/mod.rs
@@ -187,7 +187,7 @@
     /// that no connection is lost. A controller becomes unready if the store fails only for
     /// it, or if none of its peers is reachable.
     fn is_ready(&self, now: Millis) -> bool {
-        if !self.jobs.cache().loaded() || self.machine_types.is_empty() {
+        if !self.jobs.cache().is_loaded() || self.machine_types.is_empty() {
             return false;
         }
         let Some(failing_since) = self.store_health.failing_since() else { return true };
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -57,7 +57,7 @@
     /// loaded, after that for a watch of their changes. `read_validity_ms` is the time, in
     /// ms, for which a read allows worker leases to be renewed.
     pub fn refresh(&mut self, net: &mut Net, now: Millis, client: &mut ServiceClient, read_validity_ms: Millis) {
-        if self.cache.loaded() {
+        if self.cache.is_loaded() {
             self.send_watch(net, now, client, read_validity_ms);
         } else {
             self.load_page(net, now, client);
@@ -124,12 +124,12 @@
         // While all records are loaded again, the changes since the first page don't
         // include the contents of the later pages, so the cache would seem complete
         // without them.
-        if !self.cache.loaded() {
+        if !self.cache.is_loaded() {
             return false;
         }
         let Some(changes) = body::<Changes>(result) else {
             if status(result) == GONE {
-                self.cache.reload();
+                self.cache.require_reload();
                 self.next_page_from = None;
             }
             return false;
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -27,7 +27,7 @@
         leader::Leader,
         model::{MachineTypeSpec, Millis, Term},
     },
-    protocol::{names::Interners, peers::Count, workers::Heartbeat},
+    protocol::{names::Interners, peers::TaskCounts, workers::Heartbeat},
 };
 
 /// Minimum pause, in ms, between two scheduling cycles.
@@ -179,7 +179,7 @@
 
     /// Removes and returns the task counts of up to `max` recently changed jobs, to be
     /// sent to peers.
-    pub fn take_progress(&mut self, max: usize) -> Vec<Count> {
+    pub fn take_progress(&mut self, max: usize) -> Vec<TaskCounts> {
         self.leader.as_mut().map_or_else(Vec::new, |leader| leader.take_progress(max))
     }
 
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -14,7 +14,7 @@
         model::Millis,
     },
     protocol::{
-        peers::{self as frames, Cancelled, Count, Echo, Frame, Gossip, Notice},
+        peers::{self as frames, Cancelled, ClockEcho, Frame, Gossip, Notice, TaskCounts},
         settings::PeerSettings,
     },
     transport::Net,
@@ -47,7 +47,7 @@
     /// Time since this controller last renewed a worker lease without leading, in ms.
     pub since_leaderless_renewal_ms: Millis,
     /// From the leader: task counts of jobs that changed recently.
-    pub counts: Vec<Count>,
+    pub counts: Vec<TaskCounts>,
 }
 
 /// The state of all other controllers.
@@ -91,7 +91,7 @@
 
     /// Applies a peer's gossip. Returns the task counts that it reports; none if the
     /// frame is late or its sender is not a peer.
-    pub fn receive_gossip(&mut self, now: Millis, gossip: Gossip) -> Vec<Count> {
+    pub fn receive_gossip(&mut self, now: Millis, gossip: Gossip) -> Vec<TaskCounts> {
         let Some(index) = self.peers.iter().position(|peer| peer.label == gossip.from) else { return Vec::new() };
         if !self.peers[index].update(now, &gossip) {
             return Vec::new();
@@ -140,7 +140,7 @@
 
     /// Returns an echo of the last clock of each peer, and the marker of the frame types
     /// that this version reads.
-    fn echoes(&self) -> Vec<Echo> {
+    fn echoes(&self) -> Vec<ClockEcho> {
         self.peers.iter().filter_map(Peer::echo).chain([Gossip::supported_frames_marker()]).collect()
     }
 
--- a/src/controller/peers/peer.rs
+++ b/src/controller/peers/peer.rs
@@ -4,7 +4,7 @@
     controller::{identity::Identity, service_client::Usage},
     coordination::{lease_renewal::PeerContact, model::Millis},
     protocol::{
-        peers::{Echo, FrameOrder, Gossip},
+        peers::{ClockEcho, FrameOrder, Gossip},
         settings::PeerSettings,
     },
 };
@@ -94,9 +94,9 @@
 
     /// Returns an echo of the last clock that was received from the peer, to be sent
     /// back to it.
-    pub(super) fn echo(&self) -> Option<Echo> {
+    pub(super) fn echo(&self) -> Option<ClockEcho> {
         let clock = self.clock.as_ref()?;
-        Some(Echo { of: self.label.clone(), nonce: clock.nonce, clock_ms: clock.clock_ms })
+        Some(ClockEcho { peer_label: self.label.clone(), nonce: clock.nonce, clock_ms: clock.clock_ms })
     }
 
     /// Returns the contact with the peer, as input to the decision whether leases may be
@@ -122,7 +122,7 @@
     /// frame arrived. It ends at the reading of this controller's clock that the peer had
     /// received when it sent the frame.
     pub(super) fn from_gossip(gossip: &Gossip, identity: &Identity, now: Millis) -> Option<InactiveSpan> {
-        let is_own = |echo: &&Echo| echo.of == identity.label && echo.nonce == identity.nonce;
+        let is_own = |echo: &&ClockEcho| echo.peer_label == identity.label && echo.nonce == identity.nonce;
         let echo = gossip.echoes.iter().find(is_own)?;
         let inactive_ms = (gossip.since_leaderless_renewal_ms.min(MAX_INACTIVE_MS) as f64 * CLOCK_RATE_MARGIN) as i64;
         Some(InactiveSpan { from: now as i64 - inactive_ms, to: echo.clock_ms.min(now) as i64 })
--- a/src/controller/tests/instance.rs
+++ b/src/controller/tests/instance.rs
@@ -176,6 +176,6 @@
     // The revision is too old to read changes from: all records are read again, and until
     // that is complete no read of changes is valid.
     controller.jobs.cache_mut().apply_page(&page(false), true, &mut controller.names);
-    assert!(!controller.apply_job_changes(NOW, &changes(410)) && !controller.jobs.cache().loaded());
+    assert!(!controller.apply_job_changes(NOW, &changes(410)) && !controller.jobs.cache().is_loaded());
     assert!(!controller.apply_job_changes(NOW, &changes(200)) && !controller.renewal_key.may_renew(NOW + 10));
 }
--- a/src/controller/tests/job_watch.rs
+++ b/src/controller/tests/job_watch.rs
@@ -30,17 +30,17 @@
     assert_eq!(refresh(&mut jobs, 0).as_deref(), Some("Jobs(Page { is_first: true })"));
     assert_eq!(refresh(&mut jobs, 0), None, "a second request while one is in flight");
     jobs.page_received(10, true, &successful_reply(&page(Some("jobs/j-1"), true)), &mut names);
-    assert!(!jobs.cache().loaded());
+    assert!(!jobs.cache().is_loaded());
     assert_eq!(jobs.next_page_from.as_deref(), Some("jobs/j-1"));
     assert_eq!(refresh(&mut jobs, 10).as_deref(), Some("Jobs(Page { is_first: false })"));
     jobs.page_received(20, false, &reply_with_status(503), &mut names);
     assert_eq!(refresh(&mut jobs, 20 + RETRY_MS - 1), None, "a request before the retry pause is over");
     assert_eq!(refresh(&mut jobs, 20 + RETRY_MS).as_deref(), Some("Jobs(Page { is_first: false })"));
     jobs.page_received(300, false, &successful_reply(&page(None, false)), &mut names);
-    assert!(jobs.cache().loaded());
+    assert!(jobs.cache().is_loaded());
 
     assert_eq!(refresh(&mut jobs, 300).as_deref(), Some("Jobs(Watch { sent: 300 })"));
-    assert!(!jobs.apply_changes(&reply_with_status(GONE), &mut names) && !jobs.cache().loaded());
+    assert!(!jobs.apply_changes(&reply_with_status(GONE), &mut names) && !jobs.cache().is_loaded());
     jobs.watch_ended(400, false, Role::Follower);
     assert_eq!(refresh(&mut jobs, 400).as_deref(), Some("Jobs(Page { is_first: true })"));
 }
--- a/src/controller/users/barrier.rs
+++ b/src/controller/users/barrier.rs
@@ -51,7 +51,7 @@
     }
 
     fn reject_expired(&mut self, context: &mut UserContext, now: Millis) {
-        let expired = self.read_barrier.take_overdue(now, MAX_BARRIER_WAIT_MS);
+        let expired = self.read_barrier.take_expired(now, MAX_BARRIER_WAIT_MS);
         self.respond_unavailable_to_all(context, expired);
     }
 
--- a/src/controller/users/context.rs
+++ b/src/controller/users/context.rs
@@ -5,7 +5,7 @@
     coordination::model::MachineTypeSpec,
     protocol::{
         cbor,
-        jobs::{JobAnswer, PollAnswer},
+        jobs::{JobResponse, PollResponse},
         names::Interners,
     },
     storage::{
@@ -41,13 +41,13 @@
 
     /// Responds with the state of a job; `code` is the HTTP status.
     pub(super) fn respond_job(&mut self, conn: ConnectionId, code: u16, id: &str, status: &str) {
-        self.net.respond(conn, code, None, &cbor::encode(&JobAnswer { name_id: id, status }));
+        self.net.respond(conn, code, None, &cbor::encode(&JobResponse { name_id: id, status }));
     }
 
     /// Responds with 200 and the state of a known job.
     pub(super) fn respond_known_job(&mut self, conn: ConnectionId, index: JobIndex) {
         let entry = self.jobs.cache().get(index);
-        let response = JobAnswer { name_id: &entry.id, status: status_word(entry) };
+        let response = JobResponse { name_id: &entry.id, status: status_word(entry) };
         self.net.respond(conn, OK, None, &cbor::encode(&response));
     }
 
@@ -55,7 +55,7 @@
     pub(super) fn respond_poll(&mut self, conn: ConnectionId, index: JobIndex) {
         let entry = self.jobs.cache().get(index);
         let response =
-            PollAnswer { name_id: &entry.id, status: status_word(entry), done: entry.done, running: entry.running };
+            PollResponse { name_id: &entry.id, status: status_word(entry), done: entry.done, running: entry.running };
         self.net.respond(conn, OK, None, &cbor::encode(&response));
     }
 
--- a/src/controller/users/submit.rs
+++ b/src/controller/users/submit.rs
@@ -61,7 +61,7 @@
         }
         // Whether a well-formed job can run depends on the jobs' records and the machine
         // types, which are not known yet.
-        if !context.jobs.cache().loaded() || context.machine_types.is_empty() {
+        if !context.jobs.cache().is_loaded() || context.machine_types.is_empty() {
             return self.respond_unavailable(context, conn);
         }
         submission.remove_duplicate_prereqs();
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -66,7 +66,7 @@
         }
         // No task of a job with unfinished prerequisites can have been assigned. If
         // there is an assignment despite that, it must still be included.
-        if job_cache.waits(index) {
+        if job_cache.has_unfinished_prerequisites(index) {
             tracing::error!(key, "chunk record of a job with unfinished prerequisites");
         }
         let Some(spec) = job_cache.effective_spec(index) else { return false };
--- a/src/coordination/workers/task_progress.rs
+++ b/src/coordination/workers/task_progress.rs
@@ -53,7 +53,7 @@
 
 fn apply_exit(cluster: &mut ClusterState, now: Millis, index: AssignmentIndex, status: &TaskStatus) {
     let Some(assignment) = cluster.assignment_mut(index) else { return };
-    let exited = AssignmentState::Exited(status.why.unwrap_or(ExitReason::Other));
+    let exited = AssignmentState::Exited(status.exit_reason.unwrap_or(ExitReason::Other));
     let previous = std::mem::replace(&mut assignment.state, exited);
     let job_index = assignment.job;
     if previous == AssignmentState::Reported(TaskState::Running) {
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -11,7 +11,7 @@
         ids::{Attempt, Incarnation, Revision},
         jobs::Submission,
         names::Interners,
-        peers::{self, Cancelled, Count, Echo, Frame, Gossip, Notice},
+        peers::{self, Cancelled, ClockEcho, Frame, Gossip, Notice, TaskCounts},
         store::{KeyValue, Page},
     },
     storage::{
@@ -89,13 +89,13 @@
     {
         let mut job_cache = JobCache::default();
         let value: Value = cbor::decode(&lines[name]).unwrap();
-        let index = job_cache.put("j/j-000412", &value, Revision(7), &mut Interners::default()).unwrap();
+        let index = job_cache.apply_record("j/j-000412", &value, Revision(7), &mut Interners::default()).unwrap();
         assert_eq!(
             (
                 job_cache.get(index).status,
                 job_cache.get(index).tasks,
                 job_cache.get(index).chunk,
-                job_cache.waits(index)
+                job_cache.has_unfinished_prerequisites(index)
             ),
             (want, 16, 128, false),
             "{name}"
@@ -137,9 +137,9 @@
         writes_used: 0.25,
         commits_used: 0.0,
         clock_ms: 55_000,
-        echoes: vec![Echo { of: "n-1".into(), nonce: 5, clock_ms: 6 }],
+        echoes: vec![ClockEcho { peer_label: "n-1".into(), nonce: 5, clock_ms: 6 }],
         since_leaderless_renewal_ms: 1 << 41,
-        counts: vec![Count { job: "j-000001".into(), done: 1, running: 0 }],
+        counts: vec![TaskCounts { job: "j-000001".into(), done: 1, running: 0 }],
     };
     let mut with_marker = frame.clone();
     with_marker.echoes.push(Gossip::supported_frames_marker());
@@ -229,10 +229,10 @@
     for (name, status, has_unfinished) in forms {
         let mut job_cache = JobCache::default();
         let value: Value = cbor::decode(&lines[name]).unwrap();
-        let index = job_cache.put("j/j-000731", &value, Revision(7), &mut Interners::default()).unwrap();
+        let index = job_cache.apply_record("j/j-000731", &value, Revision(7), &mut Interners::default()).unwrap();
         let job = job_cache.get(index);
         assert_eq!(
-            (job.status, job.tasks, job.chunk, job_cache.waits(index)),
+            (job.status, job.tasks, job.chunk, job_cache.has_unfinished_prerequisites(index)),
             (status, 6, 128, has_unfinished),
             "{name}"
         );
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -131,7 +131,7 @@
         task: "j-100002/0".into(),
         attempt: Attempt(1),
         state: TaskState::Running,
-        why: None,
+        exit_reason: None,
         saved: None,
     };
     assert_eq!(
