--- a/tests/combined_failures/cancellations.rs
+++ b/tests/combined_failures/cancellations.rs
@@ -8,7 +8,7 @@
 /// `cancel_s - lease_s` less a margin after its last read was sent. Here the
 /// leader alone is refused, a cancellation is confirmed by another controller
 /// at that moment, and a second later the key-value store is away for everybody.
-pub fn cancelled_as_the_leader_alone_is_refused(sim: &mut Simulation) {
+pub fn cancelled_while_the_store_refuses_only_the_leader(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 4), 500_000);
     sim.submit(submission("j-2", "service", 4), 0);
     sim.run_until("all run", 20_000, |sim| sim.starts() == 8);
@@ -51,7 +51,7 @@
 /// Guard: "done" is written only on the job's own revision, so that it never
 /// replaces a cancellation; and a job that is done can't be cancelled. The
 /// cancellation falls into each of the moments around the end of the last task.
-pub fn cancelled_at_the_very_end(sim: &mut Simulation) {
+pub fn cancelled_around_the_end_of_the_last_task(sim: &mut Simulation) {
     sim.run(4_000);
     sim.store.conditions.transaction_latency_max_ms = 400;
     sim.store.conditions.read_latency_max_ms = 600;
--- a/tests/combined_failures/heartbeats.rs
+++ b/tests/combined_failures/heartbeats.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    helpers::{deliver_heartbeats_later, high, low},
+    helpers::{deliver_heartbeats_later, high_priority, low_priority},
     simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS},
 };
 
@@ -17,11 +17,11 @@
 pub fn stale_heartbeats_after_newer_ones(sim: &mut Simulation) {
     sim.run(4_000);
     let mut old = sim.latest_heartbeats();
-    sim.submit(low("j-1", "service", 4).with_cpus(4.0), 0);
+    sim.submit(low_priority("j-1", "service", 4).with_cpus(4.0), 0);
     sim.run_until("runs", 10_000, |sim| sim.all_running("j-1", 4));
     old.extend(sim.latest_heartbeats());
     // Another attempt: stopped for something urgent, then started again.
-    sim.submit(high("j-2", "batch", 4, 8.0), 16_000);
+    sim.submit(high_priority("j-2", "batch", 4, 8.0), 16_000);
     sim.run_until("stopped", 10_000, |sim| sim.none_running("j-1", 4));
     sim.run(6_000);
     // Nothing of it is anywhere, though the copies say so.
@@ -82,13 +82,13 @@
 /// settles nothing by a heartbeat that doesn't show its token. Old copies list a
 /// stopped attempt as ended while a new one of the same task runs on the same
 /// machine.
-pub fn end_of_an_earlier_attempt(sim: &mut Simulation) {
+pub fn earlier_attempt_is_reported_as_ended(sim: &mut Simulation) {
     sim.workers.iter_mut().skip(1).for_each(|worker| worker.dead = true);
     sim.run(4_000);
-    sim.submit(low("j-1", "service", 2), 0);
+    sim.submit(low_priority("j-1", "service", 2), 0);
     sim.run_until("runs", 10_000, |sim| sim.all_running("j-1", 2));
     let mut old = sim.latest_heartbeats();
-    sim.submit(high("j-2", "batch", 1, 8.0), 2_000);
+    sim.submit(high_priority("j-2", "batch", 1, 8.0), 2_000);
     sim.run_until("stopped", 10_000, |sim| sim.none_running("j-1", 2));
     for task in &mut old[0].tasks {
         (task.state, task.why) = (TaskState::Exited, Some(ExitReason::Stopped));
--- a/tests/combined_failures/helpers.rs
+++ b/tests/combined_failures/helpers.rs
@@ -13,11 +13,11 @@
 }
 
 /// A submission of low priority.
-pub fn low(id: &str, kind: &str, tasks: u32) -> Submission {
+pub fn low_priority(id: &str, kind: &str, tasks: u32) -> Submission {
     submission(id, kind, tasks).with_priority("low")
 }
 
 /// A submission of high priority.
-pub fn high(id: &str, kind: &str, tasks: u32, cpus: f64) -> Submission {
+pub fn high_priority(id: &str, kind: &str, tasks: u32, cpus: f64) -> Submission {
     submission(id, kind, tasks).with_priority("high").with_cpus(cpus)
 }
--- a/tests/combined_failures/partitions.rs
+++ b/tests/combined_failures/partitions.rs
@@ -41,7 +41,7 @@
 /// what it may keep ends in time for what is cancelled through the new one.
 /// The old controller is partitioned from the key-value store and the other
 /// controllers, but half of the workers still reach it, and commands reach them.
-pub fn partitioned_leader_whom_workers_still_reach(sim: &mut Simulation) {
+pub fn partitioned_leader_that_workers_still_reach(sim: &mut Simulation) {
     sim.add_workers(4);
     sim.submit(submission("j-1", "batch", 8), 400_000);
     sim.submit(submission("j-2", "service", 6), 0);
--- a/tests/combined_failures/random_faults.rs
+++ b/tests/combined_failures/random_faults.rs
@@ -10,7 +10,7 @@
 /// breaks a rule, and once they are over every job that was accepted and not
 /// cancelled is done or runs, and none waits for 90 s beside free capacity.
 #[test]
-fn failures_combined_at_random() {
+fn accepted_jobs_settle_after_random_combined_failures() {
     let peer_settings: u64 = std::env::var("COMBINED_FAILURE_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(32);
     let mut failed = Vec::new();
     for seed in 0..peer_settings {
--- a/tests/combined_failures/slow_network.rs
+++ b/tests/combined_failures/slow_network.rs
@@ -3,7 +3,7 @@
 use shedhook::protocol::jobs::Submission;
 
 use crate::{
-    helpers::{high, low},
+    helpers::{high_priority, low_priority},
     simulation::{submission, FaultRates, Simulation, SubmissionBuilder, CANCEL_MS, LEASE_MS},
 };
 
@@ -45,7 +45,7 @@
 /// Guard: nothing is launched before its record is written, however long that
 /// takes. The store is slow, then refuses the leader, then everybody, for longer
 /// than a cancelled task may run on; users cancel all the while.
-pub fn slow_store_refuses_the_leader_then_everybody(sim: &mut Simulation) {
+pub fn slow_store_refuses_the_leader_then_all_controllers(sim: &mut Simulation) {
     sim.store.conditions.transaction_latency_max_ms = 1_900;
     sim.store.conditions.read_latency_max_ms = 1_900;
     for n in 0..8 {
@@ -105,15 +105,15 @@
         job.with_cpus(cpus).with_class(class)
     };
     for n in 0..4 {
-        sim.submit(of(low(&format!("j-{}", 200 + n), "batch", 2), "long"), 150_000);
+        sim.submit(of(low_priority(&format!("j-{}", 200 + n), "batch", 2), "long"), 150_000);
     }
     sim.run_until("all is full", 30_000, |sim| sim.starts() == 8);
-    sim.submit(of(high("j-50", "ensemble", 4, 8.0), "urgent"), 5_000);
+    sim.submit(of(high_priority("j-50", "ensemble", 4, 8.0), "urgent"), 5_000);
     sim.run_until("the urgent one begins", 30_000, |sim| sim.all_running("j-50", 4));
     let from = sim.now();
     for n in 0..10 {
         let kind = ["batch", "ensemble"][n % 2];
-        sim.submit(of(low(&format!("j-{}", 100 + n), kind, 3), "rest"), 5_000);
+        sim.submit(of(low_priority(&format!("j-{}", 100 + n), kind, 3), "rest"), 5_000);
     }
     let begun = |sim: &Simulation, ids: std::ops::Range<usize>| {
         ids.filter(|n| {
@@ -124,7 +124,7 @@
     // More urgent work than there is free capacity for, all the while.
     let mut n = 1_000;
     while sim.now() < from + 240_000 {
-        sim.submit(of(high(&format!("j-{n}"), "batch", 2, 4.0), "urgent"), 3_000);
+        sim.submit(of(high_priority(&format!("j-{n}"), "batch", 2, 4.0), "urgent"), 3_000);
         sim.run(1_200);
         n += 1;
     }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -14,7 +14,7 @@
 
 const KB: usize = 1_024;
 
-fn small(id: &str, kind: &str, tasks: u32) -> Submission {
+fn small_job(id: &str, kind: &str, tasks: u32) -> Submission {
     submission(id, kind, tasks).with_cpus(0.1).with_memory_gb(0.1)
 }
 
@@ -36,7 +36,7 @@
     sim.job_record(id).chunk
 }
 
-fn done(ids: &'static [&'static str]) -> impl Fn(&Simulation) -> bool {
+fn all_done(ids: &'static [&'static str]) -> impl Fn(&Simulation) -> bool {
     move |sim| ids.iter().all(|id| sim.status(id) == JobStatus::Done)
 }
 
@@ -44,21 +44,21 @@
 /// what isn't placed yet is placed in parts.
 fn limits_lowered_while_an_array_runs(sim: &mut Simulation) {
     sim.workers.settings.run_step_ms = 2_000;
-    sim.submit(small("j-1", "batch", 120), 5_000);
+    sim.submit(small_job("j-1", "batch", 120), 5_000);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/60").is_some());
     sim.store.conditions.value_bytes_max = KB;
-    sim.submit(small("j-2", "batch", 120), 2_000);
-    sim.submit(small("j-3", "batch", 4), 2_000);
-    sim.run_until("done", 200_000, done(&["j-1", "j-2", "j-3"]));
+    sim.submit(small_job("j-2", "batch", 120), 2_000);
+    sim.submit(small_job("j-3", "batch", 4), 2_000);
+    sim.run_until("done", 200_000, all_done(&["j-1", "j-2", "j-3"]));
 }
 
 /// Guard: a gang whose record can't be written is resharded.
 fn limits_lowered_before_a_gang_starts(sim: &mut Simulation) {
     sim.controller.settings.may_reshard = true;
     sim.store.conditions.value_bytes_max = KB;
-    sim.submit(small("j-1", "ensemble", 60), 5_000);
-    sim.submit(small("j-2", "ensemble", 10), 5_000);
-    sim.run_until("done", 60_000, done(&["j-1", "j-2"]));
+    sim.submit(small_job("j-1", "ensemble", 60), 5_000);
+    sim.submit(small_job("j-2", "ensemble", 10), 5_000);
+    sim.run_until("done", 60_000, all_done(&["j-1", "j-2"]));
     assert_eq!(
         (chunk_of(sim, "j-1"), chunk_of(sim, "j-2")),
         (sim.controller.settings.tasks_per_chunk_fit, 64),
@@ -68,7 +68,7 @@
 
 fn limits_lowered_while_a_gang_runs(sim: &mut Simulation) {
     sim.controller.settings.may_reshard = true;
-    sim.submit(small("j-1", "ensemble", 60), 20_000);
+    sim.submit(small_job("j-1", "ensemble", 60), 20_000);
     let gone = sim.add_worker("a");
     // It runs on in the old chunks; lost, it is resharded.
     sim.run_until("runs", 20_000, |sim| sim.worker_running("j-1/59").is_some());
@@ -77,22 +77,22 @@
     sim.workers[gone].dead = true;
     let busy = sim.workers.iter().position(|worker| !worker.tasks.is_empty());
     sim.restart_worker(busy.expect("the gang runs"));
-    sim.run_until("done", 120_000, done(&["j-1"]));
+    sim.run_until("done", 120_000, all_done(&["j-1"]));
     assert_eq!(chunk_of(sim, "j-1"), sim.controller.settings.tasks_per_chunk_fit);
     assert!(sim.controller.too_large() <= 1, "{} refused", sim.controller.too_large());
 }
 
 /// Guard: while an old controller may be there, no job is resharded.
-fn no_resharding_while_an_old_controller_may_run(sim: &mut Simulation) {
+fn no_resharding_while_a_controller_of_the_previous_version_may_run(sim: &mut Simulation) {
     sim.store.conditions.value_bytes_max = KB;
-    sim.submit(small("j-1", "ensemble", 60), 5_000);
-    sim.submit(small("j-2", "batch", 6), 5_000);
-    sim.run_until("others go on", 60_000, done(&["j-2"]));
+    sim.submit(small_job("j-1", "ensemble", 60), 5_000);
+    sim.submit(small_job("j-2", "batch", 6), 5_000);
+    sim.run_until("others go on", 60_000, all_done(&["j-2"]));
     sim.run(60_000);
     assert!(sim.status("j-1") == JobStatus::Pending && chunk_of(sim, "j-1") == 64);
     assert!(sim.controller.too_large() < 5, "{} refused", sim.controller.too_large());
     sim.controller.settings.may_reshard = true;
-    sim.run_until("done", 60_000, done(&["j-1"]));
+    sim.run_until("done", 60_000, all_done(&["j-1"]));
 }
 
 /// The leader has met the lower limit; what it writes next is in the new chunks.
@@ -100,7 +100,7 @@
     sim.controller.settings.may_reshard = true;
     sim.store.conditions.value_bytes_max = KB;
     let before = sim.controller.too_large();
-    sim.submit(small(id, kind, 60), 5_000);
+    sim.submit(small_job(id, kind, 60), 5_000);
     // With budget to spare it may be resharded before anything is refused.
     sim.run_until("refused", 20_000, |sim| sim.controller.too_large() > before || chunk_of(sim, id) != 64);
 }
@@ -111,7 +111,7 @@
     sim.run_until("dead", 20_000, |sim| !sim.has_leader());
     assert_eq!(chunk_of(sim, "j-1"), 64);
     sim.elect();
-    sim.run_until("done", 120_000, done(&["j-1"]));
+    sim.run_until("done", 120_000, all_done(&["j-1"]));
 }
 
 fn leader_crashes_after_it_resharded(sim: &mut Simulation) {
@@ -120,11 +120,11 @@
     sim.run_until("dead", 20_000, |sim| !sim.has_leader());
     assert_eq!(chunk_of(sim, "j-1"), sim.controller.settings.tasks_per_chunk_fit);
     sim.elect();
-    sim.run_until("done", 120_000, done(&["j-1"]));
+    sim.run_until("done", 120_000, all_done(&["j-1"]));
 }
 
 /// Guard: nothing is placed while it isn't known which chunks hold.
-fn answers_are_lost_during_resharding(sim: &mut Simulation) {
+fn responses_are_lost_during_resharding(sim: &mut Simulation) {
     for id in ["j-1", "j-2", "j-3", "j-4", "j-5", "j-6"] {
         sim.elect();
         run_until_limits_are_refused(sim, id, "ensemble");
@@ -132,7 +132,7 @@
         sim.run(3_000);
         sim.network.rates = FaultRates::default();
     }
-    sim.run_until("done", 200_000, done(&["j-1", "j-2", "j-3", "j-4", "j-5", "j-6"]));
+    sim.run_until("done", 200_000, all_done(&["j-1", "j-2", "j-3", "j-4", "j-5", "j-6"]));
     sim.run(45_000);
 }
 
@@ -154,7 +154,7 @@
         let id = format!("j-7{n}");
         sim.controller.settings.may_reshard = false;
         sim.elect();
-        sim.submit(small(&id, "batch", 60), 40_000);
+        sim.submit(small_job(&id, "batch", 60), 40_000);
         sim.run_until("runs", 20_000, |sim| sim.worker_running(&format!("{id}/5")).is_some());
         sim.network.rates = FaultRates { unanswered_transaction: 100, ..FaultRates::default() };
         sim.controller.settings.may_reshard = true;
@@ -164,8 +164,8 @@
         sim.network.rates = FaultRates::default();
         sim.run(5_000);
     }
-    sim.submit(small("j-9", "ensemble", 60), 3_000);
-    sim.run_until("done", 60_000, done(&["j-9"]));
+    sim.submit(small_job("j-9", "ensemble", 60), 3_000);
+    sim.run_until("done", 60_000, all_done(&["j-9"]));
     sim.run(150_000);
     let left = sim.store.chunk_keys();
     assert!(left.is_empty(), "records of jobs that are over: {left:?}");
@@ -178,7 +178,7 @@
     for _ in 0..16 {
         sim.add_worker("b");
     }
-    sim.submit(small("j-1", "service", 50), 0);
+    sim.submit(small_job("j-1", "service", 50), 0);
     sim.run_until("runs", 30_000, |sim| sim.worker_running("j-1/49").is_some());
     sim.store.conditions.value_bytes_max = KB;
     let starts = sim.starts();
@@ -194,13 +194,13 @@
 
 /// Guard: the answer to the resharding is lost. What ends until it is known
 /// counts as unwritten, and nothing more is placed.
-fn resharding_goes_unanswered(sim: &mut Simulation) {
+fn resharding_response_is_lost(sim: &mut Simulation) {
     sim.workers.settings.slots = 8;
     sim.workers.settings.run_step_ms = 300;
     for (n, id) in ["j-1", "j-2", "j-3", "j-4", "j-5", "j-6"].into_iter().enumerate() {
         sim.controller.settings.may_reshard = false;
         // More than there is free capacity for, until machines come.
-        let job = small(id, "batch", 60).with_cpus(1.0);
+        let job = small_job(id, "batch", 60).with_cpus(1.0);
         sim.submit(job, 3_000 + 500 * n as u64);
         sim.run(4_500);
         sim.network.rates = FaultRates { unanswered_transaction: 100, ..FaultRates::default() };
@@ -239,7 +239,7 @@
     for (n, id) in names.iter().enumerate() {
         let (kind, tasks) = (["batch", "ensemble", "batch"][sim.random_below(3)], 4 + sim.random_below(60) as u32);
         let run = 1_000 + 500 * sim.random_below(6) as u64;
-        sim.submit(small(id, kind, tasks), run);
+        sim.submit(small_job(id, kind, tasks), run);
         let pause = 100 * sim.random_below(30) as u64;
         sim.run(pause);
         match sim.random_below(8) {
@@ -266,29 +266,29 @@
 
 /// Guard: fewer writes in a transaction than the settings say: it is cut
 /// smaller, not repeated as it was.
-fn fewer_writes_than_announced(sim: &mut Simulation) {
+fn store_accepts_fewer_writes_than_announced(sim: &mut Simulation) {
     sim.store.conditions.operations_max = 2;
     sim.users.tasks_per_chunk = 4;
-    sim.submit(small("j-1", "batch", 60), 5_000);
-    sim.submit(small("j-2", "ensemble", 30), 5_000);
-    sim.run_until("done", 200_000, done(&["j-1", "j-2"]));
+    sim.submit(small_job("j-1", "batch", 60), 5_000);
+    sim.submit(small_job("j-2", "ensemble", 30), 5_000);
+    sim.run_until("done", 200_000, all_done(&["j-1", "j-2"]));
     assert!(sim.controller.too_large() < 8, "{} refused", sim.controller.too_large());
 }
 
 /// An answer is lost at the moment of the change: the same again is refused.
-fn unanswered_transaction_is_refused_later(sim: &mut Simulation) {
+fn retried_transaction_is_refused(sim: &mut Simulation) {
     sim.run(3_000);
-    sim.submit(small("j-1", "batch", 120), 5_000);
+    sim.submit(small_job("j-1", "batch", 120), 5_000);
     sim.network.rates = FaultRates { unanswered_transaction: 100, ..FaultRates::default() };
     sim.run_until("on its way", 10_000, |sim| sim.controller.transactions() > 0);
     sim.store.conditions.value_bytes_max = KB;
     sim.network.rates = FaultRates::default();
-    sim.run_until("done", 200_000, done(&["j-1"]));
+    sim.run_until("done", 200_000, all_done(&["j-1"]));
     sim.run(45_000);
 }
 
 #[test]
-fn resharded_under_failures() {
+fn jobs_complete_when_resharded_under_random_faults() {
     for seed in 0..8 {
         let mut sim = simulation(seed);
         resharded_under_random_faults(&mut sim);
@@ -298,20 +298,23 @@
 }
 
 #[test]
-fn lowered_limits_table() {
+fn jobs_complete_after_the_store_lowers_its_limits() {
     let cases: &[Case] = &[
-        case("an array runs", limits_lowered_while_an_array_runs),
-        case("before a gang starts", limits_lowered_before_a_gang_starts),
-        case("while a gang runs", limits_lowered_while_a_gang_runs),
-        case("an old controller may be left", no_resharding_while_an_old_controller_may_run),
-        case("leader dies before", leader_crashes_before_it_reshards),
-        case("leader dies after", leader_crashes_after_it_resharded),
-        case("answers are lost", answers_are_lost_during_resharding),
-        case("cancelled", cancelled_during_resharding),
-        case("no answer", resharding_goes_unanswered),
-        case("a service runs", running_service_is_resharded),
-        case("fewer writes", fewer_writes_than_announced),
-        case("an unanswered one is refused", unanswered_transaction_is_refused_later),
+        case("limits lowered while an array runs, all jobs complete", limits_lowered_while_an_array_runs),
+        case("limits lowered before a gang starts, gang is resharded", limits_lowered_before_a_gang_starts),
+        case("limits lowered while a gang runs, gang is resharded once it is lost", limits_lowered_while_a_gang_runs),
+        case(
+            "controller of the previous version may run, nothing is resharded",
+            no_resharding_while_a_controller_of_the_previous_version_may_run,
+        ),
+        case("leader crashes before it reshards, gang completes", leader_crashes_before_it_reshards),
+        case("leader crashes after it resharded, gang completes", leader_crashes_after_it_resharded),
+        case("responses are lost during resharding, all jobs complete", responses_are_lost_during_resharding),
+        case("job is cancelled during resharding, its records are deleted", cancelled_during_resharding),
+        case("resharding response is lost, all jobs complete", resharding_response_is_lost),
+        case("running service is resharded, its tasks keep running", running_service_is_resharded),
+        case("store accepts fewer writes than announced, all jobs complete", store_accepts_fewer_writes_than_announced),
+        case("transaction with a lost response is refused on retry, job completes", retried_transaction_is_refused),
     ];
     run_table_in(cases, 1, simulation);
 }
--- a/tests/pipelines/cancellations.rs
+++ b/tests/pipelines/cancellations.rs
@@ -3,14 +3,16 @@
 use shedhook::storage::records::JobStatus;
 
 use crate::{
-    helpers::{after, has_begun, lose_transaction_answers_for_a_second, run_until_the_prerequisite_ended},
+    helpers::{
+        has_begun, lose_transaction_responses_for_one_second, run_until_the_prerequisite_ended, submission_after,
+    },
     simulation::{submission, Simulation},
 };
 
 /// Guard: whichever step is cancelled, at whatever time, all after it are, and
 /// those before it go on.
 #[test]
-fn cancelled_at_each_step() {
+fn cancelling_a_step_cancels_all_later_steps() {
     let names = ["j-1", "j-2", "j-3", "j-4"];
     for step in 0..4 {
         for at in [0, 1_000, 4_000, 9_000, 14_000, 25_000] {
@@ -21,7 +23,7 @@
                 sim.submit(submission("j-9", "batch", 1), 2_000);
                 sim.submit(submission("j-1", "batch", 3), 2_000);
                 for n in 1..4 {
-                    sim.submit(after(names[n], "batch", 2, &[names[n - 1]]), 2_000);
+                    sim.submit(submission_after(names[n], "batch", 2, &[names[n - 1]]), 2_000);
                 }
                 sim.run(at);
                 if change {
@@ -45,9 +47,9 @@
 }
 
 /// Guard: a cancellation that meets the end has one winner, whoever knows of it.
-pub fn cancelled_while_the_end_is_written(sim: &mut Simulation) {
+pub fn cancelled_while_the_completion_is_written(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 1), 3_000);
-    sim.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
+    sim.submit(submission_after("j-2", "batch", 1, &["j-1"]), 3_000);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
     // The leader doesn't see the cancellation, and tries to write the end.
     sim.controller.settings.reads_paused = true;
@@ -60,9 +62,9 @@
 }
 
 /// Guard: the write of the end is under way when the job is cancelled.
-pub fn late_end_of_a_cancelled_job(sim: &mut Simulation) {
+pub fn late_completion_of_a_cancelled_job(sim: &mut Simulation) {
     run_until_the_prerequisite_ended(sim);
-    lose_transaction_answers_for_a_second(sim);
+    lose_transaction_responses_for_one_second(sim);
     let won = sim.cancel("j-1");
     sim.run(60_000);
     assert_eq!(sim.status_told_to_users("j-2"), Some(if won { JobStatus::Cancelled } else { JobStatus::Done }));
@@ -71,8 +73,8 @@
 pub fn cancelled_while_the_store_is_unavailable(sim: &mut Simulation) {
     sim.submit(submission("j-1", "service", 2), 0);
     sim.submit(submission("j-2", "batch", 2), 30_000);
-    sim.submit(after("j-3", "batch", 1, &["j-2"]), 1_000);
-    sim.submit(after("j-4", "batch", 1, &["j-3"]), 1_000);
+    sim.submit(submission_after("j-3", "batch", 1, &["j-2"]), 1_000);
+    sim.submit(submission_after("j-4", "batch", 1, &["j-3"]), 1_000);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-2/1").is_some());
     sim.store.conditions.transactions_left = Some(0);
     sim.cancel("j-2");
@@ -86,11 +88,11 @@
 pub fn submitted_after_its_prerequisite_was_cancelled(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 1), 60_000);
     sim.submit(submission("j-5", "batch", 1), 1_000);
-    sim.submit(after("j-2", "batch", 1, &["j-1"]), 1_000);
+    sim.submit(submission_after("j-2", "batch", 1, &["j-1"]), 1_000);
     sim.run(3_000);
     sim.cancel("j-1");
-    sim.submit(after("j-3", "batch", 1, &["j-1"]), 1_000);
-    sim.submit(after("j-4", "batch", 1, &["j-5", "j-2"]), 1_000);
+    sim.submit(submission_after("j-3", "batch", 1, &["j-1"]), 1_000);
+    sim.submit(submission_after("j-4", "batch", 1, &["j-5", "j-2"]), 1_000);
     sim.run(30_000);
     for id in ["j-2", "j-3", "j-4"] {
         assert!(sim.status_told_to_users(id) == Some(JobStatus::Cancelled) && !has_begun(sim, id), "{id}");
--- a/tests/pipelines/cancelled_shapes.rs
+++ b/tests/pipelines/cancelled_shapes.rs
@@ -3,13 +3,13 @@
 use shedhook::{protocol::jobs::Submission, storage::records::JobStatus};
 
 use crate::{
-    helpers::{after, all_run, has_begun, is_done},
+    helpers::{all_run, has_begun, is_done, submission_after},
     simulation::{submission, Simulation, SubmissionBuilder},
 };
 
 /// Cancels a prerequisite that can't be placed: everything else is told
 /// cancelled, now and by the next leader, and nothing but the one record is written.
-fn cancel_first_of(sim: &mut Simulation, dependents: &[String]) {
+fn check_cancellation_of_the_root(sim: &mut Simulation, dependents: &[String]) {
     sim.run(5_000);
     let before = sim.store.revision();
     assert!(sim.cancel("j-1"));
@@ -29,37 +29,37 @@
     sim.run_until("unrelated work goes on", 30_000, is_done("j-9000"));
 }
 
-fn unplaceable(id: &str) -> Submission {
+fn unplaceable_job(id: &str) -> Submission {
     submission(id, "batch", 1).with_zone("nowhere")
 }
 
 pub fn wide_fan_out_cancelled_at_its_root(sim: &mut Simulation) {
     const DEPENDENTS: u32 = 200;
-    sim.submit(unplaceable("j-1"), 1_000);
+    sim.submit(unplaceable_job("j-1"), 1_000);
     let names: Vec<String> = (0..DEPENDENTS).map(|n| format!("j-{}", 100 + n)).collect();
     for id in &names {
-        sim.submit(after(id, "batch", 1, &["j-1"]), 1_000);
+        sim.submit(submission_after(id, "batch", 1, &["j-1"]), 1_000);
     }
-    cancel_first_of(sim, &names);
+    check_cancellation_of_the_root(sim, &names);
 }
 
 pub fn deep_chain_cancelled_at_its_root(sim: &mut Simulation) {
     const DEPTH: u32 = 60;
-    sim.submit(unplaceable("j-1"), 1_000);
+    sim.submit(unplaceable_job("j-1"), 1_000);
     let names: Vec<String> = (0..DEPTH).map(|n| format!("j-{}", 100 + n)).collect();
     let mut previous = "j-1";
     for id in &names {
-        sim.submit(after(id, "batch", 1, &[previous]), 1_000);
+        sim.submit(submission_after(id, "batch", 1, &[previous]), 1_000);
         previous = id;
     }
-    cancel_first_of(sim, &names);
+    check_cancellation_of_the_root(sim, &names);
 }
 
 pub fn diamond_cancelled_at_one_side(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 1), 3_000);
-    sim.submit(after("j-2", "batch", 1, &["j-1"]), 30_000);
-    sim.submit(after("j-3", "batch", 1, &["j-1"]), 5_000);
-    sim.submit(after("j-4", "batch", 1, &["j-2", "j-3"]), 1_000);
+    sim.submit(submission_after("j-2", "batch", 1, &["j-1"]), 30_000);
+    sim.submit(submission_after("j-3", "batch", 1, &["j-1"]), 5_000);
+    sim.submit(submission_after("j-4", "batch", 1, &["j-2", "j-3"]), 1_000);
     sim.run_until("both sides run", 30_000, |sim| all_run("j-2", 1)(sim) && all_run("j-3", 1)(sim));
     assert!(sim.cancel("j-2"));
     sim.run_until("the other side goes on", 30_000, is_done("j-3"));
@@ -78,7 +78,7 @@
     sim.run_until("the first is done", 30_000, is_done("j-1"));
     sim.submit(submission("j-2", "batch", 1), 60_000);
     sim.run_until("the second runs", 30_000, all_run("j-2", 1));
-    sim.submit(after("j-3", "batch", 1, &["j-1", "j-2"]), 1_000);
+    sim.submit(submission_after("j-3", "batch", 1, &["j-1", "j-2"]), 1_000);
     sim.run(10_000);
     assert!(sim.status_told_to_users("j-3") == Some(JobStatus::Pending) && !has_begun(sim, "j-3"));
     assert!(sim.cancel("j-2"));
--- a/tests/pipelines/helpers.rs
+++ b/tests/pipelines/helpers.rs
@@ -5,7 +5,7 @@
 use crate::simulation::{submission, FaultRates, Simulation, SubmissionBuilder};
 
 /// A submission that waits for its prerequisites.
-pub fn after(id: &str, kind: &str, tasks: u32, prereqs: &[&str]) -> Submission {
+pub fn submission_after(id: &str, kind: &str, tasks: u32, prereqs: &[&str]) -> Submission {
     submission(id, kind, tasks).with_prereqs(prereqs)
 }
 
@@ -28,13 +28,13 @@
 /// "j-1" has ended; its end isn't recorded yet.
 pub fn run_until_the_prerequisite_ended(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 1), 3_000);
-    sim.submit(after("j-2", "batch", 1, &["j-1"]), 3_000);
+    sim.submit(submission_after("j-2", "batch", 1, &["j-1"]), 3_000);
     sim.run_until("ended", 20_000, |sim| sim.workers.completed_count() > 0);
 }
 
 /// No transaction of the next second is answered: half of them are applied at
 /// once, half later.
-pub fn lose_transaction_answers_for_a_second(sim: &mut Simulation) {
+pub fn lose_transaction_responses_for_one_second(sim: &mut Simulation) {
     sim.network.rates = FaultRates { unanswered_transaction: 100, ..FaultRates::default() };
     sim.run(1_000);
     sim.network.rates = FaultRates::default();
--- a/tests/pipelines/job_cache.rs
+++ b/tests/pipelines/job_cache.rs
@@ -16,7 +16,7 @@
     },
 };
 
-use crate::{helpers::after, simulation::submission};
+use crate::{helpers::submission_after, simulation::submission};
 
 fn record(submission: &Submission, status: JobStatus, at_ms: u64) -> Value {
     to_value(&JobRecord { submission: submission.clone(), status, at_ms, chunk: 4 })
@@ -34,9 +34,9 @@
 
 /// Guard: whatever the order in which records are seen, the outcome is the same.
 #[test]
-fn the_order_of_records_does_not_matter() {
+fn statuses_do_not_depend_on_the_order_of_records() {
     use JobStatus::*;
-    let job = |id: &str, prereqs: &[&str]| after(id, "batch", 1, prereqs);
+    let job = |id: &str, prereqs: &[&str]| submission_after(id, "batch", 1, prereqs);
     // j-1 -> j-2 -> j-4 -> j-5, j-1 -> j-3 -> j-4; j-6 -> j-7.
     let (one, six) = (job("j-1", &[]), job("j-6", &[]));
     let rest = [
@@ -78,8 +78,8 @@
 
 /// Guard: once it is called cancelled, no record of its own changes that.
 #[test]
-fn a_derived_cancellation_stays() {
-    let (one, two) = (after("j-1", "batch", 1, &[]), after("j-2", "batch", 1, &["j-1"]));
+fn derived_cancellation_is_not_changed_by_later_records() {
+    let (one, two) = (submission_after("j-1", "batch", 1, &[]), submission_after("j-2", "batch", 1, &["j-1"]));
     let mut job_cache = JobCache::default();
     let mut interners = Interners::default();
     let steps = [
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn priority_and_deadline_reach_back() {
+fn prerequisites_inherit_priority_and_deadline_of_dependents() {
     let with = |s: Submission, rank: &str, due: Option<f64>| Submission {
         priority: Some(rank.into()),
         deadline_s: due,
@@ -107,10 +107,10 @@
         ..s
     };
     let jobs = [
-        with(after("j-1", "batch", 1, &[]), "low", None),
-        with(after("j-2", "batch", 1, &["j-1"]), "normal", None),
-        with(after("j-3", "batch", 1, &["j-1"]), "low", Some(500.0)),
-        with(after("j-4", "batch", 1, &["j-2", "j-3"]), "high", Some(100.0)),
+        with(submission_after("j-1", "batch", 1, &[]), "low", None),
+        with(submission_after("j-2", "batch", 1, &["j-1"]), "normal", None),
+        with(submission_after("j-3", "batch", 1, &["j-1"]), "low", Some(500.0)),
+        with(submission_after("j-4", "batch", 1, &["j-2", "j-3"]), "high", Some(100.0)),
     ];
     let mut interners = Interners::default();
     for order in [[0, 1, 2, 3], [3, 2, 1, 0], [1, 3, 0, 2]] {
@@ -145,7 +145,7 @@
 /// Deep chains, wide fans and wide joins load quickly, in any order, and what
 /// ends costs work in its dependents alone.
 #[test]
-fn deep_and_wide() {
+fn deep_and_wide_graphs_load_quickly_and_a_completion_changes_only_dependents() {
     let name = |n: usize| format!("j-{n:06}");
     let chain: Vec<Vec<String>> = (0..2_000).map(|n| (n > 0).then(|| name(n - 1)).into_iter().collect()).collect();
     let fan: Vec<Vec<String>> = (0..5_001).map(|n| (n > 0).then(|| name(0)).into_iter().collect()).collect();
--- a/tests/pipelines/random_faults.rs
+++ b/tests/pipelines/random_faults.rs
@@ -3,14 +3,14 @@
 use shedhook::storage::records::JobStatus;
 
 use crate::{
-    helpers::after,
+    helpers::submission_after,
     simulation::{FaultRates, Simulation, SubmissionBuilder},
 };
 
 /// By chance with fixed seeds: pipelines in all faults, cancelled now and
 /// then, under leaders that change.
 #[test]
-fn pipelines_under_random_faults() {
+fn pipelines_finish_after_random_faults() {
     for seed in 0..24 {
         let mut sim = Simulation::new(seed, 6);
         sim.network.rates = FaultRates {
@@ -39,7 +39,7 @@
             let kind = ["batch", "ensemble"][sim.random_below(2)];
             let tasks = 1 + sim.random_below(3) as u32;
             let run = 500 + 500 * sim.random_below(8) as u64;
-            sim.submit(after(&id, kind, tasks, &prereqs), run);
+            sim.submit(submission_after(&id, kind, tasks, &prereqs), run);
             names.push(id);
             let pause = 200 * sim.random_below(20) as u64;
             sim.run(pause);
@@ -62,13 +62,13 @@
         sim.controller.settings.crash_after_transaction = false;
         sim.controller.settings.crash_before_transaction = false;
         sim.elect();
-        run_until_all_are_over(&mut sim, &names, seed);
+        run_until_all_have_finished(&mut sim, &names, seed);
     }
 }
 
 /// Without faults, every job is done or cancelled in the end, and nothing broke
 /// an invariant.
-fn run_until_all_are_over(sim: &mut Simulation, names: &[String], seed: u64) {
+fn run_until_all_have_finished(sim: &mut Simulation, names: &[String], seed: u64) {
     let over =
         |sim: &Simulation| names.iter().all(|n| sim.status_told_to_users(n).is_some_and(|s| s != JobStatus::Pending));
     sim.run_until(&format!("all over, seed {seed}"), 600_000, over);
@@ -82,7 +82,7 @@
 /// by this version's logic with the old form of records: what an old process does
 /// besides, this can't show.
 #[test]
-fn replaced_one_by_one() {
+fn pipelines_finish_after_a_rolling_upgrade_under_faults() {
     for seed in 0..8 {
         let mut sim = Simulation::new(seed, 6);
         sim.workers.settings.slots = 20;
@@ -122,7 +122,7 @@
             let prereqs: Vec<&str> = prereqs.iter().map(String::as_str).collect();
             let tasks = 1 + sim.random_below(20) as u32;
             let kind = ["batch", "ensemble"][sim.random_below(2)];
-            let job = after(&id, kind, tasks, &prereqs).with_cpus(0.5);
+            let job = submission_after(&id, kind, tasks, &prereqs).with_cpus(0.5);
             // Old controllers record larger chunks.
             sim.users.tasks_per_chunk = if is_new[sim.random_below(5)] { 12 } else { 64 };
             let run = 500 + 500 * sim.random_below(6) as u64;
@@ -150,6 +150,6 @@
         sim.controller.settings.writes_old_form = false;
         sim.controller.settings.may_reshard = true;
         sim.elect();
-        run_until_all_are_over(&mut sim, &names, seed);
+        run_until_all_have_finished(&mut sim, &names, seed);
     }
 }
--- a/tests/pipelines/urgency.rs
+++ b/tests/pipelines/urgency.rs
@@ -7,21 +7,21 @@
 };
 
 use crate::{
-    helpers::{after, all_run, has_begun, is_done},
+    helpers::{all_run, has_begun, is_done, submission_after},
     simulation::{submission, Simulation, SubmissionBuilder},
 };
 
 /// The end's time of day stands in its record, so that a later leader counts
 /// from there.
 #[test]
-fn waiting_counts_from_the_last_end() {
+fn wait_is_counted_from_the_completion_of_the_last_prerequisite() {
     let mut sim = Simulation::new(5, 4);
     sim.elect();
     sim.submit(submission("j-1", "batch", 1), 40_000);
-    sim.submit(after("j-2", "service", 1, &["j-1"]), 0);
+    sim.submit(submission_after("j-2", "service", 1, &["j-1"]), 0);
     sim.run_until("done", 60_000, is_done("j-1"));
     sim.run(10_000);
-    let rec = recorded(&sim, "j-1");
+    let rec = job_record(&sim, "j-1");
     assert!(rec.at_ms > 40_000 && rec.at_ms < sim.now(), "{}", rec.at_ms);
     for _ in 0..2 {
         let leader = sim.leader();
@@ -33,12 +33,12 @@
 
 /// A leader raises what already runs when a job that needs it comes.
 #[test]
-fn a_running_job_is_raised() {
+fn running_job_inherits_the_priority_of_a_new_dependent() {
     let mut sim = Simulation::new(1, 4);
     sim.elect();
     sim.submit(submission("j-1", "batch", 4).with_priority("low"), 20_000);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/3").is_some());
-    sim.submit(after("j-2", "batch", 1, &["j-1"]).with_priority("high"), 1_000);
+    sim.submit(submission_after("j-2", "batch", 1, &["j-1"]).with_priority("high"), 1_000);
     sim.run(500);
     let leader = sim.leader();
     let job = leader.cluster().active_jobs().find(|job| &*job.id == "j-1").unwrap();
@@ -57,7 +57,7 @@
 
 /// A submission whose tasks each take a whole machine.
 fn whole_machine(id: &str, kind: &str, tasks: u32, priority: &str, prereqs: &[&str]) -> Submission {
-    after(id, kind, tasks, prereqs).with_cpus(8.0).with_priority(priority)
+    submission_after(id, kind, tasks, prereqs).with_cpus(8.0).with_priority(priority)
 }
 
 fn of_team_blue(job: Submission) -> Submission {
@@ -68,13 +68,13 @@
     sim.workers.halts().iter().any(|halt| halt.task.starts_with(&format!("{id}/")))
 }
 
-fn recorded(sim: &Simulation, id: &str) -> JobRecord {
+fn job_record(sim: &Simulation, id: &str) -> JobRecord {
     sim.job_record(id)
 }
 
 /// Guard: a job that waited long for its prerequisite is not overdue for a
 /// start when it becomes ready, and goes behind work of a higher priority.
-pub fn order_counts_from_the_last_prerequisite(sim: &mut Simulation) {
+pub fn scheduling_order_counts_from_the_last_prerequisite(sim: &mut Simulation) {
     sim.submit(whole_machine("j-9", "service", 3, "high", &[]), 0);
     sim.submit(whole_machine("j-1", "batch", 1, "normal", &[]), 200_000);
     sim.run_until("all machines are taken", 20_000, |sim| sim.starts() == 4);
@@ -92,7 +92,7 @@
 
 /// Guard: much more expensive machines are rented for what has waited; the wait for a
 /// prerequisite doesn't count.
-pub fn renting_urgency_counts_from_the_last_prerequisite(sim: &mut Simulation) {
+pub fn scale_out_urgency_counts_from_the_last_prerequisite(sim: &mut Simulation) {
     const PATIENCE_MS: u64 = 48_000;
     sim.cloud.settings.spot_price = 0.02; // 50 times cheaper: low priority pays that after 48.5 s
     sim.elect();
@@ -104,7 +104,7 @@
     sim.submit(whole_machine("j-2", "ensemble", 2, "low", &["j-1"]), 1_000);
     sim.run_until("the prerequisite is done", 130_000, is_done("j-1"));
     sim.cloud.forget_requests();
-    let ready_ms = recorded(sim, "j-1").at_ms;
+    let ready_ms = job_record(sim, "j-1").at_ms;
     sim.run(PATIENCE_MS / 2);
     assert!(sim.cloud.requests().iter().any(|request| request.spot), "cheap machines are asked for at once");
     sim.run_until("expensive machines are asked for", 60_000, |sim| {
@@ -118,7 +118,7 @@
 
 /// Guard: a job that waits for a prerequisite has no machines rented for it,
 /// and nothing stopped for it.
-pub fn waiting_job_causes_no_rentals_and_no_preemption(sim: &mut Simulation) {
+pub fn waiting_job_causes_no_scale_out_and_no_preemption(sim: &mut Simulation) {
     sim.submit(whole_machine("j-0", "service", 3, "low", &[]), 0);
     sim.submit(whole_machine("j-1", "batch", 1, "normal", &[]), 60_000);
     sim.run_until("all machines are taken", 20_000, |sim| sim.starts() == 4);
@@ -132,7 +132,7 @@
 }
 
 /// Guard: a queued job takes on the priority of a dependent that comes late.
-pub fn late_urgent_dependent_raises_a_queued_job(sim: &mut Simulation) {
+pub fn late_urgent_dependent_raises_the_priority_of_a_queued_job(sim: &mut Simulation) {
     sim.submit(whole_machine("j-9", "service", 3, "high", &[]), 0);
     sim.submit(whole_machine("j-0", "batch", 1, "high", &[]), 30_000);
     sim.run_until("all machines are taken", 20_000, |sim| sim.starts() == 4);
@@ -167,7 +167,7 @@
 
 /// Guard: neither does a raised job exceed its own team's limit, nor does it
 /// count towards the limit of the team whose job raised it.
-pub fn quotas_count_each_jobs_own_team(sim: &mut Simulation) {
+pub fn quotas_apply_to_each_jobs_own_team(sim: &mut Simulation) {
     let gpus = |job: Submission| job.with_gpus(2.0).with_cpus(1.0);
     let high = |job: Submission| job.with_priority("high");
     sim.controller.settings.quotas.red_gpus_max = Some(2.0);
@@ -176,7 +176,7 @@
     sim.submit(gpus(submission("j-0", "batch", 1)), 30_000);
     sim.run_until("the team is at its limit", 20_000, all_run("j-0", 1));
     sim.submit(gpus(submission("j-1", "batch", 1)), 20_000);
-    sim.submit(of_team_blue(high(gpus(after("j-2", "batch", 1, &["j-1"])))), 1_000);
+    sim.submit(of_team_blue(high(gpus(submission_after("j-2", "batch", 1, &["j-1"])))), 1_000);
     sim.run(15_000);
     assert!(!has_begun(sim, "j-1") && all_run("j-0", 1)(sim), "raised above its own team's limit");
     sim.run_until("the raised job runs", 60_000, all_run("j-1", 1));
--- a/tests/safety_rules/autoscaling.rs
+++ b/tests/safety_rules/autoscaling.rs
@@ -6,7 +6,7 @@
 
 /// Guard: a scale-out request that went unanswered is asked for again by the same name,
 /// and no later leader uses a name of an earlier one.
-pub fn rental_requests_are_idempotent(sim: &mut Simulation) {
+pub fn scale_out_requests_are_idempotent(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 6;
     sim.network.rates = FaultRates { lost_rental_answer: 100, ..FaultRates::default() };
     sim.elect();
@@ -28,7 +28,7 @@
 
 /// Guard: machines were rented without end in one zone for a gang that must be
 /// over two; and half in each for one that must be in one.
-pub fn machines_are_rented_in_the_zones_that_need_them(sim: &mut Simulation) {
+pub fn machines_are_provisioned_in_the_zones_that_need_them(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 20;
     for worker in sim.workers.iter_mut().filter(|worker| worker.spec.zone == "b") {
         worker.dead = true;
--- a/tests/safety_rules/best_effort.rs
+++ b/tests/safety_rules/best_effort.rs
@@ -32,7 +32,7 @@
 
 /// Guard: tasks of a team without a guarantee that run for minutes took all
 /// capacity as it became free; work of others of the same priority waited for them.
-pub fn best_effort_work_leaves_capacity(sim: &mut Simulation) {
+pub fn best_effort_tasks_leave_capacity_for_other_teams(sim: &mut Simulation) {
     sim.controller.settings.quotas.red_gpus_guaranteed = Some(4.0);
     sim.add_workers(296);
     sim.elect();
--- a/tests/safety_rules/placement.rs
+++ b/tests/safety_rules/placement.rs
@@ -3,7 +3,7 @@
 use crate::simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS};
 
 /// Guard: the limit counts assignments whose tasks may still be running.
-pub fn quota_counts_tasks_of_a_silent_machine(sim: &mut Simulation) {
+pub fn quota_includes_tasks_of_an_unreachable_machine(sim: &mut Simulation) {
     sim.controller.settings.quotas.red_gpus_max = Some(4.0);
     sim.elect();
     sim.submit(submission("j-1", "service", 2).with_gpus(2.0), 0);
@@ -22,7 +22,7 @@
 }
 
 /// Guard: an attempt that may still run binds its job to its zone.
-pub fn one_zone_holds_while_an_old_attempt_may_run(sim: &mut Simulation) {
+pub fn gang_stays_in_one_zone_while_an_earlier_attempt_may_run(sim: &mut Simulation) {
     sim.submit(submission("j-1", "ensemble", 2).with_one_zone(true), 0);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/0").is_some() && sim.worker_running("j-1/1").is_some());
     let zone = sim.workers[sim.worker_running("j-1/0").unwrap()].spec.zone.clone();
--- a/tests/safety_rules/random_faults.rs
+++ b/tests/safety_rules/random_faults.rs
@@ -7,7 +7,7 @@
 /// Everything at once, by chance with fixed seeds: nothing breaks a rule, and
 /// once the faults are over all arrays are done.
 #[test]
-fn jobs_under_random_faults() {
+fn safety_rules_hold_and_arrays_complete_under_random_faults() {
     for seed in 0..32 {
         let mut sim = Simulation::new(seed, 6);
         sim.controller.settings.quotas.red_gpus_max = Some(8.0);
--- a/tests/safety_rules/scale.rs
+++ b/tests/safety_rules/scale.rs
@@ -16,7 +16,7 @@
 /// assignment and job; every end rewrote its job's record; fixed shares of the writes left half of
 /// them unused while submissions were refused.
 #[test]
-fn thousands_of_machines_and_five_controllers() {
+fn scheduling_cost_is_bounded_with_thousands_of_machines_and_five_controllers() {
     let mut sim = Simulation::new(3, MACHINES);
     sim.limit_writes(35.0, 5);
     sim.users.tasks_per_chunk = 64;
@@ -79,7 +79,7 @@
 /// no lease may be lost for it: a new leader, all controllers away, a zone
 /// partitioned while the leader changes, and a burst of submissions.
 #[test]
-fn thousands_of_machines_through_failures() {
+fn failures_move_no_tasks_with_thousands_of_machines() {
     let mut sim = Simulation::new(4, MACHINES);
     sim.users.tasks_per_chunk = 64;
     sim.cloud.settings.capacity = 1;
--- a/tests/safety_rules/transactions.rs
+++ b/tests/safety_rules/transactions.rs
@@ -35,7 +35,7 @@
     sim.run(10_000);
 }
 
-pub fn every_second_transaction_is_unanswered(sim: &mut Simulation) {
+pub fn half_of_the_transaction_responses_are_lost(sim: &mut Simulation) {
     sim.network.rates = FaultRates { unanswered_transaction: 50, ..FaultRates::default() };
     sim.submit(submission("j-1", "batch", 12), 2_000);
     sim.submit(submission("j-2", "service", 2), 0);
--- a/tests/safety_rules/unreachable_machines.rs
+++ b/tests/safety_rules/unreachable_machines.rs
@@ -6,7 +6,7 @@
 
 /// One silent machine among others that speak is released, and its tasks
 /// start elsewhere long before its lease is over.
-pub fn dead_machine_is_released(sim: &mut Simulation) {
+pub fn unreachable_machine_is_released(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 1;
     sim.controller.settings.heartbeat_timeout_ms = 8_500;
     sim.add_workers(4);
@@ -41,7 +41,7 @@
 /// Guard: a machine whose heartbeats come, but that receives nothing, is noticed: it
 /// gets no new work and is released, whether it never received anything or stopped
 /// receiving later.
-pub fn machine_that_receives_nothing(sim: &mut Simulation) {
+pub fn machine_that_receives_nothing_is_released(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 1;
     sim.controller.settings.heartbeat_timeout_ms = 8_500;
     sim.add_workers(4);
@@ -64,7 +64,7 @@
 
 /// Guard: machines that reach no controller, but answer its calls, took new
 /// work in every new incarnation and lost it with the next lease.
-pub fn machines_that_reach_no_controller_get_no_new_work(sim: &mut Simulation) {
+pub fn machines_that_reach_no_controller_get_no_new_tasks(sim: &mut Simulation) {
     sim.add_workers(4);
     sim.run(5_000);
     sim.submit(submission("j-1", "service", 4), 0);
@@ -95,7 +95,7 @@
 /// Guard: a sixth of all machines hang for longer than their leases. They are
 /// released as soon as they are missed, since others of their zone speak; nothing
 /// runs twice when they go on, and no more machines come than went.
-pub fn many_machines_hang(sim: &mut Simulation) {
+pub fn hung_machines_are_replaced_before_their_leases_expire(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 40;
     sim.controller.settings.heartbeat_timeout_ms = 8_500;
     sim.add_workers(20);
