--- a/tests/combined_failures/cancellations.rs
+++ b/tests/combined_failures/cancellations.rs
@@ -1,56 +1,57 @@
-//! Cancellations during other failures: each is in force in time, or is refused.
+//! Cancellations during other failures: each takes effect in time, or is refused.
 
 use shedhook::{protocol::workers::TaskState, storage::records::JobStatus};
 
 use crate::simulation::{submission, Simulation, CANCEL_MS, LEASE_MS};
 
-/// Guard: leases are kept by a controller that can't read the records only for
-/// `cancel_s - lease_s` less a margin after its last read was sent. Here the
-/// leader alone is refused, a cancellation is confirmed by another controller
-/// at that moment, and a second later the key-value store is away for everybody.
+/// A controller that can't read the records may renew leases only for
+/// `cancel_s - lease_s` less a margin after its last read was sent; otherwise the tasks of
+/// a cancelled job run for too long. Here the store refuses only the leader, another
+/// controller confirms a cancellation at that moment, and a second later the key-value
+/// store is unavailable for all controllers.
 pub fn cancelled_while_the_store_refuses_only_the_leader(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 4), 500_000);
     sim.submit(submission("j-2", "service", 4), 0);
-    sim.run_until("all run", 20_000, |sim| sim.starts() == 8);
+    sim.run_until("all tasks run", 20_000, |sim| sim.starts() == 8);
     let longest_renewal = Simulation::longest_renewal_by_peer();
     sim.store.conditions.refuses_leader = true;
-    let read = sim.now();
+    let last_read = sim.now();
     sim.run(100);
     assert!(sim.cancel("j-1"));
     sim.run(1_000);
-    // Its lease ends: from now on it may only keep what runs.
+    // The leader's lease expires: from now on it may only renew the leases of running tasks.
     sim.run(3_000);
     sim.stop_leader();
     sim.workers
         .iter_mut()
         .for_each(|worker| (worker.faults.outbound_lost, worker.faults.lease_kept_by_peer) = (true, true));
-    sim.run(read + longest_renewal - sim.now());
+    sim.run(last_read + longest_renewal - sim.now());
     sim.workers.iter_mut().for_each(|worker| worker.faults.lease_kept_by_peer = false);
-    sim.run(read + CANCEL_MS + 2_000 - sim.now());
-    assert!(sim.none_running("j-1", 4), "cancelled, and nobody told the workers");
+    sim.run(last_read + CANCEL_MS + 2_000 - sim.now());
+    assert!(sim.none_running("j-1", 4), "a task of a cancelled job ran past the limit");
     sim.run(20_000);
 }
 
-/// Guard: a worker that reaches no controller is asked, and what it answers
-/// counts as heard, so that direct commands go on reaching it: a cancellation
-/// doesn't wait for the end of its lease.
+/// A worker that reaches no controller is queried, and its response is accepted as contact,
+/// so that it continues to receive direct commands: a cancellation must not wait for the
+/// end of its lease.
 pub fn workers_reach_no_controller_but_commands_reach_them(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 6), 500_000);
     sim.submit(submission("j-2", "service", 6), 0);
-    sim.run_until("all run", 20_000, |sim| sim.starts() == 12);
+    sim.run_until("all tasks run", 20_000, |sim| sim.starts() == 12);
     sim.run(5_000);
     sim.workers.iter_mut().for_each(|worker| worker.faults.outbound_lost = true);
     sim.run(8_000);
     assert!(sim.cancel("j-1"));
-    sim.run_until("stopped by direct commands", 14_000, |sim| sim.none_running("j-1", 6));
+    sim.run_until("the cancelled tasks are stopped by direct commands", 14_000, |sim| sim.none_running("j-1", 6));
     sim.elect();
     sim.submit(submission("j-3", "batch", 2), 3_000);
     sim.run(LEASE_MS * 2);
 }
 
-/// Guard: "done" is written only on the job's own revision, so that it never
-/// replaces a cancellation; and a job that is done can't be cancelled. The
-/// cancellation falls into each of the moments around the end of the last task.
+/// "done" is written only on condition of the job's own revision, so that it never replaces
+/// a cancellation; and a job that is done can't be cancelled. Here the cancellation falls
+/// into each of the moments around the exit of the last task.
 pub fn cancelled_around_the_end_of_the_last_task(sim: &mut Simulation) {
     sim.run(4_000);
     sim.store.conditions.transaction_latency_max_ms = 400;
@@ -59,12 +60,12 @@
     for n in 0..30u64 {
         let id = format!("j-{n}");
         sim.submit(submission(&id, "batch", 2), 1_500);
-        let both = |sim: &Simulation| (0..2).all(|t| sim.workers.has_completed(&format!("{id}/{t}")));
-        sim.run_until("both end", 60_000, both);
+        let both_ended = |sim: &Simulation| (0..2).all(|t| sim.workers.has_completed(&format!("{id}/{t}")));
+        sim.run_until("both tasks end", 60_000, both_ended);
         sim.run(n % 15 * 100);
-        let was = sim.status(&id);
+        let status_before = sim.status(&id);
         if sim.cancel(&id) {
-            assert_eq!(was, JobStatus::Pending);
+            assert_eq!(status_before, JobStatus::Pending);
             cancelled += 1;
         } else {
             done += 1;
@@ -77,28 +78,29 @@
     sim.run(20_000);
     for n in 0..30 {
         let job = sim.job(&format!("j-{n}"));
-        let want = if job.cancelled_at.is_some() { JobStatus::Cancelled } else { JobStatus::Done };
-        assert_eq!(sim.status(&format!("j-{n}")), want);
+        let expected = if job.cancelled_at.is_some() { JobStatus::Cancelled } else { JobStatus::Done };
+        assert_eq!(sim.status(&format!("j-{n}")), expected);
     }
 }
 
-/// Guard: a leader that learns of a cancellation late stops what it launched
-/// meanwhile; what it hears after it starts nothing. Reads of the changes take
-/// seconds, machines hang with commands queued, and all of it is cancelled.
+/// A leader that reads a cancellation late must stop the tasks that it launched in the
+/// meantime; heartbeats that it receives afterwards start no task. Here reads of the
+/// changes take seconds, machines hang with commands queued, and the whole job is
+/// cancelled.
 pub fn cancelled_unseen_with_commands_queued(sim: &mut Simulation) {
     sim.run(4_000);
     sim.store.conditions.read_latency_max_ms = 4_000;
     sim.submit(submission("j-1", "batch", 12), 300_000);
-    sim.run_until("known", 6_000, |sim| !sim.workers.iter().all(|worker| worker.tasks.is_empty()));
+    sim.run_until("the first task is launched", 6_000, |sim| !sim.workers.iter().all(|worker| worker.tasks.is_empty()));
     sim.workers.iter_mut().step_by(2).for_each(|worker| worker.faults.hung = true);
     assert!(sim.cancel("j-1"));
     sim.run(9_000);
     sim.workers.iter_mut().for_each(|worker| worker.faults.hung = false);
-    // What was queued begins when the machine goes on, and ends at once.
+    // The queued tasks start when the machine resumes, and are stopped at once.
     sim.run(6_000);
-    sim.run_until("all gone", CANCEL_MS - 16_000, |sim| sim.none_running("j-1", 12));
+    sim.run_until("all tasks are gone", CANCEL_MS - 16_000, |sim| sim.none_running("j-1", 12));
     let starts = sim.starts_of_cancelled();
     sim.run(LEASE_MS);
-    assert_eq!(sim.starts_of_cancelled(), starts, "starts once the cancellation was known");
+    assert_eq!(sim.starts_of_cancelled(), starts, "a task was started after the cancellation was known");
     assert!(sim.workers.iter().all(|worker| worker.tasks.iter().all(|task| task.state == TaskState::Exited)));
 }
--- a/tests/combined_failures/heartbeats.rs
+++ b/tests/combined_failures/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Old heartbeats that come after newer ones, or to another leader.
+//! Old heartbeats that arrive after newer ones, or at another leader.
 
 use shedhook::{
     protocol::workers::{ExitReason, TaskState},
@@ -10,50 +10,58 @@
     simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS},
 };
 
-/// Guard: heartbeats are ordered by incarnation and number, and one of an
-/// incarnation that is over frees nothing and brings nothing back. Copies from
-/// before the launch, from an earlier attempt and from an earlier incarnation
-/// come in the wrong order, to the leader that knows better and to one that doesn't.
+/// Heartbeats are ordered by incarnation and sequence number, and one of an ended
+/// incarnation must neither end an assignment nor restore one. Here copies from before the
+/// launch, from an earlier attempt and from an earlier incarnation arrive in the wrong
+/// order, at the leader that has newer heartbeats and at one that has none.
 pub fn stale_heartbeats_after_newer_ones(sim: &mut Simulation) {
     sim.run(4_000);
     let mut old = sim.latest_heartbeats();
     sim.submit(low_priority("j-1", "service", 4).with_cpus(4.0), 0);
-    sim.run_until("runs", 10_000, |sim| sim.all_running("j-1", 4));
+    sim.run_until("all tasks run", 10_000, |sim| sim.all_running("j-1", 4));
     old.extend(sim.latest_heartbeats());
-    // Another attempt: stopped for something urgent, then started again.
+    // A second attempt: the tasks are preempted by an urgent job, then started again.
     sim.submit(high_priority("j-2", "batch", 4, 8.0), 16_000);
-    sim.run_until("stopped", 10_000, |sim| sim.none_running("j-1", 4));
+    sim.run_until("all tasks are stopped", 10_000, |sim| sim.none_running("j-1", 4));
     sim.run(6_000);
-    // Nothing of it is anywhere, though the copies say so.
+    // None of its tasks is on a worker, although the copies list them.
     deliver_heartbeats_later(sim, &old, 0);
     for _ in 0..10 {
         sim.run(100);
         let index = sim.controller.job_cache().find("j-1").unwrap();
-        assert_eq!(sim.leader().cluster().job(index).unwrap().tasks.placed, 0, "an older report was believed");
+        assert_eq!(sim.leader().cluster().job(index).unwrap().tasks.placed, 0, "an older heartbeat was accepted");
     }
-    sim.run_until("the urgent one is done", 30_000, |sim| sim.status("j-2") == JobStatus::Done);
+    sim.run_until("the urgent job is done", 30_000, |sim| sim.status("j-2") == JobStatus::Done);
     old.extend(sim.latest_heartbeats());
     sim.run_until("runs again", 20_000, |sim| sim.all_running("j-1", 4));
     sim.restart_worker(1);
     sim.restart_worker(2);
     sim.run_until("runs again", 30_000, |sim| sim.all_running("j-1", 4));
     sim.run(4_000);
-    let (there, starts) = (sim.assignments("j-1", 4), sim.starts());
+    let (assigned, starts) = (sim.assignments("j-1", 4), sim.starts());
     old.reverse();
     deliver_heartbeats_later(sim, &old, 0);
     sim.run(LEASE_MS);
-    assert_eq!((sim.assignments("j-1", 4), sim.starts()), (there.clone(), starts), "the same leader believed them");
+    assert_eq!(
+        (sim.assignments("j-1", 4), sim.starts()),
+        (assigned.clone(), starts),
+        "the same leader accepted old heartbeats"
+    );
     sim.elect();
     deliver_heartbeats_later(sim, &old, 100);
     sim.run(10_000);
     deliver_heartbeats_later(sim, &old, 100);
     sim.run(LEASE_MS * 2);
-    assert_eq!((sim.assignments("j-1", 4), sim.starts()), (there, starts), "the next leader believed them");
+    assert_eq!(
+        (sim.assignments("j-1", 4), sim.starts()),
+        (assigned, starts),
+        "the next leader accepted old heartbeats"
+    );
 }
 
-/// Guard: an incarnation whose lease expired is never listened to again. A
-/// heartbeat is delayed until the new leader has seen its sender's lease expire and
-/// started its tasks elsewhere; it brings none of them back.
+/// Heartbeats of an incarnation whose lease expired must never be accepted again. Here a
+/// heartbeat is delayed until the new leader has treated its sender's lease as expired and
+/// started the tasks elsewhere; it must restore none of them.
 pub fn heartbeat_delayed_until_a_new_leader_has_acted(sim: &mut Simulation) {
     sim.workers.iter_mut().skip(2).for_each(|worker| worker.dead = true);
     sim.submit(submission("j-1", "service", 3), 0);
@@ -63,25 +71,30 @@
     sim.workers.iter_mut().for_each(|worker| worker.faults.partitioned = true);
     sim.elect();
     sim.run(LEASE_MS + 3_000);
-    // Nobody is free: what the copies list waits, and must not be believed there.
+    // No machine is free: the tasks that the copies list are waiting, and the copies must not
+    // be accepted as proof that they run.
     deliver_heartbeats_later(sim, &late, 0);
     sim.run(300);
     let index = sim.controller.job_cache().find("j-1").unwrap();
-    assert_eq!(sim.leader().cluster().job(index).unwrap().tasks.placed, 0, "a dead session was believed");
+    assert_eq!(
+        sim.leader().cluster().job(index).unwrap().tasks.placed,
+        0,
+        "a heartbeat of an ended incarnation was accepted"
+    );
     sim.add_worker("a");
-    sim.run_until("runs elsewhere", 8_000, |sim| sim.all_running("j-1", 3));
+    sim.run_until("all tasks run elsewhere", 8_000, |sim| sim.all_running("j-1", 3));
     deliver_heartbeats_later(sim, &late, 0);
     sim.workers.iter_mut().for_each(|worker| worker.faults.partitioned = false);
-    let there = sim.assignments("j-1", 3);
+    let assigned = sim.assignments("j-1", 3);
     sim.run(LEASE_MS * 2);
-    assert_eq!(sim.assignments("j-1", 3), there);
+    assert_eq!(sim.assignments("j-1", 3), assigned);
     assert!(sim.now() > now);
 }
 
-/// Guard: what a copy says is an end of its own attempt, and a new leader
-/// settles nothing by a heartbeat that doesn't show its token. Old copies list a
-/// stopped attempt as ended while a new one of the same task runs on the same
-/// machine.
+/// An exit that a heartbeat copy lists applies to its own attempt only, and a new leader
+/// must not end an assignment because of a heartbeat that doesn't carry its token. Here
+/// old copies list a stopped attempt as exited while a new attempt of the same task runs
+/// on the same machine.
 pub fn earlier_attempt_is_reported_as_ended(sim: &mut Simulation) {
     sim.workers.iter_mut().skip(1).for_each(|worker| worker.dead = true);
     sim.run(4_000);
--- a/tests/combined_failures/helpers.rs
+++ b/tests/combined_failures/helpers.rs
@@ -4,7 +4,7 @@
 
 use crate::simulation::{submission, Simulation, SubmissionBuilder};
 
-/// Delivers copies of heartbeats to whoever leads then.
+/// Delivers copies of heartbeats to the controller that leads after `delay_ms`.
 pub fn deliver_heartbeats_later(sim: &mut Simulation, heartbeats: &[Heartbeat], delay_ms: u64) {
     let at = sim.now() + delay_ms;
     for heartbeat in heartbeats {
@@ -12,12 +12,12 @@
     }
 }
 
-/// A submission of low priority.
+/// Returns a submission of low priority.
 pub fn low_priority(id: &str, kind: &str, tasks: u32) -> Submission {
     submission(id, kind, tasks).with_priority("low")
 }
 
-/// A submission of high priority.
+/// Returns a submission of high priority.
 pub fn high_priority(id: &str, kind: &str, tasks: u32, cpus: f64) -> Submission {
     submission(id, kind, tasks).with_priority("high").with_cpus(cpus)
 }
--- a/tests/combined_failures/main.rs
+++ b/tests/combined_failures/main.rs
@@ -1,6 +1,6 @@
-//! Combined failures: two or three at once. One table of cases; the invariants
-//! of `simulation` are checked at every step, and once a case's faults are over
-//! nothing that was accepted may be left waiting.
+//! Combined failures, two or three at once, as one table of cases. The invariants of
+//! `simulation` are checked at every step, and once the faults of a case are over, no
+//! accepted job may be left waiting.
 
 mod cancellations;
 mod heartbeats;
@@ -17,7 +17,7 @@
     Simulation,
 };
 
-/// How often each case is played, with other seeds.
+/// Runs of each case, each with another seed.
 const VARIANTS: u64 = 4;
 
 #[test]
@@ -99,7 +99,8 @@
     run_table_in(cases, VARIANTS, prepare);
 }
 
-/// Every second variant of a case is played with the full behaviour of gangs.
+/// Creates the simulation of a variant; every second variant of a case has the full
+/// behaviour of gangs.
 fn prepare(seed: u64) -> Simulation {
     let mut sim = Simulation::new(seed, 4);
     sim.workers.settings.gang_semantics = (seed / VARIANT_SEEDS) % 2 == 1;
--- a/tests/combined_failures/partitions.rs
+++ b/tests/combined_failures/partitions.rs
@@ -1,24 +1,24 @@
-//! Partitions of the network, and zones or controllers that are lost whole.
+//! Network partitions, and the loss of whole zones or of all controllers.
 
 use shedhook::protocol::jobs::Submission;
 
 use crate::simulation::{submission, Simulation, SubmissionBuilder, CANCEL_MS, LEASE_MS};
 
-/// Guard: what is bound to a zone is started in that zone only, also when all
-/// machines of that zone are lost at once and others have free capacity.
+/// A job that is bound to a zone must start in that zone only, also when all machines of
+/// that zone are lost at once and other zones have free capacity.
 pub fn zone_bound_jobs_lose_their_machines(sim: &mut Simulation) {
     sim.add_worker("a");
     sim.add_worker("b");
     sim.run(4_000);
-    let bound = |mut job: Submission| {
+    let bound_to_zone_a = |mut job: Submission| {
         job.zone = Some("a".into());
         job
     };
-    sim.submit(bound(submission("j-1", "batch", 6)), 40_000);
-    sim.submit(bound(submission("j-2", "service", 2)), 0);
+    sim.submit(bound_to_zone_a(submission("j-1", "batch", 6)), 40_000);
+    sim.submit(bound_to_zone_a(submission("j-2", "service", 2)), 0);
     sim.submit(submission("j-3", "ensemble", 3).with_one_zone(true), 60_000);
     sim.submit(submission("j-4", "batch", 4).with_one_zone(true), 50_000);
-    sim.run_until("all begin", 20_000, |sim| sim.starts() >= 12);
+    sim.run_until("all tasks start", 20_000, |sim| sim.starts() >= 12);
     sim.run(5_000);
     for worker in sim.workers.iter_mut().filter(|worker| worker.spec.zone == "a") {
         worker.terminate();
@@ -27,59 +27,60 @@
     sim.controller.settings.heartbeat_timeout_ms = 8_500;
     sim.elect();
     sim.run(12_000);
-    // One of the other zone hangs past its lease meanwhile.
+    // Meanwhile a machine of the other zone hangs past its lease.
     let hung = sim.workers.iter().position(|worker| worker.spec.zone == "b").unwrap();
     sim.workers[hung].faults.hung = true;
     sim.run(LEASE_MS + 5_000);
     sim.heal_faults();
-    sim.run_until_settled("bound to a zone", 200_000);
+    sim.run_until_settled("jobs bound to a zone", 200_000);
     let new_in_b = sim.workers.iter().skip(6).filter(|worker| worker.spec.zone == "b").count();
-    assert!(new_in_b <= 3, "{new_in_b} machines rented where nothing may run");
+    assert!(new_in_b <= 3, "{new_in_b} machines provisioned in a zone where no task may run");
 }
 
-/// Guard: what another controller may have kept counts for the new leader, and
-/// what it may keep ends in time for what is cancelled through the new one.
-/// The old controller is partitioned from the key-value store and the other
+/// The new leader must respect the leases that another controller may have renewed, and
+/// those renewals must end in time for jobs that are cancelled through the new leader.
+/// Here the old controller is partitioned from the key-value store and the other
 /// controllers, but half of the workers still reach it, and commands reach them.
 pub fn partitioned_leader_that_workers_still_reach(sim: &mut Simulation) {
     sim.add_workers(4);
     sim.submit(submission("j-1", "batch", 8), 400_000);
     sim.submit(submission("j-2", "service", 6), 0);
-    sim.run_until("all run", 20_000, |sim| sim.starts() == 14);
+    sim.run_until("all tasks run", 20_000, |sim| sim.starts() == 14);
     let longest_renewal = Simulation::longest_renewal_by_peer();
     sim.workers
         .iter_mut()
         .step_by(2)
         .for_each(|worker| (worker.faults.outbound_lost, worker.faults.lease_kept_by_peer) = (true, true));
     sim.controller.settings.peers_silent_since = Some(sim.now());
-    let cut = sim.now();
+    let partitioned_at = sim.now();
     sim.run(4_000);
     sim.elect();
     sim.run(500);
     assert!(sim.cancel("j-1"));
     sim.submit(submission("j-3", "service", 8), 0);
-    sim.run(cut + longest_renewal - sim.now());
+    sim.run(partitioned_at + longest_renewal - sim.now());
     sim.workers.iter_mut().for_each(|worker| worker.faults.lease_kept_by_peer = false);
-    let there = sim.assignments("j-2", 6);
+    let assigned = sim.assignments("j-2", 6);
     sim.run(LEASE_MS - 3_000);
-    assert_eq!(sim.assignments("j-2", 6), there, "none is counted out before the last lease kept");
-    sim.run(CANCEL_MS.saturating_sub(sim.now() - cut));
+    assert_eq!(sim.assignments("j-2", 6), assigned, "a task was moved before the last renewed lease expired");
+    sim.run(CANCEL_MS.saturating_sub(sim.now() - partitioned_at));
     assert!(sim.none_running("j-1", 8));
     sim.workers.iter_mut().for_each(|worker| worker.faults.outbound_lost = false);
     sim.run(500);
     sim.heal_faults();
-    sim.run_until_settled("the old leader's workers", 150_000);
+    sim.run_until_settled("jobs on the old leader's workers", 150_000);
 }
 
-/// Guard: a zone's leases count as expired only for time that the controller
-/// inside has spoken for. The zone is cut for longer than a lease, its
-/// controller keeps some of that; a gang bound to it and a spread service run
-/// there, and both lose nothing to the other zone while they may still run.
+/// The leases of a partitioned zone are treated as expired only for a period that the
+/// controller inside has confirmed. Here the zone is partitioned for longer than a lease,
+/// and its controller renews leases for part of that time. A gang bound to the zone and a
+/// spread service run there; no task of theirs may restart in the other zone while it may
+/// still run.
 pub fn zone_is_partitioned_with_its_controller(sim: &mut Simulation) {
     sim.add_workers(4);
     sim.submit(submission("j-1", "ensemble", 3).with_one_zone(true).with_cpus(4.0), 100_000);
     sim.submit(submission("j-2", "service", 6).with_spread(true), 0);
-    sim.run_until("all run", 20_000, |sim| sim.starts() == 9);
+    sim.run_until("all tasks run", 20_000, |sim| sim.starts() == 9);
     let zone = sim.workers[sim.worker_running("j-1/0").unwrap()].spec.zone.clone();
     sim.partition_zone(&zone, true, true);
     sim.controller.settings.peers_silent_since = Some(sim.now());
@@ -88,23 +89,23 @@
     sim.run(16_000);
     sim.partition_zone(&zone, true, false);
     sim.run(LEASE_MS + 8_000);
-    assert_eq!(sim.starts(), 9, "nothing is counted out while nobody spoke for it");
+    assert_eq!(sim.starts(), 9, "a task was restarted although no controller confirmed the end of its lease");
     sim.partition_zone(&zone, false, false);
     sim.run(300);
     sim.controller.settings.peers_silent_since = None;
     sim.heal_faults();
-    sim.run_until_settled("the zone is back", 120_000);
+    sim.run_until_settled("jobs after the partition", 120_000);
     sim.run(LEASE_MS);
 }
 
-/// Guard: a new incarnation ends all assignments of the one before, also those that
-/// only the records tell of. All controllers are away for longer than a lease;
-/// one machine hangs over it all, one restarts meanwhile.
+/// A new incarnation ends all assignments of the previous one, also those that are known
+/// from the records only. Here all controllers are unavailable for longer than a lease;
+/// one machine hangs throughout, and one restarts in the meantime.
 pub fn no_controller_for_longer_than_a_lease(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 5), 20_000);
     sim.submit(submission("j-2", "service", 4), 0);
     sim.submit(submission("j-3", "ensemble", 2).with_one_zone(true), 30_000);
-    sim.run_until("all run", 20_000, |sim| sim.starts() == 11);
+    sim.run_until("all tasks run", 20_000, |sim| sim.starts() == 11);
     sim.run(3_000);
     sim.stop_leader();
     sim.workers[0].faults.hung = true;
@@ -112,9 +113,9 @@
     assert!(sim.cancel("j-3"));
     sim.restart_worker(1);
     sim.run(LEASE_MS + 5_000);
-    assert!(sim.workers.iter().all(|worker| worker.tasks.is_empty()), "all leases are over");
+    assert!(sim.workers.iter().all(|worker| worker.tasks.is_empty()), "a task runs after all leases have expired");
     sim.workers[0].faults.hung = false;
     sim.elect();
-    sim.run_until_settled("all are back", 90_000);
+    sim.run_until_settled("jobs after the controllers return", 90_000);
     assert!(sim.none_running("j-3", 2));
 }
--- a/tests/combined_failures/random_faults.rs
+++ b/tests/combined_failures/random_faults.rs
@@ -1,4 +1,4 @@
-//! All faults chosen at random with fixed seeds, two and three at a time.
+//! All kinds of faults, chosen at random with fixed seeds, two and three at a time.
 
 use shedhook::protocol::jobs::Submission;
 
@@ -6,14 +6,15 @@
     cloud::ZONES, submission, worker::WorkerFaults, FaultRates, Simulation, SubmissionBuilder, LEASE_MS,
 };
 
-/// All faults by chance with fixed seeds, two and three at a time: nothing
-/// breaks a rule, and once they are over every job that was accepted and not
-/// cancelled is done or runs, and none waits for 90 s beside free capacity.
+/// All kinds of faults occur at random, with fixed seeds, two and three at a time. No
+/// safety rule may be broken, and once the faults are over every job that was accepted
+/// and not cancelled must be done or running, and none may wait for 90 s while there is
+/// free capacity for it.
 #[test]
 fn accepted_jobs_settle_after_random_combined_failures() {
-    let peer_settings: u64 = std::env::var("COMBINED_FAILURE_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(32);
+    let seed_count: u64 = std::env::var("COMBINED_FAILURE_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(32);
     let mut failed = Vec::new();
-    for seed in 0..peer_settings {
+    for seed in 0..seed_count {
         if std::panic::catch_unwind(|| play_random_faults(seed)).is_err() {
             failed.push(seed);
         }
@@ -38,14 +39,14 @@
         let kind = ["batch", "ensemble", "service"][sim.random_below(3)];
         let tasks = 1 + sim.random_below(5) as u32;
         let job = random_submission(&mut sim, &format!("j-{n}"), kind, tasks);
-        let run = if kind == "service" { 0 } else { 2_000 + 1_000 * sim.random_below(25) as u64 };
-        sim.submit(job, run);
+        let run_ms = if kind == "service" { 0 } else { 2_000 + 1_000 * sim.random_below(25) as u64 };
+        sim.submit(job, run_ms);
         for _ in 0..3 {
             let at = sim.random_below(sim.workers.len());
             inject_random_fault(&mut sim, n, at);
             sim.run(4_000);
             if sim.store.conditions.refuses_leader {
-                // Its lease under the key-value store is over.
+                // The leader's store lease has expired.
                 sim.stop_leader();
                 sim.store.conditions.refuses_leader = false;
             }
@@ -66,7 +67,7 @@
     }
     let all: Vec<String> = (0..14).map(|n| format!("j-{n}")).collect();
     sim.run_without_starvation(&format!("seed {seed}"), &all, 200_000);
-    // Services that fill the team's limit make way; the rest has to end.
+    // Services that fill the team's quota are cancelled; all other jobs must end.
     for id in all.iter().filter(|id| sim.job(id).run_ms == 0).cloned().collect::<Vec<_>>() {
         sim.cancel(&id);
     }
@@ -89,8 +90,8 @@
     }
 }
 
-/// One fault, or its end, drawn at random: at worker `at`, at the leader, or a
-/// cancellation of one of the first `n` jobs.
+/// Injects or ends a fault at random: at worker `at` or at the leader, or cancels
+/// one of the first `n` jobs.
 fn inject_random_fault(sim: &mut Simulation, n: u32, at: usize) {
     match sim.random_below(20) {
         0 => sim.workers[at].faults.partitioned = true,
@@ -101,7 +102,7 @@
         5 => sim.store.conditions.refuses_leader = true,
         6 => {
             let zone = sim.workers[at].spec.zone.clone();
-            replace_leader_while_a_peer_keeps_leases(sim, &zone);
+            replace_leader_while_a_peer_renews_leases(sim, &zone);
         }
         7 => {
             for _ in 0..3 {
@@ -147,9 +148,9 @@
     }
 }
 
-/// The leader ends, and for some of the time that another controller may, that
-/// one keeps the leases of one zone.
-fn replace_leader_while_a_peer_keeps_leases(sim: &mut Simulation, zone: &str) {
+/// Replaces the leader, while another controller renews the leases of one zone for a
+/// random part of the longest time that it may.
+fn replace_leader_while_a_peer_renews_leases(sim: &mut Simulation, zone: &str) {
     sim.stop_leader();
     let renewal = sim.random_below(Simulation::longest_renewal_by_peer() as usize) as u64;
     sim.controller.settings.peers_silent_since = Some(sim.now());
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
-//! The key-value store lowers its limits without notice: nothing loops, and no
-//! job is lost.
+//! The key-value store lowers its limits without notice: no write may be retried without
+//! end, and no job may be lost.
 
 mod simulation;
 
@@ -18,7 +18,8 @@
     submission(id, kind, tasks).with_cpus(0.1).with_memory_gb(0.1)
 }
 
-/// Jobs are recorded under 16 KiB, 1 KiB is announced.
+/// Creates a simulation in which jobs are recorded under a limit of 16 KiB for a value, and a
+/// limit of 1 KiB is announced.
 fn simulation(seed: u64) -> Simulation {
     let mut sim = Simulation::new(seed, 4);
     sim.workers.settings.slots = 80;
@@ -40,8 +41,8 @@
     move |sim| ids.iter().all(|id| sim.status(id) == JobStatus::Done)
 }
 
-/// Guard: a full record of before stays too large. What runs goes on,
-/// what isn't placed yet is placed in parts.
+/// A full record from before the change stays too large for the new limit. Running tasks
+/// must keep running, and tasks that aren't placed yet are placed in parts.
 fn limits_lowered_while_an_array_runs(sim: &mut Simulation) {
     sim.workers.settings.run_step_ms = 2_000;
     sim.submit(small_job("j-1", "batch", 120), 5_000);
@@ -52,7 +53,7 @@
     sim.run_until("done", 200_000, all_done(&["j-1", "j-2", "j-3"]));
 }
 
-/// Guard: a gang whose record can't be written is resharded.
+/// A gang whose record is too large to be written must be resharded; otherwise it never starts.
 fn limits_lowered_before_a_gang_starts(sim: &mut Simulation) {
     sim.controller.settings.may_reshard = true;
     sim.store.conditions.value_bytes_max = KB;
@@ -62,53 +63,54 @@
     assert_eq!(
         (chunk_of(sim, "j-1"), chunk_of(sim, "j-2")),
         (sim.controller.settings.tasks_per_chunk_fit, 64),
-        "what fits stays"
+        "a job whose records fit was resharded"
     );
 }
 
 fn limits_lowered_while_a_gang_runs(sim: &mut Simulation) {
     sim.controller.settings.may_reshard = true;
     sim.submit(small_job("j-1", "ensemble", 60), 20_000);
-    let gone = sim.add_worker("a");
-    // It runs on in the old chunks; lost, it is resharded.
+    let failing = sim.add_worker("a");
+    // The gang keeps running in its old chunks; once it is lost, it is resharded.
     sim.run_until("runs", 20_000, |sim| sim.worker_running("j-1/59").is_some());
     sim.store.conditions.value_bytes_max = KB;
-    let gone = sim.workers.iter().position(|worker| worker.id == gone).unwrap();
-    sim.workers[gone].dead = true;
+    let failing = sim.workers.iter().position(|worker| worker.id == failing).unwrap();
+    sim.workers[failing].dead = true;
     let busy = sim.workers.iter().position(|worker| !worker.tasks.is_empty());
     sim.restart_worker(busy.expect("the gang runs"));
     sim.run_until("done", 120_000, all_done(&["j-1"]));
     assert_eq!(chunk_of(sim, "j-1"), sim.controller.settings.tasks_per_chunk_fit);
-    assert!(sim.controller.too_large() <= 1, "{} refused", sim.controller.too_large());
+    assert!(sim.controller.too_large() <= 1, "{} transactions refused", sim.controller.too_large());
 }
 
-/// Guard: while an old controller may be there, no job is resharded.
+/// While a controller of the previous version may be running, no job may be resharded.
 fn no_resharding_while_a_controller_of_the_previous_version_may_run(sim: &mut Simulation) {
     sim.store.conditions.value_bytes_max = KB;
     sim.submit(small_job("j-1", "ensemble", 60), 5_000);
     sim.submit(small_job("j-2", "batch", 6), 5_000);
-    sim.run_until("others go on", 60_000, all_done(&["j-2"]));
+    sim.run_until("the other job is done", 60_000, all_done(&["j-2"]));
     sim.run(60_000);
     assert!(sim.status("j-1") == JobStatus::Pending && chunk_of(sim, "j-1") == 64);
-    assert!(sim.controller.too_large() < 5, "{} refused", sim.controller.too_large());
+    assert!(sim.controller.too_large() < 5, "{} transactions refused", sim.controller.too_large());
     sim.controller.settings.may_reshard = true;
     sim.run_until("done", 60_000, all_done(&["j-1"]));
 }
 
-/// The leader has met the lower limit; what it writes next is in the new chunks.
+/// Runs until a write of the leader has been refused under the lower limit; its next write is
+/// in the new chunks.
 fn run_until_limits_are_refused(sim: &mut Simulation, id: &str, kind: &str) {
     sim.controller.settings.may_reshard = true;
     sim.store.conditions.value_bytes_max = KB;
     let before = sim.controller.too_large();
     sim.submit(small_job(id, kind, 60), 5_000);
-    // With budget to spare it may be resharded before anything is refused.
+    // With write budget to spare, the job may be resharded before any write is refused.
     sim.run_until("refused", 20_000, |sim| sim.controller.too_large() > before || chunk_of(sim, id) != 64);
 }
 
 fn leader_crashes_before_it_reshards(sim: &mut Simulation) {
     run_until_limits_are_refused(sim, "j-1", "ensemble");
     sim.controller.settings.crash_before_transaction = true;
-    sim.run_until("dead", 20_000, |sim| !sim.has_leader());
+    sim.run_until("the leader has crashed", 20_000, |sim| !sim.has_leader());
     assert_eq!(chunk_of(sim, "j-1"), 64);
     sim.elect();
     sim.run_until("done", 120_000, all_done(&["j-1"]));
@@ -117,13 +119,14 @@
 fn leader_crashes_after_it_resharded(sim: &mut Simulation) {
     run_until_limits_are_refused(sim, "j-1", "ensemble");
     sim.controller.settings.crash_after_transaction = true;
-    sim.run_until("dead", 20_000, |sim| !sim.has_leader());
+    sim.run_until("the leader has crashed", 20_000, |sim| !sim.has_leader());
     assert_eq!(chunk_of(sim, "j-1"), sim.controller.settings.tasks_per_chunk_fit);
     sim.elect();
     sim.run_until("done", 120_000, all_done(&["j-1"]));
 }
 
-/// Guard: nothing is placed while it isn't known which chunks hold.
+/// No task may be placed while it is unknown whether the old or the new chunks are in effect,
+/// because the response to the resharding was lost.
 fn responses_are_lost_during_resharding(sim: &mut Simulation) {
     for id in ["j-1", "j-2", "j-3", "j-4", "j-5", "j-6"] {
         sim.elect();
@@ -149,7 +152,7 @@
             sim.network.rates = FaultRates::default();
         }
     }
-    // Running ones: the resharding is written, but its answer is lost.
+    // Running jobs: the resharding is written, but its response is lost.
     for n in 0..8 {
         let id = format!("j-7{n}");
         sim.controller.settings.may_reshard = false;
@@ -168,10 +171,10 @@
     sim.run_until("done", 60_000, all_done(&["j-9"]));
     sim.run(150_000);
     let left = sim.store.chunk_keys();
-    assert!(left.is_empty(), "records of jobs that are over: {left:?}");
+    assert!(left.is_empty(), "records of finished jobs are left: {left:?}");
 }
 
-/// What runs goes on in the new chunks; a replica that is lost is replaced.
+/// Running tasks must keep running in the new chunks; a replica that is lost is replaced.
 fn running_service_is_resharded(sim: &mut Simulation) {
     sim.controller.settings.may_reshard = true;
     sim.workers.settings.slots = 6;
@@ -186,20 +189,22 @@
     assert_eq!((sim.starts(), chunk_of(sim, "j-1")), (starts, sim.controller.settings.tasks_per_chunk_fit));
     let placed_on = sim.worker_running("j-1/7").unwrap();
     sim.workers[placed_on].dead = true;
-    sim.run_until("replaced", 60_000, |sim| sim.worker_running("j-1/7").is_some_and(|worker| worker != placed_on));
+    sim.run_until("the lost replica is replaced", 60_000, |sim| {
+        sim.worker_running("j-1/7").is_some_and(|worker| worker != placed_on)
+    });
     sim.elect();
     sim.run(10_000);
     assert!(sim.worker_running("j-1/49").is_some());
 }
 
-/// Guard: the answer to the resharding is lost. What ends until it is known
-/// counts as unwritten, and nothing more is placed.
+/// The response to the resharding is lost. Until the outcome is known, the exits of tasks are
+/// treated as unwritten, and no more tasks may be placed.
 fn resharding_response_is_lost(sim: &mut Simulation) {
     sim.workers.settings.slots = 8;
     sim.workers.settings.run_step_ms = 300;
     for (n, id) in ["j-1", "j-2", "j-3", "j-4", "j-5", "j-6"].into_iter().enumerate() {
         sim.controller.settings.may_reshard = false;
-        // More than there is free capacity for, until machines come.
+        // More tasks than the free capacity holds, until machines are added.
         let job = small_job(id, "batch", 60).with_cpus(1.0);
         sim.submit(job, 3_000 + 500 * n as u64);
         sim.run(4_500);
@@ -211,7 +216,7 @@
         }
         sim.workers.iter_mut().skip(4).for_each(|worker| worker.dead = worker.tasks.is_empty());
         sim.network.rates = FaultRates::default();
-        sim.run_until("divided", 60_000, |sim| {
+        sim.run_until("the job is resharded or done", 60_000, |sim| {
             chunk_of(sim, id) == sim.controller.settings.tasks_per_chunk_fit || sim.status(id) == JobStatus::Done
         });
         sim.run_until("done", 120_000, |sim| sim.status(id) == JobStatus::Done);
@@ -219,8 +224,8 @@
     sim.run(45_000);
 }
 
-/// Arrays of all sizes, some of their tasks done, in bad faults, leaders
-/// changing: nothing is lost, and nothing runs twice.
+/// Arrays and gangs of all sizes, some with tasks that are done, are resharded under frequent
+/// faults while leaders change: no task may be lost or run twice.
 fn resharded_under_random_faults(sim: &mut Simulation) {
     sim.controller.settings.may_reshard = true;
     sim.workers.settings.run_step_ms = 400;
@@ -238,10 +243,10 @@
     };
     for (n, id) in names.iter().enumerate() {
         let (kind, tasks) = (["batch", "ensemble", "batch"][sim.random_below(3)], 4 + sim.random_below(60) as u32);
-        let run = 1_000 + 500 * sim.random_below(6) as u64;
-        sim.submit(small_job(id, kind, tasks), run);
-        let pause = 100 * sim.random_below(30) as u64;
-        sim.run(pause);
+        let run_ms = 1_000 + 500 * sim.random_below(6) as u64;
+        sim.submit(small_job(id, kind, tasks), run_ms);
+        let pause_ms = 100 * sim.random_below(30) as u64;
+        sim.run(pause_ms);
         match sim.random_below(8) {
             0 => sim.elect(),
             1 => sim.controller.settings.crash_after_transaction = true,
@@ -260,27 +265,28 @@
     sim.network.rates = FaultRates::default();
     sim.controller.settings.crash_after_transaction = false;
     sim.elect();
-    sim.run_until("all over", 600_000, |sim| names.iter().all(|id| sim.status(id) != JobStatus::Pending));
+    sim.run_until("all jobs finished", 600_000, |sim| names.iter().all(|id| sim.status(id) != JobStatus::Pending));
     sim.run(60_000);
 }
 
-/// Guard: fewer writes in a transaction than the settings say: it is cut
-/// smaller, not repeated as it was.
+/// The store accepts fewer writes in a transaction than the settings state: the leader must
+/// split the transaction instead of repeating it unchanged.
 fn store_accepts_fewer_writes_than_announced(sim: &mut Simulation) {
     sim.store.conditions.operations_max = 2;
     sim.users.tasks_per_chunk = 4;
     sim.submit(small_job("j-1", "batch", 60), 5_000);
     sim.submit(small_job("j-2", "ensemble", 30), 5_000);
     sim.run_until("done", 200_000, all_done(&["j-1", "j-2"]));
-    assert!(sim.controller.too_large() < 8, "{} refused", sim.controller.too_large());
+    assert!(sim.controller.too_large() < 8, "{} transactions refused", sim.controller.too_large());
 }
 
-/// An answer is lost at the moment of the change: the same again is refused.
+/// A response is lost at the moment when the limits change, so that the same transaction is
+/// refused when it is repeated.
 fn retried_transaction_is_refused(sim: &mut Simulation) {
     sim.run(3_000);
     sim.submit(small_job("j-1", "batch", 120), 5_000);
     sim.network.rates = FaultRates { unanswered_transaction: 100, ..FaultRates::default() };
-    sim.run_until("on its way", 10_000, |sim| sim.controller.transactions() > 0);
+    sim.run_until("a transaction is sent", 10_000, |sim| sim.controller.transactions() > 0);
     sim.store.conditions.value_bytes_max = KB;
     sim.network.rates = FaultRates::default();
     sim.run_until("done", 200_000, all_done(&["j-1"]));
@@ -293,7 +299,7 @@
         let mut sim = simulation(seed);
         resharded_under_random_faults(&mut sim);
         sim.check(&format!("seed {seed}"));
-        eprintln!("seed {seed}: {} refused", sim.controller.too_large());
+        eprintln!("seed {seed}: {} transactions refused", sim.controller.too_large());
     }
 }
 
--- a/tests/pipelines/cancellations.rs
+++ b/tests/pipelines/cancellations.rs
@@ -1,23 +1,24 @@
-//! Cancellations of prerequisites: all dependents are cancelled, whoever learns of it and when.
+//! Cancellations of prerequisites: all dependents are cancelled, whichever controller reads the
+//! cancellation and when.
 
 use shedhook::storage::records::JobStatus;
 
 use crate::{
     helpers::{
-        has_begun, lose_transaction_responses_for_one_second, run_until_the_prerequisite_ended, submission_after,
+        has_started, lose_transaction_responses_for_one_second, run_until_the_prerequisite_ended, submission_after,
     },
     simulation::{submission, Simulation},
 };
 
-/// Guard: whichever step is cancelled, at whatever time, all after it are, and
-/// those before it go on.
+/// Whichever step is cancelled, at whatever time, all later steps must be cancelled too,
+/// and the earlier ones must complete.
 #[test]
 fn cancelling_a_step_cancels_all_later_steps() {
     let names = ["j-1", "j-2", "j-3", "j-4"];
     for step in 0..4 {
         for at in [0, 1_000, 4_000, 9_000, 14_000, 25_000] {
-            for change in [false, true] {
-                let what = format!("step {step} cancelled after {at} ms, change of leader: {change}");
+            for change_leader in [false, true] {
+                let what = format!("step {step} cancelled after {at} ms, leader change: {change_leader}");
                 let mut sim = Simulation::new(step as u64, 4);
                 sim.elect();
                 sim.submit(submission("j-9", "batch", 1), 2_000);
@@ -26,19 +27,19 @@
                     sim.submit(submission_after(names[n], "batch", 2, &[names[n - 1]]), 2_000);
                 }
                 sim.run(at);
-                if change {
+                if change_leader {
                     sim.stop_leader();
                 }
-                let won = sim.cancel(names[step]);
+                let was_cancelled = sim.cancel(names[step]);
                 sim.run(500);
-                if change {
+                if change_leader {
                     sim.elect();
                 }
                 sim.run(100_000);
                 for (n, name) in names.iter().enumerate() {
-                    let want = if won && n >= step { JobStatus::Cancelled } else { JobStatus::Done };
-                    assert_eq!(sim.status_told_to_users(name), Some(want), "{what}: {name}");
-                    assert!(n <= step || !won || !has_begun(&sim, name), "{what}: {name} began");
+                    let expected = if was_cancelled && n >= step { JobStatus::Cancelled } else { JobStatus::Done };
+                    assert_eq!(sim.status_told_to_users(name), Some(expected), "{what}: {name}");
+                    assert!(n <= step || !was_cancelled || !has_started(&sim, name), "{what}: {name} started");
                 }
                 sim.check(&what);
             }
@@ -46,28 +47,33 @@
     }
 }
 
-/// Guard: a cancellation that meets the end has one winner, whoever knows of it.
+/// When a job is cancelled while its completion is written, exactly one of the two takes
+/// effect, whichever controller knows of the cancellation.
 pub fn cancelled_while_the_completion_is_written(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 1), 3_000);
     sim.submit(submission_after("j-2", "batch", 1, &["j-1"]), 3_000);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
-    // The leader doesn't see the cancellation, and tries to write the end.
+    sim.run_until("the prerequisite runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
+    // The leader doesn't read the cancellation, and tries to write the completion.
     sim.controller.settings.reads_paused = true;
     assert!(sim.cancel("j-1"));
     sim.run(15_000);
-    assert!(sim.status("j-1") == JobStatus::Cancelled && !has_begun(sim, "j-2"));
+    assert!(sim.status("j-1") == JobStatus::Cancelled && !has_started(sim, "j-2"));
     sim.controller.settings.reads_paused = false;
     sim.run(30_000);
     assert_eq!(sim.status_told_to_users("j-2"), Some(JobStatus::Cancelled));
 }
 
-/// Guard: the write of the end is under way when the job is cancelled.
+/// The write of the completion is in flight when the job is cancelled; if the cancellation is
+/// accepted, the late write must not replace it.
 pub fn late_completion_of_a_cancelled_job(sim: &mut Simulation) {
     run_until_the_prerequisite_ended(sim);
     lose_transaction_responses_for_one_second(sim);
-    let won = sim.cancel("j-1");
+    let was_cancelled = sim.cancel("j-1");
     sim.run(60_000);
-    assert_eq!(sim.status_told_to_users("j-2"), Some(if won { JobStatus::Cancelled } else { JobStatus::Done }));
+    assert_eq!(
+        sim.status_told_to_users("j-2"),
+        Some(if was_cancelled { JobStatus::Cancelled } else { JobStatus::Done })
+    );
 }
 
 pub fn cancelled_while_the_store_is_unavailable(sim: &mut Simulation) {
@@ -75,7 +81,7 @@
     sim.submit(submission("j-2", "batch", 2), 30_000);
     sim.submit(submission_after("j-3", "batch", 1, &["j-2"]), 1_000);
     sim.submit(submission_after("j-4", "batch", 1, &["j-3"]), 1_000);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-2/1").is_some());
+    sim.run_until("the jobs run", 10_000, |sim| sim.worker_running("j-2/1").is_some());
     sim.store.conditions.transactions_left = Some(0);
     sim.cancel("j-2");
     sim.run(20_000);
@@ -84,7 +90,7 @@
     assert_eq!(sim.status_told_to_users("j-4"), Some(JobStatus::Cancelled));
 }
 
-/// It is accepted all the same, and never starts.
+/// A job that names a cancelled prerequisite is accepted nevertheless, and never starts.
 pub fn submitted_after_its_prerequisite_was_cancelled(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 1), 60_000);
     sim.submit(submission("j-5", "batch", 1), 1_000);
@@ -95,7 +101,11 @@
     sim.submit(submission_after("j-4", "batch", 1, &["j-5", "j-2"]), 1_000);
     sim.run(30_000);
     for id in ["j-2", "j-3", "j-4"] {
-        assert!(sim.status_told_to_users(id) == Some(JobStatus::Cancelled) && !has_begun(sim, id), "{id}");
-        assert_eq!(sim.status(id), JobStatus::Pending, "{id}: the first one's record is the fact");
+        assert!(sim.status_told_to_users(id) == Some(JobStatus::Cancelled) && !has_started(sim, id), "{id}");
+        assert_eq!(
+            sim.status(id),
+            JobStatus::Pending,
+            "{id}: only the record of the prerequisite may hold the cancellation"
+        );
     }
 }
--- a/tests/pipelines/cancelled_shapes.rs
+++ b/tests/pipelines/cancelled_shapes.rs
@@ -1,20 +1,21 @@
-//! Cancellations in fan-outs, chains and diamonds.
+//! Cancellations in dependency graphs: fan-outs, chains and diamonds.
 
 use shedhook::{protocol::jobs::Submission, storage::records::JobStatus};
 
 use crate::{
-    helpers::{all_run, has_begun, is_done, submission_after},
+    helpers::{all_run, has_started, is_done, submission_after},
     simulation::{submission, Simulation, SubmissionBuilder},
 };
 
-/// Cancels a prerequisite that can't be placed: everything else is told
-/// cancelled, now and by the next leader, and nothing but the one record is written.
+/// Cancels the root "j-1", which can't be placed. All dependents must be reported as
+/// cancelled, by the same and by the next leader, and only the record of the root may be
+/// written.
 fn check_cancellation_of_the_root(sim: &mut Simulation, dependents: &[String]) {
     sim.run(5_000);
     let before = sim.store.revision();
     assert!(sim.cancel("j-1"));
     sim.run(30_000);
-    assert_eq!(sim.store.revision(), before.next(), "one cancellation is one write");
+    assert_eq!(sim.store.revision(), before.next(), "a cancellation took more than one write");
     let all_cancelled =
         |sim: &Simulation| dependents.iter().all(|id| sim.status_told_to_users(id) == Some(JobStatus::Cancelled));
     assert!(all_cancelled(sim), "under the same leader");
@@ -22,11 +23,11 @@
     let elected = sim.store.revision();
     sim.run(30_000);
     assert!(all_cancelled(sim), "under the next leader");
-    assert_eq!(sim.store.revision(), elected, "nothing is written by the next leader");
-    assert!(dependents.iter().all(|id| !has_begun(sim, id)));
-    // The case itself has to run something.
+    assert_eq!(sim.store.revision(), elected, "the next leader wrote a record");
+    assert!(dependents.iter().all(|id| !has_started(sim, id)));
+    // A case fails if no task ever runs.
     sim.submit(submission("j-9000", "batch", 1), 1_000);
-    sim.run_until("unrelated work goes on", 30_000, is_done("j-9000"));
+    sim.run_until("an unrelated job is done", 30_000, is_done("j-9000"));
 }
 
 fn unplaceable_job(id: &str) -> Submission {
@@ -62,31 +63,31 @@
     sim.submit(submission_after("j-4", "batch", 1, &["j-2", "j-3"]), 1_000);
     sim.run_until("both sides run", 30_000, |sim| all_run("j-2", 1)(sim) && all_run("j-3", 1)(sim));
     assert!(sim.cancel("j-2"));
-    sim.run_until("the other side goes on", 30_000, is_done("j-3"));
+    sim.run_until("the other side is done", 30_000, is_done("j-3"));
     sim.run(30_000);
     assert_eq!(sim.status_told_to_users("j-4"), Some(JobStatus::Cancelled));
     assert_eq!(sim.status_told_to_users("j-1"), Some(JobStatus::Done));
-    assert!(!has_begun(sim, "j-4"));
+    assert!(!has_started(sim, "j-4"));
     sim.elect();
     sim.run(30_000);
-    assert_eq!(sim.status_told_to_users("j-4"), Some(JobStatus::Cancelled), "to the next leader");
-    assert!(!has_begun(sim, "j-4"));
+    assert_eq!(sim.status_told_to_users("j-4"), Some(JobStatus::Cancelled), "under the next leader");
+    assert!(!has_started(sim, "j-4"));
 }
 
 pub fn one_prerequisite_done_before_and_one_cancelled_after(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 1), 1_000);
-    sim.run_until("the first is done", 30_000, is_done("j-1"));
+    sim.run_until("the first prerequisite is done", 30_000, is_done("j-1"));
     sim.submit(submission("j-2", "batch", 1), 60_000);
-    sim.run_until("the second runs", 30_000, all_run("j-2", 1));
+    sim.run_until("the second prerequisite runs", 30_000, all_run("j-2", 1));
     sim.submit(submission_after("j-3", "batch", 1, &["j-1", "j-2"]), 1_000);
     sim.run(10_000);
-    assert!(sim.status_told_to_users("j-3") == Some(JobStatus::Pending) && !has_begun(sim, "j-3"));
+    assert!(sim.status_told_to_users("j-3") == Some(JobStatus::Pending) && !has_started(sim, "j-3"));
     assert!(sim.cancel("j-2"));
     sim.run(30_000);
     for leader in ["the same leader", "the next leader"] {
         assert_eq!(sim.status_told_to_users("j-3"), Some(JobStatus::Cancelled), "{leader}");
         assert_eq!(sim.status_told_to_users("j-1"), Some(JobStatus::Done), "{leader}");
-        assert!(!has_begun(sim, "j-3"), "{leader}");
+        assert!(!has_started(sim, "j-3"), "{leader}");
         sim.elect();
         sim.run(10_000);
     }
--- a/tests/pipelines/helpers.rs
+++ b/tests/pipelines/helpers.rs
@@ -1,10 +1,10 @@
-//! Dependent submissions, and what several cases ask of the simulation.
+//! Dependent submissions, and conditions and steps that several cases share.
 
 use shedhook::{protocol::jobs::Submission, storage::records::JobStatus};
 
 use crate::simulation::{submission, FaultRates, Simulation, SubmissionBuilder};
 
-/// A submission that waits for its prerequisites.
+/// Returns a submission that waits for its prerequisites.
 pub fn submission_after(id: &str, kind: &str, tasks: u32, prereqs: &[&str]) -> Submission {
     submission(id, kind, tasks).with_prereqs(prereqs)
 }
@@ -13,11 +13,11 @@
     move |sim| sim.status(id) == JobStatus::Done
 }
 
-/// Whether a task of this job ever ended or is on a worker.
-pub fn has_begun(sim: &Simulation, id: &str) -> bool {
-    let of = |t: &str| t.split('/').next() == Some(id);
-    sim.workers.completed_tasks().any(|t| of(t))
-        || sim.workers.iter().any(|worker| worker.tasks.iter().any(|t| of(&t.name)))
+/// Reports whether a task of this job has ended or is on a worker.
+pub fn has_started(sim: &Simulation, id: &str) -> bool {
+    let is_of_job = |task: &str| task.split('/').next() == Some(id);
+    sim.workers.completed_tasks().any(|task| is_of_job(task))
+        || sim.workers.iter().any(|worker| worker.tasks.iter().any(|task| is_of_job(&task.name)))
 }
 
 pub fn all_run(id: &'static str, tasks: u32) -> impl Fn(&Simulation) -> bool {
@@ -25,15 +25,15 @@
 }
 
 /// Submits "j-1" and "j-2", which depends on it, and runs until the task of
-/// "j-1" has ended; its end isn't recorded yet.
+/// "j-1" has ended; the completion of "j-1" isn't recorded yet.
 pub fn run_until_the_prerequisite_ended(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 1), 3_000);
     sim.submit(submission_after("j-2", "batch", 1, &["j-1"]), 3_000);
-    sim.run_until("ended", 20_000, |sim| sim.workers.completed_count() > 0);
+    sim.run_until("the prerequisite's task ends", 20_000, |sim| sim.workers.completed_count() > 0);
 }
 
-/// No transaction of the next second is answered: half of them are applied at
-/// once, half later.
+/// Runs for one second in which the response to every transaction is lost; half of the
+/// transactions are applied at once, half later.
 pub fn lose_transaction_responses_for_one_second(sim: &mut Simulation) {
     sim.network.rates = FaultRates { unanswered_transaction: 100, ..FaultRates::default() };
     sim.run(1_000);
--- a/tests/pipelines/job_cache.rs
+++ b/tests/pipelines/job_cache.rs
@@ -1,4 +1,5 @@
-//! The job cache alone: statuses, priorities and deadlines derived along dependencies, and their cost.
+//! The job cache by itself: statuses, priorities and deadlines derived along dependencies, and
+//! the cost of deriving them.
 
 use std::time::{Duration, Instant};
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// Guard: whatever the order in which records are seen, the outcome is the same.
+/// The derived statuses must be the same whatever the order in which records are read.
 #[test]
 fn statuses_do_not_depend_on_the_order_of_records() {
     use JobStatus::*;
@@ -51,7 +52,7 @@
         change(&six, Pending, 100, 2),
         change(&one, Cancelled, 100, 20),
         change(&six, Done, 7_000, 21),
-        // A late copy, and an abort of one that is cancelled already.
+        // A late copy, and a cancellation of a job that is already cancelled.
         change(&rest[1], Cancelled, 100, 30),
     ];
     all.extend(rest.iter().enumerate().map(|(n, r)| change(r, Pending, 100, 3 + n as u64)));
@@ -64,9 +65,9 @@
                 &mut Interners::default(),
             );
         }
-        let shown: Vec<JobStatus> =
+        let statuses: Vec<JobStatus> =
             (1..=7).map(|n| job_cache.get(job_cache.find(&format!("j-{n}")).unwrap()).status).collect();
-        assert_eq!(shown, [Cancelled, Cancelled, Cancelled, Cancelled, Cancelled, Done, Pending], "round {round}");
+        assert_eq!(statuses, [Cancelled, Cancelled, Cancelled, Cancelled, Cancelled, Done, Pending], "round {round}");
         let last = job_cache.find("j-7").unwrap();
         assert!(!job_cache.waits(last) && job_cache.ready_ms(last) == 7_000, "round {round}");
         for i in (1..all.len()).rev() {
@@ -76,7 +77,8 @@
     }
 }
 
-/// Guard: once it is called cancelled, no record of its own changes that.
+/// Once a job is reported as cancelled because of its prerequisite, no later record of the
+/// job itself may change that.
 #[test]
 fn derived_cancellation_is_not_changed_by_later_records() {
     let (one, two) = (submission_after("j-1", "batch", 1, &[]), submission_after("j-2", "batch", 1, &["j-1"]));
@@ -89,22 +91,22 @@
         (change(&two, JobStatus::Pending, 1, 4), JobStatus::Cancelled),
         (change(&two, JobStatus::Done, 1, 5), JobStatus::Cancelled),
     ];
-    for (change, want) in steps {
+    for (change, expected) in steps {
         job_cache
             .apply_changes(&Changes { store_revision: change.revision, events: vec![change.clone()] }, &mut interners);
         if let Some(index) = job_cache.find("j-2") {
-            assert_eq!(job_cache.get(index).status, want, "after {}", change.revision);
+            assert_eq!(job_cache.get(index).status, expected, "after {}", change.revision);
         }
     }
 }
 
 #[test]
 fn prerequisites_inherit_priority_and_deadline_of_dependents() {
-    let with = |s: Submission, rank: &str, due: Option<f64>| Submission {
-        priority: Some(rank.into()),
-        deadline_s: due,
+    let with = |submission: Submission, priority: &str, deadline_s: Option<f64>| Submission {
+        priority: Some(priority.into()),
+        deadline_s,
         estimate_s: Some(10.0),
-        ..s
+        ..submission
     };
     let jobs = [
         with(submission_after("j-1", "batch", 1, &[]), "low", None),
@@ -119,21 +121,21 @@
             let change = change(&jobs[n], JobStatus::Pending, 1_000, n as u64 + 1);
             job_cache.apply_changes(&Changes { store_revision: change.revision, events: vec![change] }, &mut interners);
         }
-        let got: Vec<(Priority, Option<f64>, Option<f64>)> = (1..=4)
+        let inherited: Vec<(Priority, Option<f64>, Option<f64>)> = (1..=4)
             .map(|n| job_cache.effective_spec(job_cache.find(&format!("j-{n}")).unwrap()).unwrap())
             .map(|spec| (spec.priority, spec.deadline_s, spec.overdue_s))
             .collect();
         use Priority::High;
-        let want = [
+        let expected = [
             (High, Some(80.0), Some(130.0)),
             (High, Some(90.0), Some(140.0)),
             (High, Some(90.0), Some(140.0)),
             (High, Some(100.0), Some(150.0)),
         ];
-        assert_eq!(got, want, "{order:?}");
-        // The deadline counts from the submission, however long it waited.
-        for (n, end) in [(0, 31_000), (1, 41_000), (2, 36_000)] {
-            let change = change(&jobs[n], JobStatus::Done, end, 10 + n as u64);
+        assert_eq!(inherited, expected, "{order:?}");
+        // The deadline counts from the submission, however long the job waited for prerequisites.
+        for (n, ended_at_ms) in [(0, 31_000), (1, 41_000), (2, 36_000)] {
+            let change = change(&jobs[n], JobStatus::Done, ended_at_ms, 10 + n as u64);
             job_cache.apply_changes(&Changes { store_revision: change.revision, events: vec![change] }, &mut interners);
         }
         let last = job_cache.find("j-4").unwrap();
@@ -142,35 +144,44 @@
     }
 }
 
-/// Deep chains, wide fans and wide joins load quickly, in any order, and what
-/// ends costs work in its dependents alone.
+/// Deep chains, wide fan_out-outs and wide joins must load quickly, in any order, and the end of
+/// a job may only cost work for its dependents.
 #[test]
 fn deep_and_wide_graphs_load_quickly_and_a_completion_changes_only_dependents() {
     let name = |n: usize| format!("j-{n:06}");
     let chain: Vec<Vec<String>> = (0..2_000).map(|n| (n > 0).then(|| name(n - 1)).into_iter().collect()).collect();
-    let fan: Vec<Vec<String>> = (0..5_001).map(|n| (n > 0).then(|| name(0)).into_iter().collect()).collect();
+    let fan_out: Vec<Vec<String>> = (0..5_001).map(|n| (n > 0).then(|| name(0)).into_iter().collect()).collect();
     let join: Vec<Vec<String>> =
         (0..1_001).map(|n| if n < 1_000 { vec![] } else { (0..1_000).map(name).collect() }).collect();
     let lattice: Vec<Vec<String>> =
         (0..2_000).map(|n| if n < 10 { vec![] } else { (n / 10 * 10 - 10..n / 10 * 10).map(name).collect() }).collect();
-    // Where each has a deadline, every new one raises all above it.
-    let hard = chain.clone();
-    for (what, shape) in [("chain", chain), ("hard", hard), ("fan", fan), ("join", join), ("lattice", lattice)] {
+    // Where each job has a deadline, every new job changes the deadlines of all its prerequisites.
+    let chain_with_deadlines = chain.clone();
+    for (graph_name, graph) in [
+        ("chain", chain),
+        ("chain with deadlines", chain_with_deadlines),
+        ("fan-out", fan_out),
+        ("join", join),
+        ("lattice", lattice),
+    ] {
         for backwards in [false, true] {
             for end in [JobStatus::Cancelled, JobStatus::Done] {
-                let last = shape.len() - 1;
-                let subs: Vec<Submission> = shape
+                let last = graph.len() - 1;
+                let submissions: Vec<Submission> = graph
                     .iter()
                     .enumerate()
                     .map(|(n, p)| Submission {
                         prereqs: Some(p.clone()),
-                        deadline_s: (n == last || what == "hard").then_some(1e6),
+                        deadline_s: (n == last || graph_name == "chain with deadlines").then_some(1e6),
                         priority: Some(if n == last { "high" } else { "low" }.into()),
                         ..submission(&name(n), "batch", 1)
                     })
                     .collect();
-                let mut events: Vec<Change> =
-                    subs.iter().enumerate().map(|(n, s)| change(s, JobStatus::Pending, 1, n as u64 + 1)).collect();
+                let mut events: Vec<Change> = submissions
+                    .iter()
+                    .enumerate()
+                    .map(|(n, s)| change(s, JobStatus::Pending, 1, n as u64 + 1))
+                    .collect();
                 if backwards {
                     events.reverse();
                 }
@@ -179,21 +190,21 @@
                 job_cache.apply_changes(&Changes { store_revision: Revision(10_000), events }, &mut interners);
                 let loaded = began.elapsed();
                 job_cache.take_changed();
-                let change = change(&subs[0], end, 1, 20_000);
+                let change = change(&submissions[0], end, 1, 20_000);
                 job_cache
                     .apply_changes(&Changes { store_revision: Revision(20_000), events: vec![change] }, &mut interners);
-                let took = began.elapsed();
+                let elapsed = began.elapsed();
                 let changed = job_cache.take_changed().len();
                 eprintln!(
-                    "{what}, backwards {backwards}: loaded in {loaded:?}, {end:?} at {took:?}, {changed} changed"
+                    "{graph_name}, backwards {backwards}: loaded in {loaded:?}, {end:?} at {elapsed:?}, {changed} changed"
                 );
-                // Of an unoptimized build, with a margin for a busy machine.
-                assert!(took < Duration::from_secs(5), "{what} took {took:?}");
-                let first = shape.iter().filter(|p| p.contains(&name(0))).count();
+                // The limit holds for an unoptimized build, with a margin for a busy machine.
+                assert!(elapsed < Duration::from_secs(5), "{graph_name} elapsed {elapsed:?}");
+                let direct_dependents = graph.iter().filter(|p| p.contains(&name(0))).count();
                 if end == JobStatus::Done {
-                    assert!(changed <= 1 + first, "{what}: {changed} changed by one end");
-                } else if what != "join" && what != "lattice" {
-                    assert_eq!(changed, shape.len(), "{what}");
+                    assert!(changed <= 1 + direct_dependents, "{graph_name}: {changed} jobs changed by one completion");
+                } else if graph_name != "join" && graph_name != "lattice" {
+                    assert_eq!(changed, graph.len(), "{graph_name}");
                 }
                 assert!(
                     end == JobStatus::Done
--- a/tests/pipelines/main.rs
+++ b/tests/pipelines/main.rs
@@ -1,5 +1,5 @@
-//! Pipelines of dependent jobs: when they start, how they are cancelled, what
-//! they inherit, and what it costs to keep them.
+//! Pipelines of dependent jobs: when they start, how they are cancelled, which
+//! priority and deadline they inherit, and the cost of keeping them in the job cache.
 
 mod cancellations;
 mod cancelled_shapes;
--- a/tests/pipelines/random_faults.rs
+++ b/tests/pipelines/random_faults.rs
@@ -7,8 +7,8 @@
     simulation::{FaultRates, Simulation, SubmissionBuilder},
 };
 
-/// By chance with fixed seeds: pipelines in all faults, cancelled now and
-/// then, under leaders that change.
+/// Pipelines under random faults with fixed seeds; some jobs are cancelled, and the leader
+/// changes.
 #[test]
 fn pipelines_finish_after_random_faults() {
     for seed in 0..24 {
@@ -26,7 +26,7 @@
         sim.elect();
         let mut names: Vec<String> = Vec::new();
         for n in 0..16 {
-            // Ids in no order.
+            // Ids are not in the order of submission.
             let id = format!("j-{}", (n * 7 + 3) % 16);
             let mut prereqs: Vec<String> = Vec::new();
             for _ in 0..sim.random_below(3) {
@@ -38,11 +38,11 @@
             let prereqs: Vec<&str> = prereqs.iter().map(String::as_str).collect();
             let kind = ["batch", "ensemble"][sim.random_below(2)];
             let tasks = 1 + sim.random_below(3) as u32;
-            let run = 500 + 500 * sim.random_below(8) as u64;
-            sim.submit(submission_after(&id, kind, tasks, &prereqs), run);
+            let run_ms = 500 + 500 * sim.random_below(8) as u64;
+            sim.submit(submission_after(&id, kind, tasks, &prereqs), run_ms);
             names.push(id);
-            let pause = 200 * sim.random_below(20) as u64;
-            sim.run(pause);
+            let pause_ms = 200 * sim.random_below(20) as u64;
+            sim.run(pause_ms);
             match sim.random_below(10) {
                 0 => sim.elect(),
                 1 => {
@@ -66,21 +66,21 @@
     }
 }
 
-/// Without faults, every job is done or cancelled in the end, and nothing broke
-/// an invariant.
+/// Runs without faults until every job is done or cancelled, and checks that no invariant
+/// was broken.
 fn run_until_all_have_finished(sim: &mut Simulation, names: &[String], seed: u64) {
-    let over =
+    let all_finished =
         |sim: &Simulation| names.iter().all(|n| sim.status_told_to_users(n).is_some_and(|s| s != JobStatus::Pending));
-    sim.run_until(&format!("all over, seed {seed}"), 600_000, over);
+    sim.run_until(&format!("all jobs finished, seed {seed}"), 600_000, all_finished);
     sim.run(60_000);
     sim.check(&format!("seed {seed}"));
 }
 
-/// Five controllers of both versions take turns at leading and are replaced one
-/// by one, in bad faults; jobs with prerequisites come only when all are new,
-/// and name jobs that were recorded, or ended, by either. The old ones are played
-/// by this version's logic with the old form of records: what an old process does
-/// besides, this can't show.
+/// Five controllers of two versions take turns as leader and are upgraded one by one, under
+/// frequent faults. Jobs with prerequisites are submitted only once all controllers are
+/// upgraded, and name jobs that either version recorded or completed. Controllers of the
+/// previous version are simulated by this version's logic with the previous format of
+/// records; other differences of a previous process are not covered.
 #[test]
 fn pipelines_finish_after_a_rolling_upgrade_under_faults() {
     for seed in 0..8 {
@@ -98,24 +98,24 @@
             lost_heartbeat_answer: 10,
             ..FaultRates::default()
         };
-        let mut is_new = [false; 5];
+        let mut is_upgraded = [false; 5];
         let mut names: Vec<String> = Vec::new();
         for round in 0..40 {
-            // A process that dies before its turn comes back old.
+            // A process that ends before its upgrade restarts with the previous version.
             if round >= 8 && sim.random_below(2) == 0 {
-                if let Some(n) = is_new.iter().position(|n| !n) {
-                    is_new[n] = true;
+                if let Some(n) = is_upgraded.iter().position(|new| !new) {
+                    is_upgraded[n] = true;
                 }
             }
-            let all_new = is_new.iter().all(|n| *n);
+            let all_upgraded = is_upgraded.iter().all(|new| *new);
             if !sim.has_leader() || sim.random_below(3) == 0 {
-                sim.controller.settings.writes_old_form = !is_new[sim.random_below(5)];
-                sim.controller.settings.may_reshard = all_new;
+                sim.controller.settings.writes_old_form = !is_upgraded[sim.random_below(5)];
+                sim.controller.settings.may_reshard = all_upgraded;
                 sim.elect();
             }
             let id = format!("j-{}", (round * 27 + 5) % 40);
             let mut prereqs: Vec<String> = Vec::new();
-            while all_new && prereqs.len() < 2 {
+            while all_upgraded && prereqs.len() < 2 {
                 let at = sim.random_below(names.len());
                 prereqs.push(names[at].clone());
             }
@@ -123,13 +123,13 @@
             let tasks = 1 + sim.random_below(20) as u32;
             let kind = ["batch", "ensemble"][sim.random_below(2)];
             let job = submission_after(&id, kind, tasks, &prereqs).with_cpus(0.5);
-            // Old controllers record larger chunks.
-            sim.users.tasks_per_chunk = if is_new[sim.random_below(5)] { 12 } else { 64 };
-            let run = 500 + 500 * sim.random_below(6) as u64;
-            sim.submit(job, run);
+            // Controllers of the previous version record larger chunks.
+            sim.users.tasks_per_chunk = if is_upgraded[sim.random_below(5)] { 12 } else { 64 };
+            let run_ms = 500 + 500 * sim.random_below(6) as u64;
+            sim.submit(job, run_ms);
             names.push(id);
-            let pause = 200 * sim.random_below(20) as u64;
-            sim.run(pause);
+            let pause_ms = 200 * sim.random_below(20) as u64;
+            sim.run(pause_ms);
             match sim.random_below(8) {
                 0 => {
                     let at = sim.random_below(names.len());
@@ -143,7 +143,7 @@
                 sim.store.conditions.value_bytes_max = 1 << 10;
             }
         }
-        assert!(is_new.iter().all(|n| *n), "seed {seed}");
+        assert!(is_upgraded.iter().all(|new| *new), "seed {seed}");
         sim.network.rates = FaultRates::default();
         sim.controller.settings.crash_after_transaction = false;
         sim.controller.settings.crash_before_transaction = false;
--- a/tests/pipelines/urgency.rs
+++ b/tests/pipelines/urgency.rs
@@ -1,5 +1,5 @@
-//! Order, scaling out and preemption: what a job inherits from its dependents,
-//! and from when its wait counts.
+//! Scheduling order, scale-out and preemption: the priority and deadline that a job inherits
+//! from its dependents, and the moment from which its wait is counted.
 
 use shedhook::{
     protocol::jobs::{Priority, Submission},
@@ -7,12 +7,12 @@
 };
 
 use crate::{
-    helpers::{all_run, has_begun, is_done, submission_after},
+    helpers::{all_run, has_started, is_done, submission_after},
     simulation::{submission, Simulation, SubmissionBuilder},
 };
 
-/// The end's time of day stands in its record, so that a later leader counts
-/// from there.
+/// The record of a completion holds its wall-clock time, so that a later leader counts the
+/// wait of dependents from the same moment.
 #[test]
 fn wait_is_counted_from_the_completion_of_the_last_prerequisite() {
     let mut sim = Simulation::new(5, 4);
@@ -21,41 +21,41 @@
     sim.submit(submission_after("j-2", "service", 1, &["j-1"]), 0);
     sim.run_until("done", 60_000, is_done("j-1"));
     sim.run(10_000);
-    let rec = job_record(&sim, "j-1");
-    assert!(rec.at_ms > 40_000 && rec.at_ms < sim.now(), "{}", rec.at_ms);
+    let record = job_record(&sim, "j-1");
+    assert!(record.at_ms > 40_000 && record.at_ms < sim.now(), "{}", record.at_ms);
     for _ in 0..2 {
         let leader = sim.leader();
         let job = leader.cluster().active_jobs().find(|job| &*job.id == "j-2").unwrap();
-        assert_eq!(job.wait.ready_since, rec.at_ms as i64);
+        assert_eq!(job.wait.ready_since, record.at_ms as i64);
         sim.elect();
     }
 }
 
-/// A leader raises what already runs when a job that needs it comes.
+/// The leader raises the priority of a running job when a more urgent dependent is submitted.
 #[test]
 fn running_job_inherits_the_priority_of_a_new_dependent() {
     let mut sim = Simulation::new(1, 4);
     sim.elect();
     sim.submit(submission("j-1", "batch", 4).with_priority("low"), 20_000);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/3").is_some());
+    sim.run_until("all tasks run", 10_000, |sim| sim.worker_running("j-1/3").is_some());
     sim.submit(submission_after("j-2", "batch", 1, &["j-1"]).with_priority("high"), 1_000);
     sim.run(500);
     let leader = sim.leader();
     let job = leader.cluster().active_jobs().find(|job| &*job.id == "j-1").unwrap();
     assert_eq!(job.spec.priority, Priority::High);
     sim.run_until("done", 90_000, is_done("j-2"));
-    // What was counted under one priority was taken back under the same.
+    // Resources must be subtracted under the same priority under which they were added.
     let leader = sim.leader();
     for host in &leader.cluster().snapshot().hosts {
         assert!(
             host.used_by_priority.iter().all(|r| !r.is_nonzero()) && !host.stopping.is_nonzero(),
-            "left over on a machine"
+            "resources are left over on a machine"
         );
     }
-    sim.check("raised");
+    sim.check("running job inherits the priority of a dependent");
 }
 
-/// A submission whose tasks each take a whole machine.
+/// Returns a submission whose tasks each take a whole machine.
 fn whole_machine(id: &str, kind: &str, tasks: u32, priority: &str, prereqs: &[&str]) -> Submission {
     submission_after(id, kind, tasks, prereqs).with_cpus(8.0).with_priority(priority)
 }
@@ -72,8 +72,8 @@
     sim.job_record(id)
 }
 
-/// Guard: a job that waited long for its prerequisite is not overdue for a
-/// start when it becomes ready, and goes behind work of a higher priority.
+/// A job that waited long for its prerequisite must not be treated as starved when it
+/// becomes ready; it goes behind jobs of a higher priority.
 pub fn scheduling_order_counts_from_the_last_prerequisite(sim: &mut Simulation) {
     sim.submit(whole_machine("j-9", "service", 3, "high", &[]), 0);
     sim.submit(whole_machine("j-1", "batch", 1, "normal", &[]), 200_000);
@@ -84,17 +84,20 @@
     sim.run_until("the prerequisite is done", 60_000, is_done("j-1"));
     sim.run_until("the normal job's tasks have ended", 120_000, |sim| {
         let ended = (0..3).all(|n| sim.workers.has_completed(&format!("j-3/{n}")));
-        assert!(ended || !has_begun(sim, "j-2"), "the low one took the order of an old job");
+        assert!(
+            ended || !has_started(sim, "j-2"),
+            "the low-priority job was ordered as if it had waited since submission"
+        );
         ended
     });
-    sim.run_until("the low job is done", 60_000, is_done("j-2"));
+    sim.run_until("the low-priority job is done", 60_000, is_done("j-2"));
 }
 
-/// Guard: much more expensive machines are rented for what has waited; the wait for a
-/// prerequisite doesn't count.
+/// Much more expensive machines are provisioned for jobs that have waited; the wait for a
+/// prerequisite must not be included.
 pub fn scale_out_urgency_counts_from_the_last_prerequisite(sim: &mut Simulation) {
     const PATIENCE_MS: u64 = 48_000;
-    sim.cloud.settings.spot_price = 0.02; // 50 times cheaper: low priority pays that after 48.5 s
+    sim.cloud.settings.spot_price = 0.02; // 50 times lower: low priority pays the full price after 48.5 s
     sim.elect();
     sim.workers.iter_mut().skip(1).for_each(|worker| worker.dead = true);
     sim.cloud.settings.capacity = 1;
@@ -106,18 +109,18 @@
     sim.cloud.forget_requests();
     let ready_ms = job_record(sim, "j-1").at_ms;
     sim.run(PATIENCE_MS / 2);
-    assert!(sim.cloud.requests().iter().any(|request| request.spot), "cheap machines are asked for at once");
-    sim.run_until("expensive machines are asked for", 60_000, |sim| {
+    assert!(sim.cloud.requests().iter().any(|request| request.spot), "low-priced machines were not requested at once");
+    sim.run_until("expensive machines are requested", 60_000, |sim| {
         sim.cloud.requests().iter().any(|request| !request.spot)
     });
     let on_demand = sim.cloud.requests().iter().find(|request| !request.spot).unwrap();
-    assert!(on_demand.at >= ready_ms + PATIENCE_MS, "asked {} ms after it was ready", on_demand.at - ready_ms);
+    assert!(on_demand.at >= ready_ms + PATIENCE_MS, "requested {} ms after the job was ready", on_demand.at - ready_ms);
     sim.cloud.settings.capacity = 2;
     sim.run_until("done", 120_000, is_done("j-2"));
 }
 
-/// Guard: a job that waits for a prerequisite has no machines rented for it,
-/// and nothing stopped for it.
+/// A job that waits for a prerequisite must not cause scale-out requests, and no task may be
+/// stopped for it.
 pub fn waiting_job_causes_no_scale_out_and_no_preemption(sim: &mut Simulation) {
     sim.submit(whole_machine("j-0", "service", 3, "low", &[]), 0);
     sim.submit(whole_machine("j-1", "batch", 1, "normal", &[]), 60_000);
@@ -126,12 +129,16 @@
     sim.submit(whole_machine("j-2", "ensemble", 3, "high", &["j-1"]), 2_000);
     sim.run(45_000);
     assert_eq!(sim.status("j-1"), JobStatus::Pending);
-    assert_eq!((sim.cloud.requests().len(), sim.workers.halts().len(), sim.starts()), (0, 0, 4), "while it waits");
+    assert_eq!(
+        (sim.cloud.requests().len(), sim.workers.halts().len(), sim.starts()),
+        (0, 0, 4),
+        "requests, stopped tasks and starts while the job waits"
+    );
     sim.run_until("done", 60_000, is_done("j-2"));
-    assert!(was_stopped(sim, "j-0"), "the same job preempts once it is ready");
+    assert!(was_stopped(sim, "j-0"), "the job did not preempt once it was ready");
 }
 
-/// Guard: a queued job takes on the priority of a dependent that comes late.
+/// A queued job inherits the priority of a dependent that is submitted later.
 pub fn late_urgent_dependent_raises_the_priority_of_a_queued_job(sim: &mut Simulation) {
     sim.submit(whole_machine("j-9", "service", 3, "high", &[]), 0);
     sim.submit(whole_machine("j-0", "batch", 1, "high", &[]), 30_000);
@@ -141,14 +148,14 @@
     sim.run(5_000);
     let last = whole_machine("j-2", "batch", 1, "high", &["j-1"]);
     sim.submit(last.with_deadline_s(300.0), 1_000);
-    sim.run_until("the raised job runs", 60_000, all_run("j-1", 1));
-    assert!(!has_begun(sim, "j-5"), "normal work went before the raised job");
+    sim.run_until("the job with inherited priority runs", 60_000, all_run("j-1", 1));
+    assert!(!has_started(sim, "j-5"), "a normal-priority job started before the job with inherited priority");
     sim.run_until("the last job is done", 60_000, is_done("j-2"));
     sim.run_until("the other team's job is done", 60_000, is_done("j-5"));
 }
 
-/// Guard: a running job that was raised by a late dependent isn't preempted by
-/// normal work of another team, which would have preempted it before.
+/// A running job that inherited the priority of a later dependent must not be preempted by a
+/// normal-priority job of another team, which would have preempted it before.
 pub fn late_urgent_dependent_protects_a_running_job(sim: &mut Simulation) {
     const LONGER_THAN_PATIENCE_MS: u64 = 30_000;
     sim.submit(whole_machine("j-9", "service", 3, "high", &[]), 0);
@@ -159,14 +166,14 @@
     sim.run(1_000);
     sim.submit(of_team_blue(whole_machine("j-5", "batch", 1, "normal", &[])), 5_000);
     sim.run(LONGER_THAN_PATIENCE_MS);
-    assert!(all_run("j-1", 1)(sim) && !was_stopped(sim, "j-1"), "preempted by normal work");
+    assert!(all_run("j-1", 1)(sim) && !was_stopped(sim, "j-1"), "preempted by a normal-priority job");
     sim.run_until("the last job is done", 90_000, is_done("j-2"));
     sim.run_until("the other team's job is done", 60_000, is_done("j-5"));
     assert!(!was_stopped(sim, "j-1"));
 }
 
-/// Guard: neither does a raised job exceed its own team's limit, nor does it
-/// count towards the limit of the team whose job raised it.
+/// A job with inherited priority must not exceed its own team's quota, and must not be
+/// included in the quota of the team of the dependent.
 pub fn quotas_apply_to_each_jobs_own_team(sim: &mut Simulation) {
     let gpus = |job: Submission| job.with_gpus(2.0).with_cpus(1.0);
     let high = |job: Submission| job.with_priority("high");
@@ -174,14 +181,14 @@
     sim.controller.settings.quotas.blue_gpus_max = Some(2.0);
     sim.elect();
     sim.submit(gpus(submission("j-0", "batch", 1)), 30_000);
-    sim.run_until("the team is at its limit", 20_000, all_run("j-0", 1));
+    sim.run_until("the team is at its quota", 20_000, all_run("j-0", 1));
     sim.submit(gpus(submission("j-1", "batch", 1)), 20_000);
     sim.submit(of_team_blue(high(gpus(submission_after("j-2", "batch", 1, &["j-1"])))), 1_000);
     sim.run(15_000);
-    assert!(!has_begun(sim, "j-1") && all_run("j-0", 1)(sim), "raised above its own team's limit");
-    sim.run_until("the raised job runs", 60_000, all_run("j-1", 1));
+    assert!(!has_started(sim, "j-1") && all_run("j-0", 1)(sim), "the inherited priority exceeded the team's own quota");
+    sim.run_until("the job with inherited priority runs", 60_000, all_run("j-1", 1));
     sim.submit(of_team_blue(gpus(submission("j-5", "batch", 1))), 2_000);
-    sim.run_until("the other team's limit is free", 10_000, all_run("j-5", 1));
-    assert!(all_run("j-1", 1)(sim), "both run at once");
+    sim.run_until("a job within the other team's quota runs", 10_000, all_run("j-5", 1));
+    assert!(all_run("j-1", 1)(sim), "the job with inherited priority was stopped for the other team");
     sim.run_until("the last job is done", 90_000, is_done("j-2"));
 }
--- a/tests/safety_rules/best_effort.rs
+++ b/tests/safety_rules/best_effort.rs
@@ -1,4 +1,4 @@
-//! Teams to which nothing is guaranteed: they get what the others leave.
+//! Teams without a guarantee (best effort): they get the capacity that other teams leave.
 
 use shedhook::storage::records::JobStatus;
 
@@ -7,9 +7,9 @@
     submission, Simulation, SubmissionBuilder,
 };
 
-/// Guard: a team without a guarantee bought every machine there was, at any
-/// price, once its work had waited; and its tasks, submitted first, went before
-/// those of teams that have a guarantee.
+/// A team without a guarantee had every available machine provisioned, at any
+/// price, once its tasks had waited; and its tasks, submitted first, were placed
+/// before those of teams that have a guarantee.
 pub fn best_effort_team_gets_what_others_leave(sim: &mut Simulation) {
     sim.controller.settings.quotas.red_gpus_guaranteed = Some(4.0);
     sim.cloud.settings.spot_price = 0.1;
@@ -18,20 +18,20 @@
     sim.elect();
     sim.run(5_000);
     sim.submit(submission("j-1", "batch", 400).with_team("blue").with_priority("low"), 15_000);
-    sim.run_until("its work begins", 10_000, |sim| sim.worker_running("j-1/0").is_some());
+    sim.run_until("the best-effort job starts", 10_000, |sim| sim.worker_running("j-1/0").is_some());
     sim.run(90_000);
     let on_demand = |sim: &Simulation| sim.cloud.requests().iter().filter(|request| !request.spot).count();
-    assert_eq!(on_demand(sim), 0, "on-demand machines at ten times the price");
-    assert_eq!(sim.cloud.settings.spot_capacity, 0, "cheap ones are rented");
+    assert_eq!(on_demand(sim), 0, "on-demand machines were provisioned at ten times the price");
+    assert_eq!(sim.cloud.settings.spot_capacity, 0, "not all low-priced machines were provisioned");
     sim.cloud.settings.capacity = 0;
     sim.submit(submission("j-2", "batch", 24).with_priority("low"), 5_000);
-    sim.run_until("a team with a guarantee goes first", 60_000, |sim| sim.status("j-2") == JobStatus::Done);
+    sim.run_until("the job of a team with a guarantee is done", 60_000, |sim| sim.status("j-2") == JobStatus::Done);
     assert_eq!(sim.status("j-1"), JobStatus::Pending);
-    sim.run_until("it is served in the end", 400_000, |sim| sim.status("j-1") == JobStatus::Done);
+    sim.run_until("the best-effort job is done", 400_000, |sim| sim.status("j-1") == JobStatus::Done);
 }
 
-/// Guard: tasks of a team without a guarantee that run for minutes took all
-/// capacity as it became free; work of others of the same priority waited for them.
+/// Tasks of a team without a guarantee that run for minutes took all capacity as
+/// it became free; tasks of other teams of the same priority waited for them.
 pub fn best_effort_tasks_leave_capacity_for_other_teams(sim: &mut Simulation) {
     sim.controller.settings.quotas.red_gpus_guaranteed = Some(4.0);
     sim.add_workers(296);
@@ -46,17 +46,19 @@
     for n in 0..8 {
         let id = format!("j-20{n}");
         submit(sim, &id, "red", 64, 10_000);
-        sim.run_until("work of others begins at once", 8_000, |sim| sim.worker_running(&format!("{id}/0")).is_some());
+        sim.run_until("the job of another team starts at once", 8_000, |sim| {
+            sim.worker_running(&format!("{id}/0")).is_some()
+        });
         sim.run(10_000);
     }
     let running = |sim: &Simulation| (0..4_000).filter(|n| sim.worker_running(&format!("j-1/{n}")).is_some()).count();
-    assert!(running(sim) >= 640, "{} of its tasks run on 1,200 places of which others use 64", running(sim));
+    assert!(running(sim) >= 640, "{} best-effort tasks run in 1,200 slots of which other teams use 64", running(sim));
     sim.run(30_000);
-    sim.run_until("what others leave is used in the end", 150_000, |sim| running(sim) >= 1_120);
+    sim.run_until("the capacity that other teams leave is used", 150_000, |sim| running(sim) >= 1_120);
 }
 
-/// Guard: machines that were expensive, and whose GPUs had no use, were kept for as
-/// long as a team without a guarantee had tasks for their CPUs.
+/// Expensive machines whose GPUs were unused were kept for as long as a team
+/// without a guarantee had tasks for their CPUs.
 pub fn expensive_machines_are_not_kept_for_best_effort(sim: &mut Simulation) {
     sim.controller.settings.quotas.red_gpus_guaranteed = Some(4.0);
     sim.cloud.settings.offers_cheap_type = true;
@@ -66,12 +68,15 @@
         submission("j-1", "batch", 30).with_team("blue").with_priority("low").with_checkpoint_s(10.0).with_save_s(3.0),
         60_000,
     );
-    sim.run_until("it uses what is there", 10_000, |sim| sim.worker_running("j-1/0").is_some());
+    sim.run_until("the job runs on the existing machines", 10_000, |sim| sim.worker_running("j-1/0").is_some());
     sim.cloud.settings.capacity = 20;
-    let expensive_ones_went =
+    let expensive_machines_released =
         |sim: &Simulation| sim.workers.iter().all(|worker| worker.dead == (worker.spec.machine_type == MACHINE_TYPE));
-    sim.run_until("the expensive machines go back", 60_000, expensive_ones_went);
-    assert!(sim.workers.halts().iter().all(|halt| halt.grace_s >= 3.0), "its tasks can save what they did");
-    sim.run_until("it is served on cheap ones", 200_000, |sim| sim.status("j-1") == JobStatus::Done);
+    sim.run_until("the expensive machines are released", 60_000, expensive_machines_released);
+    assert!(
+        sim.workers.halts().iter().all(|halt| halt.grace_s >= 3.0),
+        "a task was stopped without the time to save a checkpoint"
+    );
+    sim.run_until("the job is done on low-priced machines", 200_000, |sim| sim.status("j-1") == JobStatus::Done);
     assert!(sim.workers.iter().any(|worker| worker.spec.machine_type == CHEAP_MACHINE_TYPE));
 }
--- a/tests/safety_rules/cancellations.rs
+++ b/tests/safety_rules/cancellations.rs
@@ -1,10 +1,11 @@
-//! Cancellations that the leader learns of late.
+//! Cancellations that the leader reads late.
 
 use shedhook::storage::records::JobStatus;
 
 use crate::simulation::{submission, FaultRates, Simulation};
 
-/// Guard: a launch under way when its job is cancelled is found and stopped.
+/// A launch that is in flight when its job is cancelled still arrives; the task must
+/// be found and stopped.
 pub fn cancelled_with_a_launch_in_flight(sim: &mut Simulation) {
     sim.network.rates = FaultRates { late_command: 100, ..FaultRates::default() };
     sim.submit(submission("j-1", "batch", 4), 500_000);
@@ -18,7 +19,7 @@
 
 pub fn cancelled_without_a_leader(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 4), 500_000);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
+    sim.run_until("the job runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
     sim.stop_leader();
     assert!(sim.cancel("j-1"));
     sim.run(10_000);
--- a/tests/safety_rules/heartbeats.rs
+++ b/tests/safety_rules/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats that come late, from an ended incarnation or for a lost record.
+//! Heartbeats that arrive late, that come from an ended incarnation, or that list tasks
+//! whose record was lost.
 
 use shedhook::{
     protocol::{
@@ -10,13 +11,13 @@
 
 use crate::simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS};
 
-/// Guard: a heartbeat from before the launch, delivered to the next leader, does
-/// not list the task; that must not end its assignment.
+/// A heartbeat from before the launch, delivered late to the next leader, doesn't
+/// list the task; that must not end the task's assignment.
 pub fn late_heartbeat_from_before_the_launch(sim: &mut Simulation) {
     sim.run(4_000);
     let early = sim.latest_heartbeats();
     sim.submit(submission("j-1", "service", 3), 0);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/2").is_some());
+    sim.run_until("all tasks run", 10_000, |sim| sim.worker_running("j-1/2").is_some());
     for worker in sim.workers.iter_mut() {
         worker.faults.partitioned = true;
     }
@@ -27,15 +28,16 @@
     let free = sim.add_worker("a");
     sim.run(LEASE_MS - 4_000);
     let spare = sim.workers.iter().find(|worker| worker.id == free).unwrap();
-    assert!(spare.tasks.is_empty(), "started anew while the old ones still run");
+    assert!(spare.tasks.is_empty(), "a task was started again while its old attempt may still run");
     for worker in sim.workers.iter_mut() {
         worker.faults.partitioned = false;
     }
     sim.run(60_000);
 }
 
-/// Guard: heartbeats are ordered by incarnation and number; what is older than what
-/// is known, or of an incarnation whose lease has expired, changes nothing.
+/// Heartbeats are ordered by incarnation and sequence number. One that is older than
+/// the newest accepted heartbeat, or that comes from an incarnation whose lease has
+/// expired, must change nothing; otherwise it adds tasks that don't run.
 pub fn stale_heartbeats_are_ignored(sim: &mut Simulation) {
     sim.submit(submission("j-0", "batch", 1), 1_000);
     sim.submit(submission("j-1", "batch", 1).with_zone("nowhere"), 1_000);
@@ -59,7 +61,7 @@
     let early = report_of_a_task_never_placed(sim, 1);
     sim.network.deliver_heartbeat_at(sim.now(), early);
     sim.run(200);
-    assert_eq!(placed(sim), 0, "an older report was believed");
+    assert_eq!(placed(sim), 0, "an older heartbeat was accepted");
     sim.submit(submission("j-2", "service", 4).with_zone("a"), 0);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-2/0").is_some());
     let late = report_of_a_task_never_placed(sim, 1 << 40);
@@ -67,14 +69,14 @@
     sim.run(LEASE_MS + 3_000);
     sim.network.deliver_heartbeat_at(sim.now(), late);
     sim.run(200);
-    assert_eq!(placed(sim), 0, "a report of a dead session was believed");
+    assert_eq!(placed(sim), 0, "a heartbeat of an ended incarnation was accepted");
 }
 
 pub fn unrecorded_tasks_are_adopted(sim: &mut Simulation) {
     sim.workers.iter_mut().skip(1).for_each(|worker| worker.dead = true);
     sim.submit(submission("j-1", "service", 2), 0);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/1").is_some());
-    // A record lost by whatever hand: the tasks are there all the same.
+    // The record is lost, for whatever reason, but the tasks still run.
     sim.store.lose_chunk_records();
     let (a, b) = (sim.worker_running("j-1/0"), sim.worker_running("j-1/1"));
     sim.elect();
@@ -82,8 +84,8 @@
     assert_eq!((sim.worker_running("j-1/0"), sim.worker_running("j-1/1")), (a, b));
 }
 
-/// Guard: a copy of a heartbeat of a machine that was released comes to a
-/// leader that never heard of it: no task is placed on that machine.
+/// A copy of a heartbeat of a released machine arrives at a leader that doesn't know
+/// that machine; no task may be placed on it.
 pub fn heartbeat_copy_of_a_released_machine(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 2), 500_000);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/1").is_some());
@@ -93,23 +95,26 @@
     }
     sim.store.lose_chunk_records();
     sim.elect();
-    for (n, c) in copies.into_iter().enumerate() {
-        sim.network.deliver_heartbeat_at(sim.now() + 1_000 * n as u64, c);
+    for (n, copy) in copies.into_iter().enumerate() {
+        sim.network.deliver_heartbeat_at(sim.now() + 1_000 * n as u64, copy);
     }
     sim.run(3_000);
     sim.submit(submission("j-2", "batch", 8), 5_000);
-    sim.run_until("elsewhere, at once", 9_000, |sim| sim.status("j-2") == JobStatus::Done);
+    sim.run_until("the job is done on other machines, without delay", 9_000, |sim| {
+        sim.status("j-2") == JobStatus::Done
+    });
 }
 
-/// Guard: to a new leader, an old copy is the newest heartbeat it has of a
-/// machine; it neither frees what came later nor brings back what is over.
+/// A copy of an old heartbeat may be the first that a new leader receives from a
+/// machine. It must neither end assignments made after it nor restore tasks that
+/// have ended.
 pub fn stale_heartbeat_is_the_first_of_a_leader(sim: &mut Simulation) {
     sim.run(4_000);
     sim.submit(submission("j-1", "service", 3), 0);
     sim.submit(submission("j-2", "service", 3).with_priority("low"), 0);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/2").is_some() && sim.worker_running("j-2/2").is_some());
     let copies = sim.latest_heartbeats();
-    // What those copies show is stopped, lost with an incarnation, or goes elsewhere.
+    // The tasks that those copies list are stopped, lost with their incarnation, or moved.
     assert!(sim.cancel("j-1"));
     sim.restart_worker(0);
     sim.restart_worker(3);
@@ -126,7 +131,7 @@
     sim.workers.iter_mut().for_each(|worker| worker.faults.partitioned = false);
     sim.run(LEASE_MS * 2);
     let after = sim.assignments("j-3", 8);
-    assert_eq!(before, after, "what ran goes on where it was");
-    assert!(sim.none_running("j-1", 3), "cancelled for good");
-    sim.run_until("the rest runs", 20_000, |sim| sim.all_running("j-2", 3));
+    assert_eq!(before, after, "running tasks were moved");
+    assert!(sim.none_running("j-1", 3), "a cancelled task was restored");
+    sim.run_until("the other job runs", 20_000, |sim| sim.all_running("j-2", 3));
 }
--- a/tests/safety_rules/large_jobs.rs
+++ b/tests/safety_rules/large_jobs.rs
@@ -1,4 +1,4 @@
-//! Large jobs: they neither stall others nor wait for ever, and messages stay under their limit.
+//! Large jobs: they neither block other jobs nor wait permanently, and messages stay under their limit.
 
 use shedhook::{
     protocol::{
@@ -11,28 +11,28 @@
 
 use crate::simulation::{submission, Simulation, SubmissionBuilder};
 
-/// A job of 100,000 tasks goes through in parts, and nothing waits behind it.
+/// A job of 100,000 tasks is processed in parts, so that no other job waits behind it.
 pub fn large_job_does_not_block_others(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 100_000), 2_000);
     sim.run(10_000);
     assert!(sim.worker_running("j-1/0").is_some() || sim.workers.has_completed("j-1/0"));
     sim.submit(submission("j-2", "batch", 4).with_priority("high"), 2_000);
-    sim.run_until("the small one is done", 12_000, |sim| sim.status("j-2") == JobStatus::Done);
+    sim.run_until("the small job is done", 12_000, |sim| sim.status("j-2") == JobStatus::Done);
     sim.elect();
     sim.run(10_000);
     assert!(sim.cancel("j-1"));
     sim.run(20_000);
     assert!(sim.workers.iter().all(|worker| worker.tasks.iter().all(|task| task.state == TaskState::Exited)));
     sim.submit(submission("j-3", "batch", 4), 2_000);
-    sim.run_until("the next is done", 12_000, |sim| sim.status("j-3") == JobStatus::Done);
+    sim.run_until("the next job is done", 12_000, |sim| sim.status("j-3") == JobStatus::Done);
 }
 
-/// Guard: small work takes every machine that is free, so that a large gang
-/// never found all of its own at once; nor did low priority get any.
+/// Small jobs take every machine that becomes free, so that a large gang never
+/// finds all of its machines free at once, and low-priority jobs get none.
 pub fn largest_gang_starts_in_time(sim: &mut Simulation) {
     sim.submit(submission("j-1", "ensemble", 4).with_cpus(4.0).with_one_zone(true), 100_000);
     sim.submit(submission("j-2", "batch", 400).with_priority("low").with_cpus(4.0), 1_000);
-    // Always more small work than there is free capacity for, a moment earlier.
+    // Small jobs always exceed the free capacity, and arrive a moment before it is free.
     for n in 0..60 {
         let mut job = submission(&format!("j-{}", 100 + n), "batch", 8);
         (job.cpus, job.estimate_s) = (Some(4.0), Some(5.0));
@@ -43,17 +43,17 @@
             sim.run(4_000);
         }
         if n == 30 {
-            assert!(sim.starts() > 60, "small work runs meanwhile");
+            assert!(sim.starts() > 60, "small jobs did not run while the gang waited");
         }
     }
-    sim.run_until("the gang begins", 240_000 - (sim.now() - 1_000), |sim| sim.all_running("j-1", 4));
-    let began = |sim: &Simulation| sim.workers.completed_tasks().any(|task| task.starts_with("j-2/"));
-    sim.run_until("low priority begins", 245_000 - (sim.now() - 1_000), began);
+    sim.run_until("the gang starts", 240_000 - (sim.now() - 1_000), |sim| sim.all_running("j-1", 4));
+    let has_started = |sim: &Simulation| sim.workers.completed_tasks().any(|task| task.starts_with("j-2/"));
+    sim.run_until("the low-priority job starts", 245_000 - (sim.now() - 1_000), has_started);
 }
 
-/// Guard: when more is due than there is free capacity for, gangs of one machine took
-/// every one that a larger gang could begin to collect, and it came last; one
-/// gang in each zone collects its machines at a time.
+/// When the starved jobs exceed the free capacity, gangs of one machine took
+/// every machine that a larger gang could have reserved, and the larger gang
+/// started last. Therefore one gang at a time collects its machines in each zone.
 pub fn largest_gangs_start_in_time_in_a_backlog(sim: &mut Simulation) {
     sim.add_workers(4);
     sim.run(5_000);
@@ -63,19 +63,20 @@
     for n in 0..260 {
         sim.submit(gang(&format!("j-{}", 10 + n), 1), 7_000);
     }
-    let from = sim.now();
+    let submitted_at = sim.now();
     for n in 0..4 {
         sim.submit(gang(&format!("j-{n}"), 4), 7_000);
     }
-    let begun = |sim: &Simulation| (0..4).all(|j| sim.workers.has_completed(&format!("j-{j}/0")));
-    sim.run_until("all large ones have begun", from + 240_000 - sim.now(), begun);
-    assert!(sim.workers.completed_count() > 100, "small ones run meanwhile");
-    sim.run_until("the small ones are done", 400_000, |sim| {
+    let have_started = |sim: &Simulation| (0..4).all(|j| sim.workers.has_completed(&format!("j-{j}/0")));
+    sim.run_until("all large gangs have started", submitted_at + 240_000 - sim.now(), have_started);
+    assert!(sim.workers.completed_count() > 100, "small gangs did not run while the large ones waited");
+    sim.run_until("the small gangs are done", 400_000, |sim| {
         (0..260).all(|n| sim.status(&format!("j-{}", 10 + n)) == JobStatus::Done)
     });
 }
 
-/// Guard: commands for one worker may be more than a response takes.
+/// The commands for one worker may exceed the size limit of a heartbeat response;
+/// they must then be sent in several responses.
 pub fn heartbeat_responses_stay_under_their_limit(sim: &mut Simulation) {
     let commands: Vec<WorkerCommand> = (0..5_000)
         .map(|n| WorkerCommand::Halt {
@@ -84,20 +85,24 @@
             grace_s: 10.5,
         })
         .collect();
-    let one = |n: usize| {
+    let encoded_bytes = |n: usize| {
         cbor::encode(&HeartbeatResponse { token: FencingToken(u64::MAX), commands: commands[..n].to_vec() }).len()
     };
-    assert!(one(500) * 3 / 2 < 64 * 1024 && one(5_000) > 64 * 1024, "{}", one(500));
+    assert!(
+        encoded_bytes(500) * 3 / 2 < 64 * 1024 && encoded_bytes(5_000) > 64 * 1024,
+        "{} bytes for 500 commands",
+        encoded_bytes(500)
+    );
     sim.workers.iter_mut().skip(1).for_each(|worker| worker.dead = true);
     let job = submission("j-1", "batch", 1_200).with_cpus(0.001).with_memory_gb(0.001);
     sim.workers.settings.slots = 5_000;
     sim.submit(job, 500_000);
-    sim.run_until("all run", 60_000, |sim| sim.starts() == 1_200);
+    sim.run_until("all tasks run", 60_000, |sim| sim.starts() == 1_200);
     assert!(sim.cancel("j-1"));
-    sim.run_until("all gone", 60_000, |sim| sim.workers[0].tasks.is_empty());
+    sim.run_until("all tasks are removed from the worker", 60_000, |sim| sim.workers[0].tasks.is_empty());
     assert!(
         sim.max_commands_in_message() > 300 && sim.max_commands_in_message() <= 500,
-        "{} orders in one answer",
+        "{} commands in one response",
         sim.max_commands_in_message()
     );
 }
--- a/tests/safety_rules/launches.rs
+++ b/tests/safety_rules/launches.rs
@@ -1,4 +1,4 @@
-//! Launches: none without its record, and none of a command that comes late or twice.
+//! Launches: none without a committed record, and none by a command that arrives late or twice.
 
 use shedhook::{protocol::workers::TaskState, storage::records::JobStatus};
 
@@ -8,7 +8,7 @@
     sim.controller.settings.crash_before_transaction = true;
     sim.submit(submission("j-1", "batch", 6), 5_000);
     sim.run(3_000);
-    assert!(!sim.has_leader() && sim.starts() == 0, "nothing starts before its record is written");
+    assert!(!sim.has_leader() && sim.starts() == 0, "a task started before its record was written");
     sim.elect();
     sim.run_until("done", 60_000, |sim| sim.status("j-1") == JobStatus::Done);
 }
@@ -31,8 +31,9 @@
     sim.run(200_000);
 }
 
-/// Guard: the new leader keeps an assignment until the worker's lease has
-/// expired, though the worker never said that it has the task.
+/// The new leader must keep an assignment until the worker's lease has expired,
+/// although no heartbeat of the worker listed the task: the worker may have
+/// received the launch before it hung.
 pub fn late_command_to_a_hung_worker(sim: &mut Simulation) {
     sim.submit(submission("j-1", "service", 1), 0);
     sim.run_until("launched", 8_000, |sim| sim.workers.iter().any(|worker| !worker.tasks.is_empty()));
@@ -43,32 +44,36 @@
     sim.run(LEASE_MS - 3_000);
     assert!(
         sim.workers.iter().enumerate().all(|(index, worker)| index == hung || worker.tasks.is_empty()),
-        "too early elsewhere"
+        "the task was started elsewhere within the lease"
     );
     sim.workers[hung].faults.hung = false;
     sim.run(100_000);
     assert!(sim.worker_running("j-1/0").is_some());
 }
 
-/// Guard: a launch that went unanswered may arrive until the worker has shown
-/// the raised token; that it lists no such task until then proves nothing.
+/// A launch without a response may still arrive until the worker has acknowledged
+/// the raised token. A heartbeat before that which doesn't list the task doesn't
+/// prove that the task will not run.
 pub fn gang_fails_with_a_launch_in_flight(sim: &mut Simulation) {
     sim.workers.iter_mut().skip(2).for_each(|worker| worker.dead = true);
     sim.run(5_000);
     sim.submit_gang_with_launches_in_flight(15_000);
     sim.workers[0].faults.answers_lost = true;
     sim.run(2_000);
-    // The other one is lost: the gang stops, and starts anew when all of it is gone.
+    // The other worker is lost: the gang stops, and restarts once all of its tasks are gone.
     sim.restart_worker(1);
     sim.add_worker("b");
     sim.add_worker("a");
     sim.run(20_000);
     sim.workers[0].faults.answers_lost = false;
-    sim.run_until("runs", 60_000, |sim| sim.worker_running("j-1/0").is_some() && sim.worker_running("j-1/1").is_some());
+    sim.run_until("the gang runs", 60_000, |sim| {
+        sim.worker_running("j-1/0").is_some() && sim.worker_running("j-1/1").is_some()
+    });
 }
 
-/// Guard: nothing is launched before its record is written, neither by a
-/// command nor in the answer to a heartbeat; a gang only after all of its records.
+/// No task is launched before its record is written, neither by a command nor in
+/// the response to a heartbeat; a gang is launched only after all of its records are
+/// written.
 pub fn no_launch_before_its_record_is_committed(sim: &mut Simulation) {
     sim.run(5_000);
     sim.store.conditions.transactions_left = Some(1);
@@ -80,29 +85,32 @@
     sim.run(10_000);
     assert!(
         sim.controller.transactions() > 2 && sim.workers.iter().all(|worker| worker.tasks.is_empty()),
-        "launched before it was written"
+        "a task was launched before its record was written"
     );
     sim.store.conditions.transactions_left = None;
     sim.run_until("done", 60_000, |sim| sim.status("j-1") == JobStatus::Done && sim.status("j-2") == JobStatus::Done);
 }
 
-/// Guard: a repeat of a command that was carried out comes after its task was
-/// stopped and reaped, and runs elsewhere.
+/// A repeated launch command arrives after its task was started, stopped and
+/// reaped, and while the task runs on another machine; it must not start the task
+/// a second time.
 pub fn repeated_command_after_the_reap(sim: &mut Simulation) {
     sim.run(5_000);
     sim.network.rates = FaultRates { repeated_command: 100, ..FaultRates::default() };
     sim.submit(submission("j-1", "service", 1).with_priority("low"), 0);
     sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
-    assert!(sim.network.in_flight() > 0, "launched by a command, of which a copy is under way");
+    assert!(sim.network.in_flight() > 0, "no copy of the launch command is in flight");
     let at = sim.now() + 30_000;
     sim.network.delay_all_until(at);
     sim.network.rates = FaultRates::default();
     let placed_on = sim.worker_running("j-1/0").unwrap();
     sim.submit(submission("j-2", "ensemble", 4).with_priority("high").with_cpus(7.0), 0);
     sim.run(10_000);
-    assert!(sim.worker_running("j-1/0").is_none(), "stopped for the other");
+    assert!(sim.worker_running("j-1/0").is_none(), "the low-priority task was not preempted");
     sim.workers.settings.image_fetch_ms = 0;
     sim.add_worker("a");
-    sim.run_until("elsewhere", 15_000, |sim| sim.worker_running("j-1/0").is_some_and(|worker| worker != placed_on));
+    sim.run_until("the task runs elsewhere", 15_000, |sim| {
+        sim.worker_running("j-1/0").is_some_and(|worker| worker != placed_on)
+    });
     sim.run(40_000);
 }
--- a/tests/safety_rules/main.rs
+++ b/tests/safety_rules/main.rs
@@ -1,5 +1,5 @@
-//! The safety rules of PROTOCOL, one table of cases: each delays, loses or
-//! crashes something, and the invariants of `simulation` are checked at every step.
+//! The safety rules of PROTOCOL as one table of cases. Each case delays, loses or
+//! crashes something; the invariants of `simulation` are checked at every step.
 
 mod autoscaling;
 mod best_effort;
@@ -143,7 +143,7 @@
         case("jobs fail on every machine, healthy machines are kept", failing_jobs::jobs_that_fail_everywhere),
         case("every task fails on one machine, it is released", failing_jobs::faulty_machine_is_released),
         case(
-            "team has no guarantee, it gets what other teams leave",
+            "team has no guarantee, it gets the capacity that other teams leave",
             best_effort::best_effort_team_gets_what_others_leave,
         ),
         case(
--- a/tests/safety_rules/random_faults.rs
+++ b/tests/safety_rules/random_faults.rs
@@ -1,11 +1,11 @@
-//! All faults at once, chosen at random with fixed seeds.
+//! All kinds of faults at once, chosen at random with fixed seeds.
 
 use shedhook::{protocol::jobs::Submission, storage::records::JobStatus};
 
 use crate::simulation::{submission, FaultRates, Simulation, SubmissionBuilder};
 
-/// Everything at once, by chance with fixed seeds: nothing breaks a rule, and
-/// once the faults are over all arrays are done.
+/// All kinds of faults occur at random, with fixed seeds. No safety rule may be
+/// broken, and all arrays must be done once the faults are over.
 #[test]
 fn safety_rules_hold_and_arrays_complete_under_random_faults() {
     for seed in 0..32 {
@@ -14,7 +14,7 @@
         sim.cloud.settings.capacity = 12;
         sim.workers.settings.image_fetch_ms = [200, 1_000][sim.random_below(2)];
         if seed % 2 == 0 {
-            // Machines that are silent or can't receive are released.
+            // Machines that send no heartbeats or can't receive are released.
             sim.controller.settings.heartbeat_timeout_ms = 8_500;
         }
         sim.network.rates = FaultRates {
@@ -33,8 +33,8 @@
             let kind = ["batch", "ensemble", "service"][sim.random_below(3)];
             let tasks = 1 + sim.random_below(6) as u32;
             let job = random_submission(&mut sim, &format!("j-{n}"), kind, tasks);
-            let run = if kind == "service" { 0 } else { 2_000 + 1_000 * sim.random_below(20) as u64 };
-            sim.submit(job, run);
+            let run_ms = if kind == "service" { 0 } else { 2_000 + 1_000 * sim.random_below(20) as u64 };
+            sim.submit(job, run_ms);
             for _ in 0..3 {
                 let at = sim.random_below(sim.workers.len());
                 inject_random_fault(&mut sim, n, at);
@@ -57,8 +57,8 @@
                 sim.cancel(&id);
             }
         }
-        let over = |sim: &Simulation| (0..12).all(|n| sim.status(&format!("j-{n}")) != JobStatus::Pending);
-        sim.run_until(&format!("seed {seed}: all over"), 900_000, over);
+        let all_finished = |sim: &Simulation| (0..12).all(|n| sim.status(&format!("j-{n}")) != JobStatus::Pending);
+        sim.run_until(&format!("seed {seed}: all jobs finished"), 900_000, all_finished);
         sim.check(&format!("seed {seed}, afterwards"));
     }
 }
@@ -72,8 +72,8 @@
     job.with_spread(spread).with_priority(priority)
 }
 
-/// One fault, or its end, drawn at random: at worker `at`, at the leader, or a
-/// cancellation of one of the first `n` jobs.
+/// Injects or ends a fault at random: at worker `at` or at the leader, or cancels
+/// one of the first `n` jobs.
 fn inject_random_fault(sim: &mut Simulation, n: u32, at: usize) {
     match sim.random_below(14) {
         0 => sim.workers[at].faults.partitioned = true,
