--- a/src/controller/leadership/config.rs
+++ b/src/controller/leadership/config.rs
@@ -57,11 +57,11 @@
 }
 
 fn service_objective(objective: &Objective, names: &mut Interners) -> Option<ServiceObjective> {
-    let start = match objective.kind {
+    let applies_to_start = match objective.kind {
         ObjectiveKind::Wait => true,
         ObjectiveKind::Finished => false,
         ObjectiveKind::Other => return None,
     };
     let class = names.classes.intern(objective.class.as_ref()?);
-    Some(ServiceObjective { class, applies_to_start: start, within_s: objective.within_s? })
+    Some(ServiceObjective { class, applies_to_start, within_s: objective.within_s? })
 }
--- a/src/controller/leadership/context.rs
+++ b/src/controller/leadership/context.rs
@@ -45,10 +45,11 @@
 /// The state of the other controllers, as far as a leader needs it.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerView {
-    /// All controllers are known to run this version.
+    /// Whether all controllers are known to run this version.
     pub all_upgraded: bool,
-    /// Workers reach other controllers.
+    /// Whether workers reach other controllers.
     pub have_worker_contact: bool,
-    /// The time span in which no controller renewed a worker lease without leading.
+    /// The time span in which no controller, including this one, renewed a worker lease
+    /// while it did not lead.
     pub no_renewals: TimeSpan,
 }
--- a/src/controller/leadership/effects.rs
+++ b/src/controller/leadership/effects.rs
@@ -38,7 +38,7 @@
 struct LeadershipCheck {
     now: Millis,
     term: Term,
-    /// This controller still leads in `term`.
+    /// Whether this controller still leads in `term`.
     is_leading: bool,
 }
 
--- a/src/controller/leadership/record_resync.rs
+++ b/src/controller/leadership/record_resync.rs
@@ -19,7 +19,7 @@
 /// Pause, in ms, after a failed request.
 const RETRY_MS: Millis = 200;
 
-/// The schedule of these reads.
+/// Schedule of the reads that settle a transaction whose outcome is unknown.
 #[derive(Debug, Default)]
 pub(super) struct RecordResync {
     schedule: PollSchedule,
--- a/src/controller/leadership/task_loading.rs
+++ b/src/controller/leadership/task_loading.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub(super) struct TaskLoading {
     schedule: PollSchedule,
-    /// The job cache is up to date.
+    /// Whether the changes that the job cache may have missed were applied.
     jobs_synced: bool,
     /// Key after which the next page starts; None: the first page is next.
     next_page_from: Option<String>,
--- a/src/coordination/cluster/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -22,7 +22,7 @@
     pub job: JobIndex,
     /// Number of the task within its job.
     pub task: u32,
-    /// The machine that it is assigned to.
+    /// Machine to which the task is assigned.
     pub machine: MachineIndex,
     /// Incarnation of the worker for which the assignment is created.
     pub incarnation: Incarnation,
@@ -83,8 +83,9 @@
         Some(index)
     }
 
-    /// Releases an assignment. The caller has proof that its task is not on the
-    /// machine, or no longer. Returns `None` if it was released before.
+    /// Releases an assignment. The caller must have proof that its task never reached
+    /// the machine or is gone from it. Returns `None` if the assignment was released
+    /// before.
     pub fn release_assignment(&mut self, index: AssignmentIndex, reason: ReleaseReason) -> Option<Assignment> {
         let assignment = self.assignments.remove(index)?;
         self.machines[assignment.machine.as_usize()].load.assignments.retain(|&other| other != index);
--- a/src/coordination/cluster/config.rs
+++ b/src/coordination/cluster/config.rs
@@ -31,7 +31,8 @@
     pub objectives: Vec<ServiceObjective>,
     /// Minimum time that an idle machine is kept, in ms.
     pub min_idle_ms: Millis,
-    /// How long after its heartbeat was due a machine is considered failed, in ms.
+    /// Time since the last heartbeat of a machine after which the machine is suspected
+    /// of having failed, in ms.
     pub heartbeat_timeout_ms: Millis,
     /// Maximum number of machines provisioned at once; `usize::MAX`: no limit.
     pub max_machines: usize,
--- a/src/coordination/cluster/machines.rs
+++ b/src/coordination/cluster/machines.rs
@@ -1,5 +1,4 @@
-//! Registers machines, and updates the snapshot with which of them accept new
-//! tasks.
+//! Registers machines, and records in the snapshot which of them accept new tasks.
 
 use super::{ClusterState, RECENT_UNMET_DEMAND_MS};
 use crate::{
--- a/src/coordination/cluster/progress_feed.rs
+++ b/src/coordination/cluster/progress_feed.rs
@@ -9,9 +9,9 @@
     storage::job_cache::JobIndex,
 };
 
-/// Maximum number of jobs per message whose unchanged progress is repeated. With a
-/// message every 0.4 s, some hundred jobs are covered within the seconds by which
-/// the response to a user may be out of date.
+/// Maximum number of jobs per message whose unchanged progress is repeated. The
+/// response to a user may be out of date by some seconds. With a message every 0.4 s,
+/// the progress of some hundred jobs is repeated within that time.
 const MAX_REPEATED_COUNTS: usize = 60;
 
 /// Selects the jobs whose progress is included in the next message.
--- a/src/coordination/cluster/sharding.rs
+++ b/src/coordination/cluster/sharding.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(in crate::coordination) struct ReshardPlan {
     pub job: JobIndex,
-    /// The slot of each task, by task number.
+    /// State of each task, by task number.
     pub slots: Vec<Slot>,
     /// Versions of the old chunks.
     pub versions: Vec<u64>,
--- a/src/coordination/cluster/unmet_demand.rs
+++ b/src/coordination/cluster/unmet_demand.rs
@@ -11,7 +11,7 @@
 /// Tasks of a job that found no free capacity in the last scheduling cycle.
 #[derive(Debug, Clone, Copy)]
 pub struct UnmetDemand {
-    /// The job.
+    /// Job to which the tasks belong.
     pub job: JobIndex,
     /// Number of its tasks that found no free capacity.
     pub tasks: u32,
@@ -26,7 +26,8 @@
     pub unmet: Vec<UnmetDemand>,
     /// When there last was unmet demand that some machine type could have met.
     last_unmet: Millis,
-    /// When there last was unmet demand that each machine type could have met.
+    /// For each machine type, when there last was unmet demand that it could have met;
+    /// no entry: `leader_since` is used.
     last_unmet_by_type: HashMap<MachineTypeIndex, Millis>,
 }
 
--- a/src/coordination/commits/applied.rs
+++ b/src/coordination/commits/applied.rs
@@ -32,7 +32,8 @@
     chunk.committed_version = chunk.committed_version.max(written.version);
     chunk.revision = revision;
     job.records.unwritten_since = None;
-    // No task of a gang is launched before the last of the gang's records is written.
+    // No task of a gang is launched before the last of the gang's records is written, so
+    // this write may allow the launch of all of them.
     let launchable =
         if job.spec.kind == JobKind::Gang { job.assignments() } else { job.assignments_of_chunk(written.chunk) };
     cluster.schedule_dispatch_for(now, launchable, |assignment| assignment.state == AssignmentState::Wanted);
--- a/src/coordination/commits/in_flight.rs
+++ b/src/coordination/commits/in_flight.rs
@@ -77,8 +77,8 @@
     pub contents: TransactionContents,
     /// Identifies the transaction in the chunk records that it writes.
     pub tag: TransactionTag,
-    /// No response was received to at least one copy of the transaction: that copy may
-    /// have been applied, or may still be applied later.
+    /// Whether no response was received to at least one copy of the transaction: that
+    /// copy may have been applied, or may still be applied later.
     pub has_copy_without_response: bool,
     /// The next step that settles the transaction.
     pub state: TransactionState,
--- a/src/coordination/commits/job_records.rs
+++ b/src/coordination/commits/job_records.rs
@@ -28,7 +28,7 @@
     pub now: Millis,
     /// The current wall-clock time, in ms since the Unix epoch.
     pub wall_ms: u64,
-    /// The request budget covers more than the urgent writes.
+    /// Whether the request budget covers more than the urgent writes.
     pub has_spare_budget: bool,
 }
 
--- a/src/coordination/commits/obsolete_records.rs
+++ b/src/coordination/commits/obsolete_records.rs
@@ -3,7 +3,7 @@
 use super::transaction_builder::TransactionBuilder;
 use crate::coordination::{cluster::RecordState, model::Millis};
 
-/// Obsolete records deleted in one transaction.
+/// Maximum number of obsolete records that one transaction deletes.
 const DELETES_PER_TRANSACTION: usize = 4;
 /// Pause between transactions that delete obsolete records, in ms.
 const DELETE_INTERVAL_MS: Millis = 800;
--- a/src/coordination/commits/outcomes.rs
+++ b/src/coordination/commits/outcomes.rs
@@ -25,7 +25,7 @@
     },
 };
 
-/// Pause, in ms, before a transaction is sent again to which no response was received.
+/// Pause, in ms, before a transaction without a response is sent again.
 const NO_RESPONSE_PAUSE_MS: Millis = 100;
 /// Pause, in ms, after a transaction was refused as too large although it was within
 /// the lower limits.
@@ -228,7 +228,7 @@
     }
 }
 
-/// Marks a job as stale whose record changed before a transaction that expected
+/// Marks a job as stale: its record changed before a transaction that expected
 /// `sent_revision` was executed.
 fn mark_stale(cluster: &mut ClusterState, id: &str, sent_revision: Revision) {
     for index in active_jobs_with_id(cluster, id) {
--- a/src/coordination/commits/pipeline.rs
+++ b/src/coordination/commits/pipeline.rs
@@ -21,7 +21,7 @@
 pub struct WriteAllowance {
     /// Maximum number of writes in the next transaction.
     pub max_ops: usize,
-    /// The request budget covers more than the urgent writes.
+    /// Whether the request budget covers more than the urgent writes.
     pub has_spare_budget: bool,
 }
 
@@ -84,8 +84,8 @@
         self.in_flight.as_ref()?.resync_key()
     }
 
-    /// Returns whether any record must be written. `has_spare_budget`: the request
-    /// budget covers more than the urgent writes.
+    /// Returns whether any record must be written, or the last transaction is not settled.
+    /// `has_spare_budget`: the request budget covers more than the urgent writes.
     pub fn has_writes(&mut self, now: Millis, has_spare_budget: bool, cluster: &mut ClusterState) -> bool {
         cluster.record_unwritten_changes(now);
         let max_ops = self.max_ops(cluster);
@@ -209,7 +209,8 @@
         self.paused_until = until;
     }
 
-    /// Halves the limit on writes: the store refused a transaction of `refused_ops` writes.
+    /// Lowers the limit on the writes of a transaction to half of `refused_ops`: the store
+    /// refuses transactions of that many writes, and may refuse smaller ones.
     pub(super) fn limit_ops_below(&mut self, refused_ops: usize) {
         self.accepted_ops = (refused_ops / 2).max(1);
     }
--- a/src/coordination/commits/resharding.rs
+++ b/src/coordination/commits/resharding.rs
@@ -34,7 +34,7 @@
 /// Chooses the jobs to reshard, one at a time.
 #[derive(Debug, Default)]
 pub struct Resharding {
-    /// All controllers run a version that can follow a resharded job.
+    /// Whether all controllers run a version that can follow a resharded job.
     is_enabled: bool,
     /// Earliest time of the next resharding, in ms.
     not_before: Millis,
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -39,7 +39,7 @@
         /// Names of the machines to release.
         ids: Vec<String>,
     },
-    /// GET /hosts: requests a page of the machine list, from one machine's name on.
+    /// GET /hosts: requests the page of the machine list that begins after `from`.
     ListMachines {
         /// Number of the call, to be returned with its outcome.
         call: CallId,
--- a/src/coordination/leader/commits.rs
+++ b/src/coordination/leader/commits.rs
@@ -33,8 +33,8 @@
         self.commits.resynced(now, key, found, &mut self.cluster);
     }
 
-    /// Returns whether any record must be written. `has_spare_budget`: the request
-    /// budget covers more than the urgent writes.
+    /// Returns whether any record must be written, or the last transaction is not settled.
+    /// `has_spare_budget`: the request budget covers more than the urgent writes.
     pub fn has_writes(&mut self, now: Millis, has_spare_budget: bool) -> bool {
         self.commits.has_writes(now, has_spare_budget, &mut self.cluster)
     }
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -65,7 +65,7 @@
             return true;
         }
         // No task of a job with unfinished prerequisites can have been assigned. If
-        // there is an assignment despite that, it must still be included.
+        // there is an assignment despite that, it must still be taken into account.
         if job_cache.waits(index) {
             tracing::error!(key, "chunk record of a job with unfinished prerequisites");
         }
@@ -109,7 +109,7 @@
         cluster.machine_mut(machine).heartbeats.lease_renewed_at = now;
         let new = NewAssignment { job, task, machine, incarnation, attempt, zone };
         let Some(assignment_index) = cluster.add_assignment(now, new) else { continue };
-        // Its launch may have been sent by an earlier leader.
+        // An earlier leader may have sent the launch.
         if let Some(assignment) = cluster.assignment_mut(assignment_index) {
             assignment.sent = Some(now);
             assignment.recovered = true;
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -4,10 +4,14 @@
 //! state (which task runs on which machine), the commits (its records in the key-value
 //! store), the scheduler, the autoscaler, and the control of the workers.
 //!
-//! Safety depends on four rules, which comments in the components explain where they
-//! are enforced: an assignment is recorded before its launch is sent; its resources are
-//! counted as occupied until the task is proven to be gone; a command that may still be
-//! in flight is fenced by a raised token; a task is reaped only after its exit is recorded.
+//! Safety depends on four rules. Comments in the components explain each rule where it
+//! is enforced:
+//!
+//! - An assignment is recorded before its launch is sent.
+//! - The resources of an assignment are counted as occupied until its task is proven to
+//!   be gone.
+//! - A command that may still be in flight is fenced by a raised token.
+//! - A task is reaped only after its exit is recorded.
 
 mod cloud;
 mod commits;
@@ -87,8 +91,9 @@
         self.cluster.is_cycle_requested()
     }
 
-    /// Returns whether a scheduling cycle is due: after a change and at least
-    /// `min_gap_ms`, or after `max_gap_ms` without a cycle.
+    /// Returns whether a scheduling cycle is due: a change may allow a job to be placed and
+    /// the last cycle began at least `min_gap_ms` ago, or the last cycle began at least
+    /// `max_gap_ms` ago.
     pub fn is_cycle_due(&self, now: Millis, min_gap_ms: Millis, max_gap_ms: Millis) -> bool {
         self.scheduler.is_cycle_due(now, self.cluster.is_cycle_requested(), min_gap_ms, max_gap_ms)
     }
--- a/src/coordination/model/assignment.rs
+++ b/src/coordination/model/assignment.rs
@@ -50,8 +50,8 @@
     pub chunk_version: u64,
     /// Progress of the task on the machine.
     pub state: AssignmentState,
-    /// When the launch of the task was last sent; `None`: not sent, or due to be sent again
-    /// at once.
+    /// When the launch of the task was last sent; `None`: it was not sent, or is to be
+    /// sent again at once.
     pub sent: Option<Millis>,
     /// When a heartbeat first reported the task as running; `None`: none has.
     pub running_since: Option<Millis>,
@@ -59,7 +59,8 @@
     pub halt: Option<Halt>,
     /// When the assignment was made.
     pub assigned_at: Millis,
-    /// Recovered from a record: an earlier leader may have sent the launch.
+    /// Whether the assignment was recovered from a record: an earlier leader may have
+    /// sent its launch.
     pub recovered: bool,
 }
 
@@ -99,7 +100,7 @@
     pub attempt: Attempt,
     /// The task's job.
     pub job: JobIndex,
-    /// Whether and with which chunk version the exit is recorded.
+    /// Whether the exit is to be recorded, and with which version of its chunk.
     pub record: ExitRecord,
 }
 
--- a/src/coordination/model/failures.rs
+++ b/src/coordination/model/failures.rs
@@ -12,12 +12,12 @@
 pub struct JobFailures {
     /// Machines on which tasks of the job failed, without duplicates.
     pub machines: Vec<MachineIndex>,
-    /// Rounds of attempts that failed. Failures of attempts that had begun when the
-    /// current round was counted belong to it.
+    /// Number of rounds of failed attempts. A failure belongs to the current round if
+    /// its attempt had begun when that round was counted.
     pub rounds: u32,
     /// Longest run time of a task before it failed, in ms.
     pub longest_run_ms: Millis,
-    /// A task of the job completed, or ran for longer than those that failed.
+    /// Whether a task of the job completed, or ran for longer than those that failed.
     pub job_is_healthy: bool,
     /// The latest attempt of any job when the current round was counted.
     round_attempt: Attempt,
--- a/src/coordination/model/ids.rs
+++ b/src/coordination/model/ids.rs
@@ -4,10 +4,11 @@
 
 use crate::protocol::ids::{FencingToken, Revision};
 
-/// Low bits of a fencing token, which count how often it was raised within one term.
+/// Number of low bits of a fencing token. They count how often the token was raised
+/// within one term.
 const TOKEN_COUNT_BITS: u32 = 16;
-/// Low bits of an attempt number or of a transaction's tag, which number those of one
-/// term.
+/// Number of low bits of an attempt number or of a transaction's tag. They hold the
+/// sequence number within one term.
 const SEQUENCE_BITS: u32 = 20;
 
 /// Term of a leader, identified by the revision at which its leader key was written:
--- a/src/coordination/model/job/mod.rs
+++ b/src/coordination/model/job/mod.rs
@@ -15,7 +15,7 @@
     storage::{job_cache::JobIndex, records::JobStatus},
 };
 
-/// Task counts of a job that users can read.
+/// Task counts of a job, as reported to users.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobProgress {
     /// Number of completed tasks.
@@ -24,8 +24,8 @@
     pub running: u32,
 }
 
-/// Waiting times of a job, and the times before which it is neither started nor
-/// preempts others.
+/// Waiting times of a job, and the earliest times of its next assignment and of its
+/// next preemption of other jobs.
 #[derive(Debug)]
 pub struct WaitState {
     /// When the job became ready to run, in ms on the leader's monotonic clock. Negative
@@ -38,10 +38,10 @@
     pub not_before: Millis,
     /// No tasks are preempted for this job before this time.
     pub next_preemption: Millis,
-    /// A task of the job completed, or ran for at least
+    /// Whether a task of the job completed, or ran for at least
     /// [`EFFECTIVE_START_MS`](super::EFFECTIVE_START_MS).
     pub has_effective_start: bool,
-    /// At least one task of the job was assigned before.
+    /// Whether any task of the job was ever assigned.
     pub ever_assigned: bool,
 }
 
@@ -91,7 +91,7 @@
     pub records: JobRecords,
     /// Status according to the job's record.
     pub status: JobStatus,
-    /// Waiting times of the job, and what delays its start.
+    /// Waiting times of the job, and the earliest times of its next assignment and preemption.
     pub wait: WaitState,
     /// State of the job's tasks.
     pub tasks: TaskTable,
--- a/src/coordination/model/job/records.rs
+++ b/src/coordination/model/job/records.rs
@@ -41,8 +41,8 @@
 pub struct JobRecords {
     /// Revision of the job record.
     pub revision: Revision,
-    /// The known revision and status are out of date: a transaction found that the
-    /// record had changed. Until the job cache contains the change, nothing of the job
+    /// Whether the known revision and status are out of date: a transaction found that
+    /// the record had changed. Until the job cache contains the change, nothing of the job
     /// is written or assigned.
     pub stale: bool,
     /// Tasks per chunk.
@@ -51,8 +51,8 @@
     pub chunks: Vec<Chunk>,
     /// Tasks per chunk according to the job record.
     pub recorded_chunk_size: u32,
-    /// A transaction is in flight that reshards the job, that is, splits its tasks
-    /// into smaller chunks. Until it completes, no task of the job may be assigned.
+    /// Whether a transaction is in flight that reshards the job, that is, splits its
+    /// tasks into smaller chunks. Until it completes, no task of the job may be assigned.
     pub resharding: bool,
     /// The job record, as long as its chunks are too large for the key-value store's
     /// lower limit; `None`: they are not.
--- a/src/coordination/model/job/tasks.rs
+++ b/src/coordination/model/job/tasks.rs
@@ -34,7 +34,7 @@
 }
 
 impl TaskTable {
-    /// Creates the table of a job of whose tasks none is assigned yet.
+    /// Creates the table of a job with `tasks` tasks, all of them pending.
     pub fn new(tasks: u32) -> TaskTable {
         TaskTable {
             slots: vec![Slot::Pending; tasks as usize],
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Removes a task from the pending ones because it was assigned.
+    /// Removes a newly assigned task from the pending ones.
     pub(super) fn remove_pending(&mut self, assigned: u32) {
         if self.pending.last() == Some(&assigned) {
             self.pending.pop();
--- a/src/coordination/model/machine.rs
+++ b/src/coordination/model/machine.rs
@@ -36,7 +36,8 @@
     pub job: JobIndex,
     /// When the leader received the report of the failure.
     pub at: Millis,
-    /// The job runs successfully on other machines, so this machine is the cause.
+    /// Whether the job runs successfully on other machines, so that this machine is the
+    /// cause.
     pub job_is_healthy: bool,
 }
 
@@ -54,7 +55,8 @@
     required_token: FencingToken,
     /// The highest token that the worker has acknowledged.
     acknowledged_token: FencingToken,
-    /// A response was sent to a heartbeat since the required token was last raised.
+    /// Whether a response was sent to a heartbeat since the required token was last
+    /// raised.
     response_sent_since_raised: bool,
     /// When an unacknowledged heartbeat was last counted; 0: never.
     last_unacknowledged_at: Millis,
@@ -224,8 +226,8 @@
     pub direct_call: Option<DirectCall>,
     /// No direct call is made before this time.
     direct_calls_paused_until: Millis,
-    /// The response to the last heartbeat carried launches, and no heartbeat was received
-    /// since.
+    /// Whether the response to the last heartbeat carried launches and no heartbeat was
+    /// received since.
     launch_in_response: bool,
 }
 
@@ -332,7 +334,7 @@
     pub unschedulable_until: Millis,
     /// Recent failures of tasks on the machine, one entry per job.
     pub recent_failures: Vec<TaskFailure>,
-    /// The machine gets no new tasks and is released once it is empty.
+    /// Whether the machine gets no new tasks and is released once it is empty.
     pub cordoned: bool,
     /// The release of the machine is not requested before this time.
     pub release_retry_at: Millis,
@@ -374,8 +376,8 @@
         self.token_requirement.is_acknowledged()
     }
 
-    /// Reports whether no command with a launch can still be in flight. If so, the tasks
-    /// that the worker lists, or doesn't list, are final.
+    /// Reports whether no command with a launch can still be in flight. If so, the
+    /// worker's list of tasks is final: a task that it doesn't list can't start any more.
     pub fn has_no_launch_in_flight(&self) -> bool {
         self.is_fenced() && self.commands.direct_call.is_none() && !self.commands.launch_in_response
     }
--- a/src/coordination/snapshot/pool.rs
+++ b/src/coordination/snapshot/pool.rs
@@ -44,14 +44,14 @@
     pub fetch_gb_per_s: f64,
     /// Price per hour of one machine.
     pub price: f64,
-    /// Resources that recent GPU tasks requested, of those that these machines could
-    /// run: tasks that are costly to preempt must leave as much free. `None`: nothing
-    /// is reserved.
+    /// The largest request, by resource, of the GPU tasks seen recently that these
+    /// machines could run. Tasks that are costly to preempt must leave this much free.
+    /// `None`: nothing is reserved.
     pub reserved_for_gpu_tasks: Option<Resources>,
     /// Indices of the machines of the pool.
     pub members: BTreeSet<u32>,
-    /// Schedulable machines with free capacity, by the free share of the scarcer of
-    /// CPUs and memory.
+    /// Schedulable machines with free capacity, by their free share of CPUs or of
+    /// memory, whichever is smaller.
     by_free_share: BTreeSet<IndexEntry>,
     /// Schedulable machines with free GPUs, by the number of free GPUs.
     by_gpus: BTreeSet<IndexEntry>,
@@ -142,7 +142,7 @@
             && is_costly_to_preempt(spec)
             && self
                 .reserved_for_gpu_tasks
-                .is_some_and(|protected| !(protected + need + host.used_by_costly_to_preempt).fits_in(&self.capacity))
+                .is_some_and(|reserved| !(reserved + need + host.used_by_costly_to_preempt).fits_in(&self.capacity))
     }
 
     /// Reports whether this machine accepts new tasks of this job, regardless of its
--- a/src/coordination/tests/cluster.rs
+++ b/src/coordination/tests/cluster.rs
@@ -107,7 +107,11 @@
     feed.mark_changed(JobIndex(1));
     assert_eq!(take(&mut feed, &mut jobs, 1), [("j-1".to_owned(), 0, 2)]);
     // Nothing changed: of the next two jobs, those that have started are repeated.
-    assert_eq!(take(&mut feed, &mut jobs, 2), [("j-1".to_owned(), 0, 2)], "jobs 1 and 2 examined, job 0 was before");
+    assert_eq!(
+        take(&mut feed, &mut jobs, 2),
+        [("j-1".to_owned(), 0, 2)],
+        "jobs 1 and 2 examined; job 0 was examined before"
+    );
     assert_eq!(take(&mut feed, &mut jobs, 2), [("j-1".to_owned(), 0, 2)], "jobs 0 and 1 examined");
     assert_eq!(take(&mut feed, &mut jobs, 2), [], "jobs 2 and 0 examined");
 }
--- a/src/coordination/tests/machine.rs
+++ b/src/coordination/tests/machine.rs
@@ -16,7 +16,7 @@
     Machine::new("m-1", ZoneIndex(0), FencingToken(10), 0)
 }
 
-/// Records a heartbeat that acknowledges `token` and is responded to.
+/// Records a heartbeat that acknowledges `token`, and the response to it.
 fn heartbeat(machine: &mut Machine, now: Millis, token: FencingToken) {
     machine.token_requirement.count_acknowledgement(now, token, MIN_GAP_MS);
     machine.token_requirement.record_acknowledged_token(token);
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -28,7 +28,7 @@
 
 /// Returns halts for the listed tasks whose jobs are known to be cancelled.
 ///
-/// Every 200 to a heartbeat renews the worker's lease. So each carries these halts,
+/// Every 200 to a heartbeat renews the worker's lease. So each 200 carries these halts,
 /// whichever controller responds, and even if the heartbeat is not new or the records
 /// are not read yet. Otherwise a cancelled task could keep running under a renewed lease.
 pub fn stop_commands_for_cancelled(heartbeat: &Heartbeat, job_cache: &JobCache) -> Vec<WorkerCommand> {
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -13,15 +13,15 @@
     protocol::workers::{split_task, DirectCommandRequest, WorkerCommand},
 };
 
-/// Added to [`RESEND_MS`] before a machine is checked again, so that commands to be sent
-/// again are due by then.
+/// Added to [`RESEND_MS`] before a machine is checked again, in ms, so that commands to
+/// be sent again are due by then.
 const RESEND_SLACK_MS: Millis = 100;
 /// Number of heartbeat intervals without contact after which no more commands are sent
 /// to a worker.
 const CONTACT_LIMIT_INTERVALS: Millis = 3;
-/// Pause of direct calls to a machine after a call that could not be sent.
+/// Pause of direct calls to a machine after a call that could not be sent, in ms.
 const NOT_SENT_PAUSE_MS: Millis = 700;
-/// Pause of direct calls to a machine after a call without a response.
+/// Pause of direct calls to a machine after a call without a response, in ms.
 const NO_RESPONSE_PAUSE_MS: Millis = 1_000;
 
 /// Makes direct calls to all machines that are due for a check and need commands.
@@ -71,8 +71,8 @@
         && machine.lifecycle == MachineLifecycle::Up
 }
 
-/// Returns the identity of the launch if the command is one, and its task is assigned
-/// to this machine.
+/// Returns the identity of a launch. `None`: the command is not a launch, or its task is
+/// not assigned to this machine.
 fn launch_of(cluster: &ClusterState, index: MachineIndex, command: &WorkerCommand) -> Option<LaunchId> {
     let WorkerCommand::Launch { task, attempt } = command else { return None };
     let (_, task) = split_task(task)?;
--- a/src/coordination/workers/exited_tasks.rs
+++ b/src/coordination/workers/exited_tasks.rs
@@ -10,8 +10,8 @@
     protocol::workers::{ExitReason, TaskStatus},
 };
 
-/// Pause of new assignments: to a machine that refused to start a task, and of a job
-/// whose task the worker did not know.
+/// Time, in ms, for which a machine that refused to start a task gets no new tasks. A job
+/// whose task the worker did not know gets no new assignments for the same time.
 const REFUSED_START_PAUSE_MS: Millis = 3_000;
 
 /// Releases the assignment of an exited task, unless a command sent earlier could
@@ -40,8 +40,8 @@
     }
 }
 
-/// Reports whether no launch of the task is in flight. Otherwise the launch could arrive
-/// after the reap and start the task a second time.
+/// Reports whether the exit is final, because no launch of the task can still be in
+/// flight. Such a launch could arrive after the reap and start the task a second time.
 fn is_exit_final(cluster: &ClusterState, index: AssignmentIndex) -> bool {
     let Some(assignment) = cluster.assignment(index) else { return false };
     let machine = cluster.machine(assignment.machine);
--- a/src/coordination/workers/failure_attribution.rs
+++ b/src/coordination/workers/failure_attribution.rs
@@ -12,23 +12,23 @@
     storage::job_cache::JobIndex,
 };
 
-/// Time for which a machine on which a task failed gets no new tasks, doubled for each
-/// further job that failed there recently.
+/// Time, in ms, for which a machine on which a task failed gets no new tasks, doubled for
+/// each further job that failed there recently.
 const MACHINE_PAUSE_MS: Millis = 5_000;
-/// Maximum of [`MACHINE_PAUSE_MS`] after doubling.
+/// Maximum of [`MACHINE_PAUSE_MS`] after doubling, in ms.
 const MACHINE_PAUSE_MAX_MS: Millis = 60_000;
-/// Time for which a failure is kept at its machine.
+/// Time, in ms, for which a failure is included in the recent failures of its machine.
 const FAILURE_RETENTION_MS: Millis = 120_000;
 /// A machine is considered faulty once this many healthy jobs failed on it recently.
 const FAULTY_MACHINE_MIN_JOBS: usize = 2;
-/// Delay before a job is retried after a failure that is not attributed to it.
+/// Delay, in ms, before a job is retried after a failure that is not attributed to it.
 const RETRY_PAUSE_MS: Millis = 300;
-/// First retry delay of a faulty job, doubled with each round of failures.
+/// First retry delay of a faulty job, in ms, doubled with each round of failures.
 const BACKOFF_MS: Millis = 2_000;
-/// Maximum number of doublings of [`BACKOFF_MS`]: a faulty job is retried for as long as
-/// it is wanted.
+/// Maximum number of doublings of [`BACKOFF_MS`]. The delay is limited because a faulty
+/// job is retried for as long as it is wanted.
 const BACKOFF_DOUBLINGS: u32 = 5;
-/// Interval at which failures are evaluated.
+/// Interval at which failures are evaluated, in ms.
 const EVALUATION_INTERVAL_MS: Millis = 2_000;
 
 /// Records a failed task. Its job is retried, at first on other machines.
@@ -40,8 +40,8 @@
     let ran_ms = assignment.running_since.map_or(0, |since| now.saturating_sub(since));
     job.failures.record(machine_index, ran_ms, assignment.attempt, last_attempt);
     job.wait.not_before = now + retry_pause_ms(&job.failures);
-    // Otherwise a job that fails on every machine would keep healthy machines from
-    // getting any tasks.
+    // A faulty job pauses no machine. Otherwise a job that fails on every machine would
+    // keep healthy machines from getting any tasks.
     if !job.failures.is_job_faulty() {
         pause_machine(cluster, now, machine_index, job_index);
     }
--- a/src/coordination/workers/lease_expiry.rs
+++ b/src/coordination/workers/lease_expiry.rs
@@ -11,7 +11,7 @@
 
 /// Two monotonic clocks drift apart by at most one part in this many over a lease.
 const CLOCK_DRIFT_DIVISOR: Millis = 500;
-/// Added to a lease in addition to the drift, for workers that are slow to stop.
+/// Added to a lease besides the drift, in ms, for workers that are slow to stop.
 const LEASE_MARGIN_MS: Millis = 500;
 
 /// Detects expired worker leases.
--- a/src/coordination/workers/mod.rs
+++ b/src/coordination/workers/mod.rs
@@ -63,8 +63,8 @@
         outcome
     }
 
-    /// Reports whether, in the last `for_ms`, this controller received heartbeats from only
-    /// few of the workers that should send them.
+    /// Reports whether, in the last `for_ms` ms, this controller received heartbeats from
+    /// hardly any of the workers that should send them.
     pub fn is_isolated_from_workers(&self, cluster: &ClusterState, now: Millis, for_ms: Millis) -> bool {
         self.reachability.is_isolated_from_workers(cluster, now, for_ms)
     }
--- a/src/coordination/workers/probes.rs
+++ b/src/coordination/workers/probes.rs
@@ -10,8 +10,8 @@
     protocol::workers::Heartbeat,
 };
 
-/// A worker is probed once its heartbeat is late by this much, in addition to a quarter
-/// of the heartbeat interval.
+/// A worker is probed once its heartbeat is late by this time, in ms, in addition to a
+/// quarter of the heartbeat interval.
 const LATE_HEARTBEAT_SLACK_MS: Millis = 400;
 /// Number of consecutive probes without a response after which a worker is not probed
 /// again.
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -159,7 +159,8 @@
         }
     }
 
-    /// Schedules a running task that is not wanted to be halted until it exits, then reaped.
+    /// Stops a running task that is not wanted: halts are sent until it exits, then it is
+    /// reaped.
     fn stop_orphaned_task(&mut self, task: &ListedTask<'a>) {
         tracing::warn!(
             task = &*task.status.task,
@@ -193,8 +194,8 @@
     fn reconcile_missing_tasks(&mut self) {
         // While a command sent earlier may still arrive, absence doesn't prove that a task
         // is gone; only an acknowledged raised token rules that out. A heartbeat response
-        // with launches is also in flight until the next heartbeat is received: the
-        // heartbeat in a direct call's response may be older.
+        // with launches is also in flight until the next periodic heartbeat is received:
+        // the heartbeat in a direct call's response may be older than that response.
         if !self.cluster.machine(self.machine).has_no_launch_in_flight() {
             return;
         }
@@ -214,7 +215,7 @@
         missing.filter(|&index| self.cluster.assignment(index).is_some_and(is_halted)).collect()
     }
 
-    /// Launches lost tasks that are still wanted again, as the same attempt.
+    /// Launches again, as the same attempt, those lost tasks that are still wanted.
     fn relaunch_missing_tasks(&mut self) {
         let listed = &self.listed_assignments;
         self.cluster.relaunch_missing_tasks(self.machine, |index| !listed.contains(&index));
