--- a/src/controller/peers/peer.rs
+++ b/src/controller/peers/peer.rs
@@ -79,7 +79,7 @@
     /// Applies the state in a frame. Returns false, and ignores the frame, if it is not
     /// newer than all frames that were received before.
     pub(super) fn update(&mut self, now: Millis, gossip: &Gossip) -> bool {
-        if !self.frame_order.is_newer(gossip) {
+        if !self.frame_order.accept_if_newer(gossip) {
             return false;
         }
         self.last_received = Some(now);
