--- a/src/controller/identity.rs
+++ b/src/controller/identity.rs
@@ -5,7 +5,8 @@
 /// Identifies one start of one controller.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Label of the controller in the settings, unique in the cluster.
+    /// Label of the controller in the settings, by which its peers and the keys of the
+    /// key-value store identify it.
     pub label: String,
     /// Name of the zone in which the controller runs.
     pub zone: String,
--- a/src/controller/instance/mod.rs
+++ b/src/controller/instance/mod.rs
@@ -36,7 +36,8 @@
 };
 
 /// Time, in ms, for which the leader's key as last read is valid after the key-value store's
-/// last response: the duration of a watch of the key, and the time to detect that it failed.
+/// last response: the duration of a watch of the key, plus the time to detect that the watch
+/// failed.
 const LEADER_HINT_MAX_STORE_AGE_MS: Millis = 4_500;
 /// Time, in ms, for which the key-value store may fail before the controller may become
 /// unready.
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -20,7 +20,7 @@
 /// Longest time, in ms, that a watch of the jobs' records waits for a change. The age of
 /// the cache is measured from when the last completed watch was sent.
 const MAX_WATCH_MS: u64 = 3_000;
-/// Shortest such time, in ms.
+/// Shortest time, in ms, that a watch of the jobs' records waits for a change.
 const MIN_WATCH_MS: u64 = 250;
 /// Number of watches within the time for which a read allows worker leases to be renewed.
 const WATCHES_PER_RENEWAL: u64 = 4;
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -42,7 +42,7 @@
     pub store_age_ms: Millis,
     /// Whether this controller leads.
     pub leading: bool,
-    /// Operations per second that it uses of the key-value store's limits.
+    /// This controller's usage of the key-value store's limits, in operations per second.
     pub usage: Usage,
     /// Time since this controller last renewed a worker lease without leading, in ms.
     pub since_leaderless_renewal_ms: Millis,
@@ -89,8 +89,8 @@
         self.peers.iter().find(|peer| peer.label == label)
     }
 
-    /// Applies a peer's gossip. Returns the task counts that it reports; none if the
-    /// frame is late or its sender is not a peer.
+    /// Applies a peer's gossip. Returns the task counts that it reports; none if the frame
+    /// is not newer than those received before, or if its sender is not a peer.
     pub fn receive_gossip(&mut self, now: Millis, gossip: Gossip) -> Vec<Count> {
         let Some(index) = self.peers.iter().position(|peer| peer.label == gossip.from) else { return Vec::new() };
         if !self.peers[index].update(now, &gossip) {
@@ -185,7 +185,7 @@
         reachable.any(|peer| peer.store_age_ms + LATER_STORE_RESPONSE_MS < failing_ms)
     }
 
-    /// Reports whether workers reach a peer: it recently rejected several of their
+    /// Reports whether workers reach any peer: a peer recently rejected several of their
     /// heartbeats.
     pub fn have_worker_contact(&self, now: Millis) -> bool {
         self.peers.iter().any(|peer| {
--- a/src/controller/peers/outgoing.rs
+++ b/src/controller/peers/outgoing.rs
@@ -1,4 +1,5 @@
-//! What this controller sends to its peers in addition to its current state.
+//! The events that this controller reports to its peers in addition to its current state,
+//! and the schedule of its gossip.
 
 use std::collections::VecDeque;
 
@@ -61,7 +62,8 @@
         }
     }
 
-    /// Returns the number of heartbeats that were rejected in the last seconds.
+    /// Returns the number of heartbeats that were rejected within the last
+    /// [`REJECTED_HEARTBEAT_MS`].
     pub(super) fn recent_rejection_count(&mut self, now: Millis) -> u32 {
         self.rejected_heartbeats.retain(|&rejected_at| now < rejected_at + REJECTED_HEARTBEAT_MS);
         self.rejected_heartbeats.len() as u32
--- a/src/controller/tests/gossip.rs
+++ b/src/controller/tests/gossip.rs
@@ -1,7 +1,8 @@
 use super::{OutgoingGossip, MAX_REJECTED_HEARTBEATS, REJECTED_HEARTBEAT_MS};
 
-/// If the list is emptied when it exceeds its limit, then with thousands of machines the
-/// leader takes a high number of rejected heartbeats for none.
+/// The list of rejected heartbeats was emptied when it exceeded its limit. With thousands of
+/// machines, the leader then concluded from the low count that none were rejected, although
+/// very many were.
 #[test]
 fn the_count_of_rejected_heartbeats_stays_at_its_limit() {
     let mut gossip = OutgoingGossip::default();
--- a/src/controller/tests/peers.rs
+++ b/src/controller/tests/peers.rs
@@ -40,7 +40,8 @@
 }
 
 /// A frame proves that its sender renewed no lease only up to the reading of this
-/// controller's clock that it echoes, and only if this start of the process sent it.
+/// controller's clock that it echoes, and only if that reading was sent by this start of
+/// the controller's process.
 #[test]
 fn inactive_spans_end_at_the_echoed_clock() {
     let echo = |of: &str, nonce, clock_ms| Echo { of: of.to_owned(), nonce, clock_ms };
--- a/src/controller/users/cancel.rs
+++ b/src/controller/users/cancel.rs
@@ -72,8 +72,8 @@
                 }
                 context.respond_job(conn, OK, &id, "cancelled");
             }
-            // The job is done or cancelled in the meantime: read its record, then decide
-            // again.
+            // The job was completed or cancelled in the meantime: read its record, then
+            // decide again.
             WriteOutcome::Conflict if retries < CANCEL_RETRIES => {
                 self.read_barrier.enqueue(context.net.now(), WaitingRequest::Cancel { conn, id, retries: retries + 1 });
             }
--- a/src/controller/users/context.rs
+++ b/src/controller/users/context.rs
@@ -19,7 +19,7 @@
 pub struct UserContext<'a> {
     /// Sockets, through which responses and calls are sent.
     pub net: &'a mut Net,
-    /// Client of the key-value store, with its budgets.
+    /// Client of the key-value store and the other outside services, with its budgets.
     pub client: &'a mut ServiceClient,
     /// Job cache and the reads that update it.
     pub jobs: &'a mut JobWatch,
--- a/src/coordination/autoscaler/contact.rs
+++ b/src/coordination/autoscaler/contact.rs
@@ -1,4 +1,4 @@
-//! When the last heartbeats of machines were received, and whether any are expected.
+//! Times of the last heartbeats of machines, and whether heartbeats are expected of them.
 //!
 //! A contact is a heartbeat, sent periodically or in response to a call.
 
--- a/src/coordination/autoscaler/failure_detector.rs
+++ b/src/coordination/autoscaler/failure_detector.rs
@@ -98,7 +98,8 @@
     }
 
     /// Reports whether most machines other than an unreachable one acknowledge the
-    /// responses. If they don't, it is this controller's responses that are lost.
+    /// responses. If they don't, this controller's responses are lost, and the machine is
+    /// not the cause.
     fn most_others_acknowledge(&self) -> bool {
         self.acknowledging * 2 > self.with_recent_contact.saturating_sub(1)
     }
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -55,7 +55,8 @@
 /// Interval between consolidation decisions.
 const CONSOLIDATION_INTERVAL_MS: Millis = 2_000;
 
-/// Controller that matches the number and kinds of machines to the demand.
+/// The autoscaler of one leadership, which matches the number and kinds of machines to
+/// the demand.
 #[derive(Debug)]
 pub struct Autoscaler {
     inventory: Inventory,
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -17,8 +17,8 @@
 const STEP_DOWN_PAUSE_MS: Millis = 20_000;
 /// Shortest timeout of a renewal, in ms.
 const MIN_RENEWAL_TIMEOUT_MS: Millis = 700;
-/// A store lease is renewed after its time to live divided by this: three attempts
-/// fit before it expires.
+/// A store lease is renewed each time its time to live divided by this has passed, so
+/// that three attempts fit before it expires.
 const RENEWALS_PER_TTL: u64 = 4;
 /// Delays after calls that failed or received no response.
 const RETRY_DELAYS: RetryDelays = RetryDelays { after_renewal_ms: 250, after_write_ms: 300 };
@@ -96,7 +96,7 @@
         self.renewal_timeout.current_ms
     }
 
-    /// Returns the value of the key when it is written under this store lease.
+    /// Returns the value with which the key is written under this store lease.
     ///
     /// The value identifies the store lease, because the store may apply a claim
     /// late, under a lease that was abandoned meanwhile. If that claim were taken for
@@ -133,8 +133,9 @@
         Some(&record.label)
     }
 
-    /// Records the state of the key at `revision` (of its record, or of its removal).
-    /// An older revision than the last observed one is ignored.
+    /// Records the state of the key. `record` is `None` if the key doesn't exist;
+    /// `revision` is that of the record's last write or of the key's removal. A revision
+    /// older than the last observed one is ignored.
     pub fn observe_key(&mut self, now: Millis, record: Option<LeaderRecord>, revision: Revision) {
         if self.observed.as_ref().is_some_and(|observed| observed.revision > revision) {
             return;
@@ -193,17 +194,17 @@
         self.key.clear_store_lease();
     }
 
-    /// Resigns from leadership, and doesn't claim the key again for a while: workers
-    /// reach other controllers, but not this one. Returns the store lease, which the
-    /// caller has to revoke.
+    /// Resigns from leadership, and doesn't claim the key again for a while. This is
+    /// needed, for example, if workers reach other controllers, but not this one. Returns
+    /// the store lease, which the caller has to revoke.
     pub fn step_down(&mut self, now: Millis) -> Option<StoreLeaseId> {
         self.paused_until = now + STEP_DOWN_PAUSE_MS;
         self.clear_observed_record();
         self.key.release()
     }
 
-    /// Returns the key's revision, if the key names this start of the process and this
-    /// store lease.
+    /// Returns the key's revision, if the key names this start of the process and the
+    /// store lease that it holds.
     fn own_key_revision(&self) -> Option<Revision> {
         let own = self.record(self.key.store_lease()?);
         let observed = self.observed.as_ref()?;
--- a/src/coordination/ephemeral_key.rs
+++ b/src/coordination/ephemeral_key.rs
@@ -19,8 +19,8 @@
 /// Subtracted from a store lease's time to live in addition to the drift, for
 /// rounding and scheduling delays, in ms.
 const EXPIRY_MARGIN_MS: Millis = 40;
-/// A key is written under a store lease only while its remaining time exceeds its
-/// time to live divided by this.
+/// A key is written under a store lease only while the remaining time of the lease
+/// exceeds its time to live divided by this.
 const MIN_REMAINING_DIVISOR: u64 = 2;
 
 /// A call to make to the key-value store.
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -10,8 +10,8 @@
 //! - A cancelled task is stopped in time. A controller, including the leader, responds
 //!   200 to a worker only for [`renewal_window_ms`] after it *sent* its last read of
 //!   the jobs' records, and the response stops the tasks that this read showed as
-//!   cancelled. A task that is cancelled after that read is stopped at the latest
-//!   after [`renewal_window_ms`] and the duration of a worker lease.
+//!   cancelled. A task that is cancelled after that read is stopped no later than
+//!   [`renewal_window_ms`] plus the duration of a worker lease after the read.
 //! - A leader that considers a worker lease expired must take every such response
 //!   into account. [`RenewalAuthority`] renews only while its key exists in the
 //!   key-value store, under a store lease. [`PeerInactivity`] records that a
@@ -78,7 +78,8 @@
 pub struct RenewalAuthority {
     /// How long worker leases may be renewed after a read of the jobs' records, in ms.
     renewal_window_ms: Millis,
-    /// The same while this controller doesn't lead, in ms; 0: never.
+    /// How long worker leases may be renewed after a read of the jobs' records while this
+    /// controller doesn't lead, in ms; 0: never.
     leaderless_window_ms: Millis,
     /// This controller's store lease, and the calls that write and keep the key.
     key: EphemeralKey,
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Returns the nonce in the key when it was written under the current store lease,
-    /// by the start of the process with `nonce`; `None` without a store lease.
+    /// Returns the nonce that the key holds if the start of the process with `nonce` wrote
+    /// it under the current store lease; `None` without a store lease.
     ///
     /// As with the leader's key, a key that was written late under an earlier store
     /// lease is removed with that lease, so it is not valid.
@@ -170,9 +171,10 @@
         self.is_key_held = false;
     }
 
-    /// Records the state of the key at a revision of the store: the revision of its
-    /// last write ([`Revision::ABSENT`]: it doesn't exist), and whether this start of
-    /// the process wrote it. A state older than the last observed one is ignored.
+    /// Records the state of the key at `store_revision`. `key_revision` is the revision of
+    /// its last write, or [`Revision::ABSENT`] if it doesn't exist; `is_own` is whether this
+    /// start of the process wrote it under its current store lease. A state older than the
+    /// last observed one is ignored.
     pub fn observe_key(&mut self, key_revision: Revision, store_revision: Revision, is_own: bool) {
         if self.observed.is_some_and(|observed| observed.store_revision > store_revision) {
             return;
--- a/src/coordination/lease_renewal/partition.rs
+++ b/src/coordination/lease_renewal/partition.rs
@@ -9,7 +9,7 @@
 /// the store is no evidence: the partition may have begun after it.
 const OTHER_ZONE_HEARTBEAT_SLACK_MS: Millis = 1_000;
 
-/// What this controller knows of a peer's reachability and store contact.
+/// Last contact of this controller with a peer, and of that peer with the key-value store.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerContact {
     /// Whether the peer is in this controller's zone.
--- a/src/coordination/scheduler/best_effort.rs
+++ b/src/coordination/scheduler/best_effort.rs
@@ -21,12 +21,14 @@
 const BEST_EFFORT_SHARE: f64 = 0.4;
 /// Largest share of the CPUs that is reserved against best-effort jobs.
 const RESERVED_SHARE_MAX: f64 = 0.15;
-/// A best-effort job to which no task was assigned for this long may place some
-/// tasks beyond the budget: no job may be left waiting beside free capacity.
+/// A best-effort job of which no task was assigned for this long, or ever, may place
+/// some tasks beyond the budget: no job may be left waiting beside free capacity.
 const LONGEST_WAIT_MS: Millis = 60_000;
-/// After a long wait, a job may place its task count divided by this number...
+/// After a long wait, a job may place its task count divided by this number, but at
+/// least [`LONG_WAIT_TASKS_MIN`] tasks.
 const LONG_WAIT_DIVISOR: u32 = 64;
-/// ...but at least this many tasks: small jobs may place all of theirs.
+/// Smallest number of tasks that a job may place after a long wait: small jobs may
+/// place all of theirs.
 const LONG_WAIT_TASKS_MIN: u32 = 64;
 
 /// CPUs that best-effort jobs may still take in a scheduling cycle.
--- a/src/coordination/scheduler/gpu_demand.rs
+++ b/src/coordination/scheduler/gpu_demand.rs
@@ -10,7 +10,7 @@
     protocol::jobs::JobSpec,
 };
 
-/// How long GPU jobs of a shape are expected again after one was last seen.
+/// More GPU jobs of a shape are expected for this long after one was last seen.
 const RETENTION_MS: Millis = 900_000;
 /// Maximum number of shapes kept, so that unusual jobs can't grow the list
 /// without bound.
--- a/src/coordination/scheduler/preemption/mod.rs
+++ b/src/coordination/scheduler/preemption/mod.rs
@@ -23,9 +23,10 @@
 /// Maximum number of tasks of one array for which others are preempted in one
 /// scheduling cycle.
 const ARRAY_TASKS_PER_CYCLE: usize = 4;
-/// The next sample of machines begins at the last start times this...
+/// The next sample of machines begins at the start of the last one times this, plus
+/// [`CURSOR_INCREMENT`], modulo the number of machines, so that samples differ.
 const CURSOR_MULTIPLIER: u32 = 5;
-/// ...plus this, modulo the number of machines: so that samples differ.
+/// Added to the start of a sample of machines; see [`CURSOR_MULTIPLIER`].
 const CURSOR_INCREMENT: u32 = 101;
 
 /// The machine at which the latest sample of machines for preemption began.
--- a/src/coordination/scheduler/preemption/victims.rs
+++ b/src/coordination/scheduler/preemption/victims.rs
@@ -82,9 +82,10 @@
         assignment.running_since.map_or(0.0, |since| (self.now - since) as f64 / 1000.0)
     }
 
-    /// Reports whether the preemptor, within its team's guarantee, may reclaim
-    /// capacity from a job: the job's team uses more than its own guarantee of a
-    /// resource that the preemptor needs.
+    /// Reports whether the preemptor may reclaim capacity from a job: the preemptor is
+    /// within its team's guarantee and has waited long enough, and the job's team, which
+    /// is another one, uses more than its own guarantee of a resource that the preemptor
+    /// needs.
     fn may_reclaim_from(&self, job: &Job) -> bool {
         let preemptor = self.preemptor;
         let has_waited = preemptor.waited_ms(self.now) >= RECLAIM_DELAY_MS;
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -14,7 +14,7 @@
     storage::{job_cache::JobIndex, records::JobStatus},
 };
 
-/// Age at which a job without a start counts as starved and goes before all jobs
+/// Age at which a job without a start is considered starved and goes before all jobs
 /// but services. Users are promised that a job starts within four minutes.
 const STARVATION_AGE_S: f64 = 150.0;
 /// Among starved jobs, the largest job of a class is ordered as if it had waited
--- a/src/coordination/scheduler/task_selection.rs
+++ b/src/coordination/scheduler/task_selection.rs
@@ -56,8 +56,8 @@
 
 /// Tracks how many more assignments each chunk record can hold.
 ///
-/// Chunks that were sized for a larger limit on values of the store take only as
-/// many assignments at a time as can be written under the present limit.
+/// Chunks that were sized for a larger limit on the size of values in the store take
+/// only as many assignments at a time as can be written under the present limit.
 struct ChunkCapacity {
     /// For each chunk, the number of assignments that still fit, plus one.
     remaining_plus_one: Vec<u32>,
--- a/src/coordination/scheduler/trial/mod.rs
+++ b/src/coordination/scheduler/trial/mod.rs
@@ -61,8 +61,8 @@
 pub enum HostFilter {
     /// All machines that take new tasks.
     Any,
-    /// Only machines that have assignments and do not take GPU tasks only (those
-    /// are meant to become empty).
+    /// Only machines that have assignments, except for those reserved for GPU tasks,
+    /// which are meant to become empty.
     BusyOnly,
 }
 
--- a/src/coordination/scheduler/trial/score.rs
+++ b/src/coordination/scheduler/trial/score.rs
@@ -17,7 +17,7 @@
 /// Bonus, in seconds, for a machine with a cached image, in addition to the fetch
 /// time saved.
 const CACHED_IMAGE_BONUS_S: f64 = 1.0;
-/// Penalty, in seconds, for a CPU task on a machine with GPUs: they would stand idle.
+/// Penalty, in seconds, for a CPU task on a machine with GPUs, which would stand idle.
 pub const IDLE_GPU_PENALTY_S: f64 = 90.0;
 /// Bonus, in seconds, for an exact fit as compared with an empty machine.
 const BEST_FIT_BONUS_S: f64 = 3.0;
--- a/src/coordination/scheduler/trial/tree.rs
+++ b/src/coordination/scheduler/trial/tree.rs
@@ -191,7 +191,7 @@
     }
 
     /// Reports whether one more task of the job fits on the machine on which its
-    /// last task was placed. Never so for service replicas.
+    /// last task was placed. Always false for service replicas.
     fn fits_another(&self, host_index: usize) -> bool {
         let spec = self.request.spec;
         let host = &self.snapshot.hosts[host_index];
--- a/src/coordination/tests/peer_inactivity.rs
+++ b/src/coordination/tests/peer_inactivity.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A leader must consider a worker lease expired only over a time for which every other
-/// controller confirmed that it renewed none.
+/// A leader may consider a worker lease expired only on the basis of a span of time for
+/// which every other controller confirmed that it renewed no lease.
 #[test]
 fn only_overlapping_spans_are_joined() {
     let mut inactivity = PeerInactivity::new(2);
--- a/src/coordination/tests/trial.rs
+++ b/src/coordination/tests/trial.rs
@@ -10,7 +10,7 @@
     },
 };
 
-/// A machine of a case: zone, CPUs, GPUs, spot, capacity protected for GPU work.
+/// A machine of a case: zone, CPUs, GPUs, spot, capacity protected for GPU tasks.
 type Machine = (u32, f64, f64, bool, Option<Resources>);
 
 fn snapshot(machines: &[Machine]) -> ClusterSnapshot {
@@ -200,7 +200,7 @@
         },
         // Without the protection, replicas take all GPU machines from the jobs that need one.
         Case {
-            name: "production service leaves the capacity protected for GPU work",
+            name: "production service leaves the capacity protected for GPU tasks",
             hosts: vec![gpu_machine],
             kind: JobKind::Service,
             tasks: 2,
@@ -210,7 +210,7 @@
             expected: (Success, 1),
         },
         Case {
-            name: "array with checkpoints may use capacity protected for GPU work",
+            name: "array with checkpoints may use capacity protected for GPU tasks",
             hosts: vec![gpu_machine],
             kind: JobKind::Array,
             tasks: 5,
