--- a/build.rs
+++ b/build.rs
@@ -5,8 +5,8 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=deploy/operator.proto");
-    let set = protox::compile(["operator.proto"], ["deploy"])?;
-    let out = PathBuf::from(env::var("OUT_DIR")?).join("operator.bin");
-    fs::write(out, set.encode_to_vec())?;
+    let descriptor_set = protox::compile(["operator.proto"], ["deploy"])?;
+    let descriptor_path = PathBuf::from(env::var("OUT_DIR")?).join("operator.bin");
+    fs::write(descriptor_path, descriptor_set.encode_to_vec())?;
     Ok(())
 }
--- a/src/controller/instance/mod.rs
+++ b/src/controller/instance/mod.rs
@@ -102,7 +102,7 @@
     /// Handles one event of the event loop.
     pub(super) fn handle(&mut self, net: &mut Net, event: Event) {
         match event {
-            Event::Request { conn, req } => self.handle_request(net, conn, &req),
+            Event::Request { connection, request } => self.handle_request(net, connection, &request),
             Event::Frame { bytes } => self.handle_frame(net, &bytes),
             Event::Reply { tag, result } => {
                 if let Some(pending) = self.client.take_pending(tag) {
--- a/src/controller/run.rs
+++ b/src/controller/run.rs
@@ -67,8 +67,8 @@
     }
     let limits = Limits {
         sockets: cluster.limits.sockets,
-        idle_ms: IDLE_TIMEOUT_MS,
-        head_ms: REQUEST_READ_TIMEOUT_MS,
+        idle_timeout_ms: IDLE_TIMEOUT_MS,
+        request_timeout_ms: REQUEST_READ_TIMEOUT_MS,
         stale_ms,
     };
     let mut net = Net::new(&event_loop, limits);
--- a/src/controller/service_client/mod.rs
+++ b/src/controller/service_client/mod.rs
@@ -68,20 +68,20 @@
     pub fn send_to_store(&mut self, net: &mut Net, pending: PendingCall, request: StoreRequest) {
         let StoreRequest { method, path, body, timeout_ms } = request;
         let tag = self.pending.add(pending);
-        net.call(&Call { dest: self.store_addr, method, path, body, timeout_ms, tag });
+        net.call(&Call { destination: self.store_addr, method, path, body, timeout_ms, tag });
     }
 
     /// Sends a request to the cloud, without a check of the budgets.
     pub fn send_to_cloud(&mut self, net: &mut Net, pending: PendingCall, request: CloudRequest) {
         let CloudRequest { method, path, body } = request;
         let tag = self.pending.add(pending);
-        net.call(&Call { dest: self.cloud_addr, method, path, body, timeout_ms: CLOUD_TIMEOUT_MS, tag });
+        net.call(&Call { destination: self.cloud_addr, method, path, body, timeout_ms: CLOUD_TIMEOUT_MS, tag });
     }
 
     /// Sends a request to a worker, to which no budget applies.
     pub fn send_to_worker(&mut self, net: &mut Net, pending: PendingCall, request: WorkerRequest) {
-        let WorkerRequest { addr: dest, method, path, body, timeout_ms } = request;
+        let WorkerRequest { addr: destination, method, path, body, timeout_ms } = request;
         let tag = self.pending.add(pending);
-        net.call(&Call { dest, method, path: path.into(), body, timeout_ms, tag });
+        net.call(&Call { destination, method, path: path.into(), body, timeout_ms, tag });
     }
 }
--- a/src/transport/descriptors.rs
+++ b/src/transport/descriptors.rs
@@ -24,11 +24,11 @@
     let limit = getrlimit(Resource::Nofile);
     // `None`: there is no limit.
     let Some(current) = limit.current.filter(|&current| current < needed) else { return DescriptorLimit::Enough };
-    let reachable = limit.maximum.map_or(needed, |maximum| needed.min(maximum));
-    let raised = Rlimit { current: Some(reachable), maximum: limit.maximum };
+    let target = limit.maximum.map_or(needed, |maximum| needed.min(maximum));
+    let raised = Rlimit { current: Some(target), maximum: limit.maximum };
     match setrlimit(Resource::Nofile, raised) {
-        Ok(()) if reachable == needed => DescriptorLimit::Enough,
-        Ok(()) => DescriptorLimit::TooLow(reachable),
+        Ok(()) if target == needed => DescriptorLimit::Enough,
+        Ok(()) => DescriptorLimit::TooLow(target),
         Err(_) => DescriptorLimit::TooLow(current),
     }
 }
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -10,9 +10,9 @@
 pub use self::{
     error::HttpError,
     message::{Method, Reply, Request},
-    parse::{parse_reply, parse_request, Parsed, MAX_HEAD, MAX_REPLY_BODY, MAX_REQUEST_BODY},
-    status::reason,
-    write::{write_reply, write_request},
+    parse::{parse_reply, parse_request, Parsed, MAX_HEAD_BYTES, MAX_REPLY_BODY_BYTES, MAX_REQUEST_BODY_BYTES},
+    status::reason_phrase,
+    write::{write_request, write_response},
 };
 
 #[cfg(test)]
--- a/src/transport/http/framing.rs
+++ b/src/transport/http/framing.rs
@@ -3,7 +3,7 @@
 use super::error::HttpError;
 
 /// Longest line with the size of a chunk, in bytes.
-const MAX_CHUNK_SIZE_LINE: usize = 32;
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 32;
 /// Line end after the data of each chunk.
 const CRLF: &[u8] = b"\r\n";
 /// HTTP/1.0, where connections are closed by default, as `httparse` numbers it.
@@ -14,7 +14,7 @@
 /// What the header fields say about the body and the connection.
 pub(super) struct Framing {
     /// Value of `Content-Length`, in bytes.
-    length: Option<usize>,
+    content_length: Option<usize>,
     /// Whether the body comes in chunks.
     chunked: bool,
     /// Whether the connection is to be closed after the message.
@@ -29,13 +29,13 @@
 
 impl Framing {
     pub fn parse(headers: &[httparse::Header<'_>], version: u8) -> Result<Framing, HttpError> {
-        let mut framing = Framing { length: None, chunked: false, close: version == HTTP_1_0 };
+        let mut framing = Framing { content_length: None, chunked: false, close: version == HTTP_1_0 };
         for header in headers {
             framing.apply(header)?;
         }
         // Guard: request smuggling. A message with both framings could be taken
         // for two different messages by two servers.
-        if framing.chunked && framing.length.is_some() {
+        if framing.chunked && framing.content_length.is_some() {
             return Err(HttpError::Malformed);
         }
         Ok(framing)
@@ -45,10 +45,10 @@
         let text = || std::str::from_utf8(header.value).map_err(|_| HttpError::Malformed);
         if header.name.eq_ignore_ascii_case("content-length") {
             let length: usize = text()?.trim().parse().map_err(|_| HttpError::Malformed)?;
-            if self.length.is_some_and(|earlier| earlier != length) {
+            if self.content_length.is_some_and(|earlier| earlier != length) {
                 return Err(HttpError::Malformed);
             }
-            self.length = Some(length);
+            self.content_length = Some(length);
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             if !text()?.trim().eq_ignore_ascii_case("chunked") {
                 return Err(HttpError::Malformed);
@@ -65,41 +65,41 @@
         Ok(())
     }
 
-    /// Takes the body that starts at `at`, or None when more bytes are needed.
-    pub fn take_body(&self, buffer: &[u8], at: usize, max: usize) -> Result<Option<Body>, HttpError> {
+    /// Takes the body that starts at `body_start`, or None when more bytes are needed.
+    pub fn take_body(&self, buffer: &[u8], body_start: usize, max_bytes: usize) -> Result<Option<Body>, HttpError> {
         if self.chunked {
-            return take_chunked(buffer, at, max);
+            return take_chunked(buffer, body_start, max_bytes);
         }
-        let length = self.length.unwrap_or(0);
-        if length > max {
+        let length = self.content_length.unwrap_or(0);
+        if length > max_bytes {
             return Err(HttpError::BodyTooLong);
         }
-        let bytes = buffer.get(at..at.saturating_add(length));
-        Ok(bytes.map(|bytes| Body { bytes: bytes.to_vec(), end: at + length }))
+        let bytes = buffer.get(body_start..body_start.saturating_add(length));
+        Ok(bytes.map(|bytes| Body { bytes: bytes.to_vec(), end: body_start + length }))
     }
 }
 
-fn take_chunked(buffer: &[u8], mut at: usize, max: usize) -> Result<Option<Body>, HttpError> {
+fn take_chunked(buffer: &[u8], mut position: usize, max_bytes: usize) -> Result<Option<Body>, HttpError> {
     let mut bytes = Vec::new();
     loop {
-        let rest = buffer.get(at..).unwrap_or(&[]);
-        let (skip, size) = match httparse::parse_chunk_size(rest) {
+        let rest = buffer.get(position..).unwrap_or(&[]);
+        let (size_line_length, size) = match httparse::parse_chunk_size(rest) {
             Ok(httparse::Status::Complete(chunk)) => chunk,
-            Ok(httparse::Status::Partial) if rest.len() < MAX_CHUNK_SIZE_LINE => return Ok(None),
+            Ok(httparse::Status::Partial) if rest.len() < MAX_CHUNK_SIZE_LINE_BYTES => return Ok(None),
             _ => return Err(HttpError::Malformed),
         };
         let size = usize::try_from(size).map_err(|_| HttpError::BodyTooLong)?;
-        if size > max || bytes.len() + size > max {
+        if size > max_bytes || bytes.len() + size > max_bytes {
             return Err(HttpError::BodyTooLong);
         }
-        let start = at + skip;
+        let start = position + size_line_length;
         let end = start + size + CRLF.len();
         let Some(chunk) = buffer.get(start..end) else { return Ok(None) };
         if &chunk[size..] != CRLF {
             return Err(HttpError::Malformed);
         }
         bytes.extend_from_slice(&chunk[..size]);
-        at = end;
+        position = end;
         if size == 0 {
             return Ok(Some(Body { bytes, end }));
         }
--- a/src/transport/http/parse.rs
+++ b/src/transport/http/parse.rs
@@ -7,14 +7,14 @@
 };
 
 /// Largest request body a client may send, in bytes.
-pub const MAX_REQUEST_BODY: usize = 64 * 1024;
+pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
 /// Largest head of a request or a reply, in bytes.
-pub const MAX_HEAD: usize = 8 * 1024;
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Largest body of a reply, in bytes. `/changes` has no limit of its own, so
 /// this one only keeps a broken service from filling the memory.
-pub const MAX_REPLY_BODY: usize = 24 * 1024 * 1024;
+pub const MAX_REPLY_BODY_BYTES: usize = 24 * 1024 * 1024;
 /// Most header fields of one message.
-const MAX_HEADERS: usize = 48;
+const MAX_HEADER_FIELDS: usize = 48;
 
 /// The result of parsing bytes that may still be incomplete.
 #[derive(Debug, PartialEq, Eq)]
@@ -22,42 +22,42 @@
     /// More bytes are needed.
     Partial,
     /// The message, and the number of bytes it took.
-    Whole(T, usize),
+    Complete(T, usize),
 }
 
 /// Parses the request at the start of `buffer`.
 pub fn parse_request(buffer: &[u8]) -> Result<Parsed<Request>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Request::new(&mut headers);
     let head_end = match head.parse(buffer) {
-        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD => length,
-        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(Parsed::Partial),
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => return Ok(Parsed::Partial),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLong),
         Err(_) => return Err(HttpError::Malformed),
     };
     let framing = Framing::parse(head.headers, head.version.unwrap_or(HTTP_1_1))?;
     let method = head.method.unwrap_or("").to_owned();
     let path = head.path.unwrap_or("").to_owned();
-    Ok(match framing.take_body(buffer, head_end, MAX_REQUEST_BODY)? {
+    Ok(match framing.take_body(buffer, head_end, MAX_REQUEST_BODY_BYTES)? {
         None => Parsed::Partial,
-        Some(body) => Parsed::Whole(Request { method, path, body: body.bytes, close: framing.close }, body.end),
+        Some(body) => Parsed::Complete(Request { method, path, body: body.bytes, close: framing.close }, body.end),
     })
 }
 
 /// Parses the reply at the start of `buffer`.
 pub fn parse_reply(buffer: &[u8]) -> Result<Parsed<Reply>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Response::new(&mut headers);
     let head_end = match head.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(Parsed::Partial),
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => return Ok(Parsed::Partial),
         Ok(httparse::Status::Partial) => return Err(HttpError::HeadTooLong),
         Err(_) => return Err(HttpError::Malformed),
     };
     let framing = Framing::parse(head.headers, head.version.unwrap_or(HTTP_1_1))?;
     let status = head.code.unwrap_or(0);
-    Ok(match framing.take_body(buffer, head_end, MAX_REPLY_BODY)? {
+    Ok(match framing.take_body(buffer, head_end, MAX_REPLY_BODY_BYTES)? {
         None => Parsed::Partial,
-        Some(body) => Parsed::Whole(Reply { status, body: body.bytes, close: framing.close }, body.end),
+        Some(body) => Parsed::Complete(Reply { status, body: body.bytes, close: framing.close }, body.end),
     })
 }
--- a/src/transport/http/status.rs
+++ b/src/transport/http/status.rs
@@ -28,7 +28,7 @@
 pub const SERVICE_UNAVAILABLE: u16 = 503;
 
 /// The reason phrase of a status.
-pub fn reason(code: u16) -> &'static str {
+pub fn reason_phrase(code: u16) -> &'static str {
     match code {
         OK => "OK",
         CREATED => "Created",
--- a/src/transport/http/write.rs
+++ b/src/transport/http/write.rs
@@ -5,15 +5,15 @@
 use super::status;
 
 /// Capacity reserved for the head of a message, in bytes; most fit without growing.
-const TYPICAL_HEAD: usize = 160;
+const TYPICAL_HEAD_BYTES: usize = 160;
 
 /// Appends a reply with a CBOR body to `out`.
-pub fn write_reply(out: &mut Vec<u8>, status: u16, retry_after_s: Option<u32>, body: &[u8], close: bool) {
-    let mut head = String::with_capacity(TYPICAL_HEAD);
+pub fn write_response(out: &mut Vec<u8>, status: u16, retry_after_s: Option<u32>, body: &[u8], close: bool) {
+    let mut head = String::with_capacity(TYPICAL_HEAD_BYTES);
     let _ = write!(
         head,
         "HTTP/1.1 {status} {}\r\nContent-Type: application/cbor\r\nContent-Length: {}\r\n",
-        status::reason(status),
+        status::reason_phrase(status),
         body.len()
     );
     if let Some(seconds) = retry_after_s {
@@ -29,7 +29,7 @@
 
 /// Appends a request with a CBOR body to `out`.
 pub fn write_request(out: &mut Vec<u8>, method: &str, path: &str, host: &str, body: &[u8]) {
-    let mut head = String::with_capacity(TYPICAL_HEAD);
+    let mut head = String::with_capacity(TYPICAL_HEAD_BYTES);
     let _ = write!(head, "{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     if !body.is_empty() || method == "POST" {
         let _ = write!(head, "Content-Type: application/cbor\r\nContent-Length: {}\r\n", body.len());
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -40,7 +40,7 @@
 /// Bytes read from a socket at a time.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Time between two looks for connections past their deadline, in ms.
-const SWEEP_INTERVAL_MS: u64 = 100;
+const EXPIRY_CHECK_INTERVAL_MS: u64 = 100;
 
 /// All sockets of the process.
 pub struct Net {
@@ -57,9 +57,9 @@
     events: VecDeque<Event>,
     /// Scratch space for reads.
     read_buffer: Vec<u8>,
-    next_sweep: u64,
+    next_expiry_check: u64,
     /// No sockets can be freed before this time.
-    full_until: u64,
+    free_sockets_retry_at: u64,
 }
 
 impl Net {
@@ -75,8 +75,8 @@
             links: Vec::new(),
             events: VecDeque::new(),
             read_buffer: vec![0; READ_BUFFER_BYTES],
-            next_sweep: 0,
-            full_until: 0,
+            next_expiry_check: 0,
+            free_sockets_retry_at: 0,
         }
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Sockets of connections that are open.
-    pub fn sockets(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
@@ -103,7 +103,7 @@
             Err(calloop::Error::IoError(error)) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(error) => return Err(io::Error::other(error.to_string())),
         }
-        self.sweep();
+        self.close_expired_connections();
         Ok(())
     }
 
@@ -129,13 +129,13 @@
     }
 
     /// Closes connections past their deadline.
-    fn sweep(&mut self) {
+    fn close_expired_connections(&mut self) {
         let now = self.now();
-        if now < self.next_sweep {
+        if now < self.next_expiry_check {
             return;
         }
-        self.next_sweep = now + SWEEP_INTERVAL_MS;
-        let late: Vec<ConnectionId> = self
+        self.next_expiry_check = now + EXPIRY_CHECK_INTERVAL_MS;
+        let expired: Vec<ConnectionId> = self
             .connections
             .iter()
             .filter(|(_, connection)| match connection.role {
@@ -144,7 +144,7 @@
             })
             .map(|(&id, _)| id)
             .collect();
-        for id in late {
+        for id in expired {
             self.close(id);
         }
     }
--- a/src/transport/net/call.rs
+++ b/src/transport/net/call.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone)]
 pub struct Call {
     /// Address of the service.
-    pub dest: SocketAddr,
+    pub destination: SocketAddr,
     /// Method of the request.
     pub method: Method,
     /// Path, with its query if there is one.
--- a/src/transport/net/connection.rs
+++ b/src/transport/net/connection.rs
@@ -25,9 +25,9 @@
     /// This process is the server of an HTTP client.
     Server {
         /// A request is being answered.
-        answering: bool,
+        responding: bool,
         /// The connection must be closed after the reply.
-        close_after_reply: bool,
+        close_after_response: bool,
     },
     /// This process is the HTTP client of a service.
     Client {
@@ -83,7 +83,7 @@
 
     /// Whether it serves a client that has no request under way.
     pub fn awaits_request(&self) -> bool {
-        matches!(self.role, Role::Server { answering: false, .. }) && self.input.is_empty()
+        matches!(self.role, Role::Server { responding: false, .. }) && self.input.is_empty()
     }
 
     /// Writes as much of the output as the socket takes.
@@ -106,7 +106,7 @@
         self.output.clear();
         self.written = 0;
         match self.role {
-            Role::Server { answering: false, close_after_reply: true } => Disposition::Close,
+            Role::Server { responding: false, close_after_response: true } => Disposition::Close,
             _ => Disposition::Keep,
         }
     }
--- a/src/transport/net/dial.rs
+++ b/src/transport/net/dial.rs
@@ -7,9 +7,9 @@
 };
 
 /// Starts to connect, without waiting for the connection to be established.
-pub(super) fn dial(dest: SocketAddr) -> io::Result<TcpStream> {
+pub(super) fn dial(destination: SocketAddr) -> io::Result<TcpStream> {
     use rustix::net::{connect, socket_with, AddressFamily, SocketFlags, SocketType};
-    let SocketAddr::V4(v4) = dest else { return Err(io::ErrorKind::Unsupported.into()) };
+    let SocketAddr::V4(v4) = destination else { return Err(io::ErrorKind::Unsupported.into()) };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let fd: OwnedFd = socket_with(AddressFamily::INET, SocketType::STREAM, flags, None)?;
     match connect(&fd, &SocketAddrV4::new(*v4.ip(), v4.port())) {
--- a/src/transport/net/event.rs
+++ b/src/transport/net/event.rs
@@ -9,9 +9,9 @@
     /// A client's request, to be answered by [`Net::respond`](super::Net::respond).
     Request {
         /// The client's connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The request.
-        req: Request,
+        request: Request,
     },
     /// The outcome of a [`Call`](super::Call).
     Reply {
--- a/src/transport/net/lifecycle.rs
+++ b/src/transport/net/lifecycle.rs
@@ -28,7 +28,7 @@
             .handle
             .insert_source(source, move |readiness, _, net: &mut Net| {
                 if !closed.get() {
-                    net.ready(id, readiness.readable || readiness.error, readiness.writable);
+                    net.handle_readiness(id, readiness.readable || readiness.error, readiness.writable);
                     closed.set(!net.connections.contains_key(&id));
                 }
                 Ok(PostAction::Continue)
@@ -41,7 +41,7 @@
     }
 
     /// Handles readiness of a connection's socket.
-    pub(super) fn ready(&mut self, id: ConnectionId, readable: bool, writable: bool) {
+    pub(super) fn handle_readiness(&mut self, id: ConnectionId, readable: bool, writable: bool) {
         if let Some(connection) = self.connections.get_mut(&id).filter(|connection| connection.connecting) {
             if !(writable || readable) {
                 return;
@@ -67,7 +67,7 @@
     fn read(&mut self, id: ConnectionId) -> Disposition {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
-            if Net::floods_while_busy(connection) {
+            if Net::exceeds_pending_input_limit(connection) {
                 return Disposition::Close;
             }
             let count = match connection.read_into(&mut self.read_buffer) {
@@ -76,7 +76,7 @@
                 ReadOutcome::Closed => return Disposition::Close,
             };
             if connection.awaits_request() {
-                connection.deadline = self.start.elapsed().as_millis() as u64 + self.limits.head_ms;
+                connection.deadline = self.start.elapsed().as_millis() as u64 + self.limits.request_timeout_ms;
             }
             connection.input.extend_from_slice(&self.read_buffer[..count]);
             if self.parse(id) == Disposition::Close {
@@ -89,8 +89,8 @@
     pub(super) fn parse(&mut self, id: ConnectionId) -> Disposition {
         let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
         match connection.role {
-            Role::Server { answering: true, .. } => Disposition::Keep,
-            Role::Server { answering: false, .. } => self.parse_request(id),
+            Role::Server { responding: true, .. } => Disposition::Keep,
+            Role::Server { responding: false, .. } => self.parse_request(id),
             Role::Client { .. } => self.parse_reply(id),
             Role::PeerInbound => self.parse_frames(id),
             Role::PeerOutbound { .. } => {
@@ -112,7 +112,7 @@
                     self.events.push_back(Event::Reply { tag, result: Err(error) });
                 }
             }
-            Role::PeerOutbound { link } => self.link_closed(link),
+            Role::PeerOutbound { link } => self.handle_link_closed(link),
             Role::Server { .. } | Role::PeerInbound => {}
         }
     }
--- a/src/transport/net/outgoing.rs
+++ b/src/transport/net/outgoing.rs
@@ -13,15 +13,15 @@
 
 /// An idle connection to a service is closed after this long, in ms: before
 /// the services close it themselves.
-const POOL_IDLE_MS: u64 = 30_000;
+const POOL_IDLE_TIMEOUT_MS: u64 = 30_000;
 
 impl Net {
     /// Sends a request. Its outcome, a failure included, comes as [`Event::Reply`].
     pub fn call(&mut self, call: &Call) {
         let deadline = self.now() + call.timeout_ms;
-        let connection_id = match self.pool.take(call.dest) {
+        let connection_id = match self.pool.take(call.destination) {
             Some(id) => Some(id),
-            None => self.open_client_connection(call.dest, deadline),
+            None => self.open_client_connection(call.destination, deadline),
         };
         let Some(id) = connection_id else {
             self.events.push_back(Event::Reply { tag: call.tag, result: Err(CallError::NotSent) });
@@ -32,7 +32,7 @@
             *tag = Some(call.tag);
         }
         connection.deadline = deadline;
-        let host = call.dest.to_string();
+        let host = call.destination.to_string();
         http::write_request(&mut connection.output, call.method.as_str(), &call.path, &host, &call.body);
         if connection.flush() == Disposition::Close {
             self.close(id);
@@ -56,34 +56,34 @@
         let Role::Client { service, tag, sent } = &mut connection.role else { return Disposition::Keep };
         let (reply, used) = match http::parse_reply(&connection.input) {
             Ok(Parsed::Partial) => return Disposition::Keep,
-            Ok(Parsed::Whole(reply, used)) => (reply, used),
+            Ok(Parsed::Complete(reply, used)) => (reply, used),
             Err(_) => return Disposition::Close,
         };
         let Some(tag) = tag.take() else { return Disposition::Close };
         let reusable = !reply.close && used == connection.input.len();
         connection.input.clear();
         *sent = false;
-        connection.deadline = now + POOL_IDLE_MS;
+        connection.deadline = now + POOL_IDLE_TIMEOUT_MS;
         let service = *service;
         self.events.push_back(Event::Reply { tag, result: Ok(reply) });
-        if !reusable || !self.pool.add(service, IdleConnection { id, since: now }) {
+        if !reusable || !self.pool.add(service, IdleConnection { id, idle_since: now }) {
             return Disposition::Close;
         }
-        if self.pool.len() > self.limits.max_idle_calls() {
-            self.close_oldest_idle_call();
+        if self.pool.len() > self.limits.max_idle_connections() {
+            self.close_longest_idle_connection();
         }
         Disposition::Keep
     }
 
     /// Closes the connection to a service that has been idle longest, if any.
-    pub(super) fn close_oldest_idle_call(&mut self) -> bool {
-        while let Some(oldest) = self.pool.pop_oldest() {
-            let still_idle = self.connections.get(&oldest.id).is_some_and(|connection| {
+    pub(super) fn close_longest_idle_connection(&mut self) -> bool {
+        while let Some(longest_idle) = self.pool.pop_longest_idle() {
+            let still_idle = self.connections.get(&longest_idle.id).is_some_and(|connection| {
                 matches!(connection.role, Role::Client { tag: None, .. })
-                    && connection.deadline == oldest.since + POOL_IDLE_MS
+                    && connection.deadline == longest_idle.idle_since + POOL_IDLE_TIMEOUT_MS
             });
             if still_idle {
-                self.close(oldest.id);
+                self.close(longest_idle.id);
                 return true;
             }
         }
--- a/src/transport/net/pool.rs
+++ b/src/transport/net/pool.rs
@@ -14,7 +14,7 @@
 pub(super) struct IdleConnection {
     pub id: ConnectionId,
     /// When it became idle, in ms of [`super::Net::now`].
-    pub since: u64,
+    pub idle_since: u64,
 }
 
 /// Idle connections by service, and in the order in which they became idle.
@@ -22,7 +22,7 @@
 pub(super) struct ConnectionPool {
     by_service: HashMap<SocketAddr, Vec<ConnectionId>>,
     /// Longest idle first; some may be in use again.
-    oldest_first: VecDeque<IdleConnection>,
+    longest_idle_first: VecDeque<IdleConnection>,
 }
 
 impl ConnectionPool {
@@ -38,18 +38,18 @@
             return false;
         }
         connections.push(idle.id);
-        self.oldest_first.push_back(idle);
+        self.longest_idle_first.push_back(idle);
         true
     }
 
     /// Number of connections in the order of becoming idle.
     pub fn len(&self) -> usize {
-        self.oldest_first.len()
+        self.longest_idle_first.len()
     }
 
     /// Takes out the connection that became idle first; it may be in use again.
-    pub fn pop_oldest(&mut self) -> Option<IdleConnection> {
-        self.oldest_first.pop_front()
+    pub fn pop_longest_idle(&mut self) -> Option<IdleConnection> {
+        self.longest_idle_first.pop_front()
     }
 
     /// Forgets a connection that was closed.
--- a/src/transport/net/server.rs
+++ b/src/transport/net/server.rs
@@ -18,10 +18,10 @@
 /// Connections closed at a time when sockets run out.
 const MAX_CLOSED_AT_ONCE: usize = 32;
 /// Pause, in ms, before looking for connections to close again after none was found.
-const FULL_RETRY_MS: u64 = 50;
+const FREE_SOCKETS_RETRY_MS: u64 = 50;
 /// Bytes that a client may send while its request is being answered: one more
 /// request. Requests are never pipelined, so a client that sends more is closed.
-const MAX_PENDING_INPUT: usize = http::MAX_REQUEST_BODY + http::MAX_HEAD;
+const MAX_PENDING_INPUT_BYTES: usize = http::MAX_REQUEST_BODY_BYTES + http::MAX_HEAD_BYTES;
 
 /// The protocol of a listener's connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -62,7 +62,7 @@
     /// Registers an accepted connection. Without a free socket it is dropped,
     /// which closes it, so that a load balancer tries another controller.
     fn admit(&mut self, stream: TcpStream, kind: ListenerKind) {
-        if self.connections.len() >= self.limits.max_for_accepting() && !self.free_sockets() {
+        if self.connections.len() >= self.limits.max_sockets_for_accepting() && !self.free_sockets() {
             return;
         }
         if stream.set_nonblocking(true).is_err() {
@@ -71,11 +71,11 @@
         let _ = stream.set_nodelay(true);
         let role = match kind {
             ListenerKind::Frames => Role::PeerInbound,
-            ListenerKind::Http => Role::Server { answering: false, close_after_reply: false },
+            ListenerKind::Http => Role::Server { responding: false, close_after_response: false },
         };
-        let deadline = self.now() + self.limits.idle_ms;
+        let deadline = self.now() + self.limits.idle_timeout_ms;
         if let Some(id) = self.register(stream, role, false, deadline) {
-            self.ready(id, true, false);
+            self.handle_readiness(id, true, false);
         }
     }
 
@@ -84,27 +84,27 @@
     /// never one whose request is being answered. Returns whether any was closed.
     pub(super) fn free_sockets(&mut self) -> bool {
         let now = self.now();
-        if now < self.full_until {
+        if now < self.free_sockets_retry_at {
             return false;
         }
         for _ in 0..MAX_CLOSED_AT_ONCE {
-            if !self.close_oldest_idle_call() {
+            if !self.close_longest_idle_connection() {
                 break;
             }
         }
-        if self.connections.len() < self.limits.max_for_accepting() {
+        if self.connections.len() < self.limits.max_sockets_for_accepting() {
             return true;
         }
         let closed = self.close_stale_server_connections(now);
         if !closed {
-            self.full_until = now + FULL_RETRY_MS;
+            self.free_sockets_retry_at = now + FREE_SOCKETS_RETRY_MS;
         }
         closed
     }
 
     fn close_stale_server_connections(&mut self, now: u64) -> bool {
-        // A served connection's deadline is `idle_ms` after its last request.
-        let stale_deadline = now + self.limits.idle_ms.saturating_sub(self.limits.stale_ms);
+        // A served connection's deadline is `idle_timeout_ms` after its last request.
+        let stale_deadline = now + self.limits.idle_timeout_ms.saturating_sub(self.limits.stale_ms);
         let mut stale: Vec<(u64, ConnectionId)> = self
             .connections
             .iter()
@@ -118,29 +118,30 @@
         !stale.is_empty()
     }
 
-    pub(super) fn floods_while_busy(connection: &Connection) -> bool {
-        matches!(connection.role, Role::Server { answering: true, .. }) && connection.input.len() > MAX_PENDING_INPUT
+    pub(super) fn exceeds_pending_input_limit(connection: &Connection) -> bool {
+        matches!(connection.role, Role::Server { responding: true, .. })
+            && connection.input.len() > MAX_PENDING_INPUT_BYTES
     }
 
     /// Parses the request of a served connection that is not busy.
     pub(super) fn parse_request(&mut self, id: ConnectionId) -> Disposition {
-        let deadline = self.now() + self.limits.idle_ms;
+        let deadline = self.now() + self.limits.idle_timeout_ms;
         let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
-        let Role::Server { answering, close_after_reply } = &mut connection.role else { return Disposition::Keep };
+        let Role::Server { responding, close_after_response } = &mut connection.role else { return Disposition::Keep };
         match http::parse_request(&connection.input) {
             Ok(Parsed::Partial) => Disposition::Keep,
-            Ok(Parsed::Whole(request, used)) => {
+            Ok(Parsed::Complete(request, used)) => {
                 connection.input.drain(..used);
-                *answering = true;
-                *close_after_reply = request.close;
+                *responding = true;
+                *close_after_response = request.close;
                 connection.deadline = deadline;
-                self.events.push_back(Event::Request { conn: id, req: request });
+                self.events.push_back(Event::Request { connection: id, request });
                 Disposition::Keep
             }
             Err(error) => {
-                *close_after_reply = true;
+                *close_after_response = true;
                 connection.input.clear();
-                http::write_reply(&mut connection.output, error.status(), None, b"", true);
+                http::write_response(&mut connection.output, error.status(), None, b"", true);
                 connection.flush();
                 Disposition::Close
             }
@@ -148,22 +149,22 @@
     }
 
     /// Answers a served request. Unknown connections (closed meanwhile) are ignored.
-    pub fn respond(&mut self, conn: ConnectionId, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
-        let deadline = self.now() + self.limits.idle_ms;
-        let Some(connection) = self.connections.get_mut(&conn) else { return };
-        let Role::Server { answering, close_after_reply } = &mut connection.role else { return };
-        if !std::mem::replace(answering, false) {
+    pub fn respond(&mut self, id: ConnectionId, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
+        let deadline = self.now() + self.limits.idle_timeout_ms;
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Role::Server { responding, close_after_response } = &mut connection.role else { return };
+        if !std::mem::replace(responding, false) {
             return;
         }
-        http::write_reply(&mut connection.output, status, retry_after_s, body, *close_after_reply);
+        http::write_response(&mut connection.output, status, retry_after_s, body, *close_after_response);
         connection.deadline = deadline;
         if connection.flush() == Disposition::Close {
-            return self.close(conn);
+            return self.close(id);
         }
         // Bytes of the next request may have arrived already.
-        let has_input = self.connections.get(&conn).is_some_and(|connection| !connection.input.is_empty());
-        if has_input && self.parse(conn) == Disposition::Close {
-            self.close(conn);
+        let has_input = self.connections.get(&id).is_some_and(|connection| !connection.input.is_empty());
+        if has_input && self.parse(id) == Disposition::Close {
+            self.close(id);
         }
     }
 
@@ -172,19 +173,19 @@
     /// Guard: there may be more workers than sockets. While sockets are scarce,
     /// the worker is also told to close the connection, which admits another;
     /// it connects again for its next heartbeat.
-    pub fn respond_to_heartbeat(&mut self, conn: ConnectionId, status: u16, body: &[u8]) {
-        if self.connections.len() > self.limits.crowded() {
-            if let Some(Connection { role: Role::Server { close_after_reply, .. }, .. }) =
-                self.connections.get_mut(&conn)
+    pub fn respond_to_heartbeat(&mut self, id: ConnectionId, status: u16, body: &[u8]) {
+        if self.connections.len() > self.limits.scarce_sockets_threshold() {
+            if let Some(Connection { role: Role::Server { close_after_response, .. }, .. }) =
+                self.connections.get_mut(&id)
             {
-                *close_after_reply = true;
+                *close_after_response = true;
             }
         }
-        self.respond(conn, status, None, body);
+        self.respond(id, status, None, body);
     }
 
     /// Whether the client of this connection is still connected, as far as is known.
-    pub fn is_open(&self, conn: ConnectionId) -> bool {
-        self.connections.contains_key(&conn)
+    pub fn is_open(&self, id: ConnectionId) -> bool {
+        self.connections.contains_key(&id)
     }
 }
--- a/src/transport/tests/descriptors.rs
+++ b/src/transport/tests/descriptors.rs
@@ -5,7 +5,7 @@
 /// Guard: a controller that may use 4,500 sockets found no descriptor for most
 /// of them. The hard limit stays as it is.
 #[test]
-fn the_soft_limit_is_raised_as_needed() {
+fn soft_limit_is_raised_to_the_descriptors_needed_and_never_lowered() {
     let original = getrlimit(Resource::Nofile);
     let maximum = original.maximum.unwrap_or(u64::MAX);
     setrlimit(Resource::Nofile, Rlimit { current: Some(1_024.min(maximum)), ..original }).unwrap();
--- a/src/transport/tests/net.rs
+++ b/src/transport/tests/net.rs
@@ -28,11 +28,11 @@
         while self.net.now() < until {
             self.net.turn(&mut self.event_loop, Duration::from_millis(5)).unwrap();
             while let Some(event) = self.net.next_event() {
-                if let Event::Request { conn, req } = event {
-                    if req.path == "/now" {
-                        self.net.respond(conn, 200, None, b"");
-                    } else if req.path == "/report" {
-                        self.net.respond_to_heartbeat(conn, 200, b"");
+                if let Event::Request { connection, request } = event {
+                    if request.path == "/now" {
+                        self.net.respond(connection, 200, None, b"");
+                    } else if request.path == "/report" {
+                        self.net.respond_to_heartbeat(connection, 200, b"");
                     }
                 }
             }
@@ -60,8 +60,9 @@
 
 /// Guard: a connection lives only as long as something comes of it.
 #[test]
-fn connections_that_idle_are_closed() {
-    let mut server = start_server(Limits { sockets: 100, idle_ms: 1_500, head_ms: 300, stale_ms: 100 });
+fn idle_connections_and_incomplete_requests_are_closed_after_their_timeout() {
+    let mut server =
+        start_server(Limits { sockets: 100, idle_timeout_ms: 1_500, request_timeout_ms: 300, stale_ms: 100 });
     // (what the client sends, open after 700 ms, open after 2,500 ms)
     let cases: [(&[u8], bool, bool); 4] = [
         (b"", true, false),
@@ -69,53 +70,66 @@
         (b"GET /now HT", false, false),
         (b"POST /now HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc", false, false),
     ];
-    let mut clients: Vec<TcpStream> = cases.iter().map(|c| server.client(c.0)).collect();
+    let mut clients: Vec<TcpStream> = cases.iter().map(|case| server.client(case.0)).collect();
     server.turn(700);
-    for (c, (sent, open, _)) in clients.iter_mut().zip(cases) {
-        assert_eq!(is_open(c), open, "after 700 ms: {}", String::from_utf8_lossy(sent));
+    for (client, (sent, open, _)) in clients.iter_mut().zip(cases) {
+        assert_eq!(is_open(client), open, "after 700 ms: {}", String::from_utf8_lossy(sent));
     }
     server.turn(1_800);
-    for (c, (sent, _, open)) in clients.iter_mut().zip(cases) {
-        assert_eq!(is_open(c), open, "after 2,500 ms: {}", String::from_utf8_lossy(sent));
+    for (client, (sent, _, open)) in clients.iter_mut().zip(cases) {
+        assert_eq!(is_open(client), open, "after 2,500 ms: {}", String::from_utf8_lossy(sent));
     }
-    assert_eq!(server.net.sockets(), 0);
+    assert_eq!(server.net.connection_count(), 0);
 }
 
 /// Guard: more workers than sockets. Those who found none lost their
 /// leases, and users and probes were refused with them.
 #[test]
-fn sockets_fewer_than_workers() {
-    let mut server = start_server(Limits { sockets: 64, idle_ms: 60_000, head_ms: 5_000, stale_ms: 30_000 });
+fn all_workers_and_users_are_served_when_workers_outnumber_sockets() {
+    let mut server =
+        start_server(Limits { sockets: 64, idle_timeout_ms: 60_000, request_timeout_ms: 5_000, stale_ms: 30_000 });
     let mut workers: Vec<Option<TcpStream>> = (0..96).map(|_| None).collect();
     for round in 0..4 {
-        for (n, worker) in workers.iter_mut().enumerate() {
+        for (index, worker) in workers.iter_mut().enumerate() {
             if !worker.as_mut().is_some_and(is_open) {
                 *worker = Some(server.client(b""));
             }
             let Some(stream) = worker else { continue };
             stream.write_all(b"GET /report HTTP/1.1\r\n\r\n").unwrap();
             server.turn(5);
-            let got = stream.read(&mut [0; 1024]).unwrap_or(0);
-            assert!(got > 0, "round {round}: worker {n} is not answered");
+            let received = stream.read(&mut [0; 1024]).unwrap_or(0);
+            assert!(received > 0, "round {round}: worker {index} is not answered");
         }
         let mut user = server.client(b"GET /now HTTP/1.1\r\n\r\n");
         server.turn(20);
         assert!(is_open(&mut user), "round {round}: a user is refused");
     }
-    assert!(server.net.sockets() <= 48 && server.net.sockets() > 32, "{} sockets", server.net.sockets());
+    assert!(
+        server.net.connection_count() <= 48 && server.net.connection_count() > 32,
+        "{} sockets",
+        server.net.connection_count()
+    );
 }
 
 /// Guard: after a halt, what waits in the sockets is old: no request of
 /// then is carried out, and no answer of then believed.
 #[test]
-fn after_a_halt_nothing_old_counts() {
-    let mut server = start_server(Limits { sockets: 64, idle_ms: 60_000, head_ms: 5_000, stale_ms: 30_000 });
-    let other = TcpListener::bind("127.0.0.1:0").unwrap();
-    let dest = other.local_addr().unwrap();
-    server.net.call(&Call { dest, method: Method::Get, path: "/".into(), body: vec![], timeout_ms: 60_000, tag: 7 });
+fn drop_stale_io_discards_requests_and_replies_read_before_it() {
+    let mut server =
+        start_server(Limits { sockets: 64, idle_timeout_ms: 60_000, request_timeout_ms: 5_000, stale_ms: 30_000 });
+    let service = TcpListener::bind("127.0.0.1:0").unwrap();
+    let destination = service.local_addr().unwrap();
+    server.net.call(&Call {
+        destination,
+        method: Method::Get,
+        path: "/".into(),
+        body: vec![],
+        timeout_ms: 60_000,
+        tag: 7,
+    });
     server.turn(50);
-    let (mut far, _) = other.accept().unwrap();
-    far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
+    let (mut service_stream, _) = service.accept().unwrap();
+    service_stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
     let mut client = server.client(b"GET /now HTTP/1.1\r\n\r\n");
     // Read, but not acted on yet.
     for _ in 0..5 {
@@ -128,26 +142,27 @@
     }
     assert!(matches!(&events[..], [Event::Reply { tag: 7, result: Err(CallError::Unknown) }]), "{events:?}");
     server.turn(20);
-    assert!(!is_open(&mut client) && server.net.sockets() == 0);
+    assert!(!is_open(&mut client) && server.net.connection_count() == 0);
 }
 
 /// Guard: machines that are gone left their connections behind; at the
 /// limit those that live found none, until leases ran out.
 #[test]
-fn at_the_limit_the_longest_idle_make_room() {
-    let mut server = start_server(Limits { sockets: 40, idle_ms: 60_000, head_ms: 5_000, stale_ms: 300 });
-    let mut old: Vec<TcpStream> = (0..24).map(|_| server.client(b"GET /now HTTP/1.1\r\n\r\n")).collect();
+fn longest_idle_connections_are_closed_when_the_socket_limit_is_reached() {
+    let mut server =
+        start_server(Limits { sockets: 40, idle_timeout_ms: 60_000, request_timeout_ms: 5_000, stale_ms: 300 });
+    let mut idle_clients: Vec<TcpStream> = (0..24).map(|_| server.client(b"GET /now HTTP/1.1\r\n\r\n")).collect();
     server.turn(100);
     // One is being answered: it is not idle, however long it takes.
-    old[0].write_all(b"GET /later HTTP/1.1\r\n\r\n").unwrap();
-    let mut early = server.client(b"GET /now HTTP/1.1\r\n\r\n");
+    idle_clients[0].write_all(b"GET /later HTTP/1.1\r\n\r\n").unwrap();
+    let mut refused_client = server.client(b"GET /now HTTP/1.1\r\n\r\n");
     server.turn(100);
-    assert!(!is_open(&mut early), "nothing idle for long yet: refused");
+    assert!(!is_open(&mut refused_client), "nothing idle for long yet: refused");
     server.turn(400);
-    let mut new: Vec<TcpStream> = (0..10).map(|_| server.client(b"GET /now HTTP/1.1\r\n\r\n")).collect();
+    let mut new_clients: Vec<TcpStream> = (0..10).map(|_| server.client(b"GET /now HTTP/1.1\r\n\r\n")).collect();
     server.turn(200);
-    assert!(new.iter_mut().all(is_open), "room is made for those that come");
-    assert!(is_open(&mut old[0]), "a request that is being answered is not cut off");
-    assert!(old.iter_mut().filter_map(|c| is_open(c).then_some(())).count() < 24);
-    assert!(server.net.sockets() <= 24);
+    assert!(new_clients.iter_mut().all(is_open), "room is made for those that come");
+    assert!(is_open(&mut idle_clients[0]), "a request that is being answered is not cut off");
+    assert!(idle_clients.iter_mut().filter_map(|client| is_open(client).then_some(())).count() < 24);
+    assert!(server.net.connection_count() <= 24);
 }
--- a/tests/loopback_cluster/http.rs
+++ b/tests/loopback_cluster/http.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 use shedhook::{
     protocol::cbor,
-    transport::http::{parse_reply, parse_request, write_reply, write_request, Parsed},
+    transport::http::{parse_reply, parse_request, write_request, write_response, Parsed},
 };
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -65,11 +65,11 @@
     let mut chunk = [0; READ_BYTES];
     loop {
         match parse_request(&received) {
-            Ok(Parsed::Whole(request, used)) => {
+            Ok(Parsed::Complete(request, used)) => {
                 received.drain(..used);
                 let response = handler(&request.method, &request.path, &request.body);
                 let mut out = Vec::new();
-                write_reply(&mut out, response.status, None, &response.body, false);
+                write_response(&mut out, response.status, None, &response.body, false);
                 if stream.write_all(&out).is_err() {
                     return;
                 }
@@ -94,7 +94,7 @@
     let mut chunk = [0; READ_BYTES];
     loop {
         match parse_reply(&received) {
-            Ok(Parsed::Whole(reply, _)) => return Some(Response { status: reply.status, body: reply.body }),
+            Ok(Parsed::Complete(reply, _)) => return Some(Response { status: reply.status, body: reply.body }),
             Ok(Parsed::Partial) => match stream.read(&mut chunk) {
                 Ok(read) if read > 0 => received.extend_from_slice(&chunk[..read]),
                 _ => return None,
