--- a/build.rs
+++ b/build.rs
@@ -1,4 +1,5 @@
-//! Compiles the operators' schema into a descriptor set that the daemon embeds.
+//! Compiles the schema of the operators' settings into a descriptor set that is embedded in
+//! the program.
 use std::{env, fs, path::PathBuf};
 
 use prost::Message;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
-//! shedhook: a cluster scheduler as a library; `main.rs` is the daemon around it.
+//! shedhook: a cluster scheduler as a library; `main.rs` is the daemon that runs it.
 //!
-//! The layers, from the lowest:
+//! The layers, from the lowest to the highest:
 //!
-//! - [`transport`]: sockets, HTTP and frames of peers.
+//! - [`transport`]: sockets, HTTP and peer frames.
 //! - [`protocol`]: typed messages of all interfaces, and the settings.
-//! - [`storage`]: records, the cache of them, and request budgets.
-//! - [`coordination`]: all decisions, without any I/O.
-//! - [`controller`]: one controller, made of the other layers.
+//! - [`storage`]: stored records, their cache, and request budgets.
+//! - [`coordination`]: all decisions, without I/O.
+//! - [`controller`]: one controller, which connects the other layers.
 
 #![deny(missing_docs)]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The daemon: command line, settings and logs; the library does the rest.
+//! The daemon's entry point: command line, settings and logging. Everything else is in the
+//! library.
 
 use std::{io, path::PathBuf, process::ExitCode};
 
@@ -16,10 +17,10 @@
 #[derive(Parser)]
 #[command(version, about)]
 struct Args {
-    /// The platform's settings (TOML).
+    /// Settings file of the platform (TOML).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Operators' own settings (protobuf text format, see deploy/operator.proto).
+    /// Settings file of the operators (protobuf text format, see deploy/operator.proto).
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
     /// Check the settings and exit.
@@ -27,10 +28,10 @@
     check: bool,
 }
 
-/// Exit status for settings that can't be used.
+/// Exit status if the settings are invalid or can't be read.
 const EXIT_USAGE: u8 = 2;
 
-/// The log level that `LOG_LEVEL` names; `info` by default.
+/// Returns the log level set by the environment variable `LOG_LEVEL`; `info` by default.
 fn log_level() -> LevelFilter {
     match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::ERROR,
@@ -41,7 +42,7 @@
     }
 }
 
-/// Why the settings can't be used.
+/// Why the settings can't be loaded.
 #[derive(Debug, thiserror::Error)]
 enum ConfigError {
     #[error(transparent)]
@@ -76,7 +77,7 @@
         }
     };
     if args.check {
-        println!("settings of {} are fine", settings.label);
+        println!("settings of {} are valid", settings.label);
         return ExitCode::SUCCESS;
     }
     match controller::run(&settings, operator) {
--- a/src/transport/descriptors.rs
+++ b/src/transport/descriptors.rs
@@ -2,27 +2,29 @@
 
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 
-/// Descriptors needed besides sockets: standard streams, the event loop's own,
-/// and a file being read.
+/// Descriptors needed in addition to sockets: for the standard streams, the event
+/// loop itself and a file being read.
 const OTHER_DESCRIPTORS: u64 = 64;
 
-/// What the process may open.
+/// Whether the process may open the descriptors that it needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DescriptorLimit {
-    /// As many sockets as the settings allow, and what is needed besides.
+    /// The limit covers all sockets that the settings allow and the other descriptors.
     Enough,
-    /// Only so many descriptors in all, since the hard limit is lower.
+    /// The limit stays at this number of descriptors in total, below the number needed,
+    /// because the hard limit is lower or the soft limit could not be raised.
     TooLow(u64),
 }
 
-/// Raises the soft limit on descriptors as far as `sockets` sockets need it.
+/// Raises the soft limit on descriptors to the number needed for `sockets` sockets, or
+/// to the hard limit if that is lower.
 ///
-/// Guard: the usual soft limit of 1,024 is below the sockets that a controller
-/// of a large fleet is allowed; beyond it, connections of workers would fail.
+/// The usual soft limit of 1,024 is lower than the number of sockets that a controller
+/// of a large fleet may use. Above it, connections of workers would fail.
 pub fn raise_descriptor_limit(sockets: usize) -> DescriptorLimit {
     let needed = sockets as u64 + OTHER_DESCRIPTORS;
     let limit = getrlimit(Resource::Nofile);
-    // `None`: there is no limit.
+    // `None` means that there is no limit.
     let Some(current) = limit.current.filter(|&current| current < needed) else { return DescriptorLimit::Enough };
     let target = limit.maximum.map_or(needed, |maximum| needed.min(maximum));
     let raised = Rlimit { current: Some(target), maximum: limit.maximum };
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages: parsed with `httparse`, and written. No I/O here.
+//! Parsing (with `httparse`) and writing of HTTP/1.1 messages, without I/O.
 
 mod error;
 mod framing;
--- a/src/transport/http/error.rs
+++ b/src/transport/http/error.rs
@@ -1,23 +1,25 @@
-//! Why bytes are refused as an HTTP message.
+//! Errors of parsing HTTP messages.
 
 use super::status;
 
-/// Why bytes are refused as a message.
+/// Why received bytes are rejected as an HTTP message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// The bytes are no message of HTTP/1.1.
-    #[error("not HTTP/1.1")]
+    /// The bytes are not a valid HTTP/1.1 message.
+    #[error("malformed HTTP/1.1 message")]
     Malformed,
-    /// The head exceeds its limit.
-    #[error("head too long")]
+    /// The head exceeds [`MAX_HEAD_BYTES`](super::MAX_HEAD_BYTES), or a request has
+    /// too many header fields.
+    #[error("message head too long")]
     HeadTooLong,
-    /// The body exceeds its limit.
-    #[error("body too long")]
+    /// The body exceeds [`MAX_REQUEST_BODY_BYTES`](super::MAX_REQUEST_BODY_BYTES) or
+    /// [`MAX_REPLY_BODY_BYTES`](super::MAX_REPLY_BODY_BYTES).
+    #[error("message body too long")]
     BodyTooLong,
 }
 
 impl HttpError {
-    /// The status that the client is answered with.
+    /// Returns the status code of the response to the client.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed => status::BAD_REQUEST,
--- a/src/transport/http/framing.rs
+++ b/src/transport/http/framing.rs
@@ -1,29 +1,31 @@
-//! Where the body of a message ends, and whether the connection is closed then.
+//! Message framing: the end of the body, and whether the connection is closed after it.
 
 use super::error::HttpError;
 
-/// Longest line with the size of a chunk, in bytes.
+/// Maximum length of the line that gives the size of a chunk, in bytes.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 32;
-/// Line end after the data of each chunk.
+/// Line ending after the data of each chunk.
 const CRLF: &[u8] = b"\r\n";
-/// HTTP/1.0, where connections are closed by default, as `httparse` numbers it.
+/// The version number that `httparse` reports for HTTP/1.0, where connections are
+/// closed by default.
 const HTTP_1_0: u8 = 0;
-/// HTTP/1.1, as `httparse` numbers it.
+/// The version number that `httparse` reports for HTTP/1.1.
 pub(super) const HTTP_1_1: u8 = 1;
 
-/// What the header fields say about the body and the connection.
+/// Body framing and connection handling, as given by the header fields.
 pub(super) struct Framing {
     /// Value of `Content-Length`, in bytes.
     content_length: Option<usize>,
-    /// Whether the body comes in chunks.
+    /// Whether the body has the chunked transfer encoding.
     chunked: bool,
     /// Whether the connection is to be closed after the message.
     pub close: bool,
 }
 
-/// A body, and the position in the buffer after it.
+/// The decoded body of a message.
 pub(super) struct Body {
     pub bytes: Vec<u8>,
+    /// Position in the buffer of the first byte after the message.
     pub end: usize,
 }
 
@@ -33,8 +35,8 @@
         for header in headers {
             framing.apply(header)?;
         }
-        // Guard: request smuggling. A message with both framings could be taken
-        // for two different messages by two servers.
+        // Prevents request smuggling: two servers could disagree on where a message with
+        // both framings ends, and read different messages from the same bytes.
         if framing.chunked && framing.content_length.is_some() {
             return Err(HttpError::Malformed);
         }
@@ -65,7 +67,8 @@
         Ok(())
     }
 
-    /// Takes the body that starts at `body_start`, or None when more bytes are needed.
+    /// Decodes the body that starts at `body_start` in `buffer`. Returns `None` if more
+    /// bytes are needed, and an error if the body exceeds `max_bytes`.
     pub fn take_body(&self, buffer: &[u8], body_start: usize, max_bytes: usize) -> Result<Option<Body>, HttpError> {
         if self.chunked {
             return take_chunked(buffer, body_start, max_bytes);
--- a/src/transport/http/message.rs
+++ b/src/transport/http/message.rs
@@ -1,6 +1,6 @@
-//! Requests and replies as they are received.
+//! Received requests and replies, and the methods of outgoing requests.
 
-/// Methods of the requests that are sent.
+/// Methods of outgoing requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
     /// GET.
@@ -12,7 +12,7 @@
 }
 
 impl Method {
-    /// The method's name in a request.
+    /// Returns the method's name in a request line.
     pub fn as_str(self) -> &'static str {
         match self {
             Method::Get => "GET",
@@ -22,26 +22,27 @@
     }
 }
 
-/// A request as it was received.
+/// A received request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Method, as it was sent.
+    /// Method, as the client sent it; it need not be one of [`Method`].
     pub method: String,
-    /// Path, with its query if there is one.
+    /// Path, including the query if there is one.
     pub path: String,
     /// Body; empty if there is none.
     pub body: Vec<u8>,
-    /// The client wants the connection closed after the reply.
+    /// Whether the connection must be closed after the response: the client requested it,
+    /// or uses HTTP/1.0 without `keep-alive`.
     pub close: bool,
 }
 
-/// A reply as it was received.
+/// The received response to an outgoing request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
     /// Body; empty if there is none.
     pub body: Vec<u8>,
-    /// The service closes the connection after this reply.
+    /// Whether the service closes the connection after this reply.
     pub close: bool,
 }
--- a/src/transport/http/parse.rs
+++ b/src/transport/http/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing of requests and replies, with limits on their sizes.
+//! Parsing of requests and replies, with size limits.
 
 use super::{
     error::HttpError,
@@ -6,14 +6,14 @@
     message::{Reply, Request},
 };
 
-/// Largest request body a client may send, in bytes.
+/// Maximum size of a request body, in bytes.
 pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
-/// Largest head of a request or a reply, in bytes.
+/// Maximum size of the head of a request or a reply, in bytes.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Largest body of a reply, in bytes. `/changes` has no limit of its own, so
-/// this one only keeps a broken service from filling the memory.
+/// Maximum size of a reply body, in bytes. Replies of `/changes` have no limit of their
+/// own; this one only prevents a broken service from exhausting the memory.
 pub const MAX_REPLY_BODY_BYTES: usize = 24 * 1024 * 1024;
-/// Most header fields of one message.
+/// Maximum number of header fields in one message.
 const MAX_HEADER_FIELDS: usize = 48;
 
 /// The result of parsing bytes that may still be incomplete.
@@ -21,7 +21,7 @@
 pub enum Parsed<T> {
     /// More bytes are needed.
     Partial,
-    /// The message, and the number of bytes it took.
+    /// The message, and its length in bytes in the buffer.
     Complete(T, usize),
 }
 
--- a/src/transport/http/status.rs
+++ b/src/transport/http/status.rs
@@ -1,8 +1,8 @@
-//! Status codes that are sent or acted on.
+//! The HTTP status codes that are sent, or that are handled when received.
 
-/// Success.
+/// The request succeeded.
 pub const OK: u16 = 200;
-/// A new resource exists.
+/// A new resource was created.
 pub const CREATED: u16 = 201;
 /// The request is malformed.
 pub const BAD_REQUEST: u16 = 400;
@@ -10,24 +10,24 @@
 pub const NOT_FOUND: u16 = 404;
 /// The path doesn't support the method.
 pub const METHOD_NOT_ALLOWED: u16 = 405;
-/// The request contradicts the present state.
+/// The request conflicts with the current state.
 pub const CONFLICT: u16 = 409;
-/// What was asked for is no longer available.
+/// The requested data is no longer available.
 pub const GONE: u16 = 410;
-/// The body is too long.
+/// The body of the request is too long.
 pub const CONTENT_TOO_LARGE: u16 = 413;
-/// Another controller has to serve the request.
+/// The request must be sent to another controller.
 pub const MISDIRECTED_REQUEST: u16 = 421;
-/// The request is well-formed, but can't be carried out.
+/// The request is well-formed but can't be executed.
 pub const UNPROCESSABLE_CONTENT: u16 = 422;
-/// The client is to send fewer requests.
+/// The client exceeds its request rate.
 pub const TOO_MANY_REQUESTS: u16 = 429;
 /// The head of the request is too long.
 pub const HEADERS_TOO_LARGE: u16 = 431;
-/// The service can't answer at present.
+/// The service is temporarily unable to handle the request.
 pub const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// The reason phrase of a status.
+/// Returns the reason phrase of a status code; `Status` for any code not listed here.
 pub fn reason_phrase(code: u16) -> &'static str {
     match code {
         OK => "OK",
--- a/src/transport/http/write.rs
+++ b/src/transport/http/write.rs
@@ -1,13 +1,15 @@
-//! Writing of requests and replies with CBOR bodies.
+//! Writing of requests and responses with CBOR bodies.
 
 use std::fmt::Write as _;
 
 use super::status;
 
-/// Capacity reserved for the head of a message, in bytes; most fit without growing.
+/// Initial capacity of the buffer for the head of a message, in bytes; most heads fit
+/// without reallocation.
 const TYPICAL_HEAD_BYTES: usize = 160;
 
-/// Appends a reply with a CBOR body to `out`.
+/// Appends a response with a CBOR body to `out`. A `retry_after_s` is sent as the
+/// `Retry-After` header; with `close`, the response announces that the connection closes.
 pub fn write_response(out: &mut Vec<u8>, status: u16, retry_after_s: Option<u32>, body: &[u8], close: bool) {
     let mut head = String::with_capacity(TYPICAL_HEAD_BYTES);
     let _ = write!(
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,6 +1,6 @@
 //! Sockets, HTTP and peer frames on one `calloop` event loop.
 //!
-//! This layer moves bytes and knows nothing of what they mean: [`http`] parses
+//! This layer transports bytes and doesn't interpret message contents: [`http`] parses
 //! and writes HTTP/1.1 messages, [`net`] owns the sockets.
 
 pub mod descriptors;
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -1,8 +1,9 @@
-//! The owner of all sockets: an event loop that turns bytes into [`Event`]s.
+//! [`Net`], the owner of all sockets, which parses received bytes into [`Event`]s.
 //!
-//! Callbacks only move bytes and queue events; the owner of [`Net`] takes them
-//! out after each turn of the loop. Every connection has a deadline, every
-//! buffer a bound. Times are in ms of [`Net::now`].
+//! Callbacks of the event loop only transfer bytes and queue events; the owner of [`Net`]
+//! takes the events from the queue after each turn of the loop. Every connection but
+//! an established peer link has a deadline, and every buffer has a maximum size. Times are
+//! in ms of [`Net::now`].
 
 mod call;
 mod connection;
@@ -37,12 +38,12 @@
     pool::ConnectionPool,
 };
 
-/// Bytes read from a socket at a time.
+/// Maximum number of bytes per read from a socket.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Time between two looks for connections past their deadline, in ms.
+/// Interval between two checks for connections past their deadline, in ms.
 const EXPIRY_CHECK_INTERVAL_MS: u64 = 100;
 
-/// All sockets of the process.
+/// The sockets of the process, and the events received on them.
 pub struct Net {
     handle: LoopHandle<'static, Net>,
     start: Instant,
@@ -53,17 +54,17 @@
     pool: ConnectionPool,
     /// Links to peers, by number.
     links: Vec<PeerLink>,
-    /// Events that the owner has not taken yet.
+    /// Events that the owner has not processed yet.
     events: VecDeque<Event>,
-    /// Scratch space for reads.
+    /// Buffer for reads, shared by all connections.
     read_buffer: Vec<u8>,
     next_expiry_check: u64,
-    /// No sockets can be freed before this time.
+    /// Time of the next attempt to free sockets; none could be freed at the last one.
     free_sockets_retry_at: u64,
 }
 
 impl Net {
-    /// A `Net` without listeners or connections, served by `event_loop`.
+    /// Creates a `Net` without listeners or connections, which `event_loop` drives.
     pub fn new(event_loop: &EventLoop<'static, Net>, limits: Limits) -> Net {
         Net {
             handle: event_loop.handle(),
@@ -80,22 +81,24 @@
         }
     }
 
-    /// Milliseconds on the steady clock since this process began.
+    /// Returns the time on the monotonic clock since this `Net` was created, in ms.
     pub fn now(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
 
-    /// The next event that was queued.
+    /// Removes and returns the oldest queued event.
     pub fn next_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// Sockets of connections that are open.
+    /// Returns the number of open connections, those being established included; listeners
+    /// are not counted.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Runs the loop for one turn of at most `wait`.
+    /// Runs one turn of the event loop, which waits for I/O for at most `wait`, and not at
+    /// all if events are queued.
     pub fn turn(&mut self, event_loop: &mut EventLoop<'static, Net>, wait: Duration) -> io::Result<()> {
         let wait = if self.events.is_empty() { wait } else { Duration::ZERO };
         match event_loop.dispatch(wait, self) {
@@ -107,11 +110,12 @@
         Ok(())
     }
 
-    /// Closes all connections and drops what was read from them.
+    /// Closes all connections and drops the input that was read from them.
     ///
-    /// Guard: called after the process was halted while its clocks ran on. What
-    /// waits in its sockets is old, and its senders have given up: requests and
-    /// frames are dropped, and calls count as unanswered.
+    /// Called after the process was halted while its clocks continued to run. Input that is
+    /// pending in the sockets is then old, and its senders have stopped waiting: requests
+    /// and frames are dropped, and all calls fail; one whose reply was already received
+    /// fails with [`CallError::Unknown`].
     pub fn drop_stale_io(&mut self) {
         let ids: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for id in ids {
@@ -128,7 +132,7 @@
         });
     }
 
-    /// Closes connections past their deadline.
+    /// Closes connections past their deadline, and broken peer links.
     fn close_expired_connections(&mut self) {
         let now = self.now();
         if now < self.next_expiry_check {
--- a/src/transport/net/call.rs
+++ b/src/transport/net/call.rs
@@ -1,33 +1,35 @@
-//! One request to an outside service, and why it may have no reply.
+//! Outgoing requests to services and workers, and their errors.
 
 use std::net::SocketAddr;
 
 use crate::transport::http::Method;
 
-/// One request to an outside service.
+/// One request to a service (key-value store or cloud) or to a worker.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// Address of the service.
     pub destination: SocketAddr,
     /// Method of the request.
     pub method: Method,
-    /// Path, with its query if there is one.
+    /// Path, including the query if there is one.
     pub path: String,
     /// Body; empty if there is none.
     pub body: Vec<u8>,
-    /// How long the reply is waited for, in ms.
+    /// Time after which the call fails if no complete reply was received, in ms.
     pub timeout_ms: u64,
-    /// Returned with the reply.
+    /// Identifies the call; returned in [`Event::Reply`](super::Event::Reply).
     pub tag: u64,
 }
 
-/// Why a call has no reply.
+/// Why a call failed without a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The connection was never established: nothing was executed, nor will be.
-    #[error("not sent")]
+    /// The connection was not established, so nothing was sent: the request was not
+    /// executed and won't be.
+    #[error("request not sent")]
     NotSent,
-    /// No complete answer: the request may have been executed, or may yet be.
-    #[error("no answer")]
+    /// No complete response was received: the request may have been executed, or may
+    /// still be executed later.
+    #[error("no complete response received")]
     Unknown,
 }
--- a/src/transport/net/connection.rs
+++ b/src/transport/net/connection.rs
@@ -1,4 +1,4 @@
-//! One TCP connection: what it is used for, its buffers and its deadline.
+//! One TCP connection: its role, buffers and deadline.
 
 use std::{
     io::{self, Read, Write},
@@ -8,7 +8,7 @@
 
 use calloop::RegistrationToken;
 
-/// Identifies a connection for the life of the process; never reused.
+/// Identifies a connection; unique within the process, as numbers are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(u64);
 
@@ -20,43 +20,44 @@
     }
 }
 
-/// What a connection is used for.
+/// The purpose of a connection.
 pub(super) enum Role {
     /// This process is the server of an HTTP client.
     Server {
-        /// A request is being answered.
+        /// Whether a request was received whose response is still due.
         responding: bool,
-        /// The connection must be closed after the reply.
+        /// Whether the connection must be closed after the response.
         close_after_response: bool,
     },
     /// This process is the HTTP client of a service.
     Client {
         service: SocketAddr,
-        /// Tag of the call in flight, if any.
+        /// Tag of the call in flight; `None` while the connection is idle.
         tag: Option<u64>,
-        /// Whether any byte of that call was written.
+        /// Whether sending of that call has started. If not, the call fails with
+        /// [`CallError::NotSent`](super::CallError::NotSent).
         sent: bool,
     },
-    /// A peer sends frames.
+    /// A peer sends frames to this process.
     PeerInbound,
-    /// This process sends frames to the peer with this number.
+    /// This process sends frames to a peer, on the link with this number.
     PeerOutbound { link: usize },
 }
 
-/// What to do with a connection after an operation on it.
+/// Whether a connection is kept or closed after an operation on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Disposition {
     Keep,
     Close,
 }
 
-/// What became of a non-blocking read.
+/// The outcome of a non-blocking read.
 pub(super) enum ReadOutcome {
-    /// So many bytes were read into the buffer.
+    /// Number of bytes that were read into the buffer.
     Bytes(usize),
-    /// No more bytes for now.
+    /// No bytes are available at present.
     WouldBlock,
-    /// End of stream, or an error.
+    /// The end of the stream was reached, or the read failed.
     Closed,
 }
 
@@ -65,28 +66,29 @@
     pub stream: Rc<TcpStream>,
     pub token: RegistrationToken,
     pub role: Role,
-    /// The connection is not established yet.
+    /// Whether the connection is not established yet.
     pub connecting: bool,
     pub input: Vec<u8>,
     pub output: Vec<u8>,
-    /// Bytes of `output` that were written already.
+    /// Number of bytes of `output` that were already written to the socket.
     pub written: usize,
     /// The connection is closed at this time, in ms of [`super::Net::now`].
     pub deadline: u64,
 }
 
 impl Connection {
-    /// Bytes that still wait to be written.
+    /// Returns the number of bytes that are still to be written.
     pub fn unsent(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Whether it serves a client that has no request under way.
+    /// Reports whether this is a connection of an HTTP client without a request that is
+    /// being received or handled.
     pub fn awaits_request(&self) -> bool {
         matches!(self.role, Role::Server { responding: false, .. }) && self.input.is_empty()
     }
 
-    /// Writes as much of the output as the socket takes.
+    /// Writes as much of the output as the socket accepts.
     pub fn flush(&mut self) -> Disposition {
         if self.connecting {
             return Disposition::Keep;
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Reads once into `buffer`.
+    /// Reads into `buffer` once, and again only if a signal interrupted the read.
     pub fn read_into(&self, buffer: &mut [u8]) -> ReadOutcome {
         loop {
             match (&*self.stream).read(buffer) {
--- a/src/transport/net/dial.rs
+++ b/src/transport/net/dial.rs
@@ -1,4 +1,4 @@
-//! Opening of TCP connections.
+//! Opening of outgoing TCP connections.
 
 use std::{
     io,
@@ -6,7 +6,8 @@
     os::fd::OwnedFd,
 };
 
-/// Starts to connect, without waiting for the connection to be established.
+/// Starts a non-blocking connect. The returned stream may not be connected yet. Only
+/// IPv4 addresses are supported.
 pub(super) fn dial(destination: SocketAddr) -> io::Result<TcpStream> {
     use rustix::net::{connect, socket_with, AddressFamily, SocketFlags, SocketType};
     let SocketAddr::V4(v4) = destination else { return Err(io::ErrorKind::Unsupported.into()) };
--- a/src/transport/net/event.rs
+++ b/src/transport/net/event.rs
@@ -1,28 +1,28 @@
-//! What the event loop tells the owner of [`Net`](super::Net).
+//! Events that [`Net`](super::Net) queues for its owner.
 
 use super::{CallError, ConnectionId};
 use crate::transport::http::{Reply, Request};
 
-/// What happened on the sockets.
+/// A message received on a socket, or the outcome of a call.
 #[derive(Debug)]
 pub enum Event {
-    /// A client's request, to be answered by [`Net::respond`](super::Net::respond).
+    /// A client's request, to which [`Net::respond`](super::Net::respond) responds.
     Request {
-        /// The client's connection.
+        /// Connection on which the response must be sent.
         connection: ConnectionId,
-        /// The request.
+        /// The complete request.
         request: Request,
     },
     /// The outcome of a [`Call`](super::Call).
     Reply {
-        /// The call's tag.
+        /// [`Call::tag`](super::Call::tag) of the call.
         tag: u64,
-        /// The reply, or why there is none.
+        /// The reply, or why none was received.
         result: Result<Reply, CallError>,
     },
-    /// A frame of a peer.
+    /// A frame received from a peer.
     Frame {
-        /// The frame, without its length.
+        /// Content of the frame, without its length prefix.
         bytes: Vec<u8>,
     },
 }
--- a/src/transport/net/lifecycle.rs
+++ b/src/transport/net/lifecycle.rs
@@ -1,5 +1,5 @@
-//! The life of a connection: registered with the event loop, read and written
-//! when its socket is ready, and closed.
+//! Lifecycle of a connection: registration with the event loop, reads and writes when
+//! the socket is ready, and closing.
 
 use std::{cell::Cell, net::TcpStream, rc::Rc};
 
@@ -11,7 +11,8 @@
 };
 
 impl Net {
-    /// Adds a connection to the event loop, registered once for its whole life.
+    /// Adds a connection and registers its socket with the event loop, once for its whole
+    /// lifetime. Returns `None` if the registration fails.
     pub(super) fn register(
         &mut self,
         stream: TcpStream,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Takes complete messages out of a connection's input.
+    /// Extracts complete messages from a connection's input.
     pub(super) fn parse(&mut self, id: ConnectionId) -> Disposition {
         let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
         match connection.role {
@@ -94,7 +95,7 @@
             Role::Client { .. } => self.parse_reply(id),
             Role::PeerInbound => self.parse_frames(id),
             Role::PeerOutbound { .. } => {
-                // Peers send nothing on a link of ours.
+                // Peers send nothing on outbound links, so any input is discarded.
                 connection.input.clear();
                 Disposition::Keep
             }
--- a/src/transport/net/limits.rs
+++ b/src/transport/net/limits.rs
@@ -1,48 +1,52 @@
-//! How many sockets the process may use, and for how long a served one may idle.
+//! Limits on the number of sockets, and on how long clients' connections may be idle.
 
-/// One socket in this many is kept back from accepted connections, so that
-/// outgoing calls and peer links always find one.
+/// One socket in this many is reserved: accepted connections can't use it, so that
+/// outgoing calls and peer links always find a free socket.
 const RESERVED_SOCKETS_DIVISOR: usize = 16;
-/// Sockets kept back at least, however small the limit.
+/// Minimum number of sockets that are reserved, however small the limit.
 const MIN_RESERVED_SOCKETS: usize = 16;
-/// One of this many sockets for served connections is left to users and health
-/// probes; connections that carry only heartbeats don't keep it occupied.
+/// One in this many of the sockets for accepted connections is reserved for users and
+/// health probes; connections that carry only heartbeats don't keep it occupied.
 const USER_SOCKETS_DIVISOR: usize = 8;
-/// One socket in this many may be an idle connection that waits for the next call.
+/// One socket in this many may be an idle connection kept for later outgoing calls.
 const IDLE_CONNECTIONS_DIVISOR: usize = 16;
-/// Idle connections for the next calls that are allowed in any case.
+/// Number of idle connections for later calls that is allowed however small the limit.
 const MIN_IDLE_CONNECTIONS: usize = 8;
 
-/// Limits on sockets and on the time that served connections may take.
+/// Limits on the number of sockets, and timeouts of accepted connections.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Most sockets open at once, listeners and links included.
+    /// Maximum number of open sockets, including listeners and peer links.
     pub sockets: usize,
-    /// A served connection with no request for this long is closed.
+    /// An accepted connection without a request (or, from a peer, without input) for
+    /// this long is closed, in ms.
     pub idle_timeout_ms: u64,
-    /// A request must be complete this long after its first byte.
+    /// Time within which a request must be received completely, from its first byte, in
+    /// ms. Otherwise its connection is closed.
     pub request_timeout_ms: u64,
-    /// At the limit of sockets, a served connection that has had no request
-    /// for this long may be closed to admit another.
+    /// At the socket limit, a client's connection that has had no request for this long,
+    /// in ms, may be closed to admit another.
     pub stale_ms: u64,
 }
 
 impl Limits {
-    /// Most sockets that may be open when a connection is accepted; the rest
-    /// is reserved for outgoing calls and peer links.
+    /// Returns the maximum number of connections that may be open after one is accepted;
+    /// the other sockets are reserved for outgoing calls and peer links.
     pub(super) fn max_sockets_for_accepting(&self) -> usize {
         let reserved = (self.sockets / RESERVED_SOCKETS_DIVISOR).max(MIN_RESERVED_SOCKETS);
         self.sockets.saturating_sub(reserved)
     }
 
-    /// Above this many sockets, connections that carry only heartbeats are closed
-    /// after the answer: users and health probes must always find a socket.
+    /// Returns the number of open connections above which connections that carry only
+    /// heartbeats are closed after the response, because users and health probes must
+    /// always find a free socket.
     pub(super) fn scarce_sockets_threshold(&self) -> usize {
         let max = self.max_sockets_for_accepting();
         max - max / USER_SOCKETS_DIVISOR
     }
 
-    /// Most idle connections kept for the next calls, to all services together.
+    /// Returns the maximum number of idle connections kept for later calls, to all
+    /// services together.
     pub(super) fn max_idle_connections(&self) -> usize {
         (self.sockets / IDLE_CONNECTIONS_DIVISOR).max(MIN_IDLE_CONNECTIONS)
     }
--- a/src/transport/net/outgoing.rs
+++ b/src/transport/net/outgoing.rs
@@ -1,4 +1,4 @@
-//! Outgoing calls to services, on connections that are used again.
+//! Outgoing calls to services and workers, on pooled connections.
 
 use std::net::SocketAddr;
 
@@ -11,12 +11,12 @@
 };
 use crate::transport::http::{self, Parsed};
 
-/// An idle connection to a service is closed after this long, in ms: before
-/// the services close it themselves.
+/// Time after which an idle connection to a service is closed, in ms. It ends before the
+/// services close the connection themselves.
 const POOL_IDLE_TIMEOUT_MS: u64 = 30_000;
 
 impl Net {
-    /// Sends a request. Its outcome, a failure included, comes as [`Event::Reply`].
+    /// Sends a request. Its outcome, including any failure, is queued as [`Event::Reply`].
     pub fn call(&mut self, call: &Call) {
         let deadline = self.now() + call.timeout_ms;
         let connection_id = match self.pool.take(call.destination) {
@@ -48,8 +48,7 @@
         self.register(stream, role, true, deadline)
     }
 
-    /// Parses the reply to a call; its connection is kept for the next one if
-    /// it can be reused.
+    /// Parses the reply to a call. A connection that can be reused is returned to the pool.
     pub(super) fn parse_reply(&mut self, id: ConnectionId) -> Disposition {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
@@ -75,7 +74,8 @@
         Disposition::Keep
     }
 
-    /// Closes the connection to a service that has been idle longest, if any.
+    /// Closes the connection to a service that has been idle longest. Returns whether
+    /// there was one.
     pub(super) fn close_longest_idle_connection(&mut self) -> bool {
         while let Some(longest_idle) = self.pool.pop_longest_idle() {
             let still_idle = self.connections.get(&longest_idle.id).is_some_and(|connection| {
--- a/src/transport/net/peer_links.rs
+++ b/src/transport/net/peer_links.rs
@@ -1,5 +1,5 @@
-//! Standing links to peers, and the frames on them: a length of four bytes
-//! (little endian), then the content.
+//! Persistent links to peers, and their frames: a length of four bytes (little endian)
+//! followed by the content.
 
 use std::net::SocketAddr;
 
@@ -10,24 +10,25 @@
     Event, Net,
 };
 
-/// Largest content of a frame, in bytes; a longer one is invalid.
+/// Maximum size of a frame's content, in bytes. A connection that announces a longer frame
+/// is closed.
 const MAX_FRAME_BYTES: usize = 512 * 1024;
-/// Pause, in ms, between two attempts to connect to a peer.
+/// Delay between two attempts to connect to a peer, in ms.
 const LINK_RETRY_MS: u64 = 400;
-/// A link must be established within this time, in ms.
+/// Time within which a link must be established, in ms.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
-/// Bytes of a frame's length.
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
 impl Net {
-    /// Adds a link to a peer and returns its number.
+    /// Adds a link to a peer and returns its number, for [`Net::send_frame`].
     pub fn add_link(&mut self, destination: SocketAddr) -> usize {
         self.links.push(PeerLink { destination, connection: None, retry_at: 0 });
         self.links.len() - 1
     }
 
-    /// Sends a frame to a peer, or drops it when the link is down or full:
-    /// frames carry state that the next one repeats.
+    /// Sends a frame to a peer, or drops it if the link is down or its queue is full.
+    /// A dropped frame is not sent again, because the next frame repeats its state.
     pub fn send_frame(&mut self, link: usize, content: &[u8]) {
         let Some(id) = self.link_connection(link) else { return };
         let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -41,7 +42,8 @@
         }
     }
 
-    /// The connection of a link, which is opened unless an attempt failed just now.
+    /// Returns the connection of a link. Opens one if there is none, unless the last
+    /// attempt was less than [`LINK_RETRY_MS`] ago.
     fn link_connection(&mut self, link: usize) -> Option<ConnectionId> {
         let now = self.now();
         let peer_link = self.links.get_mut(link)?;
@@ -58,7 +60,8 @@
         Some(id)
     }
 
-    /// A link's connection was closed: it is opened again after a pause.
+    /// Records that a link's connection was closed. It is opened again after
+    /// [`LINK_RETRY_MS`] at the earliest.
     pub(super) fn handle_link_closed(&mut self, link: usize) {
         let retry_at = self.now() + LINK_RETRY_MS;
         if let Some(peer_link) = self.links.get_mut(link) {
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Takes the complete frames out of a peer's input.
+    /// Extracts the complete frames from a peer's input.
     pub(super) fn parse_frames(&mut self, id: ConnectionId) -> Disposition {
         let deadline = self.now() + self.limits.idle_timeout_ms;
         let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
--- a/src/transport/net/pool.rs
+++ b/src/transport/net/pool.rs
@@ -7,31 +7,32 @@
 
 use super::connection::ConnectionId;
 
-/// Idle connections kept per service.
+/// Maximum number of idle connections kept per service.
 const MAX_IDLE_PER_SERVICE: usize = 8;
 
-/// A connection that became idle at a time.
+/// A connection and the time at which it became idle.
 pub(super) struct IdleConnection {
     pub id: ConnectionId,
-    /// When it became idle, in ms of [`super::Net::now`].
+    /// In ms of [`super::Net::now`].
     pub idle_since: u64,
 }
 
-/// Idle connections by service, and in the order in which they became idle.
+/// Idle connections, by service and in the order in which they became idle.
 #[derive(Default)]
 pub(super) struct ConnectionPool {
     by_service: HashMap<SocketAddr, Vec<ConnectionId>>,
-    /// Longest idle first; some may be in use again.
+    /// The longest idle first; some of them may be in use again or closed.
     longest_idle_first: VecDeque<IdleConnection>,
 }
 
 impl ConnectionPool {
-    /// An idle connection to the service, the one used last.
+    /// Takes an idle connection to the service: the one that became idle last.
     pub fn take(&mut self, service: SocketAddr) -> Option<ConnectionId> {
         self.by_service.get_mut(&service).and_then(Vec::pop)
     }
 
-    /// Adds an idle connection, unless the service has enough of them.
+    /// Adds an idle connection. Returns whether it was added: not if the service already
+    /// has [`MAX_IDLE_PER_SERVICE`].
     pub fn add(&mut self, service: SocketAddr, idle: IdleConnection) -> bool {
         let connections = self.by_service.entry(service).or_default();
         if connections.len() >= MAX_IDLE_PER_SERVICE {
@@ -42,17 +43,19 @@
         true
     }
 
-    /// Number of connections in the order of becoming idle.
+    /// Returns the number of connections recorded as idle, including those that are in use
+    /// again or closed.
     pub fn len(&self) -> usize {
         self.longest_idle_first.len()
     }
 
-    /// Takes out the connection that became idle first; it may be in use again.
+    /// Removes and returns the connection that became idle first; it may be in use again
+    /// or closed.
     pub fn pop_longest_idle(&mut self) -> Option<IdleConnection> {
         self.longest_idle_first.pop_front()
     }
 
-    /// Forgets a connection that was closed.
+    /// Removes a closed connection from those that can be taken.
     pub fn remove(&mut self, service: SocketAddr, id: ConnectionId) {
         if let Some(connections) = self.by_service.get_mut(&service) {
             connections.retain(|&other| other != id);
--- a/src/transport/net/server.rs
+++ b/src/transport/net/server.rs
@@ -1,4 +1,4 @@
-//! Listeners and the connections of clients: HTTP requests in, replies out.
+//! Listeners and clients' connections: receives HTTP requests and sends the responses.
 
 use std::{
     io,
@@ -13,14 +13,16 @@
 };
 use crate::transport::http::{self, Parsed};
 
-/// Connections accepted per turn: a flood of them must not starve the rest.
+/// Maximum number of connections accepted per turn of the event loop, so that a burst of
+/// them doesn't starve other events.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
-/// Connections closed at a time when sockets run out.
+/// Maximum number of connections closed at once when the socket limit is reached.
 const MAX_CLOSED_AT_ONCE: usize = 32;
-/// Pause, in ms, before looking for connections to close again after none was found.
+/// Delay, in ms, before the next search for connections to close after one that found none.
 const FREE_SOCKETS_RETRY_MS: u64 = 50;
-/// Bytes that a client may send while its request is being answered: one more
-/// request. Requests are never pipelined, so a client that sends more is closed.
+/// Maximum number of bytes that a client may send before it has received the response to
+/// its request: one more request. Requests are never pipelined, so a connection with more
+/// input is closed.
 const MAX_PENDING_INPUT_BYTES: usize = http::MAX_REQUEST_BODY_BYTES + http::MAX_HEAD_BYTES;
 
 /// The protocol of a listener's connections.
@@ -33,7 +35,8 @@
 }
 
 impl Net {
-    /// Listens on `addr` and returns the address that was bound.
+    /// Listens on `addr` and returns the bound address, which has the actual port if
+    /// `addr` has port 0.
     pub fn listen(&mut self, addr: SocketAddr, kind: ListenerKind) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(addr)?;
         listener.set_nonblocking(true)?;
@@ -59,8 +62,8 @@
         }
     }
 
-    /// Registers an accepted connection. Without a free socket it is dropped,
-    /// which closes it, so that a load balancer tries another controller.
+    /// Registers an accepted connection. If no socket is free, the connection is closed
+    /// instead, so that a load balancer tries another controller.
     fn admit(&mut self, stream: TcpStream, kind: ListenerKind) {
         if self.connections.len() >= self.limits.max_sockets_for_accepting() && !self.free_sockets() {
             return;
@@ -79,9 +82,13 @@
         }
     }
 
-    /// At the limit of sockets: closes our own idle connections first, then
-    /// served ones that have had no request for long, the longest idle first;
-    /// never one whose request is being answered. Returns whether any was closed.
+    /// Closes connections when the socket limit is reached: first idle ones to services,
+    /// then those of clients without a request for [`Limits::stale_ms`], the longest idle
+    /// first. A connection with a request that is being handled is never closed. Returns
+    /// whether a connection may be accepted: the limit for accepting is not reached any
+    /// more, or a client's connection was closed.
+    ///
+    /// [`Limits::stale_ms`]: super::Limits::stale_ms
     pub(super) fn free_sockets(&mut self) -> bool {
         let now = self.now();
         if now < self.free_sockets_retry_at {
@@ -103,7 +110,8 @@
     }
 
     fn close_stale_server_connections(&mut self, now: u64) -> bool {
-        // A served connection's deadline is `idle_timeout_ms` after its last request.
+        // The deadline of a client's connection is `idle_timeout_ms` after its last request
+        // or response.
         let stale_deadline = now + self.limits.idle_timeout_ms.saturating_sub(self.limits.stale_ms);
         let mut stale: Vec<(u64, ConnectionId)> = self
             .connections
@@ -123,7 +131,7 @@
             && connection.input.len() > MAX_PENDING_INPUT_BYTES
     }
 
-    /// Parses the request of a served connection that is not busy.
+    /// Parses the next request of a client's connection that has no request in progress.
     pub(super) fn parse_request(&mut self, id: ConnectionId) -> Disposition {
         let deadline = self.now() + self.limits.idle_timeout_ms;
         let Some(connection) = self.connections.get_mut(&id) else { return Disposition::Keep };
@@ -148,7 +156,8 @@
         }
     }
 
-    /// Answers a served request. Unknown connections (closed meanwhile) are ignored.
+    /// Sends the response to a client's request. Does nothing if the connection was closed
+    /// in the meantime.
     pub fn respond(&mut self, id: ConnectionId, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
         let deadline = self.now() + self.limits.idle_timeout_ms;
         let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -161,18 +170,18 @@
         if connection.flush() == Disposition::Close {
             return self.close(id);
         }
-        // Bytes of the next request may have arrived already.
+        // Bytes of the next request may already have been received.
         let has_input = self.connections.get(&id).is_some_and(|connection| !connection.input.is_empty());
         if has_input && self.parse(id) == Disposition::Close {
             self.close(id);
         }
     }
 
-    /// Answers a worker's heartbeat.
+    /// Sends the response to a worker's heartbeat.
     ///
-    /// Guard: there may be more workers than sockets. While sockets are scarce,
-    /// the worker is also told to close the connection, which admits another;
-    /// it connects again for its next heartbeat.
+    /// There may be more workers than sockets. While sockets are scarce, the response
+    /// also closes the connection, so that another worker can connect; this one reconnects
+    /// for its next heartbeat.
     pub fn respond_to_heartbeat(&mut self, id: ConnectionId, status: u16, body: &[u8]) {
         if self.connections.len() > self.limits.scarce_sockets_threshold() {
             if let Some(Connection { role: Role::Server { close_after_response, .. }, .. }) =
@@ -184,7 +193,8 @@
         self.respond(id, status, None, body);
     }
 
-    /// Whether the client of this connection is still connected, as far as is known.
+    /// Reports whether the connection is open, as far as is known: a client's disconnect is
+    /// noticed only by the next read or write.
     pub fn is_open(&self, id: ConnectionId) -> bool {
         self.connections.contains_key(&id)
     }
--- a/src/transport/tests/descriptors.rs
+++ b/src/transport/tests/descriptors.rs
@@ -2,8 +2,8 @@
 
 use super::{raise_descriptor_limit, DescriptorLimit, OTHER_DESCRIPTORS};
 
-/// Guard: a controller that may use 4,500 sockets found no descriptor for most
-/// of them. The hard limit stays as it is.
+/// Without the raised soft limit, a controller that may use 4,500 sockets had no
+/// descriptors for most of them. The hard limit must not change.
 #[test]
 fn soft_limit_is_raised_to_the_descriptors_needed_and_never_lowered() {
     let original = getrlimit(Resource::Nofile);
@@ -16,7 +16,7 @@
     let raised = getrlimit(Resource::Nofile);
     assert_eq!(raised.current, Some(needed.min(maximum)));
     assert_eq!(raised.maximum, original.maximum);
-    assert_eq!(raise_descriptor_limit(10), DescriptorLimit::Enough, "never lowered");
+    assert_eq!(raise_descriptor_limit(10), DescriptorLimit::Enough, "the limit must not be lowered");
     assert_eq!(getrlimit(Resource::Nofile).current, raised.current);
     setrlimit(Resource::Nofile, original).unwrap();
 }
--- a/src/transport/tests/net.rs
+++ b/src/transport/tests/net.rs
@@ -58,12 +58,13 @@
     }
 }
 
-/// Guard: a connection lives only as long as something comes of it.
+/// A connection that sends no request, or not a complete one, must not occupy a socket
+/// permanently.
 #[test]
 fn idle_connections_and_incomplete_requests_are_closed_after_their_timeout() {
     let mut server =
         start_server(Limits { sockets: 100, idle_timeout_ms: 1_500, request_timeout_ms: 300, stale_ms: 100 });
-    // (what the client sends, open after 700 ms, open after 2,500 ms)
+    // (bytes that the client sends, open after 700 ms, open after 2,500 ms)
     let cases: [(&[u8], bool, bool); 4] = [
         (b"", true, false),
         (b"GET /now HTTP/1.1\r\n\r\n", true, false),
@@ -82,8 +83,8 @@
     assert_eq!(server.net.connection_count(), 0);
 }
 
-/// Guard: more workers than sockets. Those who found none lost their
-/// leases, and users and probes were refused with them.
+/// With more workers than sockets, workers that found no free socket lost their leases,
+/// and users and health probes were refused as well.
 #[test]
 fn all_workers_and_users_are_served_when_workers_outnumber_sockets() {
     let mut server =
@@ -98,21 +99,21 @@
             stream.write_all(b"GET /report HTTP/1.1\r\n\r\n").unwrap();
             server.turn(5);
             let received = stream.read(&mut [0; 1024]).unwrap_or(0);
-            assert!(received > 0, "round {round}: worker {index} is not answered");
+            assert!(received > 0, "round {round}: worker {index} received no response");
         }
         let mut user = server.client(b"GET /now HTTP/1.1\r\n\r\n");
         server.turn(20);
-        assert!(is_open(&mut user), "round {round}: a user is refused");
+        assert!(is_open(&mut user), "round {round}: the user's connection was refused");
     }
     assert!(
         server.net.connection_count() <= 48 && server.net.connection_count() > 32,
-        "{} sockets",
+        "{} open connections",
         server.net.connection_count()
     );
 }
 
-/// Guard: after a halt, what waits in the sockets is old: no request of
-/// then is carried out, and no answer of then believed.
+/// After a halt of the process, the input pending in its sockets is old: its requests must
+/// not be executed and its responses must not be accepted.
 #[test]
 fn drop_stale_io_discards_requests_and_replies_read_before_it() {
     let mut server =
@@ -131,7 +132,7 @@
     let (mut service_stream, _) = service.accept().unwrap();
     service_stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
     let mut client = server.client(b"GET /now HTTP/1.1\r\n\r\n");
-    // Read, but not acted on yet.
+    // Reads both messages without handling their events.
     for _ in 0..5 {
         server.net.turn(&mut server.event_loop, Duration::from_millis(10)).unwrap();
     }
@@ -145,24 +146,24 @@
     assert!(!is_open(&mut client) && server.net.connection_count() == 0);
 }
 
-/// Guard: machines that are gone left their connections behind; at the
-/// limit those that live found none, until leases ran out.
+/// Connections of machines that no longer existed stayed open. At the socket limit, running
+/// machines could then not connect until their leases expired.
 #[test]
 fn longest_idle_connections_are_closed_when_the_socket_limit_is_reached() {
     let mut server =
         start_server(Limits { sockets: 40, idle_timeout_ms: 60_000, request_timeout_ms: 5_000, stale_ms: 300 });
     let mut idle_clients: Vec<TcpStream> = (0..24).map(|_| server.client(b"GET /now HTTP/1.1\r\n\r\n")).collect();
     server.turn(100);
-    // One is being answered: it is not idle, however long it takes.
+    // A connection with a request in progress is not idle, however long it takes.
     idle_clients[0].write_all(b"GET /later HTTP/1.1\r\n\r\n").unwrap();
     let mut refused_client = server.client(b"GET /now HTTP/1.1\r\n\r\n");
     server.turn(100);
-    assert!(!is_open(&mut refused_client), "nothing idle for long yet: refused");
+    assert!(!is_open(&mut refused_client), "must be refused: no connection has been idle for long enough");
     server.turn(400);
     let mut new_clients: Vec<TcpStream> = (0..10).map(|_| server.client(b"GET /now HTTP/1.1\r\n\r\n")).collect();
     server.turn(200);
-    assert!(new_clients.iter_mut().all(is_open), "room is made for those that come");
-    assert!(is_open(&mut idle_clients[0]), "a request that is being answered is not cut off");
+    assert!(new_clients.iter_mut().all(is_open), "idle connections must be closed to admit new ones");
+    assert!(is_open(&mut idle_clients[0]), "a connection with a request in progress must stay open");
     assert!(idle_clients.iter_mut().filter_map(|client| is_open(client).then_some(())).count() < 24);
     assert!(server.net.connection_count() <= 24);
 }
