--- a/src/protocol/jobs/spec.rs
+++ b/src/protocol/jobs/spec.rs
@@ -91,8 +91,8 @@
     /// Deadline, in seconds from when the job became ready to start; `None`: no
     /// deadline.
     pub deadline_s: Option<f64>,
-    /// Extended deadline, in seconds from the same time as the deadline; `None`:
-    /// no deadline.
+    /// Extended deadline, in seconds from the same time as the deadline: the next
+    /// objective of a job that can no longer meet its deadline. `None`: no deadline.
     pub extended_deadline_s: Option<f64>,
 }
 
--- a/src/protocol/jobs/submission.rs
+++ b/src/protocol/jobs/submission.rs
@@ -76,8 +76,8 @@
     #[serde(rename = "dueS", skip_serializing_if = "Option::is_none")]
     #[serde(deserialize_with = "optional_number")]
     pub deadline_s: Option<f64>,
-    /// Ids of jobs that must be done before any task of this one starts. Versions
-    /// without pipelines never read a record that contains this field.
+    /// Ids of jobs that must be done before any task of this one starts. Versions that
+    /// don't support prerequisites never read a record that contains this field.
     #[serde(skip_serializing_if = "has_no_prereqs")]
     pub prereqs: Option<Vec<String>>,
 }
--- a/src/protocol/jobs/validation.rs
+++ b/src/protocol/jobs/validation.rs
@@ -8,7 +8,8 @@
 
 /// Maximum number of tasks in one job.
 pub const MAX_TASKS: u32 = 100_000;
-/// Extended deadline of a job, as a multiple of its deadline.
+/// Extended deadline of a job, as a multiple of its deadline: the next objective of a
+/// job that misses its deadline.
 const EXTENDED_DEADLINE_FACTOR: f64 = 1.5;
 /// Maximum length, in bytes, of the name of a class, team, image, machine type or
 /// zone.
@@ -23,7 +24,7 @@
 /// Reason for rejecting a submission permanently.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SubmissionError {
-    /// Rejected with status 400; contains the missing or invalid field.
+    /// Rejected with status 400; contains the name of the missing or invalid field.
     #[error("missing or invalid field `{0}`")]
     Malformed(&'static str),
     /// Rejected with status 422; contains the reason why the job can never run.
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -19,7 +19,7 @@
     pub from: String,
     /// Identifies one start of the sender's process.
     pub nonce: u64,
-    /// Sequence number of the frame within that start.
+    /// Sequence number of the frame within that start of the process.
     pub count: u64,
     /// Milliseconds since the sender last received a response from the key-value
     /// store.
@@ -28,11 +28,12 @@
     pub rejected_heartbeats: u32,
     /// Whether the sender is the leader.
     pub leading: bool,
-    /// Reads per second that the sender uses of the key-value store's limit.
+    /// Requests of any kind per second that the sender sends to the key-value store.
     pub reads_used: f64,
     /// Writes per second that the sender uses for users' requests.
     pub writes_used: f64,
-    /// Writes per second that the sender uses for its commits as the leader.
+    /// Writes per second that the sender uses for its own work as the leader, and for
+    /// keys that are attached to its store leases.
     pub commits_used: f64,
     /// The sender's monotonic clock, in ms.
     pub clock_ms: u64,
@@ -45,8 +46,8 @@
     pub counts: Vec<TaskCounts>,
 }
 
-/// Clock of a peer that the sender of the gossip last received from it, and the
-/// start of the peer's process to which the clock belongs.
+/// Clock that the sender of the gossip last received from a peer, and the start of
+/// the peer's process to which the clock belongs.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct ClockEcho {
     /// Label of the peer.
@@ -150,8 +151,8 @@
     }
 }
 
-/// Number of a peer's earlier starts that are kept, to recognize their delayed
-/// frames.
+/// Maximum number of earlier starts of a peer's process that are kept, to recognize
+/// their delayed frames.
 const MAX_EARLIER_STARTS: usize = 16;
 
 /// Order of a peer's frames. Delayed frames of a process that has exited may
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -4,8 +4,9 @@
 
 use super::{ClusterSettings, NextLimits, Settings, Team};
 
-/// Minimum difference, in seconds, between `cancel_s` and `lease_s`. With less, no
-/// worker lease could be renewed without outlasting a cancellation.
+/// Minimum difference, in seconds, between `cancel_s` and `lease_s`. With less, every
+/// renewed worker lease could outlast the time limit of a cancellation, so that no lease
+/// could be renewed.
 const MIN_CANCEL_MARGIN_S: f64 = 4.0;
 /// Minimum number of sockets: some are reserved for outgoing calls, some for users.
 const MIN_SOCKETS: usize = 32;
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -27,8 +27,9 @@
     /// lease expires.
     #[serde(rename = "shift")]
     pub incarnation: Incarnation,
-    /// Sequence number, which increases with every heartbeat and response: of two
-    /// messages, the one with the larger incarnation and sequence number is newer.
+    /// Sequence number, which increases with every heartbeat and response that the
+    /// worker sends: of two messages, the one with the larger incarnation and sequence
+    /// number is newer.
     #[serde(rename = "tick")]
     pub sequence: SequenceNumber,
     /// The highest fencing token that the worker has seen; 0: none.
--- a/src/storage/read_barrier.rs
+++ b/src/storage/read_barrier.rs
@@ -1,8 +1,9 @@
 //! Read barrier, which makes reads from the local cache linearizable.
 //!
-//! The response to a request about a job is sent only after a read of the changes
-//! from the key-value store that was *sent* after the request arrived. One read
-//! serves all requests that were queued when it was sent.
+//! The response to a request about a job is sent only after the completion of a read
+//! of the changes from the key-value store, and that read must have been *sent* after
+//! the request arrived. One read serves all requests that were queued when it was
+//! sent.
 
 /// Request that waits for the read barrier.
 #[derive(Debug)]
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -58,7 +58,8 @@
     /// Label of the controller. Recorded as `l`.
     #[serde(rename = "l")]
     pub label: String,
-    /// Identifies the start of the process, or its store lease.
+    /// Identifies the start of the process and its store lease: the nonce of the
+    /// process plus the id of the store lease, if there is one.
     #[serde(rename = "n")]
     pub nonce: u64,
 }
--- a/src/storage/tests/rate_limit.rs
+++ b/src/storage/tests/rate_limit.rs
@@ -20,8 +20,8 @@
     for (number, (at, amount, urgency, expected)) in cases.into_iter().enumerate() {
         assert_eq!(bucket.take(at, amount, urgency).is_ok(), expected, "case {number}");
     }
-    // Without a reserve for the other teams, a flood of submissions of a team without a
-    // guarantee caused theirs to be rejected.
+    // Without a reserve for teams with a guarantee, a flood of submissions of a team
+    // without one caused the submissions of the other teams to be rejected.
     let mut bucket = RateLimiter::new(10.0, 10.0);
     let taken = (0..20).filter(|_| bucket.take(0, 1.0, Urgency::BestEffortSubmit).is_ok()).count();
     assert_eq!(taken, 7);
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -152,7 +152,7 @@
         ("chunk/000001", encode_record(&chunk)),
         ("leader/n-4", encode_record(&LeaderRecord { label: "n-4".into(), nonce: 9 })),
         ("frame/plain", peers::encode(&Frame::Gossip(frame.clone()))),
-        // With the marker that the sender reads newer forms.
+        // With the marker which shows that the sender can decode notices.
         ("frame/marked", peers::encode(&Frame::Gossip(with_marker))),
     ]
 }
@@ -166,7 +166,7 @@
     for (name, bytes) in forms_of_this_version() {
         assert_eq!(hex(&bytes), hex(&written[name]), "{name}: the form has changed, or the fixture is out of date");
         let is_unchanged = written[name] == rewritten[name];
-        // `ac1d836` drops the prerequisites when it rewrites a record, so that no job with
+        // `ac1d836` drops the prerequisites when it rewrites a record. Therefore no job with
         // prerequisites is accepted while a controller of that version may be left.
         assert_eq!(is_unchanged, name != "job/waiting", "{name}");
     }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -32,11 +32,11 @@
 
 /// A leader whose store lease is renewed, but whose reads of the job records hang,
 /// can't see a cancellation. It must reject heartbeats that report tasks as soon as
-/// a worker lease renewed by it could outlast the bound on a cancellation that it
-/// doesn't know of; heartbeats of a machine without tasks are still accepted. A
-/// controller that receives the workers' heartbeats and learns of a cancellation,
-/// from a peer or from its own read, must stop the cancelled tasks at once, and no
-/// others.
+/// a worker lease renewed by it could outlast the time limit (`cancel_s`) of a
+/// cancellation that it can't know of; heartbeats of a machine without tasks are still
+/// accepted. A controller that receives the workers' heartbeats and learns of a
+/// cancellation, from a peer or from its own read, must stop the cancelled tasks at
+/// once, and no others.
 #[test]
 fn heartbeats_with_tasks_are_rejected_when_a_cancellation_may_be_unseen() {
     const LEASE_S: u32 = 4;
@@ -53,8 +53,8 @@
     let all_run = || ["j-100001", "j-100002", "j-100003", "j-100004"].iter().all(|job| cluster.running_tasks(job) == 2);
     wait_for("all tasks running", || all_run().then_some(()));
 
-    // The store refuses only the leader: the controller that confirms the cancellation
-    // notifies it.
+    // The store rejects only the leader's requests: the controller that confirms the
+    // cancellation notifies the leader.
     let leader = cluster.leader();
     let other = cluster.nodes[(leader + 1) % 3].client;
     cluster.store_access[leader].unavailable.store(true, Ordering::Relaxed);
@@ -286,7 +286,8 @@
     }
     assert_eq!(status_code(call(isolated, "POST", "/api/jobs", &job_body("j-000003", "batch", 1))), Some(503));
 
-    // After the outage all controllers, including this one, respond to every request.
+    // After the outage all controllers, including the isolated one, respond to every
+    // request.
     store_access[leader].unavailable.store(false, Ordering::Relaxed);
     for node in nodes.iter_mut().filter(|node| node.child.is_none()) {
         node.start();
@@ -304,22 +305,22 @@
 
 /// No job with prerequisites is accepted until every controller has recorded its
 /// version. `tests/upgrade.rs` checks the same with a running controller of a version
-/// without prerequisites.
+/// that doesn't support prerequisites.
 #[test]
 fn prerequisites_require_all_versions_and_propagate_cancellation() {
     let mut cluster = LoopbackCluster::prepare("pipelines", &SHARED_SETTINGS);
     let nodes = &mut cluster.nodes;
     nodes[0].start();
     nodes[1].start();
-    let (a, b) = (nodes[0].client, nodes[1].client);
+    let (first, second) = (nodes[0].client, nodes[1].client);
     cluster.start_heartbeats();
     let nodes = &mut cluster.nodes;
-    for at in [a, b] {
+    for at in [first, second] {
         wait_for("controller ready", || (call(at, "GET", "/ready", &[])?.status == 200).then_some(()));
     }
     let submit = |to: SocketAddr, bytes: &[u8]| status_code(call(to, "POST", "/api/jobs", bytes));
-    assert!(submit(a, &job_body("j-000001", "batch", 3)).is_some_and(|s| s < 300));
-    for at in [a, b] {
+    assert!(submit(first, &job_body("j-000001", "batch", 3)).is_some_and(|code| code < 300));
+    for at in [first, second] {
         wait_for("job done", || (status(at, "j-000001")? == "done").then_some(()));
         thread::sleep(Duration::from_secs(2));
         assert_eq!(
@@ -333,48 +334,48 @@
     nodes[2].start();
     for node in nodes.iter() {
         let bytes = job_with_prereqs("j-000002", "batch", id_list(&["j-000001", "j-000001"]));
-        wait_for("job with prerequisites accepted", || submit(node.client, &bytes).filter(|s| *s < 300));
+        wait_for("job with prerequisites accepted", || submit(node.client, &bytes).filter(|code| *code < 300));
     }
-    wait_for("job with prerequisites done", || (status(a, "j-000002")? == "done").then_some(()));
+    wait_for("job with prerequisites done", || (status(first, "j-000002")? == "done").then_some(()));
 
     // j-100001 runs until it is cancelled; the jobs that name it as a prerequisite wait.
-    assert_eq!(submit(a, &job_body("j-100001", "batch", 1)), Some(201));
-    assert_eq!(submit(b, &job_body("j-100002", "service", 1)), Some(201));
+    assert_eq!(submit(first, &job_body("j-100001", "batch", 1)), Some(201));
+    assert_eq!(submit(second, &job_body("j-100002", "service", 1)), Some(201));
     let many: Vec<String> = (0..3_000).map(|n| format!("j-{n}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
     // (case, controller, id, prerequisites, status code)
     let cases = [
-        ("just accepted by another controller", b, "j-000010", id_list(&["j-100001"]), 201),
-        ("chain of prerequisites", a, "j-000011", id_list(&["j-000010", "j-000001"]), 201),
-        ("same submission to another controller", b, "j-000011", id_list(&["j-000010", "j-000001"]), 200),
-        ("resubmission with an unknown prerequisite", b, "j-000011", id_list(&["j-999999"]), 200),
-        ("unknown prerequisite", a, "j-000012", id_list(&["j-100001", "j-999999"]), 422),
-        ("service as a prerequisite", a, "j-000012", id_list(&["j-100002"]), 422),
-        ("job that names itself before it is accepted", a, "j-000012", id_list(&["j-000012"]), 422),
-        ("text instead of a list", a, "j-000012", Value::Text("j-100001".into()), 400),
-        ("malformed id in the list", a, "j-000012", id_list(&["j-100001", "x"]), 400),
-        ("list too long for a record", a, "j-000012", id_list(&many), 400),
-        ("null instead of a list", a, "j-000013", Value::Null, 201),
-        ("empty list", a, "j-000006", id_list(&[]), 201),
+        ("just accepted by another controller", second, "j-000010", id_list(&["j-100001"]), 201),
+        ("chain of prerequisites", first, "j-000011", id_list(&["j-000010", "j-000001"]), 201),
+        ("same submission to another controller", second, "j-000011", id_list(&["j-000010", "j-000001"]), 200),
+        ("resubmission with an unknown prerequisite", second, "j-000011", id_list(&["j-999999"]), 200),
+        ("unknown prerequisite", first, "j-000012", id_list(&["j-100001", "j-999999"]), 422),
+        ("service as a prerequisite", first, "j-000012", id_list(&["j-100002"]), 422),
+        ("job that names itself before it is accepted", first, "j-000012", id_list(&["j-000012"]), 422),
+        ("text instead of a list", first, "j-000012", Value::Text("j-100001".into()), 400),
+        ("malformed id in the list", first, "j-000012", id_list(&["j-100001", "x"]), 400),
+        ("list too long for a record", first, "j-000012", id_list(&many), 400),
+        ("null instead of a list", first, "j-000013", Value::Null, 201),
+        ("empty list", first, "j-000006", id_list(&[]), 201),
     ];
     for (case, at, id, prereqs, want) in cases {
         assert_eq!(submit(at, &job_with_prereqs(id, "batch", prereqs)), Some(want), "{case}");
     }
-    assert_eq!(status(a, "j-000012"), None, "a rejected job must not exist");
-    wait_for("prerequisite running", || (status(a, "j-100001")? == "running").then_some(()));
-    assert_eq!(status(b, "j-000010").as_deref(), Some("pending"));
+    assert_eq!(status(first, "j-000012"), None, "a rejected job must not exist");
+    wait_for("prerequisite running", || (status(first, "j-100001")? == "running").then_some(()));
+    assert_eq!(status(second, "j-000010").as_deref(), Some("pending"));
     // After one cancellation every controller must report all jobs that depend on the
     // job, directly or through other jobs, as cancelled.
-    assert_eq!(status_code(call(b, "POST", "/api/jobs/j-100001/abort", &[])), Some(200));
+    assert_eq!(status_code(call(second, "POST", "/api/jobs/j-100001/abort", &[])), Some(200));
     for node in nodes.iter() {
         for id in ["j-000010", "j-000011"] {
             assert_eq!(status(node.client, id).as_deref(), Some("cancelled"), "{id}");
         }
     }
-    let response = call(a, "POST", "/api/jobs/j-000011/abort", &[]).unwrap();
+    let response = call(first, "POST", "/api/jobs/j-000011/abort", &[]).unwrap();
     assert_eq!((response.status, decode_status(&response.body).as_deref()), (200, Some("cancelled")));
     let late_submission = job_with_prereqs("j-000015", "batch", id_list(&["j-000011"]));
-    let response = call(a, "POST", "/api/jobs", &late_submission).unwrap();
+    let response = call(first, "POST", "/api/jobs", &late_submission).unwrap();
     assert_eq!(
         (response.status, decode_status(&response.body).as_deref()),
         (201, Some("cancelled")),
--- a/tests/loopback_cluster/history.rs
+++ b/tests/loopback_cluster/history.rs
@@ -73,8 +73,8 @@
     }
 }
 
-/// Checks that a job reported as done is recorded as done, and that a job reported as
-/// cancelled was cancelled by a user.
+/// Checks that a job reported as done is recorded as done, and that a user cancelled a job
+/// reported as cancelled, or one of its prerequisites.
 fn check_final_status(id: &str, job: &AcceptedJob, final_status: Option<&str>, is_recorded_done: bool) {
     match final_status {
         Some("done") => assert!(is_recorded_done, "{id} was reported as done, but isn't recorded as done"),
--- a/tests/loopback_cluster/status_watch.rs
+++ b/tests/loopback_cluster/status_watch.rs
@@ -80,7 +80,8 @@
         self.observed.lock().unwrap().jobs.insert(id.to_owned());
     }
 
-    /// Records that a user received cancelled as the status of this job in another response.
+    /// Records that a user received `cancelled` as the status of this job in a response to
+    /// a request other than a poll.
     pub fn record_cancelled(&self, id: &str) {
         self.observed.lock().unwrap().final_statuses.insert(id.to_owned(), "cancelled".to_owned());
     }
--- a/tests/loopback_cluster/upgrade.rs
+++ b/tests/loopback_cluster/upgrade.rs
@@ -88,8 +88,8 @@
     }
 
     /// Returns the address of a controller for users' requests.
-    pub fn client(&self, n: usize) -> SocketAddr {
-        self.cluster.nodes[n].client
+    pub fn client(&self, index: usize) -> SocketAddr {
+        self.cluster.nodes[index].client
     }
 
     /// Returns the addresses of all controllers for users' requests.
@@ -99,27 +99,27 @@
 
     /// Starts a controller that is down, with the version recorded for it, and waits until
     /// it is ready.
-    pub fn start_controller(&mut self, n: usize) {
-        let program = match self.versions[n] {
+    pub fn start_controller(&mut self, index: usize) {
+        let program = match self.versions[index] {
             Version::Production => production(),
             Version::This => this_version(),
         };
-        self.cluster.nodes[n].start_with_program(program);
-        let at = self.client(n);
+        self.cluster.nodes[index].start_with_program(program);
+        let at = self.client(index);
         wait_for("controller ready", || is_ready(at).then_some(()));
     }
 
     /// Kills a controller, and restarts it with this version.
-    pub fn replace(&mut self, n: usize) {
-        self.cluster.nodes[n].kill();
-        self.versions[n] = Version::This;
-        self.start_controller(n);
+    pub fn replace(&mut self, index: usize) {
+        self.cluster.nodes[index].kill();
+        self.versions[index] = Version::This;
+        self.start_controller(index);
     }
 
     /// Kills a controller, and restarts it with the version that it had.
-    pub fn restart(&mut self, n: usize) {
-        self.cluster.nodes[n].kill();
-        self.start_controller(n);
+    pub fn restart(&mut self, index: usize) {
+        self.cluster.nodes[index].kill();
+        self.start_controller(index);
     }
 
     /// Returns the index of the controller whose label is stored under the leader's key.
@@ -129,7 +129,7 @@
         label.strip_prefix("n-")?.parse().ok()
     }
 
-    /// Waits until a running controller of this version leads, and returns its index.
+    /// Waits until a running controller of the given version leads, and returns its index.
     pub fn wait_for_leader(&self, version: Version) -> usize {
         wait_for(&format!("a leader of {version:?}"), || {
             let is_up = |n: &usize| self.cluster.nodes[*n].child.is_some();
@@ -138,24 +138,24 @@
     }
 
     /// Submits a job to a controller until it is accepted.
-    pub fn submit(&mut self, n: usize, job: Job) {
-        self.submit_body(n, job, |bytes| bytes);
+    pub fn submit(&mut self, index: usize, job: Job) {
+        self.submit_body(index, job, |bytes| bytes);
     }
 
     /// Submits a job like [`UpgradeTest::submit`], with tasks of which a hundred fit the
     /// worker.
-    pub fn submit_small(&mut self, n: usize, job: Job) {
-        self.submit_body(n, job, |bytes| small_tasks(&bytes));
+    pub fn submit_small(&mut self, index: usize, job: Job) {
+        self.submit_body(index, job, |bytes| small_tasks(&bytes));
     }
 
-    fn submit_body(&mut self, n: usize, submitted: Job, change: impl Fn(Vec<u8>) -> Vec<u8>) {
+    fn submit_body(&mut self, index: usize, submitted: Job, change: impl Fn(Vec<u8>) -> Vec<u8>) {
         let bytes = change(with_field(
             &job_body(submitted.id, submitted.kind, submitted.tasks),
             "prereqs",
             id_list(submitted.prereqs),
         ));
-        let at = self.client(n);
-        wait_for(submitted.id, || submit(at, &bytes).filter(Response::is_success));
+        let at = self.client(index);
+        wait_for(&format!("{} accepted", submitted.id), || submit(at, &bytes).filter(Response::is_success));
         self.record_accepted(submitted.id, submitted.tasks, submitted.prereqs);
     }
 
@@ -169,8 +169,8 @@
 
     /// Cancels a job, and checks that every running controller reports it and all jobs that
     /// depend on it as cancelled.
-    pub fn cancel(&mut self, n: usize, id: &str) {
-        let at = self.client(n);
+    pub fn cancel(&mut self, index: usize, id: &str) {
+        let at = self.client(index);
         let response = wait_for("job cancelled", || abort(at, id).filter(|response| response.status == 200));
         assert_eq!(code_and_status(Some(response)), (200, Some("cancelled".to_owned())), "{id}");
         self.record_cancelled(id, Instant::now());
@@ -190,11 +190,11 @@
     /// Checks that every running controller reports all cancelled jobs as cancelled.
     pub fn check_cancelled(&self) {
         for id in self.accepted.iter().filter(|(_, job)| job.cancelled_at.is_some()).map(|(id, _)| id) {
-            for (n, controller) in
+            for (index, controller) in
                 self.cluster.nodes.iter().enumerate().filter(|(_, controller)| controller.child.is_some())
             {
                 let status = status(controller.client, id);
-                assert_eq!(status.as_deref(), Some("cancelled"), "{id} at {n}, {:?}", self.versions[n]);
+                assert_eq!(status.as_deref(), Some("cancelled"), "{id} at {index}, {:?}", self.versions[index]);
             }
         }
     }
--- a/tests/loopback_cluster/worker.rs
+++ b/tests/loopback_cluster/worker.rs
@@ -110,7 +110,8 @@
         }
     }
 
-    /// Lets the tasks of a job exit, those that start later after a short time.
+    /// Lets the tasks of a job exit as soon as they have run for [`SHORT_TASK_DURATION`],
+    /// also those that start later.
     pub fn finish(&mut self, job: &str) {
         self.finishing.insert(job.to_owned());
     }
@@ -189,10 +190,10 @@
 }
 
 /// Marks an attempt as exited, and records the exit.
-fn record_exit(status: &mut TaskStatus, why: ExitReason, events: &mut Vec<TaskEvent>) {
+fn record_exit(status: &mut TaskStatus, reason: ExitReason, events: &mut Vec<TaskEvent>) {
     status.state = TaskState::Exited;
-    status.exit_reason = Some(why);
-    let change = TaskChange::Exited(why);
+    status.exit_reason = Some(reason);
+    let change = TaskChange::Exited(reason);
     events.push(TaskEvent { task: status.task.clone(), attempt: status.attempt.0, change, at: Instant::now() });
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -181,17 +181,22 @@
 }
 
 impl Stage {
-    fn new(n: usize) -> Stage {
-        let short = |k: usize| format!("j-00000{n}{k}");
-        Stage { head: format!("j-1{n}0001"), middle: short(1), tail: short(2), short: [short(3), short(4), short(5)] }
+    fn new(number: usize) -> Stage {
+        let short = |position: usize| format!("j-00000{number}{position}");
+        Stage {
+            head: format!("j-1{number}0001"),
+            middle: short(1),
+            tail: short(2),
+            short: [short(3), short(4), short(5)],
+        }
     }
 }
 
 /// Submits the jobs of a stage, and waits until the chain of the previous stage is done
 /// under the current leader, which has the given version.
-fn run_stage(upgrade: &mut UpgradeTest, n: usize, version: Version) -> Stage {
+fn run_stage(upgrade: &mut UpgradeTest, number: usize, version: Version) -> Stage {
     let leader = upgrade.wait_for_leader(version);
-    let stage = Stage::new(n);
+    let stage = Stage::new(number);
     let [first, second, third] = &stage.short;
     upgrade.submit(0, batch(&stage.head, 2, &[]));
     upgrade.submit(1, batch(&stage.middle, 2, &[&stage.head]));
@@ -201,8 +206,8 @@
     upgrade.submit(1, batch(third, 2, &[second, first]));
     upgrade.wait_until_done(third);
     wait_for("tasks of the head running", || (upgrade.cluster.running_tasks(&stage.head) == 2).then_some(()));
-    if n > FIRST_STAGE {
-        upgrade.wait_until_done(&Stage::new(n - 1).tail);
+    if number > FIRST_STAGE {
+        upgrade.wait_until_done(&Stage::new(number - 1).tail);
     }
     assert_eq!(upgrade.leader(), Some(leader), "the leader should stay the same for the whole stage");
     stage
@@ -371,7 +376,7 @@
     upgrade.check_history();
 }
 
-// ---- a version without prerequisites -----------------------------------------------------------------
+// ---- a version that doesn't support prerequisites -------------------------------------
 
 /// A version that doesn't support prerequisites drops them from the records that it
 /// writes. While a controller of such a version is left, no job with prerequisites may
@@ -386,12 +391,16 @@
         node.kill();
         node.start();
     }
-    let (a, b) = (cluster.nodes[0].client, cluster.nodes[1].client);
-    for at in [a, b] {
+    let (first, second) = (cluster.nodes[0].client, cluster.nodes[1].client);
+    for at in [first, second] {
         wait_for("controller ready", || is_ready(at).then_some(()));
     }
-    assert_eq!(status_code(submit(a, &job_body("j-000001", "batch", 3))), Some(200), "the job should still be known");
-    for at in [a, b] {
+    assert_eq!(
+        status_code(submit(first, &job_body("j-000001", "batch", 3))),
+        Some(200),
+        "the job should still be known"
+    );
+    for at in [first, second] {
         wait_for("job done", || (status(at, "j-000001")? == "done").then_some(()));
         thread::sleep(Duration::from_secs(2));
         assert_eq!(
@@ -413,5 +422,5 @@
         let bytes = job_with_prereqs("j-000002", "batch", id_list(&["j-000001", "j-000001"]));
         wait_for("job with prerequisites accepted", || submit(node.client, &bytes).filter(Response::is_success));
     }
-    wait_for("job with prerequisites done", || (status(a, "j-000002")? == "done").then_some(()));
+    wait_for("job with prerequisites done", || (status(first, "j-000002")? == "done").then_some(()));
 }
