--- a/tests/combined_failures/cancellations.rs
+++ b/tests/combined_failures/cancellations.rs
@@ -19,7 +19,8 @@
     sim.run(100);
     assert!(sim.cancel("j-1"));
     sim.run(1_000);
-    // The leader's lease expires: from now on it may only renew the leases of running tasks.
+    // The leader's store lease expires: from now on it may only renew the leases of workers
+    // whose tasks run.
     sim.run(3_000);
     sim.stop_leader();
     sim.workers
--- a/tests/combined_failures/heartbeats.rs
+++ b/tests/combined_failures/heartbeats.rs
@@ -24,7 +24,7 @@
     sim.submit(high_priority("j-2", "batch", 4, 8.0), 16_000);
     sim.run_until("all tasks are stopped", 10_000, |sim| sim.none_running("j-1", 4));
     sim.run(6_000);
-    // None of its tasks is on a worker, although the copies list them.
+    // No task of "j-1" is on a worker, although the copies list them.
     deliver_heartbeats_later(sim, &old, 0);
     for _ in 0..10 {
         sim.run(100);
@@ -33,10 +33,10 @@
     }
     sim.run_until("the urgent job is done", 30_000, |sim| sim.status("j-2") == JobStatus::Done);
     old.extend(sim.latest_heartbeats());
-    sim.run_until("runs again", 20_000, |sim| sim.all_running("j-1", 4));
+    sim.run_until("all tasks run again", 20_000, |sim| sim.all_running("j-1", 4));
     sim.restart_worker(1);
     sim.restart_worker(2);
-    sim.run_until("runs again", 30_000, |sim| sim.all_running("j-1", 4));
+    sim.run_until("all tasks run again", 30_000, |sim| sim.all_running("j-1", 4));
     sim.run(4_000);
     let (assigned, starts) = (sim.assignments("j-1", 4), sim.starts());
     old.reverse();
@@ -65,7 +65,7 @@
 pub fn heartbeat_delayed_until_a_new_leader_has_acted(sim: &mut Simulation) {
     sim.workers.iter_mut().skip(2).for_each(|worker| worker.dead = true);
     sim.submit(submission("j-1", "service", 3), 0);
-    sim.run_until("runs", 10_000, |sim| sim.all_running("j-1", 3));
+    sim.run_until("all tasks run", 10_000, |sim| sim.all_running("j-1", 3));
     let late = sim.latest_heartbeats();
     let now = sim.now();
     sim.workers.iter_mut().for_each(|worker| worker.faults.partitioned = true);
@@ -99,14 +99,14 @@
     sim.workers.iter_mut().skip(1).for_each(|worker| worker.dead = true);
     sim.run(4_000);
     sim.submit(low_priority("j-1", "service", 2), 0);
-    sim.run_until("runs", 10_000, |sim| sim.all_running("j-1", 2));
+    sim.run_until("both tasks run", 10_000, |sim| sim.all_running("j-1", 2));
     let mut old = sim.latest_heartbeats();
     sim.submit(high_priority("j-2", "batch", 1, 8.0), 2_000);
-    sim.run_until("stopped", 10_000, |sim| sim.none_running("j-1", 2));
+    sim.run_until("both tasks are stopped", 10_000, |sim| sim.none_running("j-1", 2));
     for task in &mut old[0].tasks {
         (task.state, task.exit_reason) = (TaskState::Exited, Some(ExitReason::Stopped));
     }
-    sim.run_until("runs again", 20_000, |sim| sim.all_running("j-1", 2));
+    sim.run_until("both tasks run again", 20_000, |sim| sim.all_running("j-1", 2));
     let starts = sim.starts();
     let attempts = sim.workers[0].tasks.iter().map(|task| task.attempt).collect::<Vec<_>>();
     sim.workers[0].faults.outbound_lost = true;
--- a/tests/combined_failures/leader_changes.rs
+++ b/tests/combined_failures/leader_changes.rs
@@ -145,9 +145,9 @@
     assert!(sim.all_running("j-3", 2));
 }
 
-/// Delayed copies of old heartbeats, and one or two workers that still reached it, kept a
-/// leader in place that all other workers could not reach, until their leases had
-/// expired.
+/// Regression test: delayed copies of old heartbeats, and one or two workers that still
+/// reached it, kept a leader in place that all other workers could not reach, until their
+/// leases had expired.
 pub fn leader_that_few_workers_reach(sim: &mut Simulation) {
     const ISOLATED_AFTER_MS: Millis = 8_000;
     sim.add_workers(8);
--- a/tests/combined_failures/main.rs
+++ b/tests/combined_failures/main.rs
@@ -17,7 +17,7 @@
     Simulation,
 };
 
-/// Runs of each case, each with another seed.
+/// Number of runs of each case, each with a different seed.
 const VARIANTS: u64 = 4;
 
 #[test]
--- a/tests/combined_failures/partitions.rs
+++ b/tests/combined_failures/partitions.rs
@@ -71,11 +71,11 @@
     sim.run_until_settled("jobs on the old leader's workers", 150_000);
 }
 
-/// The leases of a partitioned zone are treated as expired only for a period that the
-/// controller inside has confirmed. Here the zone is partitioned for longer than a lease,
-/// and its controller renews leases for part of that time. A gang bound to the zone and a
-/// spread service run there; no task of theirs may restart in the other zone while it may
-/// still run.
+/// A worker lease in a partitioned zone is treated as expired only if the controller
+/// inside has confirmed that it renewed no lease up to the end of that lease.
+/// Here the zone is partitioned for longer than a lease, and its controller renews leases
+/// for part of that time. A gang bound to the zone and a spread service run there; no task
+/// of theirs may restart in the other zone while it may still run.
 pub fn zone_is_partitioned_with_its_controller(sim: &mut Simulation) {
     sim.add_workers(4);
     sim.submit(submission("j-1", "ensemble", 3).with_one_zone(true).with_cpus(4.0), 100_000);
--- a/tests/combined_failures/random_faults.rs
+++ b/tests/combined_failures/random_faults.rs
@@ -15,14 +15,14 @@
     let seed_count: u64 = std::env::var("COMBINED_FAILURE_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(32);
     let mut failed = Vec::new();
     for seed in 0..seed_count {
-        if std::panic::catch_unwind(|| play_random_faults(seed)).is_err() {
+        if std::panic::catch_unwind(|| run_random_faults(seed)).is_err() {
             failed.push(seed);
         }
     }
     assert!(failed.is_empty(), "seeds {failed:?}");
 }
 
-fn play_random_faults(seed: u64) {
+fn run_random_faults(seed: u64) {
     let mut sim = Simulation::new(seed, 6);
     sim.controller.settings.quotas.red_gpus_max = Some(8.0);
     sim.cloud.settings.capacity = 8;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -50,11 +50,11 @@
 fn limits_lowered_while_an_array_runs(sim: &mut Simulation) {
     sim.workers.settings.run_step_ms = 2_000;
     sim.submit(small_job("j-1", "batch", 120), 5_000);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/60").is_some());
+    sim.run_until("task j-1/60 runs", 10_000, |sim| sim.worker_running("j-1/60").is_some());
     sim.store.conditions.value_bytes_max = KB;
     sim.submit(small_job("j-2", "batch", 120), 2_000);
     sim.submit(small_job("j-3", "batch", 4), 2_000);
-    sim.run_until("done", 200_000, all_done(&["j-1", "j-2", "j-3"]));
+    sim.run_until("all jobs are done", 200_000, all_done(&["j-1", "j-2", "j-3"]));
 }
 
 /// A gang whose record is too large to be written must be resharded; otherwise it never starts.
@@ -63,11 +63,11 @@
     sim.store.conditions.value_bytes_max = KB;
     sim.submit(small_job("j-1", "ensemble", 60), 5_000);
     sim.submit(small_job("j-2", "ensemble", 10), 5_000);
-    sim.run_until("done", 60_000, all_done(&["j-1", "j-2"]));
+    sim.run_until("all jobs are done", 60_000, all_done(&["j-1", "j-2"]));
     assert_eq!(
         (chunk_of(sim, "j-1"), chunk_of(sim, "j-2")),
         (sim.controller.settings.reduced_tasks_per_chunk, 64),
-        "a job whose records fit was resharded"
+        "only the job whose record is too large must be resharded"
     );
 }
 
@@ -76,13 +76,13 @@
     sim.submit(small_job("j-1", "ensemble", 60), 20_000);
     let failing = sim.add_worker("a");
     // The gang keeps running in its old chunks; once it is lost, it is resharded.
-    sim.run_until("runs", 20_000, |sim| sim.worker_running("j-1/59").is_some());
+    sim.run_until("the last task of the gang runs", 20_000, |sim| sim.worker_running("j-1/59").is_some());
     sim.store.conditions.value_bytes_max = KB;
     let failing = sim.workers.iter().position(|worker| worker.id == failing).unwrap();
     sim.workers[failing].dead = true;
     let busy = sim.workers.iter().position(|worker| !worker.tasks.is_empty());
     sim.restart_worker(busy.expect("the gang runs"));
-    sim.run_until("done", 120_000, all_done(&["j-1"]));
+    sim.run_until("j-1 is done", 120_000, all_done(&["j-1"]));
     assert_eq!(chunk_of(sim, "j-1"), sim.controller.settings.reduced_tasks_per_chunk);
     assert!(
         sim.controller.too_large_transactions() <= 1,
@@ -105,7 +105,7 @@
         sim.controller.too_large_transactions()
     );
     sim.controller.settings.may_reshard = true;
-    sim.run_until("done", 60_000, all_done(&["j-1"]));
+    sim.run_until("j-1 is done", 60_000, all_done(&["j-1"]));
 }
 
 /// Runs until a write of the leader has been refused under the lower limit; its next write is
@@ -116,7 +116,9 @@
     let before = sim.controller.too_large_transactions();
     sim.submit(small_job(id, kind, 60), 5_000);
     // With write budget to spare, the job may be resharded before any write is refused.
-    sim.run_until("refused", 20_000, |sim| sim.controller.too_large_transactions() > before || chunk_of(sim, id) != 64);
+    sim.run_until("a write is refused or the job is resharded", 20_000, |sim| {
+        sim.controller.too_large_transactions() > before || chunk_of(sim, id) != 64
+    });
 }
 
 fn leader_crashes_before_it_reshards(sim: &mut Simulation) {
@@ -125,7 +127,7 @@
     sim.run_until("the leader has crashed", 20_000, |sim| !sim.has_leader());
     assert_eq!(chunk_of(sim, "j-1"), 64);
     sim.elect();
-    sim.run_until("done", 120_000, all_done(&["j-1"]));
+    sim.run_until("j-1 is done", 120_000, all_done(&["j-1"]));
 }
 
 fn leader_crashes_after_it_resharded(sim: &mut Simulation) {
@@ -134,7 +136,7 @@
     sim.run_until("the leader has crashed", 20_000, |sim| !sim.has_leader());
     assert_eq!(chunk_of(sim, "j-1"), sim.controller.settings.reduced_tasks_per_chunk);
     sim.elect();
-    sim.run_until("done", 120_000, all_done(&["j-1"]));
+    sim.run_until("j-1 is done", 120_000, all_done(&["j-1"]));
 }
 
 /// No task may be placed while it is unknown whether the old or the new chunks are in effect,
@@ -147,7 +149,7 @@
         sim.run(3_000);
         sim.network.rates = FaultRates::default();
     }
-    sim.run_until("done", 200_000, all_done(&["j-1", "j-2", "j-3", "j-4", "j-5", "j-6"]));
+    sim.run_until("all jobs are done", 200_000, all_done(&["j-1", "j-2", "j-3", "j-4", "j-5", "j-6"]));
     sim.run(45_000);
 }
 
@@ -170,7 +172,7 @@
         sim.controller.settings.may_reshard = false;
         sim.elect();
         sim.submit(small_job(&id, "batch", 60), 40_000);
-        sim.run_until("runs", 20_000, |sim| sim.worker_running(&format!("{id}/5")).is_some());
+        sim.run_until("a task of the job runs", 20_000, |sim| sim.worker_running(&format!("{id}/5")).is_some());
         sim.network.rates = FaultRates { lost_transaction_response: 100, ..FaultRates::default() };
         sim.controller.settings.may_reshard = true;
         sim.run(1_500);
@@ -180,7 +182,7 @@
         sim.run(5_000);
     }
     sim.submit(small_job("j-9", "ensemble", 60), 3_000);
-    sim.run_until("done", 60_000, all_done(&["j-9"]));
+    sim.run_until("j-9 is done", 60_000, all_done(&["j-9"]));
     sim.run(150_000);
     let left = sim.store.chunk_keys();
     assert!(left.is_empty(), "records of finished jobs are left: {left:?}");
@@ -194,7 +196,7 @@
         sim.add_worker("b");
     }
     sim.submit(small_job("j-1", "service", 50), 0);
-    sim.run_until("runs", 30_000, |sim| sim.worker_running("j-1/49").is_some());
+    sim.run_until("the last task of the service runs", 30_000, |sim| sim.worker_running("j-1/49").is_some());
     sim.store.conditions.value_bytes_max = KB;
     let starts = sim.starts();
     sim.run(10_000);
@@ -231,7 +233,7 @@
         sim.run_until("the job is resharded or done", 60_000, |sim| {
             chunk_of(sim, id) == sim.controller.settings.reduced_tasks_per_chunk || sim.status(id) == JobStatus::Done
         });
-        sim.run_until("done", 120_000, |sim| sim.status(id) == JobStatus::Done);
+        sim.run_until("the job is done", 120_000, |sim| sim.status(id) == JobStatus::Done);
     }
     sim.run(45_000);
 }
@@ -288,7 +290,7 @@
     sim.users.tasks_per_chunk = 4;
     sim.submit(small_job("j-1", "batch", 60), 5_000);
     sim.submit(small_job("j-2", "ensemble", 30), 5_000);
-    sim.run_until("done", 200_000, all_done(&["j-1", "j-2"]));
+    sim.run_until("all jobs are done", 200_000, all_done(&["j-1", "j-2"]));
     assert!(
         sim.controller.too_large_transactions() < 8,
         "{} transactions refused",
@@ -305,7 +307,7 @@
     sim.run_until("a transaction is sent", 10_000, |sim| sim.controller.transactions() > 0);
     sim.store.conditions.value_bytes_max = KB;
     sim.network.rates = FaultRates::default();
-    sim.run_until("done", 200_000, all_done(&["j-1"]));
+    sim.run_until("j-1 is done", 200_000, all_done(&["j-1"]));
     sim.run(45_000);
 }
 
--- a/tests/pipelines/cancelled_shapes.rs
+++ b/tests/pipelines/cancelled_shapes.rs
@@ -18,14 +18,14 @@
     assert_eq!(sim.store.revision(), before.next(), "a cancellation took more than one write");
     let all_cancelled =
         |sim: &Simulation| dependents.iter().all(|id| sim.status_reported_to_users(id) == Some(JobStatus::Cancelled));
-    assert!(all_cancelled(sim), "under the same leader");
+    assert!(all_cancelled(sim), "a dependent is not cancelled under the same leader");
     sim.elect();
     let elected = sim.store.revision();
     sim.run(30_000);
-    assert!(all_cancelled(sim), "under the next leader");
+    assert!(all_cancelled(sim), "a dependent is not cancelled under the next leader");
     assert_eq!(sim.store.revision(), elected, "the next leader wrote a record");
     assert!(dependents.iter().all(|id| !has_started(sim, id)));
-    // A case fails if no task ever runs.
+    // The final check of a case fails if no task ever started, so an unrelated job is run.
     sim.submit(submission("j-9000", "batch", 1), 1_000);
     sim.run_until("an unrelated job is done", 30_000, is_done("j-9000"));
 }
--- a/tests/pipelines/job_cache.rs
+++ b/tests/pipelines/job_cache.rs
@@ -147,7 +147,7 @@
     }
 }
 
-/// Deep chains, wide fan_out-outs and wide joins must load quickly, in any order, and the end of
+/// Deep chains, wide fan-outs and wide joins must load quickly, in any order, and the end of
 /// a job may only cost work for its dependents.
 #[test]
 fn deep_and_wide_graphs_load_quickly_and_a_completion_changes_only_dependents() {
@@ -158,7 +158,8 @@
         (0..1_001).map(|n| if n < 1_000 { vec![] } else { (0..1_000).map(name).collect() }).collect();
     let lattice: Vec<Vec<String>> =
         (0..2_000).map(|n| if n < 10 { vec![] } else { (n / 10 * 10 - 10..n / 10 * 10).map(name).collect() }).collect();
-    // Where each job has a deadline, every new job changes the deadlines of all its prerequisites.
+    // Where each job has a deadline, every new job changes the inherited deadlines of all its
+    // direct and indirect prerequisites.
     let chain_with_deadlines = chain.clone();
     for (graph_name, graph) in [
         ("chain", chain),
@@ -202,7 +203,7 @@
                     "{graph_name}, backwards {backwards}: loaded in {loaded:?}, {end:?} at {elapsed:?}, {changed} changed"
                 );
                 // The limit holds for an unoptimized build, with a margin for a busy machine.
-                assert!(elapsed < Duration::from_secs(5), "{graph_name} elapsed {elapsed:?}");
+                assert!(elapsed < Duration::from_secs(5), "{graph_name} took {elapsed:?}");
                 let direct_dependents = graph.iter().filter(|p| p.contains(&name(0))).count();
                 if end == JobStatus::Done {
                     assert!(changed <= 1 + direct_dependents, "{graph_name}: {changed} jobs changed by one completion");
--- a/tests/pipelines/random_faults.rs
+++ b/tests/pipelines/random_faults.rs
@@ -104,11 +104,11 @@
         for round in 0..40 {
             // A process that ends before its upgrade restarts with the previous version.
             if round >= 8 && sim.random_below(2) == 0 {
-                if let Some(n) = is_upgraded.iter().position(|new| !new) {
+                if let Some(n) = is_upgraded.iter().position(|upgraded| !upgraded) {
                     is_upgraded[n] = true;
                 }
             }
-            let all_upgraded = is_upgraded.iter().all(|new| *new);
+            let all_upgraded = is_upgraded.iter().all(|upgraded| *upgraded);
             if !sim.has_leader() || sim.random_below(3) == 0 {
                 sim.controller.settings.writes_previous_format = !is_upgraded[sim.random_below(5)];
                 sim.controller.settings.may_reshard = all_upgraded;
@@ -144,7 +144,7 @@
                 sim.store.conditions.value_bytes_max = 1 << 10;
             }
         }
-        assert!(is_upgraded.iter().all(|new| *new), "seed {seed}");
+        assert!(is_upgraded.iter().all(|upgraded| *upgraded), "seed {seed}");
         sim.network.rates = FaultRates::default();
         sim.controller.settings.crash_after_transaction = false;
         sim.controller.settings.crash_before_transaction = false;
--- a/tests/pipelines/starts.rs
+++ b/tests/pipelines/starts.rs
@@ -14,7 +14,7 @@
     sim.submit(submission("j-1", "batch", 6), 3_000);
     sim.submit(submission_after("j-2", "ensemble", 2, &["j-1"]), 3_000);
     sim.submit(submission_after("j-3", "batch", 3, &["j-2"]), 3_000);
-    sim.run_until("done", 90_000, is_done("j-3"));
+    sim.run_until("j-3 is done", 90_000, is_done("j-3"));
 }
 
 pub fn diamond_waits_for_both_sides(sim: &mut Simulation) {
@@ -25,7 +25,7 @@
     sim.run_until("one side is done", 60_000, is_done("j-2"));
     sim.run(4_000);
     assert!(!has_started(sim, "j-4"), "started although the other side isn't done");
-    sim.run_until("done", 60_000, is_done("j-4"));
+    sim.run_until("j-4 is done", 60_000, is_done("j-4"));
 }
 
 pub fn fan_out_and_join_complete(sim: &mut Simulation) {
@@ -36,7 +36,7 @@
     }
     let all: Vec<&str> = names.iter().map(String::as_str).collect();
     sim.submit(submission_after("j-99", "batch", 1, &all), 1_000);
-    sim.run_until("done", 200_000, is_done("j-99"));
+    sim.run_until("j-99 is done", 200_000, is_done("j-99"));
 }
 
 /// Ids are not in the order of dependencies, so the leader reads dependents before their
@@ -47,7 +47,7 @@
     sim.submit(submission_after("j-5", "batch", 1, &["j-9"]), 2_000);
     sim.submit(submission_after("j-1", "batch", 1, &["j-5", "j-9"]), 2_000);
     sim.elect();
-    sim.run_until("done", 60_000, is_done("j-1"));
+    sim.run_until("j-1 is done", 60_000, is_done("j-1"));
 }
 
 /// All tasks of the prerequisite have ended, but its completion isn't written: no dependent
@@ -60,7 +60,7 @@
     sim.run(30_000);
     assert!(sim.workers.completed_count() == 2 && sim.status("j-1") == JobStatus::Pending && !has_started(sim, "j-2"));
     sim.store.conditions.transactions_left = None;
-    sim.run_until("done", 60_000, is_done("j-2"));
+    sim.run_until("j-2 is done", 60_000, is_done("j-2"));
 }
 
 /// The leader crashes between the exit of the last task and the record of the completion;
@@ -70,7 +70,7 @@
     sim.controller.settings.crash_before_transaction = true;
     sim.run_until("the leader has crashed", 20_000, |sim| !sim.has_leader());
     sim.elect();
-    sim.run_until("done", 60_000, is_done("j-2"));
+    sim.run_until("j-2 is done", 60_000, is_done("j-2"));
 }
 
 pub fn leader_crashes_after_the_completion_is_committed(sim: &mut Simulation) {
@@ -80,7 +80,7 @@
     assert!(sim.status("j-1") == JobStatus::Done && !has_started(sim, "j-2"));
     sim.run(5_000);
     sim.elect();
-    sim.run_until("done", 60_000, is_done("j-2"));
+    sim.run_until("j-2 is done", 60_000, is_done("j-2"));
 }
 
 /// The response to the write of the completion is lost, and the write is applied late.
@@ -88,16 +88,16 @@
     run_until_the_prerequisite_ended(sim);
     lose_transaction_responses_for_one_second(sim);
     sim.elect();
-    sim.run_until("done", 60_000, is_done("j-2"));
+    sim.run_until("j-2 is done", 60_000, is_done("j-2"));
     sim.run(45_000);
 }
 
 /// A job that is submitted once its prerequisites are done starts at once.
 pub fn prerequisite_is_done_at_submission(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 1), 1_000);
-    sim.run_until("done", 30_000, is_done("j-1"));
+    sim.run_until("j-1 is done", 30_000, is_done("j-1"));
     sim.submit(submission_after("j-2", "batch", 1, &["j-1"]), 1_000);
-    sim.run_until("done", 30_000, is_done("j-2"));
+    sim.run_until("j-2 is done", 30_000, is_done("j-2"));
 }
 
 /// A job that waits for a prerequisite uses none of its team's quota.
@@ -108,7 +108,7 @@
     let gpus = |submission: Submission| submission.with_gpus(4.0).with_cpus(1.0);
     sim.submit(gpus(submission_after("j-2", "batch", 1, &["j-1"])), 1_000);
     sim.submit(gpus(submission("j-3", "batch", 1)), 2_000);
-    sim.run_until("done", 30_000, is_done("j-3"));
+    sim.run_until("j-3 is done", 30_000, is_done("j-3"));
     let leader = sim.leader();
     assert_eq!(leader.cluster().active_jobs().count(), 1, "the waiting job is among the active jobs");
 }
--- a/tests/pipelines/urgency.rs
+++ b/tests/pipelines/urgency.rs
@@ -19,7 +19,7 @@
     sim.elect();
     sim.submit(submission("j-1", "batch", 1), 40_000);
     sim.submit(submission_after("j-2", "service", 1, &["j-1"]), 0);
-    sim.run_until("done", 60_000, is_done("j-1"));
+    sim.run_until("j-1 is done", 60_000, is_done("j-1"));
     sim.run(10_000);
     let record = job_record(&sim, "j-1");
     assert!(record.at_ms > 40_000 && record.at_ms < sim.now(), "{}", record.at_ms);
@@ -43,7 +43,7 @@
     let leader = sim.leader();
     let job = leader.cluster().active_jobs().find(|job| &*job.id == "j-1").unwrap();
     assert_eq!(job.spec.priority, Priority::High);
-    sim.run_until("done", 90_000, is_done("j-2"));
+    sim.run_until("j-2 is done", 90_000, is_done("j-2"));
     // Resources must be subtracted under the same priority under which they were added.
     let leader = sim.leader();
     for host in &leader.cluster().snapshot().hosts {
@@ -97,7 +97,8 @@
 /// prerequisite must not be included.
 pub fn scale_out_urgency_counts_from_the_last_prerequisite(sim: &mut Simulation) {
     const PATIENCE_MS: u64 = 48_000;
-    sim.cloud.settings.spot_price = 0.02; // 50 times lower: low priority pays the full price after 48.5 s
+    // On demand, a machine costs 50 times as much: low priority pays that after waiting 48.5 s.
+    sim.cloud.settings.spot_price = 0.02;
     sim.elect();
     sim.workers.iter_mut().skip(1).for_each(|worker| worker.dead = true);
     sim.cloud.settings.capacity = 1;
@@ -116,7 +117,7 @@
     let on_demand = sim.cloud.requests().iter().find(|request| !request.spot).unwrap();
     assert!(on_demand.at >= ready_ms + PATIENCE_MS, "requested {} ms after the job was ready", on_demand.at - ready_ms);
     sim.cloud.settings.capacity = 2;
-    sim.run_until("done", 120_000, is_done("j-2"));
+    sim.run_until("j-2 is done", 120_000, is_done("j-2"));
 }
 
 /// A job that waits for a prerequisite must not cause scale-out requests, and no task may be
@@ -134,7 +135,7 @@
         (0, 0, 4),
         "requests, stopped tasks and starts while the job waits"
     );
-    sim.run_until("done", 60_000, is_done("j-2"));
+    sim.run_until("j-2 is done", 60_000, is_done("j-2"));
     assert!(was_stopped(sim, "j-0"), "the job did not preempt once it was ready");
 }
 
@@ -173,7 +174,7 @@
 }
 
 /// A job with inherited priority must not exceed its own team's quota, and must not be
-/// included in the quota of the team of the dependent.
+/// included in the quota of its dependent's team.
 pub fn quotas_apply_to_each_jobs_own_team(sim: &mut Simulation) {
     let gpus = |job: Submission| job.with_gpus(2.0).with_cpus(1.0);
     let high = |job: Submission| job.with_priority("high");
--- a/tests/safety_rules/autoscaling.rs
+++ b/tests/safety_rules/autoscaling.rs
@@ -16,7 +16,7 @@
     sim.elect();
     sim.run(4_000);
     sim.network.rates = FaultRates::default();
-    sim.run_until("done", 200_000, |sim| sim.status("j-1") == JobStatus::Done);
+    sim.run_until("the job is done", 200_000, |sim| sim.status("j-1") == JobStatus::Done);
     assert!(machines > 4, "machines whose scale-out response was lost are not used");
     for request in sim.cloud.requests() {
         let other_leader =
@@ -26,8 +26,9 @@
     assert!(sim.cloud.requests().len() > sim.cloud.fulfilled_requests(), "no request was repeated");
 }
 
-/// Machines were provisioned without end in one zone for a gang that must be spread
-/// over two zones, and half of them in each zone for a gang that must be in one.
+/// Regression test: machines were provisioned without end in one zone for a gang that
+/// must be spread over two zones, and half of them in each zone for a gang that must be
+/// in one.
 pub fn machines_are_provisioned_in_the_zones_that_need_them(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 20;
     for worker in sim.workers.iter_mut().filter(|worker| worker.spec.zone == "b") {
@@ -43,8 +44,8 @@
     assert!(sim.workers.len() <= 4 + 8, "{} machines", sim.workers.len());
 }
 
-/// When all machines took ten times as long to boot as expected, each was released
-/// before it was up, and none ever became available.
+/// Regression test: when all machines took ten times as long to boot as expected, each
+/// was released before it was up, and none ever became available.
 pub fn all_machines_boot_late(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 200;
     sim.cloud.settings.boot_ms = 50_000;
@@ -66,9 +67,10 @@
     assert_eq!(dead(sim), dead_before + 1, "another machine was released");
 }
 
-/// When the cloud refused a page of the machine list, the whole list was read again
-/// from the start. Where scale-out requests use up the cloud's rate limit, the last
-/// pages were never read, and the machines on them were paid for but unknown.
+/// Regression test: when the cloud refused a page of the machine list, the whole list
+/// was read again from the start. Where scale-out requests used up the cloud's rate
+/// limit, the last pages were never read, and the machines on them were paid for but
+/// unknown.
 pub fn long_machine_list_is_read_to_its_end(sim: &mut Simulation) {
     sim.add_workers(12);
     sim.cloud.settings.capacity = 1;
--- a/tests/safety_rules/best_effort.rs
+++ b/tests/safety_rules/best_effort.rs
@@ -7,9 +7,9 @@
     submission, Simulation, SubmissionBuilder,
 };
 
-/// A team without a guarantee had every available machine provisioned, at any
-/// price, once its tasks had waited; and its tasks, submitted first, were placed
-/// before those of teams that have a guarantee.
+/// Regression test: every available machine was provisioned, at any price, for a team
+/// without a guarantee once its tasks had waited; and its tasks, submitted first, were
+/// placed before those of teams that have a guarantee.
 pub fn best_effort_team_gets_what_others_leave(sim: &mut Simulation) {
     sim.controller.settings.quotas.red_gpus_guaranteed = Some(4.0);
     sim.cloud.settings.spot_price = 0.1;
@@ -30,8 +30,8 @@
     sim.run_until("the best-effort job is done", 400_000, |sim| sim.status("j-1") == JobStatus::Done);
 }
 
-/// Tasks of a team without a guarantee that run for minutes took all capacity as
-/// it became free; tasks of other teams of the same priority waited for them.
+/// Regression test: tasks that run for minutes, of a team without a guarantee, took all
+/// capacity as it became free; tasks of the same priority of other teams waited for them.
 pub fn best_effort_tasks_leave_capacity_for_other_teams(sim: &mut Simulation) {
     sim.controller.settings.quotas.red_gpus_guaranteed = Some(4.0);
     sim.add_workers(296);
@@ -57,8 +57,8 @@
     sim.run_until("the capacity that other teams leave is used", 150_000, |sim| running(sim) >= 1_120);
 }
 
-/// Expensive machines whose GPUs were unused were kept for as long as a team
-/// without a guarantee had tasks for their CPUs.
+/// Regression test: expensive machines whose GPUs were unused were kept for as long as a
+/// team without a guarantee had tasks for their CPUs.
 pub fn expensive_machines_are_not_kept_for_best_effort(sim: &mut Simulation) {
     sim.controller.settings.quotas.red_gpus_guaranteed = Some(4.0);
     sim.cloud.settings.offers_low_priced_type = true;
--- a/tests/safety_rules/failing_jobs.rs
+++ b/tests/safety_rules/failing_jobs.rs
@@ -20,9 +20,9 @@
     (0..4).flat_map(|n| [format!("j-1{n}"), format!("j-2{n}")]).collect()
 }
 
-/// Two failures of different jobs marked a machine as faulty, so that a few jobs
-/// submitted with a mistake caused healthy machines to be released one after the
-/// other; and all tasks of such a job were retried each time.
+/// Regression test: two failures of different jobs marked a machine as faulty, so that a
+/// few jobs submitted with a mistake caused healthy machines to be released one after
+/// the other; and all tasks of such a job were retried each time.
 pub fn jobs_that_fail_everywhere(sim: &mut Simulation) {
     sim.add_workers(6);
     sim.cloud.settings.capacity = 20;
--- a/tests/safety_rules/heartbeats.rs
+++ b/tests/safety_rules/heartbeats.rs
@@ -63,7 +63,7 @@
     sim.run(200);
     assert_eq!(placed(sim), 0, "an older heartbeat was accepted");
     sim.submit(submission("j-2", "service", 4).with_zone("a"), 0);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-2/0").is_some());
+    sim.run_until("the service runs", 10_000, |sim| sim.worker_running("j-2/0").is_some());
     let late = report_of_a_task_never_placed(sim, 1 << 40);
     sim.workers.iter_mut().for_each(|worker| worker.faults.partitioned = true);
     sim.run(LEASE_MS + 3_000);
@@ -75,7 +75,7 @@
 pub fn unrecorded_tasks_are_adopted(sim: &mut Simulation) {
     sim.workers.iter_mut().skip(1).for_each(|worker| worker.dead = true);
     sim.submit(submission("j-1", "service", 2), 0);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/1").is_some());
+    sim.run_until("the job runs", 10_000, |sim| sim.worker_running("j-1/1").is_some());
     // The record is lost, for whatever reason, but the tasks still run.
     sim.store.lose_chunk_records();
     let (a, b) = (sim.worker_running("j-1/0"), sim.worker_running("j-1/1"));
@@ -88,7 +88,7 @@
 /// that machine; no task may be placed on it.
 pub fn heartbeat_copy_of_a_released_machine(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 2), 500_000);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/1").is_some());
+    sim.run_until("the job runs", 10_000, |sim| sim.worker_running("j-1/1").is_some());
     let copies: Vec<_> = (0..2).map(|n| sim.workers[n].latest_heartbeat()).collect();
     for n in 0..2 {
         sim.workers[n].terminate();
@@ -112,7 +112,9 @@
     sim.run(4_000);
     sim.submit(submission("j-1", "service", 3), 0);
     sim.submit(submission("j-2", "service", 3).with_priority("low"), 0);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/2").is_some() && sim.worker_running("j-2/2").is_some());
+    sim.run_until("both jobs run", 10_000, |sim| {
+        sim.worker_running("j-1/2").is_some() && sim.worker_running("j-2/2").is_some()
+    });
     let copies = sim.latest_heartbeats();
     // The tasks that those copies list are stopped, lost with their incarnation, or moved.
     assert!(sim.cancel("j-1"));
--- a/tests/safety_rules/large_jobs.rs
+++ b/tests/safety_rules/large_jobs.rs
@@ -27,12 +27,12 @@
     sim.run_until("the next job is done", 12_000, |sim| sim.status("j-3") == JobStatus::Done);
 }
 
-/// Small jobs take every machine that becomes free, so that a large gang never
-/// finds all of its machines free at once, and low-priority jobs get none.
+/// Regression test: small jobs took every machine that became free, so that a large gang
+/// never found all of its machines free at once, and low-priority jobs got none.
 pub fn largest_gang_starts_in_time(sim: &mut Simulation) {
     sim.submit(submission("j-1", "ensemble", 4).with_cpus(4.0).with_one_zone(true), 100_000);
     sim.submit(submission("j-2", "batch", 400).with_priority("low").with_cpus(4.0), 1_000);
-    // Small jobs always exceed the free capacity, and arrive a moment before it is free.
+    // Small jobs always exceed the free capacity, and arrive a moment before it becomes free.
     for n in 0..60 {
         let mut job = submission(&format!("j-{}", 100 + n), "batch", 8);
         (job.cpus, job.estimate_s) = (Some(4.0), Some(5.0));
@@ -51,9 +51,9 @@
     sim.run_until("the low-priority job starts", 245_000 - (sim.now() - 1_000), has_started);
 }
 
-/// When the starved jobs exceed the free capacity, gangs of one machine took
-/// every machine that a larger gang could have reserved, and the larger gang
-/// started last. Therefore one gang at a time collects its machines in each zone.
+/// Regression test: when the starved jobs exceeded the free capacity, gangs of one machine
+/// took every machine that a larger gang could have reserved, and the larger gang started
+/// last. Therefore one gang at a time collects its machines in each zone.
 pub fn largest_gangs_start_in_time_in_a_backlog(sim: &mut Simulation) {
     sim.add_workers(4);
     sim.run(5_000);
--- a/tests/safety_rules/launches.rs
+++ b/tests/safety_rules/launches.rs
@@ -10,7 +10,7 @@
     sim.run(3_000);
     assert!(!sim.has_leader() && sim.starts() == 0, "a task started before its record was written");
     sim.elect();
-    sim.run_until("done", 60_000, |sim| sim.status("j-1") == JobStatus::Done);
+    sim.run_until("the job is done", 60_000, |sim| sim.status("j-1") == JobStatus::Done);
 }
 
 pub fn leader_crashes_after_the_commit(sim: &mut Simulation) {
@@ -19,7 +19,7 @@
     sim.run(3_000);
     assert!(!sim.has_leader());
     sim.elect();
-    sim.run_until("done", 60_000, |sim| sim.status("j-1") == JobStatus::Done);
+    sim.run_until("the job is done", 60_000, |sim| sim.status("j-1") == JobStatus::Done);
 }
 
 pub fn late_command_after_a_leader_change(sim: &mut Simulation) {
@@ -36,7 +36,7 @@
 /// received the launch before it hung.
 pub fn late_command_to_a_hung_worker(sim: &mut Simulation) {
     sim.submit(submission("j-1", "service", 1), 0);
-    sim.run_until("launched", 8_000, |sim| sim.workers.iter().any(|worker| !worker.tasks.is_empty()));
+    sim.run_until("the task is launched", 8_000, |sim| sim.workers.iter().any(|worker| !worker.tasks.is_empty()));
     let has_live_task = |&worker: &usize| sim.workers[worker].tasks.iter().any(|task| task.state != TaskState::Exited);
     let hung = (0..sim.workers.len()).find(has_live_task).expect("launched");
     sim.workers[hung].faults.hung = true;
@@ -88,7 +88,9 @@
         "a task was launched before its record was written"
     );
     sim.store.conditions.transactions_left = None;
-    sim.run_until("done", 60_000, |sim| sim.status("j-1") == JobStatus::Done && sim.status("j-2") == JobStatus::Done);
+    sim.run_until("both jobs are done", 60_000, |sim| {
+        sim.status("j-1") == JobStatus::Done && sim.status("j-2") == JobStatus::Done
+    });
 }
 
 /// A repeated launch command arrives after its task was started, stopped and
@@ -98,7 +100,7 @@
     sim.run(5_000);
     sim.network.rates = FaultRates { repeated_command: 100, ..FaultRates::default() };
     sim.submit(submission("j-1", "service", 1).with_priority("low"), 0);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
+    sim.run_until("the task runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
     assert!(sim.network.in_flight() > 0, "no copy of the launch command is in flight");
     let at = sim.now() + 30_000;
     sim.network.delay_all_until(at);
--- a/tests/safety_rules/placement.rs
+++ b/tests/safety_rules/placement.rs
@@ -66,9 +66,9 @@
     assert!(halts.iter().all(|halt| halt.at < halts[0].at + 4_000), "the tasks were not stopped together");
 }
 
-/// A gang that must be in one zone was bound to the zone of the lowest-priced
-/// machine for its first task, and waited permanently when that zone had too few
-/// machines.
+/// Regression test: a gang that must be in one zone was bound to the zone of the
+/// lowest-priced machine for its first task, and waited permanently when that zone had
+/// too few machines.
 pub fn gang_goes_to_the_zone_with_enough_capacity(sim: &mut Simulation) {
     for _ in 0..2 {
         sim.add_worker("b");
--- a/tests/safety_rules/scale.rs
+++ b/tests/safety_rules/scale.rs
@@ -5,17 +5,17 @@
 
 use crate::simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS};
 
-/// More than the largest deployment has.
+/// Number of machines; the largest deployment has fewer.
 const MACHINES: usize = 4_500;
 const SERVICES: usize = 60;
 const ARRAYS: usize = 100;
 
 /// The cost is measured in machines examined and records written, not in time.
 ///
-/// Each scheduling cycle, each heartbeat and the periodic checks examined every
-/// machine, assignment and job; the exit of every task rewrote its job's record; and
-/// fixed shares of the write budget left half of it unused while submissions were
-/// refused.
+/// Regression test: each scheduling cycle, each heartbeat and each run of the periodic
+/// checks examined every machine, assignment and job; the exit of every task rewrote its
+/// job's record; and fixed shares of the write budget left half of it unused while
+/// submissions were refused.
 #[test]
 fn scheduling_cost_is_bounded_with_thousands_of_machines_and_five_controllers() {
     let mut sim = Simulation::new(3, MACHINES);
@@ -26,7 +26,7 @@
     sim.run(8_000);
     let examined = |sim: &Simulation| sim.leader().cluster().snapshot().hosts_examined;
     let written = |sim: &Simulation| sim.write_budgets().written();
-    assert_eq!((examined(&sim), written(&sim)), (0, 0), "cost without any job");
+    assert_eq!((examined(&sim), written(&sim)), (0, 0), "machines examined and records written without any job");
 
     // Two jobs a second, ten in a row to the same controller.
     let (mut refused, mut tasks) = (0, 0);
@@ -59,7 +59,11 @@
     sim.run(250_000);
     let before = (examined(&sim), written(&sim));
     sim.run(30_000);
-    assert_eq!((examined(&sim), written(&sim)), before, "cost although nothing changed");
+    assert_eq!(
+        (examined(&sim), written(&sim)),
+        before,
+        "machines examined or records written although nothing changed"
+    );
 
     // A new leader receives heartbeats from all workers again, and moves no task.
     let starts = sim.starts();
--- a/tests/safety_rules/transactions.rs
+++ b/tests/safety_rules/transactions.rs
@@ -10,7 +10,7 @@
     sim.run(500);
     sim.network.rates = FaultRates::default();
     sim.elect();
-    sim.run_until("done", 90_000, |sim| sim.status("j-1") == JobStatus::Done);
+    sim.run_until("the job is done", 90_000, |sim| sim.status("j-1") == JobStatus::Done);
     sim.run(45_000);
 }
 
@@ -41,10 +41,10 @@
     sim.network.rates = FaultRates { lost_transaction_response: 50, ..FaultRates::default() };
     sim.submit(submission("j-1", "batch", 12), 2_000);
     sim.submit(submission("j-2", "service", 2), 0);
-    sim.run_until("done", 300_000, |sim| sim.status("j-1") == JobStatus::Done);
+    sim.run_until("the job is done", 300_000, |sim| sim.status("j-1") == JobStatus::Done);
 }
 
-/// The leader changes again and again within a fraction of a second; each new
+/// The leader changes again and again, each time within a fraction of a second; each new
 /// leader finds launches and transactions in flight that earlier leaders started.
 pub fn leaders_in_quick_succession(sim: &mut Simulation) {
     sim.network.rates = FaultRates {
@@ -61,6 +61,6 @@
         sim.run(300);
     }
     sim.network.rates = FaultRates::default();
-    sim.run_until("done", 120_000, |sim| sim.status("j-2") == JobStatus::Done);
+    sim.run_until("the array is done", 120_000, |sim| sim.status("j-2") == JobStatus::Done);
     sim.run_until("all tasks run", 90_000, |sim| sim.all_running("j-1", 6));
 }
--- a/tests/safety_rules/unreachable_machines.rs
+++ b/tests/safety_rules/unreachable_machines.rs
@@ -4,8 +4,8 @@
 
 use crate::simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS};
 
-/// A single machine without heartbeats, while other machines send theirs, is released,
-/// and its tasks start elsewhere long before its lease expires.
+/// A single machine whose heartbeats stop, while other machines send theirs, must be
+/// released, and its tasks must start elsewhere long before its lease expires.
 pub fn unreachable_machine_is_released(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 1;
     sim.controller.settings.heartbeat_timeout_ms = 8_500;
@@ -13,7 +13,7 @@
     sim.elect();
     sim.run(20_000);
     sim.submit(submission("j-1", "service", 2), 0);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
+    sim.run_until("the service runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
     let placed_on = sim.worker_running("j-1/0").unwrap();
     sim.workers[placed_on].faults.partitioned = true;
     sim.run_until("the task runs elsewhere", 14_000, |sim| {
@@ -51,7 +51,7 @@
     sim.elect();
     sim.run(12_000);
     sim.submit(submission("j-1", "service", 9), 0);
-    sim.run_until("runs", 12_000, |sim| sim.all_running("j-1", 9));
+    sim.run_until("all tasks run", 12_000, |sim| sim.all_running("j-1", 9));
     sim.run_until("the machine that never received anything is released", 15_000, |sim| sim.workers[7].dead);
     let placed_on = sim.worker_running("j-1/0").unwrap();
     let lost: Vec<String> = sim.workers[placed_on].tasks.iter().map(|task| task.name.clone()).collect();
@@ -64,8 +64,9 @@
     sim.run_until("no task waits for that machine", 60_000, |sim| sim.status("j-2") == JobStatus::Done);
 }
 
-/// Machines that can't reach a controller, but respond to its calls, got new tasks in
-/// every new incarnation and lost them when the next lease expired.
+/// Regression test: machines that couldn't reach any controller, but responded to the
+/// leader's calls, got new tasks in every new incarnation and lost them when the next
+/// lease expired.
 pub fn machines_that_reach_no_controller_get_no_new_tasks(sim: &mut Simulation) {
     sim.add_workers(4);
     sim.run(5_000);
@@ -119,6 +120,6 @@
     sim.run_until("all tasks run elsewhere before the leases expire", LEASE_MS - 5_000, all_run_elsewhere);
     sim.run(LEASE_MS);
     hung.iter().for_each(|&n| sim.workers[n].faults.hung = false);
-    sim.run_until("done", 60_000, |sim| sim.status("j-2") == JobStatus::Done);
+    sim.run_until("the array is done", 60_000, |sim| sim.status("j-2") == JobStatus::Done);
     assert!(sim.workers.len() <= 24 + 6, "{} machines", sim.workers.len());
 }
--- a/tests/safety_rules/worker_leases.rs
+++ b/tests/safety_rules/worker_leases.rs
@@ -17,7 +17,7 @@
 
 pub fn partitioned_worker_keeps_its_lease(sim: &mut Simulation) {
     sim.submit(submission("j-1", "service", 2), 0);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
+    sim.run_until("the service runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
     let placed_on = sim.worker_running("j-1/0").unwrap();
     sim.workers[placed_on].faults.partitioned = true;
     // Missing heartbeats don't prove that a task has ended before the lease has expired; the
@@ -31,11 +31,14 @@
     sim.run(60_000);
 }
 
-/// A worker restarts with a new incarnation before its heartbeats are late.
+/// Workers restart with a new incarnation before their heartbeats are late; their tasks must
+/// run again.
 pub fn worker_restarts_at_once(sim: &mut Simulation) {
     sim.submit(submission("j-1", "service", 4), 0);
     sim.submit(submission("j-2", "ensemble", 3).with_one_zone(true), 0);
-    sim.run_until("runs", 10_000, |sim| sim.worker_running("j-1/3").is_some() && sim.worker_running("j-2/2").is_some());
+    sim.run_until("both jobs run", 10_000, |sim| {
+        sim.worker_running("j-1/3").is_some() && sim.worker_running("j-2/2").is_some()
+    });
     for n in 0..4 {
         sim.restart_worker(n);
         if n == 2 {
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -35,7 +35,7 @@
     pub spot: bool,
 }
 
-/// What the cloud offers, and its faults.
+/// Machines and prices that the cloud offers, and its faults.
 pub struct CloudSettings {
     /// Number of machines that the cloud can still provision.
     pub capacity: u32,
@@ -75,7 +75,7 @@
     provisioned: HashMap<String, Vec<String>>,
     requests: Vec<ScaleOutRequest>,
     pages_requested: u32,
-    /// Whether there has been capacity at any time.
+    /// Whether there was capacity at any call of `observe_capacity`.
     has_had_capacity: bool,
 }
 
--- a/tests/simulation/controller.rs
+++ b/tests/simulation/controller.rs
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Returns how many transactions all leaders have sent.
+    /// Returns how many transactions all leaders have issued, including those that were lost
+    /// in a crash or refused by the store.
     pub fn transactions(&self) -> usize {
         self.transactions
     }
@@ -236,8 +237,8 @@
         }
     }
 
-    /// Passes to the leader that its transaction failed, or that no response was
-    /// received; it continues to lead.
+    /// Informs the leader that its transaction failed, or that no response was received;
+    /// it continues to lead.
     pub(super) fn transaction_failed(&mut self, now: Millis, outcome: CommitOutcome) {
         if let Some(leader) = &mut self.leader {
             leader.transaction_finished(now, outcome);
@@ -276,7 +277,7 @@
         }
     }
 
-    /// Passes to the leader that a scale-in succeeded.
+    /// Informs the leader that a scale-in succeeded.
     pub(super) fn scale_in_finished(&mut self, now: Millis, call: CallId) {
         if let Some(leader) = &mut self.leader {
             leader.scale_in_finished(now, call, true);
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -28,7 +28,7 @@
 const LARGE_CLUSTER_WORKERS: usize = 100;
 const LARGE_CLUSTER_PERIOD_MS: Millis = 5_000;
 
-/// Number of violations that a failed case prints.
+/// Maximum number of violations that a failed case prints.
 const PRINTED_VIOLATIONS: usize = 5;
 
 /// The violations recorded so far, and counts of what was checked.
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -14,7 +14,7 @@
 
 use super::{submission, worker::WorkerFaults, Simulation};
 
-/// A direct call of a leader that waits for the response.
+/// A direct call whose response a leader waits for.
 #[derive(Clone, Copy)]
 pub(super) struct DirectCall {
     pub(super) machine: MachineIndex,
@@ -67,9 +67,10 @@
     pub late_transaction: u32,
     /// The response to a heartbeat is lost.
     pub lost_heartbeat_response: u32,
-    /// A copy of a heartbeat arrives later.
+    /// In addition to a heartbeat, a copy of it arrives later.
     pub late_heartbeat: u32,
-    /// A copy of a heartbeat arrives half a worker lease to four worker leases later.
+    /// In addition to a heartbeat, a copy of it arrives half a worker lease to four worker
+    /// leases later.
     pub very_late_heartbeat: u32,
     /// A heartbeat arrives some seconds late, and its response is lost.
     pub delayed_heartbeat: u32,
@@ -151,14 +152,15 @@
         gang.cpus = Some(8.0);
         self.submit(gang, 0);
         self.run(200);
-        assert_eq!(self.network.in_flight(), 2, "both launches are in flight");
+        assert_eq!(self.network.in_flight(), 2, "number of launches in flight");
         self.network.delay_all_until(self.now + 100);
         self.network.delay_commands_for(0, self.now + delay_ms);
         self.network.rates = FaultRates::default();
     }
 
-    /// Ends all faults, restarts the progress check's waits, and elects a leader if there
-    /// is none. Messages in flight still arrive.
+    /// Ends the faults of the network and of the workers, and the store's refusals and
+    /// latencies; restarts the progress check's waits, and elects a leader if there is none.
+    /// Messages in flight still arrive.
     pub fn heal_faults(&mut self) {
         self.network.rates = FaultRates::default();
         let conditions = &mut self.store.conditions;
--- a/tests/simulation/progress.rs
+++ b/tests/simulation/progress.rs
@@ -107,7 +107,7 @@
         self.workers.alive().find(|worker| worker.live_tasks().any(|held| held.name == task))
     }
 
-    /// Reports whether `needed` more tasks would exceed the limit of team "red", to which
+    /// Reports whether `needed` more tasks would exceed the quota of team "red", to which
     /// all jobs belong in the cases that check progress.
     fn exceeds_quota(&self, job: &SubmittedJob, needed: usize) -> bool {
         let Some(gpus_max) = self.controller.settings.quotas.red_gpus_max else { return false };
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -134,8 +134,8 @@
         true
     }
 
-    /// Cancels a job and returns the user's response: true when cancelled, false when it
-    /// was already done.
+    /// Cancels a job as its user does. Returns the response: true when it is cancelled,
+    /// false when it was already done.
     pub fn cancel(&mut self, id: &str) -> bool {
         self.users.cancel(self.now, &mut self.store, id)
     }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -10,7 +10,7 @@
 
 use super::{HEARTBEAT_INTERVAL_MS, LEASE_MS};
 
-/// Shortest time between a heartbeat and a next one that reports a changed state.
+/// Shortest time between a heartbeat and the next one, if that reports a changed state.
 const CHANGE_DELAY_MS: Millis = 500;
 
 /// One attempt of a task on a worker.
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -87,7 +87,7 @@
     completed: HashSet<String>,
     halts: Vec<Halt>,
     relaunches_of_completed: usize,
-    /// Since when another task of the gang has been lost, for each task of a gang.
+    /// For each task of a gang, since when another task of its gang has been lost.
     peer_lost_since: HashMap<GangMember, Millis>,
 }
 
@@ -196,8 +196,8 @@
         split_task(task).map_or(0, |(_, number)| Millis::from(number % RUN_STEPS) * self.settings.run_step_ms)
     }
 
-    /// Reports whether every task of this task's gang has completed, or occupies a
-    /// machine that isn't hung in the same attempt.
+    /// Reports whether every task of this task's gang has completed, or occupies, in the
+    /// same attempt, a machine that isn't hung.
     fn has_all_peers(&self, task: &WorkerTask, job: &SubmittedJob) -> bool {
         let Some((id, _)) = split_task(&task.name) else { return false };
         let is_present = |name: &str| {
--- a/tests/simulation/write_budget.rs
+++ b/tests/simulation/write_budget.rs
@@ -5,10 +5,10 @@
     storage::rate_limit::{allotted_rate, LimitUser, RateLimiter, Urgency},
 };
 
-/// Fraction of the limit that a controller's users have initially, and at least.
+/// Initial and smallest fraction of the limit for submissions to a controller.
 const USERS_SHARE: f64 = 0.2;
 
-/// Fraction of the limit that a controller's commits have initially, and at least.
+/// Initial and smallest fraction of the limit for the commits of a controller.
 const COMMITS_SHARE: f64 = 0.5;
 
 /// Commits may include writes that can wait while more than this fraction of their
