--- a/src/controller/election_driver.rs
+++ b/src/controller/election_driver.rs
@@ -18,8 +18,8 @@
     transport::{http::status::BAD_REQUEST, Net},
 };
 
-/// The state of this controller in the leader election, with its store lease for the
-/// leader's key.
+/// Driver of the leader election: sends the requests that [`Election`] decides on, and
+/// passes their results back to it.
 #[derive(Debug)]
 pub struct ElectionDriver {
     election: Election,
@@ -87,7 +87,7 @@
     }
 
     fn handle_claim_result(&mut self, now: Millis, result: &CallResult) {
-        // The store no longer knows the lease.
+        // This status means that the store lease no longer exists.
         if status(result) == BAD_REQUEST {
             self.election.handle_store_lease_expiry();
         }
@@ -106,8 +106,8 @@
         self.election.leading_term(now)
     }
 
-    /// Returns the term of this controller's leadership, even if its store lease may have
-    /// expired, so that it has no authority to act at this moment.
+    /// Returns the term of this controller's leadership, whether or not it has the
+    /// authority to act at this moment: its store lease may have expired.
     pub fn held_term(&self) -> Option<Term> {
         self.election.held_term()
     }
--- a/src/controller/instance/mod.rs
+++ b/src/controller/instance/mod.rs
@@ -35,9 +35,9 @@
     transport::{Event, Net},
 };
 
-/// Time, in ms, for which the leader's key as last read is valid after the key-value store's
-/// last response: the duration of a watch of the key, plus the time to detect that the watch
-/// failed.
+/// Age of the key-value store's last response, in ms, from which the last read state of the
+/// leader's key no longer serves as a hint: the duration of a watch of the key, plus the
+/// time to detect that the watch failed.
 const LEADER_HINT_MAX_STORE_AGE_MS: Millis = 4_500;
 /// Time, in ms, for which the key-value store may fail before the controller may become
 /// unready.
@@ -152,7 +152,8 @@
         (&mut self.users, context)
     }
 
-    /// Returns the component that leads, and the components it needs for that.
+    /// Returns the component that performs the leader's duties, and the components it needs
+    /// for that.
     fn leadership<'a>(&'a mut self, net: &'a mut Net) -> (&'a mut Leadership, LeaderContext<'a>) {
         let context = LeaderContext {
             net,
@@ -167,11 +168,11 @@
     /// Returns the label of the leader to which workers are redirected; None if it is not
     /// known.
     ///
-    /// This controller itself is never returned, nor a leader that may no longer exist.
-    /// Otherwise a controller that lost the key-value store and its peers would redirect
-    /// workers to a former leader. So either the peer's recent gossip advertised that it
-    /// leads, or the key-value store responded recently, so that the watch of the leader's
-    /// key is up to date.
+    /// This controller itself is never returned. A peer is returned only if its recent
+    /// gossip advertised that it leads, or if the key-value store responded recently, so
+    /// that the watch of the leader's key is up to date. Without this condition, a
+    /// controller that can reach neither the key-value store nor its peers would redirect
+    /// workers to a former leader, which may no longer exist.
     fn leader_hint(&self, now: Millis) -> Option<&str> {
         let label = self.election.leader().filter(|label| *label != self.identity.label)?;
         if !self.peers.contains(label) {
--- a/src/controller/instance/tick.rs
+++ b/src/controller/instance/tick.rs
@@ -16,8 +16,8 @@
 const CYCLE_WAIT_MS: u64 = 10;
 const LEADER_WAIT_MS: u64 = 25;
 const FOLLOWER_WAIT_MS: u64 = 50;
-/// Largest number of jobs per gossip frame whose task counts are reported, which bounds the
-/// frame's size.
+/// Largest number of jobs whose task counts one gossip frame reports; it bounds the frame's
+/// size.
 const MAX_GOSSIP_COUNTS: usize = 500;
 
 impl Controller {
@@ -68,9 +68,11 @@
     fn peer_view(&self, now: Millis) -> PeerView {
         // Worker leases that this controller renewed before it led are taken into account
         // like those that its peers renewed.
-        let peers = self.peers.inactive_span();
-        let no_renewals =
-            TimeSpan { from: peers.from.max(self.renewal_key.last_leaderless_renewal() as i64), to: peers.to };
+        let no_peer_renewals = self.peers.inactive_span();
+        let no_renewals = TimeSpan {
+            from: no_peer_renewals.from.max(self.renewal_key.last_leaderless_renewal() as i64),
+            to: no_peer_renewals.to,
+        };
         PeerView {
             all_upgraded: self.versions.is_complete(),
             have_worker_contact: self.peers.have_worker_contact(now),
--- a/src/controller/leadership/commits.rs
+++ b/src/controller/leadership/commits.rs
@@ -1,4 +1,4 @@
-//! Sending of the leader's transactions, and their outcomes.
+//! Sends the leader's transactions and handles their outcomes.
 
 use super::{LeaderContext, Leadership};
 use crate::{
@@ -63,7 +63,8 @@
             tracing::warn!(%term, "leadership lost: another controller has written the leader's key");
             self.step_down(context, now);
         } else if is_conflict {
-            // The records of jobs changed: they are read before the next transaction.
+            // The conflict shows that job records have changed in the store. The next watch
+            // starts at once, so that they are read before the next transaction.
             context.jobs.end_watch_pause(now);
         }
     }
--- a/src/controller/poll_schedule.rs
+++ b/src/controller/poll_schedule.rs
@@ -2,7 +2,8 @@
 
 use crate::coordination::model::Millis;
 
-/// Schedules a repeated request: at most one is in flight, each after a pause.
+/// Schedule of a repeated request: at most one is in flight at a time, and none is sent
+/// before the earliest time that was set last.
 #[derive(Debug, Default)]
 pub struct PollSchedule {
     in_flight: bool,
--- a/src/coordination/autoscaler/pending_capacity.rs
+++ b/src/coordination/autoscaler/pending_capacity.rs
@@ -14,9 +14,9 @@
     offer: Offer,
     /// Capacity of one of them.
     capacity: Resources,
-    /// Number of machines of which nothing has been allocated yet.
+    /// Number of machines that are entirely unallocated.
     unallocated: u32,
-    /// Remaining capacity of each machine of which something has been allocated.
+    /// Remaining capacity of each partly allocated machine.
     remainders: Vec<Resources>,
 }
 
@@ -25,7 +25,8 @@
 pub struct PendingCapacity(Vec<PendingMachines>);
 
 impl PendingCapacity {
-    /// Collects the capacity of all machines that are booting or `requested`.
+    /// Collects the capacity of the `requested` machines, and of the booting machines that
+    /// have no assignments and whose boot is not late.
     pub fn new(now: Millis, cluster: &ClusterState, requested: &[OfferQuantity]) -> PendingCapacity {
         let mut pending_capacity = PendingCapacity::default();
         for machine in cluster.machines() {
@@ -70,8 +71,8 @@
         tasks
     }
 
-    /// Allocates capacity of the allowed offers to up to `tasks` tasks and returns the
-    /// number of tasks for which there was enough.
+    /// Allocates capacity of the allowed offers for at most `tasks` tasks that each need
+    /// `request`. Returns the number of tasks for which there was enough capacity.
     pub fn allocate(&mut self, request: &Resources, tasks: u32, allows: impl Fn(&Offer) -> bool) -> u32 {
         let mut remaining_tasks = tasks;
         for pending in self.0.iter_mut().filter(|pending| allows(&pending.offer)) {
--- a/src/coordination/commits/applied.rs
+++ b/src/coordination/commits/applied.rs
@@ -10,7 +10,7 @@
     storage::job_cache::JobIndex,
 };
 
-/// Records that a chunk's record was written, and has `revision` now.
+/// Updates a chunk after its record was written; `revision` is the record's new revision.
 pub fn chunk_applied(
     cluster: &mut ClusterState,
     statistics: &mut WriteStatistics,
@@ -19,7 +19,7 @@
     revision: Revision,
 ) {
     let Some(job) = cluster.job_mut(written.job) else {
-        tracing::debug!(job = written.job.0, "chunk of a removed job written");
+        tracing::debug!(job = written.job.0, "chunk record written for a job that has been removed");
         return;
     };
     let chunk = &mut job.records.chunks[written.chunk];
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -1,8 +1,9 @@
 //! Leader election: the leader is the controller named by one ephemeral key of
 //! the key-value store.
 //!
-//! This controller leads while the key names it (its label, this start of its
-//! process *and* the store lease that it holds) and that lease certainly exists.
+//! This controller leads while two conditions hold: the key's record identifies this
+//! controller (its label, this start of its process *and* its current store lease), and
+//! that lease certainly still exists.
 
 use super::{
     ephemeral_key::{Action, EphemeralKey, RenewalOutcome, RetryDelays},
@@ -17,8 +18,8 @@
 const STEP_DOWN_PAUSE_MS: Millis = 20_000;
 /// Shortest timeout of a renewal, in ms.
 const MIN_RENEWAL_TIMEOUT_MS: Millis = 700;
-/// A store lease is renewed each time its time to live divided by this has passed, so
-/// that three attempts fit before it expires.
+/// The interval between renewals is the store lease's time to live divided by this, so
+/// that three attempts fit before the lease expires.
 const RENEWALS_PER_TTL: u64 = 4;
 /// Delays after calls that failed or received no response.
 const RETRY_DELAYS: RetryDelays = RetryDelays { after_renewal_ms: 250, after_write_ms: 300 };
@@ -96,12 +97,12 @@
         self.renewal_timeout.current_ms
     }
 
-    /// Returns the value with which the key is written under this store lease.
+    /// Returns the record to write to the leader's key under `store_lease`.
     ///
-    /// The value identifies the store lease, because the store may apply a claim
-    /// late, under a lease that was abandoned meanwhile. If that claim were taken for
-    /// one under the lease that is renewed now, the key would be removed with the old
-    /// lease, unnoticed.
+    /// The record identifies the store lease, because the store may apply a claim late,
+    /// when this controller has abandoned the lease of that claim and renews another one.
+    /// If such a claim were mistaken for one under the current lease, the key would be
+    /// removed unnoticed when the old lease expires.
     pub fn record(&self, store_lease: StoreLeaseId) -> LeaderRecord {
         LeaderRecord { label: self.label.clone(), nonce: self.nonce.wrapping_add(store_lease.0) }
     }
@@ -121,8 +122,8 @@
         }
     }
 
-    /// Returns the term of this controller's leadership, even if its store lease may
-    /// have expired, so that it has no authority to act at this moment.
+    /// Returns the term of this controller's leadership, whether or not it has the
+    /// authority to act at this moment: its store lease may have expired.
     pub fn held_term(&self) -> Option<Term> {
         self.own_key_revision().map(Term)
     }
@@ -178,9 +179,9 @@
         }
     }
 
-    /// Handles the result of claiming the key: this controller holds it at
-    /// `revision`. `None`: the claim failed, or its outcome is unknown; the watch
-    /// shows which.
+    /// Handles the result of claiming the key. `revision` is the key's revision after a
+    /// successful claim. `None`: the claim failed, or its outcome is unknown; the watch
+    /// then shows whether this controller holds the key.
     pub fn handle_claim_result(&mut self, now: Millis, revision: Option<Revision>) {
         if let Some(revision) = self.key.handle_write_result(now, revision) {
             let record = self.key.store_lease().map(|store_lease| self.record(store_lease));
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Clears the store lease: the store reported that the one used for a write has
+    /// Clears the store lease, after the store rejected a write because the lease has
     /// expired.
     pub fn handle_store_lease_expiry(&mut self) {
         self.key.clear_store_lease();
@@ -203,8 +204,8 @@
         self.key.release()
     }
 
-    /// Returns the key's revision, if the key names this start of the process and the
-    /// store lease that it holds.
+    /// Returns the key's revision, if the key's record identifies this start of the process
+    /// and its current store lease.
     fn own_key_revision(&self) -> Option<Revision> {
         let own = self.record(self.key.store_lease()?);
         let observed = self.observed.as_ref()?;
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,8 +1,9 @@
 //! The leader: the work of a controller while it holds the leader's lease.
 //!
 //! [`Leader`] composes the components and passes each event to them: the cluster
-//! state (which task runs on which machine), the commits (its records in the key-value
-//! store), the scheduler, the autoscaler, and the control of the workers.
+//! state (which task runs on which machine), the commit pipeline (which writes the
+//! leader's records to the key-value store), the scheduler, the autoscaler, and the
+//! control of the workers.
 //!
 //! Safety depends on four rules. Comments in the components explain each rule where it
 //! is enforced:
--- a/src/coordination/tests/cluster.rs
+++ b/src/coordination/tests/cluster.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn changed_progress_is_published_once_then_repeated_in_turn() {
+fn changed_progress_is_published_and_started_jobs_are_repeated_round_robin() {
     let mut jobs = table(&[0, 1, 2]);
     let mut feed = ProgressFeed::default();
     let take = |feed: &mut ProgressFeed, jobs: &mut JobTable, max| {
@@ -106,11 +106,12 @@
     jobs.get_mut(JobIndex(1)).unwrap().tasks.running = 2;
     feed.mark_changed(JobIndex(1));
     assert_eq!(take(&mut feed, &mut jobs, 1), [("j-1".to_owned(), 0, 2)]);
-    // Nothing changed: of the next two jobs, those that have started are repeated.
+    // Without changes, a call examines the next two jobs, and repeats the progress of those
+    // that have started: only job 1 has.
     assert_eq!(
         take(&mut feed, &mut jobs, 2),
         [("j-1".to_owned(), 0, 2)],
-        "jobs 1 and 2 examined; job 0 was examined before"
+        "jobs 1 and 2 examined, because the first call examined job 0"
     );
     assert_eq!(take(&mut feed, &mut jobs, 2), [("j-1".to_owned(), 0, 2)], "jobs 0 and 1 examined");
     assert_eq!(take(&mut feed, &mut jobs, 2), [], "jobs 2 and 0 examined");
