--- a/src/controller/cluster_limits.rs
+++ b/src/controller/cluster_limits.rs
@@ -12,7 +12,7 @@
 /// Returns the number of tasks per chunk for a job that is recorded now.
 pub fn chunk_size(cluster: &ClusterSettings) -> u32 {
     let zone_len = cluster.zones.iter().map(String::len).max().unwrap_or(DEFAULT_ZONE_NAME_LENGTH);
-    records::chunk_size(cluster.state.fitting_value_kb(), zone_len)
+    records::chunk_size(cluster.store.fitting_value_kb(), zone_len)
 }
 
 /// Returns the quota of a team. An amount of 0 in the settings means that it is not set.
--- a/src/controller/instance/replies.rs
+++ b/src/controller/instance/replies.rs
@@ -62,33 +62,33 @@
     fn handle_jobs_reply(&mut self, net: &mut Net, now: Millis, call: &JobsCall, result: &CallResult) {
         match *call {
             JobsCall::Page { is_first } => self.jobs.page_received(now, is_first, result, &mut self.names),
-            JobsCall::Watch { sent } => {
-                let applied = self.apply_job_changes(sent, result);
+            JobsCall::Watch { sent_at } => {
+                let applied = self.apply_job_changes(sent_at, result);
                 let role = Role::from_leading(self.leadership.leader().is_some());
                 self.jobs.watch_ended(now, applied, role);
             }
-            JobsCall::LeaderSync { term, sent } => self.leader_jobs_synced(now, term, sent, result),
-            JobsCall::ReadBarrier { sent } => {
-                let applied = self.apply_job_changes(sent, result);
+            JobsCall::LeaderSync { term, sent_at } => self.leader_jobs_synced(now, term, sent_at, result),
+            JobsCall::ReadBarrier { sent_at } => {
+                let applied = self.apply_job_changes(sent_at, result);
                 let (users, mut context) = self.user_api(net);
                 users.read_barrier_ended(&mut context, now, applied);
             }
         }
     }
 
-    fn leader_jobs_synced(&mut self, now: Millis, term: Term, sent: Millis, result: &CallResult) {
+    fn leader_jobs_synced(&mut self, now: Millis, term: Term, sent_at: Millis, result: &CallResult) {
         if self.leadership.leader_of(term).is_some() {
-            let synced = self.apply_job_changes(sent, result);
+            let synced = self.apply_job_changes(sent_at, result);
             self.leadership.jobs_synced(now, synced);
         }
     }
 
     /// Applies the result of a read of the jobs' changes that was sent at `sent`.
     /// Returns whether the cache now includes all changes up to that time.
-    pub(super) fn apply_job_changes(&mut self, sent: Millis, result: &CallResult) -> bool {
+    pub(super) fn apply_job_changes(&mut self, sent_at: Millis, result: &CallResult) -> bool {
         let applied = self.jobs.apply_changes(result, &mut self.names);
         if applied {
-            self.renewal_key.record_job_read(sent);
+            self.renewal_key.record_job_read(sent_at);
         }
         applied
     }
--- a/src/controller/instance/tick.rs
+++ b/src/controller/instance/tick.rs
@@ -39,7 +39,7 @@
         self.versions.refresh(net, now, &mut self.client);
         self.election.tick(net, now, &mut self.client);
         self.renewal_key.tick(net, now, &mut self.client);
-        self.lead(net);
+        self.run_leader(net);
         let (users, mut context) = self.user_api(net);
         users.flush_read_barrier(&mut context);
         self.gossip(net, now);
@@ -47,7 +47,7 @@
     }
 
     /// Performs the leader's duties that are due, if this controller leads.
-    fn lead(&mut self, net: &mut Net) {
+    fn run_leader(&mut self, net: &mut Net) {
         let now = net.now();
         let leading = self.election.leading_term(now);
         self.set_budget_shares(now, Role::from_leading(leading.is_some()));
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -81,7 +81,7 @@
         self.watch.begin();
         let wait_ms = (read_validity_ms / WATCHES_PER_RENEWAL).clamp(MIN_WATCH_MS, MAX_WATCH_MS);
         let request = self.changes_request(wait_ms, wait_ms + WATCH_GRACE_MS);
-        client.send_to_store(net, PendingCall::Jobs(JobsCall::Watch { sent: now }), request);
+        client.send_to_store(net, PendingCall::Jobs(JobsCall::Watch { sent_at: now }), request);
     }
 
     /// Returns a request for the changes since the cache's revision. The store waits for a
--- a/src/controller/leader_key_watch.rs
+++ b/src/controller/leader_key_watch.rs
@@ -103,7 +103,7 @@
         if self.listed {
             let timeout_ms = WATCH_MS + WATCH_GRACE_MS;
             let request = StoreRequest::read_changes(records::LEADER_KEY, self.store_revision, WATCH_MS, timeout_ms);
-            client.send_to_store(net, PendingCall::LeaderKey(LeaderKeyCall::Watch { sent: now }), request);
+            client.send_to_store(net, PendingCall::LeaderKey(LeaderKeyCall::Watch { sent_at: now }), request);
         } else {
             let request = StoreRequest::read_page(records::LEADER_KEY, None, LIST_TIMEOUT_MS);
             client.send_to_store(net, PendingCall::LeaderKey(LeaderKeyCall::Listing), request);
@@ -121,7 +121,7 @@
     ) {
         match *call {
             LeaderKeyCall::Listing => self.listing_received(now, result, observers),
-            LeaderKeyCall::Watch { sent } => self.watch_ended(now, sent, result, observers),
+            LeaderKeyCall::Watch { sent_at } => self.watch_ended(now, sent_at, result, observers),
         }
     }
 
@@ -136,7 +136,7 @@
         observers.observe_listing(now, &page);
     }
 
-    fn watch_ended(&mut self, now: Millis, sent: Millis, result: &CallResult, observers: &mut KeyObservers) {
+    fn watch_ended(&mut self, now: Millis, sent_at: Millis, result: &CallResult, observers: &mut KeyObservers) {
         let Some(changes) = body::<Changes>(result) else {
             if status(result) == GONE {
                 self.listed = false;
@@ -148,7 +148,7 @@
         for change in &changes.events {
             observers.observe_change(now, change);
         }
-        observers.peers.record_inactive_without_key(sent);
+        observers.peers.record_inactive_without_key(sent_at);
         self.store_revision = self.store_revision.max(changes.store_revision);
     }
 }
--- a/src/controller/leadership/commits.rs
+++ b/src/controller/leadership/commits.rs
@@ -35,7 +35,10 @@
         if available < 1.0 || budgets.available_reads(now) < 1.0 {
             return;
         }
-        let Some(transaction) = leader.commit(now, available as usize, has_spare_budget, context.names) else { return };
+        let Some(transaction) = leader.next_transaction(now, available as usize, has_spare_budget, context.names)
+        else {
+            return;
+        };
         budgets.charge_commits(now, transaction.writes.len());
         budgets.charge_read(now);
         let request = StoreRequest::transaction(&transaction, STORE_TIMEOUT_MS);
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -133,14 +133,14 @@
             return;
         }
         self.next_step_down_check = now + STEP_DOWN_CHECK_MS;
-        if leader.tokens_exhausted() {
+        if leader.are_tokens_exhausted() {
             tracing::info!(term = %leader.term(), reason = "fencing tokens exhausted", "stepping down");
             return self.step_down(context, now);
         }
-        let is_isolated =
-            now > leader.started() + WORKER_ISOLATION_MS && leader.is_isolated_from_workers(now, WORKER_ISOLATION_MS);
+        let is_isolated = now > leader.started_at() + WORKER_ISOLATION_MS
+            && leader.is_isolated_from_workers(now, WORKER_ISOLATION_MS);
         if is_isolated && peers.have_worker_contact {
-            tracing::warn!(term = %leader.term(), reason = "workers reach only peers", "stepping down");
+            tracing::warn!(term = %leader.term(), reason = "workers reach other controllers but not this one", "stepping down");
             self.step_down(context, now);
         }
     }
@@ -173,7 +173,7 @@
     /// Passes the machine types, which were read again, to the leader.
     pub fn set_machine_types(&mut self, types: &[MachineTypeSpec]) {
         if let Some(leader) = &mut self.leader {
-            leader.set_types(types);
+            leader.set_machine_types(types);
         }
     }
 
--- a/src/controller/leadership/task_loading.rs
+++ b/src/controller/leadership/task_loading.rs
@@ -50,7 +50,7 @@
         self.schedule.begin();
         if !self.jobs_synced {
             let request = context.jobs.changes_request(0, STORE_TIMEOUT_MS);
-            let pending = PendingCall::Jobs(JobsCall::LeaderSync { term, sent: now });
+            let pending = PendingCall::Jobs(JobsCall::LeaderSync { term, sent_at: now });
             return context.client.send_to_store(context.net, pending, request);
         }
         let from = self.next_page_from.as_deref();
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -227,10 +227,10 @@
 
     /// Records that a watch sent at `sent` has completed: peers that have had no renewal
     /// key since before then can't have renewed a lease up to then.
-    pub fn record_inactive_without_key(&mut self, sent: Millis) {
+    pub fn record_inactive_without_key(&mut self, sent_at: Millis) {
         for (index, peer) in self.peers.iter().enumerate() {
             if let Some(since) = peer.renewal_key_absent_since {
-                self.inactivity.record_inactive(index, since as i64, sent as i64);
+                self.inactivity.record_inactive(index, since as i64, sent_at as i64);
             }
         }
     }
--- a/src/controller/renewal_key.rs
+++ b/src/controller/renewal_key.rs
@@ -119,8 +119,8 @@
     }
 
     /// Records that a read of the jobs' records that was sent at `sent` was applied.
-    pub fn record_job_read(&mut self, sent: Millis) {
-        self.authority.record_job_read(sent);
+    pub fn record_job_read(&mut self, sent_at: Millis) {
+        self.authority.record_job_read(sent_at);
     }
 
     /// Returns for how long, in ms, a read of the jobs' records permits the renewal of
--- a/src/controller/run.rs
+++ b/src/controller/run.rs
@@ -28,9 +28,9 @@
 const REQUEST_READ_TIMEOUT_MS: u64 = 5_000;
 /// A worker's connection is stale after three heartbeat intervals: this many ms per
 /// second of the interval, clamped to the range below.
-const STALE_MS_PER_HEARTBEAT_S: f64 = 3_000.0;
-const MIN_STALE_MS: u64 = 10_000;
-const MAX_STALE_MS: u64 = 60_000;
+const STALE_AFTER_MS_PER_HEARTBEAT_S: f64 = 3_000.0;
+const MIN_STALE_AFTER_MS: u64 = 10_000;
+const MAX_STALE_AFTER_MS: u64 = 60_000;
 
 /// An error that ends the process.
 #[derive(Debug, thiserror::Error)]
@@ -40,7 +40,7 @@
     EventLoop(#[from] calloop::Error),
     /// An iteration of the event loop failed.
     #[error("event loop: {0}")]
-    Turn(#[source] io::Error),
+    Iteration(#[source] io::Error),
     /// A listening socket could not be opened.
     #[error("listening on {addr}: {source}")]
     Listen {
@@ -51,8 +51,9 @@
     },
 }
 
-fn stale_ms(workers: &WorkerSettings) -> u64 {
-    ((workers.heartbeat_interval_s * STALE_MS_PER_HEARTBEAT_S) as u64).clamp(MIN_STALE_MS, MAX_STALE_MS)
+fn stale_after_ms(workers: &WorkerSettings) -> u64 {
+    ((workers.heartbeat_interval_s * STALE_AFTER_MS_PER_HEARTBEAT_S) as u64)
+        .clamp(MIN_STALE_AFTER_MS, MAX_STALE_AFTER_MS)
 }
 
 /// Runs one controller until the process is killed. Returns only if the event loop or a
@@ -60,7 +61,7 @@
 pub fn run(settings: &Settings, operator: OperatorSettings) -> Result<(), ControllerError> {
     let mut event_loop: EventLoop<'static, Net> = EventLoop::try_new()?;
     let cluster = &settings.cluster;
-    let stale_ms = stale_ms(&cluster.workers);
+    let stale_after_ms = stale_after_ms(&cluster.workers);
     if let DescriptorLimit::TooLow(descriptors) = raise_descriptor_limit(cluster.limits.sockets) {
         let sockets = cluster.limits.sockets;
         tracing::warn!(descriptors, sockets, "descriptor limit below socket limit");
@@ -69,7 +70,7 @@
         sockets: cluster.limits.sockets,
         idle_timeout_ms: IDLE_TIMEOUT_MS,
         request_timeout_ms: REQUEST_READ_TIMEOUT_MS,
-        stale_ms,
+        stale_after_ms,
     };
     let mut net = Net::new(&event_loop, limits);
     let listeners = [(settings.client_listen, ListenerKind::Http), (settings.cluster_listen, ListenerKind::Frames)];
@@ -78,24 +79,25 @@
     }
     tracing::info!(label = &*settings.label, zone = &*settings.zone, "started");
     let mut controller = Controller::new(settings, operator, &mut net);
-    let mut last_turn = net.now();
+    let mut last_iteration = net.now();
     loop {
         controller.tick(&mut net);
-        net.turn(&mut event_loop, Duration::from_millis(controller.max_wait_ms())).map_err(ControllerError::Turn)?;
-        drop_stale_io_after_halt(&mut net, last_turn);
-        last_turn = net.now();
+        net.run_once(&mut event_loop, Duration::from_millis(controller.max_wait_ms()))
+            .map_err(ControllerError::Iteration)?;
+        drop_stale_io_after_halt(&mut net, last_iteration);
+        last_iteration = net.now();
         while let Some(event) = net.next_event() {
             controller.handle(&mut net, event);
         }
     }
 }
 
-/// Drops pending input if the process was halted since `last_turn`. After a halt the
+/// Drops pending input if the process was halted since `last_iteration`. After a halt the
 /// sockets hold old requests and responses; the check runs before any of them is handled.
-fn drop_stale_io_after_halt(net: &mut Net, last_turn: Millis) {
+fn drop_stale_io_after_halt(net: &mut Net, last_iteration: Millis) {
     let now = net.now();
-    if now > last_turn + HALT_THRESHOLD_MS {
-        tracing::warn!(halted_ms = now - last_turn, "process halted: pending input dropped");
+    if now > last_iteration + HALT_THRESHOLD_MS {
+        tracing::warn!(halted_ms = now - last_iteration, "process halted: pending input dropped");
         net.drop_stale_io();
     }
 }
--- a/src/controller/service_client/budgets.rs
+++ b/src/controller/service_client/budgets.rs
@@ -157,7 +157,11 @@
 
     /// Returns this controller's usage of the key-value store's limits.
     pub fn usage(&mut self, now: Millis) -> Usage {
-        Usage { reads: self.reads.used(now), writes: self.writes.used(now), commits: self.commits.used(now) }
+        Usage {
+            reads: self.reads.usage_per_s(now),
+            writes: self.writes.usage_per_s(now),
+            commits: self.commits.usage_per_s(now),
+        }
     }
 
     /// Makes the next [`Budgets::set_shares`] set the shares again, because the usage of
@@ -195,11 +199,11 @@
         let reads = allotted_rate(rates.requests, reader, &used(|peer| peer.reads));
 
         let mut others = used(|peer| peer.writes + peer.commits);
-        others.push(Some(self.commits.used(now)));
+        others.push(Some(self.commits.usage_per_s(now)));
         let writes = allotted_rate(rates.writes, users, &others);
 
         let mut others = used(|peer| peer.writes);
-        others.push(Some(self.writes.used(now)));
+        others.push(Some(self.writes.usage_per_s(now)));
         let commits = allotted_rate(rates.writes, LimitUser::Leader, &others);
 
         self.reads.set_limits(reads, rates.requests * read_burst_s);
--- a/src/controller/service_client/mod.rs
+++ b/src/controller/service_client/mod.rs
@@ -46,10 +46,10 @@
     /// Creates a client without pending calls.
     pub fn new(settings: &Settings) -> ServiceClient {
         ServiceClient {
-            store_addr: settings.service_addresses.state,
+            store_addr: settings.service_addresses.store,
             cloud_addr: settings.service_addresses.cloud,
             pending: PendingCalls::default(),
-            budgets: Budgets::new(&settings.cluster.state, &settings.cluster.cloud),
+            budgets: Budgets::new(&settings.cluster.store, &settings.cluster.cloud),
         }
     }
 
--- a/src/controller/service_client/pending_call.rs
+++ b/src/controller/service_client/pending_call.rs
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub enum LeaderKeyCall {
     Listing,
-    Watch { sent: Millis },
+    Watch { sent_at: Millis },
 }
 
 /// A read of the jobs' records.
@@ -61,12 +61,12 @@
     /// A page of all records.
     Page { is_first: bool },
     /// A watch of the records' changes.
-    Watch { sent: Millis },
+    Watch { sent_at: Millis },
     /// A read of the changes up to now, before the leader of this term loads the task
     /// records.
-    LeaderSync { term: Term, sent: Millis },
+    LeaderSync { term: Term, sent_at: Millis },
     /// A read of the changes for the users' requests that wait for the read barrier.
-    ReadBarrier { sent: Millis },
+    ReadBarrier { sent_at: Millis },
 }
 
 /// A request for the version keys.
--- a/src/controller/tests/budgets.rs
+++ b/src/controller/tests/budgets.rs
@@ -7,7 +7,7 @@
 
 fn budgets() -> Budgets {
     let settings = Settings::parse(SAMPLE, "x.toml").unwrap();
-    Budgets::new(&settings.cluster.state, &settings.cluster.cloud)
+    Budgets::new(&settings.cluster.store, &settings.cluster.cloud)
 }
 
 /// Shares are set again only if the role or the usage of peers may have changed.
--- a/src/controller/tests/cancel.rs
+++ b/src/controller/tests/cancel.rs
@@ -22,10 +22,10 @@
     ];
     for (types, prereqs, kept) in cases {
         let submission = Submission { types, prereqs, ..small.clone() };
-        let pending = JobRecord { submission, status: JobStatus::Pending, at_ms: 5, chunk: 64 };
+        let pending = JobRecord { submission, status: JobStatus::Pending, at_ms: 5, tasks_per_chunk: 64 };
         let cancelled = users.cancelled_record(&pending);
         assert!(users.fits_value_limit(&cancelled), "{pending:?}");
-        assert_eq!((cancelled.status, cancelled.at_ms, cancelled.chunk), (JobStatus::Cancelled, 5, 64));
+        assert_eq!((cancelled.status, cancelled.at_ms, cancelled.tasks_per_chunk), (JobStatus::Cancelled, 5, 64));
         assert_eq!(cancelled.submission == pending.submission, kept, "{pending:?}");
         // The resources that the tasks occupy until they have stopped stay in the record.
         assert_eq!((cancelled.submission.tasks, cancelled.submission.cpus), (small.tasks, small.cpus));
--- a/src/controller/tests/job_watch.rs
+++ b/src/controller/tests/job_watch.rs
@@ -39,7 +39,7 @@
     jobs.page_received(300, false, &successful_reply(&page(None, false)), &mut names);
     assert!(jobs.cache().is_loaded());
 
-    assert_eq!(refresh(&mut jobs, 300).as_deref(), Some("Jobs(Watch { sent: 300 })"));
+    assert_eq!(refresh(&mut jobs, 300).as_deref(), Some("Jobs(Watch { sent_at: 300 })"));
     assert!(!jobs.apply_changes(&reply_with_status(GONE), &mut names) && !jobs.cache().is_loaded());
     jobs.watch_ended(400, false, Role::Follower);
     assert_eq!(refresh(&mut jobs, 400).as_deref(), Some("Jobs(Page { is_first: true })"));
--- a/src/controller/tests/leader_key_watch.rs
+++ b/src/controller/tests/leader_key_watch.rs
@@ -64,15 +64,20 @@
     assert_eq!(observed.election.leader(), Some("n-1"));
 
     watch.refresh(&mut net, 10, &mut client);
-    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Watch { sent: 10 })"));
+    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Watch { sent_at: 10 })"));
     let events = vec![removed(records::LEADER_KEY, 8), written(records::LEADER_KEY, "n-2", 9)];
     let changes = Changes { store_revision: Revision(9), events };
-    watch.handle_reply(20, &LeaderKeyCall::Watch { sent: 10 }, &successful_reply(&changes), &mut observed.observers());
+    watch.handle_reply(
+        20,
+        &LeaderKeyCall::Watch { sent_at: 10 },
+        &successful_reply(&changes),
+        &mut observed.observers(),
+    );
     assert_eq!((observed.election.leader(), watch.store_revision), (Some("n-2"), Revision(9)));
 
     watch.refresh(&mut net, 20, &mut client);
-    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Watch { sent: 20 })"));
-    watch.handle_reply(30, &LeaderKeyCall::Watch { sent: 20 }, &reply_with_status(GONE), &mut observed.observers());
+    assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Watch { sent_at: 20 })"));
+    watch.handle_reply(30, &LeaderKeyCall::Watch { sent_at: 20 }, &reply_with_status(GONE), &mut observed.observers());
     watch.refresh(&mut net, 30 + RETRY_MS - 1, &mut client);
     assert_eq!(sent.next_debug(&mut client), None, "no request during the pause after a failure");
     watch.refresh(&mut net, 30 + RETRY_MS, &mut client);
@@ -88,9 +93,14 @@
     let mut watch = LeaderKeyWatch::default();
     let page = Page { pairs: Vec::new(), truncated: false, store_revision: Revision(7) };
     watch.handle_reply(100, &LeaderKeyCall::Listing, &successful_reply(&page), &mut observed.observers());
-    let mut end_watch = |observed: &mut Observed, sent: Millis, now: Millis, events: Vec<Change>| {
+    let mut end_watch = |observed: &mut Observed, sent_at: Millis, now: Millis, events: Vec<Change>| {
         let changes = Changes { store_revision: Revision(now), events };
-        watch.handle_reply(now, &LeaderKeyCall::Watch { sent }, &successful_reply(&changes), &mut observed.observers());
+        watch.handle_reply(
+            now,
+            &LeaderKeyCall::Watch { sent_at },
+            &successful_reply(&changes),
+            &mut observed.observers(),
+        );
         let span = observed.peers.inactive_span();
         (span.from, span.to)
     };
--- a/src/controller/tests/machine_types.rs
+++ b/src/controller/tests/machine_types.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::controller::test_support::{new_net, reply_with_status, settings_with_peers, successful_reply, SentCalls};
 
-fn offered(name: &str, price: f64) -> Value {
+fn machine_type(name: &str, price: f64) -> Value {
     cbor!({
         "name" => name,
         "cpus" => 8.0,
@@ -29,7 +29,12 @@
     assert!(!catalog.update(10, &reply_with_status(503), &mut names) && catalog.is_empty());
     assert!(!catalog.schedule.is_due(10 + RETRY_MS - 1) && catalog.schedule.is_due(10 + RETRY_MS));
 
-    let types = vec![offered("small", 1.0), offered("nan", f64::NAN), offered("negative", -1.0), offered("large", 4.0)];
+    let types = vec![
+        machine_type("small", 1.0),
+        machine_type("nan", f64::NAN),
+        machine_type("negative", -1.0),
+        machine_type("large", 4.0),
+    ];
     assert!(catalog.update(1_000, &successful_reply(&cbor!({ "breeds" => types }).unwrap()), &mut names));
     let prices = |catalog: &MachineTypeCatalog| catalog.types().iter().map(|spec| spec.price).collect::<Vec<f64>>();
     assert_eq!(prices(&catalog), [1.0, 4.0]);
--- a/src/controller/tests/peers.rs
+++ b/src/controller/tests/peers.rs
@@ -56,7 +56,7 @@
                 Gossip { echoes: vec![echo.clone()], since_leaderless_renewal_ms: 4_000, ..gossip(from, 1) },
             );
         }
-        let expected = if accepted { TimeSpan { from: 10_000 - 3_996, to: 9_000 } } else { TimeSpan::NEVER };
+        let expected = if accepted { TimeSpan { from: 10_000 - 3_996, to: 9_000 } } else { TimeSpan::EMPTY };
         assert_eq!(peers.inactive_span(), expected, "{echo:?}");
     }
 }
@@ -67,7 +67,7 @@
     let mut peers = peers();
     peers.observe_renewal_keys(1_000, |label| label == "n-2");
     peers.record_inactive_without_key(4_000);
-    assert_eq!(peers.inactive_span(), TimeSpan::NEVER, "n-2 has its key");
+    assert_eq!(peers.inactive_span(), TimeSpan::EMPTY, "n-2 has its key");
     peers.observe_renewal_key(2_000, false, |label| label == "n-2");
     peers.record_inactive_without_key(4_000);
     assert_eq!(peers.inactive_span(), TimeSpan { from: 2_000, to: 4_000 });
--- a/src/controller/tests/renewal_key.rs
+++ b/src/controller/tests/renewal_key.rs
@@ -43,24 +43,24 @@
 /// unreachable, and there is no evidence that another zone or a peer can reach the store.
 #[test]
 fn leases_are_renewed_without_leader_only_in_a_shared_partition() {
-    const READ: Millis = 10_000;
-    const LATER: Millis = READ + 5_000;
-    let key = key_written(READ);
-    assert!(!key.may_renew_without_leader(READ + 100, &[peer_without_frames()]), "the store is reachable");
-    assert!(key.may_renew_without_leader(LATER, &[peer_without_frames()]));
-    let served = PeerContact { last_received: Some(LATER), ..peer_without_frames() };
-    assert!(!key.may_renew_without_leader(LATER, &[served]), "a peer can reach the store");
+    const KEY_WRITTEN_AT: Millis = 10_000;
+    const STORE_UNREACHABLE_AT: Millis = KEY_WRITTEN_AT + 5_000;
+    let key = key_written(KEY_WRITTEN_AT);
+    assert!(!key.may_renew_without_leader(KEY_WRITTEN_AT + 100, &[peer_without_frames()]), "the store is reachable");
+    assert!(key.may_renew_without_leader(STORE_UNREACHABLE_AT, &[peer_without_frames()]));
+    let served = PeerContact { last_received: Some(STORE_UNREACHABLE_AT), ..peer_without_frames() };
+    assert!(!key.may_renew_without_leader(STORE_UNREACHABLE_AT, &[served]), "a peer can reach the store");
 
-    let mut key = key_written(READ);
-    key.record_other_zone_heartbeat(LATER);
+    let mut key = key_written(KEY_WRITTEN_AT);
+    key.record_other_zone_heartbeat(STORE_UNREACHABLE_AT);
     assert!(
-        !key.may_renew_without_leader(LATER, &[peer_without_frames()]),
+        !key.may_renew_without_leader(STORE_UNREACHABLE_AT, &[peer_without_frames()]),
         "a worker of another zone sent a heartbeat"
     );
 
-    let mut key = key_written(READ);
+    let mut key = key_written(KEY_WRITTEN_AT);
     key.observe_key(None, Revision::ABSENT, Revision(9));
-    assert!(!key.may_renew_without_leader(LATER, &[peer_without_frames()]), "the key was removed");
+    assert!(!key.may_renew_without_leader(STORE_UNREACHABLE_AT, &[peer_without_frames()]), "the key was removed");
 }
 
 /// A key that was written by an earlier start of the process, or under an earlier store
--- a/src/controller/tests/support.rs
+++ b/src/controller/tests/support.rs
@@ -23,7 +23,10 @@
 
 pub(super) fn new_net() -> Net {
     let event_loop = EventLoop::try_new().unwrap();
-    Net::new(&event_loop, Limits { sockets: 100, idle_timeout_ms: 1_000, request_timeout_ms: 1_000, stale_ms: 1_000 })
+    Net::new(
+        &event_loop,
+        Limits { sockets: 100, idle_timeout_ms: 1_000, request_timeout_ms: 1_000, stale_after_ms: 1_000 },
+    )
 }
 
 pub(super) fn settings_with_peers() -> Settings {
--- a/src/controller/users/barrier.rs
+++ b/src/controller/users/barrier.rs
@@ -27,7 +27,7 @@
                 return self.respond_unavailable_to_all(context, waiting);
             }
             let request = context.jobs.changes_request(0, STORE_TIMEOUT_MS);
-            let pending = PendingCall::Jobs(JobsCall::ReadBarrier { sent: now });
+            let pending = PendingCall::Jobs(JobsCall::ReadBarrier { sent_at: now });
             context.client.send_to_store(context.net, pending, request);
         }
         if !self.read_barrier.is_empty() {
--- a/src/controller/users/cancel.rs
+++ b/src/controller/users/cancel.rs
@@ -31,7 +31,7 @@
             return context.respond_empty(conn, NOT_FOUND);
         }
         match context.find(&id) {
-            Some(index) if context.is_over(index) => context.respond_known_job(conn, index),
+            Some(index) if context.is_finished(index) => context.respond_known_job(conn, index),
             Some(index) => {
                 let entry = context.jobs.cache().get(index);
                 let (Some(pending), revision) = (entry.record.clone(), entry.revision) else {
--- a/src/controller/users/context.rs
+++ b/src/controller/users/context.rs
@@ -65,7 +65,7 @@
     }
 
     /// Reports whether a job is done or cancelled.
-    pub(super) fn is_over(&self, index: JobIndex) -> bool {
+    pub(super) fn is_finished(&self, index: JobIndex) -> bool {
         self.jobs.cache().get(index).status != JobStatus::Pending
     }
 }
--- a/src/controller/users/mod.rs
+++ b/src/controller/users/mod.rs
@@ -84,7 +84,7 @@
     /// and the announced one.
     fn fits_value_limit(&self, record: &JobRecord) -> bool {
         let bytes = records::json_size(&records::to_value(record));
-        bytes as f64 <= self.cluster.state.fitting_value_kb() * BYTES_PER_KB
+        bytes as f64 <= self.cluster.store.fitting_value_kb() * BYTES_PER_KB
     }
 
     /// Sends the write of a record if the budgets allow it now. Otherwise responds at once
@@ -155,7 +155,7 @@
             return context.respond_empty(conn, NOT_FOUND);
         }
         match context.find(id) {
-            Some(index) if context.is_over(index) => context.respond_poll(conn, index),
+            Some(index) if context.is_finished(index) => context.respond_poll(conn, index),
             _ if !context.jobs.cache().is_loaded() => self.respond_unavailable(context, conn),
             _ => self.read_barrier.enqueue(context.net.now(), WaitingRequest::Poll { conn, id: id.to_owned() }),
         }
--- a/src/controller/users/submit.rs
+++ b/src/controller/users/submit.rs
@@ -69,7 +69,7 @@
             return context.respond_empty(conn, BAD_REQUEST);
         };
         if let Some(index) = context.find(&id) {
-            if context.is_over(index) {
+            if context.is_finished(index) {
                 return context.respond_known_job(conn, index);
             }
             return self.read_barrier.enqueue(context.net.now(), WaitingRequest::Resubmit { conn, id });
@@ -82,8 +82,8 @@
 
     /// Creates the record of a job that can run, if the record is not too large.
     fn create_feasible(&mut self, context: &mut UserContext, conn: ConnectionId, id: String, submission: Submission) {
-        let chunk = chunk_size(&self.cluster);
-        let record = JobRecord { submission, status: JobStatus::Pending, at_ms: wall_clock_ms(), chunk };
+        let tasks_per_chunk = chunk_size(&self.cluster);
+        let record = JobRecord { submission, status: JobStatus::Pending, at_ms: wall_clock_ms(), tasks_per_chunk };
         if !self.fits_value_limit(&record) {
             return self.reject_after_read(context, conn, id, BAD_REQUEST, "too long for a record");
         }
@@ -117,7 +117,7 @@
         match checked {
             Err(SubmissionError::Infeasible(reason) | SubmissionError::Malformed(reason)) => Some(reason),
             Ok(spec) if !fits_some_type(spec, types) => Some("fits no machine type"),
-            Ok(spec) if !self.team_limits(spec.team).ever_allows(spec) => Some("over the team's limit"),
+            Ok(spec) if !self.team_limits(spec.team).can_admit(spec) => Some("over the team's limit"),
             Ok(_) => None,
         }
     }
@@ -148,7 +148,11 @@
         match self.check_prereqs(context, &write.record) {
             PrereqCheck::Accepted(conditions) => self.write_new_job(context, write, conditions),
             prereqs @ (PrereqCheck::Unknown | PrereqCheck::Service) => {
-                tracing::info!(job = &*write.id, ?prereqs, "submission rejected for its prerequisites");
+                tracing::info!(
+                    job = &*write.id,
+                    ?prereqs,
+                    "submission rejected: a prerequisite is unknown or a service"
+                );
                 context.respond_empty(write.conn, UNPROCESSABLE_CONTENT);
             }
         }
@@ -176,7 +180,7 @@
     fn check_prereqs(&self, context: &UserContext, record: &JobRecord) -> PrereqCheck {
         // One condition is for the job's own key. Prerequisites beyond the limit need no
         // condition, because the records of jobs are never removed.
-        let max_conditions = CONDITIONS_PER_WRITE * self.cluster.state.fitting_txn_ops() - 1;
+        let max_conditions = CONDITIONS_PER_WRITE * self.cluster.store.fitting_txn_ops() - 1;
         let cache = context.jobs.cache();
         let mut conditions = Vec::new();
         let mut has_service = false;
@@ -184,7 +188,7 @@
             let Some(index) = cache.find(prereq) else { return PrereqCheck::Unknown };
             has_service |= cache.is_service(index);
             // The record of a job that is done or cancelled no longer changes.
-            if !context.is_over(index) && conditions.len() < max_conditions {
+            if !context.is_finished(index) && conditions.len() < max_conditions {
                 let revision = cache.get(index).revision;
                 conditions.push(Condition { key: records::job_key(prereq), revision });
             }
--- a/src/coordination/cluster/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -43,7 +43,7 @@
             attempt: self.attempt,
             chunk_version,
             state: AssignmentState::Wanted,
-            sent: None,
+            sent_at: None,
             running_since: None,
             halt: None,
             assigned_at: now,
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -45,7 +45,7 @@
         if let Some(job) = self.jobs.get_mut(index) {
             job.records.revision = entry.revision;
             job.records.stale = false;
-            job.records.recorded_chunk_size = entry.chunk;
+            job.records.recorded_chunk_size = entry.tasks_per_chunk;
         }
         self.adopt_recorded_sharding(index);
         if let Some(spec) = job_cache.effective_spec(index) {
@@ -98,13 +98,14 @@
         job_cache: &JobCache,
     ) {
         let entry = job_cache.get(index);
-        let is_oversized = entry.chunk > self.config.reduced_chunk_size && spec.tasks > self.config.reduced_chunk_size;
+        let is_oversized =
+            entry.tasks_per_chunk > self.config.reduced_chunk_size && spec.tasks > self.config.reduced_chunk_size;
         let oversized_record = entry.record.clone().filter(|_| is_oversized);
         let age_ms = wall_ms.saturating_sub(job_cache.ready_ms(index)).min(MAX_JOB_AGE_MS) as i64;
         self.jobs.insert(Job {
             index,
             id: entry.id.clone(),
-            records: JobRecords::new(entry.revision, entry.chunk, spec.tasks, oversized_record),
+            records: JobRecords::new(entry.revision, entry.tasks_per_chunk, spec.tasks, oversized_record),
             status: entry.status,
             wait: WaitState::new(now, age_ms),
             tasks: TaskTable::new(spec.tasks),
@@ -139,11 +140,11 @@
         match &mut assignment.halt {
             Some(halt) if grace_s < halt.grace_s => {
                 halt.grace_s = grace_s;
-                halt.sent = None;
+                halt.sent_at = None;
             }
             Some(_) => return,
             None => {
-                assignment.halt = Some(Halt { grace_s, sent: None });
+                assignment.halt = Some(Halt { grace_s, sent_at: None });
                 if let Some(job) = self.jobs.get(job_index) {
                     self.snapshot.mark_stopping(machine.as_usize(), &job.spec);
                 }
@@ -197,7 +198,7 @@
         for (chunk_number, chunk) in job.records.chunks.iter().enumerate() {
             if !chunk.revision.is_absent() {
                 let key = records::chunk_key(&job.id, chunk_number as u32);
-                self.records.delete_later(ObsoleteRecord { key, revision: chunk.revision });
+                self.records.queue_deletion(ObsoleteRecord { key, revision: chunk.revision });
             }
         }
     }
--- a/src/coordination/cluster/records.rs
+++ b/src/coordination/cluster/records.rs
@@ -57,7 +57,7 @@
     }
 
     /// Queues a record for deletion once there is spare write budget.
-    pub fn delete_later(&mut self, record: ObsoleteRecord) {
+    pub fn queue_deletion(&mut self, record: ObsoleteRecord) {
         self.obsolete.push_back(record);
     }
 
--- a/src/coordination/commits/job_records.rs
+++ b/src/coordination/commits/job_records.rs
@@ -64,7 +64,7 @@
         let submission = Submission { tasks: Some(f64::from(job.spec.tasks)), ..Submission::default() };
         // The next leader measures from this time how long the job's dependents have waited.
         let at_ms = self.wall_ms;
-        let record = JobRecord { submission, status: JobStatus::Done, at_ms, chunk: job.records.chunk_size };
+        let record = JobRecord { submission, status: JobStatus::Done, at_ms, tasks_per_chunk: job.records.chunk_size };
         let value = records::to_value(&record);
         let bytes = records::json_size(&value);
         builder.put(records::job_key(&job.id), value, bytes);
@@ -78,9 +78,9 @@
         if !builder.accepts_job_writes(due.len()) {
             return false;
         }
-        let ops_left = builder.ops_left();
+        let writes_left = builder.writes_left();
         let mut is_written = false;
-        for chunk in due.into_iter().take(ops_left) {
+        for chunk in due.into_iter().take(writes_left) {
             if builder.has_reached_byte_limit() {
                 break;
             }
--- a/src/coordination/commits/obsolete_records.rs
+++ b/src/coordination/commits/obsolete_records.rs
@@ -23,7 +23,7 @@
         if now < self.not_before {
             return;
         }
-        for _ in 0..builder.ops_left().min(DELETES_PER_TRANSACTION) {
+        for _ in 0..builder.writes_left().min(DELETES_PER_TRANSACTION) {
             let Some(record) = records.pop_obsolete() else { break };
             self.not_before = now + DELETE_INTERVAL_MS;
             builder.delete(record);
--- a/src/coordination/commits/outcomes.rs
+++ b/src/coordination/commits/outcomes.rs
@@ -63,7 +63,7 @@
             CommitOutcome::Refused => self.refused(now, in_flight, cluster),
             CommitOutcome::TooLarge => self.too_large(now, in_flight, cluster),
             CommitOutcome::Unknown => self.outcome_unknown(now, in_flight, cluster),
-            CommitOutcome::Conflict(failed_keys) => return self.conflicted(in_flight, failed_keys, cluster),
+            CommitOutcome::Conflict(failed_keys) => return self.handle_conflict(in_flight, failed_keys, cluster),
         }
         Ok(())
     }
@@ -115,7 +115,7 @@
     }
 
     /// Processes a conflict: the transaction's conditions failed at `failed_keys`.
-    fn conflicted(
+    fn handle_conflict(
         &mut self,
         mut in_flight: InFlightTransaction,
         failed_keys: Vec<String>,
@@ -157,9 +157,9 @@
             self.pause_until(now + REFUSED_PAUSE_MS);
         } else {
             self.pause_until(now + TOO_LARGE_PAUSE_MS);
-            self.limit_ops_below(in_flight.transaction.writes.len());
+            self.limit_writes_below(in_flight.transaction.writes.len());
             if in_flight.transaction.writes.len() == 1 {
-                leave_out(cluster, now, &in_flight.contents);
+                handle_oversized_write(cluster, now, &in_flight.contents);
             }
         }
         // No response was received to an earlier copy, which may have been applied:
@@ -202,7 +202,7 @@
     }
     for key in &in_flight.contents.deleted_keys {
         let revision = in_flight.expected_revision(key);
-        cluster.records_mut().delete_later(ObsoleteRecord { key: key.clone(), revision });
+        cluster.records_mut().queue_deletion(ObsoleteRecord { key: key.clone(), revision });
     }
     remove_finished_jobs(cluster, &in_flight.contents.chunks);
 }
@@ -216,7 +216,7 @@
 }
 
 /// Leaves out, for some time, a write that is refused as too large even on its own.
-fn leave_out(cluster: &mut ClusterState, now: Millis, contents: &TransactionContents) {
+fn handle_oversized_write(cluster: &mut ClusterState, now: Millis, contents: &TransactionContents) {
     for written in &contents.chunks {
         shrink_chunk(cluster, now, OversizedChunk { job: written.job, chunk: written.chunk });
     }
--- a/src/coordination/commits/pipeline.rs
+++ b/src/coordination/commits/pipeline.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct WriteAllowance {
     /// Maximum number of writes in the next transaction.
-    pub max_ops: usize,
+    pub max_writes: usize,
     /// Whether the request budget covers more than the urgent writes.
     pub has_spare_budget: bool,
 }
@@ -32,7 +32,7 @@
     in_flight: Option<InFlightTransaction>,
     last_tag: TransactionTag,
     /// Maximum number of writes in a transaction that the store is known to accept.
-    accepted_ops: usize,
+    accepted_writes: usize,
     /// Earliest time at which a transaction is sent, in ms.
     paused_until: Millis,
     obsolete_record_deletion: ObsoleteRecordDeletion,
@@ -48,7 +48,7 @@
         CommitPipeline {
             in_flight: None,
             last_tag: TransactionTag(last_tag),
-            accepted_ops: usize::MAX,
+            accepted_writes: usize::MAX,
             paused_until: 0,
             obsolete_record_deletion: ObsoleteRecordDeletion::default(),
             resharding: Resharding::default(),
@@ -88,8 +88,8 @@
     /// `has_spare_budget`: the request budget covers more than the urgent writes.
     pub fn has_writes(&mut self, now: Millis, has_spare_budget: bool, cluster: &mut ClusterState) -> bool {
         cluster.record_unwritten_changes(now);
-        let max_ops = self.max_ops(cluster);
-        self.resharding.is_due(now, max_ops, has_spare_budget, cluster)
+        let max_writes = self.max_writes(cluster);
+        self.resharding.is_due(now, max_writes, has_spare_budget, cluster)
             || self.in_flight.is_some()
             || (has_spare_budget && cluster.has_obsolete_records())
             || cluster.active_jobs().any(|job| WritePriority::of(job, now, has_spare_budget).is_some())
@@ -109,16 +109,16 @@
         if let Some(in_flight) = &mut self.in_flight {
             return in_flight.resend();
         }
-        let max_ops = allowance.max_ops.min(self.max_ops(cluster));
-        let allowance = WriteAllowance { max_ops, ..allowance };
+        let max_writes = allowance.max_writes.min(self.max_writes(cluster));
+        let allowance = WriteAllowance { max_writes, ..allowance };
         let resharding = self.reshard_transaction(now, allowance, cluster, interners);
         resharding.or_else(|| self.record_transaction(now, allowance, cluster, interners))
     }
 
     /// Returns the maximum number of writes in a transaction, before the request budget
     /// is applied.
-    fn max_ops(&self, cluster: &ClusterState) -> usize {
-        cluster.config().max_transaction_writes.min(self.accepted_ops)
+    fn max_writes(&self, cluster: &ClusterState) -> usize {
+        cluster.config().max_transaction_writes.min(self.accepted_writes)
     }
 
     /// Returns a transaction that reshards a job, if one is due for resharding.
@@ -129,11 +129,11 @@
         cluster: &mut ClusterState,
         interners: &Interners,
     ) -> Option<Transaction> {
-        let job = self.resharding.candidate(now, self.max_ops(cluster), allowance.has_spare_budget, cluster)?;
+        let job = self.resharding.candidate(now, self.max_writes(cluster), allowance.has_spare_budget, cluster)?;
         let (job_index, record) = (job.index, job.records.oversized_record.as_ref()?);
         let tag = self.last_tag.next();
         let (transaction, contents) = reshard_transaction(cluster, interners, job, record, tag);
-        if transaction.writes.len() > allowance.max_ops {
+        if transaction.writes.len() > allowance.max_writes {
             return None;
         }
         self.last_tag = tag;
@@ -153,7 +153,7 @@
         interners: &Interners,
     ) -> Option<Transaction> {
         self.last_tag = self.last_tag.next();
-        let mut builder = TransactionBuilder::new(self.last_tag, allowance.max_ops);
+        let mut builder = TransactionBuilder::new(self.last_tag, allowance.max_writes);
         let has_spare_budget = allowance.has_spare_budget;
         let wall_ms = self.wall_ms(now);
         JobRecordWriter { cluster, interners, now, wall_ms, has_spare_budget }.add_due_jobs(&mut builder);
@@ -209,10 +209,10 @@
         self.paused_until = until;
     }
 
-    /// Lowers the limit on the writes of a transaction to half of `refused_ops`: the store
+    /// Lowers the limit on the writes of a transaction to half of `refused_writes`: the store
     /// refuses transactions of that many writes, and may refuse smaller ones.
-    pub(super) fn limit_ops_below(&mut self, refused_ops: usize) {
-        self.accepted_ops = (refused_ops / 2).max(1);
+    pub(super) fn limit_writes_below(&mut self, refused_writes: usize) {
+        self.accepted_writes = (refused_writes / 2).max(1);
     }
 
     /// Returns the counts of writes, to be updated.
--- a/src/coordination/commits/resharding.rs
+++ b/src/coordination/commits/resharding.rs
@@ -46,11 +46,11 @@
         self.is_enabled = is_enabled;
     }
 
-    /// Returns whether a job must be resharded now. `max_ops`: maximum number of writes
+    /// Returns whether a job must be resharded now. `max_writes`: maximum number of writes
     /// in a transaction; `has_spare_budget`: the request budget covers more than the
     /// urgent writes.
-    pub fn is_due(&mut self, now: Millis, max_ops: usize, has_spare_budget: bool, cluster: &ClusterState) -> bool {
-        let is_due = self.candidate(now, max_ops, has_spare_budget, cluster).is_some();
+    pub fn is_due(&mut self, now: Millis, max_writes: usize, has_spare_budget: bool, cluster: &ClusterState) -> bool {
+        let is_due = self.candidate(now, max_writes, has_spare_budget, cluster).is_some();
         if !is_due && now >= self.not_before {
             // The search visits every job, so it isn't repeated on every call.
             self.not_before = now + RESHARD_INTERVAL_MS;
@@ -63,7 +63,7 @@
     pub fn candidate<'a>(
         &self,
         now: Millis,
-        max_ops: usize,
+        max_writes: usize,
         has_spare_budget: bool,
         cluster: &'a ClusterState,
     ) -> Option<&'a Job> {
@@ -79,7 +79,7 @@
             return None;
         }
         let values_per_transaction = TRANSACTION_BYTES_LIMIT / cluster.config().reduced_max_value_bytes.max(1);
-        let max_writes = max_ops.min(values_per_transaction).max(1);
+        let max_writes = max_writes.min(values_per_transaction).max(1);
         cluster.active_jobs().find(|job| {
             job.records.oversized_record.is_some()
                 && job.status == JobStatus::Pending
@@ -124,7 +124,7 @@
     tag: TransactionTag,
 ) -> (Transaction, TransactionContents) {
     let chunk_size = cluster.config().reduced_chunk_size;
-    let record = JobRecord { chunk: chunk_size, ..record.clone() };
+    let record = JobRecord { tasks_per_chunk: chunk_size, ..record.clone() };
     let job_key = records::job_key(&job.id);
     let mut transaction = Transaction::default();
     transaction.conditions.push(Condition { key: job_key.clone(), revision: job.records.revision });
--- a/src/coordination/commits/transaction_builder.rs
+++ b/src/coordination/commits/transaction_builder.rs
@@ -36,20 +36,20 @@
     /// Chunks that were left out because they are too large.
     pub oversized_chunks: Vec<OversizedChunk>,
     /// Maximum number of writes.
-    max_ops: usize,
+    max_writes: usize,
     /// Size of the writes so far, in bytes.
     bytes: usize,
     tag: TransactionTag,
 }
 
 impl TransactionBuilder {
-    /// Returns an empty transaction that may hold up to `max_ops` writes.
-    pub fn new(tag: TransactionTag, max_ops: usize) -> TransactionBuilder {
+    /// Returns an empty transaction that may hold up to `max_writes` writes.
+    pub fn new(tag: TransactionTag, max_writes: usize) -> TransactionBuilder {
         TransactionBuilder {
             transaction: Transaction::default(),
             contents: TransactionContents::default(),
             oversized_chunks: Vec::new(),
-            max_ops,
+            max_writes,
             bytes: 0,
             tag,
         }
@@ -61,16 +61,16 @@
     }
 
     /// Returns how many more writes the transaction may hold.
-    pub fn ops_left(&self) -> usize {
-        self.max_ops.saturating_sub(self.transaction.writes.len())
+    pub fn writes_left(&self) -> usize {
+        self.max_writes.saturating_sub(self.transaction.writes.len())
     }
 
     /// Returns whether the transaction accepts the `writes` writes of one job: they fit,
     /// or the transaction is still empty, so that a job too large for any transaction is
     /// split.
     pub fn accepts_job_writes(&self, writes: usize) -> bool {
-        let ops_left = self.ops_left();
-        writes <= ops_left || ops_left >= self.max_ops
+        let writes_left = self.writes_left();
+        writes <= writes_left || writes_left >= self.max_writes
     }
 
     /// Returns whether the writes have reached the limit on the bytes of a transaction.
@@ -80,7 +80,7 @@
 
     /// Returns whether the transaction accepts no further write.
     pub fn is_full(&self) -> bool {
-        self.ops_left() == 0 || self.has_reached_byte_limit()
+        self.writes_left() == 0 || self.has_reached_byte_limit()
     }
 
     /// Returns whether the transaction holds no write.
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -168,8 +168,8 @@
 
     /// Handles the outcome of the renewal of the store lease.
     pub fn handle_renewal_outcome(&mut self, now: Millis, outcome: RenewalOutcome) {
-        let Some(sent) = self.key.handle_renewal_outcome(now, outcome) else { return };
-        let elapsed_ms = now.saturating_sub(sent);
+        let Some(sent_at) = self.key.handle_renewal_outcome(now, outcome) else { return };
+        let elapsed_ms = now.saturating_sub(sent_at);
         match outcome {
             RenewalOutcome::Renewed => self.renewal_timeout.record_response(elapsed_ms),
             // The key is removed with the store lease; the watch will confirm it.
--- a/src/coordination/ephemeral_key.rs
+++ b/src/coordination/ephemeral_key.rs
@@ -63,8 +63,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PendingCall {
     None,
-    StoreLeaseRequest { sent: Millis },
-    Renewal { sent: Millis },
+    StoreLeaseRequest { sent_at: Millis },
+    Renewal { sent_at: Millis },
     KeyWrite,
 }
 
@@ -137,7 +137,7 @@
             return None;
         }
         self.last_renewal = now;
-        self.pending = PendingCall::Renewal { sent: now };
+        self.pending = PendingCall::Renewal { sent_at: now };
         Some(Action::RenewStoreLease(store_lease))
     }
 
@@ -151,7 +151,7 @@
             }
             _ => {
                 self.store_lease = None;
-                self.pending = PendingCall::StoreLeaseRequest { sent: now };
+                self.pending = PendingCall::StoreLeaseRequest { sent_at: now };
                 Action::RequestStoreLease
             }
         }
@@ -159,13 +159,13 @@
 
     /// Handles the response to the request for a store lease. `None`: it failed.
     pub fn handle_store_lease_response(&mut self, now: Millis, store_lease: Option<StoreLeaseId>) {
-        let PendingCall::StoreLeaseRequest { sent } = self.pending else { return };
+        let PendingCall::StoreLeaseRequest { sent_at } = self.pending else { return };
         self.pending = PendingCall::None;
         match store_lease {
             Some(store_lease) => {
                 self.store_lease = Some(store_lease);
-                self.store_lease_valid_until = self.earliest_expiry(sent);
-                self.last_renewal = sent;
+                self.store_lease_valid_until = self.earliest_expiry(sent_at);
+                self.last_renewal = sent_at;
             }
             None => self.retry_at = now + self.retry_delays.after_write_ms,
         }
@@ -174,11 +174,11 @@
     /// Handles the outcome of the renewal of the store lease. Returns when the renewal
     /// was sent; `None` if no renewal was in flight.
     pub fn handle_renewal_outcome(&mut self, now: Millis, outcome: RenewalOutcome) -> Option<Millis> {
-        let PendingCall::Renewal { sent } = self.pending else { return None };
+        let PendingCall::Renewal { sent_at } = self.pending else { return None };
         self.pending = PendingCall::None;
         match outcome {
             RenewalOutcome::Renewed => {
-                self.store_lease_valid_until = self.store_lease_valid_until.max(self.earliest_expiry(sent));
+                self.store_lease_valid_until = self.store_lease_valid_until.max(self.earliest_expiry(sent_at));
             }
             RenewalOutcome::Expired => self.clear_store_lease(),
             RenewalOutcome::Unknown => {
@@ -186,7 +186,7 @@
                 self.retry_at = now + self.retry_delays.after_renewal_ms;
             }
         }
-        Some(sent)
+        Some(sent_at)
     }
 
     /// Handles the result of writing the key: the revision that it has now. `None`:
@@ -220,9 +220,9 @@
 
     /// Returns the earliest time at which a store lease may expire that was requested
     /// or renewed by a call sent at `sent`.
-    fn earliest_expiry(&self, sent: Millis) -> Millis {
+    fn earliest_expiry(&self, sent_at: Millis) -> Millis {
         let shortest_ms = self.ttl_ms as f64 * (1.0 - CLOCK_DRIFT);
-        (sent + shortest_ms as Millis).saturating_sub(EXPIRY_MARGIN_MS)
+        (sent_at + shortest_ms as Millis).saturating_sub(EXPIRY_MARGIN_MS)
     }
 }
 
--- a/src/coordination/leader/commits.rs
+++ b/src/coordination/leader/commits.rs
@@ -39,17 +39,17 @@
         self.commits.has_writes(now, has_spare_budget, &mut self.cluster)
     }
 
-    /// Returns the next transaction, of at most `max_ops` writes; a transaction without
+    /// Returns the next transaction, of at most `max_writes` writes; a transaction without
     /// a response is sent again, unchanged. `has_spare_budget`: the request budget covers
     /// more than the urgent writes.
-    pub fn commit(
+    pub fn next_transaction(
         &mut self,
         now: Millis,
-        max_ops: usize,
+        max_writes: usize,
         has_spare_budget: bool,
         interners: &Interners,
     ) -> Option<Transaction> {
-        let allowance = WriteAllowance { max_ops, has_spare_budget };
+        let allowance = WriteAllowance { max_writes, has_spare_budget };
         self.commits.next_transaction(now, allowance, &mut self.cluster, interners)
     }
 
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -28,7 +28,7 @@
         let Some(index) = job_cache.find(id) else { return };
         if job_cache.get(index).status == JobStatus::Done {
             let obsolete = ObsoleteRecord { key: pair.key.clone(), revision: pair.revision };
-            self.cluster.records_mut().delete_later(obsolete);
+            self.cluster.records_mut().queue_deletion(obsolete);
             return;
         }
         if !self.add_job_of_record(now, wall_ms, index, &pair.key, job_cache) {
@@ -111,7 +111,7 @@
         let Some(assignment_index) = cluster.add_assignment(now, new) else { continue };
         // An earlier leader may have sent the launch.
         if let Some(assignment) = cluster.assignment_mut(assignment_index) {
-            assignment.sent = Some(now);
+            assignment.sent_at = Some(now);
             assignment.recovered = true;
         }
     }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns the time at which this leadership began, in ms.
-    pub fn started(&self) -> Millis {
+    pub fn started_at(&self) -> Millis {
         self.cluster.started_at()
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Sets the cloud's machine types and their prices, which may have changed.
-    pub fn set_types(&mut self, types: &[MachineTypeSpec]) {
+    pub fn set_machine_types(&mut self, types: &[MachineTypeSpec]) {
         self.cluster.set_machine_types(types);
     }
 
@@ -132,7 +132,7 @@
 
     /// Returns whether the raise count in any worker's fencing token is nearly exhausted;
     /// the next leadership starts a new count.
-    pub fn tokens_exhausted(&self) -> bool {
+    pub fn are_tokens_exhausted(&self) -> bool {
         let term = self.cluster.term();
         self.cluster
             .machines()
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -183,9 +183,9 @@
         self.is_key_held = is_own && !key_revision.is_absent();
     }
 
-    /// Records that a read of the jobs' records that was sent at `sent` has completed.
-    pub fn record_job_read(&mut self, sent: Millis) {
-        self.last_job_read = self.last_job_read.max(Some(sent));
+    /// Records that a read of the jobs' records that was sent at `sent_at` has completed.
+    pub fn record_job_read(&mut self, sent_at: Millis) {
+        self.last_job_read = self.last_job_read.max(Some(sent_at));
     }
 
     /// Returns when this controller was last in contact with the store: when its last
--- a/src/coordination/lease_renewal/peer_inactivity.rs
+++ b/src/coordination/lease_renewal/peer_inactivity.rs
@@ -15,7 +15,7 @@
     /// them don't overflow.
     pub const ALWAYS: TimeSpan = TimeSpan { from: i64::MIN / 2, to: i64::MAX / 2 };
     /// The empty span.
-    pub const NEVER: TimeSpan = TimeSpan { from: i64::MAX / 2, to: i64::MIN / 2 };
+    pub const EMPTY: TimeSpan = TimeSpan { from: i64::MAX / 2, to: i64::MIN / 2 };
 
     fn overlaps(&self, other: &TimeSpan) -> bool {
         other.from <= self.to && other.to >= self.from
@@ -63,7 +63,7 @@
     /// Returns the time during which no other controller renewed any worker lease;
     /// empty if nothing is known of a peer.
     pub fn span(&self) -> TimeSpan {
-        let known = self.spans.iter().map(|span| span.unwrap_or(TimeSpan::NEVER));
+        let known = self.spans.iter().map(|span| span.unwrap_or(TimeSpan::EMPTY));
         known.fold(TimeSpan::ALWAYS, |common, span| common.intersection(&span))
     }
 }
--- a/src/coordination/model/assignment.rs
+++ b/src/coordination/model/assignment.rs
@@ -28,7 +28,7 @@
     /// Grace period given to the task, in seconds.
     pub grace_s: f64,
     /// When the halt was last sent to the worker; `None`: not sent yet.
-    pub sent: Option<Millis>,
+    pub sent_at: Option<Millis>,
 }
 
 /// The assignment of a task to a machine: the task is, or may be, on it.
@@ -52,7 +52,7 @@
     pub state: AssignmentState,
     /// When the launch of the task was last sent; `None`: it was not sent, or is to be
     /// sent again at once.
-    pub sent: Option<Millis>,
+    pub sent_at: Option<Millis>,
     /// When a heartbeat first reported the task as running; `None`: none has.
     pub running_since: Option<Millis>,
     /// The request to stop the task; `None`: it is not to be stopped.
@@ -67,7 +67,7 @@
 impl Assignment {
     /// Reports whether no leader can have sent the task's launch yet.
     pub fn never_launched(&self) -> bool {
-        self.state == AssignmentState::Wanted && self.sent.is_none() && !self.recovered
+        self.state == AssignmentState::Wanted && self.sent_at.is_none() && !self.recovered
     }
 
     /// Returns the identity of this assignment's launch.
--- a/src/coordination/model/failures.rs
+++ b/src/coordination/model/failures.rs
@@ -44,7 +44,7 @@
 
     /// Reports whether tasks failed and it is unknown whether the job or the machines
     /// cause the failures.
-    pub fn have_unknown_cause(&self) -> bool {
+    pub fn has_unknown_cause(&self) -> bool {
         !self.job_is_healthy && !self.machines.is_empty()
     }
 }
--- a/src/coordination/model/machine.rs
+++ b/src/coordination/model/machine.rs
@@ -159,7 +159,7 @@
     }
 
     /// Reports whether a heartbeat with these numbers is newer than the latest one.
-    pub fn is_outdated_by(&self, incarnation: Incarnation, sequence: SequenceNumber) -> bool {
+    pub fn is_older_than(&self, incarnation: Incarnation, sequence: SequenceNumber) -> bool {
         (incarnation, sequence) > (self.incarnation, self.sequence)
     }
 
--- a/src/coordination/model/mod.rs
+++ b/src/coordination/model/mod.rs
@@ -34,7 +34,7 @@
 pub const SAVE_MARGIN_S: f64 = 2.0;
 
 /// Converts a duration in milliseconds to seconds.
-pub fn seconds(duration_ms: Millis) -> f64 {
+pub fn ms_to_seconds(duration_ms: Millis) -> f64 {
     duration_ms as f64 / 1000.0
 }
 
--- a/src/coordination/model/team.rs
+++ b/src/coordination/model/team.rs
@@ -35,7 +35,7 @@
     /// Reports whether the limit can ever admit the job; if not, its submission is
     /// rejected with 422. The tasks of an array may run one after another; those of
     /// other kinds run at the same time.
-    pub fn ever_allows(&self, spec: &JobSpec) -> bool {
+    pub fn can_admit(&self, spec: &JobSpec) -> bool {
         let concurrent_tasks = match spec.kind {
             JobKind::Array => 1,
             JobKind::Gang | JobKind::Service => spec.tasks,
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -89,8 +89,8 @@
     pub fn schedule_job(&mut self, index: JobIndex) {
         let Some(job) = self.cluster.job(index) else { return };
         if job.spec.kind != JobKind::Service {
-            // Services come first in the queue; the jobs after them leave
-            // capacity for the replicas that are expected next.
+            // The first job in the queue that isn't a service, and all jobs after it,
+            // leave capacity for the replicas that are expected next.
             self.reserve_headroom();
         }
         let Some(request) = self.placement_request(index) else { return };
--- a/src/coordination/scheduler/gpu_demand.rs
+++ b/src/coordination/scheduler/gpu_demand.rs
@@ -51,7 +51,7 @@
 
     /// Sets on each pool of GPU machines how much of a machine's capacity the
     /// GPU jobs seen recently may need.
-    pub fn protect_gpu_capacity(&self, pools: &mut [Pool]) {
+    pub fn reserve_gpu_capacity(&self, pools: &mut [Pool]) {
         for pool in pools {
             pool.reserved_for_gpu_tasks = if pool.capacity.gpus <= 0.0 { None } else { self.largest_need_in(pool) };
         }
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -51,7 +51,7 @@
             return;
         }
         self.gpu_demand.observe(now, cluster.active_jobs());
-        self.gpu_demand.protect_gpu_capacity(&mut cluster.snapshot_mut().pools);
+        self.gpu_demand.reserve_gpu_capacity(&mut cluster.snapshot_mut().pools);
         let mut cycle = SchedulingCycle::new(cluster, &mut self.preemption_samples, now);
         for job in queue {
             cycle.schedule_job(job);
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -15,7 +15,8 @@
 };
 
 /// Age at which a job without a start is considered starved and goes before all jobs
-/// but services. Users are promised that a job starts within four minutes.
+/// but those of production priority. Users are promised that a job starts within four
+/// minutes.
 const STARVATION_AGE_S: f64 = 150.0;
 /// Among starved jobs, the largest job of a class is ordered as if it had waited
 /// this much longer.
@@ -99,8 +100,8 @@
 }
 
 /// Returns the jobs that may be placed now, in the order in which they are tried:
-/// services first; then starved jobs, the oldest first; then by priority, jobs
-/// within their team's guarantee before other jobs.
+/// jobs of production priority first; then starved jobs, the oldest first; then by
+/// priority. Jobs within their team's guarantee go before other jobs of their tier.
 pub fn scheduling_order(cluster: &ClusterState, now: Millis) -> Vec<JobIndex> {
     let largest = largest_by_class(cluster);
     let mut queue: Vec<QueuePosition> = cluster
--- a/src/coordination/scheduler/trial/tree.rs
+++ b/src/coordination/scheduler/trial/tree.rs
@@ -76,7 +76,7 @@
             let same_host = placements.last().map(|placement| placement.host).filter(|&host| self.fits_another(host));
             match same_host.or_else(|| self.best_host(zone)) {
                 Some(host) => {
-                    self.snapshot.assume(host, self.request.spec);
+                    self.snapshot.add_assumed(host, self.request.spec);
                     placements.push(TaskPlacement { task, host });
                 }
                 None => {
@@ -118,7 +118,7 @@
             return TrialResult { status, placements: Vec::new() };
         };
         for placement in &outcome.placements {
-            self.snapshot.assume(placement.host, self.request.spec);
+            self.snapshot.add_assumed(placement.host, self.request.spec);
         }
         outcome
     }
--- a/src/coordination/snapshot/mod.rs
+++ b/src/coordination/snapshot/mod.rs
@@ -192,7 +192,7 @@
 
     /// Accounts for a task as if it were on the machine, until
     /// [`ClusterSnapshot::remove_assumed`].
-    pub fn assume(&mut self, host_index: usize, spec: &JobSpec) {
+    pub fn add_assumed(&mut self, host_index: usize, spec: &JobSpec) {
         self.update_host(host_index, |host| host.apply_load_change(spec, LoadChange::Added));
     }
 
@@ -206,7 +206,7 @@
     /// from what is free now. `also_freed`: further capacity that is about to be free
     /// there.
     pub fn reserve(&mut self, host_index: usize, need: Resources, also_freed: Resources) {
-        let reservation = self.update_host(host_index, |host| Reservation::make(host_index, host, need, also_freed));
+        let reservation = self.update_host(host_index, |host| Reservation::reserve(host_index, host, need, also_freed));
         self.reservations.push(reservation);
     }
 
--- a/src/coordination/tests/commits.rs
+++ b/src/coordination/tests/commits.rs
@@ -25,8 +25,8 @@
 const LEADER_REVISION: Revision = Revision(3);
 const FIRST_CHUNK: &str = "t/j-1/000000";
 const SECOND_CHUNK: &str = "t/j-1/000001";
-const URGENT: WriteAllowance = WriteAllowance { max_ops: 8, has_spare_budget: false };
-const SPARE: WriteAllowance = WriteAllowance { max_ops: 8, has_spare_budget: true };
+const URGENT: WriteAllowance = WriteAllowance { max_writes: 8, has_spare_budget: false };
+const SPARE: WriteAllowance = WriteAllowance { max_writes: 8, has_spare_budget: true };
 
 /// A gang of 16 tasks in two chunks, and the pipeline that writes it.
 struct Fixture {
@@ -58,7 +58,7 @@
 fn fixture() -> Fixture {
     let mut interners = Interners::default();
     let submission: Submission = cbor::decode(&cbor::encode(&crate::protocol::jobs::tests::sample())).unwrap();
-    let record = JobRecord { submission, status: JobStatus::Pending, at_ms: 5, chunk: 8 };
+    let record = JobRecord { submission, status: JobStatus::Pending, at_ms: 5, tasks_per_chunk: 8 };
     let mut job_cache = JobCache::default();
     let job = job_cache.apply_record("j/j-1", &records::to_value(&record), JOB_REVISION, &mut interners).unwrap();
     let mut cluster = ClusterState::new(config(), Term(LEADER_REVISION), Attempt(0), NOW, Vec::new());
@@ -127,7 +127,7 @@
     transaction.writes.iter().filter_map(deleted).collect()
 }
 
-fn requires(transaction: &Transaction, key: &str, revision: Revision) -> bool {
+fn has_condition(transaction: &Transaction, key: &str, revision: Revision) -> bool {
     transaction.conditions.iter().any(|condition| condition.key == key && condition.revision == revision)
 }
 
@@ -148,10 +148,11 @@
     assert!(fixture.has_writes(NOW, false));
     let transaction = fixture.next(NOW, URGENT).expect("two chunks changed");
     assert_eq!(written_keys(&transaction), [FIRST_CHUNK, SECOND_CHUNK]);
-    assert!(requires(&transaction, records::LEADER_KEY, LEADER_REVISION));
-    assert!(requires(&transaction, "j/j-1", JOB_REVISION));
+    assert!(has_condition(&transaction, records::LEADER_KEY, LEADER_REVISION));
+    assert!(has_condition(&transaction, "j/j-1", JOB_REVISION));
     assert!(
-        requires(&transaction, FIRST_CHUNK, Revision::ABSENT) && requires(&transaction, SECOND_CHUNK, Revision::ABSENT)
+        has_condition(&transaction, FIRST_CHUNK, Revision::ABSENT)
+            && has_condition(&transaction, SECOND_CHUNK, Revision::ABSENT)
     );
     let assignments = chunk_record(&transaction, SECOND_CHUNK).assignments;
     assert_eq!(assignments.iter().map(|record| (record.0, record.1.as_str())).collect::<Vec<_>>(), [(9, "m-1")]);
@@ -196,7 +197,7 @@
     assert!(fixture.has_unwritten_placement(), "the second assignment is not written yet");
     let next = fixture.next(NOW + 250, URGENT).unwrap();
     assert_eq!(chunk_record(&next, FIRST_CHUNK).assignments.len(), 2);
-    assert!(requires(&next, FIRST_CHUNK, Revision(8)));
+    assert!(has_condition(&next, FIRST_CHUNK, Revision(8)));
 }
 
 #[test]
@@ -294,7 +295,7 @@
     }
     let transaction = fixture.next(NOW + 10, URGENT).expect("completions are written without a delay");
     assert_eq!(written_keys(&transaction), ["j/j-1"]);
-    assert!(requires(&transaction, "j/j-1", JOB_REVISION));
+    assert!(has_condition(&transaction, "j/j-1", JOB_REVISION));
     let record: JobRecord = written(&transaction)[0].1.deserialized().unwrap();
     assert_eq!((record.status, record.at_ms), (JobStatus::Done, 50_010));
     assert!(fixture.finish(NOW + 10, CommitOutcome::Applied(Revision(9))));
@@ -306,8 +307,8 @@
     let transaction = fixture.next(NOW + 10, SPARE).unwrap();
     assert_eq!(deleted_keys(&transaction), [FIRST_CHUNK, SECOND_CHUNK]);
     assert!(
-        requires(&transaction, FIRST_CHUNK, Revision(8))
-            && requires(&transaction, records::LEADER_KEY, LEADER_REVISION)
+        has_condition(&transaction, FIRST_CHUNK, Revision(8))
+            && has_condition(&transaction, records::LEADER_KEY, LEADER_REVISION)
     );
     // One key has changed in the meantime: only the deletion of the other one is retried,
     // after a pause.
@@ -329,8 +330,11 @@
     // Task 5 is in the second of the new chunks; the first one's record is deleted.
     assert_eq!(written_keys(&transaction), ["j/j-1", SECOND_CHUNK]);
     assert_eq!(deleted_keys(&transaction), [FIRST_CHUNK]);
-    assert!(requires(&transaction, FIRST_CHUNK, Revision(8)) && requires(&transaction, SECOND_CHUNK, Revision::ABSENT));
-    assert!(requires(&transaction, records::LEADER_KEY, LEADER_REVISION));
+    assert!(
+        has_condition(&transaction, FIRST_CHUNK, Revision(8))
+            && has_condition(&transaction, SECOND_CHUNK, Revision::ABSENT)
+    );
+    assert!(has_condition(&transaction, records::LEADER_KEY, LEADER_REVISION));
     assert!(
         fixture.cluster.job(fixture.job).unwrap().records.resharding,
         "none of the job's tasks may be assigned during resharding"
--- a/src/coordination/tests/model.rs
+++ b/src/coordination/tests/model.rs
@@ -48,11 +48,11 @@
         (team_limits(0.0, 16.0), 0.0, 16.0, u32::MAX, JobKind::Service, 3, true),
         (team_limits(5.0, 0.0), 0.0, 0.0, 2, JobKind::Service, 3, false),
     ];
-    for (i, (limits, gpus, used, further_tasks, kind, tasks, ever_allowed)) in cases.into_iter().enumerate() {
+    for (i, (limits, gpus, used, further_tasks, kind, tasks, can_be_admitted)) in cases.into_iter().enumerate() {
         let mut job_spec = spec(kind, Priority::Low, tasks, 2.0);
         job_spec.gpus = gpus;
         let used = Resources { gpus: used, ..Resources::default() };
         assert_eq!(limits.tasks_within_limit(&job_spec, &used), further_tasks, "case {i}");
-        assert_eq!(limits.ever_allows(&job_spec), ever_allowed, "case {i}");
+        assert_eq!(limits.can_admit(&job_spec), can_be_admitted, "case {i}");
     }
 }
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -118,10 +118,10 @@
         let task = || format!("{}/{}", job.id, assignment.task);
         let attempt = assignment.attempt;
         if let Some(halt) = assignment.halt {
-            let is_due = self.is_due_to_be_sent(halt.sent);
+            let is_due = self.is_due_to_be_sent(halt.sent_at);
             return is_due.then(|| WorkerCommand::Halt { task: task(), attempt, grace_s: halt.grace_s });
         }
-        let is_launch_due = assignment.state == AssignmentState::Wanted && self.is_due_to_be_sent(assignment.sent);
+        let is_launch_due = assignment.state == AssignmentState::Wanted && self.is_due_to_be_sent(assignment.sent_at);
         let may_launch = is_launch_due && self.cluster.may_launch(assignment);
         may_launch.then(|| WorkerCommand::Launch { task: task(), attempt })
     }
@@ -134,7 +134,7 @@
 fn mark_sent(cluster: &mut ClusterState, now: Millis, index: AssignmentIndex) {
     let Some(assignment) = cluster.assignment_mut(index) else { return };
     match &mut assignment.halt {
-        Some(halt) => halt.sent = Some(now),
-        None => assignment.sent = Some(now),
+        Some(halt) => halt.sent_at = Some(now),
+        None => assignment.sent_at = Some(now),
     }
 }
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -124,7 +124,7 @@
         let Some(Slot::Assigned(assignment_index)) = slot else { continue };
         let assignment = cluster.assignment_mut(assignment_index);
         if let Some(assignment) = assignment.filter(|assignment| assignment.attempt == launch.attempt) {
-            assignment.sent = None;
+            assignment.sent_at = None;
         }
     }
 }
--- a/src/coordination/workers/failure_attribution.rs
+++ b/src/coordination/workers/failure_attribution.rs
@@ -93,7 +93,7 @@
         let assignments = job.assignments().into_iter().filter_map(|index| cluster.assignment(index));
         assignments.filter_map(|assignment| assignment.running_since).any(|since| now > since + limit_ms)
     };
-    let suspects = cluster.active_jobs().filter(|job| job.failures.have_unknown_cause());
+    let suspects = cluster.active_jobs().filter(|job| job.failures.has_unknown_cause());
     let healthy: Vec<JobIndex> = suspects.filter(|job| outlasts(job)).map(|job| job.index).collect();
     for index in healthy {
         if let Some(job) = cluster.job_mut(index) {
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -79,7 +79,7 @@
             self.reconcile_assigned_task(&task, assignment_index);
         } else if status.state == TaskState::Exited {
             self.reconcile_unassigned_exit(&task);
-        } else if self.is_wanted(&task) {
+        } else if self.may_keep_running(&task) {
             self.assign_unrecorded_task(&task);
         } else {
             self.stop_orphaned_task(&task);
@@ -132,7 +132,7 @@
     }
 
     /// Reports whether a running task without an assignment may keep running.
-    fn is_wanted(&self, task: &ListedTask<'_>) -> bool {
+    fn may_keep_running(&self, task: &ListedTask<'_>) -> bool {
         task.slot == Some(Slot::Pending)
             && self.cluster.job(task.job).is_some_and(|job| job.status == JobStatus::Pending)
     }
--- a/src/coordination/workers/task_progress.rs
+++ b/src/coordination/workers/task_progress.rs
@@ -4,7 +4,7 @@
 use crate::{
     coordination::{
         cluster::ClusterState,
-        model::{seconds, AssignmentIndex, AssignmentState, Job, Millis},
+        model::{ms_to_seconds, AssignmentIndex, AssignmentState, Job, Millis},
     },
     protocol::workers::{ExitReason, TaskState, TaskStatus},
 };
@@ -70,7 +70,7 @@
         kind = ?job.spec.kind,
         priority = ?job.spec.priority,
         wait_s = job.age_s(now),
-        startup_s = seconds(now - assigned_at),
+        startup_s = ms_to_seconds(now - assigned_at),
         image_gb = job.spec.image_gb,
         tasks = job.spec.tasks,
         "first task started"
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -58,7 +58,8 @@
     /// Address of the cloud.
     pub cloud: SocketAddr,
     /// Address of the key-value store.
-    pub state: SocketAddr,
+    #[serde(rename = "state")]
+    pub store: SocketAddr,
 }
 
 /// Settings of the whole cluster, the same for all controllers.
@@ -79,7 +80,8 @@
     /// Intervals and timeouts of the interface with workers.
     pub workers: WorkerSettings,
     /// Limits of the key-value store.
-    pub state: StoreLimits,
+    #[serde(rename = "state")]
+    pub store: StoreLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// Limits of each controller's process.
--- a/src/protocol/settings/limits.rs
+++ b/src/protocol/settings/limits.rs
@@ -51,14 +51,14 @@
 }
 
 impl StoreLimits {
-    fn lower(&self, next: fn(&NextLimits) -> Option<f64>, current: f64) -> f64 {
+    fn min_with_next(&self, next: fn(&NextLimits) -> Option<f64>, current: f64) -> f64 {
         self.next.as_ref().and_then(next).map_or(current, |next| next.min(current))
     }
 
     /// Returns the maximum size of a value, in KiB, that fits both the current and the
     /// next limits.
     pub fn fitting_value_kb(&self) -> f64 {
-        self.lower(|next| next.value_kb, self.value_kb)
+        self.min_with_next(|next| next.value_kb, self.value_kb)
     }
 
     /// Returns the maximum number of writes per transaction that fits both the current
@@ -74,8 +74,8 @@
         match phase {
             LimitPhase::Current => StoreRates { requests: self.rps, writes: self.write_rps },
             LimitPhase::Lowered => StoreRates {
-                requests: self.lower(|next| next.rps, self.rps),
-                writes: self.lower(|next| next.write_rps, self.write_rps),
+                requests: self.min_with_next(|next| next.rps, self.rps),
+                writes: self.min_with_next(|next| next.write_rps, self.write_rps),
             },
         }
     }
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -102,13 +102,13 @@
         let is_cancel_time_sufficient = workers.cancel_s >= min_cancel_s;
         let requirement = Requirement::AtLeast(min_cancel_s);
         require(is_cancel_time_sufficient, "cluster.workers.cancel_s", &workers.cancel_s, requirement)?;
-        require_positive("cluster.state.rps", self.state.rps)?;
-        require_positive("cluster.state.write_rps", self.state.write_rps)?;
-        require_positive("cluster.state.value_kb", self.state.value_kb)?;
-        require_at_least("cluster.state.txn_ops", self.state.txn_ops, MIN_TXN_OPS)?;
+        require_positive("cluster.state.rps", self.store.rps)?;
+        require_positive("cluster.state.write_rps", self.store.write_rps)?;
+        require_positive("cluster.state.value_kb", self.store.value_kb)?;
+        require_at_least("cluster.state.txn_ops", self.store.txn_ops, MIN_TXN_OPS)?;
         require_positive("cluster.cloud.rps", self.cloud.rps)?;
         require_at_least("cluster.limits.sockets", self.limits.sockets, MIN_SOCKETS)?;
-        if let Some(next) = &self.state.next {
+        if let Some(next) = &self.store.next {
             next.validate()?;
         }
         self.teams.iter().try_for_each(Team::validate)
--- a/src/protocol/tests/settings.rs
+++ b/src/protocol/tests/settings.rs
@@ -101,9 +101,9 @@
     ];
     for (next, value, ops, lowered) in cases {
         let text = SAMPLE.replacen("[cluster.cloud]", &format!("[cluster.state.next]\n{next}\n[cluster.cloud]"), 1);
-        let state = Settings::parse(&text, "x.toml").unwrap().cluster.state;
-        let got = (state.fitting_value_kb(), state.fitting_txn_ops(), state.rates(LimitPhase::Lowered));
+        let store = Settings::parse(&text, "x.toml").unwrap().cluster.store;
+        let got = (store.fitting_value_kb(), store.fitting_txn_ops(), store.rates(LimitPhase::Lowered));
         assert_eq!(got, (value, ops, lowered), "{next}");
-        assert_eq!(state.rates(LimitPhase::Current), rates(100.0, 30.0), "{next}");
+        assert_eq!(store.rates(LimitPhase::Current), rates(100.0, 30.0), "{next}");
     }
 }
--- a/src/storage/job_cache/mod.rs
+++ b/src/storage/job_cache/mod.rs
@@ -35,7 +35,7 @@
     /// completion, if that is known.
     pub at_ms: u64,
     /// Tasks per chunk record.
-    pub chunk: u32,
+    pub tasks_per_chunk: u32,
     /// Number of tasks.
     pub tasks: u32,
     /// Specification of the validated job; dropped once the job is done.
@@ -58,7 +58,7 @@
             status: JobStatus::Pending,
             revision: Revision::ABSENT,
             at_ms: record.at_ms,
-            chunk: record.chunk.max(1),
+            tasks_per_chunk: record.tasks_per_chunk.max(1),
             tasks: record.submission.tasks.unwrap_or(1.0) as u32,
             spec: None,
             record: None,
@@ -253,7 +253,7 @@
         }
         entry.revision = revision;
         // A leader may have resharded its tasks.
-        entry.chunk = record.chunk.max(1);
+        entry.tasks_per_chunk = record.tasks_per_chunk.max(1);
         if entry.status != JobStatus::Done && entry.spec.is_none() {
             match record.submission.validate(interners, SubmissionSource::Record) {
                 Ok(spec) => entry.spec = Some(Rc::new(spec)),
--- a/src/storage/rate_limit/token_bucket.rs
+++ b/src/storage/rate_limit/token_bucket.rs
@@ -67,24 +67,24 @@
     /// Start of the current measurement of usage, in ms.
     spent_since_ms: u64,
     /// Moving average of tokens taken per second.
-    used: f64,
+    usage_per_s: f64,
 }
 
 impl RateLimiter {
     /// Creates a full bucket: `rate` tokens per second, at most `burst` at once.
     pub fn new(rate: f64, burst: f64) -> RateLimiter {
-        RateLimiter { rate, burst, level: burst, filled_at_ms: 0, spent: 0.0, spent_since_ms: 0, used: 0.0 }
+        RateLimiter { rate, burst, level: burst, filled_at_ms: 0, spent: 0.0, spent_since_ms: 0, usage_per_s: 0.0 }
     }
 
     /// Returns the moving average of tokens taken per second, measured up to `now`.
-    pub fn used(&mut self, now: u64) -> f64 {
+    pub fn usage_per_s(&mut self, now: u64) -> f64 {
         let elapsed_ms = now.saturating_sub(self.spent_since_ms);
         if elapsed_ms >= MIN_USAGE_INTERVAL_MS {
-            self.used += (self.spent / elapsed_ms as f64 * MS_PER_S - self.used) * USAGE_SMOOTHING;
+            self.usage_per_s += (self.spent / elapsed_ms as f64 * MS_PER_S - self.usage_per_s) * USAGE_SMOOTHING;
             self.spent = 0.0;
             self.spent_since_ms = now;
         }
-        self.used
+        self.usage_per_s
     }
 
     /// Changes the rate (tokens per second) and the burst, for example when other
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -49,7 +49,7 @@
     pub at_ms: u64,
     /// Tasks per chunk record.
     #[serde(rename = "ch")]
-    pub chunk: u32,
+    pub tasks_per_chunk: u32,
 }
 
 /// Record of the leader, or of a controller that may renew worker leases.
--- a/src/storage/tests/job_cache.rs
+++ b/src/storage/tests/job_cache.rs
@@ -4,7 +4,7 @@
 fn record(status: JobStatus) -> Value {
     let bytes = cbor::encode(&crate::protocol::jobs::tests::sample());
     let submission: Submission = cbor::decode(&bytes).unwrap();
-    to_value(&JobRecord { submission, status, at_ms: 5, chunk: 64 })
+    to_value(&JobRecord { submission, status, at_ms: 5, tasks_per_chunk: 64 })
 }
 
 fn change(status: JobStatus, revision: Revision) -> Changes {
--- a/src/storage/tests/rate_limit.rs
+++ b/src/storage/tests/rate_limit.rs
@@ -56,7 +56,7 @@
     let mut bucket = RateLimiter::new(100.0, 100.0);
     for ms in 0..50 {
         let _ = bucket.take(ms * 100, 2.0, Urgency::Submit);
-        bucket.used(ms * 100);
+        bucket.usage_per_s(ms * 100);
     }
-    assert!((19.0..21.0).contains(&bucket.used(4_900)), "{}", bucket.used(4_900));
+    assert!((19.0..21.0).contains(&bucket.usage_per_s(4_900)), "{}", bucket.usage_per_s(4_900));
 }
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -1,7 +1,7 @@
 //! [`Net`], the owner of all sockets, which parses received bytes into [`Event`]s.
 //!
 //! Callbacks of the event loop only transfer bytes and queue events; the owner of [`Net`]
-//! takes the events from the queue after each turn of the loop. Every connection but
+//! takes the events from the queue after each iteration of the loop. Every connection but
 //! an established peer link has a deadline, and every buffer has a maximum size. Times are
 //! in ms of [`Net::now`].
 
@@ -97,9 +97,9 @@
         self.connections.len()
     }
 
-    /// Runs one turn of the event loop, which waits for I/O for at most `wait`, and not at
+    /// Runs one iteration of the event loop, which waits for I/O for at most `wait`, and not at
     /// all if events are queued.
-    pub fn turn(&mut self, event_loop: &mut EventLoop<'static, Net>, wait: Duration) -> io::Result<()> {
+    pub fn run_once(&mut self, event_loop: &mut EventLoop<'static, Net>, wait: Duration) -> io::Result<()> {
         let wait = if self.events.is_empty() { wait } else { Duration::ZERO };
         match event_loop.dispatch(wait, self) {
             Ok(()) => {}
--- a/src/transport/net/limits.rs
+++ b/src/transport/net/limits.rs
@@ -26,7 +26,7 @@
     pub request_timeout_ms: u64,
     /// At the socket limit, a client's connection that has had no request for this long,
     /// in ms, may be closed to admit another.
-    pub stale_ms: u64,
+    pub stale_after_ms: u64,
 }
 
 impl Limits {
--- a/src/transport/net/server.rs
+++ b/src/transport/net/server.rs
@@ -13,9 +13,9 @@
 };
 use crate::transport::http::{self, Parsed};
 
-/// Maximum number of connections accepted per turn of the event loop, so that a burst of
+/// Maximum number of connections accepted per iteration of the event loop, so that a burst of
 /// them doesn't starve other events.
-const MAX_ACCEPTS_PER_TURN: usize = 64;
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
 /// Maximum number of connections closed at once when the socket limit is reached.
 const MAX_CLOSED_AT_ONCE: usize = 32;
 /// Delay, in ms, before the next search for connections to close after one that found none.
@@ -52,7 +52,7 @@
     }
 
     fn accept(&mut self, listener: &TcpListener, kind: ListenerKind) {
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             match listener.accept() {
                 Ok((stream, _)) => self.admit(stream, kind),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
@@ -83,12 +83,12 @@
     }
 
     /// Closes connections when the socket limit is reached: first idle ones to services,
-    /// then those of clients without a request for [`Limits::stale_ms`], the longest idle
+    /// then those of clients without a request for [`Limits::stale_after_ms`], the longest idle
     /// first. A connection with a request that is being handled is never closed. Returns
     /// whether a connection may be accepted: the limit for accepting is not reached any
     /// more, or a client's connection was closed.
     ///
-    /// [`Limits::stale_ms`]: super::Limits::stale_ms
+    /// [`Limits::stale_after_ms`]: super::Limits::stale_after_ms
     pub(super) fn free_sockets(&mut self) -> bool {
         let now = self.now();
         if now < self.free_sockets_retry_at {
@@ -112,7 +112,7 @@
     fn close_stale_server_connections(&mut self, now: u64) -> bool {
         // The deadline of a client's connection is `idle_timeout_ms` after its last request
         // or response.
-        let stale_deadline = now + self.limits.idle_timeout_ms.saturating_sub(self.limits.stale_ms);
+        let stale_deadline = now + self.limits.idle_timeout_ms.saturating_sub(self.limits.stale_after_ms);
         let mut stale: Vec<(u64, ConnectionId)> = self
             .connections
             .iter()
--- a/tests/combined_failures/cancellations.rs
+++ b/tests/combined_failures/cancellations.rs
@@ -12,7 +12,7 @@
 pub fn cancelled_while_the_store_refuses_only_the_leader(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 4), 500_000);
     sim.submit(submission("j-2", "service", 4), 0);
-    sim.run_until("all tasks run", 20_000, |sim| sim.starts() == 8);
+    sim.run_until("all tasks run", 20_000, |sim| sim.task_starts() == 8);
     let longest_renewal = Simulation::longest_renewal_by_peer();
     sim.store.conditions.refuses_leader = true;
     let last_read = sim.now();
@@ -39,7 +39,7 @@
 pub fn workers_reach_no_controller_but_commands_reach_them(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 6), 500_000);
     sim.submit(submission("j-2", "service", 6), 0);
-    sim.run_until("all tasks run", 20_000, |sim| sim.starts() == 12);
+    sim.run_until("all tasks run", 20_000, |sim| sim.task_starts() == 12);
     sim.run(5_000);
     sim.workers.iter_mut().for_each(|worker| worker.faults.outbound_lost = true);
     sim.run(8_000);
--- a/tests/combined_failures/heartbeats.rs
+++ b/tests/combined_failures/heartbeats.rs
@@ -38,12 +38,12 @@
     sim.restart_worker(2);
     sim.run_until("all tasks run again", 30_000, |sim| sim.all_running("j-1", 4));
     sim.run(4_000);
-    let (assigned, starts) = (sim.assignments("j-1", 4), sim.starts());
+    let (assigned, starts) = (sim.assignments("j-1", 4), sim.task_starts());
     old.reverse();
     deliver_heartbeats_later(sim, &old, 0);
     sim.run(LEASE_MS);
     assert_eq!(
-        (sim.assignments("j-1", 4), sim.starts()),
+        (sim.assignments("j-1", 4), sim.task_starts()),
         (assigned.clone(), starts),
         "the same leader accepted old heartbeats"
     );
@@ -53,7 +53,7 @@
     deliver_heartbeats_later(sim, &old, 100);
     sim.run(LEASE_MS * 2);
     assert_eq!(
-        (sim.assignments("j-1", 4), sim.starts()),
+        (sim.assignments("j-1", 4), sim.task_starts()),
         (assigned, starts),
         "the next leader accepted old heartbeats"
     );
@@ -107,7 +107,7 @@
         (task.state, task.exit_reason) = (TaskState::Exited, Some(ExitReason::Stopped));
     }
     sim.run_until("both tasks run again", 20_000, |sim| sim.all_running("j-1", 2));
-    let starts = sim.starts();
+    let starts = sim.task_starts();
     let attempts = sim.workers[0].tasks.iter().map(|task| task.attempt).collect::<Vec<_>>();
     sim.workers[0].faults.outbound_lost = true;
     sim.elect();
@@ -115,6 +115,6 @@
     sim.run(3_000);
     sim.workers[0].faults.outbound_lost = false;
     sim.run(LEASE_MS);
-    assert_eq!(sim.starts(), starts);
+    assert_eq!(sim.task_starts(), starts);
     assert_eq!(sim.workers[0].tasks.iter().map(|task| task.attempt).collect::<Vec<_>>(), attempts);
 }
--- a/tests/combined_failures/leader_changes.rs
+++ b/tests/combined_failures/leader_changes.rs
@@ -15,13 +15,13 @@
     sim.run(LEASE_MS * 2);
     sim.submit(submission("j-1", "batch", 6), 90_000);
     sim.submit(submission("j-2", "service", 4), 0);
-    sim.run_until("all tasks run", 20_000, |sim| sim.starts() == 10);
+    sim.run_until("all tasks run", 20_000, |sim| sim.task_starts() == 10);
     sim.workers[0].faults.partitioned = true;
     sim.workers[1].faults.inbound_lost = true;
     sim.run(2_000);
     sim.elect();
     sim.run(LEASE_MS - 6_000);
-    assert_eq!(sim.starts(), 10, "a task was restarted within the lease");
+    assert_eq!(sim.task_starts(), 10, "a task was restarted within the lease");
     let names = |sim: &Simulation| sim.workers[0].tasks.iter().map(|task| task.name.clone()).collect::<Vec<_>>();
     let before = names(sim);
     sim.workers[0].faults.partitioned = false;
@@ -58,11 +58,11 @@
         }
         sim.run(12_000);
     }
-    sim.heal_faults();
+    sim.end_faults();
     sim.run_until_settled("ten leaders", 120_000);
-    let starts = sim.starts();
+    let starts = sim.task_starts();
     sim.run(LEASE_MS * 2);
-    assert_eq!(sim.starts(), starts, "a task was restarted after the last leader change");
+    assert_eq!(sim.task_starts(), starts, "a task was restarted after the last leader change");
 }
 
 /// An assignment that an earlier leader wrote must be treated as launched, whether it was
@@ -111,7 +111,7 @@
     }
     sim.run_until_settled("all exits are recorded", 40_000);
     assert_eq!(
-        (sim.starts(), sim.workers.relaunches_of_completed()),
+        (sim.task_starts(), sim.workers.relaunches_of_completed()),
         (5, 0),
         "a task that had ended was started again"
     );
@@ -128,7 +128,7 @@
     let gpus = |id: &str, n: u32| submission(id, "service", n).with_gpus(2.0);
     sim.submit(gpus("j-1", 2), 0);
     sim.submit(gpus("j-2", 1), 0);
-    sim.run_until("the team is at its quota", 10_000, |sim| sim.starts() == 3);
+    sim.run_until("the team is at its quota", 10_000, |sim| sim.task_starts() == 3);
     let assigned: Vec<usize> = sim.assignments("j-1", 2).into_iter().flatten().collect();
     assigned.iter().for_each(|&n| sim.workers[n].faults.partitioned = true);
     sim.elect();
@@ -138,7 +138,7 @@
     sim.run(5_000);
     sim.elect();
     sim.run(LEASE_MS - 10_000);
-    assert_eq!(sim.starts(), 3, "the quota was exceeded while old tasks may run");
+    assert_eq!(sim.task_starts(), 3, "the quota was exceeded while old tasks may run");
     sim.run(20_000);
     assigned.iter().for_each(|&n| sim.workers[n].faults.partitioned = false);
     sim.run_until_settled("within the quota again", 90_000);
--- a/tests/combined_failures/partitions.rs
+++ b/tests/combined_failures/partitions.rs
@@ -18,7 +18,7 @@
     sim.submit(bound_to_zone_a(submission("j-2", "service", 2)), 0);
     sim.submit(submission("j-3", "ensemble", 3).with_one_zone(true), 60_000);
     sim.submit(submission("j-4", "batch", 4).with_one_zone(true), 50_000);
-    sim.run_until("all tasks start", 20_000, |sim| sim.starts() >= 12);
+    sim.run_until("all tasks start", 20_000, |sim| sim.task_starts() >= 12);
     sim.run(5_000);
     for worker in sim.workers.iter_mut().filter(|worker| worker.spec.zone == "a") {
         worker.terminate();
@@ -31,7 +31,7 @@
     let hung = sim.workers.iter().position(|worker| worker.spec.zone == "b").unwrap();
     sim.workers[hung].faults.hung = true;
     sim.run(LEASE_MS + 5_000);
-    sim.heal_faults();
+    sim.end_faults();
     sim.run_until_settled("jobs bound to a zone", 200_000);
     let new_in_b = sim.workers.iter().skip(6).filter(|worker| worker.spec.zone == "b").count();
     assert!(new_in_b <= 3, "{new_in_b} machines provisioned in a zone where no task may run");
@@ -45,7 +45,7 @@
     sim.add_workers(4);
     sim.submit(submission("j-1", "batch", 8), 400_000);
     sim.submit(submission("j-2", "service", 6), 0);
-    sim.run_until("all tasks run", 20_000, |sim| sim.starts() == 14);
+    sim.run_until("all tasks run", 20_000, |sim| sim.task_starts() == 14);
     let longest_renewal = Simulation::longest_renewal_by_peer();
     sim.workers
         .iter_mut()
@@ -67,7 +67,7 @@
     assert!(sim.none_running("j-1", 8));
     sim.workers.iter_mut().for_each(|worker| worker.faults.outbound_lost = false);
     sim.run(500);
-    sim.heal_faults();
+    sim.end_faults();
     sim.run_until_settled("jobs on the old leader's workers", 150_000);
 }
 
@@ -80,7 +80,7 @@
     sim.add_workers(4);
     sim.submit(submission("j-1", "ensemble", 3).with_one_zone(true).with_cpus(4.0), 100_000);
     sim.submit(submission("j-2", "service", 6).with_spread(true), 0);
-    sim.run_until("all tasks run", 20_000, |sim| sim.starts() == 9);
+    sim.run_until("all tasks run", 20_000, |sim| sim.task_starts() == 9);
     let zone = sim.workers[sim.worker_running("j-1/0").unwrap()].spec.zone.clone();
     sim.partition_zone(&zone, true, true);
     sim.controller.settings.peers_unreachable_since = Some(sim.now());
@@ -89,11 +89,11 @@
     sim.run(16_000);
     sim.partition_zone(&zone, true, false);
     sim.run(LEASE_MS + 8_000);
-    assert_eq!(sim.starts(), 9, "a task was restarted although no controller confirmed the end of its lease");
+    assert_eq!(sim.task_starts(), 9, "a task was restarted although no controller confirmed the end of its lease");
     sim.partition_zone(&zone, false, false);
     sim.run(300);
     sim.controller.settings.peers_unreachable_since = None;
-    sim.heal_faults();
+    sim.end_faults();
     sim.run_until_settled("jobs after the partition", 120_000);
     sim.run(LEASE_MS);
 }
@@ -105,7 +105,7 @@
     sim.submit(submission("j-1", "batch", 5), 20_000);
     sim.submit(submission("j-2", "service", 4), 0);
     sim.submit(submission("j-3", "ensemble", 2).with_one_zone(true), 30_000);
-    sim.run_until("all tasks run", 20_000, |sim| sim.starts() == 11);
+    sim.run_until("all tasks run", 20_000, |sim| sim.task_starts() == 11);
     sim.run(3_000);
     sim.stop_leader();
     sim.workers[0].faults.hung = true;
--- a/tests/combined_failures/random_faults.rs
+++ b/tests/combined_failures/random_faults.rs
@@ -56,7 +56,7 @@
         }
     }
     sim.check(&format!("seed {seed}"));
-    sim.heal_faults();
+    sim.end_faults();
     sim.cloud.settings.capacity = 12;
     sim.run(LEASE_MS);
     for n in 0..14 {
--- a/tests/combined_failures/slow_network.rs
+++ b/tests/combined_failures/slow_network.rs
@@ -23,7 +23,7 @@
         sim.workers[at].faults.hung = true;
         sim.submit(job, 0);
         sim.run(500);
-        assert!(sim.network.has_commands_for(at), "no command is queued for the hung machine");
+        assert!(sim.network.has_commands_with_lost_response(at), "no command is queued for the hung machine");
         // The gang's other machine is lost as well, long after the last heartbeat of this
         // one: the gang restarts.
         sim.run(10_500);
@@ -33,7 +33,7 @@
         sim.run(4_000);
         sim.workers[at].faults.hung = false;
         // The machine sends a heartbeat before it processes the queued commands.
-        sim.network.delay_commands_for(at, sim.now() + 900);
+        sim.network.delay_commands_with_lost_response(at, sim.now() + 900);
         sim.run_until("the gang runs", 90_000, |sim| sim.all_running(&id, 2));
         sim.run(5_000);
         sim.cancel(&id);
@@ -65,7 +65,7 @@
     sim.run(CANCEL_MS + 5_000);
     sim.elect();
     sim.run(5_000);
-    sim.heal_faults();
+    sim.end_faults();
     sim.run_until_settled("store slow, then unavailable", 120_000);
     sim.run(LEASE_MS);
 }
@@ -88,7 +88,7 @@
         }
     }
     sim.run(20_000);
-    sim.heal_faults();
+    sim.end_faults();
     sim.run_until_settled("late transactions", 120_000);
     sim.run(20_000);
 }
@@ -108,7 +108,7 @@
     for n in 0..4 {
         sim.submit(in_class(low_priority(&format!("j-{}", 200 + n), "batch", 2), "long"), 150_000);
     }
-    sim.run_until("all machines are full", 30_000, |sim| sim.starts() == 8);
+    sim.run_until("all machines are full", 30_000, |sim| sim.task_starts() == 8);
     sim.submit(in_class(high_priority("j-50", "ensemble", 4, 8.0), "urgent"), 5_000);
     sim.run_until("the urgent gang starts", 30_000, |sim| sim.all_running("j-50", 4));
     let overload_start = sim.now();
@@ -132,6 +132,6 @@
     let (urgent, rest) = (started_jobs(sim, 1_000..n), started_jobs(sim, 100..110));
     assert!(2 * urgent >= n - 1_000, "{urgent} of {} urgent jobs started", n - 1_000);
     assert!(rest >= 5, "{rest} of 10 other jobs started");
-    sim.heal_faults();
+    sim.end_faults();
     sim.run_until_settled("all jobs after the overload", 900_000);
 }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -94,7 +94,7 @@
             (
                 job_cache.get(index).status,
                 job_cache.get(index).tasks,
-                job_cache.get(index).chunk,
+                job_cache.get(index).tasks_per_chunk,
                 job_cache.has_unfinished_prerequisites(index)
             ),
             (want, 16, 128, false),
@@ -111,8 +111,9 @@
 /// Returns every form of this version that `ac1d836` may read, and the one that it must
 /// not read, `job/waiting`.
 fn forms_of_this_version() -> Vec<(&'static str, Vec<u8>)> {
-    let job =
-        |submission: Submission, status, at_ms, chunk| encode_record(&JobRecord { submission, status, at_ms, chunk });
+    let job = |submission: Submission, status, at_ms, tasks_per_chunk| {
+        encode_record(&JobRecord { submission, status, at_ms, tasks_per_chunk })
+    };
     let ended = Submission { tasks: Some(16.0), ..Submission::default() };
     let waiting = Submission { prereqs: Some(vec!["j-000398".into(), "j-000405".into()]), ..submission() };
     let chunk = ChunkRecord {
@@ -205,7 +206,7 @@
     submitted.remove_duplicate_prereqs();
     assert_eq!(submitted.prereqs(), ["j-000398", "j-000405"]);
     let waiting: JobRecord = decode_record(&lines["job/waiting"]);
-    assert_eq!((&waiting.submission, waiting.status, waiting.chunk), (&submitted, JobStatus::Pending, 128));
+    assert_eq!((&waiting.submission, waiting.status, waiting.tasks_per_chunk), (&submitted, JobStatus::Pending, 128));
     let without_prereqs: JobRecord = decode_record(&lines["job/pending"]);
     assert_eq!(without_prereqs.submission, Submission { prereqs: None, ..submitted });
     // The time of a done record is the time of completion.
@@ -232,7 +233,7 @@
         let index = job_cache.apply_record("j/j-000731", &value, Revision(7), &mut Interners::default()).unwrap();
         let job = job_cache.get(index);
         assert_eq!(
-            (job.status, job.tasks, job.chunk, job_cache.has_unfinished_prerequisites(index)),
+            (job.status, job.tasks, job.tasks_per_chunk, job_cache.has_unfinished_prerequisites(index)),
             (status, 6, 128, has_unfinished),
             "{name}"
         );
@@ -263,7 +264,7 @@
 fn forms_beside_ddfa46b() -> Vec<(&'static str, Vec<u8>)> {
     let waiting = Submission { prereqs: Some(vec!["j-000398".into(), "j-000405".into()]), ..submission() };
     let cancelled =
-        JobRecord { submission: waiting, status: JobStatus::Cancelled, at_ms: 1_780_000_000_000, chunk: 28 };
+        JobRecord { submission: waiting, status: JobStatus::Cancelled, at_ms: 1_780_000_000_000, tasks_per_chunk: 28 };
     let notice =
         Notice { from: "n-4".into(), cancelled: vec![Cancelled { job: "j-000412".into(), revision: Revision(431) }] };
     let mut all = forms_of_this_version();
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -37,8 +37,8 @@
     sim
 }
 
-fn chunk_of(sim: &Simulation, id: &str) -> u32 {
-    sim.job_record(id).chunk
+fn tasks_per_chunk_of(sim: &Simulation, id: &str) -> u32 {
+    sim.job_record(id).tasks_per_chunk
 }
 
 fn all_done(ids: &'static [&'static str]) -> impl Fn(&Simulation) -> bool {
@@ -65,7 +65,7 @@
     sim.submit(small_job("j-2", "ensemble", 10), 5_000);
     sim.run_until("all jobs are done", 60_000, all_done(&["j-1", "j-2"]));
     assert_eq!(
-        (chunk_of(sim, "j-1"), chunk_of(sim, "j-2")),
+        (tasks_per_chunk_of(sim, "j-1"), tasks_per_chunk_of(sim, "j-2")),
         (sim.controller.settings.reduced_tasks_per_chunk, 64),
         "only the job whose record is too large must be resharded"
     );
@@ -83,7 +83,7 @@
     let busy = sim.workers.iter().position(|worker| !worker.tasks.is_empty());
     sim.restart_worker(busy.expect("the gang runs"));
     sim.run_until("j-1 is done", 120_000, all_done(&["j-1"]));
-    assert_eq!(chunk_of(sim, "j-1"), sim.controller.settings.reduced_tasks_per_chunk);
+    assert_eq!(tasks_per_chunk_of(sim, "j-1"), sim.controller.settings.reduced_tasks_per_chunk);
     assert!(
         sim.controller.too_large_transactions() <= 1,
         "{} transactions refused",
@@ -98,7 +98,7 @@
     sim.submit(small_job("j-2", "batch", 6), 5_000);
     sim.run_until("the other job is done", 60_000, all_done(&["j-2"]));
     sim.run(60_000);
-    assert!(sim.status("j-1") == JobStatus::Pending && chunk_of(sim, "j-1") == 64);
+    assert!(sim.status("j-1") == JobStatus::Pending && tasks_per_chunk_of(sim, "j-1") == 64);
     assert!(
         sim.controller.too_large_transactions() < 5,
         "{} transactions refused",
@@ -117,7 +117,7 @@
     sim.submit(small_job(id, kind, 60), 5_000);
     // With write budget to spare, the job may be resharded before any write is refused.
     sim.run_until("a write is refused or the job is resharded", 20_000, |sim| {
-        sim.controller.too_large_transactions() > before || chunk_of(sim, id) != 64
+        sim.controller.too_large_transactions() > before || tasks_per_chunk_of(sim, id) != 64
     });
 }
 
@@ -125,7 +125,7 @@
     run_until_limits_are_refused(sim, "j-1", "ensemble");
     sim.controller.settings.crash_before_transaction = true;
     sim.run_until("the leader has crashed", 20_000, |sim| !sim.has_leader());
-    assert_eq!(chunk_of(sim, "j-1"), 64);
+    assert_eq!(tasks_per_chunk_of(sim, "j-1"), 64);
     sim.elect();
     sim.run_until("j-1 is done", 120_000, all_done(&["j-1"]));
 }
@@ -134,7 +134,7 @@
     run_until_limits_are_refused(sim, "j-1", "ensemble");
     sim.controller.settings.crash_after_transaction = true;
     sim.run_until("the leader has crashed", 20_000, |sim| !sim.has_leader());
-    assert_eq!(chunk_of(sim, "j-1"), sim.controller.settings.reduced_tasks_per_chunk);
+    assert_eq!(tasks_per_chunk_of(sim, "j-1"), sim.controller.settings.reduced_tasks_per_chunk);
     sim.elect();
     sim.run_until("j-1 is done", 120_000, all_done(&["j-1"]));
 }
@@ -198,9 +198,12 @@
     sim.submit(small_job("j-1", "service", 50), 0);
     sim.run_until("the last task of the service runs", 30_000, |sim| sim.worker_running("j-1/49").is_some());
     sim.store.conditions.value_bytes_max = KB;
-    let starts = sim.starts();
+    let starts = sim.task_starts();
     sim.run(10_000);
-    assert_eq!((sim.starts(), chunk_of(sim, "j-1")), (starts, sim.controller.settings.reduced_tasks_per_chunk));
+    assert_eq!(
+        (sim.task_starts(), tasks_per_chunk_of(sim, "j-1")),
+        (starts, sim.controller.settings.reduced_tasks_per_chunk)
+    );
     let placed_on = sim.worker_running("j-1/7").unwrap();
     sim.workers[placed_on].dead = true;
     sim.run_until("the lost replica is replaced", 60_000, |sim| {
@@ -231,7 +234,8 @@
         sim.workers.iter_mut().skip(4).for_each(|worker| worker.dead = worker.tasks.is_empty());
         sim.network.rates = FaultRates::default();
         sim.run_until("the job is resharded or done", 60_000, |sim| {
-            chunk_of(sim, id) == sim.controller.settings.reduced_tasks_per_chunk || sim.status(id) == JobStatus::Done
+            tasks_per_chunk_of(sim, id) == sim.controller.settings.reduced_tasks_per_chunk
+                || sim.status(id) == JobStatus::Done
         });
         sim.run_until("the job is done", 120_000, |sim| sim.status(id) == JobStatus::Done);
     }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -45,7 +45,7 @@
         LoopbackCluster::start("cancelled", &SharedSettings { lease_s: LEASE_S, cancel_s: CANCEL_S, next: None });
     for id in ["j-100001", "j-100002", "j-100003", "j-100004"] {
         let accepted = || {
-            call(cluster.nodes[0].client, "POST", "/api/jobs", &job_body(id, "service", 2))
+            call(cluster.controllers[0].client_addr, "POST", "/api/jobs", &job_body(id, "service", 2))
                 .filter(|response| response.status == 201)
         };
         wait_for("job accepted", accepted);
@@ -56,10 +56,10 @@
     // The store rejects only the leader's requests: the controller that confirms the
     // cancellation notifies the leader.
     let leader = cluster.leader();
-    let other = cluster.nodes[(leader + 1) % 3].client;
+    let other = cluster.controllers[(leader + 1) % 3].client_addr;
     cluster.store_access[leader].unavailable.store(true, Ordering::Relaxed);
-    for node in cluster.nodes.iter() {
-        status(node.client, "j-100002"); // a poll makes the controller read the record
+    for controller in cluster.controllers.iter() {
+        status(controller.client_addr, "j-100002"); // a poll makes the controller read the record
     }
     assert_eq!(status_code(call(other, "POST", "/api/jobs/j-100001/abort", &[])), Some(200));
     let cancel_confirmed_at = Instant::now();
@@ -126,7 +126,8 @@
         };
         body::encode(&heartbeat)
     };
-    let send_heartbeat = |bytes: &[u8]| status_code(call(cluster.nodes[leader].client, "POST", "/checkin", bytes));
+    let send_heartbeat =
+        |bytes: &[u8]| status_code(call(cluster.controllers[leader].client_addr, "POST", "/checkin", bytes));
     let running_task = TaskStatus {
         task: "j-100002/0".into(),
         attempt: Attempt(1),
@@ -161,11 +162,11 @@
     // before there is a new leader: the controller that renews the worker lease stops
     // the cancelled tasks.
     let leader = cluster.leader();
-    let other = cluster.nodes[(leader + 1) % 3].client;
-    for node in cluster.nodes.iter() {
-        status(node.client, "j-100004");
+    let other = cluster.controllers[(leader + 1) % 3].client_addr;
+    for controller in cluster.controllers.iter() {
+        status(controller.client_addr, "j-100004");
     }
-    cluster.nodes[leader].kill();
+    cluster.controllers[leader].kill();
     assert_eq!(status_code(call(other, "POST", "/api/jobs/j-100003/abort", &[])), Some(200));
     cluster.store_access.iter().for_each(|access| access.unavailable.store(true, Ordering::Relaxed));
     let cancel_confirmed_at = Instant::now();
@@ -189,8 +190,8 @@
 fn controllers_serve_through_failover_full_restart_and_isolation_of_the_leader() {
     let mut cluster = LoopbackCluster::start("loopback", &SHARED_SETTINGS);
     let (worker_state, store_access) = (cluster.worker.clone(), cluster.store_access.clone());
-    let nodes = &mut cluster.nodes;
-    let first = nodes[0].client;
+    let controllers = &mut cluster.controllers;
+    let first = controllers[0].client_addr;
 
     // Requests that can't be accepted are rejected at once with the matching status code.
     let huge = vec![0u8; 70_000];
@@ -210,11 +211,14 @@
 
     // A job is accepted once, whichever controllers receive it, and all report it as done.
     assert_eq!(status_code(call(first, "POST", "/api/jobs", &job_body("j-000001", "batch", 3))), Some(201));
-    for node in nodes.iter() {
-        assert_eq!(status_code(call(node.client, "POST", "/api/jobs", &job_body("j-000001", "batch", 3))), Some(200));
+    for controller in controllers.iter() {
+        assert_eq!(
+            status_code(call(controller.client_addr, "POST", "/api/jobs", &job_body("j-000001", "batch", 3))),
+            Some(200)
+        );
     }
-    for node in nodes.iter() {
-        wait_for("job done", || (status(node.client, "j-000001")? == "done").then_some(()));
+    for controller in controllers.iter() {
+        wait_for("job done", || (status(controller.client_addr, "j-000001")? == "done").then_some(()));
     }
 
     // A service runs, goes on when the leader fails, and stops when it is cancelled.
@@ -222,13 +226,13 @@
     wait_for("service running", || (status(first, "j-100001")? == "running").then_some(()));
     let leader = wait_for("a leader", || {
         let heartbeat = worker_state.lock().unwrap().heartbeat();
-        nodes.iter().position(|node| {
-            call(node.client, "POST", "/checkin", &body::encode(&heartbeat))
+        controllers.iter().position(|controller| {
+            call(controller.client_addr, "POST", "/checkin", &body::encode(&heartbeat))
                 .is_some_and(|response| response.status == 200)
         })
     });
-    nodes[leader].kill();
-    let other = nodes[(leader + 1) % 3].client;
+    controllers[leader].kill();
+    let other = controllers[(leader + 1) % 3].client_addr;
     assert_eq!(
         wait_for("accepted", || status_code(call(other, "POST", "/api/jobs", &job_body("j-000002", "batch", 2)))),
         201
@@ -240,35 +244,39 @@
     wait_for("replicas stopped", || (running_count(&worker_state.lock().unwrap()) == 0).then_some(()));
 
     // After a restart of all controllers every job is still known.
-    for node in nodes.iter_mut() {
-        node.kill();
+    for controller in controllers.iter_mut() {
+        controller.kill();
     }
-    for node in nodes.iter_mut() {
-        node.start();
+    for controller in controllers.iter_mut() {
+        controller.start();
     }
-    for node in nodes.iter() {
+    for controller in controllers.iter() {
         wait_for("controller ready after the restart", || {
-            (call(node.client, "GET", "/ready", &[])?.status == 200).then_some(())
+            (call(controller.client_addr, "GET", "/ready", &[])?.status == 200).then_some(())
         });
-        assert_eq!(status(node.client, "j-000001").as_deref(), Some("done"));
-        assert_eq!(status(node.client, "j-100001").as_deref(), Some("cancelled"));
-        assert_eq!(status_code(call(node.client, "POST", "/api/jobs", &job_body("j-000002", "batch", 2))), Some(200));
+        assert_eq!(status(controller.client_addr, "j-000001").as_deref(), Some("done"));
+        assert_eq!(status(controller.client_addr, "j-100001").as_deref(), Some("cancelled"));
+        assert_eq!(
+            status_code(call(controller.client_addr, "POST", "/api/jobs", &job_body("j-000002", "batch", 2))),
+            Some(200)
+        );
     }
 
     // The leader still receives heartbeats, but reaches neither the key-value store nor
     // peers: it must stop leading, report so at once, and name no leader to workers.
     let heartbeat = |worker: &Arc<Mutex<Worker>>| body::encode(&worker.lock().unwrap().heartbeat());
-    let leads = |node: &Controller| {
-        call(node.client, "POST", "/checkin", &heartbeat(&worker_state)).is_some_and(|response| response.status == 200)
+    let leads = |controller: &Controller| {
+        call(controller.client_addr, "POST", "/checkin", &heartbeat(&worker_state))
+            .is_some_and(|response| response.status == 200)
     };
-    let leader = wait_for("heartbeats accepted after the outage", || nodes.iter().position(leads));
+    let leader = wait_for("heartbeats accepted after the outage", || controllers.iter().position(leads));
     store_access[leader].unavailable.store(true, Ordering::Relaxed);
     for n in (0..3).filter(|n| *n != leader) {
-        nodes[n].kill();
+        controllers[n].kill();
     }
-    let isolated = nodes[leader].client;
+    let isolated = controllers[leader].client_addr;
     let isolated_at = Instant::now();
-    wait_for("isolated leader rejects heartbeats", || (!leads(&nodes[leader])).then_some(()));
+    wait_for("isolated leader rejects heartbeats", || (!leads(&controllers[leader])).then_some(()));
     assert!(isolated_at.elapsed() < Duration::from_secs(5), "led for {:?} after isolation", isolated_at.elapsed());
     wait_for("isolated controller not ready", || (call(isolated, "GET", "/ready", &[])?.status == 503).then_some(()));
     let response = call(isolated, "POST", "/checkin", &heartbeat(&worker_state)).unwrap();
@@ -289,17 +297,21 @@
     // After the outage all controllers, including the isolated one, respond to every
     // request.
     store_access[leader].unavailable.store(false, Ordering::Relaxed);
-    for node in nodes.iter_mut().filter(|node| node.child.is_none()) {
-        node.start();
+    for controller in controllers.iter_mut().filter(|controller| controller.child.is_none()) {
+        controller.start();
     }
-    for node in nodes.iter() {
+    for controller in controllers.iter() {
         wait_for("status of a known job after the outage", || {
-            (status(node.client, "j-000002")? == "done").then_some(())
+            (status(controller.client_addr, "j-000002")? == "done").then_some(())
         });
-        let accepted =
-            || call(node.client, "POST", "/api/jobs", &job_body("j-000004", "batch", 1)).filter(Response::is_success);
+        let accepted = || {
+            call(controller.client_addr, "POST", "/api/jobs", &job_body("j-000004", "batch", 1))
+                .filter(Response::is_success)
+        };
         wait_for("job accepted after the outage", accepted);
-        wait_for("new job done after the outage", || (status(node.client, "j-000004")? == "done").then_some(()));
+        wait_for("new job done after the outage", || {
+            (status(controller.client_addr, "j-000004")? == "done").then_some(())
+        });
     }
 }
 
@@ -309,12 +321,12 @@
 #[test]
 fn prerequisites_require_all_versions_and_propagate_cancellation() {
     let mut cluster = LoopbackCluster::prepare("pipelines", &SHARED_SETTINGS);
-    let nodes = &mut cluster.nodes;
-    nodes[0].start();
-    nodes[1].start();
-    let (first, second) = (nodes[0].client, nodes[1].client);
+    let controllers = &mut cluster.controllers;
+    controllers[0].start();
+    controllers[1].start();
+    let (first, second) = (controllers[0].client_addr, controllers[1].client_addr);
     cluster.start_heartbeats();
-    let nodes = &mut cluster.nodes;
+    let controllers = &mut cluster.controllers;
     for at in [first, second] {
         wait_for("controller ready", || (call(at, "GET", "/ready", &[])?.status == 200).then_some(()));
     }
@@ -331,10 +343,12 @@
         assert_eq!(submit(at, &job_with_prereqs("j-000002", "batch", Value::from(1))), Some(400));
         assert_eq!(status(at, "j-000002"), None);
     }
-    nodes[2].start();
-    for node in nodes.iter() {
+    controllers[2].start();
+    for controller in controllers.iter() {
         let bytes = job_with_prereqs("j-000002", "batch", id_list(&["j-000001", "j-000001"]));
-        wait_for("job with prerequisites accepted", || submit(node.client, &bytes).filter(|code| *code < 300));
+        wait_for("job with prerequisites accepted", || {
+            submit(controller.client_addr, &bytes).filter(|code| *code < 300)
+        });
     }
     wait_for("job with prerequisites done", || (status(first, "j-000002")? == "done").then_some(()));
 
@@ -367,9 +381,9 @@
     // After one cancellation every controller must report all jobs that depend on the
     // job, directly or through other jobs, as cancelled.
     assert_eq!(status_code(call(second, "POST", "/api/jobs/j-100001/abort", &[])), Some(200));
-    for node in nodes.iter() {
+    for controller in controllers.iter() {
         for id in ["j-000010", "j-000011"] {
-            assert_eq!(status(node.client, id).as_deref(), Some("cancelled"), "{id}");
+            assert_eq!(status(controller.client_addr, id).as_deref(), Some("cancelled"), "{id}");
         }
     }
     let response = call(first, "POST", "/api/jobs/j-000011/abort", &[]).unwrap();
@@ -381,15 +395,17 @@
         (201, Some("cancelled")),
         "a job with a cancelled prerequisite is accepted as cancelled"
     );
-    for node in nodes.iter_mut() {
-        node.kill();
-        node.start();
+    for controller in controllers.iter_mut() {
+        controller.kill();
+        controller.start();
     }
-    for node in nodes.iter() {
+    for controller in controllers.iter() {
         wait_for("job still cancelled after the restart", || {
-            (status(node.client, "j-000015")? == "cancelled").then_some(())
+            (status(controller.client_addr, "j-000015")? == "cancelled").then_some(())
+        });
+        wait_for("job with an empty list done", || {
+            (status(controller.client_addr, "j-000006")? == "done").then_some(())
         });
-        wait_for("job with an empty list done", || (status(node.client, "j-000006")? == "done").then_some(()));
     }
 }
 
@@ -399,17 +415,17 @@
 #[test]
 fn restarted_follower_reports_a_running_job_as_running() {
     let mut cluster = LoopbackCluster::start("what-runs", &SHARED_SETTINGS);
-    let at = cluster.nodes[0].client;
+    let at = cluster.controllers[0].client_addr;
     wait_for("job accepted", || {
         call(at, "POST", "/api/jobs", &job_body("j-100001", "service", 1)).filter(Response::is_success)
     });
     wait_for("task running", || (cluster.running_tasks("j-100001") == 1).then_some(()));
     let leader = cluster.leader();
-    let follower = (leader + 1) % cluster.nodes.len();
+    let follower = (leader + 1) % cluster.controllers.len();
     for restart in 0..2 {
-        cluster.nodes[follower].kill();
-        cluster.nodes[follower].start();
-        let at = cluster.nodes[follower].client;
+        cluster.controllers[follower].kill();
+        cluster.controllers[follower].start();
+        let at = cluster.controllers[follower].client_addr;
         wait_for("restarted controller ready", || is_ready(at).then_some(()));
         let condition = format!("status running after restart {restart}");
         wait_up_to(Duration::from_secs(8), &condition, || (status(at, "j-100001")? == "running").then_some(()));
--- a/tests/loopback_cluster/cluster.rs
+++ b/tests/loopback_cluster/cluster.rs
@@ -33,7 +33,7 @@
     /// State of the worker.
     pub worker: Arc<Mutex<Worker>>,
     /// The controllers, running or not, by index.
-    pub nodes: Vec<Controller>,
+    pub controllers: Vec<Controller>,
     /// Addresses of the controllers that the worker sends heartbeats to.
     heartbeat_targets: Arc<Mutex<Vec<SocketAddr>>>,
     addresses: Vec<Addresses>,
@@ -51,8 +51,8 @@
     /// Starts a cluster with controllers that run `program`, and waits until they are ready.
     pub fn start_with_program(name: &str, shared: &SharedSettings, program: &Path) -> LoopbackCluster {
         let mut cluster = LoopbackCluster::prepare(name, shared);
-        for node in &mut cluster.nodes {
-            node.start_with_program(program);
+        for controller in &mut cluster.controllers {
+            controller.start_with_program(program);
         }
         cluster.start_heartbeats();
         cluster.wait_until_ready();
@@ -71,36 +71,38 @@
         let WorkerHandle { addr, state: worker } = start_worker(heartbeat_targets.clone(), stop.clone());
         let cloud = serve_cloud(addr);
         let dir = std::env::temp_dir().join(format!("shedhook-{name}-{}", std::process::id()));
-        let nodes = create_controllers(&dir, &addresses, cloud, shared);
-        LoopbackCluster { store, store_access, worker, nodes, heartbeat_targets, addresses, cloud, stop, dir }
+        let controllers = create_controllers(&dir, &addresses, cloud, shared);
+        LoopbackCluster { store, store_access, worker, controllers, heartbeat_targets, addresses, cloud, stop, dir }
     }
 
     /// Lets the worker send heartbeats to the controllers.
     pub fn start_heartbeats(&self) {
-        *self.heartbeat_targets.lock().unwrap() = self.nodes.iter().map(|node| node.client).collect();
+        *self.heartbeat_targets.lock().unwrap() =
+            self.controllers.iter().map(|controller| controller.client_addr).collect();
     }
 
     /// Waits until every controller is ready.
     pub fn wait_until_ready(&self) {
-        for node in &self.nodes {
-            wait_for("controller ready", || is_ready(node.client).then_some(()));
+        for controller in &self.controllers {
+            wait_for("controller ready", || is_ready(controller.client_addr).then_some(()));
         }
     }
 
     /// Kills all controllers and writes new settings for them; they aren't started.
     pub fn change_settings(&mut self, shared: &SharedSettings) {
-        self.nodes.clear();
-        self.nodes = create_controllers(&self.dir, &self.addresses, self.cloud, shared);
+        self.controllers.clear();
+        self.controllers = create_controllers(&self.dir, &self.addresses, self.cloud, shared);
     }
 
     /// Waits for a controller that accepts the worker's heartbeats, and returns its index.
     pub fn leader(&self) -> usize {
         wait_for("a leader", || {
             let heartbeat = body::encode(&self.worker.lock().unwrap().heartbeat());
-            let leads = |node: &Controller| {
-                call(node.client, "POST", "/checkin", &heartbeat).is_some_and(|response| response.status == 200)
+            let leads = |controller: &Controller| {
+                call(controller.client_addr, "POST", "/checkin", &heartbeat)
+                    .is_some_and(|response| response.status == 200)
             };
-            self.nodes.iter().position(leads)
+            self.controllers.iter().position(leads)
         })
     }
 
--- a/tests/loopback_cluster/controllers.rs
+++ b/tests/loopback_cluster/controllers.rs
@@ -37,7 +37,7 @@
 /// A controller process, which may be down; killed when dropped.
 pub struct Controller {
     /// Address for requests of users and workers.
-    pub client: SocketAddr,
+    pub client_addr: SocketAddr,
     /// The settings file.
     pub config_file: PathBuf,
     /// The process; None while the controller is down.
@@ -139,7 +139,7 @@
     let controller = |n: usize| {
         let config_file = dir.join(format!("n-{n}.toml"));
         fs::write(&config_file, settings(n, all, cloud, shared)).unwrap();
-        Controller { client: all[n].client, config_file, child: None }
+        Controller { client_addr: all[n].client, config_file, child: None }
     };
     (0..all.len()).map(controller).collect()
 }
--- a/tests/loopback_cluster/upgrade.rs
+++ b/tests/loopback_cluster/upgrade.rs
@@ -83,18 +83,18 @@
     /// Starts a cluster whose controllers all run the production version.
     pub fn start(name: &str, shared: &SharedSettings) -> UpgradeTest {
         let cluster = LoopbackCluster::start_with_program(name, shared, production());
-        let watch = StatusWatch::start(cluster.nodes.iter().map(|node| node.client).collect());
+        let watch = StatusWatch::start(cluster.controllers.iter().map(|controller| controller.client_addr).collect());
         UpgradeTest { cluster, versions: [Version::Production; 3], accepted: BTreeMap::new(), watch }
     }
 
     /// Returns the address of a controller for users' requests.
-    pub fn client(&self, index: usize) -> SocketAddr {
-        self.cluster.nodes[index].client
+    pub fn client_addr(&self, index: usize) -> SocketAddr {
+        self.cluster.controllers[index].client_addr
     }
 
     /// Returns the addresses of all controllers for users' requests.
     pub fn clients(&self) -> [SocketAddr; 3] {
-        [self.client(0), self.client(1), self.client(2)]
+        [self.client_addr(0), self.client_addr(1), self.client_addr(2)]
     }
 
     /// Starts a controller that is down, with the version recorded for it, and waits until
@@ -104,21 +104,21 @@
             Version::Production => production(),
             Version::This => this_version(),
         };
-        self.cluster.nodes[index].start_with_program(program);
-        let at = self.client(index);
+        self.cluster.controllers[index].start_with_program(program);
+        let at = self.client_addr(index);
         wait_for("controller ready", || is_ready(at).then_some(()));
     }
 
     /// Kills a controller, and restarts it with this version.
     pub fn replace(&mut self, index: usize) {
-        self.cluster.nodes[index].kill();
+        self.cluster.controllers[index].kill();
         self.versions[index] = Version::This;
         self.start_controller(index);
     }
 
     /// Kills a controller, and restarts it with the version that it had.
     pub fn restart(&mut self, index: usize) {
-        self.cluster.nodes[index].kill();
+        self.cluster.controllers[index].kill();
         self.start_controller(index);
     }
 
@@ -132,7 +132,7 @@
     /// Waits until a running controller of the given version leads, and returns its index.
     pub fn wait_for_leader(&self, version: Version) -> usize {
         wait_for(&format!("a leader of {version:?}"), || {
-            let is_up = |n: &usize| self.cluster.nodes[*n].child.is_some();
+            let is_up = |n: &usize| self.cluster.controllers[*n].child.is_some();
             self.leader().filter(is_up).filter(|n| self.versions[*n] == version)
         })
     }
@@ -154,7 +154,7 @@
             "prereqs",
             id_list(submitted.prereqs),
         ));
-        let at = self.client(index);
+        let at = self.client_addr(index);
         wait_for(&format!("{} accepted", submitted.id), || submit(at, &bytes).filter(Response::is_success));
         self.record_accepted(submitted.id, submitted.tasks, submitted.prereqs);
     }
@@ -170,7 +170,7 @@
     /// Cancels a job, and checks that every running controller reports it and all jobs that
     /// depend on it as cancelled.
     pub fn cancel(&mut self, index: usize, id: &str) {
-        let at = self.client(index);
+        let at = self.client_addr(index);
         let response = wait_for("job cancelled", || abort(at, id).filter(|response| response.status == 200));
         assert_eq!(code_and_status(Some(response)), (200, Some("cancelled".to_owned())), "{id}");
         self.record_cancelled(id, Instant::now());
@@ -191,9 +191,9 @@
     pub fn check_cancelled(&self) {
         for id in self.accepted.iter().filter(|(_, job)| job.cancelled_at.is_some()).map(|(id, _)| id) {
             for (index, controller) in
-                self.cluster.nodes.iter().enumerate().filter(|(_, controller)| controller.child.is_some())
+                self.cluster.controllers.iter().enumerate().filter(|(_, controller)| controller.child.is_some())
             {
-                let status = status(controller.client, id);
+                let status = status(controller.client_addr, id);
                 assert_eq!(status.as_deref(), Some("cancelled"), "{id} at {index}, {:?}", self.versions[index]);
             }
         }
--- a/tests/pipelines/cancelled_shapes.rs
+++ b/tests/pipelines/cancelled_shapes.rs
@@ -3,7 +3,7 @@
 use shedhook::{protocol::jobs::Submission, storage::records::JobStatus};
 
 use crate::{
-    helpers::{all_run, has_started, is_done, submission_after},
+    helpers::{all_tasks_run, has_started, is_done, submission_after},
     simulation::{submission, Simulation, SubmissionBuilder},
 };
 
@@ -61,7 +61,7 @@
     sim.submit(submission_after("j-2", "batch", 1, &["j-1"]), 30_000);
     sim.submit(submission_after("j-3", "batch", 1, &["j-1"]), 5_000);
     sim.submit(submission_after("j-4", "batch", 1, &["j-2", "j-3"]), 1_000);
-    sim.run_until("both sides run", 30_000, |sim| all_run("j-2", 1)(sim) && all_run("j-3", 1)(sim));
+    sim.run_until("both sides run", 30_000, |sim| all_tasks_run("j-2", 1)(sim) && all_tasks_run("j-3", 1)(sim));
     assert!(sim.cancel("j-2"));
     sim.run_until("the other side is done", 30_000, is_done("j-3"));
     sim.run(30_000);
@@ -78,7 +78,7 @@
     sim.submit(submission("j-1", "batch", 1), 1_000);
     sim.run_until("the first prerequisite is done", 30_000, is_done("j-1"));
     sim.submit(submission("j-2", "batch", 1), 60_000);
-    sim.run_until("the second prerequisite runs", 30_000, all_run("j-2", 1));
+    sim.run_until("the second prerequisite runs", 30_000, all_tasks_run("j-2", 1));
     sim.submit(submission_after("j-3", "batch", 1, &["j-1", "j-2"]), 1_000);
     sim.run(10_000);
     assert!(sim.status_reported_to_users("j-3") == Some(JobStatus::Pending) && !has_started(sim, "j-3"));
--- a/tests/pipelines/helpers.rs
+++ b/tests/pipelines/helpers.rs
@@ -20,7 +20,7 @@
         || sim.workers.iter().any(|worker| worker.tasks.iter().any(|task| is_of_job(&task.name)))
 }
 
-pub fn all_run(id: &'static str, tasks: u32) -> impl Fn(&Simulation) -> bool {
+pub fn all_tasks_run(id: &'static str, tasks: u32) -> impl Fn(&Simulation) -> bool {
     move |sim| sim.all_running(id, tasks)
 }
 
--- a/tests/pipelines/job_cache.rs
+++ b/tests/pipelines/job_cache.rs
@@ -20,7 +20,7 @@
 use crate::{helpers::submission_after, simulation::submission};
 
 fn record(submission: &Submission, status: JobStatus, at_ms: u64) -> Value {
-    to_value(&JobRecord { submission: submission.clone(), status, at_ms, chunk: 4 })
+    to_value(&JobRecord { submission: submission.clone(), status, at_ms, tasks_per_chunk: 4 })
 }
 
 fn change(submission: &Submission, status: JobStatus, at_ms: u64, revision: u64) -> Change {
--- a/tests/pipelines/urgency.rs
+++ b/tests/pipelines/urgency.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::{
-    helpers::{all_run, has_started, is_done, submission_after},
+    helpers::{all_tasks_run, has_started, is_done, submission_after},
     simulation::{submission, Simulation, SubmissionBuilder},
 };
 
@@ -77,7 +77,7 @@
 pub fn scheduling_order_counts_from_the_last_prerequisite(sim: &mut Simulation) {
     sim.submit(whole_machine("j-9", "service", 3, "high", &[]), 0);
     sim.submit(whole_machine("j-1", "batch", 1, "normal", &[]), 200_000);
-    sim.run_until("all machines are taken", 20_000, |sim| sim.starts() == 4);
+    sim.run_until("all machines are taken", 20_000, |sim| sim.task_starts() == 4);
     sim.submit(whole_machine("j-2", "batch", 1, "low", &["j-1"]), 1_000);
     sim.run(180_000);
     sim.submit(whole_machine("j-3", "batch", 3, "normal", &[]), 20_000);
@@ -96,26 +96,30 @@
 /// Much more expensive machines are provisioned for jobs that have waited; the wait for a
 /// prerequisite must not be included.
 pub fn scale_out_urgency_counts_from_the_last_prerequisite(sim: &mut Simulation) {
-    const PATIENCE_MS: u64 = 48_000;
+    const MIN_WAIT_FOR_EXPENSIVE_MS: u64 = 48_000;
     // On demand, a machine costs 50 times as much: low priority pays that after waiting 48.5 s.
     sim.cloud.settings.spot_price = 0.02;
     sim.elect();
     sim.workers.iter_mut().skip(1).for_each(|worker| worker.dead = true);
     sim.cloud.settings.capacity = 1;
     sim.submit(whole_machine("j-1", "batch", 1, "low", &[]), 100_000);
-    sim.run_until("the prerequisite runs", 60_000, all_run("j-1", 1));
+    sim.run_until("the prerequisite runs", 60_000, all_tasks_run("j-1", 1));
     sim.cloud.settings.capacity = 0;
     sim.submit(whole_machine("j-2", "ensemble", 2, "low", &["j-1"]), 1_000);
     sim.run_until("the prerequisite is done", 130_000, is_done("j-1"));
     sim.cloud.clear_requests();
     let ready_ms = job_record(sim, "j-1").at_ms;
-    sim.run(PATIENCE_MS / 2);
+    sim.run(MIN_WAIT_FOR_EXPENSIVE_MS / 2);
     assert!(sim.cloud.requests().iter().any(|request| request.spot), "low-priced machines were not requested at once");
     sim.run_until("expensive machines are requested", 60_000, |sim| {
         sim.cloud.requests().iter().any(|request| !request.spot)
     });
     let on_demand = sim.cloud.requests().iter().find(|request| !request.spot).unwrap();
-    assert!(on_demand.at >= ready_ms + PATIENCE_MS, "requested {} ms after the job was ready", on_demand.at - ready_ms);
+    assert!(
+        on_demand.at >= ready_ms + MIN_WAIT_FOR_EXPENSIVE_MS,
+        "requested {} ms after the job was ready",
+        on_demand.at - ready_ms
+    );
     sim.cloud.settings.capacity = 2;
     sim.run_until("j-2 is done", 120_000, is_done("j-2"));
 }
@@ -125,13 +129,13 @@
 pub fn waiting_job_causes_no_scale_out_and_no_preemption(sim: &mut Simulation) {
     sim.submit(whole_machine("j-0", "service", 3, "low", &[]), 0);
     sim.submit(whole_machine("j-1", "batch", 1, "normal", &[]), 60_000);
-    sim.run_until("all machines are taken", 20_000, |sim| sim.starts() == 4);
+    sim.run_until("all machines are taken", 20_000, |sim| sim.task_starts() == 4);
     sim.cloud.settings.capacity = 1;
     sim.submit(whole_machine("j-2", "ensemble", 3, "high", &["j-1"]), 2_000);
     sim.run(45_000);
     assert_eq!(sim.status("j-1"), JobStatus::Pending);
     assert_eq!(
-        (sim.cloud.requests().len(), sim.workers.halts().len(), sim.starts()),
+        (sim.cloud.requests().len(), sim.workers.halts().len(), sim.task_starts()),
         (0, 0, 4),
         "requests, stopped tasks and starts while the job waits"
     );
@@ -143,13 +147,13 @@
 pub fn late_urgent_dependent_raises_the_priority_of_a_queued_job(sim: &mut Simulation) {
     sim.submit(whole_machine("j-9", "service", 3, "high", &[]), 0);
     sim.submit(whole_machine("j-0", "batch", 1, "high", &[]), 30_000);
-    sim.run_until("all machines are taken", 20_000, |sim| sim.starts() == 4);
+    sim.run_until("all machines are taken", 20_000, |sim| sim.task_starts() == 4);
     sim.submit(of_team_blue(whole_machine("j-5", "batch", 1, "normal", &[])), 5_000);
     sim.submit(whole_machine("j-1", "batch", 1, "low", &[]), 5_000);
     sim.run(5_000);
     let last = whole_machine("j-2", "batch", 1, "high", &["j-1"]);
     sim.submit(last.with_deadline_s(300.0), 1_000);
-    sim.run_until("the job with inherited priority runs", 60_000, all_run("j-1", 1));
+    sim.run_until("the job with inherited priority runs", 60_000, all_tasks_run("j-1", 1));
     assert!(!has_started(sim, "j-5"), "a normal-priority job started before the job with inherited priority");
     sim.run_until("the last job is done", 60_000, is_done("j-2"));
     sim.run_until("the other team's job is done", 60_000, is_done("j-5"));
@@ -158,16 +162,16 @@
 /// A running job that inherited the priority of a later dependent must not be preempted by a
 /// normal-priority job of another team, which would have preempted it before.
 pub fn late_urgent_dependent_protects_a_running_job(sim: &mut Simulation) {
-    const LONGER_THAN_PATIENCE_MS: u64 = 30_000;
+    const LONGER_THAN_PREEMPTION_DELAY_MS: u64 = 30_000;
     sim.submit(whole_machine("j-9", "service", 3, "high", &[]), 0);
     sim.submit(whole_machine("j-1", "batch", 1, "low", &[]), 60_000);
-    sim.run_until("all machines are taken", 20_000, |sim| sim.starts() == 4);
+    sim.run_until("all machines are taken", 20_000, |sim| sim.task_starts() == 4);
     let last = whole_machine("j-2", "batch", 1, "high", &["j-1"]);
     sim.submit(last.with_deadline_s(300.0), 1_000);
     sim.run(1_000);
     sim.submit(of_team_blue(whole_machine("j-5", "batch", 1, "normal", &[])), 5_000);
-    sim.run(LONGER_THAN_PATIENCE_MS);
-    assert!(all_run("j-1", 1)(sim) && !was_stopped(sim, "j-1"), "preempted by a normal-priority job");
+    sim.run(LONGER_THAN_PREEMPTION_DELAY_MS);
+    assert!(all_tasks_run("j-1", 1)(sim) && !was_stopped(sim, "j-1"), "preempted by a normal-priority job");
     sim.run_until("the last job is done", 90_000, is_done("j-2"));
     sim.run_until("the other team's job is done", 60_000, is_done("j-5"));
     assert!(!was_stopped(sim, "j-1"));
@@ -182,14 +186,17 @@
     sim.controller.settings.quotas.blue_gpus_max = Some(2.0);
     sim.elect();
     sim.submit(gpus(submission("j-0", "batch", 1)), 30_000);
-    sim.run_until("the team is at its quota", 20_000, all_run("j-0", 1));
+    sim.run_until("the team is at its quota", 20_000, all_tasks_run("j-0", 1));
     sim.submit(gpus(submission("j-1", "batch", 1)), 20_000);
     sim.submit(of_team_blue(high(gpus(submission_after("j-2", "batch", 1, &["j-1"])))), 1_000);
     sim.run(15_000);
-    assert!(!has_started(sim, "j-1") && all_run("j-0", 1)(sim), "the inherited priority exceeded the team's own quota");
-    sim.run_until("the job with inherited priority runs", 60_000, all_run("j-1", 1));
+    assert!(
+        !has_started(sim, "j-1") && all_tasks_run("j-0", 1)(sim),
+        "the inherited priority exceeded the team's own quota"
+    );
+    sim.run_until("the job with inherited priority runs", 60_000, all_tasks_run("j-1", 1));
     sim.submit(of_team_blue(gpus(submission("j-5", "batch", 1))), 2_000);
-    sim.run_until("a job within the other team's quota runs", 10_000, all_run("j-5", 1));
-    assert!(all_run("j-1", 1)(sim), "the job with inherited priority was stopped for the other team");
+    sim.run_until("a job within the other team's quota runs", 10_000, all_tasks_run("j-5", 1));
+    assert!(all_tasks_run("j-1", 1)(sim), "the job with inherited priority was stopped for the other team");
     sim.run_until("the last job is done", 90_000, is_done("j-2"));
 }
--- a/tests/safety_rules/failing_jobs.rs
+++ b/tests/safety_rules/failing_jobs.rs
@@ -41,9 +41,9 @@
         "tasks of another job were preempted for failing jobs"
     );
     sim.run(30_000);
-    let (before, jobs) = (sim.starts(), failing_jobs().len());
+    let (before, jobs) = (sim.task_starts(), failing_jobs().len());
     sim.run(120_000);
-    let retries = sim.starts() - before;
+    let retries = sim.task_starts() - before;
     assert!(retries >= jobs, "{retries} retries in two minutes: one of {jobs} jobs was abandoned");
     assert!(retries <= 2 * jobs * RETRIES_PER_MINUTE_MAX, "{retries} retries in two minutes of {jobs} jobs");
     assert!(sim.workers.iter().all(|worker| !worker.dead), "a healthy machine was released");
@@ -63,7 +63,7 @@
 pub fn faulty_machine_is_released(sim: &mut Simulation) {
     sim.add_workers(6);
     sim.cloud.settings.capacity = 1;
-    sim.workers[3].fails_after = Some(1_000);
+    sim.workers[3].fails_after_ms = Some(1_000);
     sim.elect();
     sim.run(5_000);
     submit_jobs_that_fail(sim);
--- a/tests/safety_rules/heartbeats.rs
+++ b/tests/safety_rules/heartbeats.rs
@@ -77,7 +77,7 @@
     sim.submit(submission("j-1", "service", 2), 0);
     sim.run_until("the job runs", 10_000, |sim| sim.worker_running("j-1/1").is_some());
     // The record is lost, for whatever reason, but the tasks still run.
-    sim.store.lose_chunk_records();
+    sim.store.remove_chunk_records();
     let (a, b) = (sim.worker_running("j-1/0"), sim.worker_running("j-1/1"));
     sim.elect();
     sim.run(20_000);
@@ -93,7 +93,7 @@
     for n in 0..2 {
         sim.workers[n].terminate();
     }
-    sim.store.lose_chunk_records();
+    sim.store.remove_chunk_records();
     sim.elect();
     for (n, copy) in copies.into_iter().enumerate() {
         sim.network.deliver_heartbeat_at(sim.now() + 1_000 * n as u64, copy);
--- a/tests/safety_rules/large_jobs.rs
+++ b/tests/safety_rules/large_jobs.rs
@@ -43,7 +43,7 @@
             sim.run(4_000);
         }
         if n == 30 {
-            assert!(sim.starts() > 60, "small jobs did not run while the gang waited");
+            assert!(sim.task_starts() > 60, "small jobs did not run while the gang waited");
         }
     }
     sim.run_until("the gang starts", 240_000 - (sim.now() - 1_000), |sim| sim.all_running("j-1", 4));
@@ -97,7 +97,7 @@
     let job = submission("j-1", "batch", 1_200).with_cpus(0.001).with_memory_gb(0.001);
     sim.workers.settings.slots = 5_000;
     sim.submit(job, 500_000);
-    sim.run_until("all tasks run", 60_000, |sim| sim.starts() == 1_200);
+    sim.run_until("all tasks run", 60_000, |sim| sim.task_starts() == 1_200);
     assert!(sim.cancel("j-1"));
     sim.run_until("all tasks are removed from the worker", 60_000, |sim| sim.workers[0].tasks.is_empty());
     assert!(
--- a/tests/safety_rules/launches.rs
+++ b/tests/safety_rules/launches.rs
@@ -8,7 +8,7 @@
     sim.controller.settings.crash_before_transaction = true;
     sim.submit(submission("j-1", "batch", 6), 5_000);
     sim.run(3_000);
-    assert!(!sim.has_leader() && sim.starts() == 0, "a task started before its record was written");
+    assert!(!sim.has_leader() && sim.task_starts() == 0, "a task started before its record was written");
     sim.elect();
     sim.run_until("the job is done", 60_000, |sim| sim.status("j-1") == JobStatus::Done);
 }
--- a/tests/safety_rules/placement.rs
+++ b/tests/safety_rules/placement.rs
@@ -75,7 +75,7 @@
     }
     sim.run(5_000);
     sim.submit(submission("j-1", "batch", 24).with_priority("low"), 500_000);
-    sim.run_until("all machines are full", 20_000, |sim| sim.starts() == 24);
+    sim.run_until("all machines are full", 20_000, |sim| sim.task_starts() == 24);
     sim.submit(submission("j-2", "ensemble", 3).with_priority("high").with_cpus(8.0).with_one_zone(true), 0);
     sim.run_until("the gang runs", 15_000, |sim| sim.all_running("j-2", 3));
 }
--- a/tests/safety_rules/scale.rs
+++ b/tests/safety_rules/scale.rs
@@ -66,10 +66,10 @@
     );
 
     // A new leader receives heartbeats from all workers again, and moves no task.
-    let starts = sim.starts();
+    let starts = sim.task_starts();
     sim.elect();
     sim.run(20_000);
-    assert_eq!(sim.starts(), starts, "a task was restarted by the new leader");
+    assert_eq!(sim.task_starts(), starts, "a task was restarted by the new leader");
     assert!(sim.worker_running("j-0/7").is_some());
     let placed_on = sim.worker_running("j-0/0").unwrap();
     sim.workers[placed_on].dead = true;
@@ -94,11 +94,11 @@
     for n in 0..SERVICES {
         sim.submit(submission(&format!("j-{n}"), "service", 50).with_spread(true), 0);
     }
-    sim.run_until("all replicas run", 30_000, |sim| sim.starts() == SERVICES * 50);
+    sim.run_until("all replicas run", 30_000, |sim| sim.task_starts() == SERVICES * 50);
     sim.run(10_000);
-    let (starts, machines) = (sim.starts(), sim.workers.len());
+    let (starts, machines) = (sim.task_starts(), sim.workers.len());
     let check_unchanged = |sim: &Simulation, when: &str| {
-        assert_eq!(sim.starts(), starts, "{when}: a task was restarted");
+        assert_eq!(sim.task_starts(), starts, "{when}: a task was restarted");
         assert!(sim.workers.iter().all(|worker| !worker.dead), "{when}: a machine was released");
         assert_eq!(sim.workers.len(), machines, "{when}: machines were provisioned");
     };
--- a/tests/safety_rules/worker_leases.rs
+++ b/tests/safety_rules/worker_leases.rs
@@ -59,7 +59,7 @@
     }
     sim.submit(submission("j-1", "service", 20), 0);
     sim.submit(submission("j-2", "service", 4), 0);
-    sim.run_until("all tasks run", 20_000, |sim| sim.starts() == 24);
+    sim.run_until("all tasks run", 20_000, |sim| sim.task_starts() == 24);
     let tasks_in_b = |sim: &Simulation| -> Vec<String> {
         let workers = sim.workers.iter().filter(|worker| worker.spec.zone == "b");
         workers
--- a/tests/simulation/commits.rs
+++ b/tests/simulation/commits.rs
@@ -80,8 +80,8 @@
                 CommitAllowance { writes: allowance.writes.min(TRANSACTION_WRITES_MAX), ..allowance }
             }
             None => {
-                let spare = (self.now / 1_000).is_multiple_of(4);
-                CommitAllowance { writes: TRANSACTION_WRITES_MAX, spare }
+                let has_spare_budget = (self.now / 1_000).is_multiple_of(4);
+                CommitAllowance { writes: TRANSACTION_WRITES_MAX, has_spare_budget }
             }
         }
     }
--- a/tests/simulation/controller.rs
+++ b/tests/simulation/controller.rs
@@ -219,10 +219,11 @@
     /// writes; `None` if there is nothing to write.
     pub(super) fn next_transaction(&mut self, now: Millis, allowance: &CommitAllowance) -> Option<Transaction> {
         let leader = self.leader.as_mut()?;
-        if !leader.has_writes(now, allowance.spare) {
+        if !leader.has_writes(now, allowance.has_spare_budget) {
             return None;
         }
-        let mut transaction = leader.commit(now, allowance.writes, allowance.spare, &self.interners)?;
+        let mut transaction =
+            leader.next_transaction(now, allowance.writes, allowance.has_spare_budget, &self.interners)?;
         if self.settings.writes_previous_format {
             to_previous_format(&mut transaction);
         }
--- a/tests/simulation/delivery.rs
+++ b/tests/simulation/delivery.rs
@@ -63,7 +63,7 @@
             if task.state == TaskState::Fetching && next.state != TaskState::Exited {
                 self.check_start(worker, &task.name);
             }
-            let task = WorkerTask { state: next.state, why: next.why, since: now, ..task };
+            let task = WorkerTask { state: next.state, exit_reason: next.exit_reason, since: now, ..task };
             self.workers[worker].replace_task(index, task);
         }
         if self.workers[worker].take_due_heartbeat(now) {
@@ -73,15 +73,15 @@
 
     /// Sends a heartbeat, subject to faults in both directions.
     fn send_heartbeat(&mut self, worker: usize) {
-        let sent = self.now;
+        let sent_at = self.now;
         let heartbeat = self.workers[worker].heartbeat();
-        if self.workers[worker].renew_by_peer(sent) {
-            self.controller.record_peer_renewal(sent);
+        if self.workers[worker].renew_by_peer(sent_at) {
+            self.controller.record_peer_renewal(sent_at);
         }
         if self.workers[worker].faults.loses_heartbeats() || self.delay_heartbeat(&heartbeat) {
             return;
         }
-        let Some(response) = self.controller.heartbeat(sent, &heartbeat) else { return };
+        let Some(response) = self.controller.heartbeat(sent_at, &heartbeat) else { return };
         let id = self.workers[worker].id.clone();
         self.check_commands(&id, &response.commands);
         let faults = self.workers[worker].faults;
@@ -91,26 +91,26 @@
         {
             return;
         }
-        if self.workers[worker].accept_response(sent, &response) {
-            self.workers.apply_commands(sent, worker, &response.commands);
+        if self.workers[worker].accept_response(sent_at, &response) {
+            self.workers.apply_commands(sent_at, worker, &response.commands);
         }
     }
 
     /// Sends delayed copies of a heartbeat at random. Returns true when the heartbeat
     /// itself is delayed as well.
     fn delay_heartbeat(&mut self, heartbeat: &Heartbeat) -> bool {
-        let sent = self.now;
+        let sent_at = self.now;
         if self.random.chance(self.network.rates.late_heartbeat) {
-            let due = sent + self.random.delay(1_000..120_000);
+            let due = sent_at + self.random.delay(1_000..120_000);
             self.network.deliver_heartbeat_at(due, heartbeat.clone());
         }
         if self.random.chance(self.network.rates.very_late_heartbeat) {
-            let due = sent + self.random.delay(LEASE_MS / 2..4 * LEASE_MS);
+            let due = sent_at + self.random.delay(LEASE_MS / 2..4 * LEASE_MS);
             self.network.deliver_heartbeat_at(due, heartbeat.clone());
         }
         let is_delayed = self.random.chance(self.network.rates.delayed_heartbeat);
         if is_delayed {
-            let due = sent + self.random.delay(500..LEASE_MS / 2);
+            let due = sent_at + self.random.delay(500..LEASE_MS / 2);
             self.network.deliver_heartbeat_at(due, heartbeat.clone());
         }
         is_delayed
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -35,7 +35,7 @@
 #[derive(Default)]
 pub struct InvariantChecker {
     violations: Vec<String>,
-    starts: usize,
+    task_starts: usize,
     starts_of_cancelled: usize,
     max_commands_in_message: usize,
 }
@@ -133,7 +133,7 @@
         let Some((id, _)) = split_task(task) else { return Vec::new() };
         let mut violations = Vec::new();
         for (other, holder) in self.workers.iter().enumerate() {
-            if other != worker && holder.holds(task) {
+            if other != worker && holder.is_occupied_by(task) {
                 let here = &self.workers[worker].id;
                 violations.push(format!("runs on two machines: {task} on {} and {here} at {}", holder.id, self.now));
             }
@@ -209,7 +209,8 @@
         let position = self.workers.position(worker);
         let listed = position
             .and_then(|position| self.workers[position].tasks.iter().find(|held| held.is_attempt(task, attempt)));
-        let is_done = listed.is_none_or(|held| held.why == Some(ExitReason::Done)) && self.workers.has_completed(task);
+        let is_done =
+            listed.is_none_or(|held| held.exit_reason == Some(ExitReason::Done)) && self.workers.has_completed(task);
         is_done && !self.store.has_lost_records() && !self.is_exit_recorded(task)
     }
 
@@ -254,7 +255,7 @@
     fn is_recorded(&self, task: &str, worker: &str, attempt: Attempt) -> bool {
         let Some((job, number)) = split_task(task) else { return false };
         // The chunk size is the one in the job's record: resharding may have changed it.
-        let size = self.store.job_record(job).map_or(self.users.tasks_per_chunk, |record| record.chunk);
+        let size = self.store.job_record(job).map_or(self.users.tasks_per_chunk, |record| record.tasks_per_chunk);
         let chunk = self.store.chunk_record(job, number / size);
         chunk.is_some_and(|chunk| {
             chunk.assignments.iter().any(|entry| entry.0 == number && entry.1 == worker && entry.3 == attempt)
@@ -266,8 +267,10 @@
     fn is_exit_recorded(&self, task: &str) -> bool {
         let Some((job, number)) = split_task(task) else { return false };
         let Some(record) = self.store.job_record(job) else { return false };
-        let is_done = |chunk: records::ChunkRecord| records::is_done(&chunk.done, (number % record.chunk) as usize);
-        record.status != JobStatus::Pending || self.store.chunk_record(job, number / record.chunk).is_some_and(is_done)
+        let is_done =
+            |chunk: records::ChunkRecord| records::is_done(&chunk.done, (number % record.tasks_per_chunk) as usize);
+        record.status != JobStatus::Pending
+            || self.store.chunk_record(job, number / record.tasks_per_chunk).is_some_and(is_done)
     }
 }
 
@@ -292,7 +295,7 @@
     pub(super) fn check_start(&mut self, worker: usize, task: &str) {
         let violations = self.view().start_violations(worker, task);
         let is_cancelled = self.users.job_of(task).is_some_and(|job| job.cancelled_at.is_some());
-        self.invariants.starts += 1;
+        self.invariants.task_starts += 1;
         self.invariants.starts_of_cancelled += usize::from(is_cancelled);
         self.invariants.record(violations);
     }
@@ -310,12 +313,12 @@
         let violations = &self.invariants.violations;
         let printed = &violations[..violations.len().min(PRINTED_VIOLATIONS)];
         assert!(violations.is_empty(), "{name}: {printed:#?}");
-        assert!(self.invariants.starts > 0, "{name}: no task started");
+        assert!(self.invariants.task_starts > 0, "{name}: no task started");
     }
 
     /// Returns the number of task starts so far.
-    pub fn starts(&self) -> usize {
-        self.invariants.starts
+    pub fn task_starts(&self) -> usize {
+        self.invariants.task_starts
     }
 
     /// Returns the number of task starts so far that came after the confirmed
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -116,12 +116,12 @@
     }
 
     /// Reports whether commands to this worker, whose response is lost, are in flight.
-    pub fn has_commands_for(&self, worker: usize) -> bool {
+    pub fn has_commands_with_lost_response(&self, worker: usize) -> bool {
         self.delayed.iter().any(|delayed| delayed.is_command_for(worker))
     }
 
     /// Makes the commands to this worker whose response is lost arrive at the time `due`.
-    pub fn delay_commands_for(&mut self, worker: usize, due: Millis) {
+    pub fn delay_commands_with_lost_response(&mut self, worker: usize, due: Millis) {
         let commands = self.delayed.iter_mut().filter(|delayed| delayed.is_command_for(worker));
         commands.for_each(|delayed| delayed.due = due);
     }
@@ -154,14 +154,14 @@
         self.run(200);
         assert_eq!(self.network.in_flight(), 2, "number of launches in flight");
         self.network.delay_all_until(self.now + 100);
-        self.network.delay_commands_for(0, self.now + delay_ms);
+        self.network.delay_commands_with_lost_response(0, self.now + delay_ms);
         self.network.rates = FaultRates::default();
     }
 
     /// Ends the faults of the network and of the workers, and the store's refusals and
     /// latencies; restarts the progress check's waits, and elects a leader if there is none.
     /// Messages in flight still arrive.
-    pub fn heal_faults(&mut self) {
+    pub fn end_faults(&mut self) {
         self.network.rates = FaultRates::default();
         let conditions = &mut self.store.conditions;
         conditions.refuses_leader = false;
--- a/tests/simulation/queries.rs
+++ b/tests/simulation/queries.rs
@@ -29,7 +29,7 @@
 
     /// Returns the number of the worker whose machine a task occupies.
     pub fn worker_running(&self, task: &str) -> Option<usize> {
-        self.workers.iter().position(|worker| worker.holds(task))
+        self.workers.iter().position(|worker| worker.is_occupied_by(task))
     }
 
     /// Returns the number of the worker of each of a job's first `tasks` tasks.
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -146,7 +146,7 @@
 
     /// Removes all chunk records, which hold the tasks' assignments, without adding
     /// changes to the log.
-    pub fn lose_chunk_records(&mut self) {
+    pub fn remove_chunk_records(&mut self) {
         self.records_lost = true;
         self.values.retain(|key, _| !key.starts_with(records::CHUNK_KEY_PREFIX));
     }
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -14,7 +14,7 @@
 const LARGE_JOB_TASKS: f64 = 1_000.0;
 
 /// Tasks in one chunk record of a large job.
-const LARGE_JOB_CHUNK: u32 = 128;
+const LARGE_JOB_TASKS_PER_CHUNK: u32 = 128;
 
 /// A job as its user submitted it, and how its tasks behave.
 pub struct SubmittedJob {
@@ -24,7 +24,7 @@
     /// How long its tasks run, in ms; 0: until they are stopped.
     pub run_ms: Millis,
     /// For a faulty job: its tasks fail after they have run for this long, in ms.
-    pub fails_after: Option<Millis>,
+    pub fails_after_ms: Option<Millis>,
 }
 
 impl SubmittedJob {
@@ -83,7 +83,7 @@
             submission: job.submission.clone(),
             status: JobStatus::Pending,
             at_ms: now,
-            chunk: self.chunk_size(&job.submission),
+            tasks_per_chunk: self.chunk_size(&job.submission),
         };
         store.put(records::job_key(&id), records::to_value(&record));
         self.jobs.insert(id, job);
@@ -102,7 +102,7 @@
 
     fn chunk_size(&self, submission: &Submission) -> u32 {
         if submission.tasks.unwrap_or(1.0) > LARGE_JOB_TASKS {
-            LARGE_JOB_CHUNK
+            LARGE_JOB_TASKS_PER_CHUNK
         } else {
             self.tasks_per_chunk
         }
@@ -112,13 +112,13 @@
 impl Simulation {
     /// Submits a job whose tasks run for `run_ms`, or until they are stopped if that is 0.
     pub fn submit(&mut self, submission: Submission, run_ms: Millis) {
-        let job = SubmittedJob { submission, cancelled_at: None, run_ms, fails_after: None };
+        let job = SubmittedJob { submission, cancelled_at: None, run_ms, fails_after_ms: None };
         self.users.submit(self.now, &mut self.store, job);
     }
 
-    /// Submits a faulty job: its tasks fail on every machine after `fails_after` ms.
-    pub fn submit_failing(&mut self, submission: Submission, fails_after: Millis) {
-        let job = SubmittedJob { submission, cancelled_at: None, run_ms: 0, fails_after: Some(fails_after) };
+    /// Submits a faulty job: its tasks fail on every machine after `fails_after_ms`.
+    pub fn submit_failing(&mut self, submission: Submission, fails_after_ms: Millis) {
+        let job = SubmittedJob { submission, cancelled_at: None, run_ms: 0, fails_after_ms: Some(fails_after_ms) };
         self.users.submit(self.now, &mut self.store, job);
     }
 
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -19,7 +19,7 @@
     pub name: String,
     pub attempt: Attempt,
     pub state: TaskState,
-    pub why: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
     /// When the attempt entered its state.
     pub(super) since: Millis,
 }
@@ -39,8 +39,8 @@
             task: self.name.clone(),
             attempt: self.attempt,
             state: self.state,
-            exit_reason: self.why,
-            saved: (self.why == Some(ExitReason::Stopped)).then_some(true),
+            exit_reason: self.exit_reason,
+            saved: (self.exit_reason == Some(ExitReason::Stopped)).then_some(true),
         }
     }
 }
@@ -89,7 +89,7 @@
     /// Whether the machine no longer exists.
     pub dead: bool,
     /// For a faulty machine: every task fails on it after running for this long, in ms.
-    pub fails_after: Option<Millis>,
+    pub fails_after_ms: Option<Millis>,
     incarnation: Incarnation,
     sequence: SequenceNumber,
     token: FencingToken,
@@ -112,7 +112,7 @@
             tasks: Vec::new(),
             faults: WorkerFaults::default(),
             dead: false,
-            fails_after: None,
+            fails_after_ms: None,
             incarnation: Incarnation(1),
             sequence: SequenceNumber::default(),
             token: FencingToken::NONE,
@@ -133,7 +133,7 @@
     }
 
     /// Reports whether a task occupies this machine.
-    pub(super) fn holds(&self, task: &str) -> bool {
+    pub(super) fn is_occupied_by(&self, task: &str) -> bool {
         !self.dead && self.tasks.iter().any(|held| held.name == task && held.occupies_machine())
     }
 
@@ -195,7 +195,7 @@
     pub(super) fn stop_task(&mut self, name: &str, attempt: Attempt) -> bool {
         let is_live = |task: &&mut WorkerTask| task.is_attempt(name, attempt) && task.state != TaskState::Exited;
         let Some(task) = self.tasks.iter_mut().find(is_live) else { return false };
-        (task.state, task.why) = (TaskState::Exited, Some(ExitReason::Stopped));
+        (task.state, task.exit_reason) = (TaskState::Exited, Some(ExitReason::Stopped));
         self.changed = true;
         true
     }
@@ -239,26 +239,26 @@
     }
 
     /// Renews the lease if another controller would; returns whether it was renewed.
-    pub(super) fn renew_by_peer(&mut self, sent: Millis) -> bool {
+    pub(super) fn renew_by_peer(&mut self, sent_at: Millis) -> bool {
         let renewed =
             self.faults.loses_heartbeats() && self.faults.lease_renewed_by_peer && self.token > FencingToken(0);
         if renewed {
-            self.lease_start = sent;
+            self.lease_start = sent_at;
         }
         renewed
     }
 
     /// Processes the response to a heartbeat sent at `sent`, which renews the lease.
     /// Returns false when it is from an earlier leader, whose commands must be ignored.
-    pub(super) fn accept_response(&mut self, sent: Millis, response: &HeartbeatResponse) -> bool {
+    pub(super) fn accept_response(&mut self, sent_at: Millis, response: &HeartbeatResponse) -> bool {
         if response.token < self.token {
             return false;
         }
-        if response.token > self.token && self.token_reported_at.is_none_or(|at| sent >= at + LEASE_MS / 2) {
-            (self.changed, self.token_reported_at) = (true, Some(sent));
+        if response.token > self.token && self.token_reported_at.is_none_or(|at| sent_at >= at + LEASE_MS / 2) {
+            (self.changed, self.token_reported_at) = (true, Some(sent_at));
         }
         self.token = response.token;
-        self.lease_start = sent;
+        self.lease_start = sent_at;
         true
     }
 
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -58,16 +58,16 @@
 /// The state that a task enters next, with the reason if it exits.
 pub(super) struct Transition {
     pub(super) state: TaskState,
-    pub(super) why: Option<ExitReason>,
+    pub(super) exit_reason: Option<ExitReason>,
 }
 
 impl Transition {
     fn to(state: TaskState) -> Transition {
-        Transition { state, why: None }
+        Transition { state, exit_reason: None }
     }
 
-    fn exit(why: ExitReason) -> Transition {
-        Transition { state: TaskState::Exited, why: Some(why) }
+    fn exit(exit_reason: ExitReason) -> Transition {
+        Transition { state: TaskState::Exited, exit_reason: Some(exit_reason) }
     }
 }
 
@@ -171,7 +171,7 @@
         let completed = self.has_completed(&task.name);
         let waits_for_peers = self.settings.gang_semantics && job.is_gang() && !completed;
         let elapsed = |duration: Millis| now >= task.since + duration;
-        let fails_after = job.fails_after.or(self[worker].fails_after);
+        let fails_after_ms = job.fails_after_ms.or(self[worker].fails_after_ms);
         let run_ms = job.run_ms + self.extra_run_ms(&task.name);
         match task.state {
             TaskState::Fetching if !elapsed(self.settings.image_fetch_ms) => None,
@@ -183,7 +183,7 @@
             TaskState::Running if waits_for_peers && self.has_lost_peer(now, task, job) => {
                 Some(Transition::exit(ExitReason::Peers))
             }
-            TaskState::Running if fails_after.is_some_and(elapsed) => Some(Transition::exit(ExitReason::Error)),
+            TaskState::Running if fails_after_ms.is_some_and(elapsed) => Some(Transition::exit(ExitReason::Error)),
             TaskState::Running if job.run_ms > 0 && elapsed(run_ms) => {
                 self.completed.insert(task.name.clone());
                 Some(Transition::exit(ExitReason::Done))
@@ -252,12 +252,12 @@
         }
         let busy = self[worker].live_tasks().any(|held| held.name == task);
         let full = self[worker].live_tasks().count() >= self.settings.slots;
-        let Transition { state, why } = match (busy, full) {
+        let Transition { state, exit_reason } = match (busy, full) {
             (true, _) => Transition::exit(ExitReason::Busy),
             (_, true) => Transition::exit(ExitReason::InsufficientResources),
             _ => Transition::to(TaskState::Fetching),
         };
         self.relaunches_of_completed += usize::from(self.has_completed(task));
-        self[worker].add_task(WorkerTask { name: task.to_owned(), attempt, state, why, since: now });
+        self[worker].add_task(WorkerTask { name: task.to_owned(), attempt, state, exit_reason, since: now });
     }
 }
--- a/tests/simulation/write_budget.rs
+++ b/tests/simulation/write_budget.rs
@@ -31,7 +31,7 @@
 pub(super) struct CommitAllowance {
     pub(super) writes: usize,
     /// Whether there is enough budget for writes that can wait.
-    pub(super) spare: bool,
+    pub(super) has_spare_budget: bool,
 }
 
 /// The store's own limit on writes, and the budgets of the controllers that share it;
@@ -73,7 +73,7 @@
         let usage: Vec<Usage> = self
             .controllers
             .iter_mut()
-            .map(|budgets| Usage { users: budgets.users.used(now), commits: budgets.commits.used(now) })
+            .map(|budgets| Usage { users: budgets.users.usage_per_s(now), commits: budgets.commits.usage_per_s(now) })
             .collect();
         let count = self.controllers.len();
         for (own, budgets) in self.controllers.iter_mut().enumerate() {
@@ -102,7 +102,7 @@
     pub(super) fn commit_allowance(&mut self, now: Millis) -> CommitAllowance {
         let commits = &mut self.controllers[0].commits;
         let available = commits.available(now, Urgency::Commit);
-        CommitAllowance { writes: available as usize, spare: available > SPARE_SHARE * commits.burst() }
+        CommitAllowance { writes: available as usize, has_spare_budget: available > SPARE_SHARE * commits.burst() }
     }
 
     /// Takes the writes of a commit from the leader's budget.
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -70,7 +70,7 @@
     // controller of this version leads; leaders of both versions occur in
     // `tasks_start_once_when_leadership_changes_between_versions`.
     for old in [0, 1] {
-        upgrade.cluster.nodes[old].kill();
+        upgrade.cluster.controllers[old].kill();
     }
     assert_eq!(upgrade.wait_for_leader(Version::This), NEW);
     for old in [0, 1] {
@@ -101,7 +101,7 @@
             "repeated request"
         );
     }
-    assert_eq!(status(upgrade.client(OLD), "j-000012").as_deref(), Some("pending"));
+    assert_eq!(status(upgrade.client_addr(OLD), "j-000012").as_deref(), Some("pending"));
     let many: Vec<String> = (0..3_000).map(|n| format!("j-{n}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
     let rejected_cases = [
@@ -119,8 +119,8 @@
     // A job that names itself as a prerequisite: the production version rejects it as
     // malformed, this version because the prerequisite was never accepted.
     let self_reference = job_with_prereqs("j-000020", "batch", id_list(&["j-000020"]));
-    assert_eq!(submit(upgrade.client(OLD), &self_reference).map(|response| response.status), Some(400));
-    assert_eq!(submit(upgrade.client(NEW), &self_reference).map(|response| response.status), Some(422));
+    assert_eq!(submit(upgrade.client_addr(OLD), &self_reference).map(|response| response.status), Some(400));
+    assert_eq!(submit(upgrade.client_addr(NEW), &self_reference).map(|response| response.status), Some(422));
     let unknown_team = with_field(&job_body("j-000020", "batch", 1), "owner", Value::Text("nobody".into()));
     assert_eq!(check_equal_responses(&upgrade, "unknown team", |at| submit(at, &unknown_team)), 422);
     assert_eq!(check_equal_responses(&upgrade, "undecodable body", |at| submit(at, b"nonsense")), 400);
@@ -131,7 +131,11 @@
 
     // Jobs accepted by one version are cancelled through the other.
     upgrade.cancel(OLD, "j-100002");
-    assert_eq!(status(upgrade.client(NEW), "j-000010").as_deref(), Some("pending"), "its prerequisite isn't cancelled");
+    assert_eq!(
+        status(upgrade.client_addr(NEW), "j-000010").as_deref(),
+        Some("pending"),
+        "its prerequisite isn't cancelled"
+    );
     upgrade.cancel(NEW, "j-100003");
     upgrade.cancel(OLD, "j-100004");
     upgrade.cancel(NEW, "j-100005");
@@ -142,7 +146,7 @@
     }
     // A job with a cancelled prerequisite is accepted as cancelled.
     for (n, id) in [(OLD, "j-000015"), (NEW, "j-000016")] {
-        let response = submit(upgrade.client(n), &job_with_prereqs(id, "batch", id_list(&["j-000012"])));
+        let response = submit(upgrade.client_addr(n), &job_with_prereqs(id, "batch", id_list(&["j-000012"])));
         assert_eq!(code_and_status(response), (201, Some("cancelled".into())), "{id}");
         upgrade.record_accepted(id, 1, &["j-000012"]);
     }
@@ -156,7 +160,7 @@
     for id in ["j-100001", "j-000010"] {
         upgrade.wait_until_done(id);
         assert_eq!(check_equal_responses(&upgrade, id, |at| abort(at, id)), 200);
-        assert_eq!(code_and_status(abort(upgrade.client(NEW), id)).1.as_deref(), Some("done"));
+        assert_eq!(code_and_status(abort(upgrade.client_addr(NEW), id)).1.as_deref(), Some("done"));
     }
     // A job whose prerequisites are done runs at once, whichever version accepts it.
     upgrade.submit(OLD, batch("j-000017", 1, &["j-000010"]));
@@ -223,7 +227,7 @@
         (upgrade.cluster.running_tasks("j-100001") + upgrade.cluster.running_tasks("j-100002") == 2).then_some(())
     });
     // The second controller is replaced, and one of the production version leads.
-    upgrade.cluster.nodes[1].kill();
+    upgrade.cluster.controllers[1].kill();
     let old = upgrade.wait_for_leader(Version::Production);
     upgrade.versions[1] = Version::This;
     upgrade.start_controller(1);
@@ -232,15 +236,15 @@
     // The tasks of the heads exit while there is no leader.
     let stage = run_stage(&mut upgrade, FIRST_STAGE, Version::Production);
     upgrade.finish(&stage.head);
-    upgrade.cluster.nodes[old].kill();
-    upgrade.cluster.nodes[other].kill();
+    upgrade.cluster.controllers[old].kill();
+    upgrade.cluster.controllers[other].kill();
     assert_eq!(upgrade.wait_for_leader(Version::This), 1);
     upgrade.start_controller(old);
     upgrade.start_controller(other);
 
     let stage = run_stage(&mut upgrade, 2, Version::This);
     upgrade.finish(&stage.head);
-    upgrade.cluster.nodes[1].kill();
+    upgrade.cluster.controllers[1].kill();
     let old = upgrade.wait_for_leader(Version::Production);
     let other = 2 - old;
     upgrade.start_controller(1);
@@ -248,7 +252,7 @@
     let stage = run_stage(&mut upgrade, 3, Version::Production);
     upgrade.replace(other);
     upgrade.finish(&stage.head);
-    upgrade.cluster.nodes[old].kill();
+    upgrade.cluster.controllers[old].kill();
     upgrade.wait_for_leader(Version::This);
     upgrade.start_controller(old);
 
@@ -259,7 +263,7 @@
 
     // Tasks that ran through all stages started once, which `check_history` checks too.
     assert_eq!((upgrade.cluster.running_tasks("j-100001"), upgrade.cluster.running_tasks("j-100002")), (1, 1));
-    assert_eq!(status(upgrade.client(0), "j-000001").as_deref(), Some("pending"));
+    assert_eq!(status(upgrade.client_addr(0), "j-000001").as_deref(), Some("pending"));
     upgrade.finish("j-100001");
     upgrade.wait_until_done("j-000001");
     upgrade.cancel(0, "j-100002");
@@ -384,14 +388,14 @@
 #[test]
 fn prerequisites_are_rejected_while_one_controller_does_not_support_them() {
     let mut cluster = LoopbackCluster::start_with_program("before-pipelines", &SHARED_SETTINGS, without_pipelines());
-    let at = cluster.nodes[0].client;
+    let at = cluster.controllers[0].client_addr;
     wait_for("job accepted", || (submit(at, &job_body("j-000001", "batch", 3))?.status == 201).then_some(()));
     wait_for("job done", || (status(at, "j-000001")? == "done").then_some(()));
-    for node in &mut cluster.nodes[..2] {
-        node.kill();
-        node.start();
+    for controller in &mut cluster.controllers[..2] {
+        controller.kill();
+        controller.start();
     }
-    let (first, second) = (cluster.nodes[0].client, cluster.nodes[1].client);
+    let (first, second) = (cluster.controllers[0].client_addr, cluster.controllers[1].client_addr);
     for at in [first, second] {
         wait_for("controller ready", || is_ready(at).then_some(()));
     }
@@ -412,15 +416,17 @@
         assert_eq!(status(at, "j-000002"), None);
     }
     assert_eq!(
-        status(cluster.nodes[2].client, "j-000001").as_deref(),
+        status(cluster.controllers[2].client_addr, "j-000001").as_deref(),
         Some("done"),
         "the controller of the old version should respond"
     );
-    cluster.nodes[2].kill();
-    cluster.nodes[2].start();
-    for node in &cluster.nodes {
+    cluster.controllers[2].kill();
+    cluster.controllers[2].start();
+    for controller in &cluster.controllers {
         let bytes = job_with_prereqs("j-000002", "batch", id_list(&["j-000001", "j-000001"]));
-        wait_for("job with prerequisites accepted", || submit(node.client, &bytes).filter(Response::is_success));
+        wait_for("job with prerequisites accepted", || {
+            submit(controller.client_addr, &bytes).filter(Response::is_success)
+        });
     }
     wait_for("job with prerequisites done", || (status(first, "j-000002")? == "done").then_some(()));
 }
