--- a/src/controller/leadership/commits.rs
+++ b/src/controller/leadership/commits.rs
@@ -63,8 +63,9 @@
             tracing::warn!(%term, "leadership lost: another controller has written the leader's key");
             self.step_down(context, now);
         } else if is_conflict {
-            // The conflict shows that job records have changed in the store. The next watch
-            // starts at once, so that they are read before the next transaction.
+            // The conflict may mean that job records have changed in the store. The next
+            // watch on the job records starts at once, so that the changes are read before
+            // the next transaction.
             context.jobs.end_watch_pause(now);
         }
     }
--- a/src/controller/leadership/config.rs
+++ b/src/controller/leadership/config.rs
@@ -15,11 +15,12 @@
 
 const BYTES_PER_KB: f64 = 1024.0;
 const MS_PER_S: f64 = 1000.0;
-/// Number of heartbeat intervals that, together with the grace period, make up the
-/// default heartbeat timeout: a machine without heartbeats for that long is released to
-/// the cloud, unless operators set another time.
+/// Number of heartbeat intervals in the default heartbeat timeout, which applies unless
+/// operators set another one. A machine whose heartbeats are missing for longer than the
+/// timeout is released to the cloud.
 const HEARTBEAT_TIMEOUT_INTERVALS: Millis = 2;
-/// Grace period, in ms, that is added to these intervals.
+/// Grace period, in ms, that the default heartbeat timeout adds to its heartbeat
+/// intervals.
 const HEARTBEAT_TIMEOUT_GRACE_MS: Millis = 2_500;
 
 fn to_ms(seconds: f64) -> Millis {
--- a/src/controller/leadership/context.rs
+++ b/src/controller/leadership/context.rs
@@ -26,17 +26,17 @@
 }
 
 impl LeaderContext<'_> {
-    /// Sends a request to the key-value store under a term.
+    /// Sends a request of the leader of `term` to the key-value store.
     pub(super) fn send_to_store(&mut self, term: Term, call: LeaderCall, request: StoreRequest) {
         self.client.send_to_store(self.net, PendingCall::Leader { term, call }, request);
     }
 
-    /// Sends a request to the cloud under a term.
+    /// Sends a request of the leader of `term` to the cloud.
     pub(super) fn send_to_cloud(&mut self, term: Term, call: LeaderCall, request: CloudRequest) {
         self.client.send_to_cloud(self.net, PendingCall::Leader { term, call }, request);
     }
 
-    /// Sends a request to a worker under a term.
+    /// Sends a request of the leader of `term` to a worker.
     pub(super) fn send_to_worker(&mut self, term: Term, call: LeaderCall, request: WorkerRequest) {
         self.client.send_to_worker(self.net, PendingCall::Leader { term, call }, request);
     }
@@ -49,7 +49,7 @@
     pub all_upgraded: bool,
     /// Whether workers reach other controllers.
     pub have_worker_contact: bool,
-    /// The time span in which no controller, including this one, renewed a worker lease
-    /// while it did not lead.
+    /// The time span in which no worker lease was renewed by another controller, or by
+    /// this one while it did not lead.
     pub no_renewals: TimeSpan,
 }
--- a/src/controller/leadership/effects.rs
+++ b/src/controller/leadership/effects.rs
@@ -24,7 +24,7 @@
 
 /// Timeout, in ms, of commands to a worker.
 const COMMANDS_TIMEOUT_MS: u64 = 2_000;
-/// Timeout, in ms, of a probe: a working worker responds immediately.
+/// Timeout, in ms, of a probe: a healthy worker responds immediately.
 const PROBE_TIMEOUT_MS: u64 = 700;
 /// Maximum number of hosts in one page of the cloud's list.
 const LIST_PAGE_HOSTS: u32 = 500;
@@ -116,8 +116,8 @@
     }
 
     fn list_hosts(&mut self, context: &mut LeaderContext, check: LeadershipCheck, call: CallId, from: Option<&str>) {
-        let from = from.map_or(String::new(), |from| format!("from={from}&"));
-        let request = CloudRequest::get(format!("/hosts?{from}most={LIST_PAGE_HOSTS}"));
+        let from_parameter = from.map_or(String::new(), |from| format!("from={from}&"));
+        let request = CloudRequest::get(format!("/hosts?{from_parameter}most={LIST_PAGE_HOSTS}"));
         let sent = send_to_cloud_if_leading(context, check, Urgency::Submit, LeaderCall::ListHosts { call }, request);
         if let Some(leader) = self.leader.as_mut().filter(|_| !sent) {
             leader.machines_listed(check.now, call, None, context.names);
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -42,7 +42,8 @@
 /// Interval, in ms, of the checks whether to step down; each visits all machines.
 const STEP_DOWN_CHECK_MS: Millis = 500;
 
-/// The leader, while this controller leads, and the reads of its records.
+/// The leader, while this controller leads, and the progress of the leader's reads from
+/// the key-value store.
 #[derive(Default)]
 pub struct Leadership {
     leader: Option<Leader>,
@@ -126,7 +127,9 @@
         }
     }
 
-    /// Steps down if another controller, or a new leadership, would work better.
+    /// Steps down if a worker's fencing token is nearly exhausted, or if workers reach other
+    /// controllers but hardly any of them reaches this one. Checks this at most once
+    /// per [`STEP_DOWN_CHECK_MS`].
     fn step_down_if_unfit(&mut self, context: &mut LeaderContext, now: Millis, peers: &PeerView) {
         let Some(leader) = &self.leader else { return };
         if now < self.next_step_down_check {
@@ -183,8 +186,9 @@
         self.leader.as_mut().map_or_else(Vec::new, |leader| leader.take_progress(max))
     }
 
-    /// Records the end of the read of changes that the job cache may have missed, which
-    /// precedes the loading of the task records. `synced`: the changes were applied.
+    /// Records that the read of the job records' changes, which precedes the loading of the
+    /// task records, has ended. `synced`: the changes that the job cache may have missed
+    /// were applied.
     pub fn jobs_synced(&mut self, now: Millis, synced: bool) {
         self.task_loading.jobs_synced(now, synced);
     }
--- a/src/controller/leadership/task_loading.rs
+++ b/src/controller/leadership/task_loading.rs
@@ -58,8 +58,8 @@
         context.send_to_store(term, LeaderCall::TasksPage, request);
     }
 
-    /// Records the end of the read of changes that the job cache may have missed.
-    /// `synced`: the changes were applied.
+    /// Records that the read of the job records' changes has ended. `synced`: the changes
+    /// that the job cache may have missed were applied.
     pub(super) fn jobs_synced(&mut self, now: Millis, synced: bool) {
         self.jobs_synced = synced;
         self.schedule.end_and_wait_until(if synced { now } else { now + RETRY_MS });
--- a/src/coordination/commits/in_flight.rs
+++ b/src/coordination/commits/in_flight.rs
@@ -60,7 +60,7 @@
 /// The next step that settles a transaction.
 #[derive(Debug)]
 pub enum TransactionState {
-    /// Wait for the response: the transaction was sent.
+    /// Wait for the response to the copy that was sent last.
     Sent,
     /// Send the transaction again, unchanged.
     Resend,
@@ -77,8 +77,8 @@
     pub contents: TransactionContents,
     /// Identifies the transaction in the chunk records that it writes.
     pub tag: TransactionTag,
-    /// Whether no response was received to at least one copy of the transaction: that
-    /// copy may have been applied, or may still be applied later.
+    /// Whether at least one copy of the transaction was sent and got no response: that copy
+    /// may have been applied, or may still be applied later.
     pub has_copy_without_response: bool,
     /// The next step that settles the transaction.
     pub state: TransactionState,
@@ -101,7 +101,7 @@
         matches!(self.state, TransactionState::Sent)
     }
 
-    /// Returns a copy to send and marks the transaction as sent, if it must be sent again.
+    /// If the transaction must be sent again, marks it as sent and returns the copy to send.
     pub fn resend(&mut self) -> Option<Transaction> {
         if !matches!(self.state, TransactionState::Resend) {
             return None;
--- a/src/coordination/commits/job_records.rs
+++ b/src/coordination/commits/job_records.rs
@@ -74,7 +74,8 @@
     /// Adds the job's chunks that are due. Returns whether any was added.
     fn add_due_chunks(&self, job: &Job, priority: WritePriority, builder: &mut TransactionBuilder) -> bool {
         let due = self.due_chunks(job, priority);
-        // A job is spread over several transactions only if it exceeds one on its own.
+        // The chunks of a job are split over several transactions only if they don't fit
+        // into an empty one.
         if !builder.accepts_job_writes(due.len()) {
             return false;
         }
@@ -91,8 +92,8 @@
 
     fn due_chunks(&self, job: &Job, priority: WritePriority) -> Vec<usize> {
         let is_due = |chunk: &Chunk| {
-            let is_wanted = chunk.has_unwritten_placement() || (priority == WritePriority::Exits && chunk.is_dirty());
-            self.now >= chunk.retry_at && is_wanted
+            let needs_write = chunk.has_unwritten_placement() || (priority == WritePriority::Exits && chunk.is_dirty());
+            self.now >= chunk.retry_at && needs_write
         };
         let chunks = job.records.chunks.iter().enumerate();
         chunks.filter(|(_, chunk)| is_due(chunk)).map(|(index, _)| index).collect()
--- a/src/coordination/commits/mod.rs
+++ b/src/coordination/commits/mod.rs
@@ -5,7 +5,8 @@
 //! known, and applies that outcome to the cluster state. A transaction whose
 //! outcome stays unknown is *resynced*: its keys are read again to learn whether
 //! it was applied. A job is *resharded* by splitting its tasks into smaller chunk
-//! records, because the store lowered its limit on the size of a value.
+//! records, because the store has lowered its limit on the size of a value, or may do
+//! so later.
 
 mod applied;
 mod in_flight;
--- a/src/coordination/commits/outcomes.rs
+++ b/src/coordination/commits/outcomes.rs
@@ -91,9 +91,10 @@
         abort(cluster, &in_flight);
     }
 
-    /// Processes a refusal: this copy of the transaction was definitely not executed.
-    /// A later transaction writes the same records in their state at that time, unless
-    /// no response was received to an earlier copy: that copy must be settled first.
+    /// Processes a refusal: this copy of the transaction was definitely not executed. If
+    /// an earlier copy got no response, that copy must be settled first, so the transaction
+    /// is sent again. Otherwise the transaction is dropped, and a later one writes the same
+    /// records in their state at that time.
     fn refused(&mut self, now: Millis, mut in_flight: InFlightTransaction, cluster: &mut ClusterState) {
         self.pause_until(now + REFUSED_PAUSE_MS);
         if in_flight.has_copy_without_response {
@@ -162,8 +163,8 @@
                 leave_out(cluster, now, &in_flight.contents);
             }
         }
-        // No response was received to an earlier copy, which may have been applied:
-        // its keys are read first, to learn which transaction wrote them last.
+        // If an earlier copy got no response, it may have been applied: its keys are read
+        // first, to learn which transaction wrote them last.
         if in_flight.has_copy_without_response {
             let keys = in_flight.written_chunk_keys();
             if !keys.is_empty() {
@@ -215,7 +216,8 @@
     cluster.request_scheduling_cycle();
 }
 
-/// Leaves out, for some time, a write that is refused as too large even on its own.
+/// Handles a write that is refused as too large even on its own: a chunk is shrunk and
+/// left out for some time, and a job's resharding isn't tried again.
 fn leave_out(cluster: &mut ClusterState, now: Millis, contents: &TransactionContents) {
     for written in &contents.chunks {
         shrink_chunk(cluster, now, OversizedChunk { job: written.job, chunk: written.chunk });
--- a/src/coordination/commits/oversized.rs
+++ b/src/coordination/commits/oversized.rs
@@ -9,8 +9,9 @@
 /// Time, in ms, for which a chunk that is too large to be written is left out.
 const OVERSIZED_RETRY_MS: Millis = 2_000;
 
-/// Makes a chunk smaller that is too large to be written: releases its assignments
-/// that are not written yet. The rest waits until some of its tasks have exited.
+/// Shrinks a chunk that is too large to be written, by releasing its assignments that are
+/// not written yet. Tasks that don't fit into the chunk's record wait until some of the
+/// chunk's other tasks have exited.
 pub fn shrink_chunk(cluster: &mut ClusterState, now: Millis, oversized: OversizedChunk) {
     let Some(job) = cluster.job_mut(oversized.job) else { return };
     let retry_at = now + OVERSIZED_RETRY_MS;
--- a/src/coordination/commits/pipeline.rs
+++ b/src/coordination/commits/pipeline.rs
@@ -31,7 +31,8 @@
     /// The transaction that is not settled yet.
     in_flight: Option<InFlightTransaction>,
     last_tag: TransactionTag,
-    /// Maximum number of writes in a transaction that the store is known to accept.
+    /// Maximum number of writes in a transaction, lowered after the store refused a larger
+    /// one; `usize::MAX`: none was refused.
     accepted_ops: usize,
     /// Earliest time at which a transaction is sent, in ms.
     paused_until: Millis,
@@ -95,10 +96,11 @@
             || cluster.active_jobs().any(|job| WritePriority::of(job, now, has_spare_budget).is_some())
     }
 
-    /// Returns the next transaction. It holds completed jobs first, then placements by
-    /// priority, then exits whose delay is over; a job whose chunks don't fit waits for
-    /// the transaction after it. A transaction without a response is sent again,
-    /// unchanged.
+    /// Returns the next transaction to send. A transaction without a response is sent
+    /// again, unchanged. Otherwise, if a job is due for resharding, the transaction reshards
+    /// that job. Any other transaction records completed jobs first, then placements by
+    /// priority, then exits whose delay is over, and deletes obsolete records last; a job
+    /// whose chunks don't fit waits for a later transaction.
     pub fn next_transaction(
         &mut self,
         now: Millis,
--- a/src/coordination/commits/resharding.rs
+++ b/src/coordination/commits/resharding.rs
@@ -1,5 +1,7 @@
-//! Splits the tasks of a job into smaller chunks once the store lowers its limit on
-//! the size of a value: the records of the old chunks might exceed the new limit.
+//! Splits the tasks of a job into smaller chunks, whose records also fit the store's
+//! lower limit on the size of a value: once the store lowers its limit, the records of the
+//! old chunks might exceed it. While there is spare request budget, jobs are split before
+//! that.
 
 use super::{
     in_flight::{TransactionContents, TransactionTag},
--- a/src/coordination/commits/transaction_builder.rs
+++ b/src/coordination/commits/transaction_builder.rs
@@ -65,9 +65,9 @@
         self.max_ops.saturating_sub(self.transaction.writes.len())
     }
 
-    /// Returns whether the transaction accepts the `writes` writes of one job: they fit,
-    /// or the transaction is still empty, so that a job too large for any transaction is
-    /// split.
+    /// Returns whether the transaction accepts the writes of one job; `writes` is their
+    /// number. If they don't all fit, only an empty transaction accepts them: a job too
+    /// large for any transaction is split.
     pub fn accepts_job_writes(&self, writes: usize) -> bool {
         let ops_left = self.ops_left();
         writes <= ops_left || ops_left >= self.max_ops
--- a/src/coordination/leader/loading.rs
+++ b/src/coordination/leader/loading.rs
@@ -117,7 +117,7 @@
     }
 }
 
-/// Marks the tasks as done that are done according to a chunk record.
+/// Marks as done the tasks that a chunk record lists as done.
 fn load_done_tasks(job: &mut Job, chunk_number: u32, packed_done: &str) {
     let first = chunk_number * job.records.chunk_size;
     let mut newly_done = 0;
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -104,7 +104,8 @@
         self.scheduler.run_cycle(&mut self.cluster, now);
     }
 
-    /// Sets the time span in which no other controller renewed any worker lease.
+    /// Sets the time span in which no worker lease was renewed by another controller, or by
+    /// this one while it did not lead.
     pub fn set_no_peer_renewals(&mut self, span: TimeSpan) {
         self.workers.set_no_peer_renewals(span);
     }
--- a/src/coordination/leader/periodic_checks.rs
+++ b/src/coordination/leader/periodic_checks.rs
@@ -16,7 +16,7 @@
 impl Leader {
     /// Checks every machine, once per interval, for conditions that arise from the passage
     /// of time: expired leases, late heartbeats, machines that are idle or may take no new
-    /// tasks.
+    /// tasks. Also evaluates recent task failures, and logs the summary when it is due.
     pub fn run_periodic_checks(&mut self, now: Millis) {
         if now < self.next_periodic_checks {
             return;
--- a/src/coordination/leader/worker_events.rs
+++ b/src/coordination/leader/worker_events.rs
@@ -33,7 +33,8 @@
         heartbeats::response_not_sent(&mut self.cluster, machine);
     }
 
-    /// Returns whether a task may be on the machine, or a launch may be in flight to it.
+    /// Returns whether a task may be on the machine that sent the heartbeat, or a launch may
+    /// be in flight to that machine.
     pub fn may_hold_tasks(&self, heartbeat: &Heartbeat) -> bool {
         heartbeats::may_hold_tasks(&self.cluster, heartbeat)
     }
--- a/src/coordination/tests/commits.rs
+++ b/src/coordination/tests/commits.rs
@@ -73,7 +73,7 @@
         self.cluster.update_snapshot_host(NOW, machine);
         let (attempt, job) = (self.cluster.next_attempt(), self.job);
         let new = NewAssignment { job, task, machine, incarnation: Incarnation(1), attempt, zone: ZoneIndex(0) };
-        self.cluster.add_assignment(NOW, new).expect("a pending task");
+        self.cluster.add_assignment(NOW, new).expect("the task is pending");
     }
 
     fn next(&mut self, now: Millis, allowance: WriteAllowance) -> Option<Transaction> {
@@ -93,11 +93,11 @@
     }
 
     fn chunk_revision(&self, chunk: usize) -> Revision {
-        self.cluster.job(self.job).expect("active").records.chunks[chunk].revision
+        self.cluster.job(self.job).expect("the job is active").records.chunks[chunk].revision
     }
 
     fn has_unwritten_placement(&self) -> bool {
-        self.cluster.job(self.job).expect("active").has_unwritten_placement()
+        self.cluster.job(self.job).expect("the job is active").has_unwritten_placement()
     }
 }
 
@@ -132,8 +132,8 @@
 }
 
 fn chunk_record(transaction: &Transaction, key: &str) -> ChunkRecord {
-    let (_, value) = written(transaction).into_iter().find(|(written, _)| *written == key).expect("written");
-    value.deserialized().expect("a chunk record")
+    let (_, value) = written(transaction).into_iter().find(|(written, _)| *written == key).expect("the key is written");
+    value.deserialized().expect("the value is a chunk record")
 }
 
 #[test]
@@ -254,8 +254,8 @@
     assert!(!fixture.commits.may_send(NOW + 1_149) && fixture.commits.may_send(NOW + 1_150));
     assert_eq!(fixture.next(NOW + 1_150, URGENT).unwrap().writes.len(), 1, "half the number of writes");
     assert!(fixture.finish(NOW + 1_150, CommitOutcome::TooLarge));
-    // Refused as the only write: its assignment is released for some time, and so are
-    // those of the rest of its gang.
+    // The chunk is refused as the only write of a transaction: its assignment is released,
+    // with those of the rest of its gang, and the chunk is left out for some time.
     let job = fixture.cluster.job(fixture.job).unwrap();
     assert_eq!((job.tasks.placed, job.records.chunks[0].retry_at), (0, NOW + 3_150));
 }
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -12,8 +12,9 @@
 /// Maximum number of commands in one message, which must stay well below the 64 KiB that
 /// workers accept.
 const COMMANDS_PER_MESSAGE: usize = 400;
-/// Maximum number of exits that one message reaps, so that launches and halts fit too.
-const EXITS_PER_MESSAGE: usize = COMMANDS_PER_MESSAGE / 4;
+/// Maximum number of unassigned attempts in one message, so that commands for assigned
+/// tasks fit too.
+const UNASSIGNED_ATTEMPTS_PER_MESSAGE: usize = COMMANDS_PER_MESSAGE / 4;
 /// Time without effect after which a command is sent again, in ms.
 pub const RESEND_MS: Millis = 2_500;
 
@@ -22,15 +23,17 @@
 pub enum CommandMessage {
     /// The response to a heartbeat. It carries all commands that haven't taken effect yet.
     HeartbeatResponse,
-    /// A direct call. It carries only commands that were not sent within [`RESEND_MS`].
+    /// A direct call. It carries only commands that were not sent in the last
+    /// [`RESEND_MS`] ms.
     DirectCall,
 }
 
 /// Returns halts for the listed tasks whose jobs are known to be cancelled.
 ///
-/// Every 200 to a heartbeat renews the worker's lease. So each 200 carries these halts,
-/// whichever controller responds, and even if the heartbeat is not new or the records
-/// are not read yet. Otherwise a cancelled task could keep running under a renewed lease.
+/// Every response with status 200 to a heartbeat renews the worker's lease, and so every
+/// 200 carries these halts: whichever controller responds, and even if the heartbeat is
+/// not new or the records are not read yet. Otherwise a cancelled task could keep running
+/// under a renewed lease.
 pub fn stop_commands_for_cancelled(heartbeat: &Heartbeat, job_cache: &JobCache) -> Vec<WorkerCommand> {
     let is_cancelled = |task: &&TaskStatus| {
         let job = split_task(&task.task).and_then(|(id, _)| job_cache.find(id));
@@ -49,7 +52,7 @@
 ) -> Vec<WorkerCommand> {
     let selector = CommandSelector { cluster, machine: cluster.machine(index), now, message };
     let mut commands = match message {
-        CommandMessage::HeartbeatResponse => selector.exit_commands(),
+        CommandMessage::HeartbeatResponse => selector.unassigned_task_commands(),
         // Commands for orphaned and exited tasks are sent with the next heartbeat response.
         CommandMessage::DirectCall => Vec::new(),
     };
@@ -68,7 +71,7 @@
     assignment: AssignmentIndex,
 }
 
-/// Selects the commands of one message to a worker.
+/// The inputs to the selection of the commands of one message.
 struct CommandSelector<'a> {
     cluster: &'a ClusterState,
     machine: &'a Machine,
@@ -78,21 +81,21 @@
 
 impl CommandSelector<'_> {
     /// Returns commands for tasks that the worker lists without an assignment.
-    fn exit_commands(&self) -> Vec<WorkerCommand> {
+    fn unassigned_task_commands(&self) -> Vec<WorkerCommand> {
         if !self.machine.is_fenced() {
             return Vec::new();
         }
-        let exits = self.machine.commands.pending_reaps.iter().take(EXITS_PER_MESSAGE);
-        exits.flat_map(|exit| self.commands_for_exit(exit)).collect()
+        let pending_reaps = self.machine.commands.pending_reaps.iter().take(UNASSIGNED_ATTEMPTS_PER_MESSAGE);
+        pending_reaps.flat_map(|pending_reap| self.commands_for_pending_reap(pending_reap)).collect()
     }
 
-    fn commands_for_exit(&self, exit: &PendingReap) -> Vec<WorkerCommand> {
-        let (task, attempt) = (&exit.task, exit.attempt);
+    fn commands_for_pending_reap(&self, pending_reap: &PendingReap) -> Vec<WorkerCommand> {
+        let (task, attempt) = (&pending_reap.task, pending_reap.attempt);
         let reap = WorkerCommand::Reap { task: task.clone(), attempt };
-        if exit.record == ExitRecord::Orphaned {
+        if pending_reap.record == ExitRecord::Orphaned {
             // Sent together: the halt takes effect if the task runs, the reap if it exited.
             vec![WorkerCommand::Halt { task: task.clone(), attempt, grace_s: 0.0 }, reap]
-        } else if self.cluster.is_exit_recorded(exit) {
+        } else if self.cluster.is_exit_recorded(pending_reap) {
             vec![reap]
         } else {
             Vec::new()
--- a/src/coordination/workers/direct_calls.rs
+++ b/src/coordination/workers/direct_calls.rs
@@ -13,8 +13,8 @@
     protocol::workers::{split_task, DirectCommandRequest, WorkerCommand},
 };
 
-/// Added to [`RESEND_MS`] before a machine is checked again, in ms, so that commands to
-/// be sent again are due by then.
+/// After a direct call, the machine is checked again this long, in ms, after
+/// [`RESEND_MS`] has passed: commands that had no effect are then due to be sent again.
 const RESEND_SLACK_MS: Millis = 100;
 /// Number of heartbeat intervals without contact after which no more commands are sent
 /// to a worker.
@@ -43,8 +43,8 @@
     }
     let Some(addr) = machine.addr else { return };
     let contact_limit_ms = CONTACT_LIMIT_INTERVALS * cluster.config().heartbeat_interval_ms;
-    // A token that the worker hasn't acknowledged yet is delivered by a heartbeat
-    // response first. No commands are sent to an unreachable worker.
+    // A worker gets no direct call before it has acknowledged the required token, which a
+    // heartbeat response delivers to it. An unreachable worker gets none either.
     if !machine.is_fenced() || !machine.heartbeats.contacted_within(now, contact_limit_ms) {
         return;
     }
--- a/src/coordination/workers/exited_tasks.rs
+++ b/src/coordination/workers/exited_tasks.rs
@@ -40,8 +40,8 @@
     }
 }
 
-/// Reports whether the exit is final, because no launch of the task can still be in
-/// flight. Such a launch could arrive after the reap and start the task a second time.
+/// Reports whether the exit is final: no launch of the task can still be in flight. A
+/// launch in flight could arrive after the reap and start the task a second time.
 fn is_exit_final(cluster: &ClusterState, index: AssignmentIndex) -> bool {
     let Some(assignment) = cluster.assignment(index) else { return false };
     let machine = cluster.machine(assignment.machine);
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -59,8 +59,9 @@
         apply(cluster, context, index, heartbeat);
         response_commands(cluster, context, index, heartbeat)
     } else {
-        // The response renews the worker's lease. Until the records are read, the reported
-        // state is not applied; the next heartbeat reports it again.
+        // The reported state is not applied if it isn't newer than the latest one, or if the
+        // records are not read yet; in the latter case, the next heartbeat reports it again.
+        // In both cases, the response renews the worker's lease.
         stop_commands_for_cancelled(heartbeat, context.job_cache)
     };
     HeartbeatOutcome::Accepted(HeartbeatResponse { token: cluster.machine(index).token_requirement.token, commands })
@@ -114,8 +115,9 @@
     }
 }
 
-/// Reports whether a task may be on the machine, or may be started there: it is listed
-/// by the heartbeat, assigned by a record, or launched by a command in flight.
+/// Reports whether a task may be on the machine that sent the heartbeat, or may be started
+/// there: a task is listed by the heartbeat, assigned by a record, or launched by a command
+/// in flight. Until the records are read, every machine may hold tasks.
 pub fn may_hold_tasks(cluster: &ClusterState, heartbeat: &Heartbeat) -> bool {
     let is_listed = heartbeat.tasks.iter().any(|task| task.state != TaskState::Exited);
     if is_listed || !cluster.is_loaded() {
@@ -127,19 +129,20 @@
 }
 
 /// Reports whether a heartbeat is stale: a delayed one from an incarnation whose lease is
-/// known to have expired, or one from a machine that was released. It doesn't show which
-/// tasks run now.
+/// known to have expired, or one from a machine that was released. A stale heartbeat
+/// doesn't show which tasks run now.
 fn is_stale(machine: &Machine, heartbeat: &Heartbeat) -> bool {
     machine.lifecycle == MachineLifecycle::Gone || machine.heartbeats.is_expired(heartbeat.incarnation)
 }
 
-/// Records whether a periodic heartbeat acknowledges this leader's earlier responses.
+/// Records that a periodic heartbeat was received, and whether it acknowledges this
+/// leader's earlier responses.
 fn record_acknowledgement(cluster: &mut ClusterState, now: Millis, index: MachineIndex, token: FencingToken) {
     let min_gap_ms = cluster.config().heartbeat_interval_ms / 2;
     let machine = cluster.machine_mut(index);
     machine.heartbeats.last_heartbeat = Some(now);
-    // The worker received the last response before it sent this heartbeat, or the
-    // response was lost.
+    // Launches in the last response are no longer in flight: the worker received that
+    // response before it sent this heartbeat, or the response was lost.
     machine.commands.set_launch_in_response(false);
     machine.token_requirement.count_acknowledgement(now, token, min_gap_ms);
 }
--- a/src/coordination/workers/lease_expiry.rs
+++ b/src/coordination/workers/lease_expiry.rs
@@ -17,7 +17,8 @@
 /// Detects expired worker leases.
 #[derive(Debug)]
 pub struct LeaseExpiry {
-    /// Span of time in which no other controller renewed any worker lease.
+    /// The time span in which no worker lease was renewed by another controller, or by
+    /// this one while it did not lead.
     no_peer_renewals: TimeSpan,
 }
 
@@ -28,7 +29,8 @@
 }
 
 impl LeaseExpiry {
-    /// Sets the span of time in which no other controller renewed any worker lease.
+    /// Sets the time span in which no worker lease was renewed by another controller, or by
+    /// this one while it did not lead.
     pub fn set_no_peer_renewals(&mut self, span: TimeSpan) {
         self.no_peer_renewals = span;
     }
@@ -47,12 +49,14 @@
         cluster.release_machine_assignments(index, None);
     }
 
-    /// Reports whether the lease has expired. The lease runs from the last 200 that any
-    /// leader could have sent (a new leader counts from its own start), and the drift of
-    /// both clocks is added. If another controller may have renewed the lease, it runs
-    /// from the last time at which one could have, and it has expired only once all
-    /// other controllers have confirmed that they renewed none since. Otherwise a task
-    /// could still run.
+    /// Reports whether the lease of the machine's worker has expired.
+    ///
+    /// The lease begins at its last possible renewal: the last 200 that any leader could
+    /// have sent (a new leader takes its own start as that time), or, if it is later, the
+    /// last time at which a controller that doesn't lead could have renewed the lease. The
+    /// drift of both clocks is added to the lease's duration. The lease has expired only
+    /// once all other controllers have confirmed that they didn't renew it before it ended;
+    /// otherwise a task could still run.
     fn is_expired(&self, config: &Config, now: Millis, machine: &Machine) -> bool {
         let lease_ms = config.worker_lease_ms + config.worker_lease_ms / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MS;
         let last_renewal = (machine.heartbeats.lease_renewed_at as i64).max(self.no_peer_renewals.from);
--- a/src/coordination/workers/machine_status.rs
+++ b/src/coordination/workers/machine_status.rs
@@ -8,8 +8,8 @@
     protocol::{ids::Incarnation, names::Interners, workers::Heartbeat},
 };
 
-/// Maximum interruption notice of a spot machine that is accepted, in seconds. Longer
-/// ones are reduced to it.
+/// Longest interruption notice of a spot machine, in seconds. A longer notice is reduced
+/// to this.
 const NOTICE_MAX_S: f64 = 3600.0;
 
 /// Updates the machine from a heartbeat that is newer than the latest one.
--- a/src/coordination/workers/mod.rs
+++ b/src/coordination/workers/mod.rs
@@ -69,7 +69,8 @@
         self.reachability.is_isolated_from_workers(cluster, now, for_ms)
     }
 
-    /// Sets the span of time in which no other controller renewed any worker lease.
+    /// Sets the time span in which no worker lease was renewed by another controller, or by
+    /// this one while it did not lead.
     pub fn set_no_peer_renewals(&mut self, span: TimeSpan) {
         self.lease_expiry.set_no_peer_renewals(span);
     }
--- a/src/coordination/workers/probes.rs
+++ b/src/coordination/workers/probes.rs
@@ -17,9 +17,9 @@
 /// again.
 const FAILED_PROBE_LIMIT: u32 = 3;
 
-/// Probes a worker whose heartbeat is late. A missing response proves nothing about its
-/// tasks, but allows the machine to be released sooner, and its release proves that they
-/// have ended.
+/// Probes a worker whose heartbeat is late. A missing response proves nothing about the
+/// worker's tasks, but allows its machine to be released sooner. The release of the machine
+/// proves that the tasks have ended.
 pub fn probe_if_heartbeat_late(cluster: &mut ClusterState, outbox: &mut Outbox, now: Millis, index: MachineIndex) {
     let max_age_ms = cluster.config().heartbeat_interval_ms * 5 / 4 + LATE_HEARTBEAT_SLACK_MS;
     let machine = cluster.machine_mut(index);
--- a/src/coordination/workers/reachability.rs
+++ b/src/coordination/workers/reachability.rs
@@ -5,8 +5,8 @@
     model::{Machine, MachineLifecycle, Millis},
 };
 
-/// A leader is isolated from the workers if, of those that should send heartbeats, fewer
-/// than one in this many reach it.
+/// A leader is isolated from the workers if fewer than one in this many of the workers that
+/// should send heartbeats reach it.
 const WORKER_CONTACT_DIVISOR: usize = 4;
 
 /// Keeps track of when this controller last received a heartbeat of any worker.
@@ -29,11 +29,13 @@
     }
 
     /// Reports whether, in the last `for_ms` ms, this controller received heartbeats from
-    /// hardly any of the workers that should send them.
+    /// hardly any of the workers that should send them. If no worker should send them,
+    /// reports whether no heartbeat was accepted in that time.
     ///
-    /// Only a heartbeat newer than the machine's latest one is taken into account. When
-    /// delayed copies of old heartbeats were included, a leader that no worker could reach
-    /// did not step down until the workers' leases had expired.
+    /// For a worker that should send heartbeats, only a heartbeat newer than the machine's
+    /// latest one is taken into account. When delayed copies of old heartbeats were
+    /// included, a leader that no worker could reach did not step down until the workers'
+    /// leases had expired.
     pub fn is_isolated_from_workers(&self, cluster: &ClusterState, now: Millis, for_ms: Millis) -> bool {
         let window_ms = for_ms.max(cluster.config().heartbeat_interval_ms * 3 / 2);
         let (mut expected, mut reporting) = (0, 0);
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -32,8 +32,8 @@
 }
 
 impl<'a> From<&'a PendingReap> for TaskAttempt<'a> {
-    fn from(exit: &'a PendingReap) -> TaskAttempt<'a> {
-        TaskAttempt { task: &exit.task, attempt: exit.attempt }
+    fn from(pending_reap: &'a PendingReap) -> TaskAttempt<'a> {
+        TaskAttempt { task: &pending_reap.task, attempt: pending_reap.attempt }
     }
 }
 
@@ -52,13 +52,13 @@
     machine: MachineIndex,
     listed_assignments: Vec<AssignmentIndex>,
     /// Listed attempts without an assignment, which the worker has not reaped yet.
-    listed_exits: HashSet<TaskAttempt<'a>>,
+    listed_unassigned: HashSet<TaskAttempt<'a>>,
 }
 
 impl<'a> Reconciliation<'a> {
     /// Prepares to reconcile a heartbeat of this machine.
     pub fn new(cluster: &'a mut ClusterState, now: Millis, machine: MachineIndex) -> Reconciliation<'a> {
-        Reconciliation { cluster, now, machine, listed_assignments: Vec::new(), listed_exits: HashSet::new() }
+        Reconciliation { cluster, now, machine, listed_assignments: Vec::new(), listed_unassigned: HashSet::new() }
     }
 
     /// Reconciles all listed tasks, then the assignments that are not listed.
@@ -66,7 +66,7 @@
         for status in statuses {
             self.reconcile_task(status, job_cache);
         }
-        self.remove_reaped_exits();
+        self.remove_completed_reaps();
         self.reconcile_missing_tasks();
     }
 
@@ -106,14 +106,14 @@
             .is_some_and(|assignment| assignment.job == task.job && assignment.attempt == task.status.attempt);
         if !is_still_assigned {
             // The assignment was released by this update; the exit is to be reaped.
-            self.listed_exits.insert(task.status.into());
+            self.listed_unassigned.insert(task.status.into());
         }
     }
 
     /// Reconciles an exited task without an assignment. If the task completed, it is
     /// recorded as done nevertheless.
     fn reconcile_unassigned_exit(&mut self, task: &ListedTask<'a>) {
-        self.listed_exits.insert(task.status.into());
+        self.listed_unassigned.insert(task.status.into());
         if self.is_pending_reap(task) {
             return;
         }
@@ -171,7 +171,7 @@
         if !self.is_pending_reap(task) {
             self.add_pending_reap(task, ExitRecord::Orphaned);
         }
-        self.listed_exits.insert(task.status.into());
+        self.listed_unassigned.insert(task.status.into());
     }
 
     fn is_pending_reap(&self, task: &ListedTask<'_>) -> bool {
@@ -183,19 +183,21 @@
         commands.add_pending_reap(task.status, task.job, record);
     }
 
-    /// Removes exits that are no longer listed, since the worker has reaped them.
-    fn remove_reaped_exits(&mut self) {
-        let listed = &self.listed_exits;
-        let exits = &mut self.cluster.machine_mut(self.machine).commands.pending_reaps;
-        exits.retain(|exit| listed.contains(&TaskAttempt::from(exit)));
+    /// Removes the pending reaps of attempts that are no longer listed, since the worker has
+    /// reaped them.
+    fn remove_completed_reaps(&mut self) {
+        let listed = &self.listed_unassigned;
+        let pending_reaps = &mut self.cluster.machine_mut(self.machine).commands.pending_reaps;
+        pending_reaps.retain(|pending_reap| listed.contains(&TaskAttempt::from(pending_reap)));
     }
 
     /// Handles tasks that are assigned to the machine but aren't listed.
     fn reconcile_missing_tasks(&mut self) {
-        // While a command sent earlier may still arrive, absence doesn't prove that a task
-        // is gone; only an acknowledged raised token rules that out. A heartbeat response
-        // with launches is also in flight until the next periodic heartbeat is received:
-        // the heartbeat in a direct call's response may be older than that response.
+        // A task that isn't listed is not proven to be gone while a command sent earlier may
+        // still arrive. Only the acknowledgement of a raised token proves that no such
+        // command can arrive. Launches in a heartbeat response are in flight until the next
+        // periodic heartbeat is received: a heartbeat in the response to a direct call may
+        // have been sent before the worker received the heartbeat response.
         if !self.cluster.machine(self.machine).has_no_launch_in_flight() {
             return;
         }
@@ -205,7 +207,7 @@
         self.relaunch_missing_tasks();
     }
 
-    /// Returns the assignments to be halted whose tasks the worker no longer lists.
+    /// Returns the assignments that have a halt and whose tasks the worker no longer lists.
     fn missing_halted_assignments(&self) -> Vec<AssignmentIndex> {
         let machine = self.cluster.machine(self.machine);
         let is_halted = |assignment: &Assignment| {
@@ -215,7 +217,8 @@
         missing.filter(|&index| self.cluster.assignment(index).is_some_and(is_halted)).collect()
     }
 
-    /// Launches again, as the same attempt, those lost tasks that are still wanted.
+    /// Marks for another launch, as the same attempt, the tasks that the worker listed
+    /// before and no longer lists, if they are still wanted: halted ones were released.
     fn relaunch_missing_tasks(&mut self) {
         let listed = &self.listed_assignments;
         self.cluster.relaunch_missing_tasks(self.machine, |index| !listed.contains(&index));
--- a/src/coordination/workers/spot_interruption.rs
+++ b/src/coordination/workers/spot_interruption.rs
@@ -8,13 +8,13 @@
     protocol::jobs::JobKind,
 };
 
-/// Share of a task's saving time that must be left of a notice for the task to be
-/// halted. Notices may also come at half their nominal time, so saving begins as long
-/// as this much is left.
+/// Share of the time that a task needs to save its state. The task is halted only if the
+/// rest of the notice is longer than this share. Notices may also come at half their
+/// nominal time, so less than the full saving time is enough for saving to begin.
 const SAVE_SHARE: f64 = 0.8;
 
-/// Halts those tasks on a machine with an interruption notice that can save a checkpoint
-/// in the remaining time.
+/// Halts the tasks on a machine with an interruption notice, as far as they can save a
+/// checkpoint in the time that is left; a gang is stopped on all its machines.
 pub fn drain(cluster: &mut ClusterState, now: Millis, index: MachineIndex) {
     let Some(interruption_at) = cluster.machine(index).spot_interruption_at else { return };
     let remaining_s = interruption_at.saturating_sub(now) as f64 / 1000.0;
