--- a/src/controller/election_driver.rs
+++ b/src/controller/election_driver.rs
@@ -95,7 +95,8 @@
     }
 
     /// Records the state of the leader's key. `record` is `None` if the key doesn't
-    /// exist; `revision` is that of the record or of its removal.
+    /// exist. `revision` is the revision of the record or of its removal; if a listing
+    /// shows no such key, it is the revision of the store at the listing.
     pub fn observe_key(&mut self, now: Millis, record: Option<LeaderRecord>, revision: Revision) {
         self.election.observe_key(now, record, revision);
     }
--- a/src/controller/instance/heartbeats.rs
+++ b/src/controller/instance/heartbeats.rs
@@ -89,11 +89,13 @@
             && self.renewal_key.may_renew_without_leader(now, &self.peers.contacts())
     }
 
-    /// Renews a worker lease without leading. Tasks of jobs that are known as cancelled are
-    /// stopped, which any controller may command; all others keep running.
+    /// Renews a worker lease without leading. The response commands the worker to stop the
+    /// tasks of jobs that are known to be cancelled, which any controller may do; all other
+    /// tasks keep running.
     fn renew_without_leader(&mut self, net: &mut Net, conn: ConnectionId, now: Millis, heartbeat: &Heartbeat) {
-        // Recorded before the response is sent. In the other order, a leader that doesn't
-        // know of the renewal could take the lease for expired while the worker holds it.
+        // The renewal is recorded before the response is sent. In the other order, a leader
+        // that doesn't know of the renewal could consider the lease expired while the worker
+        // holds it.
         self.renewal_key.record_leaderless_renewal(now);
         let commands = stop_commands_for_cancelled(heartbeat, self.jobs.cache());
         let bytes = cbor::encode(&HeartbeatResponse { token: heartbeat.token, commands });
--- a/src/controller/instance/mod.rs
+++ b/src/controller/instance/mod.rs
@@ -35,12 +35,12 @@
     transport::{Event, Net},
 };
 
-/// Age of the key-value store's last response, in ms, from which the last read state of the
-/// leader's key no longer serves as a hint: the duration of a watch of the key, plus the
-/// time to detect that the watch failed.
+/// Once the key-value store's last response is this old, in ms, the last read state of the
+/// leader's key no longer serves as a hint. The limit is the duration of a watch of the key,
+/// plus the time to detect that the watch failed.
 const LEADER_HINT_MAX_STORE_AGE_MS: Millis = 4_500;
-/// Time, in ms, for which the key-value store may fail before the controller may become
-/// unready.
+/// A failure of the key-value store that has lasted for less than this, in ms, doesn't make
+/// the controller unready.
 const UNREADY_AFTER_MS: Millis = 2_500;
 
 /// One controller: its components and their shared state.
--- a/src/controller/instance/replies.rs
+++ b/src/controller/instance/replies.rs
@@ -1,4 +1,4 @@
-//! Dispatches the replies to calls to the components that wait for them.
+//! Passes the result of each call on to the component that waits for it.
 
 use super::Controller;
 use crate::{
--- a/src/controller/instance/tick.rs
+++ b/src/controller/instance/tick.rs
@@ -46,7 +46,9 @@
         self.users.log_statistics_if_due(now);
     }
 
-    /// Performs the leader's duties that are due, if this controller leads.
+    /// Performs the leader's duties that are due, if this controller leads. Whether or not it
+    /// leads, sets its shares of the rate limits, and ends a leadership whose term it no
+    /// longer holds.
     fn lead(&mut self, net: &mut Net) {
         let now = net.now();
         let leading = self.election.leading_term(now);
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -18,12 +18,14 @@
 };
 
 /// Longest time, in ms, that a watch of the jobs' records waits for a change. The age of
-/// the cache is measured from when the last completed watch was sent.
+/// the cache is measured from when the last completed watch was sent, so it includes the
+/// time for which that watch waited.
 const MAX_WATCH_MS: u64 = 3_000;
 /// Shortest time, in ms, that a watch of the jobs' records waits for a change.
 const MIN_WATCH_MS: u64 = 250;
-/// Number of watches within the time for which a read allows worker leases to be renewed.
-const WATCHES_PER_RENEWAL: u64 = 4;
+/// Number of consecutive watches that fit into `read_validity_ms`, the time for which a
+/// read of the jobs' records allows worker leases to be renewed.
+const WATCHES_PER_READ_VALIDITY: u64 = 4;
 /// Pause, in ms, after a failed request.
 const RETRY_MS: Millis = 250;
 /// Pause, in ms, between two watches at the leader.
@@ -79,7 +81,7 @@
             return;
         }
         self.watch.begin();
-        let wait_ms = (read_validity_ms / WATCHES_PER_RENEWAL).clamp(MIN_WATCH_MS, MAX_WATCH_MS);
+        let wait_ms = (read_validity_ms / WATCHES_PER_READ_VALIDITY).clamp(MIN_WATCH_MS, MAX_WATCH_MS);
         let request = self.changes_request(wait_ms, wait_ms + WATCH_GRACE_MS);
         client.send_to_store(net, PendingCall::Jobs(JobsCall::Watch { sent: now }), request);
     }
@@ -121,9 +123,9 @@
     /// Applies the result of a read of changes. Returns whether the cache now includes all
     /// changes up to the time when that read was sent.
     pub fn apply_changes(&mut self, result: &CallResult, names: &mut Interners) -> bool {
-        // While all records are loaded again, the changes since the first page don't
-        // include the contents of the later pages, so the cache would seem complete
-        // without them.
+        // Until all pages are loaded, the cache lacks the records of the later pages. The
+        // changes since the first page don't include those records, so the cache would
+        // seem complete although they are missing.
         if !self.cache.is_loaded() {
             return false;
         }
--- a/src/controller/leader_key_watch.rs
+++ b/src/controller/leader_key_watch.rs
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Handles the result of a request for the keys and passes what it shows on to
-    /// `observers`.
+    /// Handles the result of a request for the keys, and passes the observed state of the
+    /// keys on to `observers`.
     pub fn handle_reply(
         &mut self,
         now: Millis,
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -14,7 +14,7 @@
     transport::Net,
 };
 
-/// Pause, in ms, after a failed request; no job is accepted before one succeeds.
+/// Pause, in ms, after a failed request. No job is accepted until a request has succeeded.
 const RETRY_MS: Millis = 500;
 /// Interval, in ms, at which the types and their prices are read again.
 const REFRESH_MS: Millis = 30_000;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,4 +1,4 @@
-//! The process of one controller, which connects the other layers around the event loop.
+//! The controller process: its event loop, and the components that connect the other layers.
 //!
 //! [`run()`] feeds events and ticks to `instance::Controller`, which owns the
 //! components and dispatches each event to them. A component is a module with
@@ -8,8 +8,9 @@
 //!   their rate-limit budgets, and the purpose of each pending call.
 //! - `store_health`: whether the key-value store responds to this controller.
 //! - `peers`: the state of the other controllers, exchanged by gossip.
-//! - `election_driver`, `renewal_key`: the keys that this controller holds under
-//!   store leases, to lead and to renew worker leases.
+//! - `election_driver`, `renewal_key`: the two keys that this controller can hold under
+//!   store leases. The first permits it to lead, the second to renew worker leases
+//!   without leading.
 //! - `leader_key_watch`, `job_watch`, `version_watch`, `machine_types`: data that is
 //!   polled or watched in the store and the cloud.
 //! - `users`: the API for users, and their requests that wait for the read barrier.
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -27,12 +27,12 @@
 const LEADER_STATUS_VALID_MS: Millis = 1_500;
 /// A peer is reachable if a frame from it was received within this time, in ms.
 const PEER_REACHABLE_MS: Millis = 2_500;
-/// If a peer received a response of the key-value store this much later, in ms, than this
-/// controller did, the failure is local to this controller.
+/// A failure of the key-value store is local to this controller if the store responded to a
+/// peer more than this long, in ms, after the failure began here.
 const LATER_STORE_RESPONSE_MS: Millis = 1_500;
 /// For how long, in ms, a peer's count of rejected heartbeats is valid.
 const REJECTION_COUNT_VALID_MS: Millis = 2_000;
-/// Number of heartbeats rejected by one peer that shows that workers reach it.
+/// If a peer recently rejected at least this many heartbeats, workers can reach that peer.
 const MIN_REJECTED_HEARTBEATS: u32 = 2;
 
 /// The current state of this controller, as sent in a gossip frame.
@@ -66,7 +66,7 @@
     /// to each.
     pub fn new(identity: Identity, peer_settings: &[PeerSettings], net: &mut Net) -> Peers {
         let peers =
-            peer_settings.iter().map(|seed| Peer::new(seed, &identity.zone, net.add_link(seed.endpoint))).collect();
+            peer_settings.iter().map(|peer| Peer::new(peer, &identity.zone, net.add_link(peer.endpoint))).collect();
         Peers {
             identity,
             peers,
@@ -144,12 +144,12 @@
         self.peers.iter().filter_map(Peer::echo).chain([Gossip::supported_frames_marker()]).collect()
     }
 
-    /// Notifies peers immediately of a cancellation that was confirmed to a user.
+    /// Notifies peers immediately of a cancellation that is being confirmed to a user.
     ///
-    /// The controller that serves the workers may be another one, and must not launch
-    /// tasks after a user received the response that their job is cancelled. The limit
-    /// on how long responses to workers may rely on old reads holds without this notice,
-    /// but takes effect later.
+    /// Another controller may be the one that responds to workers, and it must not launch
+    /// tasks of the job after the user received the response that the job is cancelled.
+    /// The time for which responses to workers may rely on an old read of the jobs'
+    /// records is limited even without this notice, but that limit takes effect later.
     pub fn announce_cancellation(&mut self, net: &mut Net, now: Millis, cancelled: Cancelled) {
         self.outgoing.record_cancellation(now, cancelled.clone());
         self.send_notice(net, vec![cancelled]);
@@ -225,8 +225,9 @@
         }
     }
 
-    /// Records that a watch sent at `sent` has completed: peers that have had no renewal
-    /// key since before then can't have renewed a lease up to then.
+    /// Records the completion of a watch of the renewal keys that was sent at `sent`: a peer
+    /// without a key can't have renewed a lease between the time from which its key was
+    /// known to be absent and `sent`.
     pub fn record_inactive_without_key(&mut self, sent: Millis) {
         for (index, peer) in self.peers.iter().enumerate() {
             if let Some(since) = peer.renewal_key_absent_since {
--- a/src/controller/peers/outgoing.rs
+++ b/src/controller/peers/outgoing.rs
@@ -5,8 +5,8 @@
 
 use crate::{coordination::model::Millis, protocol::peers::Cancelled};
 
-/// Interval of gossip, in ms: several frames fit into the time after which a peer
-/// without frames is considered unavailable.
+/// Interval of gossip, in ms. It is a fraction of the time without frames after which a
+/// peer is considered unavailable, so several frames fit into that time.
 const GOSSIP_INTERVAL_MS: Millis = 400;
 /// For how long, in ms, a confirmed cancellation is repeated to peers.
 const NOTICE_REPEAT_MS: Millis = 12_000;
@@ -14,9 +14,9 @@
 const MAX_REPEATED_NOTICES: usize = 256;
 /// For how long, in ms, a rejected heartbeat is included in the count.
 const REJECTED_HEARTBEAT_MS: Millis = 4_000;
-/// Maximum number of rejected heartbeats that are kept, the latest ones. It is far above
-/// the count that indicates a fault, so that the count stays high with any number of
-/// machines.
+/// Maximum number of rejected heartbeats that are kept; the oldest are removed first. It
+/// is far above the count that indicates a fault, so that this limit doesn't hide a fault,
+/// however many machines send heartbeats.
 const MAX_REJECTED_HEARTBEATS: usize = 10_000;
 
 /// A cancellation that this controller confirmed to a user.
--- a/src/controller/peers/peer.rs
+++ b/src/controller/peers/peer.rs
@@ -9,11 +9,11 @@
     },
 };
 
-/// Factor by which a peer's time without renewals is shortened, because two monotonic
-/// clocks may run at slightly different rates.
+/// Factor that shortens the time since a peer's last leaderless renewal, as the peer
+/// reports it, because two monotonic clocks may run at slightly different rates.
 const CLOCK_RATE_MARGIN: f64 = 0.999;
-/// Longest time without renewals that is accepted from a peer, in ms: more than any
-/// uptime, and safe in signed arithmetic.
+/// Longest time since a peer's last leaderless renewal, in ms; a longer reported time is
+/// reduced to this. It is more than any uptime, and safe in signed arithmetic.
 const MAX_INACTIVE_MS: Millis = 1 << 40;
 
 /// A reading of a peer's clock.
@@ -36,8 +36,8 @@
     frame_order: FrameOrder,
     /// When its last frame was received, in ms; `None`: no frame was received yet.
     last_received: Option<Millis>,
-    /// How long the peer had received no response of the key-value store when it sent
-    /// that frame, in ms.
+    /// Age, in ms, of the last response that the peer had received from the key-value
+    /// store when it sent its last frame.
     pub(super) store_age_ms: Millis,
     /// Number of workers' heartbeats that it recently rejected.
     pub(super) rejected_heartbeats: u32,
@@ -54,11 +54,11 @@
 
 impl Peer {
     /// Creates the state of a peer from which no frame was received yet.
-    pub(super) fn new(seed: &PeerSettings, own_zone: &str, link: usize) -> Peer {
+    pub(super) fn new(settings: &PeerSettings, own_zone: &str, link: usize) -> Peer {
         Peer {
-            label: seed.label.clone(),
+            label: settings.label.clone(),
             link,
-            same_zone: seed.zone == own_zone,
+            same_zone: settings.zone == own_zone,
             frame_order: FrameOrder::default(),
             last_received: None,
             store_age_ms: Millis::MAX,
@@ -92,15 +92,15 @@
         true
     }
 
-    /// Returns an echo of the last clock that was received from the peer, to be sent
-    /// back to it.
+    /// Returns an echo of the peer's last received clock reading, to be sent back to the
+    /// peer; `None` if no frame was received yet.
     pub(super) fn echo(&self) -> Option<ClockEcho> {
         let clock = self.clock.as_ref()?;
         Some(ClockEcho { peer_label: self.label.clone(), nonce: clock.nonce, clock_ms: clock.clock_ms })
     }
 
-    /// Returns the contact with the peer, as input to the decision whether leases may be
-    /// renewed without a leader.
+    /// Returns when the peer last had contact with this controller and with the key-value
+    /// store, as input to the decision whether leases may be renewed without a leader.
     pub(super) fn contact(&self) -> PeerContact {
         PeerContact { same_zone: self.same_zone, last_received: self.last_received, store_age_ms: self.store_age_ms }
     }
@@ -115,12 +115,13 @@
 }
 
 impl InactiveSpan {
-    /// Returns the span of time without renewals that a peer confirms in a frame; `None`
-    /// if the frame has no echo of this start of this controller's process.
+    /// Returns the span of time in which a peer, according to its frame, renewed no worker
+    /// lease; `None` if the frame echoes no clock reading from this start of this
+    /// controller's process.
     ///
     /// A frame may have been delayed by any time, so the span doesn't extend to when the
-    /// frame arrived. It ends at the reading of this controller's clock that the peer had
-    /// received when it sent the frame.
+    /// frame arrived. It ends at the echoed clock reading, which the peer had received
+    /// before it sent the frame.
     pub(super) fn from_gossip(gossip: &Gossip, identity: &Identity, now: Millis) -> Option<InactiveSpan> {
         let is_own = |echo: &&ClockEcho| echo.peer_label == identity.label && echo.nonce == identity.nonce;
         let echo = gossip.echoes.iter().find(is_own)?;
--- a/src/controller/poll_schedule.rs
+++ b/src/controller/poll_schedule.rs
@@ -2,8 +2,8 @@
 
 use crate::coordination::model::Millis;
 
-/// Schedule of a repeated request: at most one is in flight at a time, and none is sent
-/// before the earliest time that was set last.
+/// Schedule of a repeated request: at most one is in flight at a time, and the next one is
+/// due no earlier than the time that was last set for it.
 #[derive(Debug, Default)]
 pub struct PollSchedule {
     in_flight: bool,
--- a/src/controller/renewal_key.rs
+++ b/src/controller/renewal_key.rs
@@ -22,8 +22,8 @@
     transport::{http::status::BAD_REQUEST, Net},
 };
 
-/// This controller's authority to renew worker leases, and the key that shows it to the
-/// other controllers.
+/// This controller's authority to renew worker leases, and the renewal key, which shows
+/// the other controllers that it has this authority.
 #[derive(Debug)]
 pub struct RenewalKey {
     identity: Identity,
@@ -40,9 +40,12 @@
         // A single controller can't renew leases without leading: there is no leader but
         // itself.
         let is_single = settings.peer_settings.is_empty();
-        let max_ms = if is_single { 0 } else { lease_renewal::leaderless_window_ms(workers.cancel_s, workers.lease_s) };
-        let authority =
-            RenewalAuthority::new(lease_renewal::renewal_window_ms(workers.cancel_s, workers.lease_s), max_ms);
+        let leaderless_window_ms =
+            if is_single { 0 } else { lease_renewal::leaderless_window_ms(workers.cancel_s, workers.lease_s) };
+        let authority = RenewalAuthority::new(
+            lease_renewal::renewal_window_ms(workers.cancel_s, workers.lease_s),
+            leaderless_window_ms,
+        );
         RenewalKey { identity, authority, last_other_zone_heartbeat: None }
     }
 
@@ -91,7 +94,7 @@
     }
 
     fn handle_write_result(&mut self, now: Millis, result: &CallResult) {
-        // The store no longer knows the lease.
+        // This status means that the store lease no longer exists.
         if status(result) == BAD_REQUEST {
             self.authority.handle_store_lease_expiry();
         }
@@ -110,8 +113,8 @@
         self.authority.observe_key(key_revision, store_revision, is_own);
     }
 
-    /// Reports whether the value of the key belongs to the store lease that this
-    /// controller holds.
+    /// Reports whether this start of the process wrote `value` to its renewal key under
+    /// the store lease that it holds now.
     fn is_own_record(&self, value: &Value) -> bool {
         value.deserialized::<LeaderRecord>().is_ok_and(|record| {
             record.label == self.identity.label && Some(record.nonce) == self.authority.key_nonce(self.identity.nonce)
@@ -135,7 +138,7 @@
     }
 
     /// Reports whether the last read of the jobs' records is recent enough to renew a
-    /// worker lease. This also applies to the leader.
+    /// worker lease. Without such a read, the leader may not renew worker leases either.
     pub fn may_renew(&self, now: Millis) -> bool {
         self.authority.may_renew(now)
     }
--- a/src/controller/run.rs
+++ b/src/controller/run.rs
@@ -17,17 +17,19 @@
     },
 };
 
-/// After a halt of the process of more than this, in ms, all pending input is dropped.
-/// No client waits longer for a response of this controller, and this controller waits
-/// no longer for one of a peer or the key-value store, except for a few watches.
+/// If the process was halted for longer than this, in ms, all pending input is dropped.
+/// No client waits longer than this for a response of this controller. Nor does this
+/// controller wait longer than this for a response of a peer or the key-value store,
+/// except for a few watches.
 const HALT_THRESHOLD_MS: Millis = 5_000;
 /// Time, in ms, after which a connection without a request is closed. Longer than load
 /// balancers and workers keep an idle connection open.
 const IDLE_TIMEOUT_MS: u64 = 75_000;
 /// Time, in ms, within which a request must have been received in full.
 const REQUEST_READ_TIMEOUT_MS: u64 = 5_000;
-/// A worker's connection is stale after three heartbeat intervals: this many ms per
-/// second of the interval, clamped to the range below.
+/// A client's connection is stale if it had no request for three of the workers' heartbeat
+/// intervals. This is that time in ms per second of the interval; the result is clamped
+/// to the range from [`MIN_STALE_MS`] to [`MAX_STALE_MS`].
 const STALE_MS_PER_HEARTBEAT_S: f64 = 3_000.0;
 const MIN_STALE_MS: u64 = 10_000;
 const MAX_STALE_MS: u64 = 60_000;
@@ -91,7 +93,8 @@
 }
 
 /// Drops pending input if the process was halted since `last_turn`. After a halt the
-/// sockets hold old requests and responses; the check runs before any of them is handled.
+/// sockets hold old requests and responses, so this must be called before any of them is
+/// handled.
 fn drop_stale_io_after_halt(net: &mut Net, last_turn: Millis) {
     let now = net.now();
     if now > last_turn + HALT_THRESHOLD_MS {
--- a/src/controller/service_client/budgets.rs
+++ b/src/controller/service_client/budgets.rs
@@ -22,7 +22,7 @@
 // Bursts of requests to the key-value store, in seconds of its rate limits.
 const LEADER_READ_BURST_S: f64 = 0.5;
 const FOLLOWER_READ_BURST_S: f64 = 0.2;
-/// Allows for the jobs of a pipeline, which are submitted together to one controller.
+/// Allows for the jobs of a pipeline, which may all be submitted to one controller in a row.
 const WRITE_BURST_S: f64 = 0.4;
 const COMMIT_BURST_S: f64 = 0.5;
 /// Smallest burst of writes, so that a transaction of several writes is possible at all.
@@ -83,8 +83,9 @@
         self.reads.take(now, 1.0, urgency).is_ok()
     }
 
-    /// Takes one request to the key-value store for a lease or the leader's transactions from
-    /// the budget, also if none is available: such a request is never refused.
+    /// Charges the budget for one request to the key-value store, even if none is available.
+    /// Requests for a lease or for the leader's transactions are charged in this way, because
+    /// they are never refused.
     pub fn charge_read(&mut self, now: Millis) {
         let _ = self.reads.take(now, 1.0, Urgency::Lease);
     }
@@ -92,7 +93,8 @@
     /// Takes one request with one write for a user from the budgets. Fails with the time, in
     /// ms, after which to retry.
     pub fn take_user_write(&mut self, now: Millis, urgency: Urgency) -> Result<(), RateLimited> {
-        // Writes are scarcer: if no write is available, no request is taken either.
+        // Writes are scarcer than requests, so a write is taken first: if none is available, no
+        // request is taken either.
         self.writes.take(now, 1.0, urgency)?;
         self.reads.take(now, 1.0, urgency)
     }
@@ -103,8 +105,8 @@
         self.take_read(now, urgency) && self.writes.take(now, 1.0, urgency).is_ok()
     }
 
-    /// Takes writes of the leader or for a lease from the budget, also if too few are
-    /// available: such writes are never refused.
+    /// Charges the budget for writes of the leader or of keys under store leases, even if too
+    /// few are available: such writes are never refused.
     pub fn charge_commits(&mut self, now: Millis, writes: usize) {
         let _ = self.commits.take(now, writes as f64, Urgency::Lease);
     }
@@ -177,8 +179,10 @@
         }
     }
 
-    /// Sets the shares by need, unless they are up to date. The usage that peers reported is
-    /// left to them. None stands for a peer from which no recent gossip was received.
+    /// Sets this controller's shares of the key-value store's limits, unless they are up to
+    /// date: each share is the part of the limit that the other users leave unused, but no
+    /// less than a guaranteed minimum. `peers` contains the usage that each peer reported;
+    /// None stands for a peer from which no recent gossip was received.
     pub fn set_shares(&mut self, now: Millis, role: Role, peers: &[Option<Usage>]) {
         if self.shares_set_for_role == Some(role) {
             return;
--- a/src/controller/service_client/pending_call.rs
+++ b/src/controller/service_client/pending_call.rs
@@ -1,4 +1,4 @@
-//! Records the purpose of each pending call, by which its reply is dispatched.
+//! Records the purpose of each pending call, so that its reply can be dispatched.
 //!
 //! In all variants `sent` is when the request was sent, in ms on the monotonic clock.
 
@@ -15,7 +15,8 @@
 pub enum PendingCall {
     /// A request of the leader election.
     Election(ElectionCall),
-    /// A request for the key under which this controller may renew worker leases.
+    /// A request for the key that permits this controller to renew worker leases without
+    /// leading.
     RenewalKey(RenewalKeyCall),
     /// A read of the leader's key and the renewal keys.
     LeaderKey(LeaderKeyCall),
@@ -85,7 +86,7 @@
     Cancel(JobWrite),
 }
 
-/// The write of a job's record for whose result a user waits.
+/// A write of a job's record, and the connection to which its result is reported.
 #[derive(Debug)]
 pub struct JobWrite {
     /// Connection on which the user waits for the response.
--- a/src/controller/service_client/replies.rs
+++ b/src/controller/service_client/replies.rs
@@ -41,8 +41,8 @@
     body::<StoreLeaseResponse>(result).map(|response| response.store_lease)
 }
 
-/// Returns the revision at which a transaction was applied; None if it failed, or if that is
-/// not known.
+/// Returns the revision at which a transaction was applied; None if the transaction failed,
+/// or if its result is unknown.
 pub fn applied_revision(result: &CallResult) -> Option<Revision> {
     body::<AppliedTransaction>(result).map(|applied| applied.store_revision)
 }
--- a/src/controller/tests/budgets.rs
+++ b/src/controller/tests/budgets.rs
@@ -26,11 +26,11 @@
     assert_eq!(budgets.reads.burst(), 50.0, "shares were invalidated");
 }
 
-/// The usage that peers report is left to them, and a peer without recent gossip is assumed
-/// to use its whole share.
+/// This controller's share is what the usage that peers report leaves of the limit. A peer
+/// without recent gossip is assumed to use its whole share.
 #[test]
 fn read_share_shrinks_with_usage_of_peers() {
-    let reads_after_a_second = |peers: &[Option<Usage>]| {
+    let reads_after_half_a_second = |peers: &[Option<Usage>]| {
         let mut budgets = budgets();
         budgets.set_shares(0, Role::Leader, peers);
         // A 429 empties the token bucket, so that only the rate refills it.
@@ -39,8 +39,11 @@
     };
     let idle = Usage::default();
     let busy = Usage { reads: 40.0, ..Usage::default() };
-    let (beside_idle, beside_unknown, beside_busy) =
-        (reads_after_a_second(&[Some(idle)]), reads_after_a_second(&[None]), reads_after_a_second(&[Some(busy)]));
+    let (beside_idle, beside_unknown, beside_busy) = (
+        reads_after_half_a_second(&[Some(idle)]),
+        reads_after_half_a_second(&[None]),
+        reads_after_half_a_second(&[Some(busy)]),
+    );
     assert!(
         beside_idle > beside_unknown && beside_unknown > beside_busy,
         "{beside_idle} {beside_unknown} {beside_busy}"
--- a/src/controller/tests/election_driver.rs
+++ b/src/controller/tests/election_driver.rs
@@ -49,7 +49,7 @@
 /// If the store rejects a claim because the store lease doesn't exist, the next claim
 /// begins with the request for a new one.
 #[test]
-fn a_claim_rejected_for_its_store_lease_requests_a_new_one() {
+fn claim_rejected_for_missing_store_lease_is_followed_by_lease_request() {
     let mut net = new_net();
     let mut client = ServiceClient::new(&settings_with_peers());
     let mut sent = SentCalls::default();
--- a/src/controller/tests/gossip.rs
+++ b/src/controller/tests/gossip.rs
@@ -1,8 +1,8 @@
 use super::{OutgoingGossip, MAX_REJECTED_HEARTBEATS, REJECTED_HEARTBEAT_MS};
 
-/// The list of rejected heartbeats was emptied when it exceeded its limit. With thousands of
-/// machines, the leader then concluded from the low count that none were rejected, although
-/// very many were.
+/// Regression test: the list of rejected heartbeats used to be emptied when it exceeded its
+/// limit. With thousands of machines, the leader then concluded from the low count that none
+/// were rejected, although very many were.
 #[test]
 fn the_count_of_rejected_heartbeats_stays_at_its_limit() {
     let mut gossip = OutgoingGossip::default();
--- a/src/controller/tests/instance.rs
+++ b/src/controller/tests/instance.rs
@@ -53,10 +53,10 @@
     }
 }
 
-/// A worker's response to a probe, or a missing one, was recorded as the key-value store's.
-/// During an outage of the store, a leader that probed workers then seemed to receive the
-/// store's responses, and its peers, which received none, concluded that only they were
-/// partitioned from the store and became unready.
+/// Regression test: a worker's response to a probe, or the lack of a response, used to be
+/// recorded as the key-value store's. During an outage of the store, a leader that probed
+/// workers then seemed to receive responses from the store. Its peers, which received none,
+/// concluded that only they were partitioned from the store, and became unready.
 #[test]
 fn replies_of_workers_and_cloud_leave_store_health_unchanged() {
     let mut net = new_net();
@@ -110,8 +110,8 @@
     }
 }
 
-/// A controller that had lost contact with the key-value store and its peers redirected its
-/// workers to a leader that had stopped long before.
+/// Regression test: a controller that had lost contact with the key-value store and its
+/// peers used to redirect its workers to a leader that had stopped long before.
 #[test]
 fn workers_are_redirected_only_to_a_recently_confirmed_leader() {
     let mut net = new_net();
@@ -147,9 +147,10 @@
     }
 }
 
-/// While all records are read again, the changes since the first page don't include the
-/// contents of later pages. Such changes neither allow worker leases to be renewed, as
-/// cancellations may be missing, nor serve as a read for users' requests.
+/// Until all pages of the records are read, the records of the later pages are missing, and
+/// the changes since the first page don't include them. A read of such changes doesn't allow
+/// worker leases to be renewed, because cancellations may be missing. It doesn't serve as a
+/// read for users' requests either.
 #[test]
 fn changes_read_before_all_pages_are_loaded_are_not_valid() {
     let mut net = new_net();
--- a/src/controller/tests/leader_key_watch.rs
+++ b/src/controller/tests/leader_key_watch.rs
@@ -80,7 +80,7 @@
 }
 
 /// Peers are considered inactive only while their renewal keys are known not to exist,
-/// and only up to the sending of the watch that shows it.
+/// and only up to the time when the last completed watch was sent.
 #[test]
 fn peers_without_keys_are_inactive_until_the_watch_was_sent() {
     let mut net = new_net();
@@ -110,7 +110,7 @@
     assert_eq!(
         end_watch(&mut observed, 500, 550, vec![removed(&n2, 11)]),
         (100, 200),
-        "without its key since 550 only"
+        "n-2 is known to have no key only since 550"
     );
     assert_eq!(end_watch(&mut observed, 600, 650, Vec::new()), (550, 600));
 }
--- a/src/controller/tests/peers.rs
+++ b/src/controller/tests/peers.rs
@@ -39,12 +39,12 @@
     assert_eq!(peers.recent_usage(1_000 + PEER_USAGE_VALID_MS), [None, None]);
 }
 
-/// A frame proves that its sender renewed no lease only up to the reading of this
-/// controller's clock that it echoes, and only if that reading was sent by this start of
-/// the controller's process.
+/// The span in which a frame's sender renewed no lease ends at the reading of this
+/// controller's clock that the frame echoes. The span is accepted only if that reading was
+/// sent by this start of the controller's process.
 #[test]
 fn inactive_spans_end_at_the_echoed_clock() {
-    let echo = |of: &str, nonce, clock_ms| ClockEcho { peer_label: of.to_owned(), nonce, clock_ms };
+    let echo = |label: &str, nonce, clock_ms| ClockEcho { peer_label: label.to_owned(), nonce, clock_ms };
     // (echo in the peers' frames, whether their inactive span is accepted)
     let cases =
         [(echo("n-0", NONCE, 9_000), true), (echo("n-0", NONCE + 1, 9_000), false), (echo("n-2", NONCE, 9_000), false)];
@@ -61,7 +61,8 @@
     }
 }
 
-/// A peer without a renewal key renewed no lease until the watch that shows it was sent.
+/// A peer whose renewal key doesn't exist is inactive from when its absence was observed
+/// until the last completed watch was sent.
 #[test]
 fn peers_without_a_renewal_key_are_inactive() {
     let mut peers = peers();
--- a/src/controller/tests/renewal_key.rs
+++ b/src/controller/tests/renewal_key.rs
@@ -9,8 +9,8 @@
 
 const STORE_LEASE_ID: u64 = 4;
 
-/// A renewal key that was written under its store lease at `at`, when the jobs' records
-/// were read too.
+/// Returns a renewal key that was written under its store lease at `at`. The jobs' records
+/// were read at the same time.
 fn key_written(at: Millis) -> RenewalKey {
     let mut net = new_net();
     let settings = settings_with_peers();
@@ -48,8 +48,8 @@
     let key = key_written(READ);
     assert!(!key.may_renew_without_leader(READ + 100, &[peer_without_frames()]), "the store is reachable");
     assert!(key.may_renew_without_leader(LATER, &[peer_without_frames()]));
-    let served = PeerContact { last_received: Some(LATER), ..peer_without_frames() };
-    assert!(!key.may_renew_without_leader(LATER, &[served]), "a peer can reach the store");
+    let peer_with_store_contact = PeerContact { last_received: Some(LATER), ..peer_without_frames() };
+    assert!(!key.may_renew_without_leader(LATER, &[peer_with_store_contact]), "a peer can reach the store");
 
     let mut key = key_written(READ);
     key.record_other_zone_heartbeat(LATER);
--- a/src/controller/users/barrier.rs
+++ b/src/controller/users/barrier.rs
@@ -9,8 +9,8 @@
     transport::http::status::NOT_FOUND,
 };
 
-/// Smallest interval, in ms, between two reads for the read barrier, per controller in the
-/// cluster: the interval is this times the number of controllers.
+/// The smallest interval between two reads for the read barrier, in ms, is this times the
+/// number of controllers in the cluster.
 const BARRIER_GAP_MS: Millis = 40;
 /// Longest time, in ms, that a user's request waits for the read barrier.
 const MAX_BARRIER_WAIT_MS: Millis = 1_600;
@@ -35,11 +35,11 @@
         }
     }
 
-    /// Responds to the requests for which a read for the read barrier was sent, after it has
-    /// completed. `applied` is whether its changes are in the job cache.
+    /// Handles the completion of a read for the read barrier: responds to the requests that
+    /// waited for this read. `applied` is whether its changes are in the job cache.
     pub fn read_barrier_ended(&mut self, context: &mut UserContext, now: Millis, applied: bool) {
         // After a halt of the process, the read is as old as the requests themselves. A
-        // response from it would not show later changes, so expired requests get 503.
+        // response based on it would not show later changes, so expired requests get 503.
         self.reject_expired(context, now);
         let waiting = self.read_barrier.read_finished();
         if !applied {
@@ -55,7 +55,7 @@
         self.respond_unavailable_to_all(context, expired);
     }
 
-    /// Responds with 503 to requests for which no read has completed.
+    /// Responds with 503 to requests for which no read succeeded in time.
     fn respond_unavailable_to_all(&mut self, context: &mut UserContext, waiting: Vec<WaitingRequest>) {
         for request in waiting {
             self.respond_unavailable(context, request.conn());
--- a/src/controller/users/cancel.rs
+++ b/src/controller/users/cancel.rs
@@ -1,5 +1,6 @@
 //! `POST /api/jobs/{id}/abort`: the job's record is written as cancelled before the user
-//! receives the response. The same record cancels the jobs that depend on this one.
+//! receives the response. The cancellation of the jobs that depend on this one follows from
+//! the same record; their own records are not written.
 
 use std::rc::Rc;
 
@@ -21,7 +22,7 @@
     },
 };
 
-/// Largest number of retries of a cancellation whose job's record has changed.
+/// Largest number of retries of a cancellation after conflicts: the job's record had changed.
 const CANCEL_RETRIES: u32 = 3;
 
 impl UserApi {
@@ -47,9 +48,10 @@
         }
     }
 
-    /// Returns the record of a cancelled job. A record that was written under a larger limit
-    /// must still fit the lowered one, or the store would reject the cancellation permanently.
-    /// Fields that are needed only to start tasks are omitted if it doesn't fit.
+    /// Returns the record of a cancelled job. A pending record that was written under a larger
+    /// size limit may exceed the lowered limit; the store would then reject the cancellation
+    /// permanently. If the cancelled record doesn't fit, it is returned without the fields that
+    /// are needed only to start tasks.
     fn cancelled_record(&self, pending: &JobRecord) -> JobRecord {
         let record = JobRecord { status: JobStatus::Cancelled, ..pending.clone() };
         if self.fits_value_limit(&record) {
--- a/src/controller/users/mod.rs
+++ b/src/controller/users/mod.rs
@@ -1,6 +1,7 @@
-//! The API for users. Every controller serves it without the leader, through the key-value
-//! store: a conditional write precedes each confirmation, and a read barrier precedes each
-//! response about a job that is neither done nor cancelled.
+//! The API for users. Every controller serves it through the key-value store, without
+//! involving the leader. A submission or cancellation is confirmed only after a conditional
+//! write. A query of a job that is neither done nor cancelled receives its response only
+//! after a read barrier.
 
 mod barrier;
 mod cancel;
@@ -33,9 +34,11 @@
     },
 };
 
-/// `Retry-After` of a response with 503, or of one with 429 after a 429 of the store, in seconds.
+/// `Retry-After`, in seconds, of a response with 503, or with 429 because the store itself
+/// responded to the write with 429.
 const RETRY_AFTER_S: u32 = 1;
-/// Longest `Retry-After` of a response with 429 to a user over budget, in seconds.
+/// Longest `Retry-After`, in seconds, of a response with 429 because the write exceeded this
+/// controller's budgets.
 const MAX_RETRY_AFTER_S: u64 = 30;
 const BYTES_PER_KB: f64 = 1024.0;
 const MS_PER_S: u64 = 1_000;
@@ -45,7 +48,7 @@
     Applied,
     /// The record, or another one that the write's conditions named, had changed.
     Conflict,
-    /// The write failed, or its result is unknown; the user received a response to retry.
+    /// The write failed, or its result is unknown; the user received 429 or 503, to retry later.
     Responded,
 }
 
@@ -80,8 +83,8 @@
         context.net.respond(conn, TOO_MANY_REQUESTS, Some(wait_s), b"");
     }
 
-    /// Reports whether a record fits the store's size limit: the smaller of the present one
-    /// and the announced one.
+    /// Reports whether a record fits both the store's present size limit and the announced
+    /// next one.
     fn fits_value_limit(&self, record: &JobRecord) -> bool {
         let bytes = records::json_size(&records::to_value(record));
         bytes as f64 <= self.cluster.state.fitting_value_kb() * BYTES_PER_KB
@@ -119,8 +122,8 @@
         }
     }
 
-    /// Puts a record that was written into the job cache, and responds to the user if the
-    /// write failed for another reason than a conflict.
+    /// Handles the result of a write. If it was applied, puts the record into the job cache;
+    /// if it failed for another reason than a conflict, responds to the user.
     fn process_write_result(
         &mut self,
         context: &mut UserContext,
--- a/src/controller/users/statistics.rs
+++ b/src/controller/users/statistics.rs
@@ -34,7 +34,8 @@
         self.accepted += 1;
     }
 
-    /// Resets the counts if that is due, and logs them if any request has to be retried.
+    /// If the log interval is over, resets the counts, and logs them if any request
+    /// received 429 or 503.
     pub(super) fn log_if_due(&mut self, now: Millis) {
         if now < self.next_log {
             return;
--- a/src/controller/users/submit.rs
+++ b/src/controller/users/submit.rs
@@ -33,7 +33,8 @@
 
 /// Largest number of retries of a submission whose prerequisite's record has changed.
 const CREATE_RETRIES: u32 = 3;
-/// Largest number of conditions in a transaction, per write that it may have.
+/// The largest number of conditions in a transaction is this times the largest number of
+/// writes in a transaction.
 const CONDITIONS_PER_WRITE: usize = 4;
 
 /// Result of a lookup of a submission's prerequisites in the job cache.
@@ -59,8 +60,8 @@
             tracing::debug!(field, "malformed submission");
             return context.respond_empty(conn, BAD_REQUEST);
         }
-        // Whether a well-formed job can run depends on the jobs' records and the machine
-        // types, which are not known yet.
+        // Whether a well-formed job can run can't be decided before the jobs' records and the
+        // machine types have been read.
         if !context.jobs.cache().is_loaded() || context.machine_types.is_empty() {
             return self.respond_unavailable(context, conn);
         }
@@ -87,8 +88,9 @@
         if !self.fits_value_limit(&record) {
             return self.reject_after_read(context, conn, id, BAD_REQUEST, "too long for a record");
         }
-        // Until the upgrade is complete, a controller of an older version, which ignores
-        // prerequisites, would start the job too early, or drop them from its record.
+        // Until the upgrade is complete, a controller of an older version may run. It ignores
+        // prerequisites: it would start the job too early, or drop the prerequisites from the
+        // job's record.
         if !record.submission.prereqs().is_empty() && !context.all_upgraded {
             return self.respond_unavailable(context, conn);
         }
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Returns the quota of a team, which has no limits for a team that is not in the settings.
+    /// Returns the quota of a team; one without limits if the team is not in the settings.
     fn team_limits(&self, team: TeamIndex) -> TeamLimits {
         self.cluster.teams.get(team.as_usize()).map(team_limits).unwrap_or_default()
     }
@@ -133,17 +135,18 @@
         match self.check_prereqs(context, &write.record) {
             PrereqCheck::Accepted(conditions) => self.write_new_job(context, write, conditions),
             PrereqCheck::Unknown | PrereqCheck::Service => {
-                // The jobs of a pipeline are submitted one after another, to any controller, so
-                // another controller may have just accepted a prerequisite.
+                // The jobs of a pipeline are submitted one after another, and each may be sent
+                // to any controller, so another controller may have just accepted a prerequisite.
                 self.read_barrier.expedite(context.net.now());
                 self.read_barrier.enqueue(context.net.now(), WaitingRequest::SubmitWithPrereqs(write));
             }
         }
     }
 
-    /// Writes the record of a new job after a read that was sent after the submission
-    /// arrived. A prerequisite that is unknown after that read was not accepted when the user
-    /// named it, so the submission is rejected.
+    /// Writes the record of a new job, or rejects its submission if a prerequisite is unknown
+    /// or a service. Called after the completion of a read that was sent after the submission
+    /// arrived: a prerequisite that is still unknown had not been accepted when the user
+    /// submitted the job.
     pub(super) fn create_or_reject(&mut self, context: &mut UserContext, write: JobWrite) {
         match self.check_prereqs(context, &write.record) {
             PrereqCheck::Accepted(conditions) => self.write_new_job(context, write, conditions),
@@ -183,7 +186,8 @@
         for prereq in record.submission.prereqs() {
             let Some(index) = cache.find(prereq) else { return PrereqCheck::Unknown };
             has_service |= cache.is_service(index);
-            // The record of a job that is done or cancelled no longer changes.
+            // The record of a job that is done or cancelled no longer changes, so it needs no
+            // condition.
             if !context.is_over(index) && conditions.len() < max_conditions {
                 let revision = cache.get(index).revision;
                 conditions.push(Condition { key: records::job_key(prereq), revision });
--- a/src/controller/version_watch.rs
+++ b/src/controller/version_watch.rs
@@ -41,7 +41,7 @@
 impl VersionWatch {
     /// Creates a watch for which no controller is known yet to run this version.
     pub fn new(identity: Identity, peer_settings: &[PeerSettings]) -> VersionWatch {
-        let peers = peer_settings.iter().map(|seed| &*seed.label);
+        let peers = peer_settings.iter().map(|peer| &*peer.label);
         VersionWatch {
             evidence: VersionEvidence::new(peers.chain([&*identity.label])),
             identity,
@@ -72,8 +72,8 @@
         }
         self.write.begin();
         let record = VersionRecord { version: VERSION, nonce: self.identity.nonce };
-        // Attached to no store lease, so that the key outlives the process. The write is
-        // unconditional, because it may be applied at any later time.
+        // The key is attached to no store lease, so that it outlives the process. The write
+        // has no condition, because it is allowed to take effect at any later time.
         let key = version_key(&self.identity.label);
         let write = WriteOperation::Put { key, value: records::to_value(&record), store_lease: None };
         let transaction = Transaction { conditions: Vec::new(), writes: vec![write] };
