--- a/src/controller/tests/renewal_key.rs
+++ b/src/controller/tests/renewal_key.rs
@@ -9,8 +9,8 @@
 
 const STORE_LEASE_ID: u64 = 4;
 
-/// A renewal key that was written under its store lease at `at`, when the jobs' records
-/// were read too.
+/// Returns a renewal key that was written under its store lease at `at`. The jobs' records
+/// were read at the same time.
 fn key_written(at: Millis) -> RenewalKey {
     let mut net = new_net();
     let settings = settings_with_peers();
@@ -48,8 +48,11 @@
     let key = key_written(KEY_WRITTEN_AT);
     assert!(!key.may_renew_without_leader(KEY_WRITTEN_AT + 100, &[peer_without_frames()]), "the store is reachable");
     assert!(key.may_renew_without_leader(STORE_UNREACHABLE_AT, &[peer_without_frames()]));
-    let served = PeerContact { last_received: Some(STORE_UNREACHABLE_AT), ..peer_without_frames() };
-    assert!(!key.may_renew_without_leader(STORE_UNREACHABLE_AT, &[served]), "a peer can reach the store");
+    let peer_with_store_contact = PeerContact { last_received: Some(STORE_UNREACHABLE_AT), ..peer_without_frames() };
+    assert!(
+        !key.may_renew_without_leader(STORE_UNREACHABLE_AT, &[peer_with_store_contact]),
+        "a peer can reach the store"
+    );
 
     let mut key = key_written(KEY_WRITTEN_AT);
     key.record_other_zone_heartbeat(STORE_UNREACHABLE_AT);
