--- a/src/coordination/cluster/assignments.rs
+++ b/src/coordination/cluster/assignments.rs
@@ -57,7 +57,7 @@
 pub enum ReleaseReason {
     /// The task completed.
     Done,
-    /// The task has to run again, or for the first time, unless its job is finished.
+    /// The task did not complete: it is assigned again unless its job is finished.
     Unfinished,
 }
 
@@ -102,7 +102,7 @@
     }
 
     /// Subtracts a released assignment from the counts of its job, its team and
-    /// its machine.
+    /// its machine, and marks its task as done or pending.
     fn release_from_job(&mut self, assignment: &Assignment, reason: ReleaseReason) {
         let Some(job) = self.jobs.get_mut(assignment.job) else { return };
         let machine = assignment.machine.as_usize();
@@ -124,9 +124,9 @@
         }
     }
 
-    /// Stops the other tasks of a gang after one of its assignments is released: a
-    /// gang can't continue without one of its tasks, and starts again once all of
-    /// them are gone.
+    /// Stops the other tasks of a gang after one of its assignments was released: a
+    /// gang can't continue with a task missing. It starts again as a whole once all
+    /// its tasks are gone.
     fn stop_rest_of_gang(&mut self, released: &Assignment) {
         let Some(job) = self.job(released.job) else { return };
         if job.spec.kind != JobKind::Gang || job.tasks.placed == 0 || job.status != JobStatus::Pending {
@@ -137,8 +137,9 @@
         }
     }
 
-    /// Releases all assignments of a machine, as their tasks are proven to be gone;
-    /// with `before_incarnation`, only those created for an earlier incarnation.
+    /// Releases the assignments of a machine and clears its pending reaps. The caller
+    /// must have proof that the tasks are gone. `before_incarnation`: only the
+    /// assignments created for earlier incarnations are released; `None`: all are.
     pub fn release_machine_assignments(&mut self, index: MachineIndex, before_incarnation: Option<Incarnation>) {
         for assignment_index in self.machines[index.as_usize()].load.assignments.clone() {
             let Some(assignment) = self.assignments.get(assignment_index) else { continue };
@@ -154,8 +155,8 @@
         self.machines[index.as_usize()].commands.pending_reaps.clear();
     }
 
-    /// Schedules a dispatch check, due now, of the machine of each assignment for
-    /// which `needs_dispatch` returns true.
+    /// For each assignment for which `needs_dispatch` returns true, schedules a check
+    /// of its machine at `now` for commands to be sent.
     pub(in crate::coordination) fn schedule_dispatch_for(
         &mut self,
         now: Millis,
@@ -170,8 +171,9 @@
         }
     }
 
-    /// Marks for another launch, as the same attempt, those tasks on a machine that
-    /// its worker reported before and for which `is_missing` returns true.
+    /// Resets the state of those tasks on a machine that its worker reported before
+    /// and for which `is_missing` returns true. They are launched again as the same
+    /// attempt.
     pub(in crate::coordination) fn relaunch_missing_tasks(
         &mut self,
         machine: MachineIndex,
@@ -185,8 +187,8 @@
         }
     }
 
-    /// Reports whether a command with the assignment's launch has received no
-    /// response yet.
+    /// Reports whether a direct call that carries the assignment's launch has received
+    /// no response yet.
     pub fn is_launch_in_flight(&self, assignment: &Assignment) -> bool {
         let call = &self.machines[assignment.machine.as_usize()].commands.direct_call;
         call.as_ref().is_some_and(|call| call.launches.contains(&assignment.launch_id()))
@@ -199,9 +201,10 @@
         })
     }
 
-    /// Reports whether the assignment's launch may be sent: only after its record is
-    /// written, for a gang only after the records of all its tasks are. Otherwise a
-    /// leader that takes over could miss a task that may run.
+    /// Reports whether the assignment's launch may be sent. Its task must not be
+    /// halted, its job must be unfinished, and its record must be written; for a gang,
+    /// the records of all its tasks must be written. Otherwise a leader that takes over
+    /// could miss a task that may run.
     pub(in crate::coordination) fn may_launch(&self, assignment: &Assignment) -> bool {
         let Some(job) = self.job(assignment.job) else { return false };
         if assignment.halt.is_some() || job.status != JobStatus::Pending || !self.is_record_written(assignment) {
--- a/src/coordination/cluster/config.rs
+++ b/src/coordination/cluster/config.rs
@@ -18,10 +18,10 @@
     pub max_transaction_writes: usize,
     /// Maximum size of a value under the key-value store's present limit, in bytes.
     pub max_value_bytes: usize,
-    /// Maximum size of a value, in bytes, that also fits the store's lower limit,
-    /// which may replace the present one at any time.
+    /// Maximum size of a value, in bytes, that also fits the reduced limit, with which
+    /// the store may replace its present limit at any time.
     pub reduced_max_value_bytes: usize,
-    /// Number of tasks per chunk with which a chunk record fits the lower limit.
+    /// Number of tasks per chunk with which a chunk record fits the reduced limit.
     pub reduced_chunk_size: u32,
     /// Maximum age of the data in the cloud's list of hosts, in ms.
     pub host_list_delay_ms: Millis,
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -78,7 +78,8 @@
             let Some(assignment) = self.assignments.get(assignment_index) else { continue };
             let host = assignment.machine.as_usize();
             let is_stopping = assignment.halt.is_some();
-            // The snapshot accounts by priority for the tasks that may be stopped.
+            // The snapshot keeps the used capacity by priority, so the task's share is
+            // moved to the new priority.
             self.snapshot.remove_task(host, &previous, is_stopping);
             self.snapshot.add_task(host, &spec);
             if is_stopping {
@@ -170,7 +171,8 @@
         }
     }
 
-    /// Marks a job as done, as its completion is recorded in the key-value store.
+    /// Marks a job as done after its completion was recorded in the key-value store,
+    /// and removes it if possible.
     pub(in crate::coordination) fn complete_job(&mut self, index: JobIndex) {
         self.attribute_failures_to_machines(index);
         if let Some(job) = self.job_mut(index) {
--- a/src/coordination/cluster/machines.rs
+++ b/src/coordination/cluster/machines.rs
@@ -25,7 +25,7 @@
     }
 
     /// Updates a machine's pool in the snapshot, and whether it accepts new tasks.
-    /// Requests a scheduling cycle if it accepts them from now on.
+    /// Requests a scheduling cycle if it accepts them now but did not before.
     pub fn update_snapshot_host(&mut self, now: Millis, index: MachineIndex) {
         let machine = &self.machines[index.as_usize()];
         let machine_type = if is_present(machine) { self.machine_type_of(machine) } else { None };
@@ -73,9 +73,9 @@
             && now >= machine.unschedulable_until
     }
 
-    /// Reports whether a machine accepts only GPU tasks: an expensive machine whose
-    /// GPUs are idle, while there is no recent unmet demand for its type. So it
-    /// becomes empty and can be released.
+    /// Reports whether a machine accepts only GPU tasks, so that it becomes empty and
+    /// can be released. This applies to an expensive machine whose GPUs have been idle
+    /// for some time, while there is no recent unmet demand for its type.
     pub fn takes_only_gpu_tasks(&self, now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
         if machine_type.capacity.gpus <= 0.0
             || machine_type.capacity.cpus <= 0.0
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -1,9 +1,10 @@
 //! The leader's view of the cluster: jobs, machines, assignments and free
 //! capacity.
 //!
-//! Every change of which task is, or may be, on which machine goes through
-//! [`ClusterState`], which keeps the jobs, the machines, the resource usage of
-//! each team and the free capacity consistent with each other.
+//! An assignment means that a task is, or may be, on a machine. Assignments are
+//! created and released only through [`ClusterState`], which keeps the jobs, the
+//! machines, the resource usage of each team and the free capacity consistent with
+//! each other.
 
 mod assignment_table;
 mod assignments;
@@ -75,12 +76,12 @@
     last_attempt: Attempt,
     /// Free capacity of the machines, on which placements are tried.
     snapshot: ClusterSnapshot,
-    /// Resource usage of each team, including assignments whose tasks are not proven
-    /// to be on their machines.
+    /// Resource usage of each team. Every assignment is included, even if its task is
+    /// not proven to be on the machine.
     team_usage: TeamUsage,
     /// Observed run times relative to the estimates of the submitters.
     run_times: RunTimeEstimates,
-    /// Tasks without free capacity, and when there last were any.
+    /// Tasks that found no free capacity, and the time of the latest unmet demand.
     unmet_demand: UnmetDemandTracker,
     /// Whether something changed that may allow a waiting job to be placed.
     cycle_requested: bool,
@@ -91,8 +92,8 @@
 }
 
 impl ClusterState {
-    /// Creates the state of a leadership that has read no records yet. Its first
-    /// attempt has the number after `last_attempt`.
+    /// Creates the state of a leadership that has read no records yet. The first
+    /// attempt number that it assigns is the one after `last_attempt`.
     pub(in crate::coordination) fn new(
         config: Config,
         term: Term,
@@ -216,8 +217,8 @@
         self.last_attempt
     }
 
-    /// Replaces the machine types after they were read from the cloud again, as
-    /// prices change.
+    /// Replaces the machine types by those that were just read from the cloud. They
+    /// are read repeatedly because prices change.
     pub fn set_machine_types(&mut self, machine_types: &[MachineTypeSpec]) {
         self.machine_types = machine_types.to_vec();
         self.snapshot.update_machine_types(machine_types);
--- a/src/coordination/cluster/pending_actions.rs
+++ b/src/coordination/cluster/pending_actions.rs
@@ -21,8 +21,8 @@
         self.cycle_requested = true;
     }
 
-    /// Clears the request for a scheduling cycle, as one begins that takes all
-    /// changes so far into account.
+    /// Clears the request for a scheduling cycle at the beginning of a cycle, which
+    /// takes all changes so far into account.
     pub(in crate::coordination) fn clear_cycle_request(&mut self) {
         self.cycle_requested = false;
     }
--- a/src/coordination/cluster/progress_feed.rs
+++ b/src/coordination/cluster/progress_feed.rs
@@ -1,4 +1,5 @@
-//! Selects the jobs whose progress is published next to the other controllers.
+//! Selects the jobs whose progress is included in the next message to the other
+//! controllers.
 
 use std::collections::HashSet;
 
@@ -10,8 +11,8 @@
 };
 
 /// Maximum number of jobs per message whose unchanged progress is repeated. The
-/// response to a user may be out of date by some seconds. With a message every 0.4 s,
-/// the progress of some hundred jobs is repeated within that time.
+/// response to a user may be out of date by some seconds; with a message every 0.4 s,
+/// the progress of some hundred jobs is repeated within those seconds.
 const MAX_REPEATED_COUNTS: usize = 60;
 
 /// Selects the jobs whose progress is included in the next message.
@@ -29,10 +30,11 @@
         self.changed.insert(job);
     }
 
-    /// Returns the progress of at most `max` jobs: those whose progress changed
-    /// since the last call, and again some others that have started. Without the
-    /// repetition, a controller that missed the first message, or did not know the
-    /// job at that time, would continue to report a running job as pending.
+    /// Returns the progress of at most `max` jobs: first of those whose progress
+    /// changed since it was last published, then of some jobs that have started, whose
+    /// progress is repeated. Without the repetition, a controller that missed the first
+    /// message, or did not know the job at that time, would continue to report a running
+    /// job as pending.
     pub fn take(&mut self, max: usize, jobs: &mut JobTable) -> Vec<TaskCounts> {
         let mut counts = self.changed_counts(max, jobs);
         let repeated = self.repeated_counts(MAX_REPEATED_COUNTS.min(max - counts.len()), jobs);
@@ -55,15 +57,15 @@
         counts
     }
 
-    /// Returns the progress of the next jobs in turn, of all that are active and
-    /// have started. Examines at most `max` jobs.
+    /// Examines the next active jobs, at most `max`, in round-robin order, and returns
+    /// the progress of those that have started.
     fn repeated_counts(&mut self, max: usize, jobs: &JobTable) -> Vec<TaskCounts> {
         let active = jobs.indices();
-        let examined = max.min(active.len());
+        let examined_count = max.min(active.len());
         let from = self.next_repeated;
-        self.next_repeated = from.wrapping_add(examined);
-        let next = (0..examined).filter_map(|n| jobs.get(active[from.wrapping_add(n) % active.len()]));
-        next.filter(|job| job.tasks.done + job.tasks.running > 0).map(to_count).collect()
+        self.next_repeated = from.wrapping_add(examined_count);
+        let examined = (0..examined_count).filter_map(|n| jobs.get(active[from.wrapping_add(n) % active.len()]));
+        examined.filter(|job| job.tasks.done + job.tasks.running > 0).map(to_count).collect()
     }
 }
 
--- a/src/coordination/cluster/records.rs
+++ b/src/coordination/cluster/records.rs
@@ -1,5 +1,5 @@
-//! State of the records in the key-value store, apart from what each job keeps
-//! itself.
+//! State shared by the key-value store's records of all jobs. The state of one job's
+//! records is part of the job.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -18,7 +18,8 @@
 pub(in crate::coordination) struct RecordState {
     /// Maximum size of a value, in bytes, that the key-value store is known to accept.
     value_limit: usize,
-    /// Jobs whose records are written by a transaction whose outcome is not settled.
+    /// Jobs whose chunk records the transaction in flight writes. Its outcome is not
+    /// settled yet.
     in_flight: HashSet<JobIndex>,
     /// Records that wait to be deleted.
     obsolete: VecDeque<ObsoleteRecord>,
@@ -56,7 +57,7 @@
         self.in_flight.contains(&job)
     }
 
-    /// Queues a record for deletion once there is spare write budget.
+    /// Queues a record for deletion. It is deleted once there is spare write budget.
     pub fn delete_later(&mut self, record: ObsoleteRecord) {
         self.obsolete.push_back(record);
     }
--- a/src/coordination/cluster/sharding.rs
+++ b/src/coordination/cluster/sharding.rs
@@ -28,9 +28,9 @@
 }
 
 impl ClusterState {
-    /// Reshards a job whose record has another chunk size than the one known here: a
-    /// transaction to which no response was received was applied. All chunks are
-    /// written again with the recorded size.
+    /// Reshards a job if the chunk size in its record differs from the one in use here,
+    /// as happens if a resharding transaction was applied but its response was not
+    /// received. All chunks are written again with the recorded size.
     pub(in crate::coordination) fn adopt_recorded_sharding(&mut self, index: JobIndex) {
         let Some(job) = self.job(index) else { return };
         if job.records.recorded_chunk_size != job.records.chunk_size && !job.records.resharding {
@@ -94,8 +94,8 @@
     }
 }
 
-/// Marks the tasks that changed while the transaction was in flight, as those
-/// changes are not written yet.
+/// Marks the chunks of the tasks that changed while the transaction was in flight as
+/// changed, because it did not write those changes.
 fn mark_changed_since(job: &mut Job, plan: &ReshardPlan) {
     for task in 0..job.spec.tasks {
         if plan.slots[task as usize] != job.tasks.slots[task as usize] {
--- a/src/coordination/cluster/unmet_demand.rs
+++ b/src/coordination/cluster/unmet_demand.rs
@@ -1,4 +1,5 @@
-//! Unmet demand: tasks that found no free capacity, and when there last were any.
+//! Unmet demand: tasks that found no free capacity, and the time of the latest unmet
+//! demand.
 
 use std::collections::HashMap;
 
@@ -17,7 +18,8 @@
     pub tasks: u32,
 }
 
-/// Unmet demand of the last scheduling cycle, and when there last was any.
+/// Unmet demand of the last scheduling cycle, and the time of the latest unmet demand,
+/// also by machine type.
 #[derive(Debug)]
 pub(super) struct UnmetDemandTracker {
     /// When the leadership began.
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -11,7 +11,8 @@
     },
 };
 
-/// A call to a worker or to the cloud that the caller of the leader must make.
+/// A call to a worker or to the cloud, requested by the leader. The code that passes
+/// events to the leader makes the call.
 #[derive(Debug, Clone)]
 pub enum Effect {
     /// POST /do: sends commands directly to a worker.
@@ -60,8 +61,8 @@
 pub enum HeartbeatOutcome {
     /// Accepted: the response renews the worker lease and carries commands.
     Accepted(HeartbeatResponse),
-    /// Ignored: the heartbeat is older than one received before, or its machine no
-    /// longer exists.
+    /// Ignored: the heartbeat is from an incarnation whose lease is known to have
+    /// expired, or its machine no longer exists.
     Stale,
     /// The worker has seen a higher fencing token than any of this leader's.
     Superseded,
--- a/src/coordination/model/assignment.rs
+++ b/src/coordination/model/assignment.rs
@@ -13,7 +13,8 @@
 /// Progress of a task on the machine to which it is assigned.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AssignmentState {
-    /// Part of the wanted state; launched once its record is written.
+    /// The worker has not listed the task yet, or no longer lists it. The task is
+    /// launched once its record is written.
     Wanted,
     /// The worker lists the task in this state.
     Reported(TaskState),
@@ -76,7 +77,8 @@
     }
 }
 
-/// Why a worker still lists a task that has no assignment on its machine.
+/// For a task that its worker still lists although it has no assignment there: the
+/// record that must be written before the task is reaped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitRecord {
     /// The exit is recorded once this version of its chunk is written.
@@ -86,7 +88,8 @@
         /// Version of the chunk's wanted state.
         version: u64,
     },
-    /// The task runs without a record of it: it is halted until it exits, then reaped.
+    /// The task runs although no record of it exists. Halts are sent until it exits,
+    /// then it is reaped.
     Orphaned,
 }
 
--- a/src/coordination/model/failures.rs
+++ b/src/coordination/model/failures.rs
@@ -12,8 +12,9 @@
 pub struct JobFailures {
     /// Machines on which tasks of the job failed, without duplicates.
     pub machines: Vec<MachineIndex>,
-    /// Number of rounds of failed attempts. A failure belongs to the current round if
-    /// its attempt had begun when that round was counted.
+    /// Number of rounds of failed attempts. A failure begins a new round only if its
+    /// attempt was assigned after the current round was counted; otherwise it belongs to
+    /// the current round.
     pub rounds: u32,
     /// Longest run time of a task before it failed, in ms.
     pub longest_run_ms: Millis,
--- a/src/coordination/model/job/mod.rs
+++ b/src/coordination/model/job/mod.rs
@@ -24,14 +24,14 @@
     pub running: u32,
 }
 
-/// Waiting times of a job, and the earliest times of its next assignment and of its
-/// next preemption of other jobs.
+/// Waiting times of a job, and the earliest times at which its tasks may be assigned
+/// and at which tasks of other jobs may be preempted for it.
 #[derive(Debug)]
 pub struct WaitState {
     /// When the job became ready to run, in ms on the leader's monotonic clock. Negative
     /// if that was before the clock's start.
     pub ready_since: i64,
-    /// Since when the job waits without free capacity, for preemption, scale-out and the
+    /// Since when the job waits for free capacity. Used for preemption, scale-out and the
     /// logs.
     pub waiting_since: Millis,
     /// No task of the job is assigned before this time.
@@ -78,7 +78,7 @@
     }
 }
 
-/// A job that is unfinished, or of which tasks may still be on machines.
+/// A job that is unfinished, or whose tasks still have assignments.
 #[derive(Debug)]
 pub struct Job {
     /// Index of the job in the job cache.
@@ -87,11 +87,12 @@
     pub id: Rc<str>,
     /// The submitted specification.
     pub spec: Rc<JobSpec>,
-    /// The records of the job in the key-value store, compared with its wanted state.
+    /// State of the job's records in the key-value store.
     pub records: JobRecords,
     /// Status according to the job's record.
     pub status: JobStatus,
-    /// Waiting times of the job, and the earliest times of its next assignment and preemption.
+    /// Waiting times of the job, and the earliest times at which its tasks may be
+    /// assigned and at which tasks of other jobs may be preempted for it.
     pub wait: WaitState,
     /// State of the job's tasks.
     pub tasks: TaskTable,
--- a/src/coordination/model/job/records.rs
+++ b/src/coordination/model/job/records.rs
@@ -1,4 +1,5 @@
-//! The records of a job in the key-value store, compared with its wanted state.
+//! The records of a job in the key-value store, compared with its wanted state: the
+//! assignments and completed tasks that the records should contain.
 //!
 //! The tasks of a job are split into chunks, each with its own record, so that each
 //! value stays below the store's size limit.
@@ -14,8 +15,8 @@
     pub version: u64,
     /// The version that the written record holds.
     pub committed_version: u64,
-    /// The latest version that added an assignment. The launch is sent only after this
-    /// version is written.
+    /// The latest version that added an assignment. A gang is launched only after this
+    /// version of each of its chunks is written.
     pub placement_version: u64,
     /// Revision of the written record; 0: there is no record.
     pub revision: Revision,
@@ -36,7 +37,7 @@
     }
 }
 
-/// The records of a job in the key-value store, compared with its wanted state.
+/// State of a job's records: their revisions, and which changes are not written yet.
 #[derive(Debug)]
 pub struct JobRecords {
     /// Revision of the job record.
@@ -54,17 +55,18 @@
     /// Whether a transaction is in flight that reshards the job, that is, splits its
     /// tasks into smaller chunks. Until it completes, no task of the job may be assigned.
     pub resharding: bool,
-    /// The job record, as long as its chunks are too large for the key-value store's
-    /// lower limit; `None`: they are not.
+    /// The job record, as long as the job's chunks are too large for the reduced limit of
+    /// the key-value store; `None`: they are not, or the transaction that reshards the job
+    /// was refused as too large.
     pub oversized_record: Option<Rc<JobRecord>>,
     /// Since when changes wait to be written; `None`: no changes wait.
     pub unwritten_since: Option<Millis>,
 }
 
 impl JobRecords {
-    /// Creates the records of a job with `tasks` tasks, of which no chunk is written
-    /// yet. `oversized_record`: the job record, if its chunks are too large for the
-    /// lower limit.
+    /// Creates the state for a job with `tasks` tasks, before any of its chunks is
+    /// written. `oversized_record`: the job record, if the chunks are too large for the
+    /// reduced limit.
     pub fn new(revision: Revision, chunk_size: u32, tasks: u32, oversized_record: Option<Rc<JobRecord>>) -> JobRecords {
         JobRecords {
             revision,
--- a/src/coordination/model/job/tasks.rs
+++ b/src/coordination/model/job/tasks.rs
@@ -61,8 +61,8 @@
         self.done += 1;
     }
 
-    /// Makes an assigned task pending again. The lowest number stays next, so that
-    /// tasks to be replaced are assigned first.
+    /// Makes an assigned task pending again. The pending task with the lowest number is
+    /// still assigned next, so that tasks to be replaced are assigned first.
     pub fn mark_pending(&mut self, task: u32) {
         self.slots[task as usize] = Slot::Pending;
         let position = self.pending.partition_point(|&pending| pending > task);
--- a/src/coordination/model/machine.rs
+++ b/src/coordination/model/machine.rs
@@ -87,18 +87,19 @@
         self.response_sent_since_raised = false;
     }
 
-    /// Records the token in a heartbeat, or in the response to a command or a probe.
+    /// Records that the worker acknowledged a token: in a heartbeat, or in its response
+    /// to a command or a probe.
     pub fn record_acknowledged_token(&mut self, token: FencingToken) {
         self.acknowledged_token = self.acknowledged_token.max(token);
     }
 
-    /// Records whether a heartbeat acknowledges earlier responses; called before the
-    /// response to it is sent. An unacknowledged heartbeat within `min_gap_ms` after a
-    /// counted one is not counted.
+    /// Records whether a heartbeat acknowledges earlier responses. Must be called before
+    /// the response to that heartbeat is sent. A heartbeat without an acknowledgement is
+    /// not counted within `min_gap_ms` after one that was counted.
     ///
-    /// A worker that receives a response includes its token in the next heartbeat. If it
-    /// never does, no command can be sent to it. Heartbeats that a network partition
-    /// delayed arrive together and are counted once.
+    /// A worker that receives a response includes the response's token in its next
+    /// heartbeat. If it never does, no command can be sent to it. Heartbeats that a
+    /// network partition delayed arrive together and are counted once.
     pub fn count_acknowledgement(&mut self, now: Millis, token: FencingToken, min_gap_ms: Millis) {
         if token >= self.required_token {
             self.unacknowledged_heartbeats = 0;
@@ -109,8 +110,8 @@
         self.response_sent_since_raised = true;
     }
 
-    /// Records that the response to the last heartbeat is not sent. A missing
-    /// acknowledgement of it is not counted.
+    /// Records that no response to the last heartbeat is sent. So the next heartbeat is
+    /// not counted if it lacks an acknowledgement.
     pub fn response_not_sent(&mut self) {
         self.response_sent_since_raised = false;
     }
@@ -177,8 +178,9 @@
 
     /// Begins a new incarnation and returns the previous one.
     ///
-    /// The new incarnation has its own lease from its start, even if only the response
-    /// to a probe or a command reports it. So the lease is counted from now at least.
+    /// The new incarnation has its own lease from its start, even if it is known only
+    /// from the response to a probe or a command. So the lease is considered renewed at
+    /// `now` or later.
     pub fn begin_incarnation(&mut self, now: Millis, incarnation: Incarnation) -> Incarnation {
         self.lease_renewed_at = self.lease_renewed_at.max(now);
         std::mem::replace(&mut self.incarnation, incarnation)
@@ -190,8 +192,8 @@
         self.expired_incarnation = self.expired_incarnation.max(self.incarnation).max(last_assigned);
     }
 
-    /// Reports whether the last heartbeat of either kind was received at most
-    /// `max_age_ms` ago.
+    /// Reports whether the last heartbeat, periodic or in response to a call, was
+    /// received at most `max_age_ms` ago.
     pub fn contacted_within(&self, now: Millis, max_age_ms: Millis) -> bool {
         self.last_contact.is_some_and(|contact| now <= contact + max_age_ms)
     }
@@ -267,7 +269,8 @@
         self.launch_in_response
     }
 
-    /// Adds an attempt that the worker lists without an assignment to those to be reaped.
+    /// Adds an attempt to those to be reaped. The worker lists the attempt, but it has no
+    /// assignment.
     pub fn add_pending_reap(&mut self, status: &TaskStatus, job: JobIndex, record: ExitRecord) {
         let (task, attempt) = (status.task.clone(), status.attempt);
         self.pending_reaps.push(PendingReap { task, attempt, job, record });
@@ -324,8 +327,8 @@
     pub load: MachineLoad,
     /// Commands that may still be in flight, and exits to be reaped.
     pub commands: CommandState,
-    /// When the machine was provisioned, or first listed or known from a heartbeat or a
-    /// record.
+    /// When this leader provisioned the machine, or when the machine became known from
+    /// the cloud's list, a heartbeat or a record.
     pub provisioned_at: Millis,
     /// When this leader received the worker's first heartbeat; `None`: it has received
     /// none.
--- a/src/coordination/model/machine_type.rs
+++ b/src/coordination/model/machine_type.rs
@@ -39,8 +39,8 @@
     }
 }
 
-/// Reports whether one task of this job can run on a machine of any type that can be
-/// provisioned.
+/// Reports whether at least one of the machine types that can be provisioned can run a
+/// task of this job.
 pub fn fits_some_type(spec: &JobSpec, types: &[MachineTypeSpec]) -> bool {
     types.iter().any(|machine_type| {
         spec.allows_type(machine_type.index)
--- a/src/coordination/model/mod.rs
+++ b/src/coordination/model/mod.rs
@@ -38,7 +38,7 @@
     duration_ms as f64 / 1000.0
 }
 
-/// Tests of the model, and a job that other tests use.
+/// Tests of the model, and a job spec that other tests use.
 #[cfg(test)]
 #[path = "../tests/model.rs"]
 pub mod tests;
--- a/src/coordination/model/resources.rs
+++ b/src/coordination/model/resources.rs
@@ -33,8 +33,9 @@
             && self.memory_gb <= available.memory_gb + RESOURCE_TOLERANCE
     }
 
-    /// Returns how many times `self` fits into `available`. Resources of which `self`
-    /// has none don't limit the count; if it has none of any, `u32::MAX` is returned.
+    /// Returns how many times `self` fits into `available`. A resource whose amount in
+    /// `self` is zero doesn't limit the count; if all amounts are zero, returns
+    /// `u32::MAX`.
     pub fn count_fitting_in(&self, available: &Resources) -> u32 {
         let of_one_resource = |need: f64, have: f64| {
             if need <= RESOURCE_TOLERANCE {
--- a/src/coordination/snapshot/host.rs
+++ b/src/coordination/snapshot/host.rs
@@ -15,10 +15,11 @@
     pub gb: f64,
 }
 
-/// One machine's capacity and resource usage.
+/// Capacity and resource usage of one machine, at the machine's index in the snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct Host {
-    /// Index of its pool. `None`: the machine is not up, or its type is unknown.
+    /// Index of its pool. `None`: no heartbeat was received from the machine, it is
+    /// gone, or its type is unknown.
     pub pool: Option<usize>,
     /// Whether it accepts new tasks at all.
     pub schedulable: bool,
--- a/src/coordination/snapshot/mod.rs
+++ b/src/coordination/snapshot/mod.rs
@@ -25,14 +25,15 @@
     names::{MachineTypeIndex, ZoneIndex},
 };
 
-/// The capacity of all machines, grouped into pools by type, zone and billing kind.
+/// The capacity of all machines, grouped into pools by type, zone and billing kind
+/// (spot or on-demand).
 #[derive(Debug, Default)]
 pub struct ClusterSnapshot {
     /// One entry per machine, at the machine's index.
     pub hosts: Vec<Host>,
     /// The pools, in order of creation.
     pub pools: Vec<Pool>,
-    /// Machines on which tasks are being stopped.
+    /// Schedulable machines on which tasks are being stopped.
     stopping_hosts: BTreeSet<u32>,
     reservations: Vec<Reservation>,
     /// Number of machines examined so far, which measures the cost of searches.
@@ -202,16 +203,16 @@
     }
 
     /// Reserves capacity until [`ClusterSnapshot::truncate_reservations`], so that no
-    /// later job takes it: first from the capacity that is about to be free, then
-    /// from what is free now. `also_freed`: further capacity that is about to be free
-    /// there.
+    /// later job takes it: first from the capacity that the tasks being stopped will
+    /// free, then from what is free now. `also_freed`: capacity of tasks that are
+    /// planned to be stopped but not marked as being stopped yet.
     pub fn reserve(&mut self, host_index: usize, need: Resources, also_freed: Resources) {
         let reservation = self.update_host(host_index, |host| Reservation::make(host_index, host, need, also_freed));
         self.reservations.push(reservation);
     }
 
-    /// Reserves capacity for one task of `spec` on each of the machines, in order.
-    /// A machine occurs once for each of its tasks.
+    /// Reserves capacity for one task of `spec` on each of these machines, in order. A
+    /// machine may be listed several times, once for each task.
     pub fn reserve_for_tasks(&mut self, spec: &JobSpec, host_indices: impl IntoIterator<Item = usize>) {
         for host_index in host_indices {
             self.reserve(host_index, Resources::of(spec), Resources::default());
@@ -231,7 +232,7 @@
         self.reservations.len()
     }
 
-    /// Reports whether a task is being stopped on any machine.
+    /// Reports whether a task is being stopped on any schedulable machine.
     pub fn has_stopping_tasks(&self) -> bool {
         !self.stopping_hosts.is_empty()
     }
--- a/src/coordination/snapshot/pool.rs
+++ b/src/coordination/snapshot/pool.rs
@@ -1,4 +1,4 @@
-//! Pools: machines of one type, zone and billing kind.
+//! Pools: machines of one type, zone and billing kind (spot or on-demand).
 
 use std::collections::BTreeSet;
 
@@ -44,9 +44,9 @@
     pub fetch_gb_per_s: f64,
     /// Price per hour of one machine.
     pub price: f64,
-    /// The largest request, by resource, of the GPU tasks seen recently that these
-    /// machines could run. Tasks that are costly to preempt must leave this much free.
-    /// `None`: nothing is reserved.
+    /// For each resource, the largest request among the GPU tasks that were seen
+    /// recently and that these machines could run. Tasks without GPUs that are costly to
+    /// preempt must leave this much of each machine free. `None`: nothing is reserved.
     pub reserved_for_gpu_tasks: Option<Resources>,
     /// Indices of the machines of the pool.
     pub members: BTreeSet<u32>,
@@ -116,7 +116,8 @@
         let (index, least_key) = if needs_gpus {
             (&self.by_gpus, Pool::gpu_key(need).saturating_sub(1))
         } else {
-            // A machine on which `need` fits has at least the smaller of the two shares free.
+            // A machine is indexed by the smaller of its free shares of CPUs and memory. If
+            // `need` fits, that is at least the smaller of the two shares that it needs.
             let share = |need: f64, capacity: f64| if capacity > 0.0 { need / capacity } else { 1.0 };
             let smaller = share(need.cpus, self.capacity.cpus).min(share(need.memory_gb, self.capacity.memory_gb));
             (&self.by_free_share, (smaller * SHARE_STEPS) as u32)
@@ -132,10 +133,12 @@
             && Resources::of(spec).fits_in(&self.capacity)
     }
 
-    /// Reports whether a task without GPUs would block GPU tasks on this machine. A
-    /// replica that runs for hours on a few CPUs of a machine with GPUs would keep all
-    /// GPU tasks off it, and tasks without checkpoints would be preempted for GPU
-    /// tasks and lose all of their progress.
+    /// Reports whether a task would block GPU tasks on this machine: it has no GPUs, is
+    /// costly to preempt, and would, with the other such tasks there, leave less capacity
+    /// than is reserved for GPU tasks.
+    /// If such tasks were accepted, a replica that runs for hours on a few CPUs of a
+    /// machine with GPUs would keep all GPU tasks off it, and tasks without checkpoints
+    /// would be preempted for GPU tasks and lose all of their progress.
     fn blocks_gpu_tasks(&self, host: &Host, spec: &JobSpec) -> bool {
         let need = Resources::of(spec);
         need.gpus <= 0.0
--- a/src/coordination/snapshot/reservations.rs
+++ b/src/coordination/snapshot/reservations.rs
@@ -14,8 +14,9 @@
 
 impl Reservation {
     /// Subtracts `need` from the capacity of a machine: first from the capacity that
-    /// is about to be free, then from what is free now. `also_freed`: further
-    /// capacity that is about to be free there.
+    /// the tasks being stopped will free, then from what is free now. `also_freed`, the
+    /// capacity of tasks that are planned to be stopped but not marked as being stopped
+    /// yet, is added to the former.
     pub fn make(host_index: usize, host: &mut Host, need: Resources, also_freed: Resources) -> Reservation {
         let from_stopping = need.min((host.stopping + also_freed).clamp_to_zero());
         let reservation = Reservation { host_index, free: need - from_stopping, stopping: from_stopping - also_freed };
--- a/src/coordination/snapshot/search.rs
+++ b/src/coordination/snapshot/search.rs
@@ -13,9 +13,11 @@
 const STOPPING_HOSTS_EXAMINED_MAX: usize = 2 * HOSTS_EXAMINED_MAX;
 
 impl ClusterSnapshot {
-    /// Calls `visit` for the machines on which a task fits, those with the least free
-    /// capacity first, among at most [`HOSTS_EXAMINED_MAX`] machines of each pool.
-    /// Returns the number of machines examined.
+    /// Calls `visit` for the machines on which a task fits. Examines at most
+    /// [`HOSTS_EXAMINED_MAX`] machines of each pool, those with the least free capacity
+    /// first. With [`CapacityKind::FreeOrStopping`], then also visits the machines on
+    /// which the task fits once the tasks being stopped have exited; these may include
+    /// machines already visited. Returns the number of machines examined.
     pub fn visit_candidates(
         &self,
         spec: &JobSpec,
--- a/src/coordination/tests/cluster.rs
+++ b/src/coordination/tests/cluster.rs
@@ -82,20 +82,20 @@
 
 #[test]
 fn team_usage_is_added_and_subtracted() {
-    let (red, unknown) = (TeamIndex(1), TeamIndex(2));
+    let (known, unknown) = (TeamIndex(1), TeamIndex(2));
     let resources = Resources { cpus: 2.0, gpus: 1.0, memory_gb: 8.0 };
     let mut usage = TeamUsage::new(2);
-    usage.add(red, resources);
-    usage.add(red, resources);
-    usage.subtract(red, resources);
+    usage.add(known, resources);
+    usage.add(known, resources);
+    usage.subtract(known, resources);
     usage.add(unknown, resources);
     assert_eq!(usage.len(), 2);
-    assert_eq!((usage.of(red).cpus, usage.of(red).gpus, usage.of(TeamIndex(0)).cpus), (2.0, 1.0, 0.0));
+    assert_eq!((usage.of(known).cpus, usage.of(known).gpus, usage.of(TeamIndex(0)).cpus), (2.0, 1.0, 0.0));
     assert_eq!(usage.of(unknown).cpus, 0.0, "team that is not in the settings");
 }
 
 #[test]
-fn changed_progress_is_published_and_started_jobs_are_repeated_round_robin() {
+fn changed_progress_is_published_and_progress_of_started_jobs_is_repeated_round_robin() {
     let mut jobs = table(&[0, 1, 2]);
     let mut feed = ProgressFeed::default();
     let take = |feed: &mut ProgressFeed, jobs: &mut JobTable, max| {
--- a/src/coordination/tests/model.rs
+++ b/src/coordination/tests/model.rs
@@ -4,7 +4,7 @@
     names::{ClassIndex, ImageIndex, TeamIndex},
 };
 
-/// Returns a job of this kind, priority and number of tasks, each of which requests
+/// Returns a job spec of this kind, priority and number of tasks. Each task requests
 /// `cpus` CPUs and 1 GB of memory.
 pub fn spec(kind: JobKind, priority: Priority, tasks: u32, cpus: f64) -> JobSpec {
     JobSpec {
