--- a/src/coordination/autoscaler/boot_delays.rs
+++ b/src/coordination/autoscaler/boot_delays.rs
@@ -11,14 +11,15 @@
     protocol::names::MachineTypeIndex,
 };
 
-/// A boot is late after this many milliseconds per second of the type's nominal boot
-/// time (twice that time) plus [`LATE_BOOT_SLACK_MS`].
+/// A boot is late after twice the type's nominal boot time plus [`LATE_BOOT_SLACK_MS`]:
+/// this many milliseconds per second of the nominal time.
 const LATE_BOOT_MS_PER_BOOT_S: f64 = 2_000.0;
 /// Time added to twice the nominal boot time before a boot is late.
 const LATE_BOOT_SLACK_MS: f64 = 5_000.0;
 /// Boots that completed within this time are included in the statistics of their type.
 const RECENT_BOOT_MS: Millis = 120_000;
-/// Fewest late boots that make a type slow; a single late machine may never come up.
+/// Minimum number of late boots at which a type is considered slow: a single late machine
+/// may just be one that never comes up.
 const LATE_BOOTS_MIN: u32 = 2;
 
 /// Nominal boot time assumed of a machine whose type is unknown, in seconds.
@@ -55,8 +56,8 @@
 }
 
 impl BootDelays {
-    /// Determines the slow types: those with more late boots than recently completed
-    /// ones.
+    /// Determines the slow types: those with at least [`LATE_BOOTS_MIN`] late boots, and
+    /// more of them than recently completed ones.
     pub fn update(&mut self, now: Millis, cluster: &ClusterState) {
         let slow = statistics_by_type(now, cluster).into_iter().filter(|(_, statistics)| statistics.is_slow());
         self.slow_types = slow.map(|(machine_type, _)| machine_type).collect();
@@ -74,9 +75,10 @@
 
     /// Returns the boot timeout of a machine as a multiple of its nominal boot time.
     ///
-    /// When all machines were slow to boot, each was released before it came up, and
-    /// none ever did. Some of them therefore get an extended timeout. The others are
-    /// released, because machines requested after the delay come up sooner.
+    /// If all machines of a type are slow to boot and each is released at the normal
+    /// timeout, none ever comes up. Some of them therefore get an extended timeout. The
+    /// others are released, because machines requested once the delay is over come up
+    /// sooner.
     fn timeout_factor(&self, machine: &Machine, index: MachineIndex) -> f64 {
         let is_type_slow = machine.machine_type.is_some_and(|known| self.slow_types.contains(&known));
         if is_type_slow && index.as_usize().is_multiple_of(EXTENDED_TIMEOUT_DIVISOR) {
@@ -87,7 +89,8 @@
     }
 }
 
-/// Reports whether a booting machine should be up by now.
+/// Reports whether the boot of a machine is late: it takes longer than twice the type's
+/// nominal boot time plus the slack.
 pub fn is_boot_late(now: Millis, machine: &Machine, machine_type: &MachineTypeSpec) -> bool {
     let waited_ms = now.saturating_sub(machine.provisioned_at) as f64;
     waited_ms > machine_type.boot_s * LATE_BOOT_MS_PER_BOOT_S + LATE_BOOT_SLACK_MS
--- a/src/coordination/autoscaler/consolidation.rs
+++ b/src/coordination/autoscaler/consolidation.rs
@@ -41,10 +41,10 @@
     }
     let candidates = candidates(now, cluster);
     headroom::reserve_all_headroom(cluster, now);
-    let headroom_only = cluster.snapshot().reservation_count();
+    let headroom_reservations = cluster.snapshot().reservation_count();
     for candidate in candidates.into_iter().take(CANDIDATES_PER_STEP) {
         let is_movable = reserve_for_replicas_of(cluster, candidate.machine);
-        cluster.snapshot_mut().truncate_reservations(headroom_only);
+        cluster.snapshot_mut().truncate_reservations(headroom_reservations);
         if is_movable {
             drain(now, cluster, &candidate);
             break;
@@ -65,8 +65,8 @@
 fn candidates(now: Millis, cluster: &ClusterState) -> Vec<Candidate> {
     let drainable = cluster.machines().iter().enumerate().filter(|(_, machine)| may_be_drained(now, cluster, machine));
     let mut candidates: Vec<Candidate> = drainable
-        .map(|(n, machine)| Candidate {
-            machine: MachineIndex(n as u32),
+        .map(|(index, machine)| Candidate {
+            machine: MachineIndex(index as u32),
             price_per_hour: price_per_hour(cluster, machine),
         })
         .collect();
@@ -76,12 +76,12 @@
 
 /// Reports whether a machine holds only movable replicas and is expensive for them.
 fn may_be_drained(now: Millis, cluster: &ClusterState, machine: &Machine) -> bool {
-    let is_in_use = machine.lifecycle == MachineLifecycle::Up
+    let is_eligible = machine.lifecycle == MachineLifecycle::Up
         && !machine.cordoned
         && !machine.load.assignments.is_empty()
         && machine.is_fenced()
         && has_lasted_min_idle_time(now, cluster, machine.up_at);
-    is_in_use
+    is_eligible
         && machine.load.assignments.iter().all(|&index| is_movable_replica(now, cluster, index))
         && price_per_hour(cluster, machine) > PRICE_FACTOR * cheapest_price_of_load(cluster, machine)
 }
@@ -169,7 +169,8 @@
         && outcome.placements.iter().all(|placement| cluster.snapshot().hosts[placement.host].has_image(spec.image))
 }
 
-/// Returns the number of the job's other assignments by zone, which do not move.
+/// Returns the number of the job's assignments by zone, without this one, which is to
+/// be moved.
 fn zone_used_by_others(zone_used: &[u32], assignment: &Assignment) -> Vec<u32> {
     let mut zone_used = zone_used.to_vec();
     if let Some(used) = zone_used.get_mut(assignment.zone.as_usize()) {
--- a/src/coordination/autoscaler/failure_detector.rs
+++ b/src/coordination/autoscaler/failure_detector.rs
@@ -35,13 +35,15 @@
         self.0.len() - self.0.partition_point(|&contact| contact <= moment)
     }
 
-    /// Returns the number of machines other than the suspected one.
+    /// Returns the number of machines besides the suspected one, whose own contact time
+    /// is among these.
     fn count_others(&self) -> usize {
         self.0.len().saturating_sub(1)
     }
 }
 
-/// Times of the last contact with machines, by zone; `None` holds those of all zones.
+/// Times of the last contact with machines, by zone; the entry with the key `None` holds
+/// those of all zones together.
 #[derive(Default)]
 struct ContactTimesByZone(HashMap<Option<ZoneIndex>, ContactTimes>);
 
@@ -84,8 +86,8 @@
 }
 
 impl Acknowledgements {
-    /// Counts once for all machines that may be released. Counting again for each of
-    /// them would make the cost grow with the square of their number.
+    /// Counts the machines once, before the first one is checked. Counting them again for
+    /// each machine to check would make the cost grow with the square of their number.
     fn new(now: Millis, cluster: &ClusterState) -> Acknowledgements {
         let mut acknowledgements = Acknowledgements::default();
         let is_recently_contacted =
@@ -118,7 +120,8 @@
 }
 
 impl<'a> FailureDetector<'a> {
-    /// Creates a detector from the times of the last contact with all machines.
+    /// Creates a detector for the state of the cluster at `now`: collects the times of the
+    /// last contact with machines, and counts those that acknowledge responses.
     pub fn new(
         now: Millis,
         cluster: &'a ClusterState,
@@ -149,10 +152,11 @@
     /// failed.
     ///
     /// A network partition blocks the heartbeats of the machines behind it, which may
-    /// still be running. A machine is therefore considered failed only if heartbeats
-    /// of others in its zone were received after its own was due: a partition would
-    /// have blocked those too. If there are no others in its zone, the machines of all
-    /// zones are used instead, after twice the timeout.
+    /// still be running. A machine is therefore considered failed only if heartbeats of
+    /// at least a third of the others in its zone were received after its own was due,
+    /// because a partition would have blocked those too, and if the zone is stable. If
+    /// there are no others in its zone, heartbeats of more than a third of the others in
+    /// all zones are required instead, and twice the timeout must have passed.
     fn is_confirmed_by_others(&self, suspect: &Machine) -> bool {
         let config = self.cluster.config();
         let last_contact = last_contact_or_start(self.cluster, suspect);
--- a/src/coordination/autoscaler/gpu_reclaim.rs
+++ b/src/coordination/autoscaler/gpu_reclaim.rs
@@ -18,11 +18,8 @@
 /// Such tasks may run for minutes, one after another, and prevent the release of the
 /// machine, which then costs as much as if it had been provisioned for them.
 pub fn drain_best_effort_machines(now: Millis, cluster: &mut ClusterState) {
-    let drained: Vec<MachineIndex> = cluster
-        .machine_indices()
-        .filter(|&index| holds_only_best_effort_tasks(cluster, index))
-        .take(DRAINS_PER_STEP)
-        .collect();
+    let drained: Vec<MachineIndex> =
+        cluster.machine_indices().filter(|&index| is_reclaimable(cluster, index)).take(DRAINS_PER_STEP).collect();
     for index in drained {
         let machine = cluster.machine(index);
         tracing::info!(
@@ -34,7 +31,7 @@
     }
 }
 
-fn holds_only_best_effort_tasks(cluster: &ClusterState, index: MachineIndex) -> bool {
+fn is_reclaimable(cluster: &ClusterState, index: MachineIndex) -> bool {
     let machine = cluster.machine(index);
     let is_reserved_for_gpu_tasks = cluster.snapshot().hosts.get(index.as_usize()).is_some_and(|host| host.gpu_only);
     let may_be_drained = machine.lifecycle == MachineLifecycle::Up && !machine.cordoned && machine.is_fenced();
--- a/src/coordination/autoscaler/idle_timeout.rs
+++ b/src/coordination/autoscaler/idle_timeout.rs
@@ -26,8 +26,8 @@
 }
 
 /// Returns the seconds until a new machine of this type could run the tasks that are
-/// expected on it. Images take long to fetch on machines with GPUs, so the fetch is
-/// included while GPU tasks are expected.
+/// expected on it. Images take long to fetch on machines with GPUs, so for these the
+/// fetch is included; the result is 0 while no GPU tasks are expected on them.
 fn expected_startup_s(now: Millis, machine_type: &MachineTypeSpec, gpu_demand: &GpuDemand) -> f64 {
     if machine_type.capacity.gpus <= 0.0 {
         return machine_type.boot_s;
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -20,7 +20,7 @@
 /// Progress of the listing of all machines at the cloud, page by page.
 #[derive(Debug)]
 pub struct Inventory {
-    /// The call for a page whose response has not been received yet.
+    /// The call that requested a page, until its response is received.
     in_flight: Option<CallId>,
     /// Name of the machine after which the next page begins; `None` for the first page.
     next_page_after: Option<String>,
@@ -55,9 +55,9 @@
 
     /// Requests the next page of the list.
     ///
-    /// A page whose call failed is requested again. When listing restarted from the
-    /// first page instead, a long list was never read to its end while scale-out
-    /// requests used up the cloud's rate limit.
+    /// A page whose call failed is requested again. If listing restarted from the first
+    /// page instead, a long list would never be read to its end while scale-out requests
+    /// use up the cloud's rate limit.
     pub fn request_page(&mut self, outbox: &mut Outbox) {
         let call = outbox.next_call();
         self.in_flight = Some(call);
--- a/src/coordination/autoscaler/offer_backoff.rs
+++ b/src/coordination/autoscaler/offer_backoff.rs
@@ -7,7 +7,8 @@
 
 /// First back-off after the cloud had too few machines of an offer.
 const INITIAL_BACKOFF_MS: Millis = 6_000;
-/// Longest back-off; each is 1.5 times as long as the previous one.
+/// Longest back-off. While the cloud repeatedly has no machine of an offer, each back-off
+/// is 1.5 times as long as the previous one, up to this limit.
 const MAX_BACKOFF_MS: Millis = 25_000;
 
 /// Back-off of one offer, during which the offer is not requested.
--- a/src/coordination/autoscaler/offer_selection.rs
+++ b/src/coordination/autoscaler/offer_selection.rs
@@ -13,8 +13,8 @@
     },
 };
 
-/// A machine that takes this many seconds until its first task runs is rated twice
-/// as expensive.
+/// A machine that takes this many seconds until its first task runs is rated as if it
+/// cost twice its price.
 const STARTUP_DOUBLES_COST_S: f64 = 120.0;
 
 /// Growth of the price tolerance per second that a job waits.
@@ -129,12 +129,12 @@
     Some(RatedOffer { offer, tasks_per_machine, cost })
 }
 
-/// Returns the largest multiple of the cheapest offer's cost that an offer for these
-/// tasks may have.
+/// Returns the largest acceptable cost of an offer for these tasks, as a multiple of the
+/// cheapest offer's cost.
 ///
-/// Without the limit for best-effort jobs, machines of all types, also the most
-/// expensive ones, were provisioned for them until none were left, once they had
-/// waited for a while.
+/// Without the limit for best-effort jobs, once these have waited for a while, machines
+/// of all types are provisioned for them, even the most expensive ones, until none are
+/// left.
 fn price_tolerance(demand: &OfferDemand<'_>) -> f64 {
     let base = base_price_tolerance(demand.spec.priority);
     match demand.quota_tier {
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -111,9 +111,10 @@
         }
     }
 
-    /// Reports whether machines may be requested. Before a page of the machine list was
-    /// received, it isn't known which machines exist. If there are any, their heartbeats
-    /// must be received first, because they show how much capacity is free.
+    /// Reports whether machines may be requested: not before a page of the machine list
+    /// was received, because it isn't known yet which machines exist; if there are any,
+    /// not before they have had time to send heartbeats, which show how much capacity is
+    /// free; and not while the maximum number of calls is in flight.
     fn may_request(&self, now: Millis, cluster: &ClusterState, inventory: &Inventory) -> bool {
         let first_heartbeats_ms = if cluster.machines().is_empty() { 0 } else { FIRST_HEARTBEATS_MS };
         inventory.has_received_page()
@@ -137,8 +138,9 @@
         self.in_flight.values().chain(retried).map(ScaleOutCall::quantity).collect()
     }
 
-    /// Returns a unique name for a request, which makes it idempotent. The name contains
-    /// this leadership's random number, so that no controller ever uses a name twice.
+    /// Returns a unique name, which makes the request that it identifies idempotent. The
+    /// name contains this leadership's random number, so that no controller ever uses a
+    /// name twice.
     fn next_request_name(&mut self) -> String {
         self.request_count += 1;
         format!("r-{:016x}-{}", self.nonce, self.request_count)
--- a/src/coordination/autoscaler/tests/failure_detector.rs
+++ b/src/coordination/autoscaler/tests/failure_detector.rs
@@ -10,7 +10,7 @@
     assert_eq!(
         (by_zone.count_others(None), by_zone.count_after(None, 0)),
         (0, 0),
-        "no contact times are recorded for all zones"
+        "there is no entry for all zones together"
     );
 }
 
--- a/src/coordination/autoscaler/zone_demand.rs
+++ b/src/coordination/autoscaler/zone_demand.rs
@@ -59,8 +59,10 @@
 }
 
 impl JobZones<'_> {
-    /// Returns for how many of `tasks` unmet tasks machines are needed, zone by zone if
-    /// the job restricts zones. Capacity beyond the job's need is left to other jobs.
+    /// Returns how many tasks, out of `tasks` unmet ones, need machines. The number is
+    /// divided among zones if the tasks must be spread. It is for a single zone if a gang
+    /// of several tasks, or a job with both zone rules, must be in one; otherwise for any
+    /// zone. Capacity beyond the job's need is left to other jobs.
     ///
     /// A gang that must be spread over two zones, or that must be in one, can't use
     /// free capacity of arbitrary zones. Without the division by zone, it would wait
@@ -109,7 +111,9 @@
         free
     }
 
-    /// Assigns all tasks to the zone that has, or will have, the most capacity.
+    /// Returns the demand in the one zone that has, or will have, capacity for the most
+    /// tasks, without the tasks for which there is free capacity; in any zone if no zone
+    /// has or will have capacity.
     fn single_zone_demand(&self, tasks: u32, pending_capacity: &PendingCapacity) -> ZoneDemand {
         let zones = self.allowed_zones().into_iter().map(|zone| self.single_zone(zone, tasks, pending_capacity));
         match zones.max_by_key(SingleZone::total) {
@@ -132,7 +136,8 @@
         let mut remaining_tasks = tasks;
         let mut demands = Vec::new();
         for (position, zone) in zones.iter().enumerate() {
-            // As even a share as the limits of the later zones allow.
+            // An even share; more if the later zones can't take the rest or if this zone
+            // has free capacity for more.
             let later_limits: u32 = zones[position + 1..].iter().map(|later| later.limit).sum();
             let even_share = remaining_tasks.div_ceil((zones.len() - position) as u32);
             let share = even_share
--- a/src/coordination/autoscaler/zone_health.rs
+++ b/src/coordination/autoscaler/zone_health.rs
@@ -50,8 +50,8 @@
     /// Reports whether a zone has been healthy for longer than the failure timeout.
     ///
     /// When a partition ends, or a leader is new, the heartbeats of the machines arrive
-    /// again one by one. Without this check, the last machines would be considered
-    /// failed although they are not.
+    /// again one by one. Without this check, the machines whose heartbeats arrive last
+    /// would be considered failed although they are not.
     pub fn is_stable(&self, now: Millis, zone: ZoneIndex, failure_timeout_ms: Millis) -> bool {
         self.healthy_since.get(&zone).is_some_and(|since| now > since + failure_timeout_ms)
     }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -14,7 +14,7 @@
     storage::records::LeaderRecord,
 };
 
-/// How long a controller that stepped down doesn't claim the leader's key, in ms.
+/// Time after stepping down in which a controller doesn't claim the leader's key, in ms.
 const STEP_DOWN_PAUSE_MS: Millis = 20_000;
 /// Shortest timeout of a renewal, in ms.
 const MIN_RENEWAL_TIMEOUT_MS: Millis = 700;
--- a/src/coordination/ephemeral_key.rs
+++ b/src/coordination/ephemeral_key.rs
@@ -1,14 +1,14 @@
 //! An ephemeral key: a key of the key-value store that is attached to a store lease,
 //! and is removed by the store when the lease expires.
 //!
-//! `EphemeralKey` decides which call to the store comes next: it requests the
-//! store lease, writes the key under it, and renews it. At most one call is in
-//! flight. The leader election and the renewal of worker leases without a leader
+//! `EphemeralKey` decides which call to the store comes next: a request for a store
+//! lease, a write of the key under this lease, or a renewal of the lease. At most one
+//! call is in flight. The leader election and the renewal of worker leases without a leader
 //! each hold one such key. They decide when to write it and what it permits.
 //!
 //! The expiry of the store lease is counted on the monotonic clock from when the
 //! request was *sent*, less the clocks' drift: the store counts from a later
-//! moment, so it can't have expired the lease before.
+//! moment, so it doesn't expire the lease before the time computed here.
 
 use super::model::Millis;
 use crate::protocol::ids::{Revision, StoreLeaseId};
@@ -77,7 +77,8 @@
     store_lease: Option<StoreLeaseId>,
     /// The store lease exists at least until this time.
     store_lease_valid_until: Millis,
-    /// When the last renewal was sent; 0: it has to be repeated.
+    /// When the last renewal or, if there was none, the request for the store lease was
+    /// sent; 0: the renewal has to be repeated.
     last_renewal: Millis,
     pending: PendingCall,
     /// No call is made before this time.
@@ -129,8 +130,8 @@
         self.retry_at = self.retry_at.min(now);
     }
 
-    /// Renews the store lease, if `interval_ms` have passed since the last renewal and
-    /// no retry delay is running.
+    /// Returns the call that renews the store lease, if a lease is held, `interval_ms`
+    /// have passed since the last renewal, and no retry delay is running.
     pub fn renew_if_due(&mut self, now: Millis, interval_ms: Millis) -> Option<Action> {
         let store_lease = self.store_lease?;
         if now < self.last_renewal + interval_ms || self.is_retry_delayed(now) {
@@ -141,8 +142,8 @@
         Some(Action::RenewStoreLease(store_lease))
     }
 
-    /// Writes the key; requests a new store lease first, unless the one that is held
-    /// lasts long enough.
+    /// Returns the call that writes the key, if the store lease that is held lasts long
+    /// enough; otherwise the call that requests a new store lease.
     pub fn write(&mut self, now: Millis, expected_revision: Revision) -> Action {
         match self.store_lease {
             Some(store_lease) if now + self.ttl_ms / MIN_REMAINING_DIVISOR < self.store_lease_valid_until => {
@@ -218,8 +219,8 @@
         store_lease
     }
 
-    /// Returns the earliest time at which a store lease may expire that was requested
-    /// or renewed by a call sent at `sent`.
+    /// Returns the earliest time at which a store lease may expire if the call that
+    /// requested or renewed it was sent at `sent`.
     fn earliest_expiry(&self, sent: Millis) -> Millis {
         let shortest_ms = self.ttl_ms as f64 * (1.0 - CLOCK_DRIFT);
         (sent + shortest_ms as Millis).saturating_sub(EXPIRY_MARGIN_MS)
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -12,11 +12,12 @@
 //!   the jobs' records, and the response stops the tasks that this read showed as
 //!   cancelled. A task that is cancelled after that read is stopped no later than
 //!   [`renewal_window_ms`] plus the duration of a worker lease after the read.
-//! - A leader that considers a worker lease expired must take every such response
-//!   into account. [`RenewalAuthority`] renews only while its key exists in the
-//!   key-value store, under a store lease. [`PeerInactivity`] records that a
-//!   controller renewed no lease only for the time that the controller itself
-//!   confirmed, or during which its key didn't exist.
+//! - Before a leader considers a worker lease expired, it must take into account every
+//!   200 response that may have renewed the lease. [`RenewalAuthority`] allows renewals
+//!   without a leader only while this controller's key exists in the key-value store,
+//!   under a store lease. In [`PeerInactivity`], a controller is recorded as having
+//!   renewed no lease during a span of time only if the controller itself confirmed this
+//!   or its key didn't exist during that time.
 
 mod partition;
 mod peer_inactivity;
@@ -31,7 +32,7 @@
 };
 use crate::protocol::ids::{Revision, StoreLeaseId};
 
-/// How long a controller has had no contact with the key-value store, in ms, before
+/// How long, in ms, a controller must have had no contact with the key-value store before
 /// it renews any worker lease without a leader.
 const STORE_UNREACHABLE_MS: Millis = 2_500;
 /// Subtracted from the time for renewals in addition to both clocks' drift, in ms, for
@@ -54,7 +55,8 @@
 }
 
 /// Returns how long, in ms, a controller that doesn't lead may renew worker leases
-/// after its last contact with the key-value store; 0: never.
+/// after its last contact with the key-value store; 0: never, because the time would be
+/// shorter than twice `STORE_UNREACHABLE_MS`.
 pub fn leaderless_window_ms(cancel_s: f64, lease_s: f64) -> Millis {
     let longest = renewal_window_ms(cancel_s, lease_s);
     if longest >= 2 * STORE_UNREACHABLE_MS {
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Returns the nonce that the key holds if the start of the process with `nonce` wrote
-    /// it under the current store lease; `None` without a store lease.
+    /// Returns the value that identifies a key written under the current store lease by the
+    /// start of the process that `nonce` identifies; `None` without a store lease.
     ///
     /// As with the leader's key, a key that was written late under an earlier store
     /// lease is removed with that lease, so it is not valid.
@@ -150,8 +152,8 @@
 
     /// Handles the outcome of the renewal of the store lease.
     pub fn handle_renewal_outcome(&mut self, now: Millis, outcome: RenewalOutcome) {
-        let finished = self.key.handle_renewal_outcome(now, outcome);
-        if finished.is_some() && outcome == RenewalOutcome::Expired {
+        let sent = self.key.handle_renewal_outcome(now, outcome);
+        if sent.is_some() && outcome == RenewalOutcome::Expired {
             self.is_key_held = false;
         }
     }
@@ -164,8 +166,8 @@
         }
     }
 
-    /// Clears the store lease: the store reported that it has expired, and the key with
-    /// it.
+    /// Clears the store lease, after the store reported that the lease has expired. The key
+    /// was removed with the lease.
     pub fn handle_store_lease_expiry(&mut self) {
         self.key.clear_store_lease();
         self.is_key_held = false;
--- a/src/coordination/lease_renewal/partition.rs
+++ b/src/coordination/lease_renewal/partition.rs
@@ -5,8 +5,9 @@
 
 /// A peer is reachable if a message from it was received within this time, in ms.
 const REACHABLE_MS: Millis = 2_000;
-/// A heartbeat from another zone within this time, in ms, after the last contact with
-/// the store is no evidence: the partition may have begun after it.
+/// A heartbeat from another zone shows that the zone is not partitioned only if it was
+/// received at least this long, in ms, after the last contact with the store. The
+/// partition may have begun after an earlier heartbeat.
 const OTHER_ZONE_HEARTBEAT_SLACK_MS: Millis = 1_000;
 
 /// Last contact of this controller with a peer, and of that peer with the key-value store.
@@ -33,10 +34,12 @@
 /// heartbeat.
 ///
 /// If only this controller is partitioned and it renewed leases nevertheless, workers
-/// would stay with it although they could reach the leader elsewhere. So it renews
-/// leases only if no peer that it can reach has contact with the store either; or if it
-/// can reach no peer, has no peer in its zone, and no worker of another zone sent a
-/// heartbeat since its last contact with the store.
+/// would stay with it although they could reach the leader elsewhere. The partition is
+/// therefore considered shared in two cases only:
+///
+/// - This controller can reach peers, but none of these has contact with the store.
+/// - This controller can reach no peer, no peer is in its zone, and no worker of another
+///   zone has sent a heartbeat since this controller's last contact with the store.
 pub fn is_shared_partition(
     now: Millis,
     last_store_contact: Millis,
@@ -48,8 +51,8 @@
         return reachable.all(|peer| peer.store_age_ms >= STORE_UNREACHABLE_MS);
     }
     let is_alone_in_zone = !peers.iter().any(|peer| peer.same_zone);
-    let is_no_evidence = |heartbeat: Millis| heartbeat < last_store_contact + OTHER_ZONE_HEARTBEAT_SLACK_MS;
-    is_alone_in_zone && last_other_zone_heartbeat.is_none_or(is_no_evidence)
+    let may_precede_partition = |heartbeat: Millis| heartbeat < last_store_contact + OTHER_ZONE_HEARTBEAT_SLACK_MS;
+    is_alone_in_zone && last_other_zone_heartbeat.is_none_or(may_precede_partition)
 }
 
 #[cfg(test)]
--- a/src/coordination/lease_renewal/peer_inactivity.rs
+++ b/src/coordination/lease_renewal/peer_inactivity.rs
@@ -1,4 +1,4 @@
-//! Tracks during which time the other controllers certainly renewed no worker lease.
+//! Tracks the time during which the other controllers certainly renewed no worker lease.
 
 /// A span of time on this controller's monotonic clock, in ms; empty if it ends before
 /// it begins. It may start before this process did.
@@ -60,8 +60,8 @@
         };
     }
 
-    /// Returns the time during which no other controller renewed any worker lease;
-    /// empty if nothing is known of a peer.
+    /// Returns the time during which no other controller renewed any worker lease; empty
+    /// if no span was recorded for at least one of them.
     pub fn span(&self) -> TimeSpan {
         let known = self.spans.iter().map(|span| span.unwrap_or(TimeSpan::NEVER));
         known.fold(TimeSpan::ALWAYS, |common, span| common.intersection(&span))
--- a/src/coordination/scheduler/best_effort.rs
+++ b/src/coordination/scheduler/best_effort.rs
@@ -13,19 +13,21 @@
     storage::records::JobStatus,
 };
 
-/// Jobs that arrived within this window are expected to arrive again within a
-/// window of the same length: about the time that a new machine takes to boot.
+/// As many CPUs as jobs that arrived within this window request are expected to be
+/// requested again within a window of the same length: about the time that a new
+/// machine takes to boot.
 const ARRIVAL_WINDOW_MS: i64 = 30_000;
-/// Share of the CPUs that best-effort jobs may use even if that leaves less than
-/// is reserved for others: they must not starve while capacity is reserved.
+/// Share of the CPUs that best-effort jobs may use even out of the capacity reserved
+/// for others: best-effort jobs must not starve while capacity is reserved.
 const BEST_EFFORT_SHARE: f64 = 0.4;
 /// Largest share of the CPUs that is reserved against best-effort jobs.
 const RESERVED_SHARE_MAX: f64 = 0.15;
-/// A best-effort job of which no task was assigned for this long, or ever, may place
-/// some tasks beyond the budget: no job may be left waiting beside free capacity.
+/// A best-effort job may place some tasks beyond the budget if none of its tasks was
+/// ever assigned or the last assignment is at least this long ago: no job may be left
+/// waiting beside free capacity.
 const LONGEST_WAIT_MS: Millis = 60_000;
-/// After a long wait, a job may place its task count divided by this number, but at
-/// least [`LONG_WAIT_TASKS_MIN`] tasks.
+/// Divisor of a job's task count: the quotient is the number of tasks that the job may
+/// place after a long wait, but at least [`LONG_WAIT_TASKS_MIN`].
 const LONG_WAIT_DIVISOR: u32 = 64;
 /// Smallest number of tasks that a job may place after a long wait: small jobs may
 /// place all of theirs.
@@ -48,8 +50,8 @@
             free += pool.free.cpus;
             capacity += pool.capacity.cpus * pool.members.len() as f64;
         }
-        // Limited, because capacity reserved for others would stand idle where
-        // they request more than they then use.
+        // Limited, because jobs may request more than they then use, and the rest of
+        // the capacity reserved for them would stand idle.
         let reserved = expected_cpus(cluster, now).min(RESERVED_SHARE_MAX * capacity);
         let share_left = BEST_EFFORT_SHARE * capacity - best_effort_cpus_used(cluster);
         BestEffortBudget { cpus: (free - reserved).max(share_left).max(0.0) }
@@ -58,8 +60,8 @@
     /// Returns how many tasks of a best-effort job may be placed now.
     pub fn task_limit(&self, now: Millis, job: &Job) -> usize {
         let tasks_within_budget = (self.cpus / job.spec.cpus.max(RESOURCE_TOLERANCE)) as usize;
-        let has_waited = !job.wait.ever_assigned || now >= job.statistics.last_assigned + LONGEST_WAIT_MS;
-        if has_waited {
+        let has_waited_long = !job.wait.ever_assigned || now >= job.statistics.last_assigned + LONGEST_WAIT_MS;
+        if has_waited_long {
             tasks_within_budget.max((job.spec.tasks / LONG_WAIT_DIVISOR).max(LONG_WAIT_TASKS_MIN) as usize)
         } else {
             tasks_within_budget
@@ -72,8 +74,8 @@
     }
 }
 
-/// Reports whether a job gets only the capacity that other jobs leave: an array
-/// of a team without a guarantee.
+/// Reports whether a job is an array of a team without a guarantee. Such a job gets
+/// only the capacity that other jobs leave.
 pub fn is_best_effort_array(cluster: &ClusterState, job: &Job) -> bool {
     job.spec.kind == JobKind::Array && cluster.is_best_effort(job.spec.team)
 }
@@ -97,7 +99,8 @@
     }
 }
 
-/// Returns the CPUs that arrays of teams with a guarantee are expected to request.
+/// Returns the CPUs that arrays of teams with a guarantee are expected to request
+/// within the next [`ARRIVAL_WINDOW_MS`].
 fn expected_cpus(cluster: &ClusterState, now: Millis) -> f64 {
     let arrived_recently = |job: &&Job| now as i64 - job.wait.ready_since < ARRIVAL_WINDOW_MS;
     cluster
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -21,9 +21,10 @@
     storage::job_cache::JobIndex,
 };
 
-/// Pause after tasks were preempted for a job before more are preempted for it.
+/// After tasks were preempted for a job, no more are preempted for it for this long.
 const PREEMPTED_PAUSE_MS: Millis = 1_000;
-/// Pause before the next attempt after nothing could be preempted for a job.
+/// After nothing could be preempted for a job, preemption for it is not attempted again
+/// for this long.
 const NOTHING_PREEMPTED_PAUSE_MS: Millis = 2_000;
 
 /// A scheduling cycle in progress, with the state carried from one job to the next.
@@ -89,8 +90,9 @@
     pub fn schedule_job(&mut self, index: JobIndex) {
         let Some(job) = self.cluster.job(index) else { return };
         if job.spec.kind != JobKind::Service {
-            // Services come first in the queue; the jobs after them leave
-            // capacity for the replicas that are expected next.
+            // Production jobs, and so the production services, come first in the
+            // queue. Jobs of other kinds leave capacity for the replicas of such
+            // services that are expected next.
             self.reserve_headroom();
         }
         let Some(request) = self.placement_request(index) else { return };
@@ -161,7 +163,7 @@
             hosts: HostFilter::Any,
         });
         if outcome.status != PlacementStatus::Success {
-            if request.is_unrestricted() {
+            if request.is_restricted_by_shape_only() {
                 self.infeasible.add_infeasible_now(request.spec.clone());
             }
             return 0;
@@ -198,8 +200,8 @@
         }
     }
 
-    /// Reserves the capacity that tasks being stopped will free for tasks that
-    /// don't fit now, or preempts other tasks for them.
+    /// Obtains capacity for `tasks`, which don't fit now: reserves capacity that the
+    /// tasks being stopped will free, and preempts other tasks if that is not enough.
     fn reclaim_capacity(&mut self, index: JobIndex, tasks: &[u32]) {
         let Some(job) = self.cluster.job(index) else { return };
         if tasks.is_empty() || !preemption::may_preempt(self.now, job) {
@@ -245,8 +247,9 @@
         outcome.placements.len()
     }
 
-    /// Reserves the available capacity for a starved gang, so that no later job in
-    /// the queue takes it. Each cycle does so again, until the whole gang fits.
+    /// Reserves capacity that is free, or will be once the tasks being stopped have
+    /// exited, for a starved gang, so that no later job in the queue takes it. Each
+    /// cycle does so again, until the whole gang fits.
     /// Without this, smaller jobs take every machine that becomes free, and a large
     /// gang never finds enough of them at once.
     fn reserve_for_gang(&mut self, request: &PlacementRequest) {
@@ -272,9 +275,9 @@
 }
 
 impl PlacementRequest {
-    /// Reports whether the job's shape alone restricts where its tasks may be
-    /// placed.
-    fn is_unrestricted(&self) -> bool {
+    /// Reports whether nothing but the job's shape restricts where its tasks may be
+    /// placed: no machine is to be avoided, and no zone holds tasks of the job yet.
+    fn is_restricted_by_shape_only(&self) -> bool {
         self.avoid.is_empty() && uses_no_zone(&self.zone_used)
     }
 }
--- a/src/coordination/scheduler/gpu_demand.rs
+++ b/src/coordination/scheduler/gpu_demand.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Returns the largest request, by resource, of the GPU jobs that can run in
-    /// the pool; `None` if there are no such jobs.
+    /// Returns, for each resource, the largest amount that a task of the GPU jobs that
+    /// can run in the pool requests; `None` if there are no such jobs.
     fn largest_need_in(&self, pool: &Pool) -> Option<Resources> {
         let may_use_pool = |shape: &&GpuShape| {
             shape.spec.allows_type(pool.machine_type)
--- a/src/coordination/scheduler/preemption/mod.rs
+++ b/src/coordination/scheduler/preemption/mod.rs
@@ -23,10 +23,12 @@
 /// Maximum number of tasks of one array for which others are preempted in one
 /// scheduling cycle.
 const ARRAY_TASKS_PER_CYCLE: usize = 4;
-/// The next sample of machines begins at the start of the last one times this, plus
-/// [`CURSOR_INCREMENT`], modulo the number of machines, so that samples differ.
+/// Factor in the formula for the machine at which the next sample begins, so that
+/// samples differ: (`start` * [`CURSOR_MULTIPLIER`] + [`CURSOR_INCREMENT`]) modulo the
+/// number of machines, where `start` is the beginning of the last sample.
 const CURSOR_MULTIPLIER: u32 = 5;
-/// Added to the start of a sample of machines; see [`CURSOR_MULTIPLIER`].
+/// Summand in the formula for the machine at which the next sample begins; see
+/// [`CURSOR_MULTIPLIER`].
 const CURSOR_INCREMENT: u32 = 101;
 
 /// The machine at which the latest sample of machines for preemption began.
@@ -61,8 +63,8 @@
     }
 }
 
-/// Preempts other tasks so that `tasks` of a job get capacity, and reserves the
-/// freed capacity for them. Returns whether any task was stopped.
+/// Preempts other tasks so that `tasks` of a job, or some of them, get capacity, and
+/// reserves the freed capacity for them. Returns whether any task was stopped.
 pub fn preempt(
     cluster: &mut ClusterState,
     samples: &mut SampleCursor,
@@ -90,13 +92,13 @@
     stopped > 0
 }
 
-/// Returns the plan that makes capacity for the most tasks and, among those, the
-/// one with the lowest cost.
+/// Plans for each of `zones` (`None`: all zones together) and returns the plan that
+/// makes capacity for the most tasks; of several such plans, the one with the lowest
+/// cost.
 ///
-/// A gang that must be in one zone is planned for each zone separately, and the
-/// feasible plan with the lowest cost wins. A single plan would choose the zone of
-/// the machine that is cheapest for the first task, and the gang would wait if that
-/// zone had too few machines.
+/// A job that must be in one zone, and has no tasks in any zone yet, is planned for each
+/// zone separately. A single plan would choose the zone of the machine that is cheapest
+/// for the first task, and a gang would wait if that zone had too few machines.
 fn best_plan(
     cluster: &mut ClusterState,
     planner: &PreemptionPlanner,
@@ -114,8 +116,8 @@
     zones.into_iter().map(Some).collect()
 }
 
-/// Stops a task, or its whole gang. Returns false if its assignment no longer
-/// exists.
+/// Stops the task of an assignment; if it belongs to a gang, the whole gang. Returns
+/// false if the assignment no longer exists.
 fn stop_victim(cluster: &mut ClusterState, now: Millis, victim: AssignmentIndex, preemptor: &JobSpec) -> bool {
     let Some(assignment) = cluster.assignment(victim) else { return false };
     let job_index = assignment.job;
--- a/src/coordination/scheduler/preemption/planner.rs
+++ b/src/coordination/scheduler/preemption/planner.rs
@@ -15,11 +15,11 @@
     storage::job_cache::JobIndex,
 };
 
-/// Machines of each pool sampled for one plan.
+/// Maximum number of machines of each pool that are sampled for one plan.
 const MACHINES_SAMPLED: usize = 256;
-/// Sampled machines whose assignments are examined to place one task.
+/// Maximum number of sampled machines whose assignments are examined to place one task.
 const MACHINES_EXAMINED: usize = 64;
-/// Number of priorities by which a machine's used capacity is counted.
+/// Number of job priorities; a machine's used capacity is counted separately for each.
 const PRIORITY_COUNT: usize = 4;
 /// On a machine without the image, the plan's cost rises by the expected fetch
 /// time in seconds times this factor.
@@ -67,9 +67,10 @@
 }
 
 impl PreemptionPlanner {
-    /// Returns the preemptions that let `task_count` tasks fit, or as many as
-    /// possible of a job that isn't a gang; in `zone` only, if one is given.
-    /// `None` if too little may be preempted.
+    /// Returns the preemptions that let `task_count` tasks fit; in `zone` only, if one
+    /// is given. If too little may be preempted for that, returns `None` for a gang; for
+    /// other jobs, the preemptions that let as many tasks as possible fit, and `None`
+    /// only if no task can fit.
     pub fn plan(
         &self,
         cluster: &mut ClusterState,
@@ -78,8 +79,8 @@
     ) -> Option<PreemptionPlan> {
         let reservations = cluster.snapshot().reservation_count();
         let plan = self.plan_with_reservations(cluster, task_count, zone);
-        // Victims are accounted for as stopping when they are stopped; the
-        // capacity is reserved again after a plan is chosen.
+        // These reservations only keep the plan from using capacity twice. After a
+        // plan is chosen, its victims are stopped and the capacity is reserved again.
         cluster.snapshot_mut().truncate_reservations(reservations);
         plan.filter(|plan| !plan.hosts.is_empty())
     }
@@ -150,15 +151,14 @@
         cheapest
     }
 
-    /// Reports whether a task would be allowed in the machine's zone, and would fit
-    /// on the machine if all tasks of lower priority (for a job within its guarantee,
-    /// all tasks) were stopped.
+    /// Reports whether one more task is allowed in the machine's zone, and stopping
+    /// other tasks may free enough capacity for it on the machine.
     fn may_fit(&self, host: &Host, pool: &Pool) -> bool {
         zone_allows(&self.preemptor.spec, pool.zone, self.zone_used) && may_free_enough(self.preemptor, host)
     }
 
-    /// Returns the preemption on one machine that lets a task fit there; `None` if
-    /// it doesn't fit even then.
+    /// Returns the preemption on one machine that lets a task fit there; `None` if the
+    /// task wouldn't fit even if all tasks that may be preempted there were stopped.
     fn preemption_on(&self, host_index: usize, host: &Host, pool: &Pool) -> Option<HostPreemption> {
         let spec = &self.preemptor.spec;
         let assignments = &self.cluster.machine(MachineIndex(host_index as u32)).load.assignments;
@@ -177,7 +177,9 @@
     }
 }
 
-/// Chooses victims in order until the task fits. `None` if it doesn't fit even then.
+/// Chooses victims, in the given order, until a task that needs `need` fits on the
+/// machine. Skips those that free no missing resource. Returns `None` if the task
+/// doesn't fit even without all of them.
 fn choose_victims(need: &Resources, available: Resources, victims: Vec<Victim>, host: usize) -> Option<HostPreemption> {
     let mut available = available;
     let mut preemption = HostPreemption { host, cost: 0.0, victims: Vec::new(), freed: Resources::default() };
@@ -219,8 +221,9 @@
     !is_other_zone && !is_full
 }
 
-/// Reports whether a task would fit if all tasks of lower priority (for a job
-/// within its guarantee, all tasks) on the machine were stopped.
+/// Reports whether a task of the job would fit on the machine if all tasks of lower
+/// priority were stopped there; for a job within its team's guarantee, if all tasks of
+/// any priority were stopped.
 fn may_free_enough(job: &Job, host: &Host) -> bool {
     let stoppable_priorities = if job.within_guarantee { PRIORITY_COUNT } else { job.spec.priority as usize };
     let max_available = host.used_by_priority[..stoppable_priorities]
--- a/src/coordination/scheduler/preemption/victims.rs
+++ b/src/coordination/scheduler/preemption/victims.rs
@@ -13,13 +13,13 @@
     storage::records::JobStatus,
 };
 
-/// How long a job within its team's guarantee waits before capacity that others
-/// borrowed is reclaimed: some may become free without preemption.
+/// How long a job within its team's guarantee waits before capacity that other teams
+/// borrowed is reclaimed: some capacity may become free without preemption.
 const RECLAIM_DELAY_MS: i64 = 12_000;
 /// Base cost of stopping any task, in seconds.
 const STOP_COST_S: f64 = 5.0;
-/// Additional cost of stopping a task soon after its start, in seconds: such a
-/// start is not counted as one, and its users have waited in vain.
+/// Additional cost of stopping a task soon after its start, in seconds: such a start
+/// doesn't count as a start of the job, and the job's users have waited in vain.
 const RECENT_START_COST_S: f64 = 60.0;
 
 /// A task that may be preempted.
@@ -67,8 +67,9 @@
             return None;
         }
         let ran_s = self.ran_s(assignment);
-        // A starved job that eventually started is not stopped before it has run
-        // long enough to count as started; otherwise it might never reach that.
+        // Only a production job may stop a starved job that has eventually started
+        // but not yet run long enough to count as started; otherwise the starved job
+        // might never run that long.
         let is_recent_start = ran_s * 1000.0 < EFFECTIVE_START_MS as f64;
         if self.preemptor.spec.priority < Priority::Production && is_starved(self.now, job) && is_recent_start {
             return None;
@@ -82,10 +83,10 @@
         assignment.running_since.map_or(0.0, |since| (self.now - since) as f64 / 1000.0)
     }
 
-    /// Reports whether the preemptor may reclaim capacity from a job: the preemptor is
-    /// within its team's guarantee and has waited long enough, and the job's team, which
-    /// is another one, uses more than its own guarantee of a resource that the preemptor
-    /// needs.
+    /// Reports whether the preemptor may reclaim capacity from a job of another team. The
+    /// preemptor must be within its own team's guarantee and have waited long enough. The
+    /// other team must use more GPUs than it is guaranteed, if both jobs use GPUs, or
+    /// have a guarantee of CPUs and use more CPUs than that.
     fn may_reclaim_from(&self, job: &Job) -> bool {
         let preemptor = self.preemptor;
         let has_waited = preemptor.waited_ms(self.now) >= RECLAIM_DELAY_MS;
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -15,14 +15,14 @@
 };
 
 /// Age at which a job without a start is considered starved and goes before all jobs
-/// but services. Users are promised that a job starts within four minutes.
+/// but production jobs. Users are promised that a job starts within four minutes.
 const STARVATION_AGE_S: f64 = 150.0;
 /// Among starved jobs, the largest job of a class is ordered as if it had waited
 /// this much longer.
 const LARGEST_JOB_BONUS_S: f64 = 60.0;
 /// A job is treated as having missed an objective only when it would miss it even
-/// if its run took just this share of the estimate: estimates are often twice too
-/// high.
+/// if its run took just this share of the estimated time, because estimates are often
+/// twice as long as the run.
 const OPTIMISTIC_RUN_SHARE: f64 = 0.4;
 /// Image fetch rate assumed before a machine is chosen, in GB per second.
 const ASSUMED_FETCH_GB_PER_S: f64 = 0.5;
@@ -31,9 +31,10 @@
 /// Longest image fetch, in seconds, that is taken into account when an objective is
 /// checked: often the image is cached.
 const OPTIMISTIC_FETCH_MAX_S: f64 = 5.0;
-/// Number of CPUs to which one GPU is equivalent in the amount of a job's work.
+/// Number of CPUs that one GPU is counted as when the amount of a job's work is computed.
 const CPUS_PER_GPU: f64 = 8.0;
-/// Minimum number of CPUs per task in the amount of a job's work.
+/// Minimum number of CPUs that are counted per task when the amount of a job's work is
+/// computed.
 const TASK_CPUS_MIN: f64 = 0.1;
 
 /// The first ordering criterion of the queue; jobs of an earlier tier go first.
@@ -59,9 +60,11 @@
 /// A job's rank among the jobs of its tier and quota class; smaller values go first.
 #[derive(Debug, Clone, Copy)]
 struct Urgency {
-    /// Number of objectives that the job has already missed; `u32::MAX` for all.
-    missed_objectives: u32,
-    /// The job's work in CPU seconds or, negated, its age in seconds.
+    /// Number of objectives before the first one that the job can still meet; `u32::MAX`
+    /// if it can meet none.
+    objectives_passed: u32,
+    /// The job's work in CPU seconds; for starved jobs and jobs that can meet no
+    /// objective, their negated age in seconds, so that older jobs go first.
     cost: f64,
 }
 
@@ -78,20 +81,20 @@
         self.tier
             .cmp(&other.tier)
             .then(self.quota_class.cmp(&other.quota_class))
-            .then(self.urgency.missed_objectives.cmp(&other.urgency.missed_objectives))
+            .then(self.urgency.objectives_passed.cmp(&other.urgency.objectives_passed))
             .then(self.urgency.cost.total_cmp(&other.urgency.cost))
             .then(self.job.cmp(&other.job))
     }
 }
 
-/// The event that an objective limits.
+/// The event that an objective requires within a time limit.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Milestone {
     Start,
     End,
 }
 
-/// A milestone that a job should reach within some seconds.
+/// A milestone and the time within which a job should reach it after it became ready.
 #[derive(Clone, Copy)]
 struct Objective {
     milestone: Milestone,
@@ -99,8 +102,8 @@
 }
 
 /// Returns the jobs that may be placed now, in the order in which they are tried:
-/// services first; then starved jobs, the oldest first; then by priority, jobs
-/// within their team's guarantee before other jobs.
+/// production jobs first; then starved jobs, the oldest first; then by priority. Of
+/// equal priority, jobs within their team's guarantee go before other jobs.
 pub fn scheduling_order(cluster: &ClusterState, now: Millis) -> Vec<JobIndex> {
     let largest = largest_by_class(cluster);
     let mut queue: Vec<QueuePosition> = cluster
@@ -144,7 +147,7 @@
 /// would start too late when more jobs are starved than there is capacity for.
 fn starved_urgency(now: Millis, job: &Job, largest_of_class: u32) -> Urgency {
     let share_of_largest = f64::from(job.spec.tasks) / f64::from(largest_of_class.max(1));
-    Urgency { missed_objectives: 0, cost: -job.age_s(now) - LARGEST_JOB_BONUS_S * share_of_largest }
+    Urgency { objectives_passed: 0, cost: -job.age_s(now) - LARGEST_JOB_BONUS_S * share_of_largest }
 }
 
 fn quota_class(cluster: &ClusterState, job: &Job) -> QuotaClass {
@@ -157,10 +160,11 @@
     }
 }
 
-/// Ranks the jobs of a tier and quota class: jobs whose objective can still be met
-/// come before those that have missed it, and small ones before large ones, so that
-/// most are in time when there is too little capacity for all. Jobs that missed
-/// every objective are ordered by age.
+/// Ranks the jobs of a tier and quota class. A job that can still meet its first
+/// objective comes before those that have missed theirs, and a job with less work
+/// before one with more, so that as many as possible are in time when there is too
+/// little capacity for all. Jobs that can meet no objective are ordered by age, the
+/// oldest first.
 fn urgency(cluster: &ClusterState, now: Millis, job: &Job) -> Urgency {
     let age_s = job.age_s(now);
     let run_s = cluster.expected_run_s(&job.spec);
@@ -175,10 +179,10 @@
         if reached_s <= objective.within_s {
             let cpus = (job.spec.cpus + CPUS_PER_GPU * job.spec.gpus).max(TASK_CPUS_MIN);
             let work = job.tasks.pending.len() as f64 * run_s * cpus;
-            return Urgency { missed_objectives: position as u32, cost: work };
+            return Urgency { objectives_passed: position as u32, cost: work };
         }
     }
-    Urgency { missed_objectives: u32::MAX, cost: -age_s }
+    Urgency { objectives_passed: u32::MAX, cost: -age_s }
 }
 
 /// Returns the job's own deadline and extended deadline, then the objectives of its
@@ -202,8 +206,8 @@
     has_pending_tasks && !is_blocked && !is_partly_placed_gang
 }
 
-/// Reports whether the job is starved: it has waited for the starvation age, and
-/// none of its tasks has run long enough to count as a start.
+/// Reports whether the job is starved: it has reached the starvation age, and none of
+/// its tasks has run long enough for the job to count as started.
 ///
 /// Faulty jobs are excluded: a job that fails on every machine would otherwise go
 /// before all other jobs for as long as it is unfinished.
--- a/src/coordination/scheduler/task_selection.rs
+++ b/src/coordination/scheduler/task_selection.rs
@@ -12,8 +12,9 @@
 /// Maximum number of tasks of one job assigned in one scheduling cycle, so that a
 /// large job doesn't stall the others.
 const TASKS_PER_CYCLE: usize = 256;
-/// A starved array is started with its task count divided by this number: the aim
-/// is that it starts, not that all of its tasks go before all other jobs.
+/// Divisor of the task count of a starved array: as long as none of its tasks is
+/// assigned, it may place only as many tasks as the quotient, but at least one, in one
+/// cycle. The aim is that it starts, not that all of its tasks go before all other jobs.
 const STARVED_ARRAY_DIVISOR: u32 = 16;
 /// Number of tasks with which a job that fails on every machine is retried.
 const TASKS_PER_RETRY: usize = 1;
@@ -56,8 +57,9 @@
 
 /// Tracks how many more assignments each chunk record can hold.
 ///
-/// Chunks that were sized for a larger limit on the size of values in the store take
-/// only as many assignments at a time as can be written under the present limit.
+/// The store limits the size of a value, and the limit can be lowered. A chunk that was
+/// sized for a larger limit then takes only as many assignments at a time as can be
+/// written under the present one.
 struct ChunkCapacity {
     /// For each chunk, the number of assignments that still fit, plus one.
     remaining_plus_one: Vec<u32>,
@@ -86,9 +88,9 @@
 
     /// Takes capacity for one assignment. Returns false if none is left.
     fn try_take(&mut self, job: &Job, task: u32) -> bool {
-        let remaining = &mut self.remaining_plus_one[job.chunk_of(task)];
-        *remaining = remaining.saturating_sub(1);
-        *remaining > 0
+        let remaining_plus_one = &mut self.remaining_plus_one[job.chunk_of(task)];
+        *remaining_plus_one = remaining_plus_one.saturating_sub(1);
+        *remaining_plus_one > 0
     }
 }
 
--- a/src/coordination/scheduler/trial/mod.rs
+++ b/src/coordination/scheduler/trial/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A job is a tree, as in the paper on gang scheduling: the root is the job, its
 //! children are zones or tasks. Children are visited greedily in a fixed order,
-//! without backtracking; after each child the node's status is derived from four
-//! counts (PAPER, "`GangScheduling` Plugin Changes" and "Recursive Scheduling Cycle
+//! without backtracking; the node's status is derived from four counts (see the
+//! paper's sections "`GangScheduling` Plugin Changes" and "Recursive Scheduling Cycle
 //! Execution"). The placements assumed by a failed subtree are removed in reverse
 //! order.
 
@@ -30,16 +30,16 @@
 }
 
 impl PlacementStatus {
-    /// Returns the result of a node from the counts of its children: `needed` must
-    /// be placed; `placed` are placed, `untried` may be, and `preemptable` would be
-    /// if other tasks were preempted. Children that can't fit at all are in none of
-    /// the counts.
-    pub fn from_counts(needed: usize, placed: usize, untried: usize, preemptable: usize) -> PlacementStatus {
+    /// Returns the result of a node that needs `needed` placed children. The other counts
+    /// are those of its children that are placed, that have not been tried yet, and that
+    /// would fit only if other tasks were preempted. Children that can't fit at all are
+    /// in none of these counts.
+    pub fn from_counts(needed: usize, placed: usize, untried: usize, need_preemption: usize) -> PlacementStatus {
         if placed >= needed {
             PlacementStatus::Success
         } else if placed + untried >= needed {
             PlacementStatus::Wait
-        } else if placed + untried + preemptable >= needed {
+        } else if placed + untried + need_preemption >= needed {
             PlacementStatus::Unschedulable
         } else {
             PlacementStatus::Unresolvable
--- a/src/coordination/scheduler/trial/score.rs
+++ b/src/coordination/scheduler/trial/score.rs
@@ -19,7 +19,8 @@
 const CACHED_IMAGE_BONUS_S: f64 = 1.0;
 /// Penalty, in seconds, for a CPU task on a machine with GPUs, which would stand idle.
 pub const IDLE_GPU_PENALTY_S: f64 = 90.0;
-/// Bonus, in seconds, for an exact fit as compared with an empty machine.
+/// Bonus, in seconds, for a machine on which the task leaves no CPU free; it falls in
+/// proportion to the share of the machine's CPUs that stay free.
 const BEST_FIT_BONUS_S: f64 = 3.0;
 /// Penalty, in seconds, for a service replica per replica already on the machine.
 const SHARED_MACHINE_PENALTY_S: f64 = 2.0;
@@ -28,8 +29,8 @@
 /// Weight of one more placed task; outweighs any [`host_score`].
 const TASK_WEIGHT: f64 = 1e6;
 
-/// Returns the score of a machine for one task, in seconds: by how much a start
-/// there is preferable to a start on another machine.
+/// Returns the score of a machine for one task, in seconds. The machine with the highest
+/// score is preferred; the difference between two scores says by how much.
 pub fn host_score(pool: &Pool, host: &Host, spec: &JobSpec) -> f64 {
     let need = Resources::of(spec);
     let mut score = 0.0;
@@ -51,8 +52,9 @@
     score
 }
 
-/// Returns the score of a zone from the scores of the machines found there: the
-/// number of tasks placed first, then the average score of their machines.
+/// Returns the score of a zone from the scores of the machines found there for the
+/// tasks. The zone with more placed tasks has the higher score; for equal numbers of
+/// tasks, the zone with the higher average score of the machines.
 pub fn zone_score(host_scores: impl ExactSizeIterator<Item = f64>) -> f64 {
     let tasks = host_scores.len();
     let sum: f64 = host_scores.sum();
--- a/src/coordination/scheduler/trial/tree.rs
+++ b/src/coordination/scheduler/trial/tree.rs
@@ -65,13 +65,14 @@
         }
     }
 
-    /// Tries a node whose children are tasks. They are alike: if one doesn't fit,
-    /// the remaining ones don't fit either, and a machine that was best for one is
-    /// used for as many as fit there. None of them is unresolvable: preemption may
-    /// let each of them fit. On success the placements stay assumed.
+    /// Tries a node whose children are tasks. The tasks are alike: if one doesn't fit,
+    /// the remaining ones don't fit either, and the best machine for one is used for as
+    /// many as fit there, except for service replicas. None of the tasks is
+    /// unresolvable: preemption may let each of them fit. On success the placements stay
+    /// assumed.
     fn try_tasks(&mut self, tasks: &[u32], min: usize, zone: Option<ZoneIndex>) -> TrialResult {
         let mut placements: Vec<TaskPlacement> = Vec::new();
-        let mut preemptable = 0;
+        let mut need_preemption = 0;
         for (position, &task) in tasks.iter().enumerate() {
             let same_host = placements.last().map(|placement| placement.host).filter(|&host| self.fits_another(host));
             match same_host.or_else(|| self.best_host(zone)) {
@@ -80,12 +81,12 @@
                     placements.push(TaskPlacement { task, host });
                 }
                 None => {
-                    preemptable = tasks.len() - position;
+                    need_preemption = tasks.len() - position;
                     break;
                 }
             }
         }
-        self.evaluate(placements, min, preemptable)
+        self.evaluate(placements, min, need_preemption)
     }
 
     /// Tries a node with one child per candidate zone; the feasible zone with the
@@ -132,7 +133,7 @@
         let all_or_nothing = request.min == request.tasks.len();
         let mut placements: Vec<TaskPlacement> = Vec::new();
         let mut remaining = request.tasks;
-        let mut preemptable = 0;
+        let mut need_preemption = 0;
         for (position, zone) in zones.iter().enumerate() {
             let zone_tasks = &remaining[..remaining.len().min(limits[position])];
             if zone_tasks.is_empty() {
@@ -144,20 +145,20 @@
                 if all_or_nothing { remaining.len().saturating_sub(later_limit).min(zone_tasks.len()) } else { 1 };
             let outcome = self.try_tasks(zone_tasks, min, Some(*zone));
             if outcome.status != PlacementStatus::Success {
-                preemptable += zone_tasks.len();
+                need_preemption += zone_tasks.len();
                 continue;
             }
             // Tasks that don't fit in this zone are tried in the next one.
             remaining = &remaining[outcome.placements.len()..];
             placements.extend(outcome.placements);
         }
-        self.evaluate(placements, request.min, preemptable.max(remaining.len()))
+        self.evaluate(placements, request.min, need_preemption.max(remaining.len()))
     }
 
     /// Derives the result of a node from its placements, and removes those assumed
     /// by a failed node.
-    fn evaluate(&mut self, mut placements: Vec<TaskPlacement>, min: usize, preemptable: usize) -> TrialResult {
-        let status = PlacementStatus::from_counts(min, placements.len(), 0, preemptable);
+    fn evaluate(&mut self, mut placements: Vec<TaskPlacement>, min: usize, need_preemption: usize) -> TrialResult {
+        let status = PlacementStatus::from_counts(min, placements.len(), 0, need_preemption);
         if status != PlacementStatus::Success {
             self.remove_assumed(&placements);
             placements.clear();
--- a/src/coordination/tests/election.rs
+++ b/src/coordination/tests/election.rs
@@ -124,7 +124,8 @@
         }
         assert_eq!(election.tick(0), is_claimed.then_some(Action::RequestStoreLease), "{key:?}");
     }
-    // The key of an earlier start of this controller is replaced on condition of its revision.
+    // The key of an earlier start of this controller is replaced only if its revision is
+    // still the observed one.
     let mut election = Election::new("a", 1, TTL_MS);
     election.observe_key(0, Some(earlier_start), Revision(3));
     election.tick(0);
@@ -133,7 +134,8 @@
         election.tick(1),
         Some(Action::WriteKey { store_lease: StoreLeaseId(8), expected_revision: Revision(3) })
     );
-    // A claim without a response that was applied late takes effect once the watch shows it.
+    // A claim that received no response and was applied late takes effect once the watch
+    // shows it.
     election.handle_claim_result(5, None);
     assert_eq!(election.leading_term(6), None);
     election.observe_key(50, Some(election.record(StoreLeaseId(8))), Revision(9));
--- a/src/coordination/tests/lease_renewal.rs
+++ b/src/coordination/tests/lease_renewal.rs
@@ -28,8 +28,8 @@
         assert!(window_ms == 0 || window_ms as f64 + lease_s * 1000.0 < cancel_s * 1000.0 - 1_000.0);
     }
     let authority = authority_with_key(18_000);
-    // (now, whether a lease may be renewed): the store is reachable, unreachable, or
-    // unreachable for too long.
+    // (now, whether a lease may be renewed): the store is considered reachable at first, then
+    // unreachable, and in the last case unreachable for too long.
     for (now, expected) in [(1_100, false), (3_400, false), (3_600, true), (18_900, true), (19_000, false)] {
         assert_eq!(authority.may_renew_without_leader(now), expected, "at {now}");
     }
--- a/src/coordination/tests/trial.rs
+++ b/src/coordination/tests/trial.rs
@@ -38,7 +38,7 @@
 #[test]
 fn status_of_a_node_follows_from_the_counts_of_its_children() {
     use PlacementStatus::*;
-    // (needed, placed, untried, preemptable, status)
+    // (needed, placed, untried, need_preemption, status)
     let cases = [
         (2, 2, 0, 0, Success),
         (0, 0, 0, 0, Success),
@@ -49,11 +49,11 @@
         (2, 1, 0, 0, Unresolvable),
         (5, 1, 1, 2, Unresolvable),
     ];
-    for (needed, placed, untried, preemptable, status) in cases {
+    for (needed, placed, untried, need_preemption, status) in cases {
         assert_eq!(
-            PlacementStatus::from_counts(needed, placed, untried, preemptable),
+            PlacementStatus::from_counts(needed, placed, untried, need_preemption),
             status,
-            "needed={needed} placed={placed} untried={untried} preemptable={preemptable}"
+            "needed={needed} placed={placed} untried={untried} need_preemption={need_preemption}"
         );
     }
 }
@@ -147,7 +147,8 @@
             zone_used: vec![0, 0],
             expected: (Success, 5),
         },
-        // A zone may hold half of the tasks, including those already assigned there.
+        // A zone may hold half of the tasks, rounded up, including those already assigned
+        // there.
         Case {
             name: "assigned tasks are included in the spread limit",
             hosts: two_machines(),
@@ -189,7 +190,7 @@
             expected: (Success, 2),
         },
         Case {
-            name: "job without spot on a spot machine",
+            name: "job that does not allow spot machines, on a spot machine",
             hosts: vec![spot_machine],
             kind: JobKind::Array,
             tasks: 1,
@@ -266,7 +267,8 @@
         );
         snapshot.truncate_reservations(0);
         assert_eq!(before, capacities(&snapshot), "{name}: the release did not restore the capacity");
-        // Unschedulable machines, and machines on which all tasks are being stopped.
+        // Unschedulable machines are not used. Machines full of tasks that are being stopped
+        // are used only if the request includes the capacity of these tasks.
         for host in 0..case.hosts.len() {
             snapshot.set_schedulable(host, false, false);
         }
