--- a/src/protocol/cbor.rs
+++ b/src/protocol/cbor.rs
@@ -23,7 +23,8 @@
 /// Encodes a message as CBOR.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut out = Vec::with_capacity(TYPICAL_BODY_BYTES);
-    // Writing to memory fails only if the `Serialize` of a type fails; none of the messages' does.
+    // Encoding into memory fails only if the type's `Serialize` implementation fails. That of no
+    // message type does.
     if ciborium::into_writer(value, &mut out).is_err() {
         out.clear();
     }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -74,7 +74,8 @@
     pub count: u32,
 }
 
-/// Hosts by name: those that were provisioned, or that are to be released.
+/// Names of hosts: in the response to a [`ProvisionRequest`], the hosts that were provisioned;
+/// in a request to release hosts, the hosts to be released.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HostNames {
     /// Names of the hosts.
@@ -86,7 +87,7 @@
 pub struct HostList {
     /// The hosts, in the order of their names.
     pub hosts: Vec<ListedHost>,
-    /// Whether more hosts follow after the last one.
+    /// Whether the list continues after the last host of this page.
     #[serde(default)]
     pub truncated: bool,
 }
--- a/src/protocol/ids.rs
+++ b/src/protocol/ids.rs
@@ -43,7 +43,7 @@
     Incarnation
 );
 number_type!(
-    /// Number of one attempt to run a task. All tasks of a gang share it.
+    /// Number of one attempt to run a task. All tasks of a gang have the same number.
     Attempt
 );
 number_type!(
--- a/src/protocol/jobs/spec.rs
+++ b/src/protocol/jobs/spec.rs
@@ -58,7 +58,8 @@
     pub team: TeamIndex,
     /// How the job's tasks depend on each other.
     pub kind: JobKind,
-    /// Priority; for a prerequisite, at least the highest of its dependents.
+    /// Priority; in the result of `JobCache::effective_spec`, at least the highest priority
+    /// of the job's dependents.
     pub priority: Priority,
     /// Number of tasks.
     pub tasks: u32,
@@ -88,11 +89,12 @@
     pub checkpoint_s: f64,
     /// Time that a task needs to save its state when it is stopped, in seconds.
     pub save_s: f64,
-    /// Deadline, in seconds from when the job became ready to start; `None`: no
+    /// Deadline, in seconds from the job's acceptance, or, in the result of
+    /// `JobCache::effective_spec`, from when the job became ready to start. `None`: no
     /// deadline.
     pub deadline_s: Option<f64>,
-    /// Extended deadline, in seconds from the same time as the deadline: the next
-    /// objective of a job that can no longer meet its deadline. `None`: no deadline.
+    /// Extended deadline, in seconds from the same time as the deadline: the objective
+    /// for scheduling once the job can no longer meet its deadline. `None`: no deadline.
     pub extended_deadline_s: Option<f64>,
 }
 
--- a/src/protocol/jobs/validation.rs
+++ b/src/protocol/jobs/validation.rs
@@ -8,8 +8,8 @@
 
 /// Maximum number of tasks in one job.
 pub const MAX_TASKS: u32 = 100_000;
-/// Extended deadline of a job, as a multiple of its deadline: the next objective of a
-/// job that misses its deadline.
+/// Extended deadline of a job, as a multiple of its deadline: the objective for
+/// scheduling once the job can no longer meet its deadline.
 const EXTENDED_DEADLINE_FACTOR: f64 = 1.5;
 /// Maximum length, in bytes, of the name of a class, team, image, machine type or
 /// zone.
@@ -35,16 +35,16 @@
 /// Origin of a submission, which determines how unknown names are handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmissionSource {
-    /// From a user: the team must be known, and other unknown names are not
-    /// interned, so that users can't exhaust the memory with them.
+    /// From a user: the team must be known, and unknown names of machine types and zones
+    /// are not interned, so that users can't exhaust the memory with them.
     User,
     /// From the record of an accepted job: all of its names are interned, because
     /// machine types may not be known yet when records are read.
     Record,
 }
 
-/// Reports whether a text has the form of a job id: lower-case letters (with
-/// dashes between), a dash, digits.
+/// Reports whether a text has the form of a job id: lower-case letters or dashes, then a
+/// dash, then digits.
 pub fn is_valid_job_id(id: &str) -> bool {
     let Some((head, digits)) = id.rsplit_once('-') else { return false };
     id.len() <= MAX_ID_BYTES
@@ -58,7 +58,7 @@
     value.ok_or(SubmissionError::Malformed(field))
 }
 
-fn amount(value: Option<f64>, field: &'static str) -> Result<f64, SubmissionError> {
+fn required_amount(value: Option<f64>, field: &'static str) -> Result<f64, SubmissionError> {
     match value {
         Some(amount) if amount.is_finite() && (0.0..MAX_AMOUNT).contains(&amount) => Ok(amount),
         _ => Err(SubmissionError::Malformed(field)),
@@ -69,7 +69,7 @@
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-fn text<'a>(value: Option<&'a str>, field: &'static str) -> Result<&'a str, SubmissionError> {
+fn required_name<'a>(value: Option<&'a str>, field: &'static str) -> Result<&'a str, SubmissionError> {
     match value {
         Some(name) if is_name(name) => Ok(name),
         _ => Err(SubmissionError::Malformed(field)),
@@ -82,34 +82,34 @@
     /// An unknown team, or a job that is its own prerequisite, is rejected as
     /// [`SubmissionError::Infeasible`], but only if no field is malformed.
     pub fn validate(&self, interners: &mut Interners, source: SubmissionSource) -> Result<JobSpec, SubmissionError> {
-        let id = text(self.name_id.as_deref(), "nameId")?;
+        let id = required_name(self.name_id.as_deref(), "nameId")?;
         if !is_valid_job_id(id) {
             return Err(SubmissionError::Malformed("nameId"));
         }
-        let class = text(self.class.as_deref(), "lane")?;
-        let team = text(self.team.as_deref(), "owner")?;
-        let kind = required(JobKind::parse(text(self.kind.as_deref(), "shape")?), "shape")?;
-        let priority = required(Priority::parse(text(self.priority.as_deref(), "rank")?), "rank")?;
+        let class = required_name(self.class.as_deref(), "lane")?;
+        let team = required_name(self.team.as_deref(), "owner")?;
+        let kind = required(JobKind::parse(required_name(self.kind.as_deref(), "shape")?), "shape")?;
+        let priority = required(Priority::parse(required_name(self.priority.as_deref(), "rank")?), "rank")?;
         let tasks = self.task_count()?;
-        let cpus = amount(self.cpus, "cpus")?;
-        let gpus = amount(self.gpus, "cards")?;
-        let memory_gb = amount(self.memory_gb, "memoryGb")?;
-        let image = text(self.image.as_deref(), "bundle")?;
-        let image_gb = amount(self.image_gb, "imageGb")?;
+        let cpus = required_amount(self.cpus, "cpus")?;
+        let gpus = required_amount(self.gpus, "cards")?;
+        let memory_gb = required_amount(self.memory_gb, "memoryGb")?;
+        let image = required_name(self.image.as_deref(), "bundle")?;
+        let image_gb = required_amount(self.image_gb, "imageGb")?;
         let types = self.allowed_types(interners, source)?;
         let zone = self.allowed_zone(interners, source)?;
         let one_zone = required(self.one_zone, "samePlace")?;
         let spread = required(self.spread, "scatter")?;
         let spot = required(self.spot, "loaners")?;
-        let estimate_s = amount(self.estimate_s, "guessS")?;
-        let checkpoint_s = amount(self.checkpoint_s, "bookmarkS")?;
-        let save_s = amount(self.save_s, "stashS")?;
-        let deadline_s = self.deadline_s.map(|_| amount(self.deadline_s, "dueS")).transpose()?;
+        let estimate_s = required_amount(self.estimate_s, "guessS")?;
+        let checkpoint_s = required_amount(self.checkpoint_s, "bookmarkS")?;
+        let save_s = required_amount(self.save_s, "stashS")?;
+        let deadline_s = self.deadline_s.map(|_| required_amount(self.deadline_s, "dueS")).transpose()?;
         if self.prereqs().iter().any(|prereq| !is_valid_job_id(prereq)) {
             return Err(SubmissionError::Malformed("prereqs"));
         }
-        // A job is not accepted yet when it is submitted, so it can't be its own
-        // prerequisite.
+        // Each prerequisite must be an accepted job. The submitted job is not accepted yet,
+        // so it can't be its own prerequisite.
         if self.prereqs().iter().any(|prereq| prereq == id) {
             return Err(SubmissionError::Infeasible("needs itself"));
         }
@@ -151,9 +151,9 @@
         }
     }
 
-    /// Returns the indices of the allowed machine types. An unknown type that a
-    /// user names gets an index that no machine has. It is not interned, so that
-    /// users can't fill the interners.
+    /// Returns the indices of the allowed machine types. An unknown type in a user's
+    /// submission gets an index that no machine has, and is not interned, so that users
+    /// can't fill the interner with names of types.
     fn allowed_types(
         &self,
         interners: &mut Interners,
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -84,10 +84,10 @@
 impl OperatorSettings {
     /// Reads a file of operators' settings.
     pub fn load(path: &Path) -> Result<OperatorSettings, OperatorSettingsError> {
-        let shown = path.display().to_string();
-        let text =
-            fs::read_to_string(path).map_err(|source| OperatorSettingsError::Read { path: shown.clone(), source })?;
-        OperatorSettings::parse(&text).map_err(|source| OperatorSettingsError::Invalid { path: shown, source })
+        let path_text = path.display().to_string();
+        let text = fs::read_to_string(path)
+            .map_err(|source| OperatorSettingsError::Read { path: path_text.clone(), source })?;
+        OperatorSettings::parse(&text).map_err(|source| OperatorSettingsError::Invalid { path: path_text, source })
     }
 
     /// Parses operators' settings; a field that is not set has its default.
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -46,15 +46,15 @@
     pub counts: Vec<TaskCounts>,
 }
 
-/// Clock that the sender of the gossip last received from a peer, and the start of
-/// the peer's process to which the clock belongs.
+/// Monotonic clock of a peer, as the sender of the gossip last received it in a frame
+/// of that peer.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct ClockEcho {
     /// Label of the peer.
     pub peer_label: String,
-    /// Identifies the start of the peer's process from which the frame was received.
+    /// Nonce of the peer's process that sent the frame; identifies one start of the process.
     pub nonce: u64,
-    /// The peer's monotonic clock in its last frame, in ms.
+    /// The peer's monotonic clock in that frame, in ms.
     pub clock_ms: u64,
 }
 
@@ -155,8 +155,8 @@
 /// their delayed frames.
 const MAX_EARLIER_STARTS: usize = 16;
 
-/// Order of a peer's frames. Delayed frames of a process that has exited may
-/// arrive after frames of the peer's next start.
+/// Recognizes which of a peer's frames are new. Delayed frames of a process that has
+/// exited may arrive after frames of the process that the peer started next.
 #[derive(Debug, Default)]
 pub struct FrameOrder {
     nonce: u64,
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -117,9 +117,10 @@
 impl Settings {
     /// Reads and validates a settings file.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
-        let shown = path.display().to_string();
-        let text = fs::read_to_string(path).map_err(|source| SettingsError::Read { path: shown.clone(), source })?;
-        Settings::parse(&text, &shown)
+        let path_text = path.display().to_string();
+        let text =
+            fs::read_to_string(path).map_err(|source| SettingsError::Read { path: path_text.clone(), source })?;
+        Settings::parse(&text, &path_text)
     }
 
     /// Parses and validates settings; `path` is the file name in errors.
--- a/src/protocol/settings/limits.rs
+++ b/src/protocol/settings/limits.rs
@@ -62,7 +62,8 @@
     }
 
     /// Returns the maximum number of writes per transaction that fits both the current
-    /// and the next limits, and a burst of one second.
+    /// and the next limits, and that does not exceed the writes allowed in one second; at
+    /// least 1.
     pub fn fitting_txn_ops(&self) -> usize {
         let next = self.next.as_ref().and_then(|next| next.txn_ops);
         let ops = next.map_or(self.txn_ops, |next| next.min(self.txn_ops));
--- a/src/protocol/settings/quota.rs
+++ b/src/protocol/settings/quota.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-/// Quota of a team: guaranteed and maximum amounts; 0: none.
+/// Quota of a team: guaranteed and maximum amounts. 0 means no guarantee, or no maximum.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     /// Name of the team.
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -4,9 +4,9 @@
 
 use super::{ClusterSettings, NextLimits, Settings, Team};
 
-/// Minimum difference, in seconds, between `cancel_s` and `lease_s`. With less, every
-/// renewed worker lease could outlast the time limit of a cancellation, so that no lease
-/// could be renewed.
+/// Minimum difference, in seconds, by which `cancel_s` exceeds `lease_s`. With a smaller
+/// one, no worker lease could be renewed, because every renewed lease could outlast the
+/// time limit of a cancellation.
 const MIN_CANCEL_MARGIN_S: f64 = 4.0;
 /// Minimum number of sockets: some are reserved for outgoing calls, some for users.
 const MIN_SOCKETS: usize = 32;
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,6 +1,6 @@
 //! Interface of the key-value store: conditional transactions (compare-and-swap),
-//! listings and watches of prefixes, and store leases: each has a time to live,
-//! and the keys attached to it are removed when it expires.
+//! listings and watches of prefixes, and store leases. A store lease has a time to
+//! live; the keys attached to it are removed when it expires.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 #[serde(untagged)]
 pub enum WriteOperation {
-    /// Sets the value of a key. On the wire an operation with `write`.
+    /// Sets the value of a key. On the wire, an operation with the field `write`.
     Put {
         /// Key that is written. On the wire: `write`.
         #[serde(rename = "write")]
@@ -34,7 +34,7 @@
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
         store_lease: Option<StoreLeaseId>,
     },
-    /// Removes a key. On the wire an operation with `drop`.
+    /// Removes a key. On the wire, an operation with the field `drop`.
     Delete {
         /// Key that is removed. On the wire: `drop`.
         #[serde(rename = "drop")]
@@ -93,7 +93,7 @@
 pub struct Page {
     /// The keys with their values.
     pub pairs: Vec<KeyValue>,
-    /// Whether more keys follow after the last one.
+    /// Whether the listing continues after the last key of this page.
     #[serde(default)]
     pub truncated: bool,
     /// Revision of the store that the listing shows.
--- a/src/protocol/tests/peers.rs
+++ b/src/protocol/tests/peers.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Newer frames are sent only to peers whose gossip shows that they can decode
+/// Frames of newer types are sent only to peers whose gossip shows that they can decode
 /// them. The marker names no peer, so that the first version can't mistake it for
 /// the echo of a clock.
 #[test]
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -28,8 +28,8 @@
     #[serde(rename = "shift")]
     pub incarnation: Incarnation,
     /// Sequence number, which increases with every heartbeat and response that the
-    /// worker sends: of two messages, the one with the larger incarnation and sequence
-    /// number is newer.
+    /// worker sends. Of two messages, the one with the higher incarnation is newer; within
+    /// an incarnation, the one with the higher sequence number.
     #[serde(rename = "tick")]
     pub sequence: SequenceNumber,
     /// The highest fencing token that the worker has seen; 0: none.
@@ -44,7 +44,7 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// State of one attempt of a task on the worker.
+/// Entry of a heartbeat about one attempt of a task: its state and, once it has exited, why.
 #[derive(Debug, Clone, Deserialize, Serialize, PartialEq)]
 pub struct TaskStatus {
     /// Name of the task, such as `j-000412/3`. On the wire: `piece`.
@@ -198,8 +198,8 @@
     pub commands: Vec<WorkerCommand>,
 }
 
-/// Response to a heartbeat that this controller doesn't serve: the controller to which
-/// heartbeats are to be sent.
+/// Response to a heartbeat that this controller doesn't serve. It names the leader, to
+/// which the worker is to send its heartbeats.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Redirect<'a> {
     /// Label of the leader; `None` if no leader is known. On the wire: `boss`.
--- a/src/storage/job_cache/dependencies.rs
+++ b/src/storage/job_cache/dependencies.rs
@@ -12,16 +12,16 @@
     /// Number of prerequisites without a `done` record, including those whose record
     /// was not seen yet.
     pub unfinished_prereqs: u32,
-    /// Wall-clock time, in ms, at which the last prerequisite completed, as far as is
-    /// known; at least the job's acceptance.
+    /// Wall-clock time, in ms, of the latest known completion of a prerequisite, or of
+    /// the job's acceptance if that is later.
     pub ready_ms: u64,
     pub urgency: Urgency,
     /// Whether the job is in the queue of `JobCache::propagate_urgency`.
     pub is_queued: bool,
 }
 
-/// Urgency for the scheduler of a job and all jobs that depend on it. Times are
-/// wall-clock times in ms, infinite if there is no deadline.
+/// Scheduling urgency of a job, including the urgency inherited from all jobs that
+/// depend on it. Times are wall-clock times in ms, infinite if there is no deadline.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Urgency {
     pub priority: Priority,
--- a/src/storage/job_cache/links.rs
+++ b/src/storage/job_cache/links.rs
@@ -155,9 +155,9 @@
     }
 
     /// Cancels all direct and indirect dependents of a cancelled job in the cache.
-    /// Only the record of the job that its user cancelled is written, so the
-    /// cancellation of its dependents is derived here, whatever their own records
-    /// contain.
+    /// A user's cancellation writes only the record of the job that the user named. The
+    /// cancellation of that job's dependents is therefore derived here, whatever their
+    /// own records contain.
     pub(super) fn cancel_dependents(&mut self, index: JobIndex) {
         let mut stack = vec![index];
         while let Some(cancelled) = stack.pop() {
--- a/src/storage/job_cache/mod.rs
+++ b/src/storage/job_cache/mod.rs
@@ -31,8 +31,8 @@
     pub status: JobStatus,
     /// Revision of the job's record.
     pub revision: Revision,
-    /// Wall-clock time of the job's acceptance, in ms; once it is done, of its
-    /// completion, if that is known.
+    /// Wall-clock time, in ms, at which the job was accepted; for a done job, at which
+    /// it completed, if its record holds that time.
     pub at_ms: u64,
     /// Tasks per chunk record.
     pub tasks_per_chunk: u32,
@@ -51,7 +51,8 @@
 }
 
 impl JobEntry {
-    /// Creates an entry from only the constant parts of the job's record.
+    /// Creates a pending entry without revision, specification and record; `update` sets
+    /// these and the status.
     fn new(id: Rc<str>, record: &JobRecord) -> JobEntry {
         JobEntry {
             id,
@@ -180,8 +181,8 @@
         self.store_revision = self.store_revision.max(changes.store_revision);
     }
 
-    /// Applies a cancellation that another controller confirmed to a user: the job's
-    /// record has this revision, whether it was read here yet or not.
+    /// Applies a cancellation that another controller confirmed to a user. `revision` is
+    /// that of the cancelled job's record, which may not have been read here yet.
     pub fn apply_peer_cancellation(&mut self, id: &str, revision: Revision, interners: &mut Interners) {
         let Some(entry) = self.find(id).map(|index| &self.jobs[index.as_usize()]) else { return };
         let Some(record) = entry.record.clone().filter(|_| entry.status == JobStatus::Pending) else { return };
@@ -195,9 +196,9 @@
         self.loaded = false;
     }
 
-    /// Applies one record and returns the job's index. Keys of other records than
-    /// jobs, records that can't be decoded and revisions that are not newer than the
-    /// known one are ignored.
+    /// Applies one record and returns the job's index. Ignores records of other kinds
+    /// than jobs and records that can't be decoded, and returns `None` for them. Also
+    /// ignores a record whose revision is not newer than the known one.
     pub fn apply_record(
         &mut self,
         key: &str,
@@ -246,13 +247,13 @@
     fn update(&mut self, index: JobIndex, record: JobRecord, revision: Revision, interners: &mut Interners) {
         let entry = &mut self.jobs[index.as_usize()];
         // Done and cancelled are final: a record that arrives later must not make the
-        // job pending again, nor may the pending record of a job with a cancelled
-        // prerequisite.
+        // job pending again. That includes a job that is cancelled because of a
+        // prerequisite: its own record stays pending.
         if entry.status == JobStatus::Pending {
             entry.status = record.status;
         }
         entry.revision = revision;
-        // A leader may have resharded its tasks.
+        // A leader may have resharded the job's tasks.
         entry.tasks_per_chunk = record.tasks_per_chunk.max(1);
         if entry.status != JobStatus::Done && entry.spec.is_none() {
             match record.submission.validate(interners, SubmissionSource::Record) {
@@ -265,7 +266,8 @@
         }
         match entry.status {
             JobStatus::Pending => entry.record = Some(Rc::new(record)),
-            // The leader needs the specification while tasks are being stopped.
+            // The specification stays, because the leader needs it while the job's tasks
+            // are being stopped.
             JobStatus::Cancelled => {
                 entry.record = None;
                 entry.running = 0;
--- a/src/storage/rate_limit/allotment.rs
+++ b/src/storage/rate_limit/allotment.rs
@@ -8,8 +8,8 @@
 /// Share of the limit that users' requests may always use, summed over all
 /// controllers.
 const USERS_SHARE: f64 = 0.3;
-/// Minimum share of the limit that each other user is assumed to use, so that an idle
-/// one can begin to use it.
+/// Share of the limit that each other user is assumed to use at least, so that an idle
+/// user can begin to send requests.
 const MIN_USED_SHARE: f64 = 0.01;
 
 /// User of a part of a limit that all controllers share.
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -5,7 +5,7 @@
 //! | `leader` | the current leader, attached to its store lease |
 //! | `leader/LABEL` | a controller that may renew worker leases, attached to a store lease of its own |
 //! | `j/ID` | a job: its submission and status |
-//! | `t/ID/CHUNK` | which of a chunk of the job's tasks are done, and where the others may run |
+//! | `t/ID/CHUNK` | a chunk of the job's tasks: which of them are done, and where the others may run |
 
 mod chunk;
 mod json_size;
--- a/src/storage/records/chunk.rs
+++ b/src/storage/records/chunk.rs
@@ -54,8 +54,8 @@
 pub fn chunk_size(value_kb: f64, zone_len: usize) -> u32 {
     let assignment_bytes = ASSIGNMENT_BYTES + zone_len as f64;
     let fitting = ((value_kb * 1024.0 - CHUNK_OVERHEAD_BYTES) / assignment_bytes).max(0.0) as u32;
-    let digit = TASKS_PER_DIGIT as u32;
-    fitting.clamp(MIN_CHUNK_SIZE, MAX_CHUNK_SIZE) / digit * digit
+    let tasks_per_digit = TASKS_PER_DIGIT as u32;
+    fitting.clamp(MIN_CHUNK_SIZE, MAX_CHUNK_SIZE) / tasks_per_digit * tasks_per_digit
 }
 
 /// Encodes which tasks are done as hex digits, for [`ChunkRecord::done`].
--- a/src/storage/tests/versions.rs
+++ b/src/storage/tests/versions.rs
@@ -13,8 +13,8 @@
 fn evidence_is_complete_only_if_every_controller_has_a_current_key() {
     let current = || to_value(&VersionRecord { version: VERSION, nonce: 7 });
     let older = || to_value(&VersionRecord { version: 1, nonce: 7 });
-    // (listings in the order of the reads, whether all controllers are known to run
-    // this version after the last one)
+    // (listings in the order in which they were read, whether the evidence is complete
+    // after the last listing)
     type Keys = Vec<(&'static str, Value)>;
     let cases: Vec<(Vec<Keys>, bool)> = vec![
         (vec![], false),
--- a/src/storage/versions.rs
+++ b/src/storage/versions.rs
@@ -1,5 +1,5 @@
-//! Evidence that all controllers run this version: a feature that older versions
-//! can't handle is used only once all of them do.
+//! Evidence that all controllers run this version. A feature that older versions can't
+//! handle is used only once there is such evidence.
 //!
 //! A controller of this version writes the key `version/LABEL`, attached to no
 //! store lease, when it starts. Older versions write no such key. It is removed only
--- a/src/transport/descriptors.rs
+++ b/src/transport/descriptors.rs
@@ -20,7 +20,7 @@
 /// to the hard limit if that is lower.
 ///
 /// The usual soft limit of 1,024 is lower than the number of sockets that a controller
-/// of a large fleet may use. Above it, connections of workers would fail.
+/// of a large fleet may use. Connections of workers beyond that limit would fail.
 pub fn raise_descriptor_limit(sockets: usize) -> DescriptorLimit {
     let needed = sockets as u64 + OTHER_DESCRIPTORS;
     let limit = getrlimit(Resource::Nofile);
--- a/src/transport/http/parse.rs
+++ b/src/transport/http/parse.rs
@@ -11,7 +11,7 @@
 /// Maximum size of the head of a request or a reply, in bytes.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Maximum size of a reply body, in bytes. Replies of `/changes` have no limit of their
-/// own; this one only prevents a broken service from exhausting the memory.
+/// own; this constant only prevents a broken service from exhausting the memory.
 pub const MAX_REPLY_BODY_BYTES: usize = 24 * 1024 * 1024;
 /// Maximum number of header fields in one message.
 const MAX_HEADER_FIELDS: usize = 48;
--- a/src/transport/http/status.rs
+++ b/src/transport/http/status.rs
@@ -27,7 +27,8 @@
 /// The service is temporarily unable to handle the request.
 pub const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// Returns the reason phrase of a status code; `Status` for any code not listed here.
+/// Returns the reason phrase of a status code that this process sends; `Status` for any
+/// other code.
 pub fn reason_phrase(code: u16) -> &'static str {
     match code {
         OK => "OK",
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -59,7 +59,7 @@
     /// Buffer for reads, shared by all connections.
     read_buffer: Vec<u8>,
     next_expiry_check: u64,
-    /// Time of the next attempt to free sockets; none could be freed at the last one.
+    /// Earliest time of the next attempt to free sockets, set when an attempt freed none.
     free_sockets_retry_at: u64,
 }
 
--- a/src/transport/net/call.rs
+++ b/src/transport/net/call.rs
@@ -7,7 +7,7 @@
 /// One request to a service (key-value store or cloud) or to a worker.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Address of the service.
+    /// Address of the service or worker.
     pub destination: SocketAddr,
     /// Method of the request.
     pub method: Method,
--- a/src/transport/net/connection.rs
+++ b/src/transport/net/connection.rs
@@ -72,7 +72,8 @@
     pub output: Vec<u8>,
     /// Number of bytes of `output` that were already written to the socket.
     pub written: usize,
-    /// The connection is closed at this time, in ms of [`super::Net::now`].
+    /// Time at which the connection is closed, in ms of [`super::Net::now`]; not applied to an
+    /// established outbound peer link.
     pub deadline: u64,
 }
 
@@ -82,8 +83,8 @@
         self.output.len() - self.written
     }
 
-    /// Reports whether this is a connection of an HTTP client without a request that is
-    /// being received or handled.
+    /// Reports whether this is an HTTP client's connection on which no request is being
+    /// received or handled.
     pub fn awaits_request(&self) -> bool {
         matches!(self.role, Role::Server { responding: false, .. }) && self.input.is_empty()
     }
--- a/src/transport/net/limits.rs
+++ b/src/transport/net/limits.rs
@@ -5,8 +5,9 @@
 const RESERVED_SOCKETS_DIVISOR: usize = 16;
 /// Minimum number of sockets that are reserved, however small the limit.
 const MIN_RESERVED_SOCKETS: usize = 16;
-/// One in this many of the sockets for accepted connections is reserved for users and
-/// health probes; connections that carry only heartbeats don't keep it occupied.
+/// Of the sockets for accepted connections, one in this many is reserved for users and
+/// health probes: connections that carry only heartbeats are closed instead of staying open
+/// on a reserved socket.
 const USER_SOCKETS_DIVISOR: usize = 8;
 /// One socket in this many may be an idle connection kept for later outgoing calls.
 const IDLE_CONNECTIONS_DIVISOR: usize = 16;
@@ -18,14 +19,14 @@
 pub struct Limits {
     /// Maximum number of open sockets, including listeners and peer links.
     pub sockets: usize,
-    /// An accepted connection without a request (or, from a peer, without input) for
-    /// this long is closed, in ms.
+    /// Time, in ms, after which an accepted connection is closed if no request was received
+    /// on it, or, on a peer's connection, no input.
     pub idle_timeout_ms: u64,
     /// Time within which a request must be received completely, from its first byte, in
     /// ms. Otherwise its connection is closed.
     pub request_timeout_ms: u64,
-    /// At the socket limit, a client's connection that has had no request for this long,
-    /// in ms, may be closed to admit another.
+    /// Time without a request, in ms, after which a client's connection may be closed to
+    /// admit another one when the socket limit is reached.
     pub stale_after_ms: u64,
 }
 
--- a/src/transport/net/outgoing.rs
+++ b/src/transport/net/outgoing.rs
@@ -11,8 +11,8 @@
 };
 use crate::transport::http::{self, Parsed};
 
-/// Time after which an idle connection to a service is closed, in ms. It ends before the
-/// services close the connection themselves.
+/// Time after which an idle connection to a service is closed, in ms; shorter than the
+/// time after which the services close it themselves.
 const POOL_IDLE_TIMEOUT_MS: u64 = 30_000;
 
 impl Net {
@@ -74,8 +74,8 @@
         Disposition::Keep
     }
 
-    /// Closes the connection to a service that has been idle longest. Returns whether
-    /// there was one.
+    /// Closes the idle connection that has been idle longest, whichever service it leads
+    /// to. Returns whether there was an idle connection.
     pub(super) fn close_longest_idle_connection(&mut self) -> bool {
         while let Some(longest_idle) = self.pool.pop_longest_idle() {
             let still_idle = self.connections.get(&longest_idle.id).is_some_and(|connection| {
--- a/src/transport/net/pool.rs
+++ b/src/transport/net/pool.rs
@@ -31,8 +31,8 @@
         self.by_service.get_mut(&service).and_then(Vec::pop)
     }
 
-    /// Adds an idle connection. Returns whether it was added: not if the service already
-    /// has [`MAX_IDLE_PER_SERVICE`].
+    /// Adds an idle connection. Returns false, without adding it, if the pool already has
+    /// [`MAX_IDLE_PER_SERVICE`] connections to the service.
     pub fn add(&mut self, service: SocketAddr, idle: IdleConnection) -> bool {
         let connections = self.by_service.entry(service).or_default();
         if connections.len() >= MAX_IDLE_PER_SERVICE {
--- a/src/transport/net/server.rs
+++ b/src/transport/net/server.rs
@@ -18,11 +18,12 @@
 const MAX_ACCEPTS_PER_ITERATION: usize = 64;
 /// Maximum number of connections closed at once when the socket limit is reached.
 const MAX_CLOSED_AT_ONCE: usize = 32;
-/// Delay, in ms, before the next search for connections to close after one that found none.
+/// Minimum time, in ms, from a search for connections to close that found none to the next
+/// search.
 const FREE_SOCKETS_RETRY_MS: u64 = 50;
-/// Maximum number of bytes that a client may send before it has received the response to
-/// its request: one more request. Requests are never pipelined, so a connection with more
-/// input is closed.
+/// Maximum number of bytes of input that are kept while a request of the same client is
+/// handled: the size of the largest next request. Requests are never pipelined, so a
+/// connection with more input is closed.
 const MAX_PENDING_INPUT_BYTES: usize = http::MAX_REQUEST_BODY_BYTES + http::MAX_HEAD_BYTES;
 
 /// The protocol of a listener's connections.
--- a/src/transport/tests/net.rs
+++ b/src/transport/tests/net.rs
@@ -116,8 +116,8 @@
     );
 }
 
-/// After a halt of the process, the input pending in its sockets is old: its requests must
-/// not be executed and its responses must not be accepted.
+/// After a halt of the process, the input pending in its sockets is old: requests in that
+/// input must not be executed, and responses in it must not be accepted.
 #[test]
 fn drop_stale_io_discards_requests_and_replies_read_before_it() {
     let mut server = start_server(Limits {
@@ -155,7 +155,7 @@
 }
 
 /// Connections of machines that no longer existed stayed open. At the socket limit, running
-/// machines could then not connect until their leases expired.
+/// machines could then not connect, and their leases expired.
 #[test]
 fn longest_idle_connections_are_closed_when_the_socket_limit_is_reached() {
     let mut server =
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -71,8 +71,8 @@
     for (name, bytes) in &lines {
         assert_eq!(hex(&decode_and_encode(name, bytes)), hex(bytes), "{name}");
     }
-    // The submission named a prerequisite, which `ac1d836` ignores: its record is the one
-    // that this version writes for a job without prerequisites.
+    // The submission named a prerequisite, which `ac1d836` ignores: the record that it wrote
+    // is the one that this version writes for the same job without prerequisites.
     let submitted: Submission = cbor::decode(&body).unwrap();
     assert_eq!(submitted.prereqs(), ["j-000398"]);
     let pending: JobRecord = decode_record(&lines["job/pending"]);
@@ -82,8 +82,8 @@
     let Ok(Frame::Gossip(frame)) = peers::decode(&lines["frame/full"]) else { panic!("expected a gossip frame") };
     assert!(!frame.reads_notices(), "the gossip of ac1d836 must not show that its sender reads notices");
     assert_eq!((&*frame.from, frame.count, frame.echoes.len(), frame.counts.len()), ("n-2", 41, 2, 1));
-    // A done record of `ac1d836` holds no time of completion, its cancelled record keeps
-    // all fields.
+    // A done record of `ac1d836` holds no time of completion; a cancelled record of that
+    // version keeps all fields.
     for (name, want) in
         [("job/pending", JobStatus::Pending), ("job/cancelled", JobStatus::Cancelled), ("job/done", JobStatus::Done)]
     {
@@ -114,7 +114,7 @@
     let job = |submission: Submission, status, at_ms, tasks_per_chunk| {
         encode_record(&JobRecord { submission, status, at_ms, tasks_per_chunk })
     };
-    let ended = Submission { tasks: Some(16.0), ..Submission::default() };
+    let done_submission = Submission { tasks: Some(16.0), ..Submission::default() };
     let waiting = Submission { prereqs: Some(vec!["j-000398".into(), "j-000405".into()]), ..submission() };
     let chunk = ChunkRecord {
         done: "6".into(),
@@ -148,7 +148,7 @@
         ("job/pending", job(submission(), JobStatus::Pending, 1_780_000_000_000, 28)),
         ("job/cancelled", job(submission(), JobStatus::Cancelled, 1_780_000_000_000, 28)),
         // With the time of completion, for the jobs that wait for this one.
-        ("job/done", job(ended, JobStatus::Done, 1_780_000_123_456, 28)),
+        ("job/done", job(done_submission, JobStatus::Done, 1_780_000_123_456, 28)),
         ("job/waiting", job(waiting, JobStatus::Pending, 1_780_000_000_000, 28)),
         ("chunk/000001", encode_record(&chunk)),
         ("leader/n-4", encode_record(&LeaderRecord { label: "n-4".into(), nonce: 9 })),
@@ -261,7 +261,7 @@
 }
 
 /// Returns every form of this version that `ddfa46b` may read.
-fn forms_beside_ddfa46b() -> Vec<(&'static str, Vec<u8>)> {
+fn forms_read_by_ddfa46b() -> Vec<(&'static str, Vec<u8>)> {
     let waiting = Submission { prereqs: Some(vec!["j-000398".into(), "j-000405".into()]), ..submission() };
     let cancelled =
         JobRecord { submission: waiting, status: JobStatus::Cancelled, at_ms: 1_780_000_000_000, tasks_per_chunk: 28 };
@@ -278,14 +278,14 @@
 
 #[test]
 fn ddfa46b_rewrites_forms_of_this_version_unchanged() {
-    let forms = forms_beside_ddfa46b();
+    let forms = forms_read_by_ddfa46b();
     for (name, bytes) in &forms {
         println!("beside {name} {}", hex(bytes)); // the content of `this-beside-ddfa46b.txt`
     }
     let (written, rewritten) = (read_fixture("this-beside-ddfa46b.txt"), read_fixture("this-as-ddfa46b-rewrites.txt"));
     for (name, bytes) in &forms {
         assert_eq!(hex(bytes), hex(&written[*name]), "{name}: the form has changed, or the fixture is out of date");
-        assert_eq!(hex(&written[*name]), hex(&rewritten[*name]), "{name}: ddfa46b rewrites the form with a change");
+        assert_eq!(hex(&written[*name]), hex(&rewritten[*name]), "{name}: ddfa46b changed the form when it rewrote it");
     }
     assert_eq!((written.len(), rewritten.len()), (forms.len(), forms.len()));
     let kept: JobRecord = decode_record(&rewritten["job/waiting"]);
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -319,7 +319,7 @@
 /// version. `tests/upgrade.rs` checks the same with a running controller of a version
 /// that doesn't support prerequisites.
 #[test]
-fn prerequisites_require_all_versions_and_propagate_cancellation() {
+fn prerequisites_need_a_version_record_of_every_controller_and_propagate_cancellation() {
     let mut cluster = LoopbackCluster::prepare("pipelines", &SHARED_SETTINGS);
     let controllers = &mut cluster.controllers;
     controllers[0].start();
--- a/tests/loopback_cluster/controllers.rs
+++ b/tests/loopback_cluster/controllers.rs
@@ -89,7 +89,8 @@
     pub next: Option<Limits>,
 }
 
-/// Addresses that a controller listens on, and its address of the key-value store.
+/// Addresses that a controller listens on, and the address at which the key-value store
+/// serves it.
 pub struct Addresses {
     client: SocketAddr,
     cluster: SocketAddr,
--- a/tests/loopback_cluster/history.rs
+++ b/tests/loopback_cluster/history.rs
@@ -73,8 +73,8 @@
     }
 }
 
-/// Checks that a job reported as done is recorded as done, and that a user cancelled a job
-/// reported as cancelled, or one of its prerequisites.
+/// Checks that a job reported as done is recorded as done, and that for a job reported
+/// as cancelled, a user cancelled the job or one of its prerequisites.
 fn check_final_status(id: &str, job: &AcceptedJob, final_status: Option<&str>, is_recorded_done: bool) {
     match final_status {
         Some("done") => assert!(is_recorded_done, "{id} was reported as done, but isn't recorded as done"),
@@ -91,7 +91,7 @@
     let tasks: BTreeSet<&str> = starts.iter().map(|start| &*start.task).collect();
     assert_eq!(tasks.len(), starts.len(), "{id}: a task started twice: {starts:?}");
     if is_done {
-        assert_eq!(starts.len(), job.tasks as usize, "{id} is done, but not each of its tasks started");
+        assert_eq!(starts.len(), job.tasks as usize, "{id} is done, but some of its tasks did not start");
     }
     if let Some(at) = job.cancelled_at {
         assert!(starts.iter().all(|start| start.at <= at), "{id}: a task started after the cancellation: {starts:?}");
--- a/tests/loopback_cluster/http.rs
+++ b/tests/loopback_cluster/http.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// Serves until the test process exits, with one thread per connection, and returns the
-/// address.
+/// Starts a server with one thread per connection, which runs until the test process
+/// exits, and returns its address.
 pub fn serve(handler: impl Fn(&str, &str, &[u8]) -> Response + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
--- a/tests/loopback_cluster/key_value_store.rs
+++ b/tests/loopback_cluster/key_value_store.rs
@@ -179,8 +179,8 @@
     /// Ends a store lease, and deletes the keys that refer to it.
     fn end_store_lease(&mut self, id: StoreLeaseId) {
         self.store_leases.remove(&id);
-        let held = self.keys.iter().filter(|(_, stored)| stored.store_lease == Some(id));
-        let keys: Vec<String> = held.map(|(key, _)| key.clone()).collect();
+        let attached = self.keys.iter().filter(|(_, stored)| stored.store_lease == Some(id));
+        let keys: Vec<String> = attached.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.revision += 1;
             self.keys.remove(&key);
@@ -241,7 +241,8 @@
     }
 }
 
-/// Serves the store with the faults of one controller's access, and returns the address.
+/// Starts a server through which one controller uses the store, with the faults in
+/// `access`, and returns its address.
 pub fn serve_store(store: Arc<Mutex<Store>>, access: Arc<StoreAccess>) -> SocketAddr {
     serve(move |method, path, bytes| {
         if access.is_unavailable() {
@@ -300,7 +301,7 @@
         let mut locked = store.lock().unwrap();
         locked.expire_store_leases();
         let changes = locked.changes(prefix, from);
-        // During an outage open watches stay open.
+        // During an outage, a watch that is already open receives no response.
         let is_stalled = access.stalls_reads_of(prefix) || access.is_unavailable();
         if !is_stalled && (!changes.events.is_empty() || Instant::now() >= until) {
             return Response::encoded(200, &changes);
--- a/tests/loopback_cluster/upgrade.rs
+++ b/tests/loopback_cluster/upgrade.rs
@@ -142,8 +142,8 @@
         self.submit_body(index, job, |bytes| bytes);
     }
 
-    /// Submits a job like [`UpgradeTest::submit`], with tasks of which a hundred fit the
-    /// worker.
+    /// Submits a job like [`UpgradeTest::submit`], with tasks so small that a hundred of
+    /// them fit the worker.
     pub fn submit_small(&mut self, index: usize, job: Job) {
         self.submit_body(index, job, |bytes| small_tasks(&bytes));
     }
--- a/tests/loopback_cluster/worker.rs
+++ b/tests/loopback_cluster/worker.rs
@@ -89,7 +89,8 @@
     pub token: u64,
     /// Attempts that weren't reaped yet.
     pub tasks: Vec<WorkerTask>,
-    /// When the last heartbeat that received 200 was sent; None: none did.
+    /// When the last heartbeat with the response 200 was sent; None: there was no such
+    /// heartbeat.
     pub last_renewal: Option<Instant>,
     /// Jobs whose tasks exit on request of the test.
     finishing: BTreeSet<String>,
@@ -205,8 +206,8 @@
     pub state: Arc<Mutex<Worker>>,
 }
 
-/// Starts a worker that sends heartbeats until `stop` is set, to one controller until
-/// that one doesn't respond with 200, then to the next.
+/// Starts a worker that sends heartbeats until `stop` is set. It sends them to one
+/// controller, and after one that did not receive the response 200, to the next controller.
 pub fn start_worker(controllers: Arc<Mutex<Vec<SocketAddr>>>, stop: Arc<AtomicBool>) -> WorkerHandle {
     let state = Arc::new(Mutex::new(Worker::new()));
     let shared = state.clone();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -226,14 +226,14 @@
     wait_for("both jobs running", || {
         (upgrade.cluster.running_tasks("j-100001") + upgrade.cluster.running_tasks("j-100002") == 2).then_some(())
     });
-    // The second controller is replaced, and one of the production version leads.
+    // The second controller is replaced, and a controller of the production version leads.
     upgrade.cluster.controllers[1].kill();
     let old = upgrade.wait_for_leader(Version::Production);
     upgrade.versions[1] = Version::This;
     upgrade.start_controller(1);
     let other = 2 - old;
 
-    // The tasks of the heads exit while there is no leader.
+    // In this stage and the next two, the tasks of the head exit while there is no leader.
     let stage = run_stage(&mut upgrade, FIRST_STAGE, Version::Production);
     upgrade.finish(&stage.head);
     upgrade.cluster.controllers[old].kill();
