--- a/tests/combined_failures/cancellations.rs
+++ b/tests/combined_failures/cancellations.rs
@@ -4,11 +4,11 @@
 
 use crate::simulation::{submission, Simulation, CANCEL_MS, LEASE_MS};
 
-/// A controller that can't read the records may renew leases only for
-/// `cancel_s - lease_s` less a margin after its last read was sent; otherwise the tasks of
-/// a cancelled job run for too long. Here the store refuses only the leader, another
-/// controller confirms a cancellation at that moment, and a second later the key-value
-/// store is unavailable for all controllers.
+/// After a controller sent its last successful read of the records, it may renew leases only
+/// for the time `cancel_s - lease_s`, reduced by a margin; otherwise the tasks of a cancelled
+/// job run for too long. Here the store refuses only the leader, another controller confirms
+/// a cancellation at that moment, and a second later the store is unavailable for all
+/// controllers.
 pub fn cancelled_while_the_store_refuses_only_the_leader(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 4), 500_000);
     sim.submit(submission("j-2", "service", 4), 0);
@@ -19,8 +19,8 @@
     sim.run(100);
     assert!(sim.cancel("j-1"));
     sim.run(1_000);
-    // The leader's store lease expires: from now on it may only renew the leases of workers
-    // whose tasks run.
+    // The leader's store lease expires. From then on, the controller may renew the leases of
+    // workers whose tasks run, and do nothing else.
     sim.run(3_000);
     sim.stop_leader();
     sim.workers
@@ -33,9 +33,9 @@
     sim.run(20_000);
 }
 
-/// A worker that reaches no controller is queried, and its response is accepted as contact,
-/// so that it continues to receive direct commands: a cancellation must not wait for the
-/// end of its lease.
+/// The leader queries a worker whose heartbeats reach no controller, and accepts the response
+/// as contact, so that the worker continues to receive direct commands: a cancellation must
+/// not wait for the end of the worker's lease.
 pub fn workers_reach_no_controller_but_commands_reach_them(sim: &mut Simulation) {
     sim.submit(submission("j-1", "batch", 6), 500_000);
     sim.submit(submission("j-2", "service", 6), 0);
@@ -50,9 +50,10 @@
     sim.run(LEASE_MS * 2);
 }
 
-/// "done" is written only on condition of the job's own revision, so that it never replaces
-/// a cancellation; and a job that is done can't be cancelled. Here the cancellation falls
-/// into each of the moments around the exit of the last task.
+/// The status "done" is written only on condition that the job's record still has the
+/// revision that the leader knows, so that it never replaces a cancellation; and a job that
+/// is done can't be cancelled. Here the jobs are cancelled at different moments around the
+/// exit of their last task.
 pub fn cancelled_around_the_end_of_the_last_task(sim: &mut Simulation) {
     sim.run(4_000);
     sim.store.conditions.transaction_latency_max_ms = 400;
--- a/tests/combined_failures/heartbeats.rs
+++ b/tests/combined_failures/heartbeats.rs
@@ -10,10 +10,11 @@
     simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS},
 };
 
-/// Heartbeats are ordered by incarnation and sequence number, and one of an ended
-/// incarnation must neither end an assignment nor restore one. Here copies from before the
+/// Heartbeats are ordered by incarnation and sequence number, and a heartbeat of an ended
+/// incarnation must neither end nor restore an assignment. Here copies from before the
 /// launch, from an earlier attempt and from an earlier incarnation arrive in the wrong
-/// order, at the leader that has newer heartbeats and at one that has none.
+/// order, first at a leader that has received newer heartbeats, then at the next leader,
+/// which has received none.
 pub fn stale_heartbeats_after_newer_ones(sim: &mut Simulation) {
     sim.run(4_000);
     let mut old = sim.latest_heartbeats();
@@ -71,8 +72,8 @@
     sim.workers.iter_mut().for_each(|worker| worker.faults.partitioned = true);
     sim.elect();
     sim.run(LEASE_MS + 3_000);
-    // No machine is free: the tasks that the copies list are waiting, and the copies must not
-    // be accepted as proof that they run.
+    // No machine is free, so the tasks wait. The heartbeat copies list these tasks, but must
+    // not be accepted as proof that the tasks run.
     deliver_heartbeats_later(sim, &late, 0);
     sim.run(300);
     let index = sim.controller.job_cache().find("j-1").unwrap();
@@ -91,8 +92,8 @@
     assert!(sim.now() > now);
 }
 
-/// An exit that a heartbeat copy lists applies to its own attempt only, and a new leader
-/// must not end an assignment because of a heartbeat that doesn't carry its token. Here
+/// An exit that a heartbeat copy lists applies to the listed attempt only, and a new leader
+/// must not end an assignment because of a heartbeat that doesn't carry the leader's token. Here
 /// old copies list a stopped attempt as exited while a new attempt of the same task runs
 /// on the same machine.
 pub fn earlier_attempt_is_reported_as_ended(sim: &mut Simulation) {
--- a/tests/combined_failures/leader_changes.rs
+++ b/tests/combined_failures/leader_changes.rs
@@ -34,10 +34,10 @@
     sim.run(LEASE_MS + 10_000);
 }
 
-/// A transaction takes effect only in the term of the leader that sent it, and the
-/// fencing tokens of a later leader are higher than all earlier ones. Here ten leaders
-/// follow in two minutes, with transactions and commands of earlier ones in flight;
-/// three of them can't write at all.
+/// A transaction takes effect only in the term of the leader that sent it, and the fencing
+/// tokens of a later leader are higher than those of all earlier leaders. Here ten leaders
+/// follow in two minutes, with transactions and commands of earlier leaders in flight; the
+/// store refuses all requests of two of them, which can't write at all.
 pub fn ten_leaders_in_two_minutes(sim: &mut Simulation) {
     sim.network.rates = FaultRates {
         late_transaction: 40,
@@ -67,8 +67,8 @@
 
 /// An assignment that an earlier leader wrote must be treated as launched, whether it was
 /// or not; only the task's exit, a new incarnation or the end of the lease releases it.
-/// Here the second leader ends within a fraction of a second, then no controller is
-/// available, and one returns.
+/// Here the second and the third leader each end within a fraction of a second, then there
+/// is no leader for a moment, and another is elected.
 pub fn repeated_failover_with_launches_in_flight(sim: &mut Simulation) {
     sim.workers.settings.image_fetch_ms = 0;
     sim.workers.iter_mut().skip(2).for_each(|worker| worker.dead = true);
@@ -104,7 +104,8 @@
     for n in 0..5usize {
         sim.run_until("the next task ends", 60_000, |sim| sim.workers.completed_count() > n);
         sim.network.rates = FaultRates { lost_transaction_response: 30, ..FaultRates::default() };
-        // The exit was sent in a heartbeat, acknowledged and perhaps written when the leader ends.
+        // Depending on the delay, the exit has been sent in a heartbeat, acknowledged or
+        // written when the leader ends.
         sim.run([100, 700, 1_200, 4_000, 8_500][n]);
         sim.elect();
         sim.network.rates = FaultRates::default();
@@ -145,9 +146,9 @@
     assert!(sim.all_running("j-3", 2));
 }
 
-/// Regression test: delayed copies of old heartbeats, and one or two workers that still
-/// reached it, kept a leader in place that all other workers could not reach, until their
-/// leases had expired.
+/// Regression test: a leader stayed in place although all but one or two workers could not
+/// reach it, until the leases of the other workers had expired. Those one or two workers, and
+/// delayed copies of old heartbeats, were taken as sufficient contact.
 pub fn leader_that_few_workers_reach(sim: &mut Simulation) {
     const ISOLATED_AFTER_MS: Millis = 8_000;
     sim.add_workers(8);
--- a/tests/combined_failures/main.rs
+++ b/tests/combined_failures/main.rs
@@ -99,8 +99,8 @@
     run_table_variants(cases, VARIANTS, prepare);
 }
 
-/// Creates the simulation of a variant; every second variant of a case has the full
-/// behaviour of gangs.
+/// Creates the simulation of a variant. In every second variant of a case, the tasks of a
+/// gang wait for each other to start, and exit when one of them is lost.
 fn prepare(seed: u64) -> Simulation {
     let mut sim = Simulation::new(seed, 4);
     sim.workers.settings.gang_semantics = (seed / VARIANT_SEEDS) % 2 == 1;
--- a/tests/combined_failures/partitions.rs
+++ b/tests/combined_failures/partitions.rs
@@ -34,11 +34,12 @@
     sim.end_faults();
     sim.run_until_settled("jobs bound to a zone", 200_000);
     let new_in_b = sim.workers.iter().skip(6).filter(|worker| worker.spec.zone == "b").count();
-    assert!(new_in_b <= 3, "{new_in_b} machines provisioned in a zone where no task may run");
+    assert!(new_in_b <= 3, "{new_in_b} machines provisioned in zone b, to which no job is bound");
 }
 
 /// The new leader must respect the leases that another controller may have renewed, and
-/// those renewals must end in time for jobs that are cancelled through the new leader.
+/// those renewals must end early enough that the tasks of jobs cancelled through the new
+/// leader stop in time.
 /// Here the old controller is partitioned from the key-value store and the other
 /// controllers, but half of the workers still reach it, and commands reach them.
 pub fn partitioned_leader_that_workers_still_reach(sim: &mut Simulation) {
@@ -71,8 +72,8 @@
     sim.run_until_settled("jobs on the old leader's workers", 150_000);
 }
 
-/// A worker lease in a partitioned zone is treated as expired only if the controller
-/// inside has confirmed that it renewed no lease up to the end of that lease.
+/// A worker lease in a partitioned zone is treated as expired only if the controller inside
+/// the zone has confirmed that it renewed no lease up to the end of that lease.
 /// Here the zone is partitioned for longer than a lease, and its controller renews leases
 /// for part of that time. A gang bound to the zone and a spread service run there; no task
 /// of theirs may restart in the other zone while it may still run.
--- a/tests/combined_failures/random_faults.rs
+++ b/tests/combined_failures/random_faults.rs
@@ -149,8 +149,8 @@
     }
 }
 
-/// Replaces the leader, while another controller renews the leases of one zone for a
-/// random part of the longest time that it may.
+/// Replaces the leader, while another controller renews the leases of one zone's workers for
+/// a random part of the longest time for which renewals are allowed.
 fn replace_leader_while_a_peer_renews_leases(sim: &mut Simulation, zone: &str) {
     sim.stop_leader();
     let renewal = sim.random_below(Simulation::longest_renewal_by_peer() as usize) as u64;
--- a/tests/combined_failures/slow_network.rs
+++ b/tests/combined_failures/slow_network.rs
@@ -9,9 +9,9 @@
 
 /// A launch without a response is fenced by a raised token, and its assignment is kept
 /// until the worker has acknowledged that token; otherwise the queued launch starts a task
-/// that also runs elsewhere. Here the machine hangs with the command queued, the task is
-/// stopped in the meantime, and the machine resumes within its lease, and once more after
-/// its lease.
+/// that also runs elsewhere. Here a machine hangs with the command queued, the task is
+/// stopped in the meantime, and the machine resumes: in three of the four runs within its
+/// lease, in the other one after its lease has expired.
 pub fn delayed_command_to_a_machine_that_resumes(sim: &mut Simulation) {
     sim.workers.settings.image_fetch_ms = 0;
     sim.workers.iter_mut().skip(2).for_each(|worker| worker.dead = true);
@@ -24,8 +24,8 @@
         sim.submit(job, 0);
         sim.run(500);
         assert!(sim.network.has_commands_with_lost_response(at), "no command is queued for the hung machine");
-        // The gang's other machine is lost as well, long after the last heartbeat of this
-        // one: the gang restarts.
+        // Long after the hung machine's last heartbeat, the gang's other machine is lost as
+        // well: the gang restarts.
         sim.run(10_500);
         sim.restart_worker(1 - at);
         sim.run(hang - 15_000);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -18,8 +18,8 @@
     submission(id, kind, tasks).with_cpus(0.1).with_memory_gb(0.1)
 }
 
-/// Creates a simulation in which jobs are recorded under a limit of 16 KiB for a value, and a
-/// limit of 1 KiB is announced.
+/// Creates a simulation in which the limit on a value is 16 KiB, and the controllers are
+/// configured for a lower limit of 1 KiB that may replace it.
 fn simulation(seed: u64) -> Simulation {
     let mut sim = Simulation::new(seed, 4);
     sim.workers.settings.slots = 80;
@@ -74,12 +74,12 @@
 fn limits_lowered_while_a_gang_runs(sim: &mut Simulation) {
     sim.controller.settings.may_reshard = true;
     sim.submit(small_job("j-1", "ensemble", 60), 20_000);
-    let failing = sim.add_worker("a");
+    let added = sim.add_worker("a");
     // The gang keeps running in its old chunks; once it is lost, it is resharded.
     sim.run_until("the last task of the gang runs", 20_000, |sim| sim.worker_running("j-1/59").is_some());
     sim.store.conditions.value_bytes_max = KB;
-    let failing = sim.workers.iter().position(|worker| worker.id == failing).unwrap();
-    sim.workers[failing].dead = true;
+    let added = sim.workers.iter().position(|worker| worker.id == added).unwrap();
+    sim.workers[added].dead = true;
     let busy = sim.workers.iter().position(|worker| !worker.tasks.is_empty());
     sim.restart_worker(busy.expect("the gang runs"));
     sim.run_until("j-1 is done", 120_000, all_done(&["j-1"]));
@@ -108,8 +108,8 @@
     sim.run_until("j-1 is done", 60_000, all_done(&["j-1"]));
 }
 
-/// Runs until a write of the leader has been refused under the lower limit; its next write is
-/// in the new chunks.
+/// Allows resharding, lowers the limit and submits a job. Runs until the store has refused a
+/// write of the leader under the lower limit; the leader's next write is in the new chunks.
 fn run_until_limits_are_refused(sim: &mut Simulation, id: &str, kind: &str) {
     sim.controller.settings.may_reshard = true;
     sim.store.conditions.value_bytes_max = KB;
@@ -139,8 +139,8 @@
     sim.run_until("j-1 is done", 120_000, all_done(&["j-1"]));
 }
 
-/// No task may be placed while it is unknown whether the old or the new chunks are in effect,
-/// because the response to the resharding was lost.
+/// After the response to the resharding is lost, it is unknown whether the old or the new
+/// chunks are in effect. No task may be placed until that is known.
 fn responses_are_lost_during_resharding(sim: &mut Simulation) {
     for id in ["j-1", "j-2", "j-3", "j-4", "j-5", "j-6"] {
         sim.elect();
@@ -166,7 +166,8 @@
             sim.network.rates = FaultRates::default();
         }
     }
-    // Running jobs: the resharding is written, but its response is lost.
+    // Jobs that run when they are cancelled: their resharding is written, but the response to
+    // it is lost.
     for n in 0..8 {
         let id = format!("j-7{n}");
         sim.controller.settings.may_reshard = false;
--- a/tests/pipelines/job_cache.rs
+++ b/tests/pipelines/job_cache.rs
@@ -52,11 +52,12 @@
         change(&six, Pending, 100, 2),
         change(&one, Cancelled, 100, 20),
         change(&six, Done, 7_000, 21),
-        // A late copy, and a cancellation of a job that is already cancelled.
+        // A cancellation of j-3, which is already cancelled through its prerequisite. The older
+        // record of j-3 may be read after this one.
         change(&rest[1], Cancelled, 100, 30),
     ];
     all.extend(rest.iter().enumerate().map(|(n, r)| change(r, Pending, 100, 3 + n as u64)));
-    let mut state = 7u64;
+    let mut random_state = 7u64;
     for round in 0..500 {
         let mut job_cache = JobCache::default();
         for change in &all {
@@ -71,8 +72,8 @@
         let last = job_cache.find("j-7").unwrap();
         assert!(!job_cache.has_unfinished_prerequisites(last) && job_cache.ready_ms(last) == 7_000, "round {round}");
         for i in (1..all.len()).rev() {
-            state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            all.swap(i, (state >> 33) as usize % (i + 1));
+            random_state = random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            all.swap(i, (random_state >> 33) as usize % (i + 1));
         }
     }
 }
@@ -147,8 +148,8 @@
     }
 }
 
-/// Deep chains, wide fan-outs and wide joins must load quickly, in any order, and the end of
-/// a job may only cost work for its dependents.
+/// Deep chains, wide fan-outs and wide joins must load quickly, in any order. The completion
+/// of a job may change only that job and its direct dependents.
 #[test]
 fn deep_and_wide_graphs_load_quickly_and_a_completion_changes_only_dependents() {
     let name = |n: usize| format!("j-{n:06}");
@@ -169,7 +170,7 @@
         ("lattice", lattice),
     ] {
         for backwards in [false, true] {
-            for end in [JobStatus::Cancelled, JobStatus::Done] {
+            for final_status in [JobStatus::Cancelled, JobStatus::Done] {
                 let last = graph.len() - 1;
                 let submissions: Vec<Submission> = graph
                     .iter()
@@ -194,24 +195,25 @@
                 job_cache.apply_changes(&Changes { store_revision: Revision(10_000), events }, &mut interners);
                 let loaded = began.elapsed();
                 job_cache.take_changed();
-                let change = change(&submissions[0], end, 1, 20_000);
+                let change = change(&submissions[0], final_status, 1, 20_000);
                 job_cache
                     .apply_changes(&Changes { store_revision: Revision(20_000), events: vec![change] }, &mut interners);
                 let elapsed = began.elapsed();
                 let changed = job_cache.take_changed().len();
                 eprintln!(
-                    "{graph_name}, backwards {backwards}: loaded in {loaded:?}, {end:?} at {elapsed:?}, {changed} changed"
+                    "{graph_name}, backwards {backwards}: loaded in {loaded:?}, {final_status:?} at {elapsed:?}, \
+                     {changed} changed"
                 );
                 // The limit holds for an unoptimized build, with a margin for a busy machine.
                 assert!(elapsed < Duration::from_secs(5), "{graph_name} took {elapsed:?}");
                 let direct_dependents = graph.iter().filter(|p| p.contains(&name(0))).count();
-                if end == JobStatus::Done {
+                if final_status == JobStatus::Done {
                     assert!(changed <= 1 + direct_dependents, "{graph_name}: {changed} jobs changed by one completion");
                 } else if graph_name != "join" && graph_name != "lattice" {
                     assert_eq!(changed, graph.len(), "{graph_name}");
                 }
                 assert!(
-                    end == JobStatus::Done
+                    final_status == JobStatus::Done
                         || job_cache.get(job_cache.find(&name(last)).unwrap()).status == JobStatus::Cancelled
                 );
             }
--- a/tests/pipelines/random_faults.rs
+++ b/tests/pipelines/random_faults.rs
@@ -79,9 +79,9 @@
 
 /// Five controllers of two versions take turns as leader and are upgraded one by one, under
 /// frequent faults. Jobs with prerequisites are submitted only once all controllers are
-/// upgraded, and name jobs that either version recorded or completed. Controllers of the
-/// previous version are simulated by this version's logic with the previous format of
-/// records; other differences of a previous process are not covered.
+/// upgraded; their prerequisites may have been recorded or completed by either version.
+/// Controllers of the previous version are simulated by this version's logic with the
+/// previous format of records; other differences between the versions are not covered.
 #[test]
 fn pipelines_finish_after_a_rolling_upgrade_under_faults() {
     for seed in 0..8 {
@@ -102,7 +102,8 @@
         let mut is_upgraded = [false; 5];
         let mut names: Vec<String> = Vec::new();
         for round in 0..40 {
-            // A process that ends before its upgrade restarts with the previous version.
+            // From round 8 on, controllers are upgraded one by one. A controller that ends before its
+            // upgrade restarts with the previous version.
             if round >= 8 && sim.random_below(2) == 0 {
                 if let Some(n) = is_upgraded.iter().position(|upgraded| !upgraded) {
                     is_upgraded[n] = true;
--- a/tests/pipelines/urgency.rs
+++ b/tests/pipelines/urgency.rs
@@ -93,11 +93,12 @@
     sim.run_until("the low-priority job is done", 60_000, is_done("j-2"));
 }
 
-/// Much more expensive machines are provisioned for jobs that have waited; the wait for a
-/// prerequisite must not be included.
+/// Much more expensive machines are provisioned only for jobs that have waited long enough;
+/// the time that a job waits for its prerequisite must not be included.
 pub fn scale_out_urgency_counts_from_the_last_prerequisite(sim: &mut Simulation) {
     const MIN_WAIT_FOR_EXPENSIVE_MS: u64 = 48_000;
-    // On demand, a machine costs 50 times as much: low priority pays that after waiting 48.5 s.
+    // On demand, a machine costs 50 times as much as a spot machine; for a job of low priority,
+    // that price is paid after a wait of 48.5 s.
     sim.cloud.settings.spot_price = 0.02;
     sim.elect();
     sim.workers.iter_mut().skip(1).for_each(|worker| worker.dead = true);
@@ -159,8 +160,8 @@
     sim.run_until("the other team's job is done", 60_000, is_done("j-5"));
 }
 
-/// A running job that inherited the priority of a later dependent must not be preempted by a
-/// normal-priority job of another team, which would have preempted it before.
+/// A normal-priority job of another team could preempt a running low-priority job. Once the
+/// running job has inherited the priority of a later dependent, it must not be preempted.
 pub fn late_urgent_dependent_protects_a_running_job(sim: &mut Simulation) {
     const LONGER_THAN_PREEMPTION_DELAY_MS: u64 = 30_000;
     sim.submit(whole_machine("j-9", "service", 3, "high", &[]), 0);
--- a/tests/safety_rules/autoscaling.rs
+++ b/tests/safety_rules/autoscaling.rs
@@ -27,8 +27,8 @@
 }
 
 /// Regression test: machines were provisioned without end in one zone for a gang that
-/// must be spread over two zones, and half of them in each zone for a gang that must be
-/// in one.
+/// must be spread over two zones; and for a gang that must run in one zone, half of the
+/// machines were provisioned in each zone.
 pub fn machines_are_provisioned_in_the_zones_that_need_them(sim: &mut Simulation) {
     sim.cloud.settings.capacity = 20;
     for worker in sim.workers.iter_mut().filter(|worker| worker.spec.zone == "b") {
--- a/tests/safety_rules/best_effort.rs
+++ b/tests/safety_rules/best_effort.rs
@@ -30,8 +30,8 @@
     sim.run_until("the best-effort job is done", 400_000, |sim| sim.status("j-1") == JobStatus::Done);
 }
 
-/// Regression test: tasks that run for minutes, of a team without a guarantee, took all
-/// capacity as it became free; tasks of the same priority of other teams waited for them.
+/// Regression test: the tasks of a team without a guarantee, which run for minutes, took all
+/// capacity as it became free. Other teams' tasks of the same priority waited for their end.
 pub fn best_effort_tasks_leave_capacity_for_other_teams(sim: &mut Simulation) {
     sim.controller.settings.quotas.red_gpus_guaranteed = Some(4.0);
     sim.add_workers(296);
@@ -70,9 +70,9 @@
     );
     sim.run_until("the job runs on the existing machines", 10_000, |sim| sim.worker_running("j-1/0").is_some());
     sim.cloud.settings.capacity = 20;
-    let expensive_machines_released =
+    let only_expensive_machines_are_released =
         |sim: &Simulation| sim.workers.iter().all(|worker| worker.dead == (worker.spec.machine_type == MACHINE_TYPE));
-    sim.run_until("the expensive machines are released", 60_000, expensive_machines_released);
+    sim.run_until("the expensive machines are released", 60_000, only_expensive_machines_are_released);
     assert!(
         sim.workers.halts().iter().all(|halt| halt.grace_s >= 3.0),
         "a task was stopped without the time to save a checkpoint"
--- a/tests/safety_rules/cancellations.rs
+++ b/tests/safety_rules/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations that the leader reads late.
+//! Cancellations while a launch is in flight or while there is no leader.
 
 use shedhook::storage::records::JobStatus;
 
--- a/tests/safety_rules/large_jobs.rs
+++ b/tests/safety_rules/large_jobs.rs
@@ -32,7 +32,7 @@
 pub fn largest_gang_starts_in_time(sim: &mut Simulation) {
     sim.submit(submission("j-1", "ensemble", 4).with_cpus(4.0).with_one_zone(true), 100_000);
     sim.submit(submission("j-2", "batch", 400).with_priority("low").with_cpus(4.0), 1_000);
-    // Small jobs always exceed the free capacity, and arrive a moment before it becomes free.
+    // Small jobs always exceed the free capacity, and arrive just before machines become free.
     for n in 0..60 {
         let mut job = submission(&format!("j-{}", 100 + n), "batch", 8);
         (job.cpus, job.estimate_s) = (Some(4.0), Some(5.0));
--- a/tests/safety_rules/launches.rs
+++ b/tests/safety_rules/launches.rs
@@ -1,4 +1,5 @@
-//! Launches: none without a committed record, and none by a command that arrives late or twice.
+//! Launches: no task is launched before its record is committed, and none runs twice because a
+//! command arrives late or twice.
 
 use shedhook::{protocol::workers::TaskState, storage::records::JobStatus};
 
@@ -51,9 +52,9 @@
     assert!(sim.worker_running("j-1/0").is_some());
 }
 
-/// A launch without a response may still arrive until the worker has acknowledged
-/// the raised token. A heartbeat before that which doesn't list the task doesn't
-/// prove that the task will not run.
+/// A launch without a response may still arrive until the worker has acknowledged the
+/// raised token. Until then, a heartbeat that doesn't list the task isn't proof that the
+/// task will not run.
 pub fn gang_fails_with_a_launch_in_flight(sim: &mut Simulation) {
     sim.workers.iter_mut().skip(2).for_each(|worker| worker.dead = true);
     sim.run(5_000);
--- a/tests/safety_rules/main.rs
+++ b/tests/safety_rules/main.rs
@@ -1,5 +1,6 @@
-//! The safety rules of PROTOCOL as one table of cases. Each case delays, loses or
-//! crashes something; the invariants of `simulation` are checked at every step.
+//! The safety rules of the protocol (PROTOCOL) as one table of cases. Each case delays or
+//! loses messages, or crashes processes; the invariants of `simulation` are checked at
+//! every step.
 
 mod autoscaling;
 mod best_effort;
--- a/tests/safety_rules/placement.rs
+++ b/tests/safety_rules/placement.rs
@@ -1,10 +1,10 @@
-//! Placement: quotas, zones, spread, and the order in which a gang is preempted.
+//! Placement: quotas, zones, spread, and the preemption of a whole gang at once.
 
 use crate::simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS};
 
-/// The quota must include assignments whose tasks may still be running: the machine
-/// sends no heartbeats and the job is cancelled, but its tasks run on until the lease
-/// expires.
+/// The quota must include assignments whose tasks may still be running. Here a machine's
+/// heartbeats are lost and the job is cancelled, but the job's tasks on that machine run on
+/// until the worker lease expires.
 pub fn quota_includes_tasks_of_an_unreachable_machine(sim: &mut Simulation) {
     sim.controller.settings.quotas.red_gpus_max = Some(4.0);
     sim.elect();
--- a/tests/safety_rules/random_faults.rs
+++ b/tests/safety_rules/random_faults.rs
@@ -4,8 +4,8 @@
 
 use crate::simulation::{submission, FaultRates, Simulation, SubmissionBuilder};
 
-/// All kinds of faults occur at random, with fixed seeds. No safety rule may be
-/// broken, and all arrays must be done once the faults are over.
+/// All kinds of faults occur at random, with fixed seeds. No safety rule may be broken. Once
+/// the faults are over, services are cancelled, and every job must be done or cancelled.
 #[test]
 fn safety_rules_hold_and_arrays_complete_under_random_faults() {
     for seed in 0..32 {
--- a/tests/safety_rules/scale.rs
+++ b/tests/safety_rules/scale.rs
@@ -47,7 +47,7 @@
     sim.run_until("all arrays are done", 60_000, arrays_done);
     assert!(refused <= 3, "{refused} submissions refused at a fifteenth of the limit");
     assert!(sim.write_budgets().refused() == 0, "the key-value store refused writes");
-    // Only a sample of the machines is examined for a task, whatever their number; most
+    // However many machines there are, only a sample of them is examined for a task; most
     // tasks are placed beside another task of their job.
     let per_task = examined(&sim) / tasks as u64;
     assert!(per_task <= 2 * HOSTS_EXAMINED_MAX as u64, "{per_task} machines examined for a task");
--- a/tests/safety_rules/worker_leases.rs
+++ b/tests/safety_rules/worker_leases.rs
@@ -3,9 +3,9 @@
 
 use crate::simulation::{submission, Simulation, SubmissionBuilder, LEASE_MS};
 
-/// An incarnation that is learned from the response to a probe or a command has a
-/// lease of its own, which starts when it was seen, although no heartbeat of it was
-/// received.
+/// A leader may learn of a new incarnation from the response to a probe or a command, before
+/// it receives any heartbeat of that incarnation. The incarnation has a lease of its own,
+/// which starts when it was seen.
 pub fn new_incarnation_seen_by_a_probe(sim: &mut Simulation) {
     sim.submit(submission("j-1", "service", 9), 0);
     sim.run_until("all tasks run", 10_000, |sim| sim.worker_running("j-1/8").is_some());
@@ -20,7 +20,7 @@
     sim.run_until("the service runs", 10_000, |sim| sim.worker_running("j-1/0").is_some());
     let placed_on = sim.worker_running("j-1/0").unwrap();
     sim.workers[placed_on].faults.partitioned = true;
-    // Missing heartbeats don't prove that a task has ended before the lease has expired; the
+    // Until the lease has expired, missing heartbeats don't prove that a task has ended. The
     // lease starts at the last response with status 200.
     sim.run(LEASE_MS - 2_000);
     assert_eq!(sim.worker_running("j-1/0"), Some(placed_on));
@@ -49,10 +49,10 @@
     sim.run_until("all tasks run again", 40_000, |sim| sim.all_running("j-1", 4) && sim.all_running("j-2", 3));
 }
 
-/// Behind a partition, another controller renews the worker leases for a while. The
-/// leader outside, elected since, must not treat any of them as expired by its own
-/// clock, nor, once the partition is over, before the last renewed lease has expired.
-/// Tasks that are cancelled in the meantime must be gone in time.
+/// Behind a partition, another controller renews the worker leases for a while. The leader
+/// on the other side, elected after the partition began, must not treat any of these leases
+/// as expired by its own clock. After the partition, it must wait until the last renewed
+/// lease has expired. Tasks that are cancelled in the meantime must be gone in time.
 pub fn leases_renewed_behind_a_partition(sim: &mut Simulation) {
     for zone in ["b", "b", "a", "a", "a"] {
         sim.add_worker(zone);
--- a/tests/simulation/cases.rs
+++ b/tests/simulation/cases.rs
@@ -8,7 +8,7 @@
 
 /// A case of a table.
 pub struct Case {
-    /// The condition that the case tests, for its output.
+    /// Condition and expected result; printed when the case starts and when it fails.
     name: &'static str,
     run: fn(&mut Simulation),
 }
@@ -29,9 +29,9 @@
 }
 
 /// Runs each case in `variants` variants, each in the simulation that `prepare`
-/// creates from the variant's seed. Fails with the names and seeds of all that failed.
-/// The seeds of a case are its number in the table, and that number plus multiples of
-/// a hundred.
+/// creates from the variant's seed. Fails with the names and seeds of all runs that
+/// failed. Variant `v` of the case with index `n` in the table has the seed `100 * v + n`;
+/// both start at 0.
 pub fn run_table_variants(cases: &[Case], variants: u64, prepare: fn(u64) -> Simulation) {
     assert!((cases.len() as u64) < VARIANT_SEEDS);
     let mut failed = Vec::new();
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -1,5 +1,5 @@
-//! The cloud: provisions and lists machines, and responds to a repeated request as to
-//! the first one.
+//! The cloud: provisions and lists machines. A repeated scale-out request gets the same
+//! response as the first one, and provisions no further machines.
 
 use std::collections::HashMap;
 
@@ -16,7 +16,8 @@
     workers::SimulatedWorkers,
 };
 
-/// The machine type of all machines that exist from the start; it has GPUs.
+/// The machine type of all workers that test cases add, also offered by the cloud; it has
+/// GPUs.
 pub const MACHINE_TYPE: &str = "m";
 
 /// A machine type at a tenth of the price of [`MACHINE_TYPE`], without GPUs.
@@ -90,7 +91,7 @@
         self.requests.clear();
     }
 
-    /// Returns how many distinct scale-out requests provisioned machines.
+    /// Returns the number of distinct scale-out requests for which machines were provisioned.
     pub fn fulfilled_requests(&self) -> usize {
         self.provisioned.len()
     }
@@ -127,14 +128,16 @@
         types
     }
 
-    /// Returns a page of the machine list; `None`: refused.
+    /// Returns the page of the machine list that begins after the machine `from`, or the
+    /// first page if `from` is `None`. Returns `None` if the request is refused.
     pub(super) fn list(&mut self, now: Millis, from: Option<&str>, workers: &SimulatedWorkers) -> Option<HostList> {
         self.pages_requested += 1;
         if self.settings.refuses_every_second_page && self.pages_requested.is_multiple_of(2) {
             return None;
         }
-        let is_on_page = |worker: &&Worker| !worker.dead && from.is_none_or(|from| worker.id.as_str() > from);
-        let rest: Vec<ListedHost> = workers.iter().filter(is_on_page).map(|worker| listed_host(worker, now)).collect();
+        let is_listed_after_from = |worker: &&Worker| !worker.dead && from.is_none_or(|from| worker.id.as_str() > from);
+        let rest: Vec<ListedHost> =
+            workers.iter().filter(is_listed_after_from).map(|worker| listed_host(worker, now)).collect();
         let truncated = rest.len() > self.settings.list_page_size;
         Some(HostList { hosts: rest.into_iter().take(self.settings.list_page_size).collect(), truncated })
     }
@@ -151,8 +154,8 @@
         if let Some(ids) = self.provisioned.get(&request.request) {
             return Some(ids.clone());
         }
-        let capacity_of_kind = if request.spot { self.settings.spot_capacity } else { u32::MAX };
-        let count = request.count.min(self.settings.capacity).min(capacity_of_kind);
+        let spot_limit = if request.spot { self.settings.spot_capacity } else { u32::MAX };
+        let count = request.count.min(self.settings.capacity).min(spot_limit);
         if count == 0 {
             return None;
         }
--- a/tests/simulation/commits.rs
+++ b/tests/simulation/commits.rs
@@ -14,8 +14,8 @@
 /// Most conditions that a transaction may have.
 const TRANSACTION_CONDITIONS_MAX: usize = 32;
 
-/// Returns the violations of a transaction sent by the leader whose key has the revision
-/// `leadership`.
+/// Checks a transaction of the leader and returns the violated rules. `leadership` is the
+/// present revision of the leader's key.
 fn transaction_violations(now: u64, transaction: &Transaction, leadership: Revision) -> Vec<String> {
     let mut violations = Vec::new();
     let writes = transaction.writes.len();
@@ -45,7 +45,7 @@
 }
 
 impl Simulation {
-    /// Sends the leader's next transaction, if it has writes and is allowed to commit.
+    /// Sends the leader's next transaction, if the leader has writes and may commit now.
     pub(super) fn commit(&mut self) {
         let now = self.now;
         self.controller.resync(now, &self.store);
--- a/tests/simulation/controller.rs
+++ b/tests/simulation/controller.rs
@@ -1,5 +1,5 @@
 //! The leading controller: elections, reads of the store's changes, and the library's
-//! leader with the state that it works with.
+//! leader with its job cache and interned names.
 
 use shedhook::{
     coordination::{
@@ -38,7 +38,8 @@
     changes: Changes,
 }
 
-/// The leading controller, or the state that remains while there is no leader.
+/// The controller that leads. Between two leaders, `leader` is `None` and the job cache
+/// keeps the last state that was read.
 pub struct SimulatedController {
     pub settings: ControllerSettings,
     leader: Option<Leader>,
@@ -144,8 +145,8 @@
         self.leader = Some(leader);
     }
 
-    /// Reads what changed in the store. Returns true when the read completed at once, so
-    /// that the controller reports to users what the store holds.
+    /// Reads what changed in the store. Returns true if the read completed at once: then
+    /// the statuses that the controller reports to users are those in the store.
     fn read_changes(&mut self, now: Millis, store: &SimulatedStore, random: &mut RandomSource) -> bool {
         if store.conditions.refuses_leader || self.settings.reads_paused {
             return false;
@@ -177,8 +178,10 @@
         for index in changed {
             leader.update_job(now, now, index, &self.job_cache);
         }
-        // When controllers behind the partition are reachable again, they report when they
-        // last renewed a worker lease.
+        // The span in which no other controller renewed a worker lease, as far as the leader
+        // knows. While controllers behind a partition are unreachable, it doesn't extend past
+        // the moment at which they became so; once they are reachable again, they report when
+        // they last renewed a worker lease.
         let unreachable_since = self.settings.peers_unreachable_since;
         let mut no_peer_renewals =
             TimeSpan { from: self.last_peer_renewal as i64, to: unreachable_since.unwrap_or(now) as i64 };
@@ -307,8 +310,8 @@
 }
 
 impl Simulation {
-    /// Elects a new leader. The leader's key is written for it, even if the previous
-    /// leader has calls in flight.
+    /// Elects a new leader by writing the leader's key, and replaces the previous leader if
+    /// there is one; the calls that it has in flight still arrive.
     pub fn elect(&mut self) {
         let revision = self.store.acquire_leadership();
         let nonce = self.random.nonce();
--- a/tests/simulation/controller_settings.rs
+++ b/tests/simulation/controller_settings.rs
@@ -34,12 +34,12 @@
     pub quotas: TeamQuotas,
     /// A machine is replaced when no heartbeat has been received from it for this long.
     pub heartbeat_timeout_ms: Millis,
-    /// The announced limit on a value, in bytes.
+    /// The store's present limit on a value, as configured, in bytes.
     pub value_bytes_max: usize,
-    /// The size in bytes up to which values will also fit under a later, reduced limit.
+    /// Size of the largest value that also fits the lower limit which may replace the
+    /// present one, in bytes.
     pub reduced_value_bytes_max: usize,
-    /// Number of tasks per chunk up to which a chunk's record will also fit under a
-    /// later, reduced limit.
+    /// Number of tasks per chunk up to which a chunk's record also fits that lower limit.
     pub reduced_tasks_per_chunk: u32,
     /// Whether all controllers support resharding: dividing a job into chunks again.
     pub may_reshard: bool,
@@ -48,10 +48,11 @@
     pub writes_previous_format: bool,
     /// The leader doesn't read the store's changes.
     pub reads_paused: bool,
-    /// The leader crashes just before it sends its next transaction; cleared by that.
+    /// The leader crashes just before it sends its next transaction; the crash clears this
+    /// setting.
     pub crash_before_transaction: bool,
     /// The leader crashes just after the store has processed its next transaction, before
-    /// it receives the response; cleared by that.
+    /// it receives the response; the crash clears this setting.
     pub crash_after_transaction: bool,
     /// Since when the controllers behind a partition have been unreachable; `None`: all
     /// controllers are reachable.
--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -17,7 +17,7 @@
 };
 
 impl Simulation {
-    /// Performs a call that the leader requested, and passes it the outcome.
+    /// Performs a call that the leader requested, and passes the outcome to the leader.
     pub(super) fn perform_effect(&mut self, effect: Effect) {
         let now = self.now;
         match effect {
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -139,8 +139,8 @@
             }
         }
         let job = &self.users[id];
-        // Stricter than the protocol: the completion of the prerequisites must be written
-        // as well.
+        // All tasks of the prerequisites must have completed. Stricter than the protocol: the
+        // store must also hold the status done of each prerequisite.
         for prerequisite in job.submission.prereqs() {
             if !self.has_completed(prerequisite) || self.status(prerequisite) != JobStatus::Done {
                 violations
@@ -170,8 +170,8 @@
         violations
     }
 
-    /// Returns how many of a job's tasks occupy machines in each zone, without the task
-    /// `except`.
+    /// Returns for each zone how many tasks of a job occupy machines there, not counting the
+    /// task `except`.
     fn tasks_by_zone(&self, id: &str, except: &str) -> HashMap<&str, u32> {
         let mut zones: HashMap<&str, u32> = HashMap::new();
         for worker in self.workers.alive() {
@@ -205,7 +205,8 @@
 
     /// Reports whether reaping this attempt would lose a completion that is not written.
     fn is_reaped_too_early(&self, worker: &str, task: &str, attempt: Attempt) -> bool {
-        // A stopped attempt carries no information if the task completed elsewhere.
+        // If the worker lists this attempt with another exit reason than done, reaping it
+        // loses no completion, even if another attempt of the task completed.
         let position = self.workers.position(worker);
         let listed = position
             .and_then(|position| self.workers[position].tasks.iter().find(|held| held.is_attempt(task, attempt)));
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -78,7 +78,8 @@
 }
 
 impl Simulation {
-    /// Creates a cluster without a leader, whose workers are in both zones in turn.
+    /// Creates a cluster of `workers` workers, alternately in the first and the second
+    /// zone. There is no leader until one is elected.
     pub fn new(seed: u64, workers: usize) -> Simulation {
         let mut simulation = Simulation {
             store: SimulatedStore::default(),
@@ -97,7 +98,7 @@
         simulation
     }
 
-    /// Adds `count` workers, in both zones in turn, starting with the first zone.
+    /// Adds `count` workers, alternately in the first and the second zone.
     pub fn add_workers(&mut self, count: usize) {
         for zone in ZONES.into_iter().cycle().take(count) {
             self.add_worker(zone);
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -52,7 +52,8 @@
     pub late_command: u32,
     /// A command never arrives.
     pub lost_command: u32,
-    /// A command is executed with a response, and a copy of it arrives again later.
+    /// A command is executed and its response arrives; later, a copy of the command arrives
+    /// as well.
     pub repeated_command: u32,
     /// A command is executed with a delay of up to two seconds, and its response
     /// arrives then.
@@ -115,27 +116,27 @@
         self.delayed.iter_mut().for_each(|delayed| delayed.due = due);
     }
 
-    /// Reports whether commands to this worker, whose response is lost, are in flight.
+    /// Reports whether any command to this worker is in flight that will get no response.
     pub fn has_commands_with_lost_response(&self, worker: usize) -> bool {
-        self.delayed.iter().any(|delayed| delayed.is_command_for(worker))
+        self.delayed.iter().any(|delayed| delayed.is_command_with_lost_response(worker))
     }
 
-    /// Makes the commands to this worker whose response is lost arrive at the time `due`.
+    /// Makes all commands to this worker that will get no response arrive at the time `due`.
     pub fn delay_commands_with_lost_response(&mut self, worker: usize, due: Millis) {
-        let commands = self.delayed.iter_mut().filter(|delayed| delayed.is_command_for(worker));
+        let commands = self.delayed.iter_mut().filter(|delayed| delayed.is_command_with_lost_response(worker));
         commands.for_each(|delayed| delayed.due = due);
     }
 }
 
 impl DelayedMessage {
-    fn is_command_for(&self, to: usize) -> bool {
+    fn is_command_with_lost_response(&self, to: usize) -> bool {
         matches!(self.message, Message::Command { worker, .. } if worker == to)
     }
 }
 
 impl Simulation {
     /// Partitions a zone or reconnects it. `lease_renewed_by_peer`: a controller on the
-    /// zone's side of the partition renews its workers' leases.
+    /// zone's side of the partition renews the leases of the zone's workers.
     pub fn partition_zone(&mut self, zone: &str, partitioned: bool, lease_renewed_by_peer: bool) {
         for worker in self.workers.iter_mut().filter(|worker| worker.spec.zone == zone) {
             worker.faults.partitioned = partitioned;
@@ -159,8 +160,9 @@
     }
 
     /// Ends the faults of the network and of the workers, and the store's refusals and
-    /// latencies; restarts the progress check's waits, and elects a leader if there is none.
-    /// Messages in flight still arrive.
+    /// latencies. Clears the waits that the progress check has recorded, so that they are
+    /// measured from now on, and elects a leader if there is none. Messages in flight still
+    /// arrive.
     pub fn end_faults(&mut self) {
         self.network.rates = FaultRates::default();
         let conditions = &mut self.store.conditions;
--- a/tests/simulation/progress.rs
+++ b/tests/simulation/progress.rs
@@ -102,7 +102,7 @@
         !self.exceeds_quota(job, needed) && self.zones_fit(id, job, needed)
     }
 
-    /// Returns the worker that has a task in any state before its exit.
+    /// Returns the worker that has an attempt of this task in any state other than exited.
     fn worker_with(&self, task: &str) -> Option<&Worker> {
         self.workers.alive().find(|worker| worker.live_tasks().any(|held| held.name == task))
     }
@@ -131,7 +131,7 @@
         a.fits + b.fits >= needed
     }
 
-    /// Returns the job's capacity in a zone.
+    /// Returns how many more tasks of this job fit in a zone, and how many are placed there.
     fn zone_capacity(&self, id: &str, job: &SubmittedJob, zone: &str) -> ZoneCapacity {
         let is_allowed = |worker: &&Worker| {
             let in_zone = worker.spec.zone == zone && job.submission.zone.as_ref().is_none_or(|only| only == zone);
@@ -146,7 +146,8 @@
         ZoneCapacity { fits, placed }
     }
 
-    /// Returns how many more tasks of this job fit on a worker, beside its live tasks.
+    /// Returns how many more tasks of this job fit on a worker, in addition to the worker's
+    /// live tasks.
     fn tasks_that_fit(&self, job: &SubmittedJob, worker: &Worker) -> usize {
         let (mut slots_used, mut cpus_left, mut gpus_left) = (0, 8.0, 4.0);
         for other in worker.live_tasks().filter_map(|task| self.users.job_of(&task.name)) {
--- a/tests/simulation/queries.rs
+++ b/tests/simulation/queries.rs
@@ -8,7 +8,8 @@
 use super::{users::SubmittedJob, Simulation, CANCEL_MS, LEASE_MS};
 
 impl Simulation {
-    /// Returns how long, in ms, a controller that doesn't lead may renew worker leases.
+    /// Returns how long, in ms, a controller that doesn't lead may renew worker leases
+    /// after its last contact with the key-value store.
     pub fn longest_renewal_by_peer() -> Millis {
         lease_renewal::leaderless_window_ms(CANCEL_MS as f64 / 1000.0, LEASE_MS as f64 / 1000.0)
     }
@@ -27,12 +28,14 @@
         &self.users[id]
     }
 
-    /// Returns the number of the worker whose machine a task occupies.
+    /// Returns the index of the worker whose machine a task occupies; `None`: it occupies
+    /// no machine.
     pub fn worker_running(&self, task: &str) -> Option<usize> {
         self.workers.iter().position(|worker| worker.is_occupied_by(task))
     }
 
-    /// Returns the number of the worker of each of a job's first `tasks` tasks.
+    /// Returns, for each of the first `tasks` tasks of a job, the index of the worker whose
+    /// machine it occupies.
     pub fn assignments(&self, id: &str, tasks: u32) -> Vec<Option<usize>> {
         (0..tasks).map(|number| self.worker_running(&format!("{id}/{number}"))).collect()
     }
@@ -45,8 +48,8 @@
         self.assignments(id, tasks).iter().all(Option::is_none)
     }
 
-    /// Returns each worker's current state as a heartbeat, with the sequence number of
-    /// the last one it sent.
+    /// Returns each worker's current state as a heartbeat, with the sequence number of the
+    /// last heartbeat that the worker sent.
     pub fn latest_heartbeats(&self) -> Vec<Heartbeat> {
         self.workers.iter().map(|worker| worker.latest_heartbeat()).collect()
     }
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -22,11 +22,11 @@
 
 /// Limits, latencies and faults of the leader's requests to the store.
 pub struct StoreConditions {
-    /// Number of transactions that it still accepts before it refuses all; `None`: no
-    /// limit.
+    /// Number of transactions that the store still accepts; it refuses all later ones.
+    /// `None`: no limit.
     pub transactions_left: Option<u32>,
     /// The leader's reads and transactions are refused with 503. A read that is already
-    /// pending completes only after that.
+    /// pending doesn't complete before the refusals end.
     pub refuses_leader: bool,
     /// Longest duration of a read of the changes; 0: it completes at once.
     pub read_latency_max_ms: Millis,
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -40,13 +40,13 @@
         self.submission.kind.as_deref() == Some("service")
     }
 
-    /// Returns the names of its tasks, given the job's name `id`.
+    /// Returns the names of the job's tasks; `id` is the name of the job.
     pub(super) fn task_names<'a>(&self, id: &'a str) -> impl Iterator<Item = String> + 'a {
         (0..self.tasks()).map(move |number| format!("{id}/{number}"))
     }
 }
 
-/// All submitted jobs.
+/// The users, as the list of all jobs that they have submitted.
 pub struct SimulatedUsers {
     /// Tasks in one chunk record; few, so that small jobs have several records.
     pub tasks_per_chunk: u32,
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -10,7 +10,7 @@
 
 use super::{HEARTBEAT_INTERVAL_MS, LEASE_MS};
 
-/// Shortest time between a heartbeat and the next one, if that reports a changed state.
+/// Shortest time from one heartbeat to the next when the worker's state has changed since.
 const CHANGE_DELAY_MS: Millis = 500;
 
 /// One attempt of a task on a worker.
@@ -25,7 +25,8 @@
 }
 
 impl WorkerTask {
-    /// Reports whether the attempt occupies its machine in the sense of the invariants.
+    /// Reports whether the attempt runs or waits for the other tasks of its gang; the
+    /// invariants treat such an attempt as occupying its machine.
     pub(super) fn occupies_machine(&self) -> bool {
         matches!(self.state, TaskState::Running | TaskState::Waiting)
     }
@@ -93,14 +94,14 @@
     incarnation: Incarnation,
     sequence: SequenceNumber,
     token: FencingToken,
-    /// When the last heartbeat that received a response was sent, or when the
-    /// incarnation began.
+    /// Start of the worker lease: when the worker sent the last heartbeat that received a
+    /// response, or when the incarnation began.
     lease_start: Millis,
     next_heartbeat: Millis,
     /// Whether the state has changed since the last heartbeat.
     changed: bool,
-    /// When a higher token was last treated as a changed state, which happens at most
-    /// once in half a worker lease.
+    /// When the worker last treated the receipt of a higher token as a change of its state,
+    /// so that its next heartbeat is sent early; at most once in half a worker lease.
     token_reported_at: Option<Millis>,
 }
 
@@ -238,7 +239,8 @@
         }
     }
 
-    /// Renews the lease if another controller would; returns whether it was renewed.
+    /// Renews the lease if another controller renews it in place of the leader; returns
+    /// whether it was renewed.
     pub(super) fn renew_by_peer(&mut self, sent_at: Millis) -> bool {
         let renewed =
             self.faults.loses_heartbeats() && self.faults.lease_renewed_by_peer && self.token > FencingToken(0);
@@ -248,8 +250,9 @@
         renewed
     }
 
-    /// Processes the response to a heartbeat sent at `sent`, which renews the lease.
-    /// Returns false when it is from an earlier leader, whose commands must be ignored.
+    /// Processes the response to a heartbeat that was sent at `sent_at`, and renews the
+    /// lease. Returns false, without a renewal, when the response is from an earlier leader,
+    /// whose commands must be ignored.
     pub(super) fn accept_response(&mut self, sent_at: Millis, response: &HeartbeatResponse) -> bool {
         if response.token < self.token {
             return false;
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -25,7 +25,7 @@
 /// How long a gang's task keeps running after another task of the gang is lost.
 const GANG_PEER_MS: Millis = 8_000;
 
-/// Number of consecutive tasks that have different run times.
+/// Number of consecutive tasks of a job after which the extra run time starts again at 0.
 const RUN_STEPS: u32 = 16;
 
 /// Settings of all workers.
@@ -34,8 +34,8 @@
     pub slots: usize,
     /// How long it takes to fetch an image.
     pub image_fetch_ms: Millis,
-    /// How much longer each task runs than the one before it; starts again after sixteen
-    /// tasks.
+    /// How much longer each task of a job runs than the task before it. After 16 tasks
+    /// (`RUN_STEPS`), the extra run time starts again at 0.
     pub run_step_ms: Millis,
     /// Tasks of a gang wait for each other to start, and exit when one of them is lost.
     pub gang_semantics: bool,
@@ -122,7 +122,7 @@
         self.iter().filter(|worker| !worker.dead)
     }
 
-    /// Returns the position in the list of the worker with this name.
+    /// Returns the index of the worker with this name.
     pub(super) fn position(&self, id: &str) -> Option<usize> {
         self.iter().position(|worker| worker.id == id)
     }
@@ -155,7 +155,8 @@
         &self.halts
     }
 
-    /// Returns the number of launches of tasks that had completed and were reaped.
+    /// Returns the number of launches of tasks that had already completed. A repeated launch
+    /// of an attempt that its worker still lists isn't included.
     pub fn relaunches_of_completed(&self) -> usize {
         self.relaunches_of_completed
     }
@@ -169,18 +170,18 @@
         job: &SubmittedJob,
     ) -> Option<Transition> {
         let completed = self.has_completed(&task.name);
-        let waits_for_peers = self.settings.gang_semantics && job.is_gang() && !completed;
+        let depends_on_peers = self.settings.gang_semantics && job.is_gang() && !completed;
         let elapsed = |duration: Millis| now >= task.since + duration;
         let fails_after_ms = job.fails_after_ms.or(self[worker].fails_after_ms);
         let run_ms = job.run_ms + self.extra_run_ms(&task.name);
         match task.state {
             TaskState::Fetching if !elapsed(self.settings.image_fetch_ms) => None,
-            TaskState::Fetching if waits_for_peers => Some(Transition::to(TaskState::Waiting)),
+            TaskState::Fetching if depends_on_peers => Some(Transition::to(TaskState::Waiting)),
             TaskState::Fetching if completed => Some(Transition::exit(ExitReason::Done)),
             TaskState::Fetching => Some(Transition::to(TaskState::Running)),
             TaskState::Waiting if self.has_all_peers(task, job) => Some(Transition::to(TaskState::Running)),
             TaskState::Waiting if elapsed(GANG_WAIT_MS) => Some(Transition::exit(ExitReason::Alone)),
-            TaskState::Running if waits_for_peers && self.has_lost_peer(now, task, job) => {
+            TaskState::Running if depends_on_peers && self.has_lost_peer(now, task, job) => {
                 Some(Transition::exit(ExitReason::Peers))
             }
             TaskState::Running if fails_after_ms.is_some_and(elapsed) => Some(Transition::exit(ExitReason::Error)),
@@ -196,8 +197,8 @@
         split_task(task).map_or(0, |(_, number)| Millis::from(number % RUN_STEPS) * self.settings.run_step_ms)
     }
 
-    /// Reports whether every task of this task's gang has completed, or occupies, in the
-    /// same attempt, a machine that isn't hung.
+    /// Reports whether all tasks of this task's gang are present: each of them has completed,
+    /// or its attempt with the same number occupies a machine that isn't hung.
     fn has_all_peers(&self, task: &WorkerTask, job: &SubmittedJob) -> bool {
         let Some((id, _)) = split_task(&task.name) else { return false };
         let is_present = |name: &str| {
--- a/tests/simulation/write_budget.rs
+++ b/tests/simulation/write_budget.rs
@@ -11,8 +11,8 @@
 /// Initial and smallest fraction of the limit for the commits of a controller.
 const COMMITS_SHARE: f64 = 0.5;
 
-/// Commits may include writes that can wait while more than this fraction of their
-/// budget is unused.
+/// Fraction of the commit budget; only while more than this is unused, commits may include
+/// writes that can wait.
 const SPARE_SHARE: f64 = 0.6;
 
 /// A controller's budgets of the store's writes.
@@ -81,14 +81,14 @@
                 let others = usage.iter().enumerate().filter(|(other, _)| *other != own);
                 others.map(|(_, usage)| Some(part(usage))).collect()
             };
-            let mut all = of_others(|usage| usage.users + usage.commits);
-            all.push(Some(usage[own].commits));
-            let users_share = allotted_rate(self.limit, LimitUser::Users(count), &all);
-            budgets.users.set_limits(users_share, self.limit * USERS_SHARE);
-            let mut users = of_others(|usage| usage.users);
-            users.push(Some(usage[own].users));
-            let commits_share = allotted_rate(self.limit, LimitUser::Leader, &users);
-            budgets.commits.set_limits(commits_share, self.limit * COMMITS_SHARE);
+            let mut except_own_users = of_others(|usage| usage.users + usage.commits);
+            except_own_users.push(Some(usage[own].commits));
+            let users_rate = allotted_rate(self.limit, LimitUser::Users(count), &except_own_users);
+            budgets.users.set_limits(users_rate, self.limit * USERS_SHARE);
+            let mut all_users = of_others(|usage| usage.users);
+            all_users.push(Some(usage[own].users));
+            let commits_rate = allotted_rate(self.limit, LimitUser::Leader, &all_users);
+            budgets.commits.set_limits(commits_rate, self.limit * COMMITS_SHARE);
         }
     }
 
