--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -127,9 +127,9 @@
         }
     }
 
-    /// Steps down if a worker's fencing token is nearly exhausted, or if workers reach other
-    /// controllers but hardly any of them reaches this one. Checks this at most once
-    /// per [`STEP_DOWN_CHECK_MS`].
+    /// Steps down if the raise count in a worker's fencing token is nearly exhausted, or if
+    /// workers reach other controllers but hardly any of them reaches this one. Checks this
+    /// at most once per [`STEP_DOWN_CHECK_MS`].
     fn step_down_if_unfit(&mut self, context: &mut LeaderContext, now: Millis, peers: &PeerView) {
         let Some(leader) = &self.leader else { return };
         if now < self.next_step_down_check {
@@ -186,9 +186,9 @@
         self.leader.as_mut().map_or_else(Vec::new, |leader| leader.take_progress(max))
     }
 
-    /// Records that the read of the job records' changes, which precedes the loading of the
-    /// task records, has ended. `synced`: the changes that the job cache may have missed
-    /// were applied.
+    /// Records that the read of changes to the job records has ended; it precedes the
+    /// loading of the task records. If `synced` is true, the changes that the job cache may
+    /// have missed were applied; otherwise the read is repeated after a pause.
     pub fn jobs_synced(&mut self, now: Millis, synced: bool) {
         self.task_loading.jobs_synced(now, synced);
     }
--- a/src/controller/tests/leader_key_watch.rs
+++ b/src/controller/tests/leader_key_watch.rs
@@ -6,16 +6,16 @@
     protocol::store::KeyValue,
 };
 
-struct Observed {
+struct ObserverFixture {
     election: ElectionDriver,
     renewal_key: RenewalKey,
     peers: Peers,
 }
 
-impl Observed {
-    fn new(net: &mut Net) -> Observed {
+impl ObserverFixture {
+    fn new(net: &mut Net) -> ObserverFixture {
         let settings = settings_with_peers();
-        Observed {
+        ObserverFixture {
             election: ElectionDriver::new(&identity(), 9_000),
             renewal_key: RenewalKey::new(identity(), &settings),
             peers: Peers::new(identity(), &settings.peer_settings, net),
@@ -46,7 +46,7 @@
     let mut net = new_net();
     let mut client = ServiceClient::new(&settings_with_peers());
     let mut sent = SentCalls::default();
-    let mut observed = Observed::new(&mut net);
+    let mut fixture = ObserverFixture::new(&mut net);
     let mut watch = LeaderKeyWatch::default();
 
     watch.refresh(&mut net, 0, &mut client);
@@ -60,8 +60,8 @@
         store_lease: None,
     };
     let page = Page { pairs: vec![pair], truncated: false, store_revision: Revision(7) };
-    watch.handle_reply(10, &LeaderKeyCall::Listing, &successful_reply(&page), &mut observed.observers());
-    assert_eq!(observed.election.leader(), Some("n-1"));
+    watch.handle_reply(10, &LeaderKeyCall::Listing, &successful_reply(&page), &mut fixture.observers());
+    assert_eq!(fixture.election.leader(), Some("n-1"));
 
     watch.refresh(&mut net, 10, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Watch { sent_at: 10 })"));
@@ -71,13 +71,13 @@
         20,
         &LeaderKeyCall::Watch { sent_at: 10 },
         &successful_reply(&changes),
-        &mut observed.observers(),
+        &mut fixture.observers(),
     );
-    assert_eq!((observed.election.leader(), watch.store_revision), (Some("n-2"), Revision(9)));
+    assert_eq!((fixture.election.leader(), watch.store_revision), (Some("n-2"), Revision(9)));
 
     watch.refresh(&mut net, 20, &mut client);
     assert_eq!(sent.next_debug(&mut client).as_deref(), Some("LeaderKey(Watch { sent_at: 20 })"));
-    watch.handle_reply(30, &LeaderKeyCall::Watch { sent_at: 20 }, &reply_with_status(GONE), &mut observed.observers());
+    watch.handle_reply(30, &LeaderKeyCall::Watch { sent_at: 20 }, &reply_with_status(GONE), &mut fixture.observers());
     watch.refresh(&mut net, 30 + RETRY_MS - 1, &mut client);
     assert_eq!(sent.next_debug(&mut client), None, "no request during the pause after a failure");
     watch.refresh(&mut net, 30 + RETRY_MS, &mut client);
@@ -89,38 +89,38 @@
 #[test]
 fn peers_without_keys_are_inactive_until_the_watch_was_sent() {
     let mut net = new_net();
-    let mut observed = Observed::new(&mut net);
+    let mut fixture = ObserverFixture::new(&mut net);
     let mut watch = LeaderKeyWatch::default();
     let page = Page { pairs: Vec::new(), truncated: false, store_revision: Revision(7) };
-    watch.handle_reply(100, &LeaderKeyCall::Listing, &successful_reply(&page), &mut observed.observers());
-    let mut end_watch = |observed: &mut Observed, sent_at: Millis, now: Millis, events: Vec<Change>| {
+    watch.handle_reply(100, &LeaderKeyCall::Listing, &successful_reply(&page), &mut fixture.observers());
+    let mut end_watch = |fixture: &mut ObserverFixture, sent_at: Millis, now: Millis, events: Vec<Change>| {
         let changes = Changes { store_revision: Revision(now), events };
         watch.handle_reply(
             now,
             &LeaderKeyCall::Watch { sent_at },
             &successful_reply(&changes),
-            &mut observed.observers(),
+            &mut fixture.observers(),
         );
-        let span = observed.peers.inactive_span();
+        let span = fixture.peers.inactive_span();
         (span.from, span.to)
     };
-    assert_eq!(end_watch(&mut observed, 200, 250, Vec::new()), (100, 200));
+    assert_eq!(end_watch(&mut fixture, 200, 250, Vec::new()), (100, 200));
     let n2 = records::renewal_key("n-2");
     assert_eq!(
-        end_watch(&mut observed, 300, 350, vec![written(&n2, "n-2", 9)]),
+        end_watch(&mut fixture, 300, 350, vec![written(&n2, "n-2", 9)]),
         (100, 200),
         "n-2 has its key and may renew leases"
     );
     let own = records::renewal_key("n-0");
     assert_eq!(
-        end_watch(&mut observed, 400, 450, vec![written(&own, "n-0", 10)]),
+        end_watch(&mut fixture, 400, 450, vec![written(&own, "n-0", 10)]),
         (100, 200),
         "the key of this controller is not a peer's"
     );
     assert_eq!(
-        end_watch(&mut observed, 500, 550, vec![removed(&n2, 11)]),
+        end_watch(&mut fixture, 500, 550, vec![removed(&n2, 11)]),
         (100, 200),
         "n-2 is known to have no key only since 550"
     );
-    assert_eq!(end_watch(&mut observed, 600, 650, Vec::new()), (550, 600));
+    assert_eq!(end_watch(&mut fixture, 600, 650, Vec::new()), (550, 600));
 }
--- a/src/coordination/commits/write_priority.rs
+++ b/src/coordination/commits/write_priority.rs
@@ -16,13 +16,13 @@
 pub enum WritePriority {
     /// All tasks of the job completed.
     CompletedJob,
-    /// Launches of a job of production priority wait for their records.
+    /// Unwritten assignments of a production-priority job delay the launch of its tasks.
     ProductionPlacement,
-    /// Launches of a job of high priority wait for their records.
+    /// Unwritten assignments of a high-priority job delay the launch of its tasks.
     HighPlacement,
-    /// Launches of a job of normal priority wait for their records.
+    /// Unwritten assignments of a normal-priority job delay the launch of its tasks.
     NormalPlacement,
-    /// Launches of a job of low priority wait for their records.
+    /// Unwritten assignments of a low-priority job delay the launch of its tasks.
     LowPlacement,
     /// Only exits of tasks are unwritten.
     Exits,
