--- a/src/coordination/commits/job_records.rs
+++ b/src/coordination/commits/job_records.rs
@@ -104,7 +104,7 @@
         let size = job.records.chunk_size as usize;
         let value = chunk_value(self.cluster, self.interners, job, chunk * size..(chunk + 1) * size, builder.tag());
         let bytes = records::json_size(&value);
-        // A chunk that is too large must not be sent: the store would refuse it
+        // A chunk that is too large must not be sent as it is: the store would refuse it
         // permanently.
         if bytes > self.cluster.value_limit() {
             builder.oversized_chunks.push(OversizedChunk { job: job.index, chunk });
--- a/src/coordination/commits/resharding.rs
+++ b/src/coordination/commits/resharding.rs
@@ -48,7 +48,7 @@
         self.is_enabled = is_enabled;
     }
 
-    /// Returns whether a job must be resharded now. `max_writes`: maximum number of writes
+    /// Returns whether a job is due for resharding. `max_writes`: maximum number of writes
     /// in a transaction; `has_spare_budget`: the request budget covers more than the
     /// urgent writes.
     pub fn is_due(&mut self, now: Millis, max_writes: usize, has_spare_budget: bool, cluster: &ClusterState) -> bool {
--- a/src/coordination/commits/transaction_builder.rs
+++ b/src/coordination/commits/transaction_builder.rs
@@ -66,8 +66,8 @@
     }
 
     /// Returns whether the transaction accepts the writes of one job; `writes` is their
-    /// number. If they don't all fit, only an empty transaction accepts them: a job too
-    /// large for any transaction is split.
+    /// number. If they don't all fit, only an empty transaction accepts them: the writes of
+    /// a job too large for any transaction are split over several transactions.
     pub fn accepts_job_writes(&self, writes: usize) -> bool {
         let writes_left = self.writes_left();
         writes <= writes_left || writes_left >= self.max_writes
