--- a/src/controller/instance/replies.rs
+++ b/src/controller/instance/replies.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Applies the result of a read of the jobs' changes that was sent at `sent`.
+    /// Applies the result of a read of the jobs' changes that was sent at `sent_at`.
     /// Returns whether the cache now includes all changes up to that time.
     pub(super) fn apply_job_changes(&mut self, sent_at: Millis, result: &CallResult) -> bool {
         let applied = self.jobs.apply_changes(result, &mut self.names);
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -225,9 +225,9 @@
         }
     }
 
-    /// Records the completion of a watch of the renewal keys that was sent at `sent`: a peer
-    /// without a key can't have renewed a lease between the time from which its key was
-    /// known to be absent and `sent`.
+    /// Records the completion of a watch of the renewal keys that was sent at `sent_at`: a
+    /// peer without a key can't have renewed a lease between the time from which its key
+    /// was known to be absent and `sent_at`.
     pub fn record_inactive_without_key(&mut self, sent_at: Millis) {
         for (index, peer) in self.peers.iter().enumerate() {
             if let Some(since) = peer.renewal_key_absent_since {
--- a/src/controller/renewal_key.rs
+++ b/src/controller/renewal_key.rs
@@ -121,7 +121,7 @@
         })
     }
 
-    /// Records that a read of the jobs' records that was sent at `sent` was applied.
+    /// Records that a read of the jobs' records that was sent at `sent_at` was applied.
     pub fn record_job_read(&mut self, sent_at: Millis) {
         self.authority.record_job_read(sent_at);
     }
--- a/src/controller/service_client/pending_call.rs
+++ b/src/controller/service_client/pending_call.rs
@@ -1,6 +1,6 @@
 //! Records the purpose of each pending call, so that its reply can be dispatched.
 //!
-//! In all variants `sent` is when the request was sent, in ms on the monotonic clock.
+//! In all variants `sent_at` is when the request was sent, in ms on the monotonic clock.
 
 use std::{collections::HashMap, rc::Rc};
 
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -78,8 +78,9 @@
             let Some(assignment) = self.assignments.get(assignment_index) else { continue };
             let host = assignment.machine.as_usize();
             let is_stopping = assignment.halt.is_some();
-            // The snapshot keeps the used capacity by priority, so the task's share is
-            // moved to the new priority.
+            // The snapshot keeps the used capacity by priority, from which preemption
+            // computes how much capacity it may free, so the task's share is moved to the
+            // new priority.
             self.snapshot.remove_task(host, &previous, is_stopping);
             self.snapshot.add_task(host, &spec);
             if is_stopping {
--- a/src/coordination/ephemeral_key.rs
+++ b/src/coordination/ephemeral_key.rs
@@ -220,7 +220,7 @@
     }
 
     /// Returns the earliest time at which a store lease may expire if the call that
-    /// requested or renewed it was sent at `sent`.
+    /// requested or renewed it was sent at `sent_at`.
     fn earliest_expiry(&self, sent_at: Millis) -> Millis {
         let shortest_ms = self.ttl_ms as f64 * (1.0 - CLOCK_DRIFT);
         (sent_at + shortest_ms as Millis).saturating_sub(EXPIRY_MARGIN_MS)
--- a/src/coordination/model/job/mod.rs
+++ b/src/coordination/model/job/mod.rs
@@ -60,14 +60,16 @@
     }
 }
 
-/// Counts and times of a job for the logs.
+/// Counts and times of a job for the logs; `last_assigned` is also used in scheduling.
 #[derive(Debug)]
 pub struct JobStatistics {
     /// Number of tasks stopped by command.
     pub stop_count: u32,
     /// Number of tasks lost with their machine.
     pub lost_count: u32,
-    /// When a task of the job was last assigned.
+    /// When this leader last assigned a task of the job; until it assigns one, when it added
+    /// the job to its cluster state. A best-effort job of which a task was ever assigned may
+    /// exceed the budget for best-effort jobs only if this time is long enough ago.
     pub last_assigned: Millis,
 }
 
--- a/src/coordination/scheduler/trial/mod.rs
+++ b/src/coordination/scheduler/trial/mod.rs
@@ -2,10 +2,9 @@
 //!
 //! A job is a tree, as in the paper on gang scheduling: the root is the job, its
 //! children are zones or tasks. Children are visited greedily in a fixed order,
-//! without backtracking; the node's status is derived from four counts (see the
-//! paper's sections "`GangScheduling` Plugin Changes" and "Recursive Scheduling Cycle
-//! Execution"). The placements assumed by a failed subtree are removed in reverse
-//! order.
+//! without backtracking; the node's status is derived from four counts (PAPER,
+//! "`GangScheduling` Plugin Changes" and "Recursive Scheduling Cycle Execution"). The
+//! placements assumed by a failed subtree are removed in reverse order.
 
 mod score;
 mod tree;
